--- a/crux/command.go
+++ b/crux/command.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 const (
@@ -55,13 +55,13 @@
 	n.out.Answers = append(n.out.Answers, Answer{ID: id, Err: err})
 }
 
-func put(op Put) (change pact.Change) {
-	return func(cur *pact.Value) (next *pact.Value, err error) {
+func put(op Put) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
 		}
 		if cur.Mark != op.Expect {
-			return nil, &pact.ConflictError{Mark: cur.Mark}
+			return nil, &register.ConflictError{Mark: cur.Mark}
 		}
 		cur.Mark++
 		cur.Body = op.Body
@@ -70,8 +70,8 @@
 	}
 }
 
-func edit(op Edit) (change pact.Change) {
-	return func(cur *pact.Value) (next *pact.Value, err error) {
+func edit(op Edit) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-func empty(op Empty) (change pact.Change) {
-	return func(cur *pact.Value) (next *pact.Value, err error) {
+func empty(op Empty) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-func (n *Node) seats(names []string) (vs []pact.Voter, err error) {
+func (n *Node) seats(names []string) (vs []register.Voter, err error) {
 	for _, name := range names {
 		m, ok := n.Kin.Table.Get(name)
 		switch {
@@ -116,10 +116,10 @@
 			return nil, &NameError{Name: name, Why: "has no disk"}
 		case !m.Live():
 			return nil, &NameError{Name: name, Why: "is " + m.State.String()}
-		case slices.ContainsFunc(vs, func(v pact.Voter) bool { return v.Disk == m.Disk }):
+		case slices.ContainsFunc(vs, func(v register.Voter) bool { return v.Disk == m.Disk }):
 			return nil, &NameError{Name: name, Why: "is named twice"}
 		}
-		vs = append(vs, pact.Voter{Disk: m.Disk, Name: name})
+		vs = append(vs, register.Voter{Disk: m.Disk, Name: name})
 	}
 	if len(vs) == 0 {
 		return nil, &NameError{Name: "voters", Why: "must be named"}
@@ -130,7 +130,7 @@
 func (n *Node) found(now time.Duration, id uint64, op Found) {
 	vs, err := n.seats(op.Names)
 	if err == nil && n.known() != nil {
-		err = &pact.ConflictError{Mark: n.known().Mark}
+		err = &register.ConflictError{Mark: n.known().Mark}
 	}
 	if err != nil {
 		n.answer(id, err)
@@ -139,7 +139,7 @@
 	fleet := fmt.Sprintf("%s.%s.%s", n.cfg.Name, n.cfg.Boot, strconv.FormatUint(n.cfg.Seed, 36))
 	n.opSeq++
 	n.waiting[n.opSeq] = n.replyTo(id, "")
-	n.prop.Found(now, now+within, n.opSeq, &pact.Value{Fleet: fleet, Voters: vs})
+	n.prop.Found(now, now+within, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
 }
 
 func (n *Node) swap(now time.Duration, id uint64, op Swap) {
@@ -151,8 +151,8 @@
 	n.reseat(now, op.ID, vs, n.replyTo(id, ""))
 }
 
-func (n *Node) reseat(now time.Duration, id string, vs []pact.Voter, done ending) {
-	n.ask(now, within, begin(id, vs), false, func(now time.Duration, r pact.Result) {
+func (n *Node) reseat(now time.Duration, id string, vs []register.Voter, done ending) {
+	n.ask(now, within, begin(id, vs), false, func(now time.Duration, r register.Result) {
 		if r.Err != nil {
 			done(now, r)
 			return
@@ -161,13 +161,13 @@
 	})
 }
 
-func begin(id string, vs []pact.Voter) (change pact.Change) {
-	return func(cur *pact.Value) (next *pact.Value, err error) {
+func begin(id string, vs []register.Voter) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.Next, vs) {
 			return nil, nil
 		}
 		if len(cur.Next) > 0 {
-			return nil, &pact.ConflictError{Mark: cur.Mark}
+			return nil, &register.ConflictError{Mark: cur.Mark}
 		}
 		cur.Next = vs
 		cur.Seat++
@@ -176,7 +176,7 @@
 	}
 }
 
-func settleVoters(cur *pact.Value) (next *pact.Value, err error) {
+func settleVoters(cur *register.Value) (next *register.Value, err error) {
 	if len(cur.Next) == 0 {
 		return nil, nil
 	}
--- a/crux/join.go
+++ b/crux/join.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 const (
@@ -50,7 +50,7 @@
 	}
 }
 
-func (n *Node) known() (v *pact.Value) {
+func (n *Node) known() (v *register.Value) {
 	if n.value != nil {
 		return n.value
 	}
--- a/crux/join_test.go
+++ b/crux/join_test.go
@@ -6,14 +6,14 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 const body = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
-func value(mark uint64) (v *pact.Value) {
-	return &pact.Value{Fleet: "f", Mark: mark, Seat: 1, Body: []byte(body), Voters: []pact.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
+func value(mark uint64) (v *register.Value) {
+	return &register.Value{Fleet: "f", Mark: mark, Seat: 1, Body: []byte(body), Voters: []register.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
 }
 
 type lone struct {
@@ -25,7 +25,7 @@
 // newLone is a core with an old picture on its disk and two neighbours that answer its pings; no voter answers.
 func newLone() (l *lone) {
 	l = &lone{n: New(0, Config{
-		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &Kept{Pact: pact.State{Disk: "d1", Value: value(1)}},
+		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &Kept{Pact: register.State{Disk: "d1", Value: value(1)}},
 		Kin: kin.Defaults(), Rumor: rumor.Defaults(),
 	})}
 	for _, name := range []string{"n2", "n4"} {
--- a/crux/keeper.go
+++ b/crux/keeper.go
@@ -7,7 +7,7 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/term"
 	"github.com/mallowbridge/mallowbridge/vault"
 )
@@ -15,7 +15,7 @@
 const logBytes = 1 << 20
 
 type Kept struct {
-	Pact   pact.State
+	Pact   register.State
 	Grants map[string]term.Record
 }
 
@@ -52,7 +52,7 @@
 	}
 	k = &Keeper{v: v}
 	if v.Empty() {
-		k.kept = Kept{Pact: pact.State{Disk: freshID}}
+		k.kept = Kept{Pact: register.State{Disk: freshID}}
 		return k, k.turn()
 	}
 	if err = decode("slot", slot, &k.kept); err != nil {
--- a/crux/mend.go
+++ b/crux/mend.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 const halfDone = 2 * time.Second
@@ -25,7 +25,7 @@
 	}
 	n.duties.mended = now
 	if stuck {
-		n.ask(now, within, settleVoters, false, func(time.Duration, pact.Result) {})
+		n.ask(now, within, settleVoters, false, func(time.Duration, register.Result) {})
 		return
 	}
 	vs := n.without(lost)
@@ -34,7 +34,7 @@
 	}
 	n.change("replaces voter", lost)
 	id := "mend/" + lost + "/" + strconv.FormatUint(n.value.Seat, 10)
-	n.reseat(now, id, vs, func(time.Duration, pact.Result) {})
+	n.reseat(now, id, vs, func(time.Duration, register.Result) {})
 }
 
 func (n *Node) lostVoter(now, patience time.Duration) (disk string) {
@@ -65,7 +65,7 @@
 	return false
 }
 
-func (n *Node) without(lost string) (vs []pact.Voter) {
+func (n *Node) without(lost string) (vs []register.Voter) {
 	taken := map[string]int{}
 	for _, v := range n.value.Voters {
 		if v.Disk != lost {
@@ -87,10 +87,10 @@
 	if best.Name == "" {
 		return nil
 	}
-	return append(vs, pact.Voter{Disk: best.Disk, Name: best.Name})
+	return append(vs, register.Voter{Disk: best.Disk, Name: best.Name})
 }
 
-func isVoter(vs []pact.Voter, disk string) (yes bool) {
+func isVoter(vs []register.Voter, disk string) (yes bool) {
 	for _, v := range vs {
 		if v.Disk == disk {
 			return true
--- a/crux/msg.go
+++ b/crux/msg.go
@@ -6,14 +6,14 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/term"
 )
 
 func init() {
 	for name, v := range map[string]any{
-		"pp": pact.Prepare{}, "pq": pact.Promise{}, "pa": pact.Accept{}, "pb": pact.Accepted{}, "pv": &pact.Value{},
+		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
 		"ta": term.Ask{}, "tg": term.Grant{}, "td": term.Drop{},
 		"kp": kin.Ping{}, "ka": kin.Ack{}, "kf": kin.PingFor{}, "km": kin.Member{},
 		"rn": rumor.News{}, "rs": rumor.Sum{}, "rm": rumor.Marks{}, "rw": rumor.Want{}, "rt": rumor.Tell{},
@@ -161,7 +161,7 @@
 
 type Answer struct {
 	ID      uint64
-	Value   *pact.Value
+	Value   *register.Value
 	Mark    uint64
 	Verdict Verdict
 	Err     error
--- a/crux/news.go
+++ b/crux/news.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -38,7 +38,7 @@
 	case kin.Member:
 		d.State = kin.State(it.Mark.Lo)
 		n.Kin.Hear(now, d)
-	case *pact.Value:
+	case *register.Value:
 		n.learn(now, d)
 	case Usages:
 		n.onUsages(now, it.Mark, d)
@@ -90,7 +90,7 @@
 	}
 }
 
-func (n *Node) learn(now time.Duration, v *pact.Value) {
+func (n *Node) learn(now time.Duration, v *register.Value) {
 	if !v.Newer(n.value) {
 		return
 	}
@@ -103,7 +103,7 @@
 	n.value = v
 	n.prop.Learn(v)
 	n.Rumor.Put(rumor.Item{Key: "c", Mark: rumor.Mark{Hi: v.Mark, Lo: v.Seat}, Data: v})
-	if old == nil || !pact.SameSeats(old, v) {
+	if old == nil || !register.SameSeats(old, v) {
 		n.change("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
 	if len(v.Body) > 0 {
--- a/crux/node.go
+++ b/crux/node.go
@@ -6,7 +6,7 @@
 
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/term"
 	"github.com/mallowbridge/mallowbridge/wire"
@@ -40,15 +40,15 @@
 	send   Send
 }
 
-type ending func(now time.Duration, r pact.Result)
+type ending func(now time.Duration, r register.Result)
 
 type Node struct {
 	cfg    Config
 	out    *Out
 	Kin    *kin.Kin
 	Rumor  *rumor.Store
-	prop   *pact.Proposer
-	voter  *pact.Acceptor
+	prop   *register.Proposer
+	voter  *register.Acceptor
 	grants *term.Granter
 	hold   *term.Holder
 
@@ -61,7 +61,7 @@
 	waiting map[uint64]ending
 	reading bool
 
-	value   *pact.Value
+	value   *register.Value
 	pic     *charter.Picture
 	where   map[string]charter.Replica
 	obeyed  uint64
@@ -98,14 +98,14 @@
 	self := kin.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, wire.Build)}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
-		cfg: cfg, prop: pact.NewProposer(by, cfg.Seed), hold: term.NewHolder(by, cfg.Seed), Rumor: rumor.New(cfg.Rumor, cfg.Seed),
+		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: term.NewHolder(by, cfg.Seed), Rumor: rumor.New(cfg.Rumor, cfg.Seed),
 		waiting: map[uint64]ending{}, met: map[string]bool{}, since: now, asked: -time.Hour, fedAt: -time.Hour,
 		born: now, foundAt: -time.Hour, lists: listing{heard: now, asked: -time.Hour},
 		duties: newDuties(), witness: newWitness(now), sights: map[string]*sight{}, told: map[string]told{},
 	}
 	if cfg.Disk != nil {
 		self.Disk = cfg.Disk.Pact.Disk
-		n.voter = &pact.Acceptor{State: cfg.Disk.Pact}
+		n.voter = &register.Acceptor{State: cfg.Disk.Pact}
 		n.grants = term.NewGranter(self.Disk, cfg.Disk.Grants, now+term.TTL)
 		n.prop.Learn(cfg.Disk.Pact.Value)
 		if v := cfg.Disk.Pact.Value; v != nil {
--- a/crux/register.go
+++ b/crux/register.go
@@ -4,15 +4,15 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/term"
 )
 
-type Promised struct{ Ballot pact.Ballot }
+type Promised struct{ Ballot register.Ballot }
 
 type AcceptedEntry struct {
-	Ballot pact.Ballot
-	Value  *pact.Value
+	Ballot register.Ballot
+	Value  *register.Value
 }
 
 type Granted struct {
@@ -27,10 +27,10 @@
 
 func (n *Node) vote(now time.Duration, r Recv) {
 	switch m := r.Msg.(type) {
-	case pact.Promise:
+	case register.Promise:
 		n.prop.OnPromise(now, m)
 		return
-	case pact.Accepted:
+	case register.Accepted:
 		n.prop.OnAccepted(now, m)
 		return
 	case term.Grant:
@@ -43,10 +43,10 @@
 		return
 	}
 	switch m := r.Msg.(type) {
-	case pact.Prepare:
+	case register.Prepare:
 		a, write := n.voter.Prepare(m)
 		n.reply(now, r.From, a, a.Disk != "", write, Promised{Ballot: m.Ballot})
-	case pact.Accept:
+	case register.Accept:
 		a, write := n.voter.Accept(m)
 		if a.OK {
 			n.grants.Reseat(now, m.Value.Seat)
@@ -112,7 +112,7 @@
 	n.Kin.Update(now, func(m *kin.Member) { m.Unfit = yes })
 }
 
-func (n *Node) ask(now, within time.Duration, change pact.Change, full bool, done ending) {
+func (n *Node) ask(now, within time.Duration, change register.Change, full bool, done ending) {
 	n.opSeq++
 	n.waiting[n.opSeq] = done
 	n.prop.Do(now, now+within, n.opSeq, change, full)
@@ -120,11 +120,11 @@
 
 func (n *Node) read(now, within time.Duration, full bool) {
 	n.reading = true
-	n.ask(now, within, nil, full, func(time.Duration, pact.Result) { n.reading = false })
+	n.ask(now, within, nil, full, func(time.Duration, register.Result) { n.reading = false })
 }
 
 func (n *Node) replyTo(id uint64, op string) (done ending) {
-	return func(_ time.Duration, r pact.Result) {
+	return func(_ time.Duration, r register.Result) {
 		a := Answer{ID: id, Value: r.Value, Err: r.Err}
 		if r.Value != nil {
 			a.Mark = r.Value.Mark
--- a/crux/seed.go
+++ b/crux/seed.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 const foundEach = 1500 * time.Millisecond
@@ -22,22 +22,22 @@
 	if at < 0 || now-n.born < time.Duration(at)*foundEach || now-n.foundAt < foundEach {
 		return
 	}
-	var vs []pact.Voter
+	var vs []register.Voter
 	for _, addr := range n.cfg.Seeds {
 		m, ok := n.memberAt(addr)
 		if !ok {
 			return
 		}
 		if m.Disk != "" {
-			vs = append(vs, pact.Voter{Disk: m.Disk, Name: m.Name})
+			vs = append(vs, register.Voter{Disk: m.Disk, Name: m.Name})
 		}
 	}
 	n.founding, n.foundAt = true, now
 	n.change("founds", fmt.Sprint(vs))
 	n.opSeq++
-	n.waiting[n.opSeq] = func(time.Duration, pact.Result) { n.founding = false }
+	n.waiting[n.opSeq] = func(time.Duration, register.Result) { n.founding = false }
 	fleet := fmt.Sprintf("%s.%s.%s", n.cfg.Name, n.cfg.Boot, strconv.FormatUint(n.cfg.Seed, 36))
-	n.prop.Found(now, now+foundEach, n.opSeq, &pact.Value{Fleet: fleet, Voters: vs})
+	n.prop.Found(now, now+foundEach, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
 }
 
 func (n *Node) memberAt(addr string) (m kin.Member, ok bool) {
@@ -62,7 +62,7 @@
 	}
 	if len(n.value.Next) > 0 {
 		n.duties.mended = now
-		n.ask(now, within, settleVoters, false, func(time.Duration, pact.Result) {})
+		n.ask(now, within, settleVoters, false, func(time.Duration, register.Result) {})
 		return
 	}
 	next, why := n.seating(now)
@@ -72,14 +72,14 @@
 	n.duties.mended = now
 	n.change("voters change", why)
 	seat := n.value.Seat
-	n.ask(now, within, seatAt(seat, next), false, func(now time.Duration, r pact.Result) {
+	n.ask(now, within, seatAt(seat, next), false, func(now time.Duration, r register.Result) {
 		if r.Err == nil {
-			n.ask(now, within, settleVoters, false, func(time.Duration, pact.Result) {})
+			n.ask(now, within, settleVoters, false, func(time.Duration, register.Result) {})
 		}
 	})
 }
 
-func (n *Node) seating(now time.Duration) (vs []pact.Voter, why string) {
+func (n *Node) seating(now time.Duration) (vs []register.Voter, why string) {
 	for _, v := range n.value.Voters {
 		if m, ok := n.emptied(v); ok {
 			return n.exchange(v, m), "disk of " + v.Name + " came back empty"
@@ -99,29 +99,29 @@
 }
 
 // emptied finds the machine of a voter that is back with another disk.
-func (n *Node) emptied(v pact.Voter) (m kin.Member, yes bool) {
+func (n *Node) emptied(v register.Voter) (m kin.Member, yes bool) {
 	m, ok := n.Kin.Table.Get(v.Name)
 	yes = ok && m.State == kin.Alive && m.Disk != "" && m.Disk != v.Disk && !m.Unfit && !isVoter(n.value.Voters, m.Disk)
 	return m, yes
 }
 
-func (n *Node) exchange(old pact.Voter, m kin.Member) (vs []pact.Voter) {
+func (n *Node) exchange(old register.Voter, m kin.Member) (vs []register.Voter) {
 	for _, v := range n.value.Voters {
 		if v == old {
-			v = pact.Voter{Disk: m.Disk, Name: m.Name}
+			v = register.Voter{Disk: m.Disk, Name: m.Name}
 		}
 		vs = append(vs, v)
 	}
 	return vs
 }
 
-func seatAt(seat uint64, vs []pact.Voter) (change pact.Change) {
-	return func(cur *pact.Value) (next *pact.Value, err error) {
+func seatAt(seat uint64, vs []register.Voter) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
 		if slices.Equal(cur.Next, vs) || slices.Equal(cur.Voters, vs) {
 			return nil, nil
 		}
 		if cur.Seat != seat {
-			return nil, &pact.ConflictError{Mark: cur.Mark}
+			return nil, &register.ConflictError{Mark: cur.Mark}
 		}
 		cur.Next = vs
 		cur.Seat++
--- a/crux/send.go
+++ b/crux/send.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -28,7 +28,7 @@
 	return ""
 }
 
-func (n *Node) toDisks(sends []pact.Send) {
+func (n *Node) toDisks(sends []register.Send) {
 	for _, s := range sends {
 		if n.voter != nil && s.Disk == n.voter.Disk {
 			n.send(n.cfg.Addr, s.Msg)
--- a/crux/status.go
+++ b/crux/status.go
@@ -6,7 +6,7 @@
 
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 type MemberStatus struct {
@@ -15,23 +15,23 @@
 }
 
 type Status struct {
-	Name    string          `json:"name"`
-	Domain  string          `json:"domain"`
-	Serving bool            `json:"serving"`
-	Why     string          `json:"why,omitempty"`
-	Mark    uint64          `json:"mark"`
-	Obeyed  uint64          `json:"obeyed"`
-	Emptied []string        `json:"emptied"`
-	Voters  []pact.Voter    `json:"voters"`
-	Next    []pact.Voter    `json:"next,omitempty"`
-	Voter   bool            `json:"voter"`
-	Unfit   bool            `json:"unfit"`
-	Claims  []string        `json:"claims"`
-	Members []MemberStatus  `json:"members"`
-	Deaths  uint64          `json:"deaths"`
-	Refutes uint64          `json:"refutes"`
-	News    int             `json:"news"`
-	Config  json.RawMessage `json:"config,omitempty"`
+	Name    string           `json:"name"`
+	Domain  string           `json:"domain"`
+	Serving bool             `json:"serving"`
+	Why     string           `json:"why,omitempty"`
+	Mark    uint64           `json:"mark"`
+	Obeyed  uint64           `json:"obeyed"`
+	Emptied []string         `json:"emptied"`
+	Voters  []register.Voter `json:"voters"`
+	Next    []register.Voter `json:"next,omitempty"`
+	Voter   bool             `json:"voter"`
+	Unfit   bool             `json:"unfit"`
+	Claims  []string         `json:"claims"`
+	Members []MemberStatus   `json:"members"`
+	Deaths  uint64           `json:"deaths"`
+	Refutes uint64           `json:"refutes"`
+	News    int              `json:"news"`
+	Config  json.RawMessage  `json:"config,omitempty"`
 }
 
 func (n *Node) Status(now time.Duration) (s Status) {
@@ -72,4 +72,4 @@
 	return n.pic
 }
 
-func (n *Node) Value() (v *pact.Value) { return n.value }
+func (n *Node) Value() (v *register.Value) { return n.value }
--- a/gate/ops.go
+++ b/gate/ops.go
@@ -14,7 +14,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/crux"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 type Control interface {
@@ -31,11 +31,11 @@
 }
 
 type Accepted struct {
-	Mark    uint64          `json:"mark"`
-	Now     uint64          `json:"now"`
-	Emptied []string        `json:"emptied"`
-	Voters  []pact.Voter    `json:"voters"`
-	Config  json.RawMessage `json:"config,omitempty"`
+	Mark    uint64           `json:"mark"`
+	Now     uint64           `json:"now"`
+	Emptied []string         `json:"emptied"`
+	Voters  []register.Voter `json:"voters"`
+	Config  json.RawMessage  `json:"config,omitempty"`
 }
 
 type Trouble struct {
@@ -74,10 +74,10 @@
 
 func refuse(w http.ResponseWriter, err error) error {
 	var bad *charter.BadError
-	var conflict *pact.ConflictError
-	var unknown *pact.UnknownError
-	var unreached *pact.UnreachedError
-	var unfounded *pact.UnfoundedError
+	var conflict *register.ConflictError
+	var unknown *register.UnknownError
+	var unreached *register.UnreachedError
+	var unfounded *register.UnfoundedError
 	var name *crux.NameError
 	var long *http.MaxBytesError
 	t := Trouble{Error: err.Error(), Fate: "unchanged"}
--- a/hearth/valve_test.go
+++ b/hearth/valve_test.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/crux"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -56,13 +56,13 @@
 
 func TestAStalledDiskHoldsBackNoMoreThanIsWaitedFor(t *testing.T) {
 	n := crux.New(0, crux.Config{
-		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &crux.Kept{Pact: pact.State{Disk: "x"}}, Kin: kin.Defaults(), Rumor: rumor.Defaults(),
+		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &crux.Kept{Pact: register.State{Disk: "x"}}, Kin: kin.Defaults(), Rumor: rumor.Defaults(),
 	})
 	writes := make(chan []crux.Write, crux.MaxHeld)
 	for i := range uint64(4 * crux.MaxHeld) {
-		out := n.Step(0, crux.Recv{From: "other", Msg: pact.Prepare{Rid: i, Disk: "x", Ballot: pact.Ballot{N: i + 1}}})
+		out := n.Step(0, crux.Recv{From: "other", Msg: register.Prepare{Rid: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
 		for _, s := range out.Sends {
-			if p, ok := s.Msg.(pact.Promise); ok {
+			if p, ok := s.Msg.(register.Promise); ok {
 				t.Fatalf("a promise left before its sync: %v", p)
 			}
 		}
--- a/pact/acceptor.go
+++ b/register/acceptor.go
@@ -1,4 +1,4 @@
-package pact
+package register
 
 type Prepare struct {
 	Rid    uint64
--- a/pact/history_test.go
+++ b/register/history_test.go
@@ -1,4 +1,4 @@
-package pact
+package register
 
 import "github.com/anishathalye/porcupine"
 
--- a/slope/mechanism.go
+++ b/slope/mechanism.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/crux"
 	"github.com/mallowbridge/mallowbridge/kin"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/stage"
 	"github.com/mallowbridge/mallowbridge/term"
@@ -53,7 +53,7 @@
 		return Config
 	case rumor.News:
 		return ofNews(v)
-	case pact.Prepare, pact.Promise, pact.Accept, pact.Accepted:
+	case register.Prepare, register.Promise, register.Accept, register.Accepted:
 		return Register
 	case term.Ask, term.Grant, term.Drop:
 		return Claims
@@ -89,7 +89,7 @@
 		return Members
 	case crux.Usages:
 		return Usage
-	case *pact.Value:
+	case *register.Value:
 		return Config
 	case crux.Listing, crux.Roster, crux.Reading:
 		return Listings
@@ -101,7 +101,7 @@
 	switch d := it.Data.(type) {
 	case crux.Usages:
 		return 40 * (1 + len(d.Rows))
-	case *pact.Value:
+	case *register.Value:
 		return 200 + d.Size()
 	case crux.Roster:
 		return d.Size()
--- a/stage/audit.go
+++ b/stage/audit.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -116,7 +116,7 @@
 	}
 }
 
-func (a *Audit) accepted(n *Node, v *pact.Value) {
+func (a *Audit) accepted(n *Node, v *register.Value) {
 	a.same(v)
 	if v.Mark > a.high {
 		a.high = v.Mark
@@ -125,7 +125,7 @@
 	}
 }
 
-func (a *Audit) same(v *pact.Value) {
+func (a *Audit) same(v *register.Value) {
 	text := string(v.Body) + fmt.Sprint(v.Emptied)
 	if old, ok := a.bodies[v.Mark]; ok && old != text {
 		a.breach(TwoValues, fmt.Sprint(v.Mark), "")
--- a/stage/contents.go
+++ b/stage/contents.go
@@ -6,7 +6,7 @@
 
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/crux"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 // content is what one configuration allows. It may be in force from the moment that it was sent, unless it was denied.
@@ -37,8 +37,8 @@
 }
 
 func (c *content) answered(a crux.Answer) {
-	var conflict *pact.ConflictError
-	var unreached *pact.UnreachedError
+	var conflict *register.ConflictError
+	var unreached *register.UnreachedError
 	c.accepted = a.Err == nil
 	c.denied = errors.As(a.Err, &conflict) || errors.As(a.Err, &unreached)
 }
--- a/stage/document.go
+++ b/stage/document.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 // A site's operators write a charter.Charter as JSON: routes, offers whose replicas are discovered, limits and a revision.
@@ -114,7 +114,7 @@
 			return nil, err
 		}
 		if at != base {
-			return nil, &pact.ConflictError{Mark: at}
+			return nil, &register.ConflictError{Mark: at}
 		}
 		c, err := readDocument(raw)
 		if err == nil && c.Revision <= base {
@@ -132,7 +132,7 @@
 			return nil, err
 		}
 		if c.Revision != base {
-			return nil, &pact.ConflictError{Mark: c.Revision}
+			return nil, &register.ConflictError{Mark: c.Revision}
 		}
 		c.Revision = revision
 		c.Routes = slices.DeleteFunc(c.Routes, func(r charter.Route) bool { return slices.Contains(remove, r.Name) })
--- a/stage/operators.go
+++ b/stage/operators.go
@@ -8,7 +8,7 @@
 
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/crux"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 // operators send orders to any node and repeat them elsewhere until one answers clearly.
@@ -44,7 +44,7 @@
 )
 
 func fateOf(err error) (f fate) {
-	var conflict *pact.ConflictError
+	var conflict *register.ConflictError
 	var bad *charter.BadError
 	switch {
 	case err == nil:
--- a/stage/orders.go
+++ b/stage/orders.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/crux"
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 func (w *World) order(f Fault, ns []*Node) {
@@ -45,7 +45,7 @@
 }
 
 func (w *World) learn(err error) {
-	var c *pact.ConflictError
+	var c *register.ConflictError
 	if errors.As(err, &c) {
 		w.expect = c.Mark
 	}
--- a/term/term.go
+++ b/term/term.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 const (
@@ -148,7 +148,7 @@
 	return c.Mark, true
 }
 
-func (h *Holder) Want(now time.Duration, duty string, seats *pact.Value) (sends []pact.Send) {
+func (h *Holder) Want(now time.Duration, duty string, seats *register.Value) (sends []register.Send) {
 	c := h.claims[duty]
 	if c == nil {
 		c = &Claim{Duty: duty, Mark: Mark{Seat: seats.Seat, N: h.high[duty] + 1}}
@@ -167,12 +167,12 @@
 	h.rid++
 	c.rid, c.asked, c.yes, c.next = h.rid, now, map[string]bool{}, now+Renew
 	for _, v := range seats.All() {
-		sends = append(sends, pact.Send{Disk: v.Disk, Msg: Ask{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Mark, Seat: seats.Seat}})
+		sends = append(sends, register.Send{Disk: v.Disk, Msg: Ask{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Mark, Seat: seats.Seat}})
 	}
 	return sends
 }
 
-func (h *Holder) OnGrant(now time.Duration, g Grant, seats *pact.Value) {
+func (h *Holder) OnGrant(now time.Duration, g Grant, seats *register.Value) {
 	c := h.claims[g.Duty]
 	if c == nil || g.Rid != c.rid {
 		return
@@ -184,12 +184,12 @@
 		return
 	}
 	c.yes[g.Disk] = true
-	if pact.Quorum(seats, func(d string) bool { return c.yes[d] }) {
+	if register.Quorum(seats, func(d string) bool { return c.yes[d] }) {
 		c.until = max(c.until, c.asked+TTL-Drift)
 	}
 }
 
-func (h *Holder) Drop(duty string, seats *pact.Value) (sends []pact.Send) {
+func (h *Holder) Drop(duty string, seats *register.Value) (sends []register.Send) {
 	c := h.claims[duty]
 	if c == nil {
 		return nil
@@ -198,9 +198,9 @@
 	return h.drops(c, seats)
 }
 
-func (h *Holder) drops(c *Claim, seats *pact.Value) (sends []pact.Send) {
+func (h *Holder) drops(c *Claim, seats *register.Value) (sends []register.Send) {
 	for _, v := range seats.All() {
-		sends = append(sends, pact.Send{Disk: v.Disk, Msg: Drop{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Mark}})
+		sends = append(sends, register.Send{Disk: v.Disk, Msg: Drop{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Mark}})
 	}
 	return sends
 }
--- a/term/term_test.go
+++ b/term/term_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/pact"
+	"github.com/mallowbridge/mallowbridge/register"
 )
 
 const ms = time.Millisecond
@@ -24,15 +24,15 @@
 	granters map[string]*Granter
 	holders  []*Holder
 	drift    []float64
-	views    []*pact.Value
-	seats    *pact.Value
+	views    []*register.Value
+	seats    *register.Value
 }
 
 func (r *rig) at(d time.Duration, do func()) { r.posts = append(r.posts, post{at: r.now + d, do: do}) }
 
 func (r *rig) clock(i int) (local time.Duration) { return time.Duration(float64(r.now) * r.drift[i]) }
 
-func (r *rig) carry(i int, sends []pact.Send) {
+func (r *rig) carry(i int, sends []register.Send) {
 	for _, s := range sends {
 		if r.rng.IntN(10) == 0 {
 			continue
@@ -52,16 +52,16 @@
 
 func (r *rig) reseat() {
 	if len(r.seats.Next) > 0 {
-		r.seats = &pact.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Next}
+		r.seats = &register.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Next}
 	} else {
-		var next []pact.Voter
+		var next []register.Voter
 		for _, d := range r.rng.Perm(5)[:3] {
-			next = append(next, pact.Voter{Disk: fmt.Sprint(d)})
+			next = append(next, register.Voter{Disk: fmt.Sprint(d)})
 		}
-		r.seats = &pact.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Voters, Next: next}
+		r.seats = &register.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Voters, Next: next}
 	}
 	for _, v := range r.seats.All() {
-		if r.rng.IntN(4) > 0 || !pact.Quorum(r.seats, func(d string) bool { return r.granters[d].seat == r.seats.Seat }) {
+		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].seat == r.seats.Seat }) {
 			r.granters[v.Disk].Reseat(r.now, r.seats.Seat)
 		}
 	}
@@ -94,12 +94,12 @@
 func TestNeverTwoHolders(t *testing.T) {
 	held := 0
 	for seed := range uint64(150) {
-		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Granter{}, seats: &pact.Value{Seat: 1}}
+		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Granter{}, seats: &register.Value{Seat: 1}}
 		for d := range 5 {
 			r.granters[fmt.Sprint(d)] = NewGranter(fmt.Sprint(d), nil, 0)
 		}
 		for d := range 3 {
-			r.seats.Voters = append(r.seats.Voters, pact.Voter{Disk: fmt.Sprint(d)})
+			r.seats.Voters = append(r.seats.Voters, register.Voter{Disk: fmt.Sprint(d)})
 			r.granters[fmt.Sprint(d)].Reseat(0, 1)
 		}
 		for i := range 4 {
