--- a/crux/duty.go
+++ b/crux/duty.go
@@ -7,8 +7,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/rumor"
-	"github.com/mallowbridge/mallowbridge/term"
 )
 
 const (
@@ -106,7 +106,7 @@
 	}
 }
 
-func stamp(m term.Mark) (hi uint64) { return m.Seat<<32 | m.N&0xffffffff }
+func stamp(m lease.Mark) (hi uint64) { return m.Seat<<32 | m.N&0xffffffff }
 
 func (n *Node) probe(now time.Duration, domain string, hi uint64) {
 	if hi < n.duties.mark[domain] {
--- a/crux/keeper.go
+++ b/crux/keeper.go
@@ -7,8 +7,8 @@
 
 	"github.com/gravitational/trace"
 
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/term"
 	"github.com/mallowbridge/mallowbridge/vault"
 )
 
@@ -16,7 +16,7 @@
 
 type Kept struct {
 	Pact   register.State
-	Grants map[string]term.Record
+	Grants map[string]lease.Record
 }
 
 type entry struct {
@@ -101,7 +101,7 @@
 		k.kept.Pact.Promised, k.kept.Pact.Accepted, k.kept.Pact.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
 	case e.Granted != nil:
 		if k.kept.Grants == nil {
-			k.kept.Grants = map[string]term.Record{}
+			k.kept.Grants = map[string]lease.Record{}
 		}
 		k.kept.Grants[e.Granted.Duty] = e.Granted.Record
 	}
--- a/crux/msg.go
+++ b/crux/msg.go
@@ -6,15 +6,15 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
-	"github.com/mallowbridge/mallowbridge/term"
 )
 
 func init() {
 	for name, v := range map[string]any{
 		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
-		"ta": term.Ask{}, "tg": term.Grant{}, "td": term.Drop{},
+		"ta": lease.Ask{}, "tg": lease.Grant{}, "td": lease.Drop{},
 		"kp": kin.Ping{}, "ka": kin.Ack{}, "kf": kin.PingFor{}, "km": kin.Member{},
 		"rn": rumor.News{}, "rs": rumor.Sum{}, "rm": rumor.Marks{}, "rw": rumor.Want{}, "rt": rumor.Tell{},
 		"cu": Usages{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
--- a/crux/node.go
+++ b/crux/node.go
@@ -6,9 +6,9 @@
 
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
-	"github.com/mallowbridge/mallowbridge/term"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -49,8 +49,8 @@
 	Rumor  *rumor.Store
 	prop   *register.Proposer
 	voter  *register.Acceptor
-	grants *term.Granter
-	hold   *term.Holder
+	grants *lease.Granter
+	hold   *lease.Holder
 
 	ticket  uint64
 	held    []held
@@ -98,7 +98,7 @@
 	self := kin.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, wire.Build)}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
-		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: term.NewHolder(by, cfg.Seed), Rumor: rumor.New(cfg.Rumor, cfg.Seed),
+		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: lease.NewHolder(by, cfg.Seed), Rumor: rumor.New(cfg.Rumor, cfg.Seed),
 		waiting: map[uint64]ending{}, met: map[string]bool{}, since: now, asked: -time.Hour, fedAt: -time.Hour,
 		born: now, foundAt: -time.Hour, lists: listing{heard: now, asked: -time.Hour},
 		duties: newDuties(), witness: newWitness(now), sights: map[string]*sight{}, told: map[string]told{},
@@ -106,7 +106,7 @@
 	if cfg.Disk != nil {
 		self.Disk = cfg.Disk.Pact.Disk
 		n.voter = &register.Acceptor{State: cfg.Disk.Pact}
-		n.grants = term.NewGranter(self.Disk, cfg.Disk.Grants, now+term.TTL)
+		n.grants = lease.NewGranter(self.Disk, cfg.Disk.Grants, now+lease.TTL)
 		n.prop.Learn(cfg.Disk.Pact.Value)
 		if v := cfg.Disk.Pact.Value; v != nil {
 			n.grants.Reseat(now, v.Seat)
--- a/crux/register.go
+++ b/crux/register.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/term"
 )
 
 type Promised struct{ Ballot register.Ballot }
@@ -17,7 +17,7 @@
 
 type Granted struct {
 	Duty   string
-	Record term.Record
+	Record lease.Record
 }
 
 const (
@@ -33,7 +33,7 @@
 	case register.Accepted:
 		n.prop.OnAccepted(now, m)
 		return
-	case term.Grant:
+	case lease.Grant:
 		if n.value != nil {
 			n.hold.OnGrant(now, m, n.value)
 		}
@@ -52,10 +52,10 @@
 			n.grants.Reseat(now, m.Value.Seat)
 		}
 		n.reply(now, r.From, a, a.Disk != "", write, AcceptedEntry{Ballot: m.Ballot, Value: m.Value})
-	case term.Ask:
+	case lease.Ask:
 		g, write := n.grants.Ask(now, m)
-		n.reply(now, r.From, g, g.Disk != "", write, Granted{Duty: m.Duty, Record: term.Record{Holder: m.Holder, Mark: m.Mark}})
-	case term.Drop:
+		n.reply(now, r.From, g, g.Disk != "", write, Granted{Duty: m.Duty, Record: lease.Record{Holder: m.Holder, Mark: m.Mark}})
+	case lease.Drop:
 		n.grants.Drop(m)
 	}
 }
--- a/term/term.go
+++ b/lease/term.go
@@ -1,4 +1,4 @@
-package term
+package lease
 
 import (
 	"math/rand/v2"
--- a/slope/mechanism.go
+++ b/slope/mechanism.go
@@ -8,10 +8,10 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/crux"
 	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/stage"
-	"github.com/mallowbridge/mallowbridge/term"
 )
 
 // Mechanism is what a cost is for.
@@ -55,7 +55,7 @@
 		return ofNews(v)
 	case register.Prepare, register.Promise, register.Accept, register.Accepted:
 		return Register
-	case term.Ask, term.Grant, term.Drop:
+	case lease.Ask, lease.Grant, lease.Drop:
 		return Claims
 	case crux.WitnessAsk, crux.WitnessSay, crux.WitnessForget:
 		return Witnesses
