--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -16,7 +16,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gate"
 	"github.com/mallowbridge/mallowbridge/hearth"
 )
@@ -95,7 +95,7 @@
 		return err
 	}
 	g := gate.New(h.Desk, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
-		return crux.Vouch(h.Call(crux.Witness{Request: request, Spare: spare, Peek: peek}))
+		return control.Vouch(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
 	}, gate.Bounds(s.MaxBody, s.MaxStreams))
 	g.Front = h.Front
 	ops := &gate.Ops{C: h, G: g, Clock: hearth.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
@@ -169,7 +169,7 @@
 		h.Desk.Look(func(r *mallowbridge.Router) { unsent = r.Unsent() })
 		if !departed && (unsent == 0 || time.Since(from) > letGo) {
 			departed = true
-			h.Call(crux.Depart{})
+			h.Call(control.Depart{})
 		}
 		if departed && g.Running() == 0 {
 			return
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -10,7 +10,7 @@
 	"github.com/phuslu/log"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ferry"
 	"github.com/mallowbridge/mallowbridge/hearth"
 	"github.com/mallowbridge/mallowbridge/platform"
@@ -47,7 +47,7 @@
 		lg.Warn().Err(err).Msg("settings are flawed, the old ones stay")
 		return old
 	}
-	h.Call(crux.Seeds{Addrs: s.InternalSeeds()})
+	h.Call(control.Seeds{Addrs: s.InternalSeeds()})
 	lg.Info().Msg("settings read anew")
 	return s
 }
@@ -64,7 +64,7 @@
 			return
 		case <-leave:
 			left = true
-			h.Call(crux.Depart{})
+			h.Call(control.Depart{})
 		case <-tick.C:
 			if left && p.Running() == 0 {
 				return
--- a/crux/news.go
+++ b/control/news.go
@@ -1,4 +1,4 @@
-package crux
+package control
 
 import (
 	"fmt"
--- a/gate/health.go
+++ b/gate/health.go
@@ -6,7 +6,7 @@
 	"github.com/uptrace/bunrouter"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 func (o *Ops) health(w http.ResponseWriter, r bunrouter.Request) error {
@@ -26,8 +26,8 @@
 }
 
 func (o *Ops) status(w http.ResponseWriter, r bunrouter.Request) error {
-	var s crux.Status
-	o.C.Look(func(n *crux.Node) { s = n.Status(o.Clock()) })
+	var s control.Status
+	o.C.Look(func(n *control.Node) { s = n.Status(o.Clock()) })
 	return reply(w, http.StatusOK, s)
 }
 
--- a/gate/ops.go
+++ b/gate/ops.go
@@ -13,13 +13,13 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
 type Control interface {
-	Call(op crux.Op) (a crux.Answer)
-	Look(look func(n *crux.Node))
+	Call(op control.Op) (a control.Answer)
+	Look(look func(n *control.Node))
 }
 
 type Ops struct {
@@ -54,8 +54,8 @@
 	r.PUT("/v1/config", o.put)
 	r.POST("/v1/domains/:domain/empty", o.domain(false))
 	r.POST("/v1/domains/:domain/restore", o.domain(true))
-	r.POST("/v1/found", o.voters(func(id string, names []string) crux.Op { return crux.Found{Names: names} }))
-	r.POST("/v1/voters", o.voters(func(id string, names []string) crux.Op { return crux.Swap{ID: id, Names: names} }))
+	r.POST("/v1/found", o.voters(func(id string, names []string) control.Op { return control.Found{Names: names} }))
+	r.POST("/v1/voters", o.voters(func(id string, names []string) control.Op { return control.Swap{ID: id, Names: names} }))
 	r.POST("/v1/replicas", o.replicas)
 }
 
@@ -78,7 +78,7 @@
 	var unknown *register.UnknownError
 	var unreached *register.UnreachedError
 	var unfounded *register.UnfoundedError
-	var name *crux.NameError
+	var name *control.NameError
 	var long *http.MaxBytesError
 	t := Trouble{Error: err.Error(), Fate: "unchanged"}
 	status := http.StatusInternalServerError
@@ -124,7 +124,7 @@
 	return charter.Open(raw)
 }
 
-func (o *Ops) answer(w http.ResponseWriter, a crux.Answer) error {
+func (o *Ops) answer(w http.ResponseWriter, a control.Answer) error {
 	if a.Err != nil {
 		return refuse(w, a.Err)
 	}
@@ -133,7 +133,7 @@
 }
 
 func (o *Ops) get(w http.ResponseWriter, r bunrouter.Request) error {
-	return o.answer(w, o.C.Call(crux.Get{}))
+	return o.answer(w, o.C.Call(control.Get{}))
 }
 
 func (o *Ops) put(w http.ResponseWriter, r bunrouter.Request) error {
@@ -152,7 +152,7 @@
 	if _, err = charter.Read(raw); err != nil {
 		return refuse(w, err)
 	}
-	return o.answer(w, o.C.Call(crux.Put{ID: id, Expect: expect, Body: raw}))
+	return o.answer(w, o.C.Call(control.Put{ID: id, Expect: expect, Body: raw}))
 }
 
 func (o *Ops) domain(restore bool) (h bunrouter.HandlerFunc) {
@@ -163,15 +163,15 @@
 		}
 		name := r.Param("domain")
 		known := false
-		o.C.Look(func(n *crux.Node) { known = n.Knows(name) })
+		o.C.Look(func(n *control.Node) { known = n.Knows(name) })
 		if !known {
-			return refuse(w, &crux.NameError{Name: name, Why: "no such domain"})
+			return refuse(w, &control.NameError{Name: name, Why: "no such domain"})
 		}
-		return o.answer(w, o.C.Call(crux.Empty{ID: id, Domain: name, Restore: restore}))
+		return o.answer(w, o.C.Call(control.Empty{ID: id, Domain: name, Restore: restore}))
 	}
 }
 
-func (o *Ops) voters(op func(id string, names []string) crux.Op) (h bunrouter.HandlerFunc) {
+func (o *Ops) voters(op func(id string, names []string) control.Op) (h bunrouter.HandlerFunc) {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
@@ -198,9 +198,9 @@
 	if err != nil {
 		return refuse(w, err)
 	}
-	op := crux.Listed{At: uint64(time.Now().UnixMilli())}
+	op := control.Listed{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
-		l := crux.Listing{Replica: e.Str("name", true, 64), State: e.Str("state", true, 16)}
+		l := control.Listing{Replica: e.Str("name", true, 64), State: e.Str("state", true, 16)}
 		if l.State != "present" && l.State != "leaving" && l.State != "gone" && l.State != "" {
 			e.Flaw(e.At("state"), l.State, "present, leaving or gone")
 		}
--- a/hearth/follow.go
+++ b/hearth/follow.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -51,7 +51,7 @@
 	f.n++
 }
 
-func (fs *followers) join(f *follower, n *crux.Node) (in crux.In) {
+func (fs *followers) join(f *follower, n *control.Node) (in control.In) {
 	taken := map[int]bool{}
 	for _, o := range fs.all {
 		taken[o.id] = true
@@ -68,7 +68,7 @@
 	return fs.count()
 }
 
-func (fs *followers) leave(f *follower) (in crux.In) {
+func (fs *followers) leave(f *follower) (in control.In) {
 	for i, o := range fs.all {
 		if o == f {
 			fs.all = append(fs.all[:i], fs.all[i+1:]...)
@@ -78,12 +78,12 @@
 	return fs.count()
 }
 
-func (fs *followers) count() (in crux.In) {
+func (fs *followers) count() (in control.In) {
 	most := 0
 	for _, f := range fs.all {
 		most = max(most, f.id)
 	}
-	return crux.Command{Op: crux.Libs{N: most}}
+	return control.Command{Op: control.Libs{N: most}}
 }
 
 func (h *Hearth) follow(conn net.Conn, _ wire.Hello, r *wire.Reader) {
--- a/hearth/follow_test.go
+++ b/hearth/follow_test.go
@@ -9,7 +9,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 func address(t *testing.T) (addr string) {
@@ -44,9 +44,9 @@
 func TestLibraryFollowsItsDaemonThroughARestart(t *testing.T) {
 	addr, data := address(t), t.TempDir()
 	h, stop := daemon(t, addr, data)
-	for h.Call(crux.Found{Names: []string{"n1"}}).Err != nil {
+	for h.Call(control.Found{Names: []string{"n1"}}).Err != nil {
 	}
-	if a := h.Call(crux.Put{ID: "one", Body: []byte(config)}); a.Err != nil || a.Mark != 1 {
+	if a := h.Call(control.Put{ID: "one", Body: []byte(config)}); a.Err != nil || a.Mark != 1 {
 		t.Fatal(a)
 	}
 	tb := &tomb.Tomb{}
@@ -62,7 +62,7 @@
 	if m := <-marks; m != 1 {
 		t.Errorf("the picture has mark %d", m)
 	}
-	if a := h.Call(crux.Put{ID: "two", Expect: 1, Body: []byte(config)}); a.Err != nil {
+	if a := h.Call(control.Put{ID: "two", Expect: 1, Body: []byte(config)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	if m := <-marks; m != 2 {
--- a/hearth/hearth.go
+++ b/hearth/hearth.go
@@ -12,7 +12,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/vault"
@@ -32,16 +32,16 @@
 	Log    *log.Logger
 	Desk   *mallowbridge.Desk
 	Net    *wire.Net
-	in     chan crux.In
+	in     chan control.In
 	calls  chan call
-	writes chan []crux.Write
+	writes chan []control.Write
 	joins  chan *follower
 	leaves chan *follower
 	pics   chan *charter.Picture
 	looks  chan string
 	valve  *valve
-	node   *crux.Node
-	keeper *crux.Keeper
+	node   *control.Node
+	keeper *control.Keeper
 	boot   string
 	Front  string
 	see    func(p *charter.Picture)
@@ -50,9 +50,9 @@
 }
 
 type call struct {
-	op    crux.Op
-	look  func(n *crux.Node)
-	reply chan crux.Answer
+	op    control.Op
+	look  func(n *control.Node)
+	reply chan control.Answer
 }
 
 func seed() (n uint64) {
@@ -74,13 +74,13 @@
 func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Hearth, err error) {
 	boot := strconv.FormatUint(seed(), 36)
 	h = &Hearth{
-		S: s, T: t, Log: lg, in: make(chan crux.In, 1024), calls: make(chan call, 64), writes: make(chan []crux.Write, crux.MaxHeld),
+		S: s, T: t, Log: lg, in: make(chan control.In, 1024), calls: make(chan call, 64), writes: make(chan []control.Write, control.MaxHeld),
 		joins: make(chan *follower), leaves: make(chan *follower), pics: make(chan *charter.Picture, 1), looks: make(chan string, 64), boot: boot,
 		prefills: make(chan mallowbridge.Prefill, prefillQueue),
 	}
 	h.Front = s.Name + "." + h.boot
-	cfg := crux.Config{
-		Name: s.Name, Addr: s.Listen, HTTP: s.HTTP, Domain: s.Domain, Seeds: s.Seeds, Boot: boot, Inc: crux.Inc(time.Now(), seed()), Seed: seed(),
+	cfg := control.Config{
+		Name: s.Name, Addr: s.Listen, HTTP: s.HTTP, Domain: s.Domain, Seeds: s.Seeds, Boot: boot, Inc: control.Inc(time.Now(), seed()), Seed: seed(),
 		Kin: kin.Defaults(), Rumor: rumor.Defaults(),
 		Read: s.Host.Read, ListEvery: s.Host.ListEvery, Tolerate: s.Host.Tolerate, Founds: s.Host.Founds, ServesCutOff: s.Host.ServesCutOff,
 	}
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if h.keeper, err = crux.OpenKeeper(folder, diskID()); err != nil {
+		if h.keeper, err = control.OpenKeeper(folder, diskID()); err != nil {
 			return nil, err
 		}
 		if what := h.keeper.Repair(); what != "" {
@@ -106,7 +106,7 @@
 	h.Desk = mallowbridge.NewDesk(t, mallowbridge.New(rc), Clock, deskTicks)
 	h.Desk.OnPrefill(h.placed)
 	h.valve = newValve(t, h.Desk.Tell)
-	h.node = crux.New(Clock(), cfg)
+	h.node = control.New(Clock(), cfg)
 	self := wire.Hello{Build: wire.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
 	if h.Net, err = wire.Listen(t, self, h.follow, h.fault); err != nil {
 		return nil, err
@@ -127,21 +127,21 @@
 func (h *Hearth) control() (err error) {
 	tick := time.NewTicker(ticks)
 	defer tick.Stop()
-	replies := map[uint64]chan crux.Answer{}
+	replies := map[uint64]chan control.Answer{}
 	fs := newFollowers(h)
 	id := uint64(0)
 	first := time.After(0)
 	for {
-		var in crux.In
+		var in control.In
 		select {
 		case <-h.T.Dying():
 			return nil
 		case <-first:
-			first, in = nil, crux.Tick{}
+			first, in = nil, control.Tick{}
 		case <-tick.C:
-			in = crux.Tick{}
+			in = control.Tick{}
 		case m := <-h.Net.In:
-			in = crux.Recv{From: m.Hello.Addr, Msg: m.Msg}
+			in = control.Recv{From: m.Hello.Addr, Msg: m.Msg}
 		case in = <-h.in:
 		case p := <-h.prefills:
 			in = h.gather(p)
@@ -152,12 +152,12 @@
 		case c := <-h.calls:
 			if c.look != nil {
 				c.look(h.node)
-				c.reply <- crux.Answer{}
+				c.reply <- control.Answer{}
 				continue
 			}
 			id++
 			replies[id] = c.reply
-			in = crux.Command{ID: id, Op: c.op}
+			in = control.Command{ID: id, Op: c.op}
 		}
 		out := h.node.Step(Clock(), in)
 		h.carry(out, fs)
@@ -170,7 +170,7 @@
 	}
 }
 
-func (h *Hearth) carry(out crux.Out, fs *followers) {
+func (h *Hearth) carry(out control.Out, fs *followers) {
 	if len(out.Writes) > 0 {
 		h.writes <- out.Writes
 	}
@@ -206,32 +206,32 @@
 	}
 }
 
-func (h *Hearth) give(in crux.In) {
+func (h *Hearth) give(in control.In) {
 	select {
 	case h.in <- in:
 	case <-h.T.Dying():
 	}
 }
 
-func (h *Hearth) Call(op crux.Op) (a crux.Answer) {
-	return h.call(call{op: op, reply: make(chan crux.Answer, 1)})
+func (h *Hearth) Call(op control.Op) (a control.Answer) {
+	return h.call(call{op: op, reply: make(chan control.Answer, 1)})
 }
 
-func (h *Hearth) Look(look func(n *crux.Node)) {
-	h.call(call{look: look, reply: make(chan crux.Answer, 1)})
+func (h *Hearth) Look(look func(n *control.Node)) {
+	h.call(call{look: look, reply: make(chan control.Answer, 1)})
 }
 
-func (h *Hearth) call(c call) (a crux.Answer) {
+func (h *Hearth) call(c call) (a control.Answer) {
 	select {
 	case h.calls <- c:
 	case <-h.T.Dying():
-		return crux.Answer{Err: &StoppingError{}}
+		return control.Answer{Err: &StoppingError{}}
 	}
 	select {
 	case a = <-c.reply:
 		return a
 	case <-h.T.Dying():
-		return crux.Answer{Err: &StoppingError{}}
+		return control.Answer{Err: &StoppingError{}}
 	}
 }
 
--- a/hearth/keep.go
+++ b/hearth/keep.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 const mendEvery = 500 * time.Millisecond
 
 func (h *Hearth) list() (err error) {
 	rows, err := h.S.Host.List()
-	h.give(crux.ListRead{Rows: rows, Err: err})
+	h.give(control.ListRead{Rows: rows, Err: err})
 	return nil
 }
 
@@ -21,7 +21,7 @@
 		case <-h.T.Dying():
 			return nil
 		case f := <-h.Desk.Failures:
-			h.give(crux.Failed{Failures: f})
+			h.give(control.Failed{Failures: f})
 		}
 	}
 }
@@ -42,7 +42,7 @@
 				}
 			}
 			err := h.keeper.Save(ws)
-			h.give(crux.Saved{Ticket: ws[len(ws)-1].Ticket, Err: err})
+			h.give(control.Saved{Ticket: ws[len(ws)-1].Ticket, Err: err})
 			if err != nil {
 				mend = time.After(mendEvery)
 			}
@@ -50,7 +50,7 @@
 			mend = time.After(mendEvery)
 			if h.keeper.Mend() == nil {
 				mend = nil
-				h.give(crux.Saved{Mended: true})
+				h.give(control.Saved{Mended: true})
 			}
 		}
 	}
--- a/hearth/prefill.go
+++ b/hearth/prefill.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 const prefillQueue = 64
@@ -16,7 +16,7 @@
 }
 
 // gather takes all that wait into one message.
-func (h *Hearth) gather(first mallowbridge.Prefill) (ps crux.Prefills) {
+func (h *Hearth) gather(first mallowbridge.Prefill) (ps control.Prefills) {
 	ps.Rows = []mallowbridge.Prefill{first}
 	for range len(h.prefills) {
 		ps.Rows = append(ps.Rows, <-h.prefills)
--- a/hearth/probe.go
+++ b/hearth/probe.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 const (
@@ -34,12 +34,12 @@
 	LagMs      int    `json:"lagMs"`
 }
 
-func (h *Hearth) probe(p crux.Probe) {
+func (h *Hearth) probe(p control.Probe) {
 	h.give(ask(p))
 }
 
-func ask(p crux.Probe) (res crux.Probed) {
-	res = crux.Probed{Replica: p.Replica, Own: p.Own}
+func ask(p control.Probe) (res control.Probed) {
+	res = control.Probed{Replica: p.Replica, Own: p.Own}
 	ctx, stop := context.WithTimeout(context.Background(), probeFor)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+"/v1/usage", nil)
@@ -63,11 +63,11 @@
 	return got
 }
 
-func (u usage) probed() (p crux.Probed, ok bool) {
+func (u usage) probed() (p control.Probed, ok bool) {
 	if u.InstanceID == "" || u.Running < 0 || u.LagMs < 0 {
 		return p, false
 	}
-	return crux.Probed{
+	return control.Probed{
 		OK: true, InstanceID: u.InstanceID, Running: u.Running, Leaving: u.Leaving, Lag: time.Duration(u.LagMs) * time.Millisecond,
 	}, true
 }
--- a/hearth/valve_test.go
+++ b/hearth/valve_test.go
@@ -7,7 +7,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
@@ -55,12 +55,12 @@
 }
 
 func TestAStalledDiskHoldsBackNoMoreThanIsWaitedFor(t *testing.T) {
-	n := crux.New(0, crux.Config{
-		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &crux.Kept{Pact: register.State{Disk: "x"}}, Kin: kin.Defaults(), Rumor: rumor.Defaults(),
+	n := control.New(0, control.Config{
+		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &control.Kept{Pact: register.State{Disk: "x"}}, Kin: kin.Defaults(), Rumor: rumor.Defaults(),
 	})
-	writes := make(chan []crux.Write, crux.MaxHeld)
-	for i := range uint64(4 * crux.MaxHeld) {
-		out := n.Step(0, crux.Recv{From: "other", Msg: register.Prepare{Rid: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
+	writes := make(chan []control.Write, control.MaxHeld)
+	for i := range uint64(4 * control.MaxHeld) {
+		out := n.Step(0, control.Recv{From: "other", Msg: register.Prepare{Rid: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
 		for _, s := range out.Sends {
 			if p, ok := s.Msg.(register.Promise); ok {
 				t.Fatalf("a promise left before its sync: %v", p)
@@ -75,7 +75,7 @@
 			t.Fatalf("write %d would stop the control owner", i)
 		}
 	}
-	if len(writes) != crux.MaxHeld {
+	if len(writes) != control.MaxHeld {
 		t.Errorf("%d writes wait", len(writes))
 	}
 }
--- a/hearth/watch.go
+++ b/hearth/watch.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 const (
@@ -115,10 +115,10 @@
 	}
 }
 
-func (e *eye) tell(state crux.SightState, p crux.Probed) {
+func (e *eye) tell(state control.SightState, p control.Probed) {
 	p.Replica, p.Own = e.name, true
 	select {
-	case e.h.in <- crux.Sighted{State: state, Probed: p}:
+	case e.h.in <- control.Sighted{State: state, Probed: p}:
 	case <-e.stop:
 	case <-e.h.T.Dying():
 	}
@@ -128,7 +128,7 @@
 func (e *eye) look() (seen bool) {
 	conn, err := net.DialTimeout("tcp", e.addr, lookFor)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		e.tell(crux.Down, crux.Probed{})
+		e.tell(control.Down, control.Probed{})
 	}
 	if err != nil {
 		return false
@@ -148,7 +148,7 @@
 	if !seen {
 		return false
 	}
-	e.tell(crux.Up, p)
+	e.tell(control.Up, p)
 	_ = conn.SetDeadline(time.Time{})
 	from := time.Now()
 	_, _ = r.ReadByte()
@@ -163,11 +163,11 @@
 		e.ends = 0
 	}
 	if e.ends < hasty {
-		e.tell(crux.Shut, crux.Probed{})
+		e.tell(control.Shut, control.Probed{})
 	}
 }
 
-func (e *eye) ask(conn net.Conn, r *bufio.Reader) (p crux.Probed, ok bool) {
+func (e *eye) ask(conn net.Conn, r *bufio.Reader) (p control.Probed, ok bool) {
 	_ = conn.SetDeadline(time.Now().Add(lookFor))
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.addr+"/v1/usage", nil)
 	if err != nil || req.Write(conn) != nil {
--- a/hearth/watch_test.go
+++ b/hearth/watch_test.go
@@ -8,12 +8,12 @@
 
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
-func watched(t *testing.T, addr string) (in chan crux.In) {
+func watched(t *testing.T, addr string) (in chan control.In) {
 	tb := &tomb.Tomb{}
-	h := &Hearth{T: tb, in: make(chan crux.In)}
+	h := &Hearth{T: tb, in: make(chan control.In)}
 	e := h.eye("r", addr, lookAgain)
 	tb.Go(e.run)
 	t.Cleanup(func() {
@@ -34,9 +34,9 @@
 	return srv
 }
 
-func next(t *testing.T, in chan crux.In, want crux.SightState, instance string) {
+func next(t *testing.T, in chan control.In, want control.SightState, instance string) {
 	t.Helper()
-	s := (<-in).(crux.Sighted)
+	s := (<-in).(control.Sighted)
 	if s.State != want || s.InstanceID != instance || s.Replica != "r" {
 		t.Fatalf("saw %+v, not state %d of %q", s, want, instance)
 	}
@@ -50,21 +50,21 @@
 	addr := lis.Addr().String()
 	srv := serveUsage(t, lis, "i1", true)
 	in := watched(t, addr)
-	next(t, in, crux.Up, "i1")
+	next(t, in, control.Up, "i1")
 	srv.CloseClientConnections()
 	srv.Listener.Close()
-	next(t, in, crux.Shut, "")
-	next(t, in, crux.Down, "")
+	next(t, in, control.Shut, "")
+	next(t, in, control.Down, "")
 	if lis, err = net.Listen("tcp", addr); err != nil {
 		t.Fatal(err)
 	}
 	second := serveUsage(t, lis, "i2", true)
 	defer second.Close()
-	s := (<-in).(crux.Sighted)
-	for s.State == crux.Down {
-		s = (<-in).(crux.Sighted)
+	s := (<-in).(control.Sighted)
+	for s.State == control.Down {
+		s = (<-in).(control.Sighted)
 	}
-	if s.State != crux.Up || s.InstanceID != "i2" {
+	if s.State != control.Up || s.InstanceID != "i2" {
 		t.Errorf("saw %+v after the restart", s)
 	}
 }
@@ -78,9 +78,9 @@
 	defer srv.Close()
 	in := watched(t, lis.Addr().String())
 	for range hasty - 1 {
-		next(t, in, crux.Up, "i1")
-		next(t, in, crux.Shut, "")
+		next(t, in, control.Up, "i1")
+		next(t, in, control.Shut, "")
 	}
-	next(t, in, crux.Up, "i1")
-	next(t, in, crux.Up, "i1")
+	next(t, in, control.Up, "i1")
+	next(t, in, control.Up, "i1")
 }
--- a/slope/conn.go
+++ b/slope/conn.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
@@ -18,7 +18,7 @@
 		rumor.Marks{Marks: []rumor.KeyMark{{Key: "k", Mark: rumor.Mark{Hi: 1, Lo: 1}}}}, rumor.Want{Keys: []string{"k"}},
 		rumor.News{Items: []rumor.Item{
 			{Key: "k", Mark: rumor.Mark{Hi: 1}, Data: kin.Member{Name: "n"}},
-			{Key: "u", Mark: rumor.Mark{Hi: 1}, Data: crux.Usages{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
+			{Key: "u", Mark: rumor.Mark{Hi: 1}, Data: control.Usages{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
 		}},
 	}
 }
--- a/slope/fit_test.go
+++ b/slope/fit_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -149,16 +149,16 @@
 // docs/CAPACITY.md reckons with these sizes.
 func TestFramesOfPrefills(t *testing.T) {
 	w, row := wire.NewWriter(), mallowbridge.Prefill{Replica: "r123", Tokens: 5000}
-	if _, err := w.Frame(crux.Prefills{Rows: []mallowbridge.Prefill{row}}); err != nil {
+	if _, err := w.Frame(control.Prefills{Rows: []mallowbridge.Prefill{row}}); err != nil {
 		t.Fatal(err)
 	}
 	for rows, want := range map[int]int{1: 27, 2: 38, 4: 60} {
-		frame, err := w.Frame(crux.Prefills{Rows: slices.Repeat([]mallowbridge.Prefill{row}, rows)})
+		frame, err := w.Frame(control.Prefills{Rows: slices.Repeat([]mallowbridge.Prefill{row}, rows)})
 		if err != nil || len(frame) != want {
 			t.Errorf("%d rows take %d bytes, %v, want %d", rows, len(frame), err, want)
 		}
 	}
-	if m := ofMessage(crux.Prefills{}); m != Prefills || m.Control() {
+	if m := ofMessage(control.Prefills{}); m != Prefills || m.Control() {
 		t.Errorf("prefills are counted as %s", m)
 	}
 }
--- a/slope/mechanism.go
+++ b/slope/mechanism.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
@@ -57,9 +57,9 @@
 		return Register
 	case lease.Ask, lease.Grant, lease.Drop:
 		return Claims
-	case crux.WitnessAsk, crux.WitnessSay, crux.WitnessForget:
+	case control.WitnessAsk, control.WitnessSay, control.WitnessForget:
 		return Witnesses
-	case crux.Prefills:
+	case control.Prefills:
 		return Prefills
 	}
 	return Other
@@ -87,11 +87,11 @@
 	switch it.Data.(type) {
 	case kin.Member:
 		return Members
-	case crux.Usages:
+	case control.Usages:
 		return Usage
 	case *register.Value:
 		return Config
-	case crux.Listing, crux.Roster, crux.Reading:
+	case control.Listing, control.Roster, control.Reading:
 		return Listings
 	}
 	return Other
@@ -99,11 +99,11 @@
 
 func itemWeight(it rumor.Item) (w int) {
 	switch d := it.Data.(type) {
-	case crux.Usages:
+	case control.Usages:
 		return 40 * (1 + len(d.Rows))
 	case *register.Value:
 		return 200 + d.Size()
-	case crux.Roster:
+	case control.Roster:
 		return d.Size()
 	}
 	return 80
@@ -111,19 +111,19 @@
 
 func ofInput(in any) (m Mechanism) {
 	switch v := in.(type) {
-	case crux.Recv:
+	case control.Recv:
 		return ofMessage(v.Msg)
-	case crux.Tick:
+	case control.Tick:
 		return Ticks
-	case crux.Saved:
+	case control.Saved:
 		return Register
-	case crux.Probed, crux.Sighted:
+	case control.Probed, control.Sighted:
 		return Probes
-	case crux.Prefills, mallowbridge.Prefill:
+	case control.Prefills, mallowbridge.Prefill:
 		return Prefills
-	case crux.ListRead, mallowbridge.Listing, mallowbridge.Roster:
+	case control.ListRead, mallowbridge.Listing, mallowbridge.Roster:
 		return Listings
-	case crux.Command:
+	case control.Command:
 		return ofCommand(v.Op)
 	case mallowbridge.Tick, mallowbridge.Feed:
 		return RouterTick
@@ -140,13 +140,13 @@
 	return Other
 }
 
-func ofCommand(op crux.Op) (m Mechanism) {
+func ofCommand(op control.Op) (m Mechanism) {
 	switch op.(type) {
-	case crux.Witness:
+	case control.Witness:
 		return Witnesses
-	case crux.Listed:
+	case control.Listed:
 		return Listings
-	case crux.Put, crux.Edit, crux.Get, crux.Found, crux.Swap, crux.Empty:
+	case control.Put, control.Edit, control.Get, control.Found, control.Swap, control.Empty:
 		return Register
 	}
 	return Other
--- a/stage/contents.go
+++ b/stage/contents.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -36,7 +36,7 @@
 	return c
 }
 
-func (c *content) answered(a crux.Answer) {
+func (c *content) answered(a control.Answer) {
 	var conflict *register.ConflictError
 	var unreached *register.UnreachedError
 	c.accepted = a.Err == nil
--- a/stage/eyes.go
+++ b/stage/eyes.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 const (
@@ -13,9 +13,9 @@
 	alive     = 2 * time.Second
 )
 
-func (r *Rep) report() (p crux.Probed) {
+func (r *Rep) report() (p control.Probed) {
 	running, lag := r.m.Usage(r.w.now)
-	return crux.Probed{Replica: r.Name, OK: true, InstanceID: r.m.Instance, Running: running, Leaving: r.Leaving, Lag: lag}
+	return control.Probed{Replica: r.Name, OK: true, InstanceID: r.m.Instance, Running: running, Leaving: r.Leaving, Lag: lag}
 }
 
 func (n *Node) cutFrom(r *Rep) (yes bool) {
@@ -59,9 +59,9 @@
 		e.after(dialFor+nap, again)
 		return
 	}
-	sight := crux.Sighted{State: crux.Down, Probed: crux.Probed{Replica: r.Name}}
+	sight := control.Sighted{State: control.Down, Probed: control.Probed{Replica: r.Name}}
 	if r.Up {
-		sight = crux.Sighted{State: crux.Up, Probed: r.report()}
+		sight = control.Sighted{State: control.Up, Probed: r.report()}
 		e.open = true
 		e.stare(r.lives)
 	} else {
@@ -91,7 +91,7 @@
 	}
 	e.open = false
 	n.later(n.w.Net.delay(n.Domain == r.Domain), func() {
-		n.step(crux.Sighted{State: crux.Shut, Probed: crux.Probed{Replica: r.Name}})
+		n.step(control.Sighted{State: control.Shut, Probed: control.Probed{Replica: r.Name}})
 		e.look(lookAgain)
 	})
 }
@@ -102,10 +102,10 @@
 	}
 }
 
-func (n *Node) probe(p crux.Probe) {
+func (n *Node) probe(p control.Probe) {
 	r := n.w.byRep[p.Replica]
 	if r == nil || !r.Up || r.Dark || n.cutFrom(r) {
-		n.later(400*time.Millisecond, func() { n.step(crux.Probed{Replica: p.Replica, Own: p.Own}) })
+		n.later(400*time.Millisecond, func() { n.step(control.Probed{Replica: p.Replica, Own: p.Own}) })
 		return
 	}
 	res := r.report()
--- a/stage/gate.go
+++ b/stage/gate.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -115,7 +115,7 @@
 func (n *Node) decide(ds []mallowbridge.Decision) {
 	for _, d := range ds {
 		if d.Unread > 0 && n.w.site != nil {
-			n.step(crux.Prefills{Rows: []mallowbridge.Prefill{{Replica: d.Replica, Tokens: d.Unread}}})
+			n.step(control.Prefills{Rows: []mallowbridge.Prefill{{Replica: d.Replica, Tokens: d.Unread}}})
 		}
 		if f := n.asks[d.Request]; f != nil {
 			f.do(f.passage.Decided(d))
@@ -198,17 +198,17 @@
 }
 
 func (f *flight) glance() {
-	f.w.Call(f.n, crux.Witness{Request: f.ask.Request, Peek: true}, func(a crux.Answer) {
+	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
 			if !f.over && f.n.asks[f.ask.Request] == f {
-				f.do(f.passage.Happened(mallowbridge.Vouched{How: crux.Vouch(a)}))
+				f.do(f.passage.Happened(mallowbridge.Vouched{How: control.Vouch(a)}))
 			}
 		})
 	})
 }
 
 func (f *flight) vouch(c *conn) {
-	f.w.Call(f.n, crux.Witness{Request: f.ask.Request, Spare: c.place.Spare}, func(a crux.Answer) {
-		c.happened(mallowbridge.Vouched{Go: c.place.Go, How: crux.Vouch(a)})
+	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Spare: c.place.Spare}, func(a control.Answer) {
+		c.happened(mallowbridge.Vouched{Go: c.place.Go, How: control.Vouch(a)})
 	})
 }
--- a/stage/gauge.go
+++ b/stage/gauge.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 )
 
@@ -108,7 +108,7 @@
 	w := g.world()
 	mark := uint64(0)
 	from := w.now
-	w.Put(w.someNode(), w.Nodes[0].router.Mark(), w.varied(false), func(a crux.Answer) {
+	w.Put(w.someNode(), w.Nodes[0].router.Mark(), w.varied(false), func(a control.Answer) {
 		if a.Err == nil {
 			mark = a.Value.Mark
 		}
--- a/stage/hollow.go
+++ b/stage/hollow.go
@@ -9,7 +9,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -56,7 +56,7 @@
 	byAddr  map[string]*HollowNode
 	reps    map[string]*Replica
 	where   map[string]string
-	answers map[uint64]func(a crux.Answer)
+	answers map[uint64]func(a control.Answer)
 	ids     uint64
 	puts    int
 	offered map[uint64]time.Duration
@@ -72,7 +72,7 @@
 func NewHollow(p HollowPlan) (h *Hollow) {
 	h = &Hollow{
 		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: wire.NewWriter(), byAddr: map[string]*HollowNode{},
-		reps: map[string]*Replica{}, where: map[string]string{}, answers: map[uint64]func(a crux.Answer){},
+		reps: map[string]*Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
 		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Ends: map[string]int{},
 	}
 	h.out = wire.NewReader(&h.buf)
@@ -119,15 +119,15 @@
 	return nil
 }
 
-func (h *Hollow) call(n *HollowNode, op crux.Op, done func(a crux.Answer)) {
+func (h *Hollow) call(n *HollowNode, op control.Op, done func(a control.Answer)) {
 	h.ids++
 	h.answers[h.ids] = done
-	n.step(crux.Command{ID: h.ids, Op: op})
+	n.step(control.Command{ID: h.ids, Op: op})
 }
 
 func (h *Hollow) found() {
 	n := h.node(h.S.Shape.Voters[0])
-	h.call(n, crux.Found{Names: h.S.Shape.Voters}, func(a crux.Answer) {
+	h.call(n, control.Found{Names: h.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			h.after(300*time.Millisecond, h.found)
 			return
@@ -139,7 +139,7 @@
 func (h *Hollow) put(n *HollowNode, expect uint64, body []byte) {
 	h.puts++
 	at := h.now
-	h.call(n, crux.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Body: body}, func(a crux.Answer) {
+	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Body: body}, func(a control.Answer) {
 		if a.Err == nil {
 			h.offered[a.Value.Mark] = at
 			h.inForce(a.Value.Mark)
@@ -189,7 +189,7 @@
 	next()
 }
 
-func (h *Hollow) carry(from *HollowNode, s crux.Send) {
+func (h *Hollow) carry(from *HollowNode, s control.Send) {
 	to := h.byAddr[s.To]
 	if to == nil || to.Control == nil {
 		return
@@ -208,7 +208,7 @@
 		panic(err)
 	}
 	h.S.Meter.Sent(from, to, s.Msg, len(frame), encoded, decoded)
-	h.after(h.net.delay(from.Domain == to.Domain), func() { to.step(crux.Recv{From: from.Addr, Msg: same}) })
+	h.after(h.net.delay(from.Domain == to.Domain), func() { to.step(control.Recv{From: from.Addr, Msg: same}) })
 }
 
 func (n *HollowNode) obeys(o mallowbridge.Order) {
--- a/stage/hollownode.go
+++ b/stage/hollownode.go
@@ -7,7 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/hint"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/rumor"
@@ -20,12 +20,12 @@
 	Name    string
 	Addr    string
 	Domain  string
-	Control *crux.Node
+	Control *control.Node
 	Router  *mallowbridge.Router
 	Disk    *Disk
-	keeper  *crux.Keeper
+	keeper  *control.Keeper
 	saving  bool
-	unsaved []crux.Write
+	unsaved []control.Write
 	eyes    map[string]bool
 	asks    map[string]*hollowGo
 	mark    uint64
@@ -43,7 +43,7 @@
 
 func (n *HollowNode) start() {
 	h := n.h
-	cfg := crux.Config{
+	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Domain: n.Domain, Boot: "b" + n.Name, Inc: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
 		Kin: kin.Defaults(), Rumor: rumor.Defaults(),
 	}
@@ -51,7 +51,7 @@
 		cfg.Seeds = append(cfg.Seeds, o.Addr)
 	}
 	if n.Disk != nil {
-		k, err := crux.OpenKeeper(n.Disk, "disk-"+n.Name)
+		k, err := control.OpenKeeper(n.Disk, "disk-"+n.Name)
 		if err != nil {
 			panic(err)
 		}
@@ -59,18 +59,18 @@
 		kept := k.Kept()
 		cfg.Disk = &kept
 	}
-	n.Control = crux.New(h.now, cfg)
+	n.Control = control.New(h.now, cfg)
 	n.Router = mallowbridge.New(mallowbridge.Defaults(n.Name, cfg.Boot, n.Domain))
 	n.tick()
 }
 
 func (n *HollowNode) tick() {
 	n.h.after(tickEvery, n.tick)
-	n.step(crux.Tick{})
+	n.step(control.Tick{})
 	n.event(mallowbridge.Tick{})
 }
 
-func (n *HollowNode) step(in crux.In) {
+func (n *HollowNode) step(in control.In) {
 	start := n.h.S.Clock()
 	out := n.Control.Step(n.h.now, in)
 	n.h.S.Meter.Stepped(n, in, n.h.S.Clock()-start)
@@ -88,7 +88,7 @@
 	}
 }
 
-func (n *HollowNode) carry(out crux.Out) {
+func (n *HollowNode) carry(out control.Out) {
 	for _, s := range out.Sends {
 		n.h.carry(n, s)
 	}
@@ -125,7 +125,7 @@
 	n.h.after(3*time.Millisecond, func() {
 		n.saving = false
 		err := n.keeper.Save(batch)
-		n.step(crux.Saved{Ticket: batch[len(batch)-1].Ticket, Err: err})
+		n.step(control.Saved{Ticket: batch[len(batch)-1].Ticket, Err: err})
 		n.save()
 	})
 }
@@ -134,13 +134,13 @@
 	return n.h.net.delay(n.Domain == n.h.where[rep])
 }
 
-func (n *HollowNode) report(rep string, own bool) (p crux.Probed) {
+func (n *HollowNode) report(rep string, own bool) (p control.Probed) {
 	r := n.h.reps[rep]
 	running, lag := r.Usage(n.h.now)
-	return crux.Probed{Replica: rep, Own: own, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
+	return control.Probed{Replica: rep, Own: own, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
 }
 
-func (n *HollowNode) probe(p crux.Probe) {
+func (n *HollowNode) probe(p control.Probe) {
 	if n.h.reps[p.Replica] == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 			}
 			n.eyes[r.Name] = true
 			n.h.S.Meter.Asked(n)
-			n.h.at(max(n.h.now, n.rolled)+2*n.trip(r.Name), func() { n.step(crux.Sighted{State: crux.Up, Probed: n.report(r.Name, true)}) })
+			n.h.at(max(n.h.now, n.rolled)+2*n.trip(r.Name), func() { n.step(control.Sighted{State: control.Up, Probed: n.report(r.Name, true)}) })
 		}
 	}
 }
@@ -174,12 +174,12 @@
 			g.on, g.due = m.Place.Replica, 0
 			n.h.after(2*n.trip(g.on), func() { n.happened(g, mallowbridge.Dialed{Go: m.Place.Go, OK: true}) })
 		case mallowbridge.Vouch:
-			n.h.call(n, crux.Witness{Request: g.ask.Request, Spare: m.Place.Spare}, func(a crux.Answer) {
-				n.happened(g, mallowbridge.Vouched{Go: m.Place.Go, How: crux.Vouch(a)})
+			n.h.call(n, control.Witness{Request: g.ask.Request, Spare: m.Place.Spare}, func(a control.Answer) {
+				n.happened(g, mallowbridge.Vouched{Go: m.Place.Go, How: control.Vouch(a)})
 			})
 		case mallowbridge.Glance:
-			n.h.call(n, crux.Witness{Request: g.ask.Request, Peek: true}, func(a crux.Answer) {
-				n.happened(g, mallowbridge.Vouched{How: crux.Vouch(a)})
+			n.h.call(n, control.Witness{Request: g.ask.Request, Peek: true}, func(a control.Answer) {
+				n.happened(g, mallowbridge.Vouched{How: control.Vouch(a)})
 			})
 		case mallowbridge.Write:
 			n.h.after(n.trip(g.on), func() { n.admitted(g, m.Place.Go) })
--- a/stage/node.go
+++ b/stage/node.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
@@ -27,14 +27,14 @@
 	build  uint32
 	skew   time.Duration
 	wall   time.Duration
-	node   *crux.Node
+	node   *control.Node
 	router *mallowbridge.Router
-	keeper *crux.Keeper
+	keeper *control.Keeper
 	Disk   *Disk
 	slow   time.Duration
 	stall  bool
 	saving bool
-	unsent []crux.Write
+	unsent []control.Write
 	asks   map[string]*flight
 	eyes   map[string]*eye
 	tick   func()
@@ -88,8 +88,8 @@
 	n.eyes, n.shut, n.retire = map[string]*eye{}, false, false
 	n.life, n.Alive, n.frozen, n.inbox, n.saving, n.unsent, n.keeper = w.lives, true, false, nil, false, nil, nil
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
-	cfg := crux.Config{
-		Name: n.Name, Addr: n.Addr, Domain: n.Domain, Seeds: n.seeds(), Boot: boot, Inc: crux.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
+	cfg := control.Config{
+		Name: n.Name, Addr: n.Addr, Domain: n.Domain, Seeds: n.seeds(), Boot: boot, Inc: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
 		Kin: kin.Defaults(), Rumor: rumor.Defaults(), Build: n.build,
 	}
 	n.open, n.door = false, nil
@@ -99,7 +99,7 @@
 		w.site.configure(&cfg, &rc)
 	}
 	if n.Disk != nil {
-		k, err := crux.OpenKeeper(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.life))
+		k, err := control.OpenKeeper(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.life))
 		if err != nil {
 			w.Say("%s cannot start: %v", n.Name, err)
 			w.Audit.breach("disk cannot be read", n.Name, err.Error())
@@ -110,7 +110,7 @@
 		kept := k.Kept()
 		cfg.Disk = &kept
 	}
-	n.node = crux.New(n.local(), cfg)
+	n.node = control.New(n.local(), cfg)
 	n.front = n.Name + "." + boot
 	rc.Market.RoundRobin = w.S.RoundRob
 	n.router = mallowbridge.New(rc)
@@ -126,7 +126,7 @@
 		w.after(tickEvery, n.tick)
 		if !n.frozen {
 			n.novel()
-			n.step(crux.Tick{})
+			n.step(control.Tick{})
 			if w.site == nil {
 				n.decide(n.router.Step(n.local(), mallowbridge.Tick{}))
 			}
@@ -162,7 +162,7 @@
 	})
 }
 
-func (n *Node) step(in crux.In) {
+func (n *Node) step(in control.In) {
 	n.live(func() { n.carry(n.node.Step(n.local(), in)) })
 }
 
--- a/stage/nodeout.go
+++ b/stage/nodeout.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
-func (n *Node) carry(out crux.Out) {
+func (n *Node) carry(out control.Out) {
 	w := n.w
 	for _, s := range out.Sends {
 		to := w.byAddr[s.To]
@@ -21,7 +21,7 @@
 		}
 		msgs, delays := w.Net.carry(n.Addr, s.To, n.Domain == to.Domain, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
-			w.after(delays[i], func() { to.step(crux.Recv{From: n.Addr, Msg: m}) })
+			w.after(delays[i], func() { to.step(control.Recv{From: n.Addr, Msg: m}) })
 		}
 	}
 	if len(out.Writes) > 0 {
@@ -69,7 +69,7 @@
 	n.later(d, func() {
 		n.saving = false
 		err := n.keeper.Save(batch)
-		n.step(crux.Saved{Ticket: batch[len(batch)-1].Ticket, Err: err})
+		n.step(control.Saved{Ticket: batch[len(batch)-1].Ticket, Err: err})
 		n.save()
 		if err != nil && n.w.site != nil && !n.mending {
 			n.mend()
--- a/stage/operators.go
+++ b/stage/operators.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -23,7 +23,7 @@
 
 // An order is one call of an operator, sent unchanged to node after node.
 type order struct {
-	op     crux.Op
+	op     control.Op
 	v      *version
 	base   uint64
 	from   time.Duration
@@ -94,7 +94,7 @@
 	}
 	sent := w.now
 	w.after(clientDelay, func() {
-		w.Call(n, d.op, func(a crux.Answer) {
+		w.Call(n, d.op, func(a control.Answer) {
 			f := fateOf(a.Err)
 			switch {
 			case d.over || w.now-sent > callAnew || call != d.calls:
@@ -166,7 +166,7 @@
 	c := o.s.spec.first()
 	c.Revision = o.revision()
 	v := &version{revision: c.Revision, doc: c, raw: writeDocument(c)}
-	o.send(&order{op: crux.Edit{ID: o.id(), Apply: putEdit(0, v.raw)}, v: v, forced: true})
+	o.send(&order{op: control.Edit{ID: o.id(), Apply: putEdit(0, v.raw)}, v: v, forced: true})
 }
 
 // put replaces the document by what vary makes of the newest one; patch says only what differs.
@@ -188,7 +188,7 @@
 		e = patchEdit(base.revision, c.Revision, c.Routes, gone(base.doc.Routes, c.Routes))
 		v.raw, _ = e(base.raw)
 	}
-	o.send(&order{op: crux.Edit{ID: o.id(), Apply: e}, v: v, base: base.revision, end: func(ok bool) {
+	o.send(&order{op: control.Edit{ID: o.id(), Apply: e}, v: v, base: base.revision, end: func(ok bool) {
 		if end != nil {
 			end(v, ok)
 		}
@@ -227,7 +227,7 @@
 			}
 		}
 	}
-	o.send(&order{op: crux.Empty{ID: o.id(), Domain: domain, Restore: back}, end: func(ok bool) {
+	o.send(&order{op: control.Empty{ID: o.id(), Domain: domain, Restore: back}, end: func(ok bool) {
 		if ok && !back {
 			r.evacs[domain] = &evacuation{acked: o.s.w.now}
 		}
--- a/stage/orders.go
+++ b/stage/orders.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -13,12 +13,12 @@
 	switch f.Kind {
 	case Empty:
 		n := w.someNode()
-		w.Empty(n, f.On[0], false, func(crux.Answer) {})
-		w.after(f.For, func() { w.Empty(w.someNode(), f.On[0], true, func(crux.Answer) {}) })
+		w.Empty(n, f.On[0], false, func(control.Answer) {})
+		w.after(f.For, func() { w.Empty(w.someNode(), f.On[0], true, func(control.Answer) {}) })
 	case Lists:
 		w.lists(w.now+f.For, map[string]string{}, 0)
 	case SwapVoters:
-		w.Call(w.someNode(), crux.Swap{ID: "swap" + f.At.String(), Names: f.On}, func(a crux.Answer) { w.Say("swap: %v", a.Err) })
+		w.Call(w.someNode(), control.Swap{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
 	case PutStorm, Race, LargePuts:
 		end := w.now + f.For
 		var again func()
@@ -28,7 +28,7 @@
 			}
 			for range map[string]int{PutStorm: 1, Race: 4, LargePuts: 1}[f.Kind] {
 				n := w.someNode()
-				w.Put(n, w.expect, w.varied(f.Kind == LargePuts), func(a crux.Answer) {
+				w.Put(n, w.expect, w.varied(f.Kind == LargePuts), func(a control.Answer) {
 					if a.Err != nil {
 						w.Report.PutsDenied++
 						w.learn(a.Err)
--- a/stage/rep.go
+++ b/stage/rep.go
@@ -7,7 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -126,7 +126,7 @@
 	} else {
 		w.Audit.leaves(n, name)
 	}
-	w.Call(n, crux.Listed{At: n.unixMs(), Rows: []crux.Listing{{Replica: name, State: state}}}, func(crux.Answer) {})
+	w.Call(n, control.Listed{At: n.unixMs(), Rows: []control.Listing{{Replica: name, State: state}}}, func(control.Answer) {})
 }
 
 func (w *World) release(names []string, each time.Duration) {
--- a/stage/report.go
+++ b/stage/report.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -161,7 +161,7 @@
 }
 
 func (w *World) dayEnd() {
-	w.Call(w.someNode(), crux.Get{}, func(a crux.Answer) {
+	w.Call(w.someNode(), control.Get{}, func(a control.Answer) {
 		if a.Err != nil {
 			w.Audit.breach(LostMark, "register", a.Err.Error())
 			return
--- a/stage/site.go
+++ b/stage/site.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 // A site is the platform around the nodes of a world: it lists replicas, hands user agents to nodes, and its operators write documents.
@@ -66,7 +66,7 @@
 }
 
 // configure makes a node's settings those of the ordinary path.
-func (s *site) configure(c *crux.Config, r *mallowbridge.Config) {
+func (s *site) configure(c *control.Config, r *mallowbridge.Config) {
 	c.Read, c.ListEvery, c.Tolerate, c.Founds, c.ServesCutOff = readDocument, time.Second, 1, s.first, true
 	c.Seeds = slices.Clone(s.seeds)
 	r.Market.Backlog, r.Market.Feed = 1024, time.Minute
--- a/stage/sitefaults.go
+++ b/stage/sitefaults.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 // Troubles of a site beyond those of any fleet. On names nodes, domains or classes, or begins with the share of replicas.
@@ -131,7 +131,7 @@
 		}
 		for _, n := range w.Nodes {
 			if n.Alive {
-				w.Call(n, crux.Seeds{Addrs: slices.Clone(s.seeds)}, func(crux.Answer) {})
+				w.Call(n, control.Seeds{Addrs: slices.Clone(s.seeds)}, func(control.Answer) {})
 			}
 		}
 	})
@@ -180,7 +180,7 @@
 			return
 		case !left && w.now-from > grace*3/5:
 			left = true
-			w.Call(n, crux.Depart{}, func(crux.Answer) {})
+			w.Call(n, control.Depart{}, func(control.Answer) {})
 		}
 		w.after(50*time.Millisecond, look)
 	}
--- a/stage/sitelist.go
+++ b/stage/sitelist.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 type ListError struct{ Why string }
@@ -36,12 +36,12 @@
 // list has a node read the platform's list, which runs behind and takes only so many calls a second.
 func (n *Node) list() {
 	w, s := n.w, n.w.site
-	give := func(r crux.ListRead) {
+	give := func(r control.ListRead) {
 		n.later(2*w.Net.delay(false), func() { n.step(r) })
 	}
 	s.report.Lists++
 	if !s.readable() || w.Net.blocked(n.Addr, platformAddr) || w.Net.blocked(platformAddr, n.Addr) {
-		n.later(800*time.Millisecond, func() { n.step(crux.ListRead{Err: &ListError{Why: "no answer"}}) })
+		n.later(800*time.Millisecond, func() { n.step(control.ListRead{Err: &ListError{Why: "no answer"}}) })
 		return
 	}
 	s.calls = append(s.calls, w.now)
@@ -50,11 +50,11 @@
 	}
 	if len(s.calls) > listRate {
 		s.report.ListRefused++
-		give(crux.ListRead{Err: &ListError{Why: "called too often"}})
+		give(control.ListRead{Err: &ListError{Why: "called too often"}})
 		return
 	}
 	at := w.now - listBehind
-	var r crux.ListRead
+	var r control.ListRead
 	for _, i := range s.instances {
 		if i.listed(at) {
 			r.Rows = append(r.Rows, i.row(at))
--- a/stage/sitenode.go
+++ b/stage/sitenode.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 const (
@@ -41,7 +41,7 @@
 		return ds
 	}
 	if f, any := n.router.Failures(n.local()); any {
-		n.later(0, func() { n.step(crux.Failed{Failures: f}) })
+		n.later(0, func() { n.step(control.Failed{Failures: f}) })
 	}
 	n.arm()
 	return ds
@@ -74,7 +74,7 @@
 			return
 		}
 		n.mending = false
-		n.step(crux.Saved{Mended: true})
+		n.step(control.Saved{Mended: true})
 	})
 }
 
--- a/stage/sitereport.go
+++ b/stage/sitereport.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 type ClassReport struct {
@@ -128,7 +128,7 @@
 		again()
 		return
 	}
-	w.Call(n, crux.Get{}, func(a crux.Answer) {
+	w.Call(n, control.Get{}, func(a control.Answer) {
 		if a.Err != nil {
 			again()
 			return
@@ -137,7 +137,7 @@
 	})
 }
 
-func (s *site) compare(n *Node, a crux.Answer) {
+func (s *site) compare(n *Node, a control.Answer) {
 	at, _ := revisionIn(a.Value.Body)
 	newest := s.rules.newest()
 	for _, v := range s.rules.versions {
--- a/stage/world.go
+++ b/stage/world.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/crux"
+	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -48,13 +48,13 @@
 	Audit   *Audit
 	Report  Report
 	Trace   []string
-	answers map[uint64]func(a crux.Answer)
+	answers map[uint64]func(a control.Answer)
 	asks    uint64
 	ready   map[string][]*Node
 	expect  uint64
 	lives   uint64
 	site    *site
-	tune    func(c *crux.Config, r *mallowbridge.Config)
+	tune    func(c *control.Config, r *mallowbridge.Config)
 }
 
 const (
@@ -80,7 +80,7 @@
 	w = &World{
 		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: newNet(s.Seed), byAddr: map[string]*Node{}, byRep: map[string]*Rep{},
 		byURL: map[string]*Rep{}, whim: rand.New(rand.NewPCG(s.Seed, 47)),
-		answers: map[uint64]func(a crux.Answer){}, ready: map[string][]*Node{},
+		answers: map[uint64]func(a control.Answer){}, ready: map[string][]*Node{},
 	}
 	w.Net.Loss, w.Net.Dup = s.Loss, s.Dup
 	w.Report.Kinds, w.Report.Whys = map[string]*KindReport{}, map[string]int{}
@@ -130,13 +130,13 @@
 }
 
 func (w *World) found() {
-	w.Call(w.Node(w.S.Shape.Voters[0]), crux.Found{Names: w.S.Shape.Voters}, func(a crux.Answer) {
+	w.Call(w.Node(w.S.Shape.Voters[0]), control.Found{Names: w.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			w.Say("found: %v", a.Err)
 			w.after(300*time.Millisecond, w.found)
 			return
 		}
-		w.Put(w.Node(w.S.Shape.Voters[0]), 0, w.S.Charter, func(a crux.Answer) {
+		w.Put(w.Node(w.S.Shape.Voters[0]), 0, w.S.Charter, func(a control.Answer) {
 			if a.Err != nil {
 				w.Say("first put: %v", a.Err)
 			}
@@ -144,16 +144,16 @@
 	})
 }
 
-func (w *World) Call(n *Node, op crux.Op, done func(a crux.Answer)) {
+func (w *World) Call(n *Node, op control.Op, done func(a control.Answer)) {
 	w.asks++
 	id := w.asks
 	w.answers[id] = done
 	life := n.life
-	n.step(crux.Command{ID: id, Op: op})
+	n.step(control.Command{ID: id, Op: op})
 	w.after(6*time.Second, func() {
 		if w.answers[id] != nil && (n.life != life || !n.Alive) {
 			delete(w.answers, id)
-			done(crux.Answer{ID: id, Err: &GoneError{Node: n.Name}})
+			done(control.Answer{ID: id, Err: &GoneError{Node: n.Name}})
 		}
 	})
 }
@@ -162,11 +162,11 @@
 
 func (e *GoneError) Error() (text string) { return e.Node + " went down with the answer" }
 
-func (w *World) Put(n *Node, expect uint64, body []byte, done func(a crux.Answer)) {
+func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
 	w.asks++
-	op := crux.Put{ID: fmt.Sprintf("put-%d", w.asks), Expect: expect, Body: body}
+	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), Expect: expect, Body: body}
 	c := w.Audit.offered(expect, body)
-	w.Call(n, op, func(a crux.Answer) {
+	w.Call(n, op, func(a control.Answer) {
 		c.answered(a)
 		if a.Err == nil {
 			w.Audit.accepted(n, a.Value)
@@ -175,9 +175,9 @@
 	})
 }
 
-func (w *World) Empty(n *Node, domain string, restore bool, done func(a crux.Answer)) {
+func (w *World) Empty(n *Node, domain string, restore bool, done func(a control.Answer)) {
 	w.asks++
-	w.Call(n, crux.Empty{ID: fmt.Sprintf("empty-%d", w.asks), Domain: domain, Restore: restore}, func(a crux.Answer) {
+	w.Call(n, control.Empty{ID: fmt.Sprintf("empty-%d", w.asks), Domain: domain, Restore: restore}, func(a control.Answer) {
 		if a.Err == nil {
 			w.Audit.accepted(n, a.Value)
 			w.Audit.emptied(n, domain, !restore)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/gravitational/trace"
 
-	_ "github.com/mallowbridge/mallowbridge/crux"
+	_ "github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
