--- a/control/command.go
+++ b/control/command.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -40,7 +40,7 @@
 	case Witness:
 		n.witness.ask(now, n, c.ID, op)
 	case Libs:
-		n.Kin.Update(now, func(m *kin.Member) { m.Libs = op.N })
+		n.Kin.Update(now, func(m *membership.Member) { m.Libs = op.N })
 		n.answer(c.ID, nil)
 	case Seeds:
 		n.cfg.Seeds = op.Addrs
@@ -195,7 +195,7 @@
 			n.toDisks(n.hold.Drop(d, n.value))
 		}
 	}
-	n.Kin.Update(now, func(m *kin.Member) { m.State = kin.Left })
+	n.Kin.Update(now, func(m *membership.Member) { m.State = membership.Left })
 	n.spread(now)
 	for _, p := range n.peers() {
 		n.send(p.Addr, n.Rumor.News([]string{"m/" + n.cfg.Name}))
--- a/control/duty.go
+++ b/control/duty.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -64,14 +64,14 @@
 func (n *Node) first(duty, domain string) (yes bool) {
 	near := false
 	for _, m := range n.Kin.Table.All() {
-		near = near || (m.State == kin.Alive && m.Domain == domain)
+		near = near || (m.State == membership.Alive && m.Domain == domain)
 	}
 	kind := "all/"
 	if near {
 		kind = "near/" + domain + "/"
 	}
-	return n.place(kind, duty, func(m kin.Member) bool {
-		return m.State == kin.Alive && (!near || m.Domain == domain)
+	return n.place(kind, duty, func(m membership.Member) bool {
+		return m.State == membership.Alive && (!near || m.Domain == domain)
 	}) == 0
 }
 
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
@@ -26,10 +26,10 @@
 func newLone() (l *lone) {
 	l = &lone{n: New(0, Config{
 		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &Kept{Pact: register.State{Disk: "d1", Value: value(1)}},
-		Kin: kin.Defaults(), Rumor: rumor.Defaults(),
+		Kin: membership.Defaults(), Rumor: rumor.Defaults(),
 	})}
 	for _, name := range []string{"n2", "n4"} {
-		l.n.Kin.Hear(0, kin.Member{Name: name, Addr: "a" + name[1:], Domain: "a", Inc: 1})
+		l.n.Kin.Hear(0, membership.Member{Name: name, Addr: "a" + name[1:], Domain: "a", Inc: 1})
 	}
 	return l
 }
@@ -51,8 +51,8 @@
 func (l *lone) run(until time.Duration) {
 	for ; l.now < until; l.now += 50 * time.Millisecond {
 		for _, s := range l.step(Tick{}).Sends {
-			if p, ok := s.Msg.(kin.Ping); ok {
-				l.step(Recv{From: s.To, Msg: kin.Ack{Seq: p.Seq}})
+			if p, ok := s.Msg.(membership.Ping); ok {
+				l.step(Recv{From: s.To, Msg: membership.Ack{Seq: p.Seq}})
 			}
 		}
 	}
@@ -81,17 +81,17 @@
 	if why := l.n.hindrance(l.now); why != "" {
 		t.Fatal(why)
 	}
-	var last kin.Ping
+	var last membership.Ping
 	for last.Seq == 0 {
 		for _, s := range l.step(Tick{}).Sends {
-			if p, ok := s.Msg.(kin.Ping); ok {
+			if p, ok := s.Msg.(membership.Ping); ok {
 				last = p
 			}
 		}
 		l.now += 50 * time.Millisecond
 	}
 	l.now += 6 * time.Second
-	l.step(Recv{From: "a2", Msg: kin.Ack{Seq: last.Seq}})
+	l.step(Recv{From: "a2", Msg: membership.Ack{Seq: last.Seq}})
 	l.step(Tick{})
 	if why := l.n.hindrance(l.now); why != "catching up" {
 		t.Errorf("after 6 s without a tick: %q", why)
@@ -104,10 +104,10 @@
 	l.tell("a2", 1)
 	l.tell("a4", 1)
 	l.run(10 * time.Second)
-	var last kin.Ping
+	var last membership.Ping
 	for last.Seq == 0 {
 		for _, s := range l.step(Tick{}).Sends {
-			if p, ok := s.Msg.(kin.Ping); ok {
+			if p, ok := s.Msg.(membership.Ping); ok {
 				last = p
 			}
 		}
@@ -115,7 +115,7 @@
 	}
 	l.now += 6 * time.Second
 	for _, seq := range []uint64{0, last.Seq} {
-		for _, ev := range l.step(Recv{From: "a2", Msg: kin.Ack{Seq: seq}}).Events {
+		for _, ev := range l.step(Recv{From: "a2", Msg: membership.Ack{Seq: seq}}).Events {
 			if f, ok := ev.(mallowbridge.Feed); ok && f.Why == "" {
 				t.Fatal("serves by what it knew before it was frozen")
 			}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -61,7 +61,7 @@
 	l.ids++
 	cfg := Config{
 		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % 3), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
-		Kin: kin.Defaults(), Rumor: rumor.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
+		Kin: membership.Defaults(), Rumor: rumor.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
 	}
 	if id := l.disks[name]; id != "" {
 		cfg.Disk = &Kept{}
--- a/control/list.go
+++ b/control/list.go
@@ -6,7 +6,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -94,7 +94,7 @@
 }
 
 func (n *Node) rank(duty string) (place int) {
-	return min(n.place("live/", duty, kin.Member.Live), listStride)
+	return min(n.place("live/", duty, membership.Member.Live), listStride)
 }
 
 func (n *Node) listRead(now time.Duration, r ListRead) {
--- a/control/mend.go
+++ b/control/mend.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -58,7 +58,7 @@
 
 func (n *Node) sound(disk string) (yes bool) {
 	for _, m := range n.Kin.Table.All() {
-		if m.Disk == disk && m.State == kin.Alive && !m.Unfit {
+		if m.Disk == disk && m.State == membership.Alive && !m.Unfit {
 			return true
 		}
 	}
@@ -75,9 +75,9 @@
 			}
 		}
 	}
-	var best kin.Member
+	var best membership.Member
 	for _, m := range n.Kin.Table.All() {
-		if m.Disk == "" || m.State != kin.Alive || m.Unfit || isVoter(n.value.Voters, m.Disk) {
+		if m.Disk == "" || m.State != membership.Alive || m.Unfit || isVoter(n.value.Voters, m.Disk) {
 			continue
 		}
 		if best.Name == "" || taken[m.Domain] < taken[best.Domain] {
--- a/control/msg.go
+++ b/control/msg.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
@@ -15,7 +15,7 @@
 	for name, v := range map[string]any{
 		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
 		"ta": lease.Ask{}, "tg": lease.Grant{}, "td": lease.Drop{},
-		"kp": kin.Ping{}, "ka": kin.Ack{}, "kf": kin.PingFor{}, "km": kin.Member{},
+		"kp": membership.Ping{}, "ka": membership.Ack{}, "kf": membership.PingFor{}, "km": membership.Member{},
 		"rn": rumor.News{}, "rs": rumor.Sum{}, "rm": rumor.Marks{}, "rw": rumor.Want{}, "rt": rumor.Tell{},
 		"cu": Usages{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
 		"ws": WitnessAsk{}, "wy": WitnessSay{}, "wf": WitnessForget{},
--- a/control/news.go
+++ b/control/news.go
@@ -8,7 +8,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
@@ -35,8 +35,8 @@
 
 func (n *Node) take(now time.Duration, it rumor.Item) {
 	switch d := it.Data.(type) {
-	case kin.Member:
-		d.State = kin.State(it.Mark.Lo)
+	case membership.Member:
+		d.State = membership.State(it.Mark.Lo)
 		n.Kin.Hear(now, d)
 	case *register.Value:
 		n.learn(now, d)
--- a/control/node.go
+++ b/control/node.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
@@ -20,7 +20,7 @@
 	Inc                      uint64
 	Seed                     uint64
 	Disk                     *Kept
-	Kin                      kin.Config
+	Kin                      membership.Config
 	Rumor                    rumor.Config
 
 	// Read reads and checks the operators' document; nil: charter.Read.
@@ -45,7 +45,7 @@
 type Node struct {
 	cfg    Config
 	out    *Out
-	Kin    *kin.Kin
+	Kin    *membership.Kin
 	Rumor  *rumor.Store
 	prop   *register.Proposer
 	voter  *register.Acceptor
@@ -95,7 +95,7 @@
 	if cfg.Read == nil {
 		cfg.Read = charter.Read
 	}
-	self := kin.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, wire.Build)}
+	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, wire.Build)}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
 		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: lease.NewHolder(by, cfg.Seed), Rumor: rumor.New(cfg.Rumor, cfg.Seed),
@@ -112,7 +112,7 @@
 			n.grants.Reseat(now, v.Seat)
 		}
 	}
-	n.Kin = kin.New(cfg.Kin, self, cfg.Seed, now)
+	n.Kin = membership.New(cfg.Kin, self, cfg.Seed, now)
 	return n
 }
 
@@ -202,11 +202,11 @@
 		n.rouse(r)
 	}
 	switch m := r.Msg.(type) {
-	case kin.Ping:
+	case membership.Ping:
 		n.kinSends(n.Kin.OnPing(r.From, m))
-	case kin.PingFor:
+	case membership.PingFor:
 		n.kinSends(n.Kin.OnPingFor(now, r.From, m))
-	case kin.Ack:
+	case membership.Ack:
 		n.kinSends(n.Kin.OnAck(now, m))
 	case rumor.News:
 		n.onNews(now, r.From, m)
@@ -233,12 +233,12 @@
 
 func (n *Node) rouse(r Recv) {
 	switch r.Msg.(type) {
-	case kin.Ping, kin.Ack:
+	case membership.Ping, membership.Ack:
 	default:
 		return
 	}
 	for _, m := range n.Kin.Table.All() {
-		if m.Addr == r.From && m.State == kin.Dead {
+		if m.Addr == r.From && m.State == membership.Dead {
 			n.send(r.From, n.Rumor.Marks(true))
 		}
 	}
--- a/control/place.go
+++ b/control/place.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -25,7 +25,7 @@
 }
 
 // place is how many of the members that fit come before this node in the ranking for a duty, or absent where it does not fit itself.
-func (n *Node) place(kind, duty string, fits func(m kin.Member) bool) (above int) {
+func (n *Node) place(kind, duty string, fits func(m membership.Member) bool) (above int) {
 	d := n.derive()
 	above, ok := d.places[kind+duty]
 	if ok {
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 )
 
 func TestPlacesFollowTheMembers(t *testing.T) {
@@ -22,7 +22,7 @@
 			n := l.nodes[name]
 			var all, near []string
 			for _, m := range n.Kin.Table.All() {
-				if m.State == kin.Alive {
+				if m.State == membership.Alive {
 					all = append(all, m.Name)
 					if m.Domain == "1" {
 						near = append(near, m.Name)
@@ -31,7 +31,7 @@
 			}
 			for _, duty := range []string{"mend", "list"} {
 				ranked := bid.Nearest(duty, all)
-				if got, want := n.place("all/", duty, func(m kin.Member) bool { return m.State == kin.Alive }), slices.Index(ranked, name); got != want {
+				if got, want := n.place("all/", duty, func(m membership.Member) bool { return m.State == membership.Alive }), slices.Index(ranked, name); got != want {
 					t.Errorf("%s: %s is at place %d of %s, want %d", when, name, got, duty, want)
 				}
 				if n.first(duty, "1") != (bid.Nearest(duty, near)[0] == name) || n.first(duty, "nowhere") != (ranked[0] == name) {
--- a/control/register.go
+++ b/control/register.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -109,7 +109,7 @@
 		return
 	}
 	n.change("disk fitness", map[bool]string{true: "unfit", false: "fit"}[yes])
-	n.Kin.Update(now, func(m *kin.Member) { m.Unfit = yes })
+	n.Kin.Update(now, func(m *membership.Member) { m.Unfit = yes })
 }
 
 func (n *Node) ask(now, within time.Duration, change register.Change, full bool, done ending) {
--- a/control/seed.go
+++ b/control/seed.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -40,7 +40,7 @@
 	n.prop.Found(now, now+foundEach, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
 }
 
-func (n *Node) memberAt(addr string) (m kin.Member, ok bool) {
+func (n *Node) memberAt(addr string) (m membership.Member, ok bool) {
 	for _, m := range n.Kin.Table.All() {
 		if m.Addr == addr && m.Live() {
 			return m, true
@@ -99,13 +99,13 @@
 }
 
 // emptied finds the machine of a voter that is back with another disk.
-func (n *Node) emptied(v register.Voter) (m kin.Member, yes bool) {
+func (n *Node) emptied(v register.Voter) (m membership.Member, yes bool) {
 	m, ok := n.Kin.Table.Get(v.Name)
-	yes = ok && m.State == kin.Alive && m.Disk != "" && m.Disk != v.Disk && !m.Unfit && !isVoter(n.value.Voters, m.Disk)
+	yes = ok && m.State == membership.Alive && m.Disk != "" && m.Disk != v.Disk && !m.Unfit && !isVoter(n.value.Voters, m.Disk)
 	return m, yes
 }
 
-func (n *Node) exchange(old register.Voter, m kin.Member) (vs []register.Voter) {
+func (n *Node) exchange(old register.Voter, m membership.Member) (vs []register.Voter) {
 	for _, v := range n.value.Voters {
 		if v == old {
 			v = register.Voter{Disk: m.Disk, Name: m.Name}
--- a/control/send.go
+++ b/control/send.go
@@ -1,7 +1,7 @@
 package control
 
 import (
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
@@ -21,7 +21,7 @@
 
 func (n *Node) addrOf(disk string) (addr string) {
 	for _, m := range n.Kin.Table.All() {
-		if m.Disk == disk && m.State != kin.Left {
+		if m.Disk == disk && m.State != membership.Left {
 			return m.Addr
 		}
 	}
@@ -52,7 +52,7 @@
 	return ps
 }
 
-func (n *Node) kinSends(ss []kin.Send) {
+func (n *Node) kinSends(ss []membership.Send) {
 	for _, s := range ss {
 		n.send(s.To, s.Msg)
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
 type MemberStatus struct {
-	kin.Member
+	membership.Member
 	State string `json:"state"`
 }
 
--- a/control/witness.go
+++ b/control/witness.go
@@ -7,7 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 )
 
 const (
@@ -125,10 +125,10 @@
 
 // witnesses are the same for all routers that know the same members; the dead keep their place as long as they would have
 // remembered, so that a death does not move the others'.
-func (n *Node) witnesses(request string) (ms []kin.Member) {
+func (n *Node) witnesses(request string) (ms []membership.Member) {
 	var names []string
 	for _, m := range n.Kin.Table.All() {
-		if m.State != kin.Left && !n.witness.gone[m.Name] {
+		if m.State != membership.Left && !n.witness.gone[m.Name] {
 			names = append(names, m.Name)
 		}
 	}
@@ -194,14 +194,14 @@
 // lose gives up on witnesses that were found dead meanwhile.
 func (a *asking) lose(n *Node) {
 	a.open = slices.DeleteFunc(a.open, func(addr string) bool {
-		return slices.ContainsFunc(n.Kin.Table.All(), func(m kin.Member) bool { return m.Addr == addr && !m.Live() })
+		return slices.ContainsFunc(n.Kin.Table.All(), func(m membership.Member) bool { return m.Addr == addr && !m.Live() })
 	})
 	a.need = min(vouchers, a.yes+len(a.open))
 }
 
 func (w *witness) bury(now time.Duration, n *Node) {
 	for _, m := range n.Kin.Table.All() {
-		if m.State != kin.Dead {
+		if m.State != membership.Dead {
 			delete(w.dead, m.Name)
 			delete(w.gone, m.Name)
 			continue
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
@@ -34,7 +34,7 @@
 
 func (f *fleet) boot(i int, life uint64) {
 	name := fmt.Sprint("n", i)
-	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Kin: kin.Defaults(), Rumor: rumor.Defaults()})
+	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Kin: membership.Defaults(), Rumor: rumor.Defaults()})
 	for _, o := range f.nodes {
 		f.nodes[name].Kin.Hear(f.now, o.Kin.Self)
 	}
@@ -118,7 +118,7 @@
 }
 
 // find gives an ending that makes the three witnesses of one request those of another.
-func find(f *fleet, silent []kin.Member) (ending string) {
+func find(f *fleet, silent []membership.Member) (ending string) {
 	for i := 0; ; i++ {
 		n := 0
 		for _, m := range f.nodes["n0"].witnesses(fmt.Sprint("q2b", i)) {
@@ -148,7 +148,7 @@
 		}
 		f.mute = map[string]bool{set[3].Name: true}
 		for _, m := range set[:3] {
-			m.State = kin.Dead
+			m.State = membership.Dead
 			f.nodes[second].Kin.Hear(f.now, m)
 			f.mute[m.Name] = true
 		}
--- a/kin/watch.go
+++ b/membership/watch.go
@@ -1,4 +1,4 @@
-package kin
+package membership
 
 import (
 	"math/rand/v2"
--- a/slope/conn.go
+++ b/slope/conn.go
@@ -7,17 +7,17 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
 func usual() (msgs []any) {
 	return []any{
-		kin.Ping{Seq: 1, Name: "n"}, kin.Ack{Seq: 1}, rumor.Sum{Hash: 1, N: 1},
+		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, rumor.Sum{Hash: 1, N: 1},
 		rumor.Marks{Marks: []rumor.KeyMark{{Key: "k", Mark: rumor.Mark{Hi: 1, Lo: 1}}}}, rumor.Want{Keys: []string{"k"}},
 		rumor.News{Items: []rumor.Item{
-			{Key: "k", Mark: rumor.Mark{Hi: 1}, Data: kin.Member{Name: "n"}},
+			{Key: "k", Mark: rumor.Mark{Hi: 1}, Data: membership.Member{Name: "n"}},
 			{Key: "u", Mark: rumor.Mark{Hi: 1}, Data: control.Usages{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
 		}},
 	}
--- a/slope/mechanism.go
+++ b/slope/mechanism.go
@@ -7,8 +7,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/kin"
 	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/stage"
@@ -45,7 +45,7 @@
 
 func ofMessage(msg any) (m Mechanism) {
 	switch v := msg.(type) {
-	case kin.Ping, kin.Ack, kin.PingFor:
+	case membership.Ping, membership.Ack, membership.PingFor:
 		return Watching
 	case rumor.Sum, rumor.Marks, rumor.Want:
 		return Digests
@@ -85,7 +85,7 @@
 
 func ofItem(it rumor.Item) (m Mechanism) {
 	switch it.Data.(type) {
-	case kin.Member:
+	case membership.Member:
 		return Members
 	case control.Usages:
 		return Usage
--- a/stage/gauge.go
+++ b/stage/gauge.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 )
 
 type Reading struct {
@@ -78,7 +78,7 @@
 	harm(n)
 	dead := func(o *Node) (yes bool) {
 		m, _ := o.node.Kin.Table.Get(n.Name)
-		return m.State == kin.Dead
+		return m.State == membership.Dead
 	}
 	g.read(how+": first node knows", w, from, func() bool { return w.others(n, false, dead) })
 	g.read(how+": all nodes know", w, from, func() bool { return w.others(n, true, dead) })
--- a/stage/hollownode.go
+++ b/stage/hollownode.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/hint"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
@@ -45,7 +45,7 @@
 	h := n.h
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Domain: n.Domain, Boot: "b" + n.Name, Inc: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
-		Kin: kin.Defaults(), Rumor: rumor.Defaults(),
+		Kin: membership.Defaults(), Rumor: rumor.Defaults(),
 	}
 	for _, o := range h.Nodes[:min(3, len(h.Nodes))] {
 		cfg.Seeds = append(cfg.Seeds, o.Addr)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 
 	_ "github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/kin"
+	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
@@ -21,7 +21,7 @@
 	var buf bytes.Buffer
 	w := wire.NewWriter()
 	for range 3 {
-		frame, err := w.Frame(kin.Ping{Seq: 7, Name: "n1"})
+		frame, err := w.Frame(membership.Ping{Seq: 7, Name: "n1"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 	}
 	r := wire.NewReader(&buf)
 	for range 3 {
-		if msg, err := r.Next(); err != nil || msg != (kin.Ping{Seq: 7, Name: "n1"}) {
+		if msg, err := r.Next(); err != nil || msg != (membership.Ping{Seq: 7, Name: "n1"}) {
 			t.Fatal(msg, err)
 		}
 	}
@@ -69,7 +69,7 @@
 
 func FuzzReader(f *testing.F) {
 	w := wire.NewWriter()
-	for _, msg := range []any{kin.Ack{Seq: 1}, rumor.Sum{Hash: 9, N: 2}, rumor.News{Items: []rumor.Item{{Key: "m/n1", Data: kin.Member{Name: "n1"}}}}} {
+	for _, msg := range []any{membership.Ack{Seq: 1}, rumor.Sum{Hash: 9, N: 2}, rumor.News{Items: []rumor.Item{{Key: "m/n1", Data: membership.Member{Name: "n1"}}}}} {
 		frame, err := w.Frame(msg)
 		if err != nil {
 			f.Fatal(err)
