--- a/control/duty.go
+++ b/control/duty.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 const (
@@ -155,13 +155,13 @@
 	}
 	n.duties.shared[domain], n.duties.urgent[domain] = now, false
 	n.duties.seq[domain]++
-	it := rumor.Item{Key: "u/" + domain, Mark: rumor.Mark{Hi: hi, Lo: n.duties.seq[domain]}, Data: u}
+	it := gossip.Item{Key: "u/" + domain, Mark: gossip.Mark{Hi: hi, Lo: n.duties.seq[domain]}, Data: u}
 	if n.Rumor.Put(it) {
 		n.onUsages(now, it.Mark, u)
 	}
 }
 
-func (n *Node) onUsages(now time.Duration, m rumor.Mark, u Usages) {
+func (n *Node) onUsages(now time.Duration, m gossip.Mark, u Usages) {
 	n.duties.heard[u.Domain] = now
 	n.duties.mark[u.Domain] = max(n.duties.mark[u.Domain], m.Hi)
 	n.duties.seq[u.Domain] = m.Lo
--- a/control/failures.go
+++ b/control/failures.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/rumor"
+	"github.com/mallowbridge/mallowbridge/gossip"
 )
 
 // Failures is one router's news of replicas that failed its requests.
@@ -18,10 +18,10 @@
 
 func (n *Node) failed(f Failed) {
 	n.failures++
-	n.Rumor.Put(rumor.Item{Key: "f/" + n.cfg.Name, Mark: n.mark(n.failures), Data: Failures(f)})
+	n.Rumor.Put(gossip.Item{Key: "f/" + n.cfg.Name, Mark: n.mark(n.failures), Data: Failures(f)})
 }
 
 // mark orders the news that only this node gives, over its lives.
-func (n *Node) mark(seq uint64) (m rumor.Mark) { return rumor.Mark{Hi: n.Kin.Self.Inc, Lo: seq} }
+func (n *Node) mark(seq uint64) (m gossip.Mark) { return gossip.Mark{Hi: n.Kin.Self.Inc, Lo: seq} }
 
 func (n *Node) onFailures(f Failures) { n.event(f.Failures) }
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 const body = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
@@ -26,7 +26,7 @@
 func newLone() (l *lone) {
 	l = &lone{n: New(0, Config{
 		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &Kept{Pact: register.State{Disk: "d1", Value: value(1)}},
-		Kin: membership.Defaults(), Rumor: rumor.Defaults(),
+		Kin: membership.Defaults(), Rumor: gossip.Defaults(),
 	})}
 	for _, name := range []string{"n2", "n4"} {
 		l.n.Kin.Hear(0, membership.Member{Name: name, Addr: "a" + name[1:], Domain: "a", Inc: 1})
@@ -45,7 +45,7 @@
 }
 
 func (l *lone) tell(from string, mark uint64) {
-	l.step(Recv{From: from, Msg: rumor.News{Items: []rumor.Item{{Key: "c", Mark: rumor.Mark{Hi: mark, Lo: 1}, Data: value(mark)}}}})
+	l.step(Recv{From: from, Msg: gossip.News{Items: []gossip.Item{{Key: "c", Mark: gossip.Mark{Hi: mark, Lo: 1}, Data: value(mark)}}}})
 }
 
 func (l *lone) run(until time.Duration) {
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 type parcel struct {
@@ -61,7 +61,7 @@
 	l.ids++
 	cfg := Config{
 		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % 3), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
-		Kin: membership.Defaults(), Rumor: rumor.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
+		Kin: membership.Defaults(), Rumor: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
 	}
 	if id := l.disks[name]; id != "" {
 		cfg.Disk = &Kept{}
@@ -81,7 +81,7 @@
 func (l *lab) step(name string, in In) {
 	out := l.nodes[name].Step(l.now, in)
 	for _, s := range out.Sends {
-		if _, ok := s.Msg.(rumor.Marks); ok {
+		if _, ok := s.Msg.(gossip.Marks); ok {
 			l.marks++
 		}
 		l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: name, to: s.To, msg: s.Msg})
--- a/control/list.go
+++ b/control/list.go
@@ -6,8 +6,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/bid"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 const (
@@ -32,7 +32,7 @@
 func (r Roster) Since() (build uint32) { return 2 }
 
 // Reading tells that the list was read and that the roster of that version is what it says.
-type Reading struct{ Version rumor.Mark }
+type Reading struct{ Version gossip.Mark }
 
 func (r Reading) Fleeting() (yes bool)  { return true }
 func (r Reading) Since() (build uint32) { return 2 }
@@ -49,7 +49,7 @@
 	heard  time.Duration
 	asked  time.Duration
 	asking bool
-	told   rumor.Mark
+	told   gossip.Mark
 	fails  uint64
 	reads  uint64
 }
@@ -105,19 +105,19 @@
 		return
 	}
 	l.reads, l.heard = l.reads+1, now
-	version := rumor.Mark{Lo: n.cfg.Seed}
+	version := gossip.Mark{Lo: n.cfg.Seed}
 	it, ok := n.Rumor.Get(rosterKey)
 	if ok {
 		version.Hi = it.Mark.Hi
 	}
 	if !ok || !sameRoster(it.Data.(Roster).Rows, r.Rows) {
 		version.Hi++
-		n.Rumor.Put(rumor.Item{Key: rosterKey, Mark: version, Data: Roster{Rows: r.Rows}})
+		n.Rumor.Put(gossip.Item{Key: rosterKey, Mark: version, Data: Roster{Rows: r.Rows}})
 		n.event(mallowbridge.Roster{Rows: r.Rows})
 	} else {
 		version = it.Mark
 	}
-	n.Rumor.Put(rumor.Item{Key: readKey + n.cfg.Name, Mark: n.mark(l.reads), Data: Reading{Version: version}})
+	n.Rumor.Put(gossip.Item{Key: readKey + n.cfg.Name, Mark: n.mark(l.reads), Data: Reading{Version: version}})
 }
 
 // sameRoster leaves out how long a replica stays cold, but not whether it is.
--- a/control/listing.go
+++ b/control/listing.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/rumor"
+	"github.com/mallowbridge/mallowbridge/gossip"
 )
 
 const contradicts = time.Second
@@ -19,7 +19,7 @@
 func (n *Node) listed(now time.Duration, op Listed) {
 	for _, l := range op.Rows {
 		n.told[l.Replica] = told{row: l, at: now}
-		mark := rumor.Mark{Hi: op.At, Lo: n.cfg.Seed}
+		mark := gossip.Mark{Hi: op.At, Lo: n.cfg.Seed}
 		if old, ok := n.Rumor.Get("p/" + l.Replica); ok {
 			if was, same := old.Data.(Listing); same && was == l {
 				continue
@@ -30,15 +30,15 @@
 	}
 }
 
-func (n *Node) list(mark rumor.Mark, l Listing) {
-	if n.Rumor.Put(rumor.Item{Key: "p/" + l.Replica, Mark: mark, Data: l}) {
+func (n *Node) list(mark gossip.Mark, l Listing) {
+	if n.Rumor.Put(gossip.Item{Key: "p/" + l.Replica, Mark: mark, Data: l}) {
 		n.event(mallowbridge.Listing{Replica: l.Replica, State: l.State})
 	}
 }
 
 // onListing takes the platform's word from another node. Where it told this node within a second that the replica goes,
 // nobody knows which was last, and going wins until the platform says otherwise again.
-func (n *Node) onListing(now time.Duration, mark rumor.Mark, l Listing) {
+func (n *Node) onListing(now time.Duration, mark gossip.Mark, l Listing) {
 	if t, ok := n.told[l.Replica]; ok && now-t.at < contradicts && t.row.away() && !l.away() {
 		mark.Hi++
 		n.list(mark, t.row)
--- a/control/msg.go
+++ b/control/msg.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 func init() {
@@ -16,7 +16,7 @@
 		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
 		"ta": lease.Ask{}, "tg": lease.Grant{}, "td": lease.Drop{},
 		"kp": membership.Ping{}, "ka": membership.Ack{}, "kf": membership.PingFor{}, "km": membership.Member{},
-		"rn": rumor.News{}, "rs": rumor.Sum{}, "rm": rumor.Marks{}, "rw": rumor.Want{}, "rt": rumor.Tell{},
+		"rn": gossip.News{}, "rs": gossip.Sum{}, "rm": gossip.Marks{}, "rw": gossip.Want{}, "rt": gossip.Tell{},
 		"cu": Usages{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
 		"ws": WitnessAsk{}, "wy": WitnessSay{}, "wf": WitnessForget{},
 	} {
--- a/control/news.go
+++ b/control/news.go
@@ -8,12 +8,12 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
-func (n *Node) onNews(now time.Duration, from string, m rumor.News) {
+func (n *Node) onNews(now time.Duration, from string, m gossip.News) {
 	near := n.near(from)
 	for _, it := range m.Items {
 		if !n.Rumor.Hear(it, near) {
@@ -33,7 +33,7 @@
 	return true
 }
 
-func (n *Node) take(now time.Duration, it rumor.Item) {
+func (n *Node) take(now time.Duration, it gossip.Item) {
 	switch d := it.Data.(type) {
 	case membership.Member:
 		d.State = membership.State(it.Mark.Lo)
@@ -57,7 +57,7 @@
 
 func (n *Node) spread(now time.Duration) {
 	for _, m := range n.Kin.TakeNews() {
-		n.Rumor.Put(rumor.Item{Key: "m/" + m.Name, Mark: rumor.Mark{Hi: m.Inc, Lo: uint64(m.State)}, Data: m})
+		n.Rumor.Put(gossip.Item{Key: "m/" + m.Name, Mark: gossip.Mark{Hi: m.Inc, Lo: uint64(m.State)}, Data: m})
 		if m.Name != n.cfg.Name {
 			n.change("member "+m.State.String(), m.Name)
 		}
@@ -102,7 +102,7 @@
 	old := n.value
 	n.value = v
 	n.prop.Learn(v)
-	n.Rumor.Put(rumor.Item{Key: "c", Mark: rumor.Mark{Hi: v.Mark, Lo: v.Seat}, Data: v})
+	n.Rumor.Put(gossip.Item{Key: "c", Mark: gossip.Mark{Hi: v.Mark, Lo: v.Seat}, Data: v})
 	if old == nil || !register.SameSeats(old, v) {
 		n.change("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -21,7 +21,7 @@
 	Seed                     uint64
 	Disk                     *Kept
 	Kin                      membership.Config
-	Rumor                    rumor.Config
+	Rumor                    gossip.Config
 
 	// Read reads and checks the operators' document; nil: charter.Read.
 	Read charter.Reader
@@ -46,7 +46,7 @@
 	cfg    Config
 	out    *Out
 	Kin    *membership.Kin
-	Rumor  *rumor.Store
+	Rumor  *gossip.Store
 	prop   *register.Proposer
 	voter  *register.Acceptor
 	grants *lease.Granter
@@ -98,7 +98,7 @@
 	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, wire.Build)}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
-		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: lease.NewHolder(by, cfg.Seed), Rumor: rumor.New(cfg.Rumor, cfg.Seed),
+		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: lease.NewHolder(by, cfg.Seed), Rumor: gossip.New(cfg.Rumor, cfg.Seed),
 		waiting: map[uint64]ending{}, met: map[string]bool{}, since: now, asked: -time.Hour, fedAt: -time.Hour,
 		born: now, foundAt: -time.Hour, lists: listing{heard: now, asked: -time.Hour},
 		duties: newDuties(), witness: newWitness(now), sights: map[string]*sight{}, told: map[string]told{},
@@ -208,15 +208,15 @@
 		n.kinSends(n.Kin.OnPingFor(now, r.From, m))
 	case membership.Ack:
 		n.kinSends(n.Kin.OnAck(now, m))
-	case rumor.News:
+	case gossip.News:
 		n.onNews(now, r.From, m)
-	case rumor.Sum:
+	case gossip.Sum:
 		n.rumorSends(n.Rumor.OnSum(r.From, m))
-	case rumor.Marks:
+	case gossip.Marks:
 		n.rumorSends(n.Rumor.OnMarks(r.From, m))
-	case rumor.Tell:
+	case gossip.Tell:
 		n.rumorSends(n.Rumor.OnTell(now, r.From, m))
-	case rumor.Want:
+	case gossip.Want:
 		n.rumorSends(n.Rumor.OnWant(r.From, m))
 	case Prefills:
 		n.onPrefills(m)
--- a/control/place.go
+++ b/control/place.go
@@ -2,15 +2,15 @@
 
 import (
 	"github.com/mallowbridge/mallowbridge/bid"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 // derived holds what follows from the members alone. It is kept until they change, since every tick of every node asks for it.
 type derived struct {
 	rev    uint64
 	places map[string]int
-	peers  []rumor.Peer
+	peers  []gossip.Peer
 	joined bool
 	shared bool
 }
--- a/control/send.go
+++ b/control/send.go
@@ -1,9 +1,9 @@
 package control
 
 import (
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 // newer is a kind of message or news that older builds cannot read: gob has no name for it there.
@@ -38,7 +38,7 @@
 	}
 }
 
-func (n *Node) peers() (ps []rumor.Peer) {
+func (n *Node) peers() (ps []gossip.Peer) {
 	d := n.derive()
 	if d.peers != nil {
 		return d.peers
@@ -46,7 +46,7 @@
 	defer func() { d.peers = ps }()
 	for _, m := range n.Kin.Table.All() {
 		if m.Name != n.cfg.Name && m.Live() {
-			ps = append(ps, rumor.Peer{Name: m.Name, Addr: m.Addr, Domain: m.Domain, Near: m.Domain == n.cfg.Domain})
+			ps = append(ps, gossip.Peer{Name: m.Name, Addr: m.Addr, Domain: m.Domain, Near: m.Domain == n.cfg.Domain})
 		}
 	}
 	return ps
@@ -58,7 +58,7 @@
 	}
 }
 
-func (n *Node) rumorSends(ss []rumor.Send) {
+func (n *Node) rumorSends(ss []gossip.Send) {
 	for _, s := range ss {
 		n.send(s.To, s.Msg)
 	}
@@ -75,11 +75,11 @@
 	if k, is := msg.(newer); is && k.Since() > build {
 		return nil, false
 	}
-	news, is := msg.(rumor.News)
+	news, is := msg.(gossip.News)
 	if !is {
 		return msg, true
 	}
-	var fitting rumor.News
+	var fitting gossip.News
 	for _, it := range news.Items {
 		if k, is := it.Data.(newer); !is || k.Since() <= build {
 			fitting.Items = append(fitting.Items, it)
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 type fleet struct {
@@ -34,7 +34,7 @@
 
 func (f *fleet) boot(i int, life uint64) {
 	name := fmt.Sprint("n", i)
-	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Kin: membership.Defaults(), Rumor: rumor.Defaults()})
+	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Kin: membership.Defaults(), Rumor: gossip.Defaults()})
 	for _, o := range f.nodes {
 		f.nodes[name].Kin.Hear(f.now, o.Kin.Self)
 	}
--- a/rumor/push.go
+++ b/gossip/push.go
@@ -1,4 +1,4 @@
-package rumor
+package gossip
 
 import (
 	"sort"
--- a/hearth/hearth.go
+++ b/hearth/hearth.go
@@ -13,8 +13,8 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/vault"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
@@ -81,7 +81,7 @@
 	h.Front = s.Name + "." + h.boot
 	cfg := control.Config{
 		Name: s.Name, Addr: s.Listen, HTTP: s.HTTP, Domain: s.Domain, Seeds: s.Seeds, Boot: boot, Inc: control.Inc(time.Now(), seed()), Seed: seed(),
-		Kin: membership.Defaults(), Rumor: rumor.Defaults(),
+		Kin: membership.Defaults(), Rumor: gossip.Defaults(),
 		Read: s.Host.Read, ListEvery: s.Host.ListEvery, Tolerate: s.Host.Tolerate, Founds: s.Host.Founds, ServesCutOff: s.Host.ServesCutOff,
 	}
 	if s.Data != "" {
--- a/hearth/valve_test.go
+++ b/hearth/valve_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 )
 
 func TestABusyMarketNeverStopsControl(t *testing.T) {
@@ -56,7 +56,7 @@
 
 func TestAStalledDiskHoldsBackNoMoreThanIsWaitedFor(t *testing.T) {
 	n := control.New(0, control.Config{
-		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &control.Kept{Pact: register.State{Disk: "x"}}, Kin: membership.Defaults(), Rumor: rumor.Defaults(),
+		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &control.Kept{Pact: register.State{Disk: "x"}}, Kin: membership.Defaults(), Rumor: gossip.Defaults(),
 	})
 	writes := make(chan []control.Write, control.MaxHeld)
 	for i := range uint64(4 * control.MaxHeld) {
--- a/slope/conn.go
+++ b/slope/conn.go
@@ -7,18 +7,18 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
 func usual() (msgs []any) {
 	return []any{
-		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, rumor.Sum{Hash: 1, N: 1},
-		rumor.Marks{Marks: []rumor.KeyMark{{Key: "k", Mark: rumor.Mark{Hi: 1, Lo: 1}}}}, rumor.Want{Keys: []string{"k"}},
-		rumor.News{Items: []rumor.Item{
-			{Key: "k", Mark: rumor.Mark{Hi: 1}, Data: membership.Member{Name: "n"}},
-			{Key: "u", Mark: rumor.Mark{Hi: 1}, Data: control.Usages{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
+		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Sum{Hash: 1, N: 1},
+		gossip.Marks{Marks: []gossip.KeyMark{{Key: "k", Mark: gossip.Mark{Hi: 1, Lo: 1}}}}, gossip.Want{Keys: []string{"k"}},
+		gossip.News{Items: []gossip.Item{
+			{Key: "k", Mark: gossip.Mark{Hi: 1}, Data: membership.Member{Name: "n"}},
+			{Key: "u", Mark: gossip.Mark{Hi: 1}, Data: control.Usages{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
 		}},
 	}
 }
--- a/slope/mechanism.go
+++ b/slope/mechanism.go
@@ -7,10 +7,10 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/stage"
 )
 
@@ -47,11 +47,11 @@
 	switch v := msg.(type) {
 	case membership.Ping, membership.Ack, membership.PingFor:
 		return Watching
-	case rumor.Sum, rumor.Marks, rumor.Want:
+	case gossip.Sum, gossip.Marks, gossip.Want:
 		return Digests
-	case rumor.Tell:
+	case gossip.Tell:
 		return Config
-	case rumor.News:
+	case gossip.News:
 		return ofNews(v)
 	case register.Prepare, register.Promise, register.Accept, register.Accepted:
 		return Register
@@ -66,7 +66,7 @@
 }
 
 // ofNews takes news for what weighs most in it; an empty answer belongs to the digest that asked for it.
-func ofNews(n rumor.News) (m Mechanism) {
+func ofNews(n gossip.News) (m Mechanism) {
 	most := 0
 	m = Digests
 	for _, kind := range []Mechanism{Members, Usage, Config, Listings, Other} {
@@ -83,7 +83,7 @@
 	return m
 }
 
-func ofItem(it rumor.Item) (m Mechanism) {
+func ofItem(it gossip.Item) (m Mechanism) {
 	switch it.Data.(type) {
 	case membership.Member:
 		return Members
@@ -97,7 +97,7 @@
 	return Other
 }
 
-func itemWeight(it rumor.Item) (w int) {
+func itemWeight(it gossip.Item) (w int) {
 	switch d := it.Data.(type) {
 	case control.Usages:
 		return 40 * (1 + len(d.Rows))
--- a/slope/solo.go
+++ b/slope/solo.go
@@ -7,8 +7,8 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/stage"
 )
 
@@ -107,7 +107,7 @@
 func remembered() (s Sweep) {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
 		n := &stage.HollowNode{Name: "n1", Domain: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
-		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Kin: membership.Defaults(), Rumor: rumor.Defaults()})
+		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Kin: membership.Defaults(), Rumor: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
 			in := control.Recv{From: "10.0.0.2:1", Msg: control.WitnessAsk{Rid: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
--- a/stage/builds.go
+++ b/stage/builds.go
@@ -4,7 +4,7 @@
 	"encoding/gob"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/rumor"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -19,7 +19,7 @@
 	if n.build <= wire.Build || n.w.now/time.Second == (n.w.now-tickEvery)/time.Second {
 		return
 	}
-	n.node.Rumor.Put(rumor.Item{Key: "x/" + n.Name, Mark: rumor.Mark{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
+	n.node.Rumor.Put(gossip.Item{Key: "x/" + n.Name, Mark: gossip.Mark{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
 }
 
 // foreign tells whether this node's build would fail to read the message, and lose its connection by it.
@@ -27,7 +27,7 @@
 	if n.build > wire.Build {
 		return false
 	}
-	news, ok := msg.(rumor.News)
+	news, ok := msg.(gossip.News)
 	if !ok {
 		_, yes = msg.(Novelty)
 		return yes
--- a/stage/hollownode.go
+++ b/stage/hollownode.go
@@ -8,9 +8,9 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/hint"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -45,7 +45,7 @@
 	h := n.h
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Domain: n.Domain, Boot: "b" + n.Name, Inc: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
-		Kin: membership.Defaults(), Rumor: rumor.Defaults(),
+		Kin: membership.Defaults(), Rumor: gossip.Defaults(),
 	}
 	for _, o := range h.Nodes[:min(3, len(h.Nodes))] {
 		cfg.Seeds = append(cfg.Seeds, o.Addr)
--- a/stage/node.go
+++ b/stage/node.go
@@ -7,8 +7,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -90,7 +90,7 @@
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, Domain: n.Domain, Seeds: n.seeds(), Boot: boot, Inc: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
-		Kin: membership.Defaults(), Rumor: rumor.Defaults(), Build: n.build,
+		Kin: membership.Defaults(), Rumor: gossip.Defaults(), Build: n.build,
 	}
 	n.open, n.door = false, nil
 	n.dark, n.mending, n.trips, n.pool, n.wakes = false, false, map[string]*trip{}, pool{}, 0
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 
 	_ "github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/rumor"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -69,7 +69,7 @@
 
 func FuzzReader(f *testing.F) {
 	w := wire.NewWriter()
-	for _, msg := range []any{membership.Ack{Seq: 1}, rumor.Sum{Hash: 9, N: 2}, rumor.News{Items: []rumor.Item{{Key: "m/n1", Data: membership.Member{Name: "n1"}}}}} {
+	for _, msg := range []any{membership.Ack{Seq: 1}, gossip.Sum{Hash: 9, N: 2}, gossip.News{Items: []gossip.Item{{Key: "m/n1", Data: membership.Member{Name: "n1"}}}}} {
 		frame, err := w.Frame(msg)
 		if err != nil {
 			f.Fatal(err)
