--- a/control/keeper.go
+++ b/control/keeper.go
@@ -9,7 +9,7 @@
 
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/vault"
+	"github.com/mallowbridge/mallowbridge/storage"
 )
 
 const logBytes = 1 << 20
@@ -26,7 +26,7 @@
 }
 
 type Keeper struct {
-	v    *vault.Vault
+	v    *storage.Vault
 	kept Kept
 }
 
@@ -40,13 +40,13 @@
 
 func decode(file string, raw []byte, v any) (err error) {
 	if err = gob.NewDecoder(bytes.NewReader(raw)).Decode(v); err != nil {
-		return trace.Wrap(&vault.UnreadableError{File: file, Why: err.Error()})
+		return trace.Wrap(&storage.UnreadableError{File: file, Why: err.Error()})
 	}
 	return nil
 }
 
-func OpenKeeper(disk vault.Disk, freshID string) (k *Keeper, err error) {
-	v, slot, entries, err := vault.Open(disk, logBytes)
+func OpenKeeper(disk storage.Disk, freshID string) (k *Keeper, err error) {
+	v, slot, entries, err := storage.Open(disk, logBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/hearth/hearth.go
+++ b/hearth/hearth.go
@@ -15,7 +15,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/vault"
+	"github.com/mallowbridge/mallowbridge/storage"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -85,7 +85,7 @@
 		Read: s.Host.Read, ListEvery: s.Host.ListEvery, Tolerate: s.Host.Tolerate, Founds: s.Host.Founds, ServesCutOff: s.Host.ServesCutOff,
 	}
 	if s.Data != "" {
-		folder, err := vault.OpenFolder(s.Data)
+		folder, err := storage.OpenFolder(s.Data)
 		if err != nil {
 			return nil, err
 		}
--- a/vault/disk.go
+++ b/storage/disk.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"errors"
--- a/vault/mend_test.go
+++ b/storage/mend_test.go
@@ -1,4 +1,4 @@
-package vault_test
+package storage_test
 
 import (
 	"testing"
--- a/vault/vault_test.go
+++ b/storage/vault_test.go
@@ -1,4 +1,4 @@
-package vault_test
+package storage_test
 
 import (
 	"bytes"
@@ -7,11 +7,11 @@
 	"testing"
 
 	"github.com/mallowbridge/mallowbridge/stage"
-	"github.com/mallowbridge/mallowbridge/vault"
+	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-func load(d *stage.Disk) (v *vault.Vault, all []string, err error) {
-	v, slot, entries, err := vault.Open(d, 300)
+func load(d *stage.Disk) (v *storage.Vault, all []string, err error) {
+	v, slot, entries, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -92,7 +92,7 @@
 			write(d, n)
 			d.Rot(name, at)
 			_, got, err := load(d)
-			var bad *vault.UnreadableError
+			var bad *storage.UnreadableError
 			if errors.As(err, &bad) {
 				if bad.File == "" {
 					t.Fatalf("%s at %d: nameless", name, at)
@@ -123,7 +123,7 @@
 		t.Fatal("a failed sync was taken for a good one")
 	}
 	d.BadSync = false
-	var broken *vault.BrokenError
+	var broken *storage.BrokenError
 	if err = v.Add([][]byte{[]byte("more")}); !errors.As(err, &broken) {
 		t.Fatalf("wrote on after a failed sync: %v", err)
 	}
@@ -135,11 +135,11 @@
 func TestFolderKeepsWhatWasWritten(t *testing.T) {
 	path := t.TempDir()
 	for round := range 3 {
-		f, err := vault.OpenFolder(path)
+		f, err := storage.OpenFolder(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		v, slot, entries, err := vault.Open(f, 64)
+		v, slot, entries, err := storage.Open(f, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,8 +170,8 @@
 				t.Fatal("write")
 			}
 		}
-		v, _, _, err := vault.Open(d, 300)
-		var bad *vault.UnreadableError
+		v, _, _, err := storage.Open(d, 300)
+		var bad *storage.UnreadableError
 		if err != nil && !errors.As(err, &bad) {
 			t.Fatalf("an untyped error: %v", err)
 		}
