--- a/cmd/mallowbridge/main.go
+++ b/cmd/mallowbridge/main.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge/charter"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 const version = "0.1.0"
@@ -21,7 +21,7 @@
 
 func run(args []string, in io.Reader, out, errs io.Writer) (code int) {
 	app := kingpin.New("mallowbridge", "A router fleet for a language model: one daemon per machine, and the tools around it.")
-	app.Version(fmt.Sprintf("mallowbridge %s, build %d", version, wire.Build))
+	app.Version(fmt.Sprintf("mallowbridge %s, build %d", version, transport.Build))
 	app.HelpFlag.Short('h')
 	app.UsageWriter(out)
 	app.ErrorWriter(errs)
--- a/control/node.go
+++ b/control/node.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 type Config struct {
@@ -95,7 +95,7 @@
 	if cfg.Read == nil {
 		cfg.Read = charter.Read
 	}
-	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, wire.Build)}
+	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, transport.Build)}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
 		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: lease.NewHolder(by, cfg.Seed), Rumor: gossip.New(cfg.Rumor, cfg.Seed),
--- a/follow.go
+++ b/follow.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 func init() {
@@ -18,7 +18,7 @@
 	} {
 		gob.RegisterName(name, v)
 	}
-	gob.RegisterName("hello", wire.Hello{})
+	gob.RegisterName("hello", transport.Hello{})
 }
 
 type Welcome struct{ Self, Domain, Boot string }
@@ -65,8 +65,8 @@
 		}
 		_ = conn.Close()
 	}()
-	r := wire.NewReader(conn)
-	if _, err = wire.Greet(conn, wire.NewWriter(), r, wire.Hello{Build: wire.Build, Name: name, Role: "follower"}); err != nil {
+	r := transport.NewReader(conn)
+	if _, err = transport.Greet(conn, transport.NewWriter(), r, transport.Hello{Build: transport.Build, Name: name, Role: "follower"}); err != nil {
 		return err
 	}
 	want := uint64(0)
--- a/hearth/follow.go
+++ b/hearth/follow.go
@@ -7,7 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 const followQueue = 1024
@@ -86,7 +86,7 @@
 	return control.Command{Op: control.Libs{N: most}}
 }
 
-func (h *Hearth) follow(conn net.Conn, _ wire.Hello, r *wire.Reader) {
+func (h *Hearth) follow(conn net.Conn, _ transport.Hello, r *transport.Reader) {
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	select {
 	case h.joins <- f:
@@ -98,7 +98,7 @@
 		_, _ = r.Next()
 		close(gone)
 	}()
-	w := wire.NewWriter()
+	w := transport.NewWriter()
 	h.pump(conn, w, f, gone)
 	_ = conn.Close()
 	select {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (h *Hearth) pump(conn net.Conn, w *wire.Writer, f *follower, gone chan struct{}) {
+func (h *Hearth) pump(conn net.Conn, w *transport.Writer, f *follower, gone chan struct{}) {
 	select {
 	case <-f.ready:
 	case <-h.T.Dying():
@@ -132,7 +132,7 @@
 	}
 }
 
-func (h *Hearth) put(conn net.Conn, w *wire.Writer, msg any) (ok bool) {
+func (h *Hearth) put(conn net.Conn, w *transport.Writer, msg any) (ok bool) {
 	frame, err := w.Frame(msg)
 	if err != nil {
 		h.fault("follower", err)
--- a/hearth/hearth.go
+++ b/hearth/hearth.go
@@ -16,7 +16,7 @@
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/storage"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 const (
@@ -31,7 +31,7 @@
 	T      *tomb.Tomb
 	Log    *log.Logger
 	Desk   *mallowbridge.Desk
-	Net    *wire.Net
+	Net    *transport.Net
 	in     chan control.In
 	calls  chan call
 	writes chan []control.Write
@@ -107,8 +107,8 @@
 	h.Desk.OnPrefill(h.placed)
 	h.valve = newValve(t, h.Desk.Tell)
 	h.node = control.New(Clock(), cfg)
-	self := wire.Hello{Build: wire.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
-	if h.Net, err = wire.Listen(t, self, h.follow, h.fault); err != nil {
+	self := transport.Hello{Build: transport.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
+	if h.Net, err = transport.Listen(t, self, h.follow, h.fault); err != nil {
 		return nil, err
 	}
 	if h.keeper != nil {
--- a/slope/conn.go
+++ b/slope/conn.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 func usual() (msgs []any) {
@@ -24,14 +24,14 @@
 }
 
 type conn struct {
-	w   *wire.Writer
+	w   *transport.Writer
 	buf bytes.Buffer
-	r   *wire.Reader
+	r   *transport.Reader
 }
 
 func open() (c *conn, frames int) {
-	c = &conn{w: wire.NewWriter()}
-	c.r = wire.NewReader(&c.buf)
+	c = &conn{w: transport.NewWriter()}
+	c.r = transport.NewReader(&c.buf)
 	for _, m := range usual() {
 		frame, err := c.w.Frame(m)
 		if err != nil {
--- a/slope/fit_test.go
+++ b/slope/fit_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 func near(a, b float64) (yes bool) { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
@@ -148,7 +148,7 @@
 
 // docs/CAPACITY.md reckons with these sizes.
 func TestFramesOfPrefills(t *testing.T) {
-	w, row := wire.NewWriter(), mallowbridge.Prefill{Replica: "r123", Tokens: 5000}
+	w, row := transport.NewWriter(), mallowbridge.Prefill{Replica: "r123", Tokens: 5000}
 	if _, err := w.Frame(control.Prefills{Rows: []mallowbridge.Prefill{row}}); err != nil {
 		t.Fatal(err)
 	}
--- a/stage/hollow.go
+++ b/stage/hollow.go
@@ -10,7 +10,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/charter"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 // HollowPlan is a fleet whose state machines are real and whose surroundings are the least that they need: nothing is audited
@@ -49,9 +49,9 @@
 	S       HollowPlan
 	rng     *rand.Rand
 	net     *Net
-	pipe    *wire.Writer
+	pipe    *transport.Writer
 	buf     bytes.Buffer
-	out     *wire.Reader
+	out     *transport.Reader
 	Nodes   []*HollowNode
 	byAddr  map[string]*HollowNode
 	reps    map[string]*Replica
@@ -71,11 +71,11 @@
 
 func NewHollow(p HollowPlan) (h *Hollow) {
 	h = &Hollow{
-		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: wire.NewWriter(), byAddr: map[string]*HollowNode{},
+		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*HollowNode{},
 		reps: map[string]*Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
 		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Ends: map[string]int{},
 	}
-	h.out = wire.NewReader(&h.buf)
+	h.out = transport.NewReader(&h.buf)
 	h.net.Far = max(h.net.Far, p.Far)
 	for i, s := range p.Shape.Nodes {
 		n := &HollowNode{h: h, Name: s.Name, Domain: s.Domain, Addr: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255), eyes: map[string]bool{}, asks: map[string]*hollowGo{}}
--- a/stage/net.go
+++ b/stage/net.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 type link struct {
-	w   *wire.Writer
+	w   *transport.Writer
 	buf bytes.Buffer
-	r   *wire.Reader
+	r   *transport.Reader
 }
 
 type Net struct {
@@ -63,8 +63,8 @@
 	key := [2]string{from, to}
 	l := n.links[key]
 	if l == nil {
-		l = &link{w: wire.NewWriter()}
-		l.r = wire.NewReader(&l.buf)
+		l = &link{w: transport.NewWriter()}
+		l.r = transport.NewReader(&l.buf)
 		n.links[key] = l
 	}
 	frame, err := l.w.Frame(msg)
--- a/stage/node.go
+++ b/stage/node.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 type Node struct {
@@ -57,7 +57,7 @@
 		wall: time.Duration(w.whim.Int64N(int64(10 * time.Second))), asks: map[string]*flight{},
 	}
 	if w.S.Builds && i%2 == 0 {
-		n.build = wire.Build + 1
+		n.build = transport.Build + 1
 	}
 	if s.Disk {
 		n.Disk = NewDisk(w.S.Seed*100 + uint64(i))
--- a/wire/net.go
+++ b/transport/net.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"net"
--- a/wire/wire_test.go
+++ b/transport/wire_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"bytes"
@@ -12,14 +12,14 @@
 	_ "github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/wire"
+	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 type stranger struct{ X int }
 
 func TestFrames(t *testing.T) {
 	var buf bytes.Buffer
-	w := wire.NewWriter()
+	w := transport.NewWriter()
 	for range 3 {
 		frame, err := w.Frame(membership.Ping{Seq: 7, Name: "n1"})
 		if err != nil {
@@ -27,7 +27,7 @@
 		}
 		buf.Write(frame)
 	}
-	r := wire.NewReader(&buf)
+	r := transport.NewReader(&buf)
 	for range 3 {
 		if msg, err := r.Next(); err != nil || msg != (membership.Ping{Seq: 7, Name: "n1"}) {
 			t.Fatal(msg, err)
@@ -36,30 +36,30 @@
 	if _, err := r.Next(); trace.Unwrap(err) != io.EOF {
 		t.Error(err)
 	}
-	var unread *wire.UnreadableError
-	if _, err := wire.NewWriter().Frame(stranger{X: 1}); !errors.As(err, &unread) {
+	var unread *transport.UnreadableError
+	if _, err := transport.NewWriter().Frame(stranger{X: 1}); !errors.As(err, &unread) {
 		t.Errorf("an unknown kind was framed: %v", err)
 	}
 }
 
 func TestBadFramesAreTypedErrors(t *testing.T) {
-	long := binary.BigEndian.AppendUint32(nil, wire.MaxFrame+1)
-	var tooLong *wire.TooLongError
-	if _, err := wire.NewReader(bytes.NewReader(long)).Next(); !errors.As(err, &tooLong) {
+	long := binary.BigEndian.AppendUint32(nil, transport.MaxFrame+1)
+	var tooLong *transport.TooLongError
+	if _, err := transport.NewReader(bytes.NewReader(long)).Next(); !errors.As(err, &tooLong) {
 		t.Errorf("over the bound: %v", err)
 	}
-	var unread *wire.UnreadableError
+	var unread *transport.UnreadableError
 	junk := append(binary.BigEndian.AppendUint32(nil, 5), "junk!"...)
-	if _, err := wire.NewReader(bytes.NewReader(junk)).Next(); !errors.As(err, &unread) {
+	if _, err := transport.NewReader(bytes.NewReader(junk)).Next(); !errors.As(err, &unread) {
 		t.Errorf("junk: %v", err)
 	}
 }
 
 func TestNeighbouringBuildsSpeak(t *testing.T) {
-	var apart *wire.BuildError
+	var apart *transport.BuildError
 	for ours := uint32(1); ours < 6; ours++ {
 		for theirs := uint32(1); theirs < 6; theirs++ {
-			err := wire.Speak(ours, theirs)
+			err := transport.Speak(ours, theirs)
 			if near := ours-theirs+1 <= 2; near != (err == nil) || (!near && !errors.As(err, &apart)) {
 				t.Errorf("%d and %d: %v", ours, theirs, err)
 			}
@@ -68,7 +68,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	w := wire.NewWriter()
+	w := transport.NewWriter()
 	for _, msg := range []any{membership.Ack{Seq: 1}, gossip.Sum{Hash: 9, N: 2}, gossip.News{Items: []gossip.Item{{Key: "m/n1", Data: membership.Member{Name: "n1"}}}}} {
 		frame, err := w.Frame(msg)
 		if err != nil {
@@ -77,7 +77,7 @@
 		f.Add(frame)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		r := wire.NewReader(bytes.NewReader(raw))
+		r := transport.NewReader(bytes.NewReader(raw))
 		for range 8 {
 			if _, err := r.Next(); err != nil {
 				return
