--- a/cmd/mallowbridge/main.go
+++ b/cmd/mallowbridge/main.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -47,7 +47,7 @@
 }
 
 func complain(errs io.Writer, err error) {
-	var bad *charter.BadError
+	var bad *config.BadError
 	if errors.As(err, &bad) {
 		for _, f := range bad.Flaws {
 			fmt.Fprintln(errs, "mallowbridge:", f)
--- a/cmd/mallowbridge/main_test.go
+++ b/cmd/mallowbridge/main_test.go
@@ -31,7 +31,7 @@
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"await": await, "awaitmatch": awaitMatch, "config": config, "signal": send, "nodeconfig": nodeConfig,
+			"await": await, "awaitmatch": awaitMatch, "config": writeConfig, "signal": send, "nodeconfig": nodeConfig,
 		},
 	})
 }
@@ -71,7 +71,7 @@
 	ts.Fatalf("no process of %s", args[1])
 }
 
-func config(ts *testscript.TestScript, _ bool, args []string) {
+func writeConfig(ts *testscript.TestScript, _ bool, args []string) {
 	text := `{"offers":[{"name":"zoning","model":"m1","cold":{"startRoom":4,"rampMs":0},"replicas":[`
 	for i, addr := range args[1:] {
 		if i > 0 {
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -17,7 +17,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 	"github.com/mallowbridge/mallowbridge/gate"
 	"github.com/mallowbridge/mallowbridge/hearth"
@@ -47,8 +47,8 @@
 // spareAllowance keeps a part of the allowed second attempts back for the moments in which nodes hold different members.
 const spareAllowance = 0.25
 
-func reader(b platform.Bounds) (read charter.Reader) {
-	return func(raw []byte) (c charter.Charter, err error) {
+func reader(b platform.Bounds) (read config.Reader) {
+	return func(raw []byte) (c config.Charter, err error) {
 		if c, err = platform.Read(raw); err != nil {
 			return c, err
 		}
@@ -99,15 +99,15 @@
 		return err
 	}
 	h.Desk.Look(func(r *mallowbridge.Router) { placement(r, way) })
-	limits := &atomic.Pointer[charter.Limits]{}
-	limits.Store(&charter.Limits{})
-	h.OnPicture(func(p *charter.Picture) { limits.Store(&p.Charter.Limits) })
-	p := ferry.New(h.Desk, headers(), proxySettings(s), func() charter.Limits { return *limits.Load() }, h.Front)
+	limits := &atomic.Pointer[config.Limits]{}
+	limits.Store(&config.Limits{})
+	h.OnPicture(func(p *config.Picture) { limits.Store(&p.Charter.Limits) })
+	p := ferry.New(h.Desk, headers(), proxySettings(s), func() config.Limits { return *limits.Load() }, h.Front)
 	retired := &atomic.Bool{}
 	if lis := listeners["front"]; lis != nil {
 		t.Go(func() error {
 			awaitReady(t, h)
-			ferry.Serve(t, lis, p, func() charter.Limits { return *limits.Load() })
+			ferry.Serve(t, lis, p, func() config.Limits { return *limits.Load() })
 			return nil
 		})
 	}
--- a/cmd/mallowbridge/tools.go
+++ b/cmd/mallowbridge/tools.go
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 type LineError struct {
@@ -101,11 +101,11 @@
 		if err = strict(l.Data, &o); err != nil {
 			return nil, err
 		}
-		c, err := charter.Read(o.Config)
+		c, err := config.Read(o.Config)
 		if err != nil {
 			return nil, err
 		}
-		return mallowbridge.Order{Picture: &charter.Picture{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
+		return mallowbridge.Order{Picture: &config.Picture{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
 	case "arrive":
 		return read[mallowbridge.Arrive](l.Data)
 	case "listing":
--- a/charter/read.go
+++ b/config/read.go
@@ -1,4 +1,4 @@
-package charter
+package config
 
 import (
 	"bytes"
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 )
@@ -74,8 +74,8 @@
 	delete(l.down, name)
 }
 
-func anyDocument(raw []byte) (c charter.Charter, err error) {
-	return charter.Charter{Offers: []charter.Offer{{Name: "o", Discovered: true}}}, nil
+func anyDocument(raw []byte) (c config.Charter, err error) {
+	return config.Charter{Offers: []config.Offer{{Name: "o", Discovered: true}}}, nil
 }
 
 func (l *lab) step(name string, in In) {
--- a/control/news.go
+++ b/control/news.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
@@ -107,8 +107,8 @@
 		n.change("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
 	if len(v.Body) > 0 {
-		n.pic = &charter.Picture{Mark: v.Mark, Charter: c, Emptied: v.Emptied}
-		n.where = map[string]charter.Replica{}
+		n.pic = &config.Picture{Mark: v.Mark, Charter: c, Emptied: v.Emptied}
+		n.where = map[string]config.Replica{}
 		for _, o := range c.Offers {
 			for _, r := range o.Replicas {
 				n.where[r.Name] = r
--- a/control/node.go
+++ b/control/node.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
@@ -24,7 +24,7 @@
 	Rumor                    gossip.Config
 
 	// Read reads and checks the operators' document; nil: charter.Read.
-	Read charter.Reader
+	Read config.Reader
 	// ListEvery is how often the platform's list of replicas is read; 0: there is none.
 	ListEvery time.Duration
 	// Tolerate is how many voters may be lost together; the fleet then seats voters by itself. 0: operators do.
@@ -62,8 +62,8 @@
 	reading bool
 
 	value   *register.Value
-	pic     *charter.Picture
-	where   map[string]charter.Replica
+	pic     *config.Picture
+	where   map[string]config.Replica
 	obeyed  uint64
 	joined  bool
 	since   time.Duration
@@ -93,7 +93,7 @@
 
 func New(now time.Duration, cfg Config) (n *Node) {
 	if cfg.Read == nil {
-		cfg.Read = charter.Read
+		cfg.Read = config.Read
 	}
 	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, transport.Build)}
 	by := cfg.Name + "/" + cfg.Boot
--- a/control/status.go
+++ b/control/status.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
@@ -65,7 +65,7 @@
 }
 
 // Picture is what this node obeys, or nil.
-func (n *Node) Picture() (p *charter.Picture) {
+func (n *Node) Picture() (p *config.Picture) {
 	if n.obeyed == 0 {
 		return nil
 	}
--- a/events.go
+++ b/events.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 type Event interface{ event() }
@@ -27,7 +27,7 @@
 }
 
 type Order struct {
-	Picture *charter.Picture
+	Picture *config.Picture
 }
 
 type Listing struct {
@@ -209,7 +209,7 @@
 	// Instance is the life of the replica that was chosen, where the platform lists it.
 	Instance string `json:"instance,omitempty"`
 	// Route is the route taken, nil for a request to /v1/offers. It is immutable.
-	Route *charter.Route `json:"-"`
+	Route *config.Route `json:"-"`
 	// Unread is how many tokens the replica is expected to read, where it batches and other routers should know.
 	Unread int `json:"unread,omitempty"`
 	// Rank tells the replica how urgent the request is, 0 first.
--- a/ferry/bench_test.go
+++ b/ferry/bench_test.go
@@ -12,7 +12,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -83,7 +83,7 @@
 
 const bodyBytes = 2000
 
-func benchmark(b *testing.B, route *charter.Route, answer string, last string) {
+func benchmark(b *testing.B, route *config.Route, answer string, last string) {
 	m := &plain{subs: make(chan map[string]chan mallowbridge.Decision, 1)}
 	m.place = mallowbridge.Decision{Verdict: mallowbridge.Place, Go: "g", Addr: echo(b, answer), Replica: "r", Instance: "i1", Route: route}
 	m.subs <- map[string]chan mallowbridge.Decision{}
@@ -92,7 +92,7 @@
 		b.Fatal(err)
 	}
 	tb := &tomb.Tomb{}
-	limits := func() (l charter.Limits) { return charter.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20} }
+	limits := func() (l config.Limits) { return config.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20} }
 	ferry.Serve(tb, lis, ferry.New(m, names, ferry.Defaults(), limits, "b"), limits)
 	c, err := net.Dial("tcp", lis.Addr().String())
 	if err != nil {
--- a/ferry/drain_test.go
+++ b/ferry/drain_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -29,7 +29,7 @@
 func TestEachAnswerOfALeavingNodeSaysClose(t *testing.T) {
 	rep := newReplica(t, say("200 OK", "", "one"), stream(true, "id: 1\ndata: a\n\n"))
 	m := newMarket(deny, rep.place(streams))
-	p, addr := front(t, m, lingering(time.Hour), charter.Limits{})
+	p, addr := front(t, m, lingering(time.Hour), config.Limits{})
 	open := dial(t, addr)
 	p.Retire()
 	open.ask(t, "GET", "id1", "", "")
@@ -41,7 +41,7 @@
 	r = open.answer(t, "GET")
 	want(t, "stream", fmt.Sprint(r.body, r.header["Connection"]), "id: 1\ndata: a\n\n[close]")
 	open.shutSoon(t)
-	p, addr = front(t, ends{deny}, lingering(time.Hour), charter.Limits{})
+	p, addr = front(t, ends{deny}, lingering(time.Hour), config.Limits{})
 	p.Retire()
 	open = dial(t, addr)
 	open.ask(t, "GET", "id4", "", "")
@@ -53,7 +53,7 @@
 	h := newHand(t)
 	set := lingering(time.Millisecond)
 	set.Idle, set.IdleNonRepeatable = time.Hour, time.Hour
-	p, addr := front(t, newMarket(deny, h.place(unsafe)), set, charter.Limits{})
+	p, addr := front(t, newMarket(deny, h.place(unsafe)), set, config.Limits{})
 	resting, asking, reading, quiet := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
 	resting.ask(t, "GET", "id1", "", "")
 	r1 := h.accept(t)
@@ -83,7 +83,7 @@
 // TestAnswersBegunBeforeRetireEndWhole: the head said nothing of closing, so the connection is shut when it falls idle.
 func TestAnswersBegunBeforeRetireEndWhole(t *testing.T) {
 	h := newHand(t)
-	p, addr := front(t, newMarket(deny, h.place(streams)), lingering(time.Millisecond), charter.Limits{})
+	p, addr := front(t, newMarket(deny, h.place(streams)), lingering(time.Millisecond), config.Limits{})
 	other, u := dial(t, addr), dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
@@ -109,7 +109,7 @@
 	for range 5 {
 		m := newMarket(deny)
 		m.arrived, m.events = make(chan mallowbridge.Arrive, 4*n), make(chan mallowbridge.Event, 16*n)
-		p, addr := front(t, m, lingering(time.Millisecond), charter.Limits{})
+		p, addr := front(t, m, lingering(time.Millisecond), config.Limits{})
 		var users []*user
 		for range n {
 			u := dial(t, addr)
@@ -143,7 +143,7 @@
 		15 * time.Second: "[timeout=14]", 2 * time.Second: "[timeout=1]", 1200 * time.Millisecond: "[]", 0: "[timeout=59]",
 	} {
 		rep := newReplica(t, say("200 OK", "Keep-Alive: timeout=3\r\n", "one"), say("200 OK", "", "two"))
-		_, addr := front(t, newMarket(deny, rep.place(unsafe)), ferry.Defaults(), charter.Limits{Idle: idle})
+		_, addr := front(t, newMarket(deny, rep.place(unsafe)), ferry.Defaults(), config.Limits{Idle: idle})
 		u := dial(t, addr)
 		u.ask(t, "GET", "id1", "", "")
 		want(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), told)
@@ -153,7 +153,7 @@
 }
 
 func TestIdleTimeEnds(t *testing.T) {
-	_, addr := front(t, ends{deny}, ferry.Defaults(), charter.Limits{Idle: 50 * time.Millisecond})
+	_, addr := front(t, ends{deny}, ferry.Defaults(), config.Limits{Idle: 50 * time.Millisecond})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	want(t, "status", u.answer(t, "GET").status, 503)
--- a/ferry/exchange.go
+++ b/ferry/exchange.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 // phase is how far the attempt under way has come.
@@ -92,7 +92,7 @@
 // repeats tells whether a request that may have run may be written again.
 func repeats(d mallowbridge.Decision) (yes bool) { return d.Resumes || mayRepeat(d.Route) }
 
-func mayRepeat(r *charter.Route) (yes bool) { return r != nil && (r.Repeatable || r.Resumable) }
+func mayRepeat(r *config.Route) (yes bool) { return r != nil && (r.Repeatable || r.Resumable) }
 
 func (e *Exchange) Decided(d mallowbridge.Decision) (moves []Move) {
 	if e.over || (e.phase != none && d.Go != "" && d.Go != e.Place.Go && d.Verdict != mallowbridge.Place) {
--- a/ferry/fault_test.go
+++ b/ferry/fault_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -41,7 +41,7 @@
 	set := ferry.Defaults()
 	set.Stall = 150 * time.Millisecond
 	m := newMarket(unknown, endless(t).place(unsafe))
-	p, addr := front(t, m, set, charter.Limits{})
+	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	for end := time.Now().Add(patience); p.N.Hangups.Load() == 0; runtime.Gosched() {
@@ -58,7 +58,7 @@
 	set := ferry.Defaults()
 	set.Stall = 200 * time.Millisecond
 	m := newMarket(unknown, endless(t).place(unsafe))
-	p, addr := front(t, m, set, charter.Limits{})
+	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	tick := time.NewTicker(set.Stall / 10)
@@ -76,8 +76,8 @@
 func TestSlowReaderEndsWithItsRequest(t *testing.T) {
 	set := ferry.Defaults()
 	set.Stall, set.Hold = 300*time.Millisecond, 4<<20
-	m := newMarket(unknown, endless(t).place(&charter.Route{Timeout: 2 * time.Second}))
-	p, addr := front(t, m, set, charter.Limits{})
+	m := newMarket(unknown, endless(t).place(&config.Route{Timeout: 2 * time.Second}))
+	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	tick := time.NewTicker(set.Stall / 30)
@@ -98,7 +98,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMarket(deny)
-			p, addr := front(t, m, ferry.Defaults(), charter.Limits{Header: 100 * time.Millisecond})
+			p, addr := front(t, m, ferry.Defaults(), config.Limits{Header: 100 * time.Millisecond})
 			u := dial(t, addr)
 			u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\n"+c.head+"\r\n"+c.part)
 			r := u.answer(t, "POST")
@@ -113,7 +113,7 @@
 func TestSlowUploadIsBounded(t *testing.T) {
 	set := ferry.Defaults()
 	set.Upload = 300 * time.Millisecond
-	p, addr := front(t, newMarket(deny), set, charter.Limits{Header: 200 * time.Millisecond})
+	p, addr := front(t, newMarket(deny), set, config.Limits{Header: 200 * time.Millisecond})
 	u := dial(t, addr)
 	u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\nContent-Length: 100000\r\n\r\n")
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -132,7 +132,7 @@
 	set := ferry.Defaults()
 	set.Budget = 100 << 10
 	m := newMarket(deny, h.place(unsafe))
-	p, addr := front(t, m, set, charter.Limits{})
+	p, addr := front(t, m, set, config.Limits{})
 	first := dial(t, addr)
 	first.ask(t, "POST", "id1", "", strings.Repeat("x", 80<<10))
 	u := h.accept(t)
@@ -172,7 +172,7 @@
 		_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
 		set := ferry.Defaults()
 		set.UserTimeout, set.Window = 300*time.Millisecond, window
-		_, addr := front(t, newMarket(deny, h.place(unsafe)), set, charter.Limits{})
+		_, addr := front(t, newMarket(deny, h.place(unsafe)), set, config.Limits{})
 		c := dial(t, addr)
 		c.ask(t, "POST", "id1", "X-Wait-Ms: 30000\r\n", strings.Repeat("x", 30000))
 		users, hands = append(users, c), append(hands, h)
--- a/ferry/ferry.go
+++ b/ferry/ferry.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 // Market decides where requests go. *mallowbridge.Desk is one.
@@ -99,7 +99,7 @@
 	market  Market
 	headers Headers
 	set     Settings
-	limits  func() charter.Limits
+	limits  func() config.Limits
 	pool    *Pool
 	budget  Budget
 	front   string
@@ -113,7 +113,7 @@
 }
 
 // New makes a proxy; boot tells this life of the process from others of the node.
-func New(market Market, headers Headers, set Settings, limits func() charter.Limits, boot string) (p *Proxy) {
+func New(market Market, headers Headers, set Settings, limits func() config.Limits, boot string) (p *Proxy) {
 	p = &Proxy{market: market, headers: headers.canonical(), set: set, limits: limits, front: boot + "/"}
 	p.pool, p.budget.Bound = NewPool(set, &p.N), int64(set.Budget)
 	p.clients = make(chan map[*client]struct{}, 1)
--- a/ferry/ferry_test.go
+++ b/ferry/ferry_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 var (
-	safe    = &charter.Route{Repeatable: true, Timeout: time.Minute, Rank: 3}
-	unsafe  = &charter.Route{Timeout: time.Minute}
-	streams = &charter.Route{Streaming: true, Resumable: true, Timeout: time.Minute}
+	safe    = &config.Route{Repeatable: true, Timeout: time.Minute, Rank: 3}
+	unsafe  = &config.Route{Timeout: time.Minute}
+	streams = &config.Route{Streaming: true, Resumable: true, Timeout: time.Minute}
 	unknown = mallowbridge.Decision{Verdict: mallowbridge.Unknown}
 	partial = mallowbridge.Decision{Verdict: mallowbridge.Partial}
 )
--- a/ferry/fuzz_test.go
+++ b/ferry/fuzz_test.go
@@ -11,14 +11,14 @@
 	"testing"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
 // anything gives any decision or signal, by three bytes.
 func anything(kind, a, b byte) (s any) {
 	id := string('a' + rune(a%2))
-	route := []*charter.Route{safe, unsafe, streams}[b%3]
+	route := []*config.Route{safe, unsafe, streams}[b%3]
 	switch kind % 16 {
 	case 0, 1:
 		return mallowbridge.Decision{Verdict: mallowbridge.Place, Go: id, Route: route, Resumes: b&16 > 0, Instance: "i1"}
@@ -203,7 +203,7 @@
 	m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny}, h.place(streams))
 	set := ferry.Defaults()
 	set.Hold = 4 << 10
-	_, addr := front(f, m, set, charter.Limits{})
+	_, addr := front(f, m, set, config.Limits{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := dial(t, addr)
 		c.ask(t, "POST", "id1", "X-Wait-Ms: 5000\r\nConnection: close\r\n", "")
--- a/ferry/hand_test.go
+++ b/ferry/hand_test.go
@@ -13,7 +13,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -36,7 +36,7 @@
 	return &hand{lis: lis.(*net.TCPListener)}
 }
 
-func (h *hand) place(route *charter.Route) (d mallowbridge.Decision) {
+func (h *hand) place(route *config.Route) (d mallowbridge.Decision) {
 	return mallowbridge.Decision{Addr: h.lis.Addr().String(), Replica: "r", Instance: "i1", Route: route}
 }
 
@@ -140,13 +140,13 @@
 }
 
 // front starts a proxy behind a listener of its own.
-func front(t testing.TB, m ferry.Market, set ferry.Settings, l charter.Limits) (p *ferry.Proxy, addr string) {
+func front(t testing.TB, m ferry.Market, set ferry.Settings, l config.Limits) (p *ferry.Proxy, addr string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := func() charter.Limits { return l }
+	limits := func() config.Limits { return l }
 	p = ferry.New(m, names, set, limits, "b")
 	tb := &tomb.Tomb{}
 	ferry.Serve(tb, lis, p, limits)
@@ -159,7 +159,7 @@
 
 func usual(t testing.TB, m ferry.Market) (p *ferry.Proxy, addr string) {
 	t.Helper()
-	return front(t, m, ferry.Defaults(), charter.Limits{})
+	return front(t, m, ferry.Defaults(), config.Limits{})
 }
 
 func idRequest(id string) (r *http.Request) {
--- a/ferry/kept_test.go
+++ b/ferry/kept_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		name, keep string
 		once       time.Duration
-		route      *charter.Route
+		route      *config.Route
 		dials      int
 	}{
 		{"young", "", time.Hour, unsafe, 1},
@@ -33,7 +33,7 @@
 			place.Conns = 1
 			set := ferry.Defaults()
 			set.IdleNonRepeatable, set.Idle = c.once, time.Hour
-			p, addr := front(t, newMarket(deny, place), set, charter.Limits{})
+			p, addr := front(t, newMarket(deny, place), set, config.Limits{})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
@@ -55,7 +55,7 @@
 	h := newHand(t)
 	set := ferry.Defaults()
 	set.Idle = 100 * time.Millisecond
-	_, addr := front(t, newMarket(deny, h.place(safe)), set, charter.Limits{})
+	_, addr := front(t, newMarket(deny, h.place(safe)), set, config.Limits{})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
@@ -141,7 +141,7 @@
 	for young, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
 		set := ferry.Defaults()
 		set.IdleNonRepeatable = young
-		p, addr := front(t, newMarket(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, charter.Limits{})
+		p, addr := front(t, newMarket(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, config.Limits{})
 		u := dial(t, addr)
 		pause := time.NewTicker(100 * time.Millisecond)
 		defer pause.Stop()
--- a/ferry/path_test.go
+++ b/ferry/path_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -56,7 +56,7 @@
 	m := newMarket(partial, h.place(safe))
 	set := ferry.Defaults()
 	set.Hold = 32 << 10
-	p, addr := front(t, m, set, charter.Limits{})
+	p, addr := front(t, m, set, config.Limits{})
 	c := dial(t, addr)
 	c.ask(t, "GET", "id1", "", "")
 	u := h.accept(t)
--- a/ferry/reset_test.go
+++ b/ferry/reset_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 const part = "HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s\r\nContent-Length: 50\r\n\r\n"
@@ -16,7 +16,7 @@
 	stream := "HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct {
 		name, said    string
-		route         *charter.Route
+		route         *config.Route
 		status        int
 		body, heard   string
 		cut, replaced bool
@@ -91,7 +91,7 @@
 func TestKeptConnectionEnds(t *testing.T) {
 	reset, closed := (*up).reset, func(u *up) { _ = u.Close() }
 	for name, c := range map[string]struct {
-		route *charter.Route
+		route *config.Route
 		end   func(u *up)
 		late  bool
 	}{
--- a/ferry/rig_test.go
+++ b/ferry/rig_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -166,7 +166,7 @@
 	}
 }
 
-func (r *replica) place(route *charter.Route) (d mallowbridge.Decision) {
+func (r *replica) place(route *config.Route) (d mallowbridge.Decision) {
 	return mallowbridge.Decision{Addr: r.addr, Replica: r.addr, Instance: "i1", Route: route, Rank: route.Rank}
 }
 
@@ -200,7 +200,7 @@
 }
 
 func serve(t *testing.T, m ferry.Market) (p *ferry.Proxy, url string) {
-	p = ferry.New(m, names, ferry.Defaults(), func() (l charter.Limits) { return charter.Limits{BodyBytes: 1000} }, "b1")
+	p = ferry.New(m, names, ferry.Defaults(), func() (l config.Limits) { return config.Limits{BodyBytes: 1000} }, "b1")
 	srv := httptest.NewServer(p)
 	t.Cleanup(srv.Close)
 	return p, srv.URL
--- a/ferry/serve.go
+++ b/ferry/serve.go
@@ -11,7 +11,7 @@
 
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 // feed is a listener that is handed its connections.
@@ -37,7 +37,7 @@
 
 func (f *feed) Addr() (a net.Addr) { return f.addr }
 
-func server(p *Proxy, l charter.Limits) (s *http.Server) {
+func server(p *Proxy, l config.Limits) (s *http.Server) {
 	return &http.Server{
 		Handler: p, ReadHeaderTimeout: cmp.Or(l.Header, ownHeader), IdleTimeout: cmp.Or(l.Idle, ownIdle), MaxHeaderBytes: l.HeaderBytes,
 		DisableGeneralOptionsHandler: true, ErrorLog: log.New(io.Discard, "", 0), ConnContext: withClient, ConnState: connState,
@@ -61,7 +61,7 @@
 }
 
 // Serve takes clients' connections until the tomb dies; each connection keeps the limits of the time it came.
-func Serve(t *tomb.Tomb, lis net.Listener, p *Proxy, limits func() charter.Limits) {
+func Serve(t *tomb.Tomb, lis net.Listener, p *Proxy, limits func() config.Limits) {
 	t.Go(func() error {
 		<-t.Dying()
 		_ = lis.Close()
@@ -73,8 +73,8 @@
 	})
 }
 
-func accept(t *tomb.Tomb, lis net.Listener, p *Proxy, limits func() charter.Limits) {
-	var now charter.Limits
+func accept(t *tomb.Tomb, lis net.Listener, p *Proxy, limits func() config.Limits) {
+	var now config.Limits
 	var in *feed
 	var keep []string
 	done := make(chan struct{})
--- a/ferry/stream_test.go
+++ b/ferry/stream_test.go
@@ -11,7 +11,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/ferry"
 )
 
@@ -92,13 +92,13 @@
 	}
 	rep := newReplica(t, say("200 OK", "", "one"), say("200 OK", "", "two"))
 	m := newMarket(unknown, rep.place(safe))
-	p := ferry.New(m, names, ferry.Defaults(), func() (l charter.Limits) { return l }, "b")
-	limits := make(chan charter.Limits, 3)
-	limits <- charter.Limits{HeaderBytes: 1 << 20}
-	limits <- charter.Limits{HeaderBytes: 1}
-	limits <- charter.Limits{HeaderBytes: 1 << 20}
+	p := ferry.New(m, names, ferry.Defaults(), func() (l config.Limits) { return l }, "b")
+	limits := make(chan config.Limits, 3)
+	limits <- config.Limits{HeaderBytes: 1 << 20}
+	limits <- config.Limits{HeaderBytes: 1}
+	limits <- config.Limits{HeaderBytes: 1 << 20}
 	tb := &tomb.Tomb{}
-	ferry.Serve(tb, lis, p, func() (l charter.Limits) { return <-limits })
+	ferry.Serve(tb, lis, p, func() (l config.Limits) { return <-limits })
 	url := "http://" + lis.Addr().String()
 	want(t, "first", call(t, url, "id1", "").body, "one")
 	want(t, "long head", call(t, url, strings.Repeat("x", 20000), "").status, 431)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -17,7 +17,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gate"
 	"github.com/mallowbridge/mallowbridge/stage"
 	"github.com/mallowbridge/mallowbridge/stand"
@@ -56,14 +56,14 @@
 		r.addrs = append(r.addrs, lis.Addr().String())
 		reps += fmt.Sprintf(`,{"name":"r%d","addr":"%s","domain":"%c"}`, i+1, lis.Addr(), 'a'+i)
 	}
-	c, err := charter.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[` + reps[1:] +
+	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[` + reps[1:] +
 		`],"kinds":[{"name":"again","repeatable":true},{"name":"once"}]}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.desk = mallowbridge.NewDesk(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
 	for _, ev := range []mallowbridge.Event{
-		mallowbridge.Order{Picture: &charter.Picture{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
+		mallowbridge.Order{Picture: &config.Picture{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
 		mallowbridge.Usage{Replica: "r1", InstanceID: "i1"}, mallowbridge.Usage{Replica: "r2", InstanceID: "i2"},
 	} {
 		r.desk.Tell(ev)
@@ -173,12 +173,12 @@
 	}
 	gone := lis.Addr().String()
 	lis.Close()
-	c, err := charter.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[{"name":"r9","addr":"` + gone +
+	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[{"name":"r9","addr":"` + gone +
 		`","domain":"a"},{"name":"r2","addr":"` + r.addrs[1] + `","domain":"b"}],"kinds":[{"name":"once"}]}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Tell(mallowbridge.Order{Picture: &charter.Picture{Mark: 2, Charter: c}})
+	r.desk.Tell(mallowbridge.Order{Picture: &config.Picture{Mark: 2, Charter: c}})
 	r.desk.Tell(mallowbridge.Usage{Replica: "r9", InstanceID: "i9"})
 	r.later(3 * time.Second)
 	if g := r.ask("once", "q1"); g.Outcome != "done" {
--- a/gate/ops.go
+++ b/gate/ops.go
@@ -12,7 +12,7 @@
 	"github.com/uptrace/bunrouter"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
@@ -39,10 +39,10 @@
 }
 
 type Trouble struct {
-	Error string         `json:"error"`
-	Fate  string         `json:"fate"`
-	Mark  *uint64        `json:"mark,omitempty"`
-	Flaws []charter.Flaw `json:"flaws,omitempty"`
+	Error string        `json:"error"`
+	Fate  string        `json:"fate"`
+	Mark  *uint64       `json:"mark,omitempty"`
+	Flaws []config.Flaw `json:"flaws,omitempty"`
 }
 
 func (o *Ops) Routes(r *bunrouter.Router) {
@@ -73,7 +73,7 @@
 }
 
 func refuse(w http.ResponseWriter, err error) error {
-	var bad *charter.BadError
+	var bad *config.BadError
 	var conflict *register.ConflictError
 	var unknown *register.UnknownError
 	var unreached *register.UnreachedError
@@ -101,7 +101,7 @@
 }
 
 func flaw(path, val, bound string) (err error) {
-	return &charter.BadError{Flaws: []charter.Flaw{{Path: path, Value: val, Bound: bound}}}
+	return &config.BadError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}}
 }
 
 func (o *Ops) changeID(r bunrouter.Request) (id string, err error) {
@@ -113,15 +113,15 @@
 }
 
 func body(w http.ResponseWriter, r bunrouter.Request) (raw []byte, err error) {
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, charter.MaxBytes))
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
 }
 
-func open(w http.ResponseWriter, r bunrouter.Request) (d *charter.Desk, err error) {
+func open(w http.ResponseWriter, r bunrouter.Request) (d *config.Desk, err error) {
 	raw, err := body(w, r)
 	if err != nil {
 		return nil, err
 	}
-	return charter.Open(raw)
+	return config.Open(raw)
 }
 
 func (o *Ops) answer(w http.ResponseWriter, a control.Answer) error {
@@ -149,7 +149,7 @@
 	if err != nil {
 		return refuse(w, err)
 	}
-	if _, err = charter.Read(raw); err != nil {
+	if _, err = config.Read(raw); err != nil {
 		return refuse(w, err)
 	}
 	return o.answer(w, o.C.Call(control.Put{ID: id, Expect: expect, Body: raw}))
--- a/hearth/document.go
+++ b/hearth/document.go
@@ -1,7 +1,7 @@
 package hearth
 
 import (
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // OnPicture has see called with each picture that comes into force, by the owner of control state: it must not wait.
-func (h *Hearth) OnPicture(see func(p *charter.Picture)) {
+func (h *Hearth) OnPicture(see func(p *config.Picture)) {
 	h.Look(func(n *control.Node) {
 		h.see = see
 		if p := n.Picture(); p != nil {
--- a/hearth/follow_test.go
+++ b/hearth/follow_test.go
@@ -39,14 +39,14 @@
 	}
 }
 
-const config = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
+const document = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
 func TestLibraryFollowsItsDaemonThroughARestart(t *testing.T) {
 	addr, data := address(t), t.TempDir()
 	h, stop := daemon(t, addr, data)
 	for h.Call(control.Found{Names: []string{"n1"}}).Err != nil {
 	}
-	if a := h.Call(control.Put{ID: "one", Body: []byte(config)}); a.Err != nil || a.Mark != 1 {
+	if a := h.Call(control.Put{ID: "one", Body: []byte(document)}); a.Err != nil || a.Mark != 1 {
 		t.Fatal(a)
 	}
 	tb := &tomb.Tomb{}
@@ -62,7 +62,7 @@
 	if m := <-marks; m != 1 {
 		t.Errorf("the picture has mark %d", m)
 	}
-	if a := h.Call(control.Put{ID: "two", Expect: 1, Body: []byte(config)}); a.Err != nil {
+	if a := h.Call(control.Put{ID: "two", Expect: 1, Body: []byte(document)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	if m := <-marks; m != 2 {
--- a/hearth/hearth.go
+++ b/hearth/hearth.go
@@ -11,7 +11,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
@@ -37,14 +37,14 @@
 	writes chan []control.Write
 	joins  chan *follower
 	leaves chan *follower
-	pics   chan *charter.Picture
+	pics   chan *config.Picture
 	looks  chan string
 	valve  *valve
 	node   *control.Node
 	keeper *control.Keeper
 	boot   string
 	Front  string
-	see    func(p *charter.Picture)
+	see    func(p *config.Picture)
 
 	prefills chan mallowbridge.Prefill
 }
@@ -75,7 +75,7 @@
 	boot := strconv.FormatUint(seed(), 36)
 	h = &Hearth{
 		S: s, T: t, Log: lg, in: make(chan control.In, 1024), calls: make(chan call, 64), writes: make(chan []control.Write, control.MaxHeld),
-		joins: make(chan *follower), leaves: make(chan *follower), pics: make(chan *charter.Picture, 1), looks: make(chan string, 64), boot: boot,
+		joins: make(chan *follower), leaves: make(chan *follower), pics: make(chan *config.Picture, 1), looks: make(chan string, 64), boot: boot,
 		prefills: make(chan mallowbridge.Prefill, prefillQueue),
 	}
 	h.Front = s.Name + "." + h.boot
--- a/hearth/settings.go
+++ b/hearth/settings.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 type Settings struct {
@@ -23,7 +23,7 @@
 // Host is what the platform that the daemon runs on brings or wants; its zero value is the product on its own.
 type Host struct {
 	// Read reads the operators' document; nil: charter.Read.
-	Read charter.Reader
+	Read config.Reader
 	// List reads the platform's list of replicas every ListEvery; nil: there is none.
 	List      func() (rows []mallowbridge.Instance, err error)
 	ListEvery time.Duration
@@ -54,7 +54,7 @@
 	if err != nil {
 		return s, trace.Wrap(&FileError{Path: path, Why: err.Error()})
 	}
-	d, err := charter.Open(raw)
+	d, err := config.Open(raw)
 	if err != nil {
 		return s, err
 	}
@@ -73,9 +73,9 @@
 
 func Check(in Settings) (s Settings, err error) {
 	s = in.withDefaults()
-	bad := &charter.BadError{}
+	bad := &config.BadError{}
 	flaw := func(field, val, bound string) {
-		bad.Flaws = append(bad.Flaws, charter.Flaw{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
+		bad.Flaws = append(bad.Flaws, config.Flaw{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
 	}
 	if s.Name == "" || len(s.Name) > 64 {
 		flaw("name", s.Name, "1 to 64 bytes")
--- a/hearth/watch.go
+++ b/hearth/watch.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // picture leaves the newest for the watchers and never waits for them.
-func (h *Hearth) picture(p *charter.Picture) {
+func (h *Hearth) picture(p *config.Picture) {
 	select {
 	case <-h.pics:
 	default:
@@ -74,7 +74,7 @@
 	}
 }
 
-func (h *Hearth) watchAll(eyes map[string]*eye, p *charter.Picture) {
+func (h *Hearth) watchAll(eyes map[string]*eye, p *config.Picture) {
 	wanted := map[string]string{}
 	for _, o := range p.Charter.Offers {
 		for _, r := range o.Replicas {
--- a/muse/muse.go
+++ b/muse/muse.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/stage"
 )
 
@@ -39,7 +39,7 @@
 	if p.Config == nil {
 		return s, nil
 	}
-	c, err := charter.Read(p.Config)
+	c, err := config.Read(p.Config)
 	if err != nil {
 		return s, err
 	}
--- a/muse/plan.go
+++ b/muse/plan.go
@@ -10,7 +10,7 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/stage"
 )
 
@@ -61,7 +61,7 @@
 }
 
 func Read(name string, raw []byte) (p Plan, err error) {
-	d, err := charter.Open(raw)
+	d, err := config.Open(raw)
 	if err != nil {
 		return p, err
 	}
@@ -104,11 +104,11 @@
 	return p, d.Err()
 }
 
-func ms(d *charter.Desk, key string) (t time.Duration) {
+func ms(d *config.Desk, key string) (t time.Duration) {
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
-func breakdown(d *charter.Desk, shape stage.Shape, site bool) (f stage.Fault) {
+func breakdown(d *config.Desk, shape stage.Shape, site bool) (f stage.Fault) {
 	f = stage.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := kinds()
 	if site {
--- a/muse/plan_test.go
+++ b/muse/plan_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 func TestAPlanOfASite(t *testing.T) {
@@ -28,7 +28,7 @@
 
 func TestFlawsOfASitesPlan(t *testing.T) {
 	_, err := Read("p", []byte(`{"shape":"atlas site","times":2,"config":"x","breakdowns":[{"kind":"replica twists","on":["r1"]}]}`))
-	var bad *charter.BadError
+	var bad *config.BadError
 	if !errors.As(err, &bad) || len(bad.Flaws) != 4 {
 		t.Fatal(err)
 	}
--- a/order.go
+++ b/order.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
-func (r *Router) order(now time.Duration, p *charter.Picture) {
+func (r *Router) order(now time.Duration, p *config.Picture) {
 	if p == nil || (r.pic != nil && p.Mark <= r.pic.Mark) {
 		return
 	}
@@ -37,7 +37,7 @@
 	r.m.Retune(now)
 }
 
-func (r *Router) offer(now time.Duration, o charter.Offer, used map[bid.KindID]bool) (id int) {
+func (r *Router) offer(now time.Duration, o config.Offer, used map[bid.KindID]bool) (id int) {
 	id = -1
 	for i := range r.m.Offers {
 		if r.m.Offers[i].Name == o.Name {
@@ -71,7 +71,7 @@
 	return id
 }
 
-func (r *Router) replica(now time.Duration, offer, keep int, c charter.Replica) (id int) {
+func (r *Router) replica(now time.Duration, offer, keep int, c config.Replica) (id int) {
 	id, ok := r.reps[c.Name]
 	if !ok {
 		id = r.m.AddReplica(bid.Replica{Name: c.Name}, keep)
--- a/roster.go
+++ b/roster.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 // forgotten is how long an instance has been gone when its row may go to another.
@@ -55,7 +55,7 @@
 	}
 }
 
-func (r *Router) enlist(now time.Duration, row Instance, o *charter.Offer) {
+func (r *Router) enlist(now time.Duration, row Instance, o *config.Offer) {
 	id, ok := r.reps[row.ID]
 	if ok && !r.seats[id].discovered {
 		return
--- a/route.go
+++ b/route.go
@@ -9,13 +9,13 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/hint"
 )
 
 // route makes each route a kind of every offer that it may go to.
-func (r *Router) route(p *charter.Picture, used map[bid.KindID]bool) {
-	r.hosts = map[string][]*charter.Route{}
+func (r *Router) route(p *config.Picture, used map[bid.KindID]bool) {
+	r.hosts = map[string][]*config.Route{}
 	for i := range p.Charter.Routes {
 		rt := &p.Charter.Routes[i]
 		host := hostOnly(rt.Host)
@@ -34,7 +34,7 @@
 	}
 }
 
-func routeKind(rt *charter.Route) (k bid.Kind) {
+func routeKind(rt *config.Route) (k bid.Kind) {
 	return bid.Kind{
 		Value: 1, Urgency: math.Pow(2, -float64(rt.Rank)), Bound: orElse(rt.FirstToken, rt.Timeout),
 		Repeatable: rt.Repeatable || rt.Resumable, Resumable: rt.Resumable, Attempts: max(rt.Attempts, 1), Timeout: rt.Timeout,
@@ -74,7 +74,7 @@
 	return strings.ToLower(host)
 }
 
-func (r *Router) match(host, path string) (rt *charter.Route) {
+func (r *Router) match(host, path string) (rt *config.Route) {
 	for _, rt := range r.hosts[hostOnly(host)] {
 		if strings.HasPrefix(path, rt.Prefix) {
 			return rt
@@ -84,7 +84,7 @@
 }
 
 // pick splits requests over offers by weight and the hash of their ids.
-func pick(rt *charter.Route, request string) (offer string) {
+func pick(rt *config.Route, request string) (offer string) {
 	total := 0.0
 	for _, s := range rt.Split {
 		total += s.Weight
--- a/router.go
+++ b/router.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/bid"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/hint"
 )
 
@@ -33,7 +33,7 @@
 
 type asked struct {
 	request string
-	route   *charter.Route
+	route   *config.Route
 }
 
 type kindKey struct {
@@ -44,14 +44,14 @@
 type Router struct {
 	cfg    Config
 	m      *bid.Market
-	pic    *charter.Picture
+	pic    *config.Picture
 	offers map[string]int
 	kinds  []map[kindKey]int
 	reps   map[string]int
 	seats  []seat
 	asks   map[string]int
 	names  map[int]asked
-	hosts  map[string][]*charter.Route
+	hosts  map[string][]*config.Route
 	roster Roster
 	read   time.Duration
 	listed bool
--- a/router_test.go
+++ b/router_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 const settled = 3 * time.Second
@@ -25,11 +25,11 @@
 
 func order(t *testing.T, r *mallowbridge.Router, mark uint64, replicas string, emptied ...string) {
 	t.Helper()
-	c, err := charter.Read([]byte(`{"offers":[{"name":"o","model":"m","cold":{"rampMs":0},"replicas":[` + replicas + `],"kinds":[{"name":"k"}]}]}`))
+	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","cold":{"rampMs":0},"replicas":[` + replicas + `],"kinds":[{"name":"k"}]}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, mallowbridge.Order{Picture: &charter.Picture{Mark: mark, Charter: c, Emptied: emptied}})
+	r.Step(0, mallowbridge.Order{Picture: &config.Picture{Mark: mark, Charter: c, Emptied: emptied}})
 }
 
 func replica(name, role, domain string, port int) (text string) {
--- a/slope/solo.go
+++ b/slope/solo.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
@@ -60,7 +60,7 @@
 
 func newLone(clock func() (t time.Duration), keep int) (l *lone) {
 	shape := stage.HollowShape(1, soloReplicas, 0, 1, []string{"a1"})
-	c, err := charter.Read(shape.Charter)
+	c, err := config.Read(shape.Charter)
 	if err != nil {
 		panic(err)
 	}
@@ -70,7 +70,7 @@
 	l = &lone{node: &stage.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
-	l.step(mallowbridge.Order{Picture: &charter.Picture{Mark: 1, Charter: c}})
+	l.step(mallowbridge.Order{Picture: &config.Picture{Mark: 1, Charter: c}})
 	for i := range soloReplicas {
 		l.step(mallowbridge.Usage{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
 	}
--- a/stage/contents.go
+++ b/stage/contents.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
@@ -15,15 +15,15 @@
 	accepted bool
 	denied   bool
 	kinds    map[string]bool
-	reps     map[string]charter.Replica
+	reps     map[string]config.Replica
 }
 
 func (a *Audit) offered(expect uint64, body []byte) (c *content) {
-	ch, err := charter.Read(body)
+	ch, err := config.Read(body)
 	if err != nil {
 		panic(err)
 	}
-	c = &content{mark: expect + 1, kinds: map[string]bool{}, reps: map[string]charter.Replica{}}
+	c = &content{mark: expect + 1, kinds: map[string]bool{}, reps: map[string]config.Replica{}}
 	for _, o := range ch.Offers {
 		for _, k := range o.Kinds {
 			c.kinds[o.Name+"/"+k.Name] = k.Repeatable
--- a/stage/document.go
+++ b/stage/document.go
@@ -8,23 +8,23 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
 // A site's operators write a charter.Charter as JSON: routes, offers whose replicas are discovered, limits and a revision.
 
 func flawed(path, val, bound string) (err error) {
-	return trace.Wrap(&charter.BadError{Flaws: []charter.Flaw{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&config.BadError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}})
 }
 
 // readDocument is the charter.Reader of a site.
-func readDocument(raw []byte) (c charter.Charter, err error) {
+func readDocument(raw []byte) (c config.Charter, err error) {
 	if err = json.Unmarshal(raw, &c); err != nil {
-		return charter.Charter{}, flawed("$", err.Error(), "a charter")
+		return config.Charter{}, flawed("$", err.Error(), "a charter")
 	}
 	if c.Revision == 0 {
-		return charter.Charter{}, flawed("$.Revision", "0", "above 0")
+		return config.Charter{}, flawed("$.Revision", "0", "above 0")
 	}
 	offers := map[string]bool{}
 	for _, o := range c.Offers {
@@ -35,17 +35,17 @@
 		at, sum := fmt.Sprintf("$.Routes[%d]", i), 0.0
 		for _, s := range r.Split {
 			if !offers[s.Offer] {
-				return charter.Charter{}, flawed(at+".Split", s.Offer, "a known offer")
+				return config.Charter{}, flawed(at+".Split", s.Offer, "a known offer")
 			}
 			sum += s.Weight
 		}
 		switch place := r.Host + r.Prefix; {
 		case sum <= 0:
-			return charter.Charter{}, flawed(at+".Split", "0 in all", "above 0")
+			return config.Charter{}, flawed(at+".Split", "0 in all", "above 0")
 		case r.Timeout <= 0:
-			return charter.Charter{}, flawed(at+".Timeout", "0", "above 0")
+			return config.Charter{}, flawed(at+".Timeout", "0", "above 0")
 		case places[place]:
-			return charter.Charter{}, flawed(at+".Prefix", place, "named once")
+			return config.Charter{}, flawed(at+".Prefix", place, "named once")
 		default:
 			places[place] = true
 		}
@@ -53,7 +53,7 @@
 	return c, nil
 }
 
-func writeDocument(c charter.Charter) (raw []byte) {
+func writeDocument(c config.Charter) (raw []byte) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -66,17 +66,17 @@
 func prefixOf(name string) (p string) { return "/" + name + "/" }
 
 // first is the document that a day begins with.
-func (s SiteSpec) first() (c charter.Charter) {
+func (s SiteSpec) first() (c config.Charter) {
 	c.Revision = 1
 	for _, o := range s.Offers {
-		c.Offers = append(c.Offers, charter.Offer{
+		c.Offers = append(c.Offers, config.Offer{
 			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, ColdRate: o.ColdRate, ColdFor: o.ColdFor,
 			KeepTokens: o.Memory, Stride: o.Stride, SecondShare: retryShare, SecondPlus: retryExtra * 3 / 4, StaleCap: guessMost,
 		})
 	}
 	for _, t := range s.Classes {
-		c.Routes = append(c.Routes, charter.Route{
-			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), Split: []charter.Split{{Offer: t.Offer, Weight: 1}}, Streaming: t.Streaming,
+		c.Routes = append(c.Routes, config.Route{
+			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), Split: []config.Split{{Offer: t.Offer, Weight: 1}}, Streaming: t.Streaming,
 			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.Aim, Gap: t.Gap, Attempts: t.Attempts, Rank: t.Rank,
 		})
 	}
@@ -87,10 +87,10 @@
 }
 
 // idle is a route that only lookers use; it may go to any offer.
-func (s SiteSpec) idle(name string, offer int) (r charter.Route) {
+func (s SiteSpec) idle(name string, offer int) (r config.Route) {
 	plain := s.Classes[len(s.Classes)-1]
-	return charter.Route{
-		Name: name, Host: siteHost, Prefix: prefixOf(name), Split: []charter.Split{{Offer: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
+	return config.Route{
+		Name: name, Host: siteHost, Prefix: prefixOf(name), Split: []config.Split{{Offer: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
 		Timeout: plain.Deadline, FirstToken: plain.Aim, Attempts: 1, Rank: 3,
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 // patchEdit adds or replaces routes by name and removes others.
-func patchEdit(base, revision uint64, upsert []charter.Route, remove []string) (e edit) {
+func patchEdit(base, revision uint64, upsert []config.Route, remove []string) (e edit) {
 	return func(cur []byte) (next []byte, err error) {
 		c, err := readDocument(cur)
 		if err != nil {
@@ -135,9 +135,9 @@
 			return nil, &register.ConflictError{Mark: c.Revision}
 		}
 		c.Revision = revision
-		c.Routes = slices.DeleteFunc(c.Routes, func(r charter.Route) bool { return slices.Contains(remove, r.Name) })
+		c.Routes = slices.DeleteFunc(c.Routes, func(r config.Route) bool { return slices.Contains(remove, r.Name) })
 		for _, u := range upsert {
-			at := slices.IndexFunc(c.Routes, func(r charter.Route) bool { return r.Name == u.Name })
+			at := slices.IndexFunc(c.Routes, func(r config.Route) bool { return r.Name == u.Name })
 			if at < 0 {
 				c.Routes = append(c.Routes, u)
 				continue
@@ -151,7 +151,7 @@
 }
 
 // routeFor finds the route of a request as the document has it, or nothing.
-func routeFor(c *charter.Charter, path string) (r *charter.Route) {
+func routeFor(c *config.Charter, path string) (r *config.Route) {
 	for i := range c.Routes {
 		if o := &c.Routes[i]; strings.HasPrefix(path, o.Prefix) && (r == nil || len(o.Prefix) > len(r.Prefix)) {
 			r = o
--- a/stage/hollow.go
+++ b/stage/hollow.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
@@ -94,7 +94,7 @@
 
 // Boot starts all nodes within a third of a second, founds the register and puts the first configuration.
 func (h *Hollow) Boot() {
-	c, err := charter.Read(h.S.Shape.Charter)
+	c, err := config.Read(h.S.Shape.Charter)
 	if err != nil {
 		panic(err)
 	}
--- a/stage/hollownode.go
+++ b/stage/hollownode.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/hint"
@@ -148,7 +148,7 @@
 	n.h.after(2*n.trip(p.Replica), func() { n.step(n.report(p.Replica, p.Own)) })
 }
 
-func (n *HollowNode) watch(p *charter.Picture) {
+func (n *HollowNode) watch(p *config.Picture) {
 	for _, o := range p.Charter.Offers {
 		for _, r := range o.Replicas {
 			if n.h.reps[r.Name] == nil || n.eyes[r.Name] {
--- a/stage/operators.go
+++ b/stage/operators.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
 )
@@ -45,7 +45,7 @@
 
 func fateOf(err error) (f fate) {
 	var conflict *register.ConflictError
-	var bad *charter.BadError
+	var bad *config.BadError
 	switch {
 	case err == nil:
 		return acked
@@ -170,7 +170,7 @@
 }
 
 // put replaces the document by what vary makes of the newest one; patch says only what differs.
-func (o *operators) put(vary func(c *charter.Charter), end func(v *version, acked bool)) {
+func (o *operators) put(vary func(c *config.Charter), end func(v *version, acked bool)) {
 	base := o.s.rules.newest()
 	if base == nil {
 		return
@@ -178,7 +178,7 @@
 	o.put2(base, vary, end)
 }
 
-func (o *operators) put2(base *version, vary func(c *charter.Charter), end func(v *version, acked bool)) {
+func (o *operators) put2(base *version, vary func(c *config.Charter), end func(v *version, acked bool)) {
 	c := base.clone()
 	vary(&c)
 	c.Revision = o.revision()
@@ -195,13 +195,13 @@
 	}})
 }
 
-func (v *version) clone() (c charter.Charter) {
+func (v *version) clone() (c config.Charter) {
 	c = v.doc
-	c.Routes = append([]charter.Route(nil), c.Routes...)
+	c.Routes = append([]config.Route(nil), c.Routes...)
 	return c
 }
 
-func gone(old, fresh []charter.Route) (names []string) {
+func gone(old, fresh []config.Route) (names []string) {
 	kept := map[string]bool{}
 	for _, r := range fresh {
 		kept[r.Name] = true
--- a/stage/rep.go
+++ b/stage/rep.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
@@ -29,7 +29,7 @@
 }
 
 func (w *World) replicas() {
-	c, err := charter.Read(w.S.Charter)
+	c, err := config.Read(w.S.Charter)
 	if err != nil {
 		panic(err)
 	}
--- a/stage/rulesconfig.go
+++ b/stage/rulesconfig.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/charter"
+	"github.com/mallowbridge/mallowbridge/config"
 )
 
 // A version is one document that operators sent. It may be in force from then on, unless it was refused.
 type version struct {
 	revision uint64
-	doc      charter.Charter
+	doc      config.Charter
 	raw      []byte
 	base     uint64
 	flawed   bool
 	offered  time.Duration
 	acked    time.Duration
 	refused  bool
-	routes   map[string]*charter.Route
+	routes   map[string]*config.Route
 }
 
 // A floor is the least version that a life of a node has shown to obey, and since when.
@@ -26,11 +26,11 @@
 }
 
 func (r *rules) offered(v *version) {
-	v.offered, v.routes = r.s.w.now, map[string]*charter.Route{}
+	v.offered, v.routes = r.s.w.now, map[string]*config.Route{}
 	r.versions = append(r.versions, v)
 }
 
-func (v *version) route(path string) (rt *charter.Route) {
+func (v *version) route(path string) (rt *config.Route) {
 	rt, known := v.routes[path]
 	if !known {
 		rt = routeFor(&v.doc, path)
@@ -39,7 +39,7 @@
 	return rt
 }
 
-func (v *version) allows(path, offer string) (rt *charter.Route) {
+func (v *version) allows(path, offer string) (rt *config.Route) {
 	if rt = v.route(path); rt != nil {
 		for _, s := range rt.Split {
 			if s.Offer == offer && s.Weight > 0 {
