--- a/arrive.go
+++ b/arrive.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 func (r *Router) arrive(now time.Duration, e Arrive) (d Decision, answered bool) {
@@ -33,13 +33,13 @@
 		return bad("no such kind")
 	}
 	if !o.Kinds[kind].Repeatable && r.once.had(now, e.Request) {
-		return deny(bid.HadOne, true)
+		return deny(scheduler.HadOne, true)
 	}
 	parts, err := hint.Parse(r.model(e.Offer), e.Prefix)
 	if err != nil {
 		return bad(err.Error())
 	}
-	id := r.m.Arrive(now, bid.Ask{Offer: offer, Kind: kind, Parts: parts, Tail: e.tail(parts), Patience: e.Patience})
+	id := r.m.Arrive(now, scheduler.Ask{Offer: offer, Kind: kind, Parts: parts, Tail: e.tail(parts), Patience: e.Patience})
 	r.asks[e.Request], r.names[id] = id, asked{request: e.Request}
 	return d, false
 }
@@ -57,7 +57,7 @@
 	}
 	k, known := r.kinds[o][kindKey{name: kind}]
 	if _, had := r.once.at[request]; had && known && !r.m.Offers[o].Kinds[k].Repeatable {
-		return bid.HadOne
+		return scheduler.HadOne
 	}
 	return ""
 }
--- a/control/list.go
+++ b/control/list.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 const (
@@ -83,7 +83,7 @@
 // firstList reads the list soon after a start: until somebody has, nothing can be served. Seeds begin, and most others hear of it.
 func (n *Node) firstList(now time.Duration) {
 	l := &n.lists
-	if !slices.Contains(n.cfg.Seeds, n.cfg.Addr) && now-n.born < firstListWait+time.Duration(bid.Rank(listDuty, n.cfg.Name)%firstListSpread)*time.Millisecond {
+	if !slices.Contains(n.cfg.Seeds, n.cfg.Addr) && now-n.born < firstListWait+time.Duration(scheduler.Rank(listDuty, n.cfg.Name)%firstListSpread)*time.Millisecond {
 		return
 	}
 	if l.asking || now-l.asked < firstListAgain+time.Duration(n.rank(listDuty))*listStep {
--- a/control/place.go
+++ b/control/place.go
@@ -1,9 +1,9 @@
 package control
 
 import (
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 // derived holds what follows from the members alone. It is kept until they change, since every tick of every node asks for it.
@@ -31,7 +31,7 @@
 	if ok {
 		return above
 	}
-	mine, here := bid.Rank(duty, n.cfg.Name), false
+	mine, here := scheduler.Rank(duty, n.cfg.Name), false
 	for _, m := range n.Kin.Table.All() {
 		if !fits(m) {
 			continue
@@ -40,7 +40,7 @@
 			here = true
 			continue
 		}
-		if w := bid.Rank(duty, m.Name); w > mine || (w == mine && m.Name < n.cfg.Name) {
+		if w := scheduler.Rank(duty, m.Name); w > mine || (w == mine && m.Name < n.cfg.Name) {
 			above++
 		}
 	}
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 func TestPlacesFollowTheMembers(t *testing.T) {
@@ -30,11 +30,11 @@
 				}
 			}
 			for _, duty := range []string{"mend", "list"} {
-				ranked := bid.Nearest(duty, all)
+				ranked := scheduler.Nearest(duty, all)
 				if got, want := n.place("all/", duty, func(m membership.Member) bool { return m.State == membership.Alive }), slices.Index(ranked, name); got != want {
 					t.Errorf("%s: %s is at place %d of %s, want %d", when, name, got, duty, want)
 				}
-				if n.first(duty, "1") != (bid.Nearest(duty, near)[0] == name) || n.first(duty, "nowhere") != (ranked[0] == name) {
+				if n.first(duty, "1") != (scheduler.Nearest(duty, near)[0] == name) || n.first(duty, "nowhere") != (ranked[0] == name) {
 					t.Errorf("%s: %s disagrees on who is first for %s", when, name, duty)
 				}
 				if n.first(duty, "") {
@@ -47,7 +47,7 @@
 		}
 	}
 	check("all are up")
-	l.down[bid.Nearest("mend", l.order)[0]] = true
+	l.down[scheduler.Nearest("mend", l.order)[0]] = true
 	l.run(4 * time.Second)
 	check("the first is down")
 }
--- a/control/witness.go
+++ b/control/witness.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 const (
@@ -133,7 +133,7 @@
 		}
 	}
 	taken := map[string]int{}
-	for _, name := range bid.Nearest("once/"+request, names) {
+	for _, name := range scheduler.Nearest("once/"+request, names) {
 		m, _ := n.Kin.Table.Get(name)
 		if len(ms) < witnesses && taken[m.Domain] < perDomain {
 			taken[m.Domain]++
--- a/membership/member.go
+++ b/membership/member.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"github.com/mallowbridge/mallowbridge/bid"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 type State uint8
@@ -54,7 +54,7 @@
 			far = append(far, m.Name)
 		}
 	}
-	near, far = bid.Nearest(target.Name, near), bid.Nearest(target.Name, far)
+	near, far = scheduler.Nearest(target.Name, near), scheduler.Nearest(target.Name, far)
 	names = append(names, near[:min(watchNear, len(near))]...)
 	return append(names, far[:min(watchFar, len(far))]...)
 }
@@ -68,12 +68,12 @@
 	if by.Domain == target.Domain {
 		most = watchNear
 	}
-	mine, above := bid.Rank(target.Name, by.Name), 0
+	mine, above := scheduler.Rank(target.Name, by.Name), 0
 	for _, m := range all {
 		if m.Name == target.Name || m.Name == by.Name || !m.Live() || (m.Domain == target.Domain) != (by.Domain == target.Domain) {
 			continue
 		}
-		if w := bid.Rank(target.Name, m.Name); w > mine || (w == mine && m.Name < by.Name) {
+		if w := scheduler.Rank(target.Name, m.Name); w > mine || (w == mine && m.Name < by.Name) {
 			if above++; above == most {
 				return false
 			}
--- a/order.go
+++ b/order.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 func (r *Router) order(now time.Duration, p *config.Picture) {
@@ -37,7 +37,7 @@
 	r.m.Retune(now)
 }
 
-func (r *Router) offer(now time.Duration, o config.Offer, used map[bid.KindID]bool) (id int) {
+func (r *Router) offer(now time.Duration, o config.Offer, used map[scheduler.KindID]bool) (id int) {
 	id = -1
 	for i := range r.m.Offers {
 		if r.m.Offers[i].Name == o.Name {
@@ -45,7 +45,7 @@
 		}
 	}
 	if id < 0 {
-		id = r.m.AddOffer(bid.Offer{Name: o.Name})
+		id = r.m.AddOffer(scheduler.Offer{Name: o.Name})
 		r.kinds = append(r.kinds, nil)
 	}
 	row := &r.m.Offers[id]
@@ -62,7 +62,7 @@
 	}
 	for _, k := range o.Kinds {
 		at := r.kind(id, kindKey{name: k.Name}, used)
-		row.Kinds[at] = bid.Kind{Value: k.Value, Urgency: k.Urgency, Bound: k.FirstToken, Repeatable: k.Repeatable}
+		row.Kinds[at] = scheduler.Kind{Value: k.Value, Urgency: k.Urgency, Bound: k.FirstToken, Repeatable: k.Repeatable}
 	}
 	for _, c := range o.Replicas {
 		row.Split = row.Split || c.Role == "prefill"
@@ -74,7 +74,7 @@
 func (r *Router) replica(now time.Duration, offer, keep int, c config.Replica) (id int) {
 	id, ok := r.reps[c.Name]
 	if !ok {
-		id = r.m.AddReplica(bid.Replica{Name: c.Name}, keep)
+		id = r.m.AddReplica(scheduler.Replica{Name: c.Name}, keep)
 		r.reps[c.Name] = id
 		r.seats = append(r.seats, seat{name: c.Name})
 	}
@@ -156,9 +156,9 @@
 	r.m.Cold(now, id, age)
 }
 
-func (e Routers) rows(domain string) (rs []bid.RouterRow) {
+func (e Routers) rows(domain string) (rs []scheduler.RouterRow) {
 	for i, name := range e.Names {
-		row := bid.RouterRow{Name: name, Domain: domain}
+		row := scheduler.RouterRow{Name: name, Domain: domain}
 		if i < len(e.Domains) {
 			row.Domain = e.Domains[i]
 		}
--- a/render.go
+++ b/render.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/bid"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-func (r *Router) render(now time.Duration, acts []bid.Act) (out []Decision) {
+func (r *Router) render(now time.Duration, acts []scheduler.Act) (out []Decision) {
 	for _, a := range acts {
 		d := Decision{Verdict: verdicts[a.Kind], Request: r.names[a.Ask].request, Why: a.Why, After: a.After, Late: a.Late, Confirmed: a.Conf, Predicted: a.Pred}
 		if a.Go != 0 {
@@ -16,18 +16,18 @@
 			d.Replica, d.Addr = r.seats[a.Rep].name, r.seats[a.Rep].addr
 		}
 		d.Once, d.Repeat, d.Spare = a.Once, a.Repeat, a.Spare
-		if a.Kind == bid.Place {
+		if a.Kind == scheduler.Place {
 			r.placed(&d, a)
 		}
 		switch a.Kind {
-		case bid.Send:
+		case scheduler.Send:
 			r.once.note(now, d.Request)
-		case bid.Deny:
+		case scheduler.Deny:
 			if !a.Repeat {
 				r.once.drop(d.Request)
 			}
 			r.forget(a.Ask)
-		case bid.Done, bid.Unknown, bid.Partial:
+		case scheduler.Done, scheduler.Unknown, scheduler.Partial:
 			r.forget(a.Ask)
 		}
 		out = append(out, d)
@@ -35,7 +35,7 @@
 	return out
 }
 
-func (r *Router) placed(d *Decision, a bid.Act) {
+func (r *Router) placed(d *Decision, a scheduler.Act) {
 	if a.Pre >= 0 {
 		d.Prefill = r.seats[a.Pre].addr
 	}
@@ -54,9 +54,9 @@
 	}
 }
 
-var verdicts = map[bid.ActKind]Verdict{
-	bid.Place: Place, bid.Send: Send, bid.Recall: Recall, bid.Deny: Deny, bid.Cancel: Cancel,
-	bid.Unknown: Unknown, bid.Partial: Partial, bid.Done: Done, bid.Peek: Peek,
+var verdicts = map[scheduler.ActKind]Verdict{
+	scheduler.Place: Place, scheduler.Send: Send, scheduler.Recall: Recall, scheduler.Deny: Deny, scheduler.Cancel: Cancel,
+	scheduler.Unknown: Unknown, scheduler.Partial: Partial, scheduler.Done: Done, scheduler.Peek: Peek,
 }
 
 func (r *Router) forget(id int) {
--- a/roster.go
+++ b/roster.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 // forgotten is how long an instance has been gone when its row may go to another.
@@ -86,7 +86,7 @@
 
 // vacancy gives a new instance a row, that of one long gone where there is one.
 func (r *Router) vacancy(now time.Duration, name string, keep int) (id int) {
-	fresh := bid.Replica{Name: name, Warm: true}
+	fresh := scheduler.Replica{Name: name, Warm: true}
 	for id = range r.seats {
 		s := &r.seats[id]
 		if !s.discovered || s.gone == 0 || now-s.gone < forgotten || r.m.Reps[id].Own > 0 {
--- a/route.go
+++ b/route.go
@@ -8,13 +8,13 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 // route makes each route a kind of every offer that it may go to.
-func (r *Router) route(p *config.Picture, used map[bid.KindID]bool) {
+func (r *Router) route(p *config.Picture, used map[scheduler.KindID]bool) {
 	r.hosts = map[string][]*config.Route{}
 	for i := range p.Charter.Routes {
 		rt := &p.Charter.Routes[i]
@@ -34,8 +34,8 @@
 	}
 }
 
-func routeKind(rt *config.Route) (k bid.Kind) {
-	return bid.Kind{
+func routeKind(rt *config.Route) (k scheduler.Kind) {
+	return scheduler.Kind{
 		Value: 1, Urgency: math.Pow(2, -float64(rt.Rank)), Bound: orElse(rt.FirstToken, rt.Timeout),
 		Repeatable: rt.Repeatable || rt.Resumable, Resumable: rt.Resumable, Attempts: max(rt.Attempts, 1), Timeout: rt.Timeout,
 	}
@@ -49,21 +49,21 @@
 }
 
 // kind finds the row of a kind, or takes one that nothing refers to any more.
-func (r *Router) kind(offer int, key kindKey, used map[bid.KindID]bool) (at int) {
+func (r *Router) kind(offer int, key kindKey, used map[scheduler.KindID]bool) (at int) {
 	known, row := r.kinds[offer], &r.m.Offers[offer]
 	at, ok := known[key]
 	if ok {
 		return at
 	}
 	for old, i := range known {
-		if row.Kinds[i].Gone && !used[bid.KindID{Offer: offer, Kind: i}] {
+		if row.Kinds[i].Gone && !used[scheduler.KindID{Offer: offer, Kind: i}] {
 			delete(known, old)
 			known[key] = i
 			return i
 		}
 	}
 	known[key] = len(row.Kinds)
-	row.Kinds = append(row.Kinds, bid.Kind{})
+	row.Kinds = append(row.Kinds, scheduler.Kind{})
 	return known[key]
 }
 
@@ -124,7 +124,7 @@
 		parts = nil
 	}
 	kind := r.kinds[offer][kindKey{name: rt.Name, route: true}]
-	id := r.m.Arrive(now, bid.Ask{Offer: offer, Kind: kind, Parts: parts, Tail: e.tail(parts), Patience: e.Patience})
+	id := r.m.Arrive(now, scheduler.Ask{Offer: offer, Kind: kind, Parts: parts, Tail: e.tail(parts), Patience: e.Patience})
 	r.asks[e.Request], r.names[id] = id, asked{request: e.Request, route: rt}
 	return d, false
 }
--- a/router.go
+++ b/router.go
@@ -4,22 +4,22 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/bid"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
 type Config struct {
 	Self    string
 	Boot    string
 	Domain  string
-	Market  bid.Config
+	Market  scheduler.Config
 	OnceFor time.Duration
 	OnceMax int
 }
 
 func Defaults(self, boot, domain string) (c Config) {
-	return Config{Self: self, Boot: boot, Domain: domain, Market: bid.Defaults(self, domain), OnceFor: 10 * time.Minute, OnceMax: 100000}
+	return Config{Self: self, Boot: boot, Domain: domain, Market: scheduler.Defaults(self, domain), OnceFor: 10 * time.Minute, OnceMax: 100000}
 }
 
 type seat struct {
@@ -43,7 +43,7 @@
 
 type Router struct {
 	cfg    Config
-	m      *bid.Market
+	m      *scheduler.Market
 	pic    *config.Picture
 	offers map[string]int
 	kinds  []map[kindKey]int
@@ -61,7 +61,7 @@
 
 func New(cfg Config) (r *Router) {
 	return &Router{
-		cfg: cfg, m: bid.New(cfg.Market), offers: map[string]int{}, reps: map[string]int{},
+		cfg: cfg, m: scheduler.New(cfg.Market), offers: map[string]int{}, reps: map[string]int{},
 		asks: map[string]int{}, names: map[int]asked{}, once: newOnce(cfg.OnceFor, cfg.OnceMax),
 		front: cfg.Self + "." + cfg.Boot + ".",
 	}
@@ -74,7 +74,7 @@
 	return r.pic.Mark
 }
 
-func (r *Router) Counters() (c bid.Counters) { return r.m.N }
+func (r *Router) Counters() (c scheduler.Counters) { return r.m.N }
 
 func (r *Router) Hints() (c hint.Counters, t time.Duration) { return r.m.Index.Counters, r.m.Index.T() }
 
@@ -176,7 +176,7 @@
 	return r.render(now, r.m.Tick(now))
 }
 
-var ends = map[How]bid.End{Whole: bid.Whole, Refused: bid.Refused, Broken: bid.Broken, Unreached: bid.Unreached, Withheld: bid.Withheld, Unvouched: bid.Unvouched}
+var ends = map[How]scheduler.End{Whole: scheduler.Whole, Refused: scheduler.Refused, Broken: scheduler.Broken, Unreached: scheduler.Unreached, Withheld: scheduler.Withheld, Unvouched: scheduler.Unvouched}
 
 func (r *Router) with(req, goName string, act func(id int, g uint64)) (ok bool) {
 	id, ok := r.asks[req]
@@ -230,10 +230,10 @@
 }
 
 func (r *Router) failures(now time.Duration, e Failures) {
-	var rows []bid.Faults
+	var rows []scheduler.Faults
 	for _, f := range e.Rows {
 		if id, ok := r.reps[f.Replica]; ok {
-			rows = append(rows, bid.Faults{Rep: id, N: f.N, Gone: f.Gone})
+			rows = append(rows, scheduler.Faults{Rep: id, N: f.N, Gone: f.Gone})
 		}
 	}
 	r.m.Charge(now, e.By, rows)
--- a/bid/bid_test.go
+++ b/scheduler/bid_test.go
@@ -1,4 +1,4 @@
-package bid
+package scheduler
 
 import (
 	"math/rand/v2"
