--- a/arrive.go
+++ b/arrive.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
@@ -35,7 +35,7 @@
 	if !o.Kinds[kind].Repeatable && r.once.had(now, e.Request) {
 		return deny(scheduler.HadOne, true)
 	}
-	parts, err := hint.Parse(r.model(e.Offer), e.Prefix)
+	parts, err := prefixindex.Parse(r.model(e.Offer), e.Prefix)
 	if err != nil {
 		return bad(err.Error())
 	}
--- a/muse/har.go
+++ b/muse/har.go
@@ -13,7 +13,7 @@
 	"github.com/chromedp/cdproto/har"
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/stage"
 )
 
@@ -77,7 +77,7 @@
 			a.Prefix = h.Value
 		}
 	}
-	if _, err = hint.Parse("", a.Prefix); err != nil {
+	if _, err = prefixindex.Parse("", a.Prefix); err != nil {
 		return at, a, err.Error()
 	}
 	return at, a, ""
--- a/hint/index.go
+++ b/prefixindex/index.go
@@ -1,4 +1,4 @@
-package hint
+package prefixindex
 
 import "time"
 
--- a/route.go
+++ b/route.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
@@ -119,7 +119,7 @@
 	if model == "" {
 		model = r.model(name)
 	}
-	parts, err := hint.Parse(model, e.Prefix)
+	parts, err := prefixindex.Parse(model, e.Prefix)
 	if err != nil {
 		parts = nil
 	}
@@ -129,9 +129,9 @@
 	return d, false
 }
 
-func (e Arrive) tail(parts []hint.Part) (tokens int) {
+func (e Arrive) tail(parts []prefixindex.Part) (tokens int) {
 	if e.Tokens == 0 {
 		return e.Tail
 	}
-	return max(e.Tokens-hint.Tokens(parts), 0)
+	return max(e.Tokens-prefixindex.Tokens(parts), 0)
 }
--- a/router.go
+++ b/router.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
@@ -76,7 +76,9 @@
 
 func (r *Router) Counters() (c scheduler.Counters) { return r.m.N }
 
-func (r *Router) Hints() (c hint.Counters, t time.Duration) { return r.m.Index.Counters, r.m.Index.T() }
+func (r *Router) Hints() (c prefixindex.Counters, t time.Duration) {
+	return r.m.Index.Counters, r.m.Index.T()
+}
 
 func (r *Router) Alerts() (early, stale bool) { return r.m.Index.Alerts() }
 
--- a/scheduler/choose.go
+++ b/scheduler/choose.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 func (m *Market) est(now time.Duration, a *Ask, rep, conf, pred int) (t time.Duration) {
@@ -13,7 +13,7 @@
 	if o.Batches {
 		return m.firstEvent(now, a, rep, conf, pred)
 	}
-	uncached := float64(a.Tail+hint.Tokens(a.Parts)) - float64(conf) - m.cfg.PredWeight*float64(pred)
+	uncached := float64(a.Tail+prefixindex.Tokens(a.Parts)) - float64(conf) - m.cfg.PredWeight*float64(pred)
 	t = o.Base + time.Duration(uncached*float64(o.PerToken))
 	t = time.Duration(float64(t) * r.factor * (1 + m.fullness(now, rep)) * (1 + r.coldness(now, o.ColdRamp)))
 	if r.cold(now) {
@@ -66,7 +66,7 @@
 			}
 		}
 		if id == home {
-			unheld := hint.Tokens(a.Parts) - conf - pred
+			unheld := prefixindex.Tokens(a.Parts) - conf - pred
 			cost -= m.cfg.Home * float64(unheld) * float64(o.PerToken) / float64(o.Kinds[a.Kind].Bound)
 		}
 		if now+est > a.Due {
--- a/scheduler/course.go
+++ b/scheduler/course.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // HadOne is why a request that may not be repeated is not run again.
@@ -143,7 +143,7 @@
 		m.paced(a, r, took)
 		return
 	}
-	miss := o.Base + time.Duration(a.Tail+hint.Tokens(a.Parts))*o.PerToken
+	miss := o.Base + time.Duration(a.Tail+prefixindex.Tokens(a.Parts))*o.PerToken
 	hit := miss - time.Duration(a.Conf)*o.PerToken
 	if a.Conf > 0 && a.Pred == 0 && !(o.Queues && r.crowded()) && hit < miss/2 && float64(took) > 0.8*float64(miss)*r.factor && float64(took) > 1.5*float64(a.Est) {
 		m.Index.Evicted(m.keeper(a), a.Parts)
--- a/scheduler/home_test.go
+++ b/scheduler/home_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 func TestAllDomainsAgreeOnTheHomeOfASharedPart(t *testing.T) {
@@ -17,7 +17,7 @@
 			for i := range 6 {
 				m.Offers[o].Reps = append(m.Offers[o].Reps, m.AddReplica(Replica{Name: fmt.Sprint("r", i), Offer: o, Listed: true, Up: true, Near: (i%2 == 0) == (near == "a")}, 1000))
 			}
-			parts := []hint.Part{{Key: 7, Tokens: 100}, {Key: hint.Key(1000 + own), Tokens: 10}}
+			parts := []prefixindex.Part{{Key: 7, Tokens: 100}, {Key: prefixindex.Key(1000 + own), Tokens: 10}}
 			rep := m.home(&Ask{Offer: o, Parts: parts}, &m.Offers[o])
 			seen[rep] = true
 			homes[rep]++
--- a/scheduler/market.go
+++ b/scheduler/market.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 type Config struct {
@@ -23,11 +23,11 @@
 	// tokens of it, all in late first events.
 	Reread, Cross, CrossToken float64
 	RoundRobin                bool
-	Index                     hint.Config
+	Index                     prefixindex.Config
 }
 
 func Defaults(self, domain string) (c Config) {
-	return Config{Self: self, Domain: domain, Backlog: 256, Feed: time.Second, Silence: 8 * time.Second, PredWeight: 0.7, Home: 4, Doubt: 1.2, Kept: 2, Told: 4000, ToldEach: 150, Reread: 0.3, Cross: 0.04, CrossToken: 0.01, Index: hint.Defaults()}
+	return Config{Self: self, Domain: domain, Backlog: 256, Feed: time.Second, Silence: 8 * time.Second, PredWeight: 0.7, Home: 4, Doubt: 1.2, Kept: 2, Told: 4000, ToldEach: 150, Reread: 0.3, Cross: 0.04, CrossToken: 0.01, Index: prefixindex.Defaults()}
 }
 
 const firstHold = 500 * time.Millisecond
@@ -84,7 +84,7 @@
 	Asks    Asks
 	Offers  []Offer
 	Reps    []Replica
-	Index   *hint.Index
+	Index   *prefixindex.Index
 	routers []string
 	rows    []RouterRow
 	divs    []division
@@ -103,7 +103,7 @@
 }
 
 func New(cfg Config) (m *Market) {
-	return &Market{cfg: cfg, Index: hint.New(cfg.Index), why: "no picture yet"}
+	return &Market{cfg: cfg, Index: prefixindex.New(cfg.Index), why: "no picture yet"}
 }
 
 func (m *Market) AddReplica(r Replica, keep int) (id int) {
--- a/scheduler/match.go
+++ b/scheduler/match.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 func (m *Market) match(now time.Duration) {
@@ -136,7 +136,7 @@
 	m.N.Placed++
 	m.N.ConfirmedTokens += uint64(a.Conf)
 	m.N.PredictedTokens += uint64(a.Pred)
-	m.N.PrefixTokens += uint64(hint.Tokens(a.Parts))
+	m.N.PrefixTokens += uint64(prefixindex.Tokens(a.Parts))
 	m.do(Act{Kind: Place, Ask: id, Go: a.Go, Rep: a.Rep, Pre: a.Prefill, Conf: a.Conf, Pred: a.Pred, Once: !a.settled(m), Spare: max(a.Due-now-a.Est, 0), Until: a.Deadline, Resumes: a.Resume, Rank: rank, Unread: m.telling(a)})
 }
 
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // A crowd is many routers before many replicas, which tell each other of failures 300 ms later, with requests of one kind.
@@ -84,7 +84,7 @@
 		for i, m := range c.ms {
 			m.Feed(at, "")
 			for n := c.rng.Float64(); n < perS*step.Seconds(); n++ {
-				m.Arrive(at, Ask{Parts: []hint.Part{{Key: hint.Key(c.rng.Uint64()), Tokens: 500}}})
+				m.Arrive(at, Ask{Parts: []prefixindex.Part{{Key: prefixindex.Key(c.rng.Uint64()), Tokens: 500}}})
 			}
 			c.acts(at, i, m.Tick(at))
 			if rows := m.Faults(at); len(rows) > 0 && !c.deaf {
--- a/scheduler/prefill.go
+++ b/scheduler/prefill.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // A prefill is a prompt that a batching replica has not read whole, as far as this node knows.
@@ -75,7 +75,7 @@
 }
 
 func (m *Market) unread(a *Ask, conf, pred int) (tokens float64) {
-	return float64(a.Tail+hint.Tokens(a.Parts)) - float64(conf) - m.cfg.PredWeight*float64(pred)
+	return float64(a.Tail+prefixindex.Tokens(a.Parts)) - float64(conf) - m.cfg.PredWeight*float64(pred)
 }
 
 func (m *Market) firstEvent(now time.Duration, a *Ask, rep, conf, pred int) (t time.Duration) {
@@ -139,11 +139,11 @@
 	bound := float64(o.Kinds[a.Kind].Bound)
 	late := float64(c.est) / max(float64(a.Due-now), bound/8)
 	cost = min(late*late*late, 64) + 0.1*float64(c.est)/bound + 0.5*m.fullness(now, c.rep)
-	if shared := hint.Tokens(a.Parts[:max(len(a.Parts)-1, 0)]) - c.conf - c.pred; shared > 0 && !home {
+	if shared := prefixindex.Tokens(a.Parts[:max(len(a.Parts)-1, 0)]) - c.conf - c.pred; shared > 0 && !home {
 		cost += m.cfg.Reread * float64(shared) / 1000
 	}
 	if !r.Near {
-		cost += m.cfg.Cross + m.cfg.CrossToken*float64(a.Tail+hint.Tokens(a.Parts))/1000
+		cost += m.cfg.Cross + m.cfg.CrossToken*float64(a.Tail+prefixindex.Tokens(a.Parts))/1000
 	}
 	return cost
 }
--- a/scheduler/prefill_test.go
+++ b/scheduler/prefill_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 func batching(t *testing.T) (m *Market) {
@@ -97,7 +97,7 @@
 
 func TestSharedPartsAreReadOnceUnlessTheWaitIsLong(t *testing.T) {
 	m := batching(t)
-	parts := []hint.Part{{Key: 1, Tokens: 500}, {Key: 2, Tokens: 5000}, {Key: 3, Tokens: 100}}
+	parts := []prefixindex.Part{{Key: 1, Tokens: 500}, {Key: 2, Tokens: 5000}, {Key: 3, Tokens: 100}}
 	a := Ask{Parts: parts}
 	home := m.home(&a, &m.Offers[0])
 	m.Reps[home].Near = false
@@ -146,7 +146,7 @@
 	m := batching(t)
 	m.Index.SetKeep(0, 100000)
 	m.Index.SetKeep(1, 100000)
-	parts := []hint.Part{{Key: 1, Tokens: 9000}, {Key: 2, Tokens: 50}}
+	parts := []prefixindex.Part{{Key: 1, Tokens: 9000}, {Key: 2, Tokens: 50}}
 	at, rep := now, 0
 	for i, took := range []time.Duration{130 * ms, 130 * ms, 32 * ms} {
 		id, p := prompt(t, m, at, Ask{Parts: parts})
--- a/scheduler/table.go
+++ b/scheduler/table.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 type State uint8
@@ -17,7 +17,7 @@
 
 type Ask struct {
 	Offer, Kind int
-	Parts       []hint.Part
+	Parts       []prefixindex.Part
 	Tail        int
 	At          time.Duration
 	// Due is the aim for the first token, Deadline when the request is given up.
--- a/stage/client.go
+++ b/stage/client.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/ferry"
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // A want is what a user agent wants, over all its tries.
@@ -16,7 +16,7 @@
 	class  *TrafficClass
 	path   string
 	prefix string
-	parts  []hint.Part
+	parts  []prefixindex.Part
 	prompt int
 	events int
 	work   time.Duration
--- a/stage/engine.go
+++ b/stage/engine.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // EngineSpec describes a replica that runs its requests in one batch. Without Step it generates nothing, and each request takes its
@@ -138,7 +138,7 @@
 		e.cache.touch(j.parts)
 		if !j.joined {
 			j.joined, j.cached = true, cached
-			e.Prompted, e.Cached = e.Prompted+uint64(hint.Tokens(j.parts)), e.Cached+uint64(cached)
+			e.Prompted, e.Cached = e.Prompted+uint64(prefixindex.Tokens(j.parts)), e.Cached+uint64(cached)
 		}
 		j.unread = j.prompt - cached + j.made
 		j.held = j.unread
--- a/stage/engine_test.go
+++ b/stage/engine_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 type timed struct {
@@ -18,7 +18,7 @@
 }
 
 func (x *timed) job(q *queue, header string, prompt, out, rank int) (j *job) {
-	parts, _ := hint.Parse(Prompt, header)
+	parts, _ := prefixindex.Parse(Prompt, header)
 	return &job{
 		parts: parts, prompt: prompt, out: out, rank: rank, begun: func() { x.begun = q.now }, late: func() {},
 		event: func(_ int, last bool) {
--- a/stage/guesses.go
+++ b/stage/guesses.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 const guessMost = 2 * time.Second
 
 type guessKey struct {
 	front, rep, instance string
-	part                 hint.Key
+	part                 prefixindex.Key
 }
 
 func (c *conn) keeper() (r *Rep) {
@@ -23,7 +23,7 @@
 }
 
 func (c *conn) keys() (keys []guessKey, tokens []int) {
-	parts, _ := hint.Parse(Prompt, c.f.ask.Prefix)
+	parts, _ := prefixindex.Parse(Prompt, c.f.ask.Prefix)
 	for _, p := range parts {
 		keys, tokens = append(keys, guessKey{front: c.f.n.front, rep: c.keeper().Name, part: p.Key}), append(tokens, p.Tokens)
 	}
--- a/stage/hollownode.go
+++ b/stage/hollownode.go
@@ -9,8 +9,8 @@
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
-	"github.com/mallowbridge/mallowbridge/hint"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -201,7 +201,7 @@
 
 func (n *HollowNode) admitted(g *hollowGo, id string) {
 	r := n.h.reps[g.on]
-	parts, _ := hint.Parse(Prompt, g.ask.Prefix)
+	parts, _ := prefixindex.Parse(Prompt, g.ask.Prefix)
 	plan, ok := r.Admit(n.h.now, id, parts, g.ask.TailTokens)
 	if !ok {
 		n.back(g, n.h.now, mallowbridge.Replied{Go: id, Attempt: id, Status: http.StatusTooManyRequests})
--- a/stage/job.go
+++ b/stage/job.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // A job is one request at an engine.
 type job struct {
-	parts  []hint.Part
+	parts  []prefixindex.Part
 	prompt int
 	out    int
 	work   time.Duration
--- a/stage/prefixcache.go
+++ b/stage/prefixcache.go
@@ -3,22 +3,22 @@
 import (
 	"container/list"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // A prefixCache holds read parts of prompts; the least recently used give way first.
 type prefixCache struct {
-	kept   map[hint.Key]*list.Element
+	kept   map[prefixindex.Key]*list.Element
 	order  *list.List
 	tokens int
 }
 
 func newPrefixCache() (c prefixCache) {
-	return prefixCache{kept: map[hint.Key]*list.Element{}, order: list.New()}
+	return prefixCache{kept: map[prefixindex.Key]*list.Element{}, order: list.New()}
 }
 
 // hit tells how many tokens need not be read: those of the first parts, up to the first one that is not held.
-func (c *prefixCache) hit(parts []hint.Part) (tokens int) {
+func (c *prefixCache) hit(parts []prefixindex.Part) (tokens int) {
 	for _, p := range parts {
 		if c.kept[p.Key] == nil {
 			break
@@ -29,7 +29,7 @@
 }
 
 // keep holds all parts, the first as the most recent one, and tells how many tokens came anew.
-func (c *prefixCache) keep(parts []hint.Part) (fresh int) {
+func (c *prefixCache) keep(parts []prefixindex.Part) (fresh int) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
 		if e := c.kept[p.Key]; e != nil {
@@ -43,7 +43,7 @@
 	return fresh
 }
 
-func (c *prefixCache) touch(parts []hint.Part) {
+func (c *prefixCache) touch(parts []prefixindex.Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		if e := c.kept[parts[i].Key]; e != nil {
 			c.order.MoveToFront(e)
@@ -54,7 +54,7 @@
 func (c *prefixCache) evict(most int) {
 	for c.tokens > most && c.order.Len() > 0 {
 		e := c.order.Back()
-		p := e.Value.(hint.Part)
+		p := e.Value.(prefixindex.Part)
 		c.order.Remove(e)
 		delete(c.kept, p.Key)
 		c.tokens -= p.Tokens
--- a/stage/replica.go
+++ b/stage/replica.go
@@ -4,7 +4,7 @@
 	"container/list"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 type Model struct {
@@ -35,7 +35,7 @@
 
 type reading struct {
 	at    time.Duration
-	parts []hint.Part
+	parts []prefixindex.Part
 }
 
 type sample struct {
@@ -47,7 +47,7 @@
 	Model
 	Instance string
 	born     time.Duration
-	kept     map[hint.Key]*list.Element
+	kept     map[prefixindex.Key]*list.Element
 	order    *list.List
 	tokens   int
 	reading  []reading
@@ -60,7 +60,7 @@
 
 func NewReplica(m Model, instance string, now time.Duration) (r *Replica) {
 	return &Replica{
-		Model: m, Instance: instance, born: now, kept: map[hint.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
+		Model: m, Instance: instance, born: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
 	}
 }
 
@@ -85,14 +85,14 @@
 	r.reading = r.reading[i:]
 	for r.tokens > r.Keep {
 		e := r.order.Back()
-		p := e.Value.(hint.Part)
+		p := e.Value.(prefixindex.Part)
 		r.order.Remove(e)
 		delete(r.kept, p.Key)
 		r.tokens -= p.Tokens
 	}
 }
 
-func (r *Replica) keep(p hint.Part) {
+func (r *Replica) keep(p prefixindex.Part) {
 	if e := r.kept[p.Key]; e != nil {
 		r.order.MoveToFront(e)
 		return
@@ -101,7 +101,7 @@
 	r.tokens += p.Tokens
 }
 
-func (r *Replica) Admit(now time.Duration, goID string, parts []hint.Part, tail int) (p Plan, ok bool) {
+func (r *Replica) Admit(now time.Duration, goID string, parts []prefixindex.Part, tail int) (p Plan, ok bool) {
 	r.settle(now)
 	if len(r.running) >= r.Room {
 		r.Refused++
@@ -116,7 +116,7 @@
 		cached += part.Tokens
 		r.order.MoveToFront(r.kept[part.Key])
 	}
-	total := hint.Tokens(parts)
+	total := prefixindex.Tokens(parts)
 	r.CachedTokens += uint64(cached)
 	r.PrefixTokens += uint64(total)
 	full := float64(len(r.running)) / float64(r.Room)
--- a/stage/sitetraffic.go
+++ b/stage/sitetraffic.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
 // swell is more traffic, or traffic on one key, for a while.
@@ -95,6 +95,6 @@
 		fmt.Sprintf("%s%d:%d", c.Name, system, c.SystemTokens), fmt.Sprintf("%s%d.%d:%d", c.Name, system, shared, c.SharedTokens),
 		fmt.Sprintf("%s:%d", q.id, own),
 	}, ",")
-	q.parts, _ = hint.Parse(Prompt, q.prefix)
+	q.parts, _ = prefixindex.Parse(Prompt, q.prefix)
 	q.prompt = c.SystemTokens + c.SharedTokens + own
 }
--- a/stage/stream.go
+++ b/stage/stream.go
@@ -4,7 +4,7 @@
 	"net/http"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -26,7 +26,7 @@
 		if c.cutOff() {
 			return
 		}
-		parts, _ := hint.Parse(Prompt, f.ask.Prefix)
+		parts, _ := prefixindex.Parse(Prompt, f.ask.Prefix)
 		plan, ok := r.m.Admit(w.now, c.place.Go, parts, f.ask.TailTokens)
 		if !ok {
 			r.note("refused", f.ask.Request, c.place.Go, 0)
--- a/stand/replica.go
+++ b/stand/replica.go
@@ -13,7 +13,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/hint"
+	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/stage"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
@@ -128,7 +128,7 @@
 func (r *Replica) run(w http.ResponseWriter, req bunrouter.Request) (err error) {
 	id, request := req.Header.Get("X-Request-Attempt-Id"), req.Header.Get("X-Request-Id")
 	body, _ := io.ReadAll(io.LimitReader(req.Body, 8<<20))
-	parts, err := hint.Parse(r.prompt, req.Header.Get("X-Prompt-Prefix"))
+	parts, err := prefixindex.Parse(r.prompt, req.Header.Get("X-Prompt-Prefix"))
 	w.Header().Set("X-Request-Attempt-Id", id)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
