--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -18,10 +18,10 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
 	"github.com/mallowbridge/mallowbridge/gate"
 	"github.com/mallowbridge/mallowbridge/hearth"
 	"github.com/mallowbridge/mallowbridge/platform"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 func nodes(app *kingpin.Application, cmds map[string]command) {
@@ -73,8 +73,8 @@
 	return h
 }
 
-func headers() (h ferry.Headers) {
-	return ferry.Headers{
+func headers() (h proxy.Headers) {
+	return proxy.Headers{
 		Attempt: platform.HeaderAttempt, Target: platform.HeaderTarget, NotRun: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
 		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokens,
 		Seal: platform.HeaderSeal, Instance: platform.HeaderInstance, Rank: platform.HeaderPriority,
@@ -102,12 +102,12 @@
 	limits := &atomic.Pointer[config.Limits]{}
 	limits.Store(&config.Limits{})
 	h.OnPicture(func(p *config.Picture) { limits.Store(&p.Charter.Limits) })
-	p := ferry.New(h.Desk, headers(), proxySettings(s), func() config.Limits { return *limits.Load() }, h.Front)
+	p := proxy.New(h.Desk, headers(), proxySettings(s), func() config.Limits { return *limits.Load() }, h.Front)
 	retired := &atomic.Bool{}
 	if lis := listeners["front"]; lis != nil {
 		t.Go(func() error {
 			awaitReady(t, h)
-			ferry.Serve(t, lis, p, func() config.Limits { return *limits.Load() })
+			proxy.Serve(t, lis, p, func() config.Limits { return *limits.Load() })
 			return nil
 		})
 	}
@@ -128,8 +128,8 @@
 }
 
 // proxySettings lets requests and answers hold a quarter of the memory at most.
-func proxySettings(s platform.Settings) (set ferry.Settings) {
-	set = ferry.Defaults()
+func proxySettings(s platform.Settings) (set proxy.Settings) {
+	set = proxy.Defaults()
 	if mb := s.Machine.MemoryMB; mb > 0 {
 		set.Budget = min(set.Budget, mb<<20/4)
 	}
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -11,12 +11,12 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/ferry"
 	"github.com/mallowbridge/mallowbridge/hearth"
 	"github.com/mallowbridge/mallowbridge/platform"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-func superviseNode(t *tomb.Tomb, h *hearth.Hearth, p *ferry.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
+func superviseNode(t *tomb.Tomb, h *hearth.Hearth, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
 	for {
@@ -53,7 +53,7 @@
 }
 
 // drainNode lets user agents go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
-func drainNode(h *hearth.Hearth, p *ferry.Proxy, grace time.Duration) {
+func drainNode(h *hearth.Hearth, p *proxy.Proxy, grace time.Duration) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	end, leave := time.After(grace-grace/10), time.After(grace*3/5)
--- a/ferry/bench_test.go
+++ b/proxy/bench_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // plain is a market that places every request at once on the same replica.
@@ -93,7 +93,7 @@
 	}
 	tb := &tomb.Tomb{}
 	limits := func() (l config.Limits) { return config.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20} }
-	ferry.Serve(tb, lis, ferry.New(m, names, ferry.Defaults(), limits, "b"), limits)
+	proxy.Serve(tb, lis, proxy.New(m, names, proxy.Defaults(), limits, "b"), limits)
 	c, err := net.Dial("tcp", lis.Addr().String())
 	if err != nil {
 		b.Fatal(err)
--- a/ferry/budget.go
+++ b/proxy/budget.go
@@ -1,4 +1,4 @@
-package ferry
+package proxy
 
 import (
 	"sync"
--- a/ferry/drain_test.go
+++ b/proxy/drain_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-func lingering(d time.Duration) (set ferry.Settings) {
-	set = ferry.Defaults()
+func lingering(d time.Duration) (set proxy.Settings) {
+	set = proxy.Defaults()
 	set.Linger = d
 	return set
 }
@@ -143,7 +143,7 @@
 		15 * time.Second: "[timeout=14]", 2 * time.Second: "[timeout=1]", 1200 * time.Millisecond: "[]", 0: "[timeout=59]",
 	} {
 		rep := newReplica(t, say("200 OK", "Keep-Alive: timeout=3\r\n", "one"), say("200 OK", "", "two"))
-		_, addr := front(t, newMarket(deny, rep.place(unsafe)), ferry.Defaults(), config.Limits{Idle: idle})
+		_, addr := front(t, newMarket(deny, rep.place(unsafe)), proxy.Defaults(), config.Limits{Idle: idle})
 		u := dial(t, addr)
 		u.ask(t, "GET", "id1", "", "")
 		want(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), told)
@@ -153,7 +153,7 @@
 }
 
 func TestIdleTimeEnds(t *testing.T) {
-	_, addr := front(t, ends{deny}, ferry.Defaults(), config.Limits{Idle: 50 * time.Millisecond})
+	_, addr := front(t, ends{deny}, proxy.Defaults(), config.Limits{Idle: 50 * time.Millisecond})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	want(t, "status", u.answer(t, "GET").status, 503)
--- a/ferry/fault_test.go
+++ b/proxy/fault_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // narrow connects with a small window.
@@ -38,7 +38,7 @@
 }
 
 func TestClientThatDoesNotReadIsCut(t *testing.T) {
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Stall = 150 * time.Millisecond
 	m := newMarket(unknown, endless(t).place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
@@ -55,7 +55,7 @@
 
 // TestSlowReaderIsNotCut reads at a tenth of the stall time's pace for many stall times.
 func TestSlowReaderIsNotCut(t *testing.T) {
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Stall = 200 * time.Millisecond
 	m := newMarket(unknown, endless(t).place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
@@ -74,7 +74,7 @@
 
 // TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request lives.
 func TestSlowReaderEndsWithItsRequest(t *testing.T) {
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Stall, set.Hold = 300*time.Millisecond, 4<<20
 	m := newMarket(unknown, endless(t).place(&config.Route{Timeout: 2 * time.Second}))
 	p, addr := front(t, m, set, config.Limits{})
@@ -98,7 +98,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMarket(deny)
-			p, addr := front(t, m, ferry.Defaults(), config.Limits{Header: 100 * time.Millisecond})
+			p, addr := front(t, m, proxy.Defaults(), config.Limits{Header: 100 * time.Millisecond})
 			u := dial(t, addr)
 			u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\n"+c.head+"\r\n"+c.part)
 			r := u.answer(t, "POST")
@@ -111,7 +111,7 @@
 
 // TestSlowUploadIsBounded: some bytes in time are not enough for ever.
 func TestSlowUploadIsBounded(t *testing.T) {
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Upload = 300 * time.Millisecond
 	p, addr := front(t, newMarket(deny), set, config.Limits{Header: 200 * time.Millisecond})
 	u := dial(t, addr)
@@ -129,7 +129,7 @@
 
 func TestBudget(t *testing.T) {
 	h := newHand(t)
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Budget = 100 << 10
 	m := newMarket(deny, h.place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
@@ -163,14 +163,14 @@
 func TestReplicaThatDoesNotReadOn(t *testing.T) {
 	var users []*user
 	var hands []*hand
-	for _, window := range []int{ferry.Defaults().Window, 1 << 30} {
+	for _, window := range []int{proxy.Defaults().Window, 1 << 30} {
 		h := newHand(t)
 		raw, err := h.lis.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
-		set := ferry.Defaults()
+		set := proxy.Defaults()
 		set.UserTimeout, set.Window = 300*time.Millisecond, window
 		_, addr := front(t, newMarket(deny, h.place(unsafe)), set, config.Limits{})
 		c := dial(t, addr)
--- a/ferry/ferry_test.go
+++ b/proxy/ferry_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"strconv"
--- a/ferry/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // anything gives any decision or signal, by three bytes.
@@ -31,30 +31,30 @@
 	case 6:
 		return mallowbridge.Decision{Verdict: []mallowbridge.Verdict{mallowbridge.Unknown, mallowbridge.Partial, mallowbridge.Cancel, mallowbridge.Done}[b%4], Go: id}
 	case 7, 8:
-		return ferry.Connected{}
+		return proxy.Connected{}
 	case 9:
-		return ferry.Unconnected{Capped: b&1 > 0}
+		return proxy.Unconnected{Capped: b&1 > 0}
 	case 10, 11:
 		status := []int{200, 200, 200, 204, 500, 503, 429, 421, 408}[int(a)%9]
-		return ferry.Replied{Status: status, Foreign: b&31 == 1, NotRun: b&7 == 2, Open: b&31 == 3, Bare: b&31 == 4, Stream: b&32 > 0}
+		return proxy.Replied{Status: status, Foreign: b&31 == 1, NotRun: b&7 == 2, Open: b&31 == 3, Bare: b&31 == 4, Stream: b&32 > 0}
 	case 12:
-		return ferry.Begun{}
+		return proxy.Begun{}
 	case 13:
-		return []ferry.Signal{ferry.Ended{}, ferry.Lost{}, ferry.Lost{}, ferry.Unwritten{}}[b%4]
+		return []proxy.Signal{proxy.Ended{}, proxy.Lost{}, proxy.Lost{}, proxy.Unwritten{}}[b%4]
 	case 14:
 		if a < 200 {
-			return ferry.Lost{}
+			return proxy.Lost{}
 		}
-		return []ferry.Signal{ferry.HungUp{}, ferry.Overdue{}, ferry.Overdue{Unwritten: true}}[b%3]
+		return []proxy.Signal{proxy.HungUp{}, proxy.Overdue{}, proxy.Overdue{Unwritten: true}}[b%3]
 	}
 	if a < 250 {
-		return ferry.Ended{}
+		return proxy.Ended{}
 	}
 	return nil
 }
 
 func judged(t *testing.T, script []byte) {
-	e, j := ferry.Exchange{Request: "q"}, &judge{t: t}
+	e, j := proxy.Exchange{Request: "q"}, &judge{t: t}
 	for ; len(script) >= 3; script = script[3:] {
 		e.Stuck = script[2]&128 > 0
 		j.step(&e, anything(script[0], script[1], script[2]))
@@ -101,7 +101,7 @@
 	}
 }
 
-func feed(t *testing.T, e *ferry.Events, text []byte, cut func(left int) (n int)) (out []byte) {
+func feed(t *testing.T, e *proxy.Events, text []byte, cut func(left int) (n int)) (out []byte) {
 	for len(text) > 0 {
 		n := min(max(cut(len(text)), 1), len(text))
 		whole, err := e.Feed(text[:n])
@@ -120,7 +120,7 @@
 	f.Add([]byte("000000\r00000000\r\n\r"), uint64(62))
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		one, many := ferry.Events{Bound: 1 << 20}, ferry.Events{Bound: 1 << 20}
+		one, many := proxy.Events{Bound: 1 << 20}, proxy.Events{Bound: 1 << 20}
 		a := feed(t, &one, text, func(left int) int { return left })
 		b := feed(t, &many, text, func(int) int { return 1 + rnd.IntN(9) })
 		if !bytes.Equal(append(a, one.Rest()...), text) || !bytes.Equal(append(b, many.Rest()...), text) {
@@ -141,7 +141,7 @@
 		for i := range 1 + rnd.IntN(12) {
 			events = append(events, fmt.Sprintf("id: %d%sdata: %x%s%s", i+1, end, rnd.Uint32(), end, end))
 		}
-		e := ferry.Events{Bound: 1 << 20}
+		e := proxy.Events{Bound: 1 << 20}
 		var out []byte
 		from, text := 0, strings.Join(events, "")
 		for {
@@ -169,7 +169,7 @@
 // TestEventsComeOutAtOnce gives each event out with its last byte, whatever ends the lines; only an LF after a CR is waited for.
 func TestEventsComeOutAtOnce(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n", "\r"} {
-		e := ferry.Events{Bound: 1 << 10}
+		e := proxy.Events{Bound: 1 << 10}
 		for i := range 3 {
 			text := fmt.Sprintf("id: %d%sdata: x%s%s", i, end, end, end)
 			out := feed(t, &e, []byte(text), func(int) int { return 1 })
@@ -180,7 +180,7 @@
 }
 
 func TestEventBound(t *testing.T) {
-	e := ferry.Events{Bound: 10}
+	e := proxy.Events{Bound: 10}
 	if _, err := e.Feed([]byte("data: 1\n\ndata")); err != nil {
 		t.Error(err)
 	}
@@ -201,7 +201,7 @@
 	}
 	h := newHand(f)
 	m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny}, h.place(streams))
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Hold = 4 << 10
 	_, addr := front(f, m, set, config.Limits{})
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/ferry/hand_test.go
+++ b/proxy/hand_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 const patience = 20 * time.Second
@@ -140,16 +140,16 @@
 }
 
 // front starts a proxy behind a listener of its own.
-func front(t testing.TB, m ferry.Market, set ferry.Settings, l config.Limits) (p *ferry.Proxy, addr string) {
+func front(t testing.TB, m proxy.Market, set proxy.Settings, l config.Limits) (p *proxy.Proxy, addr string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	limits := func() config.Limits { return l }
-	p = ferry.New(m, names, set, limits, "b")
+	p = proxy.New(m, names, set, limits, "b")
 	tb := &tomb.Tomb{}
-	ferry.Serve(tb, lis, p, limits)
+	proxy.Serve(tb, lis, p, limits)
 	t.Cleanup(func() {
 		tb.Kill(nil)
 		_ = tb.Wait()
@@ -157,9 +157,9 @@
 	return p, lis.Addr().String()
 }
 
-func usual(t testing.TB, m ferry.Market) (p *ferry.Proxy, addr string) {
+func usual(t testing.TB, m proxy.Market) (p *proxy.Proxy, addr string) {
 	t.Helper()
-	return front(t, m, ferry.Defaults(), config.Limits{})
+	return front(t, m, proxy.Defaults(), config.Limits{})
 }
 
 func idRequest(id string) (r *http.Request) {
--- a/ferry/kept_test.go
+++ b/proxy/kept_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // TestOldKeptConnections: a replica that forgets idle connections without a word answers nothing on them. Requests that may not be
@@ -31,7 +31,7 @@
 			h := newHand(t)
 			place := h.place(c.route)
 			place.Conns = 1
-			set := ferry.Defaults()
+			set := proxy.Defaults()
 			set.IdleNonRepeatable, set.Idle = c.once, time.Hour
 			p, addr := front(t, newMarket(deny, place), set, config.Limits{})
 			u := dial(t, addr)
@@ -53,7 +53,7 @@
 
 func TestIdleConnectionsAreSwept(t *testing.T) {
 	h := newHand(t)
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Idle = 100 * time.Millisecond
 	_, addr := front(t, newMarket(deny, h.place(safe)), set, config.Limits{})
 	u := dial(t, addr)
@@ -139,7 +139,7 @@
 // age each request is answered, without it every second one (the one between goes on a new connection) runs out of time.
 func TestForgottenConnections(t *testing.T) {
 	for young, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
-		set := ferry.Defaults()
+		set := proxy.Defaults()
 		set.IdleNonRepeatable = young
 		p, addr := front(t, newMarket(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, config.Limits{})
 		u := dial(t, addr)
--- a/ferry/path_test.go
+++ b/proxy/path_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 var deny = mallowbridge.Decision{Verdict: mallowbridge.Deny, After: time.Second}
@@ -54,7 +54,7 @@
 func TestLongAnswersGoOnBeforeTheyAreWhole(t *testing.T) {
 	h := newHand(t)
 	m := newMarket(partial, h.place(safe))
-	set := ferry.Defaults()
+	set := proxy.Defaults()
 	set.Hold = 32 << 10
 	p, addr := front(t, m, set, config.Limits{})
 	c := dial(t, addr)
--- a/ferry/rig_test.go
+++ b/proxy/rig_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-var names = ferry.Headers{
+var names = proxy.Headers{
 	Attempt: "X-Attempt", Target: "X-Target", NotRun: "X-Not-Run", Load: "X-Load", Deadline: "X-Wait-Ms", Prefix: "X-Prefix",
 	Model: "X-Model", Tokens: "X-Tokens", Seal: "X-Seal", Instance: "X-Instance", Rank: "X-Rank",
 	ParseLoad: func(v string) (running, waiting, slots int, ok bool) {
@@ -199,8 +199,8 @@
 	err    error
 }
 
-func serve(t *testing.T, m ferry.Market) (p *ferry.Proxy, url string) {
-	p = ferry.New(m, names, ferry.Defaults(), func() (l config.Limits) { return config.Limits{BodyBytes: 1000} }, "b1")
+func serve(t *testing.T, m proxy.Market) (p *proxy.Proxy, url string) {
+	p = proxy.New(m, names, proxy.Defaults(), func() (l config.Limits) { return config.Limits{BodyBytes: 1000} }, "b1")
 	srv := httptest.NewServer(p)
 	t.Cleanup(srv.Close)
 	return p, srv.URL
@@ -232,7 +232,7 @@
 }
 
 // settled waits until nothing runs: the last bytes of an answer reach the client a little before the proxy knows that they left.
-func settled(t *testing.T, p *ferry.Proxy) {
+func settled(t *testing.T, p *proxy.Proxy) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); p.Running() > 0; runtime.Gosched() {
 		if time.Now().After(end) {
--- a/ferry/stream_test.go
+++ b/proxy/stream_test.go
@@ -1,4 +1,4 @@
-package ferry_test
+package proxy_test
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 func TestStreamIsTakenUpElsewhere(t *testing.T) {
@@ -92,13 +92,13 @@
 	}
 	rep := newReplica(t, say("200 OK", "", "one"), say("200 OK", "", "two"))
 	m := newMarket(unknown, rep.place(safe))
-	p := ferry.New(m, names, ferry.Defaults(), func() (l config.Limits) { return l }, "b")
+	p := proxy.New(m, names, proxy.Defaults(), func() (l config.Limits) { return l }, "b")
 	limits := make(chan config.Limits, 3)
 	limits <- config.Limits{HeaderBytes: 1 << 20}
 	limits <- config.Limits{HeaderBytes: 1}
 	limits <- config.Limits{HeaderBytes: 1 << 20}
 	tb := &tomb.Tomb{}
-	ferry.Serve(tb, lis, p, func() (l config.Limits) { return <-limits })
+	proxy.Serve(tb, lis, p, func() (l config.Limits) { return <-limits })
 	url := "http://" + lis.Addr().String()
 	want(t, "first", call(t, url, "id1", "").body, "one")
 	want(t, "long head", call(t, url, strings.Repeat("x", 20000), "").status, 431)
--- a/stage/client.go
+++ b/stage/client.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/ferry"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // A want is what a user agent wants, over all its tries.
@@ -142,7 +142,7 @@
 		if t := c.t; t != nil && n.Alive && n.life == t.life {
 			n.live(func() {
 				if !t.ex.Over() {
-					t.happened(ferry.HungUp{})
+					t.happened(proxy.HungUp{})
 				}
 			})
 		}
--- a/stage/trip.go
+++ b/stage/trip.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // A trip takes one try through a node: it carries out the moves of ferry's exchange, one after the other, as ferry's transfer does.
@@ -14,10 +14,10 @@
 	n        *Node
 	life     uint64
 	c        *try
-	ex       ferry.Exchange
+	ex       proxy.Exchange
 	k        *socket
 	h        *head
-	events   ferry.Events
+	events   proxy.Events
 	body     []byte
 	arrived  time.Duration
 	deadline time.Duration
@@ -52,7 +52,7 @@
 	s := n.w.site
 	n.tripSeq++
 	name := n.front + "-" + strconv.Itoa(n.tripSeq)
-	t = &trip{n: n, life: n.life, c: c, arrived: n.w.now, ex: ferry.Exchange{Request: name}, events: ferry.Events{Bound: eventBytes}}
+	t = &trip{n: n, life: n.life, c: c, arrived: n.w.now, ex: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
 	if c.last > 0 {
 		t.events.Last = strconv.Itoa(c.last)
 	}
@@ -76,7 +76,7 @@
 }
 
 // happened hands a signal in, then the decisions that came while the trip waited.
-func (t *trip) happened(sig ferry.Signal) {
+func (t *trip) happened(sig proxy.Signal) {
 	t.mode = free
 	t.do(t.ex.Happened(sig))
 	for len(t.queued) > 0 && t.mode == free && !t.ex.Over() {
@@ -86,25 +86,25 @@
 	}
 }
 
-func (t *trip) do(moves []ferry.Move) {
+func (t *trip) do(moves []proxy.Move) {
 	var next []mallowbridge.Decision
 	for _, m := range moves {
 		switch m.Kind {
-		case ferry.Connect:
+		case proxy.Connect:
 			t.connect()
-		case ferry.Write:
+		case proxy.Write:
 			t.write()
-		case ferry.Park:
+		case proxy.Park:
 			t.park()
-		case ferry.Drop:
+		case proxy.Drop:
 			t.drop()
-		case ferry.Tell:
+		case proxy.Tell:
 			next = append(next, t.n.turn(m.Event)...)
-		case ferry.Drain:
+		case proxy.Drain:
 			t.mode = draining
-		case ferry.Pass:
+		case proxy.Pass:
 			t.pass()
-		case ferry.Finish:
+		case proxy.Finish:
 			t.finish(m)
 		}
 	}
@@ -117,7 +117,7 @@
 	t.mode = connecting
 	t.turn++
 	turn := t.turn
-	after := func(wait time.Duration, sig func() (s ferry.Signal)) {
+	after := func(wait time.Duration, sig func() (s proxy.Signal)) {
 		t.n.later(wait, func() {
 			if t.turn == turn && t.mode == connecting {
 				t.happened(sig())
@@ -128,18 +128,18 @@
 	}
 	k, capped := t.n.pool.kept(w.now, d.Instance, t.c.id, d.Conns)
 	if capped {
-		after(0, func() ferry.Signal { return ferry.Unconnected{Capped: true} })
+		after(0, func() proxy.Signal { return proxy.Unconnected{Capped: true} })
 		return
 	}
 	if k != nil {
 		t.use(k)
-		after(0, func() ferry.Signal { return ferry.Connected{} })
+		after(0, func() proxy.Signal { return proxy.Connected{} })
 		return
 	}
 	i := w.site.at[d.Addr]
-	failed := func() ferry.Signal {
+	failed := func() proxy.Signal {
 		t.n.pool.leave(d.Instance)
-		return ferry.Unconnected{}
+		return proxy.Unconnected{}
 	}
 	if i == nil || i.dark || w.Net.blocked(t.n.Addr, i.addr()) || w.Net.blocked(i.addr(), t.n.Addr) {
 		wait := dialMost
@@ -149,13 +149,13 @@
 		after(wait, failed)
 		return
 	}
-	after(2*w.Net.delay(t.n.Domain == i.Domain)+time.Millisecond, func() ferry.Signal {
+	after(2*w.Net.delay(t.n.Domain == i.Domain)+time.Millisecond, func() proxy.Signal {
 		k := newSocket(t.n, i, d.Instance)
 		if !i.accept(k) {
 			return failed()
 		}
 		t.use(k)
-		return ferry.Connected{}
+		return proxy.Connected{}
 	})
 }
 
@@ -203,10 +203,10 @@
 
 func (t *trip) lost() {
 	t.drop()
-	t.happened(ferry.Lost{})
+	t.happened(proxy.Lost{})
 }
 
-func (t *trip) replied(h *head) (s ferry.Replied) {
+func (t *trip) replied(h *head) (s proxy.Replied) {
 	s.Status = h.status
 	if h.attempt != t.c.id {
 		s.Foreign = true
--- a/stage/tripend.go
+++ b/stage/tripend.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // more takes data of an answer whose head was taken.
@@ -12,14 +12,14 @@
 	case draining:
 		if p.end {
 			t.settle()
-			t.happened(ferry.Ended{})
+			t.happened(proxy.Ended{})
 		}
 	case holding:
 		t.body = append(t.body, p.data...)
 		if p.end {
 			t.answer(t.body)
 			t.settle()
-			t.happened(ferry.Ended{})
+			t.happened(proxy.Ended{})
 		}
 	case streaming:
 		t.flow(p)
@@ -39,7 +39,7 @@
 		if !t.flowing {
 			t.flowing = true
 			t.ex.Stuck = t.events.Plain
-			t.do(t.ex.Happened(ferry.Begun{}))
+			t.do(t.ex.Happened(proxy.Begun{}))
 			t.mode = streaming
 		}
 		t.ex.Stuck = t.events.Plain
@@ -48,7 +48,7 @@
 	if p.end {
 		t.answer(nil)
 		t.settle()
-		t.happened(ferry.Ended{})
+		t.happened(proxy.Ended{})
 	}
 }
 
@@ -76,21 +76,21 @@
 	}
 }
 
-var statuses = map[ferry.Outcome]int{
-	ferry.Denied: http.StatusServiceUnavailable, ferry.NotFound: http.StatusNotFound, ferry.Unknown: http.StatusBadGateway, ferry.Expired: http.StatusGatewayTimeout,
+var statuses = map[proxy.Outcome]int{
+	proxy.Denied: http.StatusServiceUnavailable, proxy.NotFound: http.StatusNotFound, proxy.Unknown: http.StatusBadGateway, proxy.Expired: http.StatusGatewayTimeout,
 }
 
-func (t *trip) finish(m ferry.Move) {
+func (t *trip) finish(m proxy.Move) {
 	c := t.c
 	delete(t.n.trips, t.ex.Request)
 	switch m.Outcome {
-	case ferry.Done:
+	case proxy.Done:
 		c.send(t.n, func() { c.ended(http.StatusOK, 0) })
-	case ferry.Gone:
-	case ferry.Aborted:
+	case proxy.Gone:
+	case proxy.Aborted:
 		c.send(t.n, func() { c.cut() })
 	default:
-		if m.Outcome == ferry.Denied {
+		if m.Outcome == proxy.Denied {
 			t.n.w.site.report.Whys[m.Why]++
 		}
 		status := statuses[m.Outcome]
--- a/stage/tripsend.go
+++ b/stage/tripsend.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/ferry"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 // expiry is when the time of the request is over.
@@ -20,7 +20,7 @@
 	w, d, k := t.n.w, &t.ex.Place, t.k
 	at := t.expiry()
 	if at-w.now < time.Millisecond {
-		t.happened(ferry.Overdue{})
+		t.happened(proxy.Overdue{})
 		return
 	}
 	t.mode, t.h, t.body = asking, nil, nil
@@ -39,7 +39,7 @@
 	k.up.send(func() { k.to.serve(k, r) })
 	t.n.later(at-w.now+overGrace, func() {
 		if t.turn == turn && t.k == k && t.mode != free {
-			t.happened(ferry.Overdue{})
+			t.happened(proxy.Overdue{})
 		}
 	})
 }
