--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -17,8 +17,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/gate"
 	"github.com/mallowbridge/mallowbridge/hearth"
+	"github.com/mallowbridge/mallowbridge/httpapi"
 )
 
 func daemons(app *kingpin.Application, cmds map[string]command) {
@@ -94,11 +94,11 @@
 		_ = lis.Close()
 		return err
 	}
-	g := gate.New(h.Desk, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
+	g := httpapi.New(h.Desk, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
 		return control.Vouch(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
-	}, gate.Bounds(s.MaxBody, s.MaxStreams))
+	}, httpapi.Bounds(s.MaxBody, s.MaxStreams))
 	g.Front = h.Front
-	ops := &gate.Ops{C: h, G: g, Clock: hearth.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
+	ops := &httpapi.Ops{C: h, G: g, Clock: hearth.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
 	routes := bunrouter.New()
 	ops.Routes(routes)
 	srv := &http.Server{
@@ -143,7 +143,7 @@
 
 // drain has agents sent elsewhere first, then lets no more in, sends what was let in, gives up claims and room, and waits
 // for the streams.
-func drain(h *hearth.Hearth, g *gate.Gate, again chan os.Signal, most time.Duration) {
+func drain(h *hearth.Hearth, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
 	g.Retire()
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -18,8 +18,8 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/gate"
 	"github.com/mallowbridge/mallowbridge/hearth"
+	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/platform"
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
@@ -118,7 +118,7 @@
 	if lis := listeners["control"]; lis != nil {
 		routes := bunrouter.New()
 		platform.Routes(routes, hearth.Documents{H: h})
-		ops := &gate.Ops{C: h, Desk: h.Desk, Clock: hearth.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
+		ops := &httpapi.Ops{C: h, Desk: h.Desk, Clock: hearth.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
 		ops.Watch(routes)
 		serveOps(t, lis, routes)
 	}
--- a/gate/deadline_test.go
+++ b/httpapi/deadline_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpapi_test
 
 import (
 	"net/http"
--- a/gate/gate_test.go
+++ b/httpapi/gate_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpapi_test
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/gate"
+	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/stage"
 	"github.com/mallowbridge/mallowbridge/stand"
 	"github.com/mallowbridge/mallowbridge/tally"
@@ -29,7 +29,7 @@
 	addrs []string
 	logs  [2]bytes.Buffer
 	desk  *mallowbridge.Desk
-	gate  *gate.Gate
+	gate  *httpapi.Gate
 	srv   *httptest.Server
 	tomb  *tomb.Tomb
 	now   atomic.Int64
@@ -69,9 +69,9 @@
 		r.desk.Tell(ev)
 	}
 	r.later(3 * time.Second)
-	r.gate = gate.New(r.desk, func(string, time.Duration, bool) mallowbridge.How {
+	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) mallowbridge.How {
 		return map[bool]mallowbridge.How{true: "", false: mallowbridge.Withheld}[first]
-	}, gate.Bounds(4096, 2))
+	}, httpapi.Bounds(4096, 2))
 	r.gate.Front = "n1.b"
 	mux := bunrouter.New()
 	mux.POST("/v1/offers/:offer/:kind", r.gate.Handler())
--- a/gate/trade.go
+++ b/httpapi/trade.go
@@ -1,4 +1,4 @@
-package gate
+package httpapi
 
 import (
 	"encoding/json"
