--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -17,7 +17,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/hearth"
+	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/httpapi"
 )
 
@@ -28,7 +28,7 @@
 	} {
 		role := r[0]
 		c := app.Command(role, r[1])
-		var s hearth.Settings
+		var s daemon.Settings
 		file := c.Flag("settings", "Settings file (JSON); flags go on top of it.").Short('s').String()
 		c.Flag("name", "Name of this node, unique in the fleet.").StringVar(&s.Name)
 		c.Flag("listen", "IP:port for the other nodes.").StringVar(&s.Listen)
@@ -53,9 +53,9 @@
 	}
 }
 
-func merge(file string, flags hearth.Settings) (s hearth.Settings, err error) {
+func merge(file string, flags daemon.Settings) (s daemon.Settings, err error) {
 	if file != "" {
-		if s, err = hearth.ReadSettings(file); err != nil {
+		if s, err = daemon.ReadSettings(file); err != nil {
 			return s, err
 		}
 	}
@@ -77,10 +77,10 @@
 	if len(flags.Seeds) > 0 {
 		s.Seeds = flags.Seeds
 	}
-	return hearth.Check(s)
+	return daemon.Check(s)
 }
 
-func serve(s hearth.Settings) (err error) {
+func serve(s daemon.Settings) (err error) {
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 	lg.Context = log.NewContext(nil).Str("node", s.Name).Value()
 	lis, err := net.Listen("tcp", s.HTTP)
@@ -88,7 +88,7 @@
 		return trace.ConvertSystemError(err)
 	}
 	t := &tomb.Tomb{}
-	h, err := hearth.Start(t, s, lg)
+	h, err := daemon.Start(t, s, lg)
 	if err != nil {
 		t.Kill(nil)
 		_ = lis.Close()
@@ -98,7 +98,7 @@
 		return control.Vouch(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
 	}, httpapi.Bounds(s.MaxBody, s.MaxStreams))
 	g.Front = h.Front
-	ops := &httpapi.Ops{C: h, G: g, Clock: hearth.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
+	ops := &httpapi.Ops{C: h, G: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
 	routes := bunrouter.New()
 	ops.Routes(routes)
 	srv := &http.Server{
@@ -121,7 +121,7 @@
 	return err
 }
 
-func wireCounters(h *hearth.Hearth) (c map[string]uint64) {
+func wireCounters(h *daemon.Hearth) (c map[string]uint64) {
 	n := &h.Net.N
 	return map[string]uint64{
 		"wire.sent": n.Sent.Load(), "wire.bytes": n.Bytes.Load(), "wire.dropped": n.Dropped.Load(),
@@ -143,7 +143,7 @@
 
 // drain has agents sent elsewhere first, then lets no more in, sends what was let in, gives up claims and room, and waits
 // for the streams.
-func drain(h *hearth.Hearth, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
+func drain(h *daemon.Hearth, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
 	g.Retire()
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -18,7 +18,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/hearth"
+	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/platform"
 	"github.com/mallowbridge/mallowbridge/proxy"
@@ -60,11 +60,11 @@
 	}
 }
 
-func nodeSettings(s platform.Settings) (h hearth.Settings) {
-	h = hearth.Settings{
+func nodeSettings(s platform.Settings) (h daemon.Settings) {
+	h = daemon.Settings{
 		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Domain: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
 		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
-		Host: hearth.Host{
+		Host: daemon.Host{
 			Read: reader(s.Bounds), ListEvery: listEvery, Tolerate: s.Tolerate.Machines, Founds: s.FirstStart, ServesCutOff: true,
 		},
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	h, err := hearth.Start(t, nodeSettings(s), lg)
+	h, err := daemon.Start(t, nodeSettings(s), lg)
 	if err != nil {
 		t.Kill(nil)
 		return err
@@ -117,8 +117,8 @@
 	}
 	if lis := listeners["control"]; lis != nil {
 		routes := bunrouter.New()
-		platform.Routes(routes, hearth.Documents{H: h})
-		ops := &httpapi.Ops{C: h, Desk: h.Desk, Clock: hearth.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
+		platform.Routes(routes, daemon.Documents{H: h})
+		ops := &httpapi.Ops{C: h, Desk: h.Desk, Clock: daemon.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
 		ops.Watch(routes)
 		serveOps(t, lis, routes)
 	}
@@ -172,7 +172,7 @@
 )
 
 // awaitReady leaves the first connections after a start in the listener's queue until they can be served, or refused for good.
-func awaitReady(t *tomb.Tomb, h *hearth.Hearth) {
+func awaitReady(t *tomb.Tomb, h *daemon.Hearth) {
 	end := time.After(readyWithin)
 	tick := time.NewTicker(readyPoll)
 	defer tick.Stop()
@@ -187,10 +187,10 @@
 	}
 }
 
-func readiness(h *hearth.Hearth, retired *atomic.Bool) (why string) {
+func readiness(h *daemon.Hearth, retired *atomic.Bool) (why string) {
 	if retired.Load() {
 		return "draining"
 	}
-	h.Desk.Look(func(r *mallowbridge.Router) { why = r.Ready(hearth.Clock()) })
+	h.Desk.Look(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
 	return why
 }
--- a/cmd/mallowbridge/stands.go
+++ b/cmd/mallowbridge/stands.go
@@ -19,7 +19,7 @@
 	"github.com/gravitational/trace"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge/hearth"
+	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/stage"
 	"github.com/mallowbridge/mallowbridge/stand"
 	"github.com/mallowbridge/mallowbridge/tally"
@@ -53,7 +53,7 @@
 		}
 		t := &tomb.Tomb{}
 		instance := *name + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-		stand.NewReplica(t, *name, *model, instance, m, w, hearth.Clock).Serve(lis)
+		stand.NewReplica(t, *name, *model, instance, m, w, daemon.Clock).Serve(lis)
 		stop := make(chan os.Signal, 1)
 		signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 		<-stop
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -11,12 +11,12 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/hearth"
+	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/platform"
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-func superviseNode(t *tomb.Tomb, h *hearth.Hearth, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
+func superviseNode(t *tomb.Tomb, h *daemon.Hearth, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
 	for {
@@ -41,7 +41,7 @@
 }
 
 // reload takes the seeds of a settings file that changed; what it was started with stays as it is.
-func reload(h *hearth.Hearth, file string, old platform.Settings, lg *log.Logger) (s platform.Settings) {
+func reload(h *daemon.Hearth, file string, old platform.Settings, lg *log.Logger) (s platform.Settings) {
 	s, err := platform.ReadSettings(file)
 	if err != nil {
 		lg.Warn().Err(err).Msg("settings are flawed, the old ones stay")
@@ -53,7 +53,7 @@
 }
 
 // drainNode lets user agents go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
-func drainNode(h *hearth.Hearth, p *proxy.Proxy, grace time.Duration) {
+func drainNode(h *daemon.Hearth, p *proxy.Proxy, grace time.Duration) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	end, leave := time.After(grace-grace/10), time.After(grace*3/5)
--- a/hearth/document.go
+++ b/daemon/document.go
@@ -1,4 +1,4 @@
-package hearth
+package daemon
 
 import (
 	"github.com/mallowbridge/mallowbridge/config"
--- a/hearth/valve.go
+++ b/daemon/valve.go
@@ -1,4 +1,4 @@
-package hearth
+package daemon
 
 import (
 	"gopkg.in/tomb.v2"
--- a/hearth/watch_test.go
+++ b/daemon/watch_test.go
@@ -1,4 +1,4 @@
-package hearth
+package daemon
 
 import (
 	"net"
