--- a/cmd/mallowbridge/muse.go
+++ b/cmd/mallowbridge/muse.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/mallowbridge/mallowbridge/muse"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 func whatIf(app *kingpin.Application, cmds map[string]command) {
@@ -54,10 +54,10 @@
 	first := c.Flag("seed", "First seed.").Default("1").Uint64()
 	shape := c.Flag("shape", "Fleet: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	cmds["gauge"] = func(_ io.Reader, out io.Writer) error {
-		sh, _ := stage.ShapeOf(*shape)
+		sh, _ := sim.ShapeOf(*shape)
 		fmt.Fprintf(out, "%-36s %8s %8s %8s\n", fmt.Sprintf("%s, ms over %d seeds from %d", *shape, *seeds, *first), "p50", "p95", "max")
-		for _, r := range stage.Gauge(sh, *first, *seeds) {
-			fmt.Fprintf(out, "%-36s %8d %8d %8d\n", r.Name, stage.Quantile(r.Ms, 0.5), stage.Quantile(r.Ms, 0.95), stage.Quantile(r.Ms, 1))
+		for _, r := range sim.Gauge(sh, *first, *seeds) {
+			fmt.Fprintf(out, "%-36s %8d %8d %8d\n", r.Name, sim.Quantile(r.Ms, 0.5), sim.Quantile(r.Ms, 0.95), sim.Quantile(r.Ms, 1))
 		}
 		return nil
 	}
@@ -67,7 +67,7 @@
 	if file == "" {
 		return nil
 	}
-	shape, _ := stage.ShapeOf(p.Shape)
+	shape, _ := sim.ShapeOf(p.Shape)
 	asks, unused, err := muse.ReadHAR(file, shape.Kinds)
 	if err != nil {
 		return err
--- a/cmd/mallowbridge/stands.go
+++ b/cmd/mallowbridge/stands.go
@@ -20,7 +20,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge/daemon"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/stand"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
@@ -37,7 +37,7 @@
 	addr := c.Flag("http", "IP:port to serve.").Required().String()
 	model := c.Flag("model", "Model that it serves.").Default("m1").String()
 	ledger := c.Flag("ledger", "File that gets a line for each run.").String()
-	m := stage.DefaultModel()
+	m := sim.DefaultModel()
 	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Room)
 	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.Keep)
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Pieces)
@@ -79,17 +79,17 @@
 		if err != nil {
 			return err
 		}
-		load := stage.Load{Rate: *rate, Prefixes: 24, HotShare: *hot}
+		load := sim.Load{Rate: *rate, Prefixes: 24, HotShare: *hot}
 		for _, k := range *kinds {
-			load.Kinds = append(load.Kinds, stage.KindLoad{Offer: *offer, Name: k, Repeatable: true})
+			load.Kinds = append(load.Kinds, sim.KindLoad{Offer: *offer, Name: k, Repeatable: true})
 		}
 		for _, k := range *once {
-			load.Kinds = append(load.Kinds, stage.KindLoad{Offer: *offer, Name: k})
+			load.Kinds = append(load.Kinds, sim.KindLoad{Offer: *offer, Name: k})
 		}
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
-		stand.NewAgent(*nodes).Run(context.Background(), stage.NewSource(load, *seed, *tag), *n, func(g tally.Got) {
+		stand.NewAgent(*nodes).Run(context.Background(), sim.NewSource(load, *seed, *tag), *n, func(g tally.Got) {
 			_ = enc.Encode(g)
 			sums[g.Outcome]++
 			if g.Outcome == "done" {
--- a/httpapi/gate_test.go
+++ b/httpapi/gate_test.go
@@ -19,7 +19,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/httpapi"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/stand"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
@@ -44,7 +44,7 @@
 func newRig(t *testing.T, first bool) (r *rig) {
 	r = &rig{t: t, tomb: &tomb.Tomb{}}
 	clock := func() time.Duration { return time.Duration(r.now.Load()) }
-	m := stage.DefaultModel()
+	m := sim.DefaultModel()
 	m.Base, m.PerToken, m.Every, m.Pieces, m.ColdFor = time.Millisecond, 0, time.Millisecond, 6, 0
 	reps := ""
 	for i := range 2 {
@@ -98,8 +98,8 @@
 
 func (r *rig) ask(kind, id string) (g tally.Got) {
 	a := stand.NewAgent(nil)
-	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), stage.Ask{
-		Request: id, Prefix: "p/100", TailTokens: 8, Kind: stage.KindLoad{Offer: "o", Name: kind, Repeatable: kind == "again"},
+	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Ask{
+		Request: id, Prefix: "p/100", TailTokens: 8, Kind: sim.KindLoad{Offer: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
--- a/muse/har.go
+++ b/muse/har.go
@@ -14,12 +14,12 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge/prefixindex"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 const bytesPerToken = 4
 
-func ReadHAR(path string, kinds []stage.KindLoad) (asks []stage.Ask, unused []string, err error) {
+func ReadHAR(path string, kinds []sim.KindLoad) (asks []sim.Ask, unused []string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, trace.Wrap(&FileError{Path: path, Why: err.Error()})
@@ -45,11 +45,11 @@
 	for i := range asks {
 		asks[i].At -= time.Duration(start.UnixNano())
 	}
-	slices.SortStableFunc(asks, func(a, b stage.Ask) int { return int(a.At - b.At) })
+	slices.SortStableFunc(asks, func(a, b sim.Ask) int { return int(a.At - b.At) })
 	return asks, unused, nil
 }
 
-func entry(e *har.Entry, kinds []stage.KindLoad) (at time.Time, a stage.Ask, why string) {
+func entry(e *har.Entry, kinds []sim.KindLoad) (at time.Time, a sim.Ask, why string) {
 	if e == nil || e.Request == nil {
 		return at, a, "has no request"
 	}
@@ -64,7 +64,7 @@
 	if len(f) != 4 || f[0] != "v1" || f[1] != "offers" {
 		return at, a, "path is " + u.Path
 	}
-	k := slices.IndexFunc(kinds, func(k stage.KindLoad) bool { return k.Offer == f[2] && k.Name == f[3] })
+	k := slices.IndexFunc(kinds, func(k sim.KindLoad) bool { return k.Offer == f[2] && k.Name == f[3] })
 	if k < 0 {
 		return at, a, "no such offer and kind: " + f[2] + "/" + f[3]
 	}
--- a/muse/muse.go
+++ b/muse/muse.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 type row struct {
 	name string
-	of   func(w *stage.World) float64
+	of   func(w *sim.World) float64
 }
 
 type Result struct {
@@ -27,14 +27,14 @@
 
 const warmUp = 15 * time.Second
 
-func (p Plan) scenario(seed uint64) (s stage.Scenario, err error) {
-	if spec, ok := stage.SiteOf(p.Shape, p.Rate); ok {
+func (p Plan) scenario(seed uint64) (s sim.Scenario, err error) {
+	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
 		return p.site(seed, spec), nil
 	}
-	shape, _ := stage.Times(p.Shape, p.Times)
-	s = stage.Scenario{
+	shape, _ := sim.Times(p.Shape, p.Times)
+	s = sim.Scenario{
 		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.Robin,
-		Load: stage.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.Hot, Crowds: p.Crowds}, Asks: p.Asks,
+		Load: sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.Hot, Crowds: p.Crowds}, Asks: p.Asks,
 	}
 	if p.Config == nil {
 		return s, nil
@@ -46,7 +46,7 @@
 	s.Charter, s.Load.Kinds = p.Config, nil
 	for _, o := range c.Offers {
 		for _, k := range o.Kinds {
-			s.Load.Kinds = append(s.Load.Kinds, stage.KindLoad{Offer: o.Name, Name: k.Name, Repeatable: k.Repeatable})
+			s.Load.Kinds = append(s.Load.Kinds, sim.KindLoad{Offer: o.Name, Name: k.Name, Repeatable: k.Repeatable})
 		}
 	}
 	return s, nil
@@ -57,7 +57,7 @@
 	if _, err = p.scenario(1); err != nil {
 		return r, err
 	}
-	worlds := make([]*stage.World, p.Seeds)
+	worlds := make([]*sim.World, p.Seeds)
 	var next atomic.Int64
 	done := make(chan struct{})
 	const workers = 4
@@ -65,7 +65,7 @@
 		go func() {
 			for i := int(next.Add(1)) - 1; i < p.Seeds; i = int(next.Add(1)) - 1 {
 				s, _ := p.scenario(uint64(p.First + i))
-				worlds[i] = stage.Run(s)
+				worlds[i] = sim.Run(s)
 			}
 			done <- struct{}{}
 		}()
@@ -91,22 +91,22 @@
 	return r, nil
 }
 
-func rows(w *stage.World) (rs []row) {
+func rows(w *sim.World) (rs []row) {
 	count := func(name string, n uint64) {
-		rs = append(rs, row{name, func(*stage.World) float64 { return float64(n) }})
+		rs = append(rs, row{name, func(*sim.World) float64 { return float64(n) }})
 	}
 	for _, k := range w.S.Load.Kinds {
 		kr := w.Report.Kinds[k.Name]
 		if kr == nil {
-			kr = &stage.KindReport{}
+			kr = &sim.KindReport{}
 		}
 		count(k.Name+" done", uint64(kr.Done))
 		count(k.Name+" denied", uint64(kr.Denied))
 		count(k.Name+" partial", uint64(kr.Partial))
 		count(k.Name+" unknown", uint64(kr.Unknown))
 		count(k.Name+" lost", uint64(kr.Lost))
-		count(k.Name+" first token p50 ms", uint64(stage.Quantile(kr.Firsts, 0.5)))
-		count(k.Name+" first token p95 ms", uint64(stage.Quantile(kr.Firsts, 0.95)))
+		count(k.Name+" first token p50 ms", uint64(sim.Quantile(kr.Firsts, 0.5)))
+		count(k.Name+" first token p95 ms", uint64(sim.Quantile(kr.Firsts, 0.95)))
 	}
 	rp := &w.Report
 	all := rp.Total()
@@ -114,17 +114,17 @@
 	count("denied late", rp.DeniedLate)
 	count("second goes", rp.Seconds)
 	rate := func(name string, v float64) {
-		rs = append(rs, row{name, func(*stage.World) float64 { return v }})
+		rs = append(rs, row{name, func(*sim.World) float64 { return v }})
 	}
 	share := func(name string, part uint64) {
-		rs = append(rs, row{name, func(*stage.World) float64 { return 100 * float64(part) / float64(max(rp.PrefixTokens, 1)) }})
+		rs = append(rs, row{name, func(*sim.World) float64 { return 100 * float64(part) / float64(max(rp.PrefixTokens, 1)) }})
 	}
 	share("prefix found in cache %", rp.CachedTokens)
 	share("counted on, confirmed %", rp.Confirmed)
 	share("counted on, predicted %", rp.Predicted)
 	obeyed := w.Audit.Obeyed()
-	count("slowest node obeys p50 ms", uint64(stage.Quantile(obeyed, 0.5)))
-	count("slowest node obeys p95 ms", uint64(stage.Quantile(obeyed, 0.95)))
+	count("slowest node obeys p50 ms", uint64(sim.Quantile(obeyed, 0.5)))
+	count("slowest node obeys p95 ms", uint64(sim.Quantile(obeyed, 0.95)))
 	count("control KB", rp.Bytes/1024)
 	count("control KB between domains", rp.CrossBytes/1024)
 	for _, kind := range slices.Sorted(maps.Keys(w.Net.CrossKind)) {
--- a/muse/plan.go
+++ b/muse/plan.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 type Plan struct {
@@ -25,11 +25,11 @@
 	Rate     float64
 	Hot      float64
 	Prefixes int
-	Crowds   []stage.Crowd
+	Crowds   []sim.Crowd
 	Index    bool
 	Robin    bool
-	Faults   []stage.Fault
-	Asks     []stage.Ask
+	Faults   []sim.Fault
+	Asks     []sim.Ask
 }
 
 type FileError struct{ Path, Why string }
@@ -42,10 +42,10 @@
 
 func kinds() (names []string) {
 	return []string{
-		stage.Kill, stage.Power, stage.Freeze, stage.CutNode, stage.CutOneWay, stage.CutDomain, stage.SplitCore, stage.Wipe, stage.Move,
-		stage.SlowDisk, stage.StallDisk, stage.FullDisk, stage.BadDisk, stage.RepCrash, stage.RepDark, stage.Release, stage.Empty,
-		stage.PutStorm, stage.Race, stage.SwapVoters, stage.AllDown, stage.LargePuts, stage.RepTwist, stage.RepBlink, stage.RepSick, stage.CutControl, stage.ClockBack,
-		stage.FreezeAct, stage.Lists, stage.Upgrade,
+		sim.Kill, sim.Power, sim.Freeze, sim.CutNode, sim.CutOneWay, sim.CutDomain, sim.SplitCore, sim.Wipe, sim.Move,
+		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.RepCrash, sim.RepDark, sim.Release, sim.Empty,
+		sim.PutStorm, sim.Race, sim.SwapVoters, sim.AllDown, sim.LargePuts, sim.RepTwist, sim.RepBlink, sim.RepSick, sim.CutControl, sim.ClockBack,
+		sim.FreezeAct, sim.Lists, sim.Upgrade,
 	}
 }
 
@@ -70,8 +70,8 @@
 		p.Shape = s
 	}
 	p.Times = d.Int("times", 1, 1, 16)
-	shape, ok := stage.Times(p.Shape, p.Times)
-	spec, site := stage.SiteOf(p.Shape, 0)
+	shape, ok := sim.Times(p.Shape, p.Times)
+	spec, site := sim.SiteOf(p.Shape, 0)
 	switch {
 	case site:
 		shape, p.Rate, p.Hot = spec.Shape, 0, 0
@@ -83,7 +83,7 @@
 	l := d.Sub("load")
 	p.Rate, p.Hot, p.Prefixes = l.Num("rate", p.Rate, 0.1, 10000), l.Num("hot", p.Hot, 0, 1), l.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range l.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, stage.Crowd{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Crowds = append(p.Crowds, sim.Crowd{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
 		c.Shut()
 	}
 	l.Shut()
@@ -108,11 +108,11 @@
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
-func breakdown(d *config.Desk, shape stage.Shape, site bool) (f stage.Fault) {
-	f = stage.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
+func breakdown(d *config.Desk, shape sim.Shape, site bool) (f sim.Fault) {
+	f = sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := kinds()
 	if site {
-		all = stage.SiteTroubles()
+		all = sim.SiteTroubles()
 	}
 	if !slices.Contains(all, f.Kind) {
 		d.Flaw(d.At("kind"), f.Kind, "one of "+strings.Join(all, ", "))
@@ -124,7 +124,7 @@
 		}
 		f.On = append(f.On, name)
 	}
-	needs := map[string]bool{stage.CutDomain: true, stage.CutControl: true, stage.Empty: true, stage.SwapVoters: true}
+	needs := map[string]bool{sim.CutDomain: true, sim.CutControl: true, sim.Empty: true, sim.SwapVoters: true}
 	if needs[f.Kind] && len(f.On) == 0 {
 		d.Flaw(d.At("on"), "empty", "named for "+f.Kind)
 	}
@@ -132,7 +132,7 @@
 	return f
 }
 
-func known(s stage.Shape, name string) (yes bool) {
+func known(s sim.Shape, name string) (yes bool) {
 	return slices.Contains(s.Domains, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
-		slices.ContainsFunc(s.Nodes, func(n stage.NodeShape) bool { return n.Name == name })
+		slices.ContainsFunc(s.Nodes, func(n sim.NodeShape) bool { return n.Name == name })
 }
--- a/stage/nodeout.go
+++ b/sim/nodeout.go
@@ -1,4 +1,4 @@
-package stage
+package sim
 
 import (
 	"fmt"
--- a/stage/norace_test.go
+++ b/sim/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package stage
+package sim
 
 const raced = false
--- a/slope/mechanism.go
+++ b/slope/mechanism.go
@@ -11,7 +11,7 @@
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 // Mechanism is what a cost is for.
@@ -165,7 +165,7 @@
 }
 
 // State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
-func State(n *stage.HollowNode) (bytes map[Mechanism]uint64) {
+func State(n *sim.HollowNode) (bytes map[Mechanism]uint64) {
 	bytes = map[Mechanism]uint64{}
 	w := newWalk()
 	parts := []reflect.Value{reflect.ValueOf(n.Control).Elem(), reflect.ValueOf(n.Router).Elem()}
--- a/slope/meter.go
+++ b/slope/meter.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 // Cost is what one mechanism cost one node.
@@ -27,18 +27,18 @@
 
 // Costs are a fleet's, by node and mechanism.
 type Costs struct {
-	by    map[*stage.HollowNode]map[Mechanism]*Cost
-	peers map[[2]*stage.HollowNode]bool
+	by    map[*sim.HollowNode]map[Mechanism]*Cost
+	peers map[[2]*sim.HollowNode]bool
 }
 
 func NewCosts() (c *Costs) {
-	return &Costs{by: map[*stage.HollowNode]map[Mechanism]*Cost{}, peers: map[[2]*stage.HollowNode]bool{}}
+	return &Costs{by: map[*sim.HollowNode]map[Mechanism]*Cost{}, peers: map[[2]*sim.HollowNode]bool{}}
 }
 
 // Reset forgets what was counted, but not who spoke with whom.
-func (c *Costs) Reset() { c.by = map[*stage.HollowNode]map[Mechanism]*Cost{} }
+func (c *Costs) Reset() { c.by = map[*sim.HollowNode]map[Mechanism]*Cost{} }
 
-func (c *Costs) of(n *stage.HollowNode, m Mechanism) (cost *Cost) {
+func (c *Costs) of(n *sim.HollowNode, m Mechanism) (cost *Cost) {
 	if c.by[n] == nil {
 		c.by[n] = map[Mechanism]*Cost{}
 	}
@@ -51,7 +51,7 @@
 // Region of a zone is its first letter.
 func Region(zone string) (region string) { return zone[:1] }
 
-func (c *Costs) Sent(from, to *stage.HollowNode, msg any, frame int, encode, decode time.Duration) {
+func (c *Costs) Sent(from, to *sim.HollowNode, msg any, frame int, encode, decode time.Duration) {
 	m := ofMessage(msg)
 	s, r := c.of(from, m), c.of(to, m)
 	s.Sent, r.Received = s.Sent+1, r.Received+1
@@ -63,19 +63,19 @@
 	if Region(from.Domain) != Region(to.Domain) {
 		s.AcrossRegions += uint64(frame)
 	}
-	c.peers[[2]*stage.HollowNode{from, to}] = true
+	c.peers[[2]*sim.HollowNode{from, to}] = true
 }
 
-func (c *Costs) Stepped(n *stage.HollowNode, in any, took time.Duration) {
+func (c *Costs) Stepped(n *sim.HollowNode, in any, took time.Duration) {
 	c.of(n, ofInput(in)).Step += took
 }
 
-func (c *Costs) Asked(n *stage.HollowNode) { c.of(n, Probes).Asks++ }
+func (c *Costs) Asked(n *sim.HollowNode) { c.of(n, Probes).Asks++ }
 
-func (c *Costs) Wrote(n *stage.HollowNode) { c.of(n, Register).Writes++ }
+func (c *Costs) Wrote(n *sim.HollowNode) { c.of(n, Register).Writes++ }
 
 // Total of a node, over the mechanisms that want is true for.
-func (c *Costs) Total(n *stage.HollowNode, want func(m Mechanism) (yes bool)) (t Cost) {
+func (c *Costs) Total(n *sim.HollowNode, want func(m Mechanism) (yes bool)) (t Cost) {
 	for m, cost := range c.by[n] {
 		if want(m) {
 			t.add(*cost)
@@ -85,10 +85,10 @@
 }
 
 // Of is what one mechanism cost one node.
-func (c *Costs) Of(n *stage.HollowNode, m Mechanism) (cost Cost) { return *c.of(n, m) }
+func (c *Costs) Of(n *sim.HollowNode, m Mechanism) (cost Cost) { return *c.of(n, m) }
 
 // Peers are how many nodes this one sent to so far.
-func (c *Costs) Peers(n *stage.HollowNode) (count int) {
+func (c *Costs) Peers(n *sim.HollowNode) (count int) {
 	for p := range c.peers {
 		if p[0] == n {
 			count++
--- a/slope/point.go
+++ b/slope/point.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 // Role is a kind of node.
@@ -83,7 +83,7 @@
 	}
 }
 
-func (r *Result) reads(n *stage.HollowNode) (v reads) {
+func (r *Result) reads(n *sim.HollowNode) (v reads) {
 	v = reads{}
 	for m, c := range r.Costs.by[n] {
 		v.add(m, c.reads(r.Plan.Lasts))
--- a/slope/run.go
+++ b/slope/run.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 // Plan is one fleet to be measured.
@@ -46,7 +46,7 @@
 type Result struct {
 	Plan   Plan
 	Costs  *Costs
-	Nodes  []*stage.HollowNode
+	Nodes  []*sim.HollowNode
 	Ready  int
 	Puts   []time.Duration
 	Firsts []time.Duration
@@ -63,26 +63,26 @@
 
 // Run boots the fleet, lets it settle for Warm and counts for Lasts.
 func (p Plan) Run() (r Result) {
-	shape := stage.HollowShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
+	shape := sim.HollowShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
 	plain := shape
 	if p.ConfigBytes > 0 {
-		shape.Charter = stage.HollowBody(shape, 0, p.ConfigBytes)
+		shape.Charter = sim.HollowBody(shape, 0, p.ConfigBytes)
 	}
-	m := stage.DefaultModel()
-	m.Room = stage.HollowRoom
-	plan := stage.HollowPlan{
-		Seed: p.Seed, Shape: shape, Model: m, Far: p.Far, Roll: p.roll(), Clock: p.Clock, Body: func(n int) (raw []byte) { return stage.HollowBody(plain, n, p.ConfigBytes) },
+	m := sim.DefaultModel()
+	m.Room = sim.HollowRoom
+	plan := sim.HollowPlan{
+		Seed: p.Seed, Shape: shape, Model: m, Far: p.Far, Roll: p.roll(), Clock: p.Clock, Body: func(n int) (raw []byte) { return sim.HollowBody(plain, n, p.ConfigBytes) },
 	}
 	if p.Changes > 0 {
 		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
 	}
 	if p.Rate > 0 {
-		src := stage.NewSource(stage.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
+		src := sim.NewSource(sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
 		plan.Next = src.Next
 	}
 	r = Result{Plan: p, Costs: NewCosts(), Body: len(shape.Charter)}
 	plan.Meter = r.Costs
-	h := stage.NewHollow(plan)
+	h := sim.NewHollow(plan)
 	h.Boot()
 	warm := p.Warm + p.roll()
 	h.Run(p.roll() + min(8*time.Second, p.Warm/2))
--- a/slope/solo.go
+++ b/slope/solo.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 const (
@@ -41,7 +41,7 @@
 		for i := range int(x) {
 			l.request(i, of(i))
 		}
-		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Lasts: time.Second}, Costs: l.costs, Nodes: []*stage.HollowNode{l.node}}
+		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Lasts: time.Second}, Costs: l.costs, Nodes: []*sim.HollowNode{l.node}}
 		each := l.costs.Of(l.node, Requests).Step / time.Duration(max(l.done, 1))
 		l.costs.Reset()
 		l.costs.of(l.node, Requests).Step = each
@@ -51,7 +51,7 @@
 
 // A lone router is given what its daemon and its connections would tell it.
 type lone struct {
-	node  *stage.HollowNode
+	node  *sim.HollowNode
 	costs *Costs
 	clock func() (t time.Duration)
 	now   time.Duration
@@ -59,7 +59,7 @@
 }
 
 func newLone(clock func() (t time.Duration), keep int) (l *lone) {
-	shape := stage.HollowShape(1, soloReplicas, 0, 1, []string{"a1"})
+	shape := sim.HollowShape(1, soloReplicas, 0, 1, []string{"a1"})
 	c, err := config.Read(shape.Charter)
 	if err != nil {
 		panic(err)
@@ -67,7 +67,7 @@
 	for i := range c.Offers {
 		c.Offers[i].KeepTokens = keep
 	}
-	l = &lone{node: &stage.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
+	l = &lone{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
 	l.step(mallowbridge.Order{Picture: &config.Picture{Mark: 1, Charter: c}})
@@ -106,7 +106,7 @@
 // remembered asks one node as a witness for x requests.
 func remembered() (s Sweep) {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
-		n := &stage.HollowNode{Name: "n1", Domain: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
+		n := &sim.HollowNode{Name: "n1", Domain: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
 		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Kin: membership.Defaults(), Rumor: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
@@ -117,7 +117,7 @@
 		}
 		c := costs.of(n, Witnesses)
 		c.Step /= time.Duration(x)
-		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Lasts: time.Second}, Costs: costs, Nodes: []*stage.HollowNode{n}}
+		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Lasts: time.Second}, Costs: costs, Nodes: []*sim.HollowNode{n}}
 		return r.Points("remembered", x), fmt.Sprintf("%s of CPU for each", c.Step)
 	}}
 }
--- a/stand/agent.go
+++ b/stand/agent.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -22,7 +22,7 @@
 	return &Agent{Nodes: nodes, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
-func (a *Agent) Once(ctx context.Context, node string, k stage.Ask) (g tally.Got) {
+func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) (g tally.Got) {
 	g = tally.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: "lost"}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Kind.Offer+"/"+k.Kind.Name, strings.NewReader(body))
@@ -71,7 +71,7 @@
 	return g
 }
 
-func (a *Agent) Run(ctx context.Context, src *stage.Source, n int, took func(g tally.Got)) {
+func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, took func(g tally.Got)) {
 	start := time.Now()
 	out := make(chan tally.Got)
 	for i := range n {
--- a/stand/replica.go
+++ b/stand/replica.go
@@ -14,7 +14,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -34,15 +34,15 @@
 	name   string
 	prompt string
 	clock  func() time.Duration
-	model  *stage.Replica
+	model  *sim.Replica
 	fault  Fault
 	ledger *json.Encoder
 	jobs   chan job
 }
 
-func NewReplica(t *tomb.Tomb, name, prompt, instance string, m stage.Model, ledger io.Writer, clock func() time.Duration) (r *Replica) {
+func NewReplica(t *tomb.Tomb, name, prompt, instance string, m sim.Model, ledger io.Writer, clock func() time.Duration) (r *Replica) {
 	r = &Replica{
-		t: t, name: name, prompt: prompt, clock: clock, model: stage.NewReplica(m, instance, clock()),
+		t: t, name: name, prompt: prompt, clock: clock, model: sim.NewReplica(m, instance, clock()),
 		ledger: json.NewEncoder(ledger), jobs: make(chan job),
 	}
 	t.Go(func() error {
@@ -120,7 +120,7 @@
 }
 
 type start struct {
-	plan  stage.Plan
+	plan  sim.Plan
 	ok    bool
 	fault Fault
 }
--- a/storage/mend_test.go
+++ b/storage/mend_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 )
 
 func TestAFullDiskIsMendedWhole(t *testing.T) {
 	for seed := range uint64(20) {
-		d := stage.NewDisk(seed)
+		d := sim.NewDisk(seed)
 		v, _, err := load(d)
 		if err != nil || v.Turn([]byte("a")) != nil || v.Add([][]byte{[]byte("b")}) != nil {
 			t.Fatal(err)
--- a/storage/vault_test.go
+++ b/storage/vault_test.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge/stage"
+	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-func load(d *stage.Disk) (v *storage.Vault, all []string, err error) {
+func load(d *sim.Disk) (v *storage.Vault, all []string, err error) {
 	v, slot, entries, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
@@ -24,7 +24,7 @@
 	return v, all, nil
 }
 
-func write(d *stage.Disk, n int) (acked int) {
+func write(d *sim.Disk, n int) (acked int) {
 	v, all, err := load(d)
 	if err != nil {
 		return 0
@@ -55,14 +55,14 @@
 
 func TestPowerCutAtEachWrite(t *testing.T) {
 	const n = 40
-	whole := stage.NewDisk(1)
+	whole := sim.NewDisk(1)
 	write(whole, n)
 	if whole.Writes < 90 {
 		t.Fatalf("only %d writes: the test no longer covers turns", whole.Writes)
 	}
 	for seed := range uint64(6) {
 		for cut := range whole.Writes {
-			d := stage.NewDisk(seed)
+			d := sim.NewDisk(seed)
 			d.CutAt = cut
 			acked := write(d, n)
 			d.PowerCut()
@@ -85,10 +85,10 @@
 func TestEachDamagedByteIsFoundOrOutlived(t *testing.T) {
 	const n = 40
 	for _, name := range []string{"slot0", "slot1", "log0", "log1"} {
-		whole := stage.NewDisk(1)
+		whole := sim.NewDisk(1)
 		write(whole, n)
 		for at := range whole.Size(name) {
-			d := stage.NewDisk(1)
+			d := sim.NewDisk(1)
 			write(d, n)
 			d.Rot(name, at)
 			_, got, err := load(d)
@@ -112,7 +112,7 @@
 }
 
 func TestNothingIsWrittenAfterAFailedSync(t *testing.T) {
-	d := stage.NewDisk(1)
+	d := sim.NewDisk(1)
 	write(d, 3)
 	v, _, err := load(d)
 	if err != nil {
@@ -156,7 +156,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	d := stage.NewDisk(1)
+	d := sim.NewDisk(1)
 	write(d, 12)
 	var raws [4][]byte
 	for i, name := range []string{"slot0", "slot1", "log0", "log1"} {
@@ -164,7 +164,7 @@
 	}
 	f.Add(raws[0], raws[1], raws[2], raws[3])
 	f.Fuzz(func(t *testing.T, s0, s1, l0, l1 []byte) {
-		d := stage.NewDisk(1)
+		d := sim.NewDisk(1)
 		for name, raw := range map[string][]byte{"slot0": s0, "slot1": s1, "log0": l0, "log1": l1} {
 			if len(raw) > 0 && d.Write(name, raw) != nil {
 				t.Fatal("write")
