--- a/cmd/mallowbridge/muse.go
+++ b/cmd/mallowbridge/muse.go
@@ -6,8 +6,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/mallowbridge/mallowbridge/muse"
 	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/whatif"
 )
 
 func whatIf(app *kingpin.Application, cmds map[string]command) {
@@ -17,19 +17,19 @@
 	shape := c.Flag("shape", "Fleet when no plan is given: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	harFile := c.Flag("har", "Take the load from this HAR file.").String()
 	cmds["muse"] = func(_ io.Reader, out io.Writer) error {
-		plans := []muse.Plan{muse.Default("calm")}
+		plans := []whatif.Plan{whatif.Default("calm")}
 		plans[0].Shape = *shape
 		if len(*files) > 0 {
 			plans = nil
 		}
 		for _, f := range *files {
-			p, err := muse.Load(f)
+			p, err := whatif.Load(f)
 			if err != nil {
 				return err
 			}
 			plans = append(plans, p)
 		}
-		var rs []muse.Result
+		var rs []whatif.Result
 		for _, p := range plans {
 			if *seeds > 0 {
 				p.Seeds = *seeds
@@ -43,7 +43,7 @@
 			}
 			rs = append(rs, r)
 		}
-		muse.Write(out, rs...)
+		whatif.Write(out, rs...)
 		return nil
 	}
 }
@@ -63,12 +63,12 @@
 	}
 }
 
-func replay(out io.Writer, p *muse.Plan, file string) (err error) {
+func replay(out io.Writer, p *whatif.Plan, file string) (err error) {
 	if file == "" {
 		return nil
 	}
 	shape, _ := sim.ShapeOf(p.Shape)
-	asks, unused, err := muse.ReadHAR(file, shape.Kinds)
+	asks, unused, err := whatif.ReadHAR(file, shape.Kinds)
 	if err != nil {
 		return err
 	}
--- a/muse/har.go
+++ b/whatif/har.go
@@ -1,4 +1,4 @@
-package muse
+package whatif
 
 import (
 	"encoding/json"
