--- a/slope/fit.go
+++ b/capacity/fit.go
@@ -1,4 +1,4 @@
-package slope
+package capacity
 
 import (
 	"math"
--- a/slope/mechanism.go
+++ b/capacity/mechanism.go
@@ -1,5 +1,5 @@
 // Package slope measures what the machines of a fleet cost as the fleet grows, and fits lines through it.
-package slope
+package capacity
 
 import (
 	"reflect"
--- a/cmd/mallowbridge/slopes.go
+++ b/cmd/mallowbridge/slopes.go
@@ -8,7 +8,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/mallowbridge/mallowbridge/slope"
+	"github.com/mallowbridge/mallowbridge/capacity"
 )
 
 func slopes(app *kingpin.Application, cmds map[string]command) {
@@ -20,14 +20,14 @@
 	again := c.Flag("again", "Run nothing; fit and draw the points that are in the directory.").Bool()
 	cmds["slopes"] = func(_ io.Reader, out io.Writer) error {
 		runtime.GOMAXPROCS(*cores)
-		some, err := slope.Choose(slope.Sweeps(*sizes), *names)
+		some, err := capacity.Choose(capacity.Sweeps(*sizes), *names)
 		if err != nil {
 			return err
 		}
 		if *again {
 			return redraw(*dir, some)
 		}
-		fmt.Fprintf(out, "a connection's coders hold %d bytes; its first frames cost %d bytes more than later ones\n", slope.ConnBytes(), slope.Opening())
+		fmt.Fprintf(out, "a connection's coders hold %d bytes; its first frames cost %d bytes more than later ones\n", capacity.ConnBytes(), capacity.Opening())
 		for _, s := range some {
 			if err = sweep(out, *dir, s); err != nil {
 				return err
@@ -37,23 +37,23 @@
 	}
 }
 
-func sweep(out io.Writer, dir string, s slope.Sweep) (err error) {
+func sweep(out io.Writer, dir string, s capacity.Sweep) (err error) {
 	fmt.Fprintf(out, "%s: %s\n", s.Name, s.Axis)
 	from := time.Now()
-	return s.Run(func(x float64, note string, ps []slope.Point) (err error) {
+	return s.Run(func(x float64, note string, ps []capacity.Point) (err error) {
 		fmt.Fprintf(out, "  %g: %s (%s)\n", x, note, time.Since(from).Round(time.Second))
 		from = time.Now()
-		return slope.Save(dir, s, ps)
+		return capacity.Save(dir, s, ps)
 	})
 }
 
-func redraw(dir string, some []slope.Sweep) (err error) {
+func redraw(dir string, some []capacity.Sweep) (err error) {
 	for _, s := range some {
-		ps, err := slope.Load(dir, s)
+		ps, err := capacity.Load(dir, s)
 		if err != nil {
 			return err
 		}
-		if err = slope.Save(dir, s, ps); err != nil {
+		if err = capacity.Save(dir, s, ps); err != nil {
 			return err
 		}
 	}
