--- a/cmd/mallowbridge/stands.go
+++ b/cmd/mallowbridge/stands.go
@@ -21,7 +21,7 @@
 
 	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/sim"
-	"github.com/mallowbridge/mallowbridge/stand"
+	"github.com/mallowbridge/mallowbridge/standin"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -43,7 +43,7 @@
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Pieces)
 	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.ColdFor)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
-		w, err := stand.Ledger(*ledger)
+		w, err := standin.Ledger(*ledger)
 		if err != nil {
 			return err
 		}
@@ -53,7 +53,7 @@
 		}
 		t := &tomb.Tomb{}
 		instance := *name + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-		stand.NewReplica(t, *name, *model, instance, m, w, daemon.Clock).Serve(lis)
+		standin.NewReplica(t, *name, *model, instance, m, w, daemon.Clock).Serve(lis)
 		stop := make(chan os.Signal, 1)
 		signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 		<-stop
@@ -75,7 +75,7 @@
 	tag := c.Flag("tag", "Front of the request ids; new for each run.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
 	ledger := c.Flag("ledger", "File that gets a line for each request.").String()
 	cmds["agent"] = func(_ io.Reader, out io.Writer) error {
-		w, err := stand.Ledger(*ledger)
+		w, err := standin.Ledger(*ledger)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
-		stand.NewAgent(*nodes).Run(context.Background(), sim.NewSource(load, *seed, *tag), *n, func(g tally.Got) {
+		standin.NewAgent(*nodes).Run(context.Background(), sim.NewSource(load, *seed, *tag), *n, func(g tally.Got) {
 			_ = enc.Encode(g)
 			sums[g.Outcome]++
 			if g.Outcome == "done" {
--- a/httpapi/gate_test.go
+++ b/httpapi/gate_test.go
@@ -20,7 +20,7 @@
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/sim"
-	"github.com/mallowbridge/mallowbridge/stand"
+	"github.com/mallowbridge/mallowbridge/standin"
 	"github.com/mallowbridge/mallowbridge/tally"
 )
 
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stand.NewReplica(r.tomb, fmt.Sprintf("r%d", i+1), "m", fmt.Sprintf("i%d", i+1), m, &r.logs[i], clock).Serve(lis)
+		standin.NewReplica(r.tomb, fmt.Sprintf("r%d", i+1), "m", fmt.Sprintf("i%d", i+1), m, &r.logs[i], clock).Serve(lis)
 		r.addrs = append(r.addrs, lis.Addr().String())
 		reps += fmt.Sprintf(`,{"name":"r%d","addr":"%s","domain":"%c"}`, i+1, lis.Addr(), 'a'+i)
 	}
@@ -84,7 +84,7 @@
 	return r
 }
 
-func (r *rig) fault(rep int, f stand.Fault) {
+func (r *rig) fault(rep int, f standin.Fault) {
 	raw, err := json.Marshal(f)
 	if err != nil {
 		r.t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 func (r *rig) ask(kind, id string) (g tally.Got) {
-	a := stand.NewAgent(nil)
+	a := standin.NewAgent(nil)
 	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Ask{
 		Request: id, Prefix: "p/100", TailTokens: 8, Kind: sim.KindLoad{Offer: "o", Name: kind, Repeatable: kind == "again"},
 	})
@@ -123,19 +123,19 @@
 func TestEachStageOfABrokenGo(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		fault       stand.Fault
+		fault       standin.Fault
 		again, once string
 	}{
-		{"sound", stand.Fault{}, "done", "done"},
-		{"cut before it runs", stand.Fault{CutAt: "read"}, "done", "unknown"},
-		{"cut after it began", stand.Fault{CutAt: "begun"}, "done", "unknown"},
-		{"cut before the first piece", stand.Fault{CutAt: "piece"}, "done", "unknown"},
-		{"cut after two pieces", stand.Fault{CutAt: "piece", CutAfter: 2}, "partial", "partial"},
-		{"ends without an end mark", stand.Fault{Twist: "end", CutAfter: 3}, "partial", "partial"},
-		{"another go's id", stand.Fault{Twist: "go", CutAfter: 2}, "partial", "partial"},
-		{"another go's id at once", stand.Fault{Twist: "go"}, "done", "unknown"},
-		{"another instance", stand.Fault{Twist: "instance", CutAfter: 2}, "partial", "partial"},
-		{"a piece is skipped", stand.Fault{Twist: "skip", CutAfter: 2}, "partial", "partial"},
+		{"sound", standin.Fault{}, "done", "done"},
+		{"cut before it runs", standin.Fault{CutAt: "read"}, "done", "unknown"},
+		{"cut after it began", standin.Fault{CutAt: "begun"}, "done", "unknown"},
+		{"cut before the first piece", standin.Fault{CutAt: "piece"}, "done", "unknown"},
+		{"cut after two pieces", standin.Fault{CutAt: "piece", CutAfter: 2}, "partial", "partial"},
+		{"ends without an end mark", standin.Fault{Twist: "end", CutAfter: 3}, "partial", "partial"},
+		{"another go's id", standin.Fault{Twist: "go", CutAfter: 2}, "partial", "partial"},
+		{"another go's id at once", standin.Fault{Twist: "go"}, "done", "unknown"},
+		{"another instance", standin.Fault{Twist: "instance", CutAfter: 2}, "partial", "partial"},
+		{"a piece is skipped", standin.Fault{Twist: "skip", CutAfter: 2}, "partial", "partial"},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			for kind, want := range map[string]string{"again": c.again, "once": c.once} {
--- a/stand/agent.go
+++ b/standin/agent.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 import (
 	"bufio"
