--- a/cmd/mallowbridge/stands.go
+++ b/cmd/mallowbridge/stands.go
@@ -20,9 +20,9 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge/daemon"
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/standin"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 func standIns(app *kingpin.Application, cmds map[string]command) {
@@ -36,14 +36,14 @@
 	name := c.Flag("name", "Name of the replica.").Required().String()
 	addr := c.Flag("http", "IP:port to serve.").Required().String()
 	model := c.Flag("model", "Model that it serves.").Default("m1").String()
-	ledger := c.Flag("ledger", "File that gets a line for each run.").String()
+	path := c.Flag("ledger", "File that gets a line for each run.").String()
 	m := sim.DefaultModel()
 	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Room)
 	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.Keep)
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Pieces)
 	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.ColdFor)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
-		w, err := standin.Ledger(*ledger)
+		w, err := standin.Ledger(*path)
 		if err != nil {
 			return err
 		}
@@ -73,9 +73,9 @@
 	hot := c.Flag("hot", "Share of requests with one hot prefix.").Default("0.1").Float64()
 	seed := c.Flag("seed", "Seed of the load.").Default("1").Uint64()
 	tag := c.Flag("tag", "Front of the request ids; new for each run.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
-	ledger := c.Flag("ledger", "File that gets a line for each request.").String()
+	path := c.Flag("ledger", "File that gets a line for each request.").String()
 	cmds["agent"] = func(_ io.Reader, out io.Writer) error {
-		w, err := standin.Ledger(*ledger)
+		w, err := standin.Ledger(*path)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
-		standin.NewAgent(*nodes).Run(context.Background(), sim.NewSource(load, *seed, *tag), *n, func(g tally.Got) {
+		standin.NewAgent(*nodes).Run(context.Background(), sim.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
 			_ = enc.Encode(g)
 			sums[g.Outcome]++
 			if g.Outcome == "done" {
@@ -120,15 +120,15 @@
 	ran := c.Flag("ran", "Pattern of the replicas' ledgers.").Required().String()
 	got := c.Flag("got", "Pattern of the agents' ledgers.").Required().String()
 	cmds["check"] = func(_ io.Reader, out io.Writer) error {
-		gots, err := lines[tally.Got](*got)
+		gots, err := lines[ledger.Got](*got)
 		if err != nil {
 			return err
 		}
-		rans, err := lines[tally.Ran](*ran)
+		rans, err := lines[ledger.Ran](*ran)
 		if err != nil {
 			return err
 		}
-		bs := tally.Check(rans, gots)
+		bs := ledger.Check(rans, gots)
 		for _, b := range bs {
 			fmt.Fprintln(out, b)
 		}
--- a/httpapi/gate_test.go
+++ b/httpapi/gate_test.go
@@ -19,9 +19,9 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/httpapi"
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/standin"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 type rig struct {
@@ -96,21 +96,21 @@
 	resp.Body.Close()
 }
 
-func (r *rig) ask(kind, id string) (g tally.Got) {
+func (r *rig) ask(kind, id string) (g ledger.Got) {
 	a := standin.NewAgent(nil)
 	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Ask{
 		Request: id, Prefix: "p/100", TailTokens: 8, Kind: sim.KindLoad{Offer: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
-func (r *rig) ran() (runs []tally.Ran) {
+func (r *rig) ran() (runs []ledger.Ran) {
 	r.srv.Close()
 	r.tomb.Kill(nil)
 	_ = r.tomb.Wait()
 	for i := range r.logs {
 		dec := json.NewDecoder(&r.logs[i])
 		for dec.More() {
-			var x tally.Ran
+			var x ledger.Ran
 			if err := dec.Decode(&x); err != nil {
 				r.t.Fatal(err)
 			}
@@ -154,7 +154,7 @@
 				if g.Outcome != want {
 					t.Errorf("%s: %s, want %s", kind, g.Outcome, want)
 				}
-				if bs := tally.Check(r.ran(), []tally.Got{g}); len(bs) > 0 {
+				if bs := ledger.Check(r.ran(), []ledger.Got{g}); len(bs) > 0 {
 					t.Errorf("%s: %v", kind, bs)
 				}
 			}
--- a/tally/tally_test.go
+++ b/ledger/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package ledger
 
 import "testing"
 
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 const (
@@ -57,7 +57,7 @@
 
 type Audit struct {
 	w        *World
-	Breaches []tally.Breach
+	Breaches []ledger.Breach
 	marks    []fact
 	high     uint64
 	emptyAt  map[string]fact
@@ -112,7 +112,7 @@
 		a.Story = slices.Clone(a.w.Trace[max(0, len(a.w.Trace)-storyLines):])
 	}
 	if len(a.Breaches) < 50 {
-		a.Breaches = append(a.Breaches, tally.Breach{What: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.now, detail)})
+		a.Breaches = append(a.Breaches, ledger.Breach{What: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.now, detail)})
 	}
 }
 
--- a/sim/gate.go
+++ b/sim/gate.go
@@ -5,7 +5,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/tally"
+	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
 type flight struct {
@@ -15,7 +15,7 @@
 	domain  string
 	try     int
 	at      time.Duration
-	got     tally.Got
+	got     ledger.Got
 	passage mallowbridge.Passage
 	conn    *conn
 	gos     int
@@ -40,7 +40,7 @@
 func (w *World) submit(a Ask, domain string, try int) {
 	n := w.pick(domain)
 	f := &flight{w: w, n: n, ask: a, domain: domain, try: try, at: w.now, passage: mallowbridge.Passage{Request: a.Request}}
-	f.got = tally.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Kind.Name, Repeatable: a.Kind.Repeatable}
+	f.got = ledger.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Kind.Name, Repeatable: a.Kind.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -9,9 +9,9 @@
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 // HollowNode is one node's two real machines, Control and Router, with a disk where the shape gives it one.
@@ -211,7 +211,7 @@
 	n.back(g, at, mallowbridge.Replied{Go: id, Attempt: id, Status: http.StatusOK})
 	n.h.Firsts = append(n.h.Firsts, at-g.at)
 	for i := range plan.Pieces {
-		text := tally.Piece(g.ask.Request, id, i)
+		text := ledger.Piece(g.ask.Request, id, i)
 		n.back(g, at+time.Duration(i)*plan.Every, mallowbridge.Read{Go: id, Line: mallowbridge.Line{Go: id, InstanceID: r.Instance, Piece: &i, Text: text}})
 	}
 	end := at + time.Duration(plan.Pieces-1)*plan.Every
--- a/sim/rep.go
+++ b/sim/rep.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/tally"
+	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
 type Rep struct {
@@ -83,7 +83,7 @@
 }
 
 func (r *Rep) note(event, req, id string, n int) {
-	r.w.Ran = append(r.w.Ran, tally.Ran{
+	r.w.Ran = append(r.w.Ran, ledger.Ran{
 		AtMs: r.w.now.Milliseconds(), Replica: r.Name, Instance: r.m.Instance, Request: req, Go: id, Event: event, Pieces: n,
 	})
 }
@@ -98,7 +98,7 @@
 	case 0:
 		return false
 	case 1:
-		l.Go, l.Text = "someone.else.1", tally.Piece("someone", "someone.else.1", *l.Piece)
+		l.Go, l.Text = "someone.else.1", ledger.Piece("someone", "someone.else.1", *l.Piece)
 	case 2:
 		l.InstanceID += "x"
 	case 3:
--- a/sim/report.go
+++ b/sim/report.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/tally"
+	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
 type KindReport struct {
@@ -139,7 +139,7 @@
 	if w.Report.ReturnMs == 0 {
 		w.Audit.breach(NoReturn, "fleet", "nothing served after a full stop")
 	}
-	w.Audit.Breaches = append(w.Audit.Breaches, tally.Check(w.Ran, w.Got)...)
+	w.Audit.Breaches = append(w.Audit.Breaches, ledger.Check(w.Ran, w.Got)...)
 }
 
 func (w *World) await(from time.Duration, then func()) {
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -4,8 +4,8 @@
 	"net/http"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 const pieceBytes = 120
@@ -83,7 +83,7 @@
 	if i == 0 {
 		c.back(func() { c.happened(mallowbridge.Replied{Go: c.place.Go, Attempt: c.place.Go, Status: http.StatusOK}) })
 	}
-	l := mallowbridge.Line{Go: c.place.Go, InstanceID: inst, Piece: &i, Text: tally.Piece(f.ask.Request, c.place.Go, i)}
+	l := mallowbridge.Line{Go: c.place.Go, InstanceID: inst, Piece: &i, Text: ledger.Piece(f.ask.Request, c.place.Go, i)}
 	if c.twisted || r.twist(c, &l) {
 		c.line(l)
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -7,7 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/tally"
+	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
 type Scenario struct {
@@ -43,8 +43,8 @@
 	byURL   map[string]*Rep
 	whim    *rand.Rand
 	trap    func(n *Node, what string)
-	Ran     []tally.Ran
-	Got     []tally.Got
+	Ran     []ledger.Ran
+	Got     []ledger.Got
 	Audit   *Audit
 	Report  Report
 	Trace   []string
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/sim"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 type Agent struct {
@@ -22,8 +22,8 @@
 	return &Agent{Nodes: nodes, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
-func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) (g tally.Got) {
-	g = tally.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: "lost"}
+func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) (g ledger.Got) {
+	g = ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: "lost"}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Kind.Offer+"/"+k.Kind.Name, strings.NewReader(body))
 	if err != nil {
@@ -71,9 +71,9 @@
 	return g
 }
 
-func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, took func(g tally.Got)) {
+func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, took func(g ledger.Got)) {
 	start := time.Now()
-	out := make(chan tally.Got)
+	out := make(chan ledger.Got)
 	for i := range n {
 		ask := src.Next()
 		go func() {
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -13,9 +13,9 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/sim"
-	"github.com/mallowbridge/mallowbridge/tally"
 )
 
 type Fault struct {
@@ -36,14 +36,14 @@
 	clock  func() time.Duration
 	model  *sim.Replica
 	fault  Fault
-	ledger *json.Encoder
+	runs   *json.Encoder
 	jobs   chan job
 }
 
-func NewReplica(t *tomb.Tomb, name, prompt, instance string, m sim.Model, ledger io.Writer, clock func() time.Duration) (r *Replica) {
+func NewReplica(t *tomb.Tomb, name, prompt, instance string, m sim.Model, runs io.Writer, clock func() time.Duration) (r *Replica) {
 	r = &Replica{
 		t: t, name: name, prompt: prompt, clock: clock, model: sim.NewReplica(m, instance, clock()),
-		ledger: json.NewEncoder(ledger), jobs: make(chan job),
+		runs: json.NewEncoder(runs), jobs: make(chan job),
 	}
 	t.Go(func() error {
 		for {
@@ -114,7 +114,7 @@
 }
 
 func (r *Replica) note(event, request, id string, n int) {
-	_ = r.ledger.Encode(tally.Ran{
+	_ = r.runs.Encode(ledger.Ran{
 		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.model.Instance, Request: request, Go: id, Event: event, Pieces: n,
 	})
 }
@@ -178,7 +178,7 @@
 		if s.fault.CutAt == "piece" && i == s.fault.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		l := mallowbridge.Line{Go: id, InstanceID: r.model.Instance, Piece: &i, Text: tally.Piece(request, id, i)}
+		l := mallowbridge.Line{Go: id, InstanceID: r.model.Instance, Piece: &i, Text: ledger.Piece(request, id, i)}
 		if i == s.fault.CutAfter {
 			twist(s.fault.Twist, &l)
 		}
