--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -14,11 +14,11 @@
 
 func usual() (msgs []any) {
 	return []any{
-		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Sum{Hash: 1, N: 1},
-		gossip.Marks{Marks: []gossip.KeyMark{{Key: "k", Mark: gossip.Mark{Hi: 1, Lo: 1}}}}, gossip.Want{Keys: []string{"k"}},
-		gossip.News{Items: []gossip.Item{
-			{Key: "k", Mark: gossip.Mark{Hi: 1}, Data: membership.Member{Name: "n"}},
-			{Key: "u", Mark: gossip.Mark{Hi: 1}, Data: control.Usages{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
+		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Checksum{Hash: 1, N: 1},
+		gossip.Digest{Marks: []gossip.KeyVersion{{Key: "k", Mark: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
+		gossip.Update{Items: []gossip.Item{
+			{Key: "k", Mark: gossip.Version{Hi: 1}, Data: membership.Member{Name: "n"}},
+			{Key: "u", Mark: gossip.Version{Hi: 1}, Data: control.LoadReports{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
 		}},
 	}
 }
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -1,4 +1,4 @@
-// Package slope measures what the machines of a fleet cost as the fleet grows, and fits lines through it.
+// Package capacity measures what the machines of a fleet cost as the fleet grows, and fits lines through it.
 package capacity
 
 import (
@@ -47,15 +47,15 @@
 	switch v := msg.(type) {
 	case membership.Ping, membership.Ack, membership.PingFor:
 		return Watching
-	case gossip.Sum, gossip.Marks, gossip.Want:
+	case gossip.Checksum, gossip.Digest, gossip.Pull:
 		return Digests
-	case gossip.Tell:
+	case gossip.Announcement:
 		return Config
-	case gossip.News:
+	case gossip.Update:
 		return ofNews(v)
 	case register.Prepare, register.Promise, register.Accept, register.Accepted:
 		return Register
-	case lease.Ask, lease.Grant, lease.Drop:
+	case lease.Request, lease.Grant, lease.Release:
 		return Claims
 	case control.WitnessAsk, control.WitnessSay, control.WitnessForget:
 		return Witnesses
@@ -66,7 +66,7 @@
 }
 
 // ofNews takes news for what weighs most in it; an empty answer belongs to the digest that asked for it.
-func ofNews(n gossip.News) (m Mechanism) {
+func ofNews(n gossip.Update) (m Mechanism) {
 	most := 0
 	m = Digests
 	for _, kind := range []Mechanism{Members, Usage, Config, Listings, Other} {
@@ -87,7 +87,7 @@
 	switch it.Data.(type) {
 	case membership.Member:
 		return Members
-	case control.Usages:
+	case control.LoadReports:
 		return Usage
 	case *register.Value:
 		return Config
@@ -99,7 +99,7 @@
 
 func itemWeight(it gossip.Item) (w int) {
 	switch d := it.Data.(type) {
-	case control.Usages:
+	case control.LoadReports:
 		return 40 * (1 + len(d.Rows))
 	case *register.Value:
 		return 200 + d.Size()
@@ -111,11 +111,11 @@
 
 func ofInput(in any) (m Mechanism) {
 	switch v := in.(type) {
-	case control.Recv:
+	case control.Received:
 		return ofMessage(v.Msg)
 	case control.Tick:
 		return Ticks
-	case control.Saved:
+	case control.Persisted:
 		return Register
 	case control.Probed, control.Sighted:
 		return Probes
@@ -144,9 +144,9 @@
 	switch op.(type) {
 	case control.Witness:
 		return Witnesses
-	case control.Listed:
+	case control.SetListings:
 		return Listings
-	case control.Put, control.Edit, control.Get, control.Found, control.Swap, control.Empty:
+	case control.Put, control.Edit, control.Get, control.Bootstrap, control.ReplaceVoters, control.Evacuate:
 		return Register
 	}
 	return Other
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -70,7 +70,7 @@
 	l = &lone{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
-	l.step(mallowbridge.Order{Picture: &config.Picture{Mark: 1, Charter: c}})
+	l.step(mallowbridge.Order{Picture: &config.Snapshot{Mark: 1, Charter: c}})
 	for i := range soloReplicas {
 		l.step(mallowbridge.Usage{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
 	}
@@ -107,10 +107,10 @@
 func remembered() (s Sweep) {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
 		n := &sim.HollowNode{Name: "n1", Domain: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
-		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Kin: membership.Defaults(), Rumor: gossip.Defaults()})
+		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
-			in := control.Recv{From: "10.0.0.2:1", Msg: control.WitnessAsk{Rid: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
+			in := control.Received{From: "10.0.0.2:1", Msg: control.WitnessAsk{Rid: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
 			from := clock()
 			n.Control.Step(time.Second, in)
 			costs.Stepped(n, in, clock()-from)
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -121,7 +121,7 @@
 	return err
 }
 
-func wireCounters(h *daemon.Hearth) (c map[string]uint64) {
+func wireCounters(h *daemon.Daemon) (c map[string]uint64) {
 	n := &h.Net.N
 	return map[string]uint64{
 		"wire.sent": n.Sent.Load(), "wire.bytes": n.Bytes.Load(), "wire.dropped": n.Dropped.Load(),
@@ -143,7 +143,7 @@
 
 // drain has agents sent elsewhere first, then lets no more in, sends what was let in, gives up claims and room, and waits
 // for the streams.
-func drain(h *daemon.Hearth, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
+func drain(h *daemon.Daemon, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
 	g.Retire()
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -169,7 +169,7 @@
 		h.Desk.Look(func(r *mallowbridge.Router) { unsent = r.Unsent() })
 		if !departed && (unsent == 0 || time.Since(from) > letGo) {
 			departed = true
-			h.Call(control.Depart{})
+			h.Call(control.Leave{})
 		}
 		if departed && g.Running() == 0 {
 			return
--- a/cmd/mallowbridge/main.go
+++ b/cmd/mallowbridge/main.go
@@ -1,3 +1,4 @@
+// Command mallowbridge is the daemon, the operators' command line and the rehearsal tools in one program.
 package main
 
 import (
@@ -47,7 +48,7 @@
 }
 
 func complain(errs io.Writer, err error) {
-	var bad *config.BadError
+	var bad *config.InvalidError
 	if errors.As(err, &bad) {
 		for _, f := range bad.Flaws {
 			fmt.Fprintln(errs, "mallowbridge:", f)
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -48,7 +48,7 @@
 const spareAllowance = 0.25
 
 func reader(b platform.Bounds) (read config.Reader) {
-	return func(raw []byte) (c config.Charter, err error) {
+	return func(raw []byte) (c config.Config, err error) {
 		if c, err = platform.Read(raw); err != nil {
 			return c, err
 		}
@@ -101,7 +101,7 @@
 	h.Desk.Look(func(r *mallowbridge.Router) { placement(r, way) })
 	limits := &atomic.Pointer[config.Limits]{}
 	limits.Store(&config.Limits{})
-	h.OnPicture(func(p *config.Picture) { limits.Store(&p.Charter.Limits) })
+	h.OnSnapshot(func(p *config.Snapshot) { limits.Store(&p.Charter.Limits) })
 	p := proxy.New(h.Desk, headers(), proxySettings(s), func() config.Limits { return *limits.Load() }, h.Front)
 	retired := &atomic.Bool{}
 	if lis := listeners["front"]; lis != nil {
@@ -117,7 +117,7 @@
 	}
 	if lis := listeners["control"]; lis != nil {
 		routes := bunrouter.New()
-		platform.Routes(routes, daemon.Documents{H: h})
+		platform.Routes(routes, daemon.Documents{Daemon: h})
 		ops := &httpapi.Ops{C: h, Desk: h.Desk, Clock: daemon.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
 		ops.Watch(routes)
 		serveOps(t, lis, routes)
@@ -172,7 +172,7 @@
 )
 
 // awaitReady leaves the first connections after a start in the listener's queue until they can be served, or refused for good.
-func awaitReady(t *tomb.Tomb, h *daemon.Hearth) {
+func awaitReady(t *tomb.Tomb, h *daemon.Daemon) {
 	end := time.After(readyWithin)
 	tick := time.NewTicker(readyPoll)
 	defer tick.Stop()
@@ -187,7 +187,7 @@
 	}
 }
 
-func readiness(h *daemon.Hearth, retired *atomic.Bool) (why string) {
+func readiness(h *daemon.Daemon, retired *atomic.Bool) (why string) {
 	if retired.Load() {
 		return "draining"
 	}
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -16,7 +16,7 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-func superviseNode(t *tomb.Tomb, h *daemon.Hearth, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
+func superviseNode(t *tomb.Tomb, h *daemon.Daemon, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
 	for {
@@ -41,19 +41,19 @@
 }
 
 // reload takes the seeds of a settings file that changed; what it was started with stays as it is.
-func reload(h *daemon.Hearth, file string, old platform.Settings, lg *log.Logger) (s platform.Settings) {
+func reload(h *daemon.Daemon, file string, old platform.Settings, lg *log.Logger) (s platform.Settings) {
 	s, err := platform.ReadSettings(file)
 	if err != nil {
 		lg.Warn().Err(err).Msg("settings are flawed, the old ones stay")
 		return old
 	}
-	h.Call(control.Seeds{Addrs: s.InternalSeeds()})
+	h.Call(control.SetSeeds{Addrs: s.InternalSeeds()})
 	lg.Info().Msg("settings read anew")
 	return s
 }
 
 // drainNode lets user agents go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
-func drainNode(h *daemon.Hearth, p *proxy.Proxy, grace time.Duration) {
+func drainNode(h *daemon.Daemon, p *proxy.Proxy, grace time.Duration) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	end, leave := time.After(grace-grace/10), time.After(grace*3/5)
@@ -64,7 +64,7 @@
 			return
 		case <-leave:
 			left = true
-			h.Call(control.Depart{})
+			h.Call(control.Leave{})
 		case <-tick.C:
 			if left && p.Running() == 0 {
 				return
--- a/cmd/mallowbridge/tools.go
+++ b/cmd/mallowbridge/tools.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return mallowbridge.Order{Picture: &config.Picture{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
+		return mallowbridge.Order{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
 	case "arrive":
 		return read[mallowbridge.Arrive](l.Data)
 	case "listing":
--- a/config/charter.go
+++ b/config/config.go
@@ -49,7 +49,7 @@
 }
 
 // Split sends a part of a route's requests to an offer.
-type Split struct {
+type WeightedOffer struct {
 	Offer  string
 	Weight float64
 }
@@ -57,7 +57,7 @@
 // A Route takes requests by host and longest path prefix to offers.
 type Route struct {
 	Name, Host, Prefix string
-	Split              []Split
+	Split              []WeightedOffer
 	// Streaming answers are series of events; Resumable ones may be taken up at another replica after the last event id.
 	Streaming, Repeatable, Resumable bool
 	// Timeout bounds a request as a whole, FirstToken is the aim for its answer or first event, Gap for each later one (0: none).
@@ -74,7 +74,7 @@
 	Header, Idle           time.Duration
 }
 
-type Charter struct {
+type Config struct {
 	Offers       []Offer
 	Routes       []Route
 	Limits       Limits
@@ -84,15 +84,15 @@
 }
 
 // A Reader reads and checks an operators' document; Read is the product's own.
-type Reader func(raw []byte) (c Charter, err error)
+type Reader func(raw []byte) (c Config, err error)
 
-type Picture struct {
+type Snapshot struct {
 	Mark    uint64
-	Charter Charter
+	Charter Config
 	Emptied []string
 }
 
-func (p *Picture) Empty(domain string) (yes bool) {
+func (p *Snapshot) Evacuated(domain string) (yes bool) {
 	for _, d := range p.Emptied {
 		if d == domain {
 			return true
@@ -103,11 +103,11 @@
 
 const name = 64
 
-func ms(d *Desk, key string, def, min, max int) (t time.Duration) {
+func ms(d *Decoder, key string, def, min, max int) (t time.Duration) {
 	return time.Duration(d.Int(key, def, min, max)) * time.Millisecond
 }
 
-func Read(raw []byte) (c Charter, err error) {
+func Read(raw []byte) (c Config, err error) {
 	if len(raw) > MaxBytes {
 		return c, flawed("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxBytes))
 	}
@@ -120,14 +120,14 @@
 	for _, o := range d.List("offers", 1, 256) {
 		c.Offers = append(c.Offers, readOffer(o, offers, reps))
 	}
-	d.Shut()
+	d.Close()
 	if err = d.Err(); err != nil {
-		return Charter{}, err
+		return Config{}, err
 	}
 	return c, nil
 }
 
-func readOffer(d *Desk, offers, reps map[string]bool) (o Offer) {
+func readOffer(d *Decoder, offers, reps map[string]bool) (o Offer) {
 	o.Name = unique(d, "name", offers)
 	o.Model = d.Str("model", true, name)
 	for _, r := range d.List("replicas", 1, 4096) {
@@ -140,23 +140,23 @@
 	cold := d.Sub("cold")
 	o.ColdRoom = cold.Int("startRoom", 1, 1, 1024)
 	o.ColdRamp = ms(cold, "rampMs", 6000, 0, 600000)
-	cold.Shut()
+	cold.Close()
 	second := d.Sub("secondGo")
 	o.SecondShare = second.Num("share", 0.2, 0, 0.2)
 	o.SecondPlus = second.Int("allowance", 24, 0, 48)
-	second.Shut()
+	second.Close()
 	est := d.Sub("estimate")
 	o.Base = ms(est, "baseMs", 60, 0, 60000)
 	o.PerToken = time.Duration(est.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
-	est.Shut()
+	est.Close()
 	o.StaleCap = ms(d, "staleCapMs", 2000, 100, 2000)
 	o.KeepTokens = d.Int("keepTokens", 65536, 0, 1<<30)
 	o.CrossCost = d.Num("crossCost", 0.2, 0, 100)
-	d.Shut()
+	d.Close()
 	return o
 }
 
-func unique(d *Desk, key string, seen map[string]bool) (s string) {
+func unique(d *Decoder, key string, seen map[string]bool) (s string) {
 	s = d.Str(key, true, name)
 	if s != "" && seen[s] {
 		d.Flaw(d.At(key), s, "named once")
@@ -165,7 +165,7 @@
 	return s
 }
 
-func readReplica(d *Desk, seen map[string]bool) (r Replica) {
+func readReplica(d *Decoder, seen map[string]bool) (r Replica) {
 	r.Name = unique(d, "name", seen)
 	r.Addr = d.Str("addr", true, name)
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
@@ -181,16 +181,16 @@
 	default:
 		d.Flaw(d.At("role"), r.Role, "both, prefill or decode")
 	}
-	d.Shut()
+	d.Close()
 	return r
 }
 
-func readKind(d *Desk, seen map[string]bool) (k Kind) {
+func readKind(d *Decoder, seen map[string]bool) (k Kind) {
 	k.Name = unique(d, "name", seen)
 	k.Value = d.Num("value", 1, 0.001, 1e6)
 	k.Urgency = d.Num("urgency", 1, 0.001, 1e3)
 	k.FirstToken = ms(d, "firstTokenMs", 2000, 10, 600000)
 	k.Repeatable = d.Bool("repeatable", false)
-	d.Shut()
+	d.Close()
 	return k
 }
--- a/config/charter_test.go
+++ b/config/config_test.go
@@ -33,7 +33,7 @@
 		{`}]}]}`, `}]}]} x`, "$"},
 	} {
 		_, err := Read([]byte(strings.Replace(sound, c.from, c.to, 1)))
-		var bad *BadError
+		var bad *InvalidError
 		if !errors.As(err, &bad) {
 			t.Errorf("%s: taken", c.to)
 			continue
@@ -58,7 +58,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Read(raw)
 		if err != nil {
-			var bad *BadError
+			var bad *InvalidError
 			if !errors.As(err, &bad) || len(bad.Flaws) == 0 {
 				t.Fatalf("an error without flaws: %v", err)
 			}
--- a/config/desk.go
+++ b/config/decoder.go
@@ -7,28 +7,28 @@
 	"github.com/gravitational/trace"
 )
 
-type Desk struct {
+type Decoder struct {
 	path  string
 	t     tree
 	used  map[string]bool
 	flaws *[]Flaw
 }
 
-func Open(raw []byte) (d *Desk, err error) {
+func Open(raw []byte) (d *Decoder, err error) {
 	t, err := parse(raw)
 	if err != nil {
 		return nil, err
 	}
-	return &Desk{path: "$", t: t, used: map[string]bool{}, flaws: &[]Flaw{}}, nil
+	return &Decoder{path: "$", t: t, used: map[string]bool{}, flaws: &[]Flaw{}}, nil
 }
 
-func (d *Desk) Flaw(path, val, bound string) {
+func (d *Decoder) Flaw(path, val, bound string) {
 	*d.flaws = append(*d.flaws, Flaw{Path: path, Value: val, Bound: bound})
 }
 
-func (d *Desk) At(key string) (path string) { return d.path + "." + key }
+func (d *Decoder) At(key string) (path string) { return d.path + "." + key }
 
-func (d *Desk) find(key string) (t tree, ok bool) {
+func (d *Decoder) find(key string) (t tree, ok bool) {
 	d.used[key] = true
 	for i, k := range d.t.keys {
 		if k == key {
@@ -38,7 +38,7 @@
 	return tree{}, false
 }
 
-func (d *Desk) Str(key string, need bool, max int) (s string) {
+func (d *Decoder) Str(key string, need bool, max int) (s string) {
 	t, ok := d.find(key)
 	if !ok && !need {
 		return ""
@@ -50,7 +50,7 @@
 	return t.str
 }
 
-func (d *Desk) Num(key string, def, min, max float64) (n float64) {
+func (d *Decoder) Num(key string, def, min, max float64) (n float64) {
 	t, ok := d.find(key)
 	if !ok {
 		return def
@@ -63,7 +63,7 @@
 	return n
 }
 
-func (d *Desk) Int(key string, def, min, max int) (n int) {
+func (d *Decoder) Int(key string, def, min, max int) (n int) {
 	f := d.Num(key, float64(def), float64(min), float64(max))
 	if f != float64(int(f)) {
 		d.Flaw(d.At(key), fmt.Sprint(f), "a whole number")
@@ -72,7 +72,7 @@
 	return int(f)
 }
 
-func (d *Desk) Bool(key string, def bool) (b bool) {
+func (d *Decoder) Bool(key string, def bool) (b bool) {
 	t, ok := d.find(key)
 	if !ok {
 		return def
@@ -83,34 +83,34 @@
 	return t.str == "true"
 }
 
-func (d *Desk) Sub(key string) (s *Desk) {
+func (d *Decoder) Sub(key string) (s *Decoder) {
 	t, ok := d.find(key)
 	if ok && t.kind != 'o' {
 		d.Flaw(d.At(key), t.show(), "an object")
 	}
-	return &Desk{path: d.At(key), t: t, used: map[string]bool{}, flaws: d.flaws}
+	return &Decoder{path: d.At(key), t: t, used: map[string]bool{}, flaws: d.flaws}
 }
 
-func (d *Desk) List(key string, min, max int) (subs []*Desk) {
+func (d *Decoder) List(key string, min, max int) (subs []*Decoder) {
 	t, _ := d.find(key)
 	if len(t.kids) < min || len(t.kids) > max || (t.kind != 'a' && t.kind != 0) {
 		d.Flaw(d.At(key), t.show(), fmt.Sprintf("a list of %d to %d", min, max))
 		return nil
 	}
 	for i, kid := range t.kids {
-		subs = append(subs, &Desk{path: fmt.Sprintf("%s[%d]", d.At(key), i), t: kid, used: map[string]bool{}, flaws: d.flaws})
+		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.At(key), i), t: kid, used: map[string]bool{}, flaws: d.flaws})
 	}
 	return subs
 }
 
-func (d *Desk) Text(max int) (s string) {
+func (d *Decoder) Text(max int) (s string) {
 	if d.t.kind != 's' || d.t.str == "" || len(d.t.str) > max {
 		d.Flaw(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
 	}
 	return d.t.str
 }
 
-func (d *Desk) Shut() {
+func (d *Decoder) Close() {
 	if d.t.kind != 'o' && d.t.kind != 0 {
 		d.Flaw(d.path, d.t.show(), "an object")
 	}
@@ -121,9 +121,9 @@
 	}
 }
 
-func (d *Desk) Err() (err error) {
+func (d *Decoder) Err() (err error) {
 	if len(*d.flaws) == 0 {
 		return nil
 	}
-	return trace.Wrap(&BadError{Flaws: *d.flaws})
+	return trace.Wrap(&InvalidError{Flaws: *d.flaws})
 }
--- a/config/read.go
+++ b/config/read.go
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Bound)
 }
 
-type BadError struct {
+type InvalidError struct {
 	Flaws []Flaw
 }
 
-func (e *BadError) Error() (text string) {
+func (e *InvalidError) Error() (text string) {
 	lines := make([]string, len(e.Flaws))
 	for i, f := range e.Flaws {
 		lines[i] = f.String()
@@ -34,7 +34,7 @@
 }
 
 func flawed(path, val, bound string) (err error) {
-	return trace.Wrap(&BadError{Flaws: []Flaw{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&InvalidError{Flaws: []Flaw{{Path: path, Value: val, Bound: bound}}})
 }
 
 type tree struct {
--- a/control/command.go
+++ b/control/command.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	within = 4 * time.Second
+	proposeTimeout = 4 * time.Second
 	// soon is how long an edit is tried before its caller is better served by another node.
-	soon = 1500 * time.Millisecond
+	editTimeout = 1500 * time.Millisecond
 )
 
 func (n *Node) command(now time.Duration, c Command) {
 	switch op := c.Op.(type) {
 	case Put:
-		if _, err := n.cfg.Read(op.Body); err != nil {
+		if _, err := n.config.Read(op.Body); err != nil {
 			n.answer(c.ID, err)
 			return
 		}
-		n.ask(now, within, put(op), false, n.replyTo(c.ID, op.ID))
+		n.propose(now, proposeTimeout, putChange(op), false, n.replyTo(c.ID, op.ID))
 	case Edit:
-		n.ask(now, soon, edit(op), false, n.replyTo(c.ID, op.ID))
+		n.propose(now, editTimeout, editChange(op), false, n.replyTo(c.ID, op.ID))
 	case Get:
-		n.ask(now, within, nil, false, n.replyTo(c.ID, ""))
-	case Empty:
-		n.ask(now, within, empty(op), false, n.replyTo(c.ID, op.ID))
-	case Found:
-		n.found(now, c.ID, op)
-	case Swap:
-		n.swap(now, c.ID, op)
-	case Listed:
+		n.propose(now, proposeTimeout, nil, false, n.replyTo(c.ID, ""))
+	case Evacuate:
+		n.propose(now, proposeTimeout, evacuateChange(op), false, n.replyTo(c.ID, op.ID))
+	case Bootstrap:
+		n.bootstrap(now, c.ID, op)
+	case ReplaceVoters:
+		n.replaceVoters(now, c.ID, op)
+	case SetListings:
 		n.listed(now, op)
 		n.answer(c.ID, nil)
 	case Witness:
 		n.witness.ask(now, n, c.ID, op)
-	case Libs:
-		n.Kin.Update(now, func(m *membership.Member) { m.Libs = op.N })
+	case SetFollowers:
+		n.Members.Update(now, func(m *membership.Member) { m.Libs = op.N })
 		n.answer(c.ID, nil)
-	case Seeds:
-		n.cfg.Seeds = op.Addrs
+	case SetSeeds:
+		n.config.Seeds = op.Addrs
 		n.answer(c.ID, nil)
-	case Depart:
-		n.depart(now)
+	case Leave:
+		n.leave(now)
 		n.answer(c.ID, nil)
 	}
 }
@@ -55,7 +55,7 @@
 	n.out.Answers = append(n.out.Answers, Answer{ID: id, Err: err})
 }
 
-func put(op Put) (change register.Change) {
+func putChange(op Put) (change register.Change) {
 	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
@@ -70,7 +70,7 @@
 	}
 }
 
-func edit(op Edit) (change register.Change) {
+func editChange(op Edit) (change register.Change) {
 	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
@@ -86,7 +86,7 @@
 	}
 }
 
-func empty(op Empty) (change register.Change) {
+func evacuateChange(op Evacuate) (change register.Change) {
 	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
@@ -106,9 +106,9 @@
 	}
 }
 
-func (n *Node) seats(names []string) (vs []register.Voter, err error) {
+func (n *Node) votersNamed(names []string) (vs []register.Voter, err error) {
 	for _, name := range names {
-		m, ok := n.Kin.Table.Get(name)
+		m, ok := n.Members.Table.Get(name)
 		switch {
 		case !ok:
 			return nil, &NameError{Name: name, Why: "no such node is known"}
@@ -127,41 +127,41 @@
 	return vs, nil
 }
 
-func (n *Node) found(now time.Duration, id uint64, op Found) {
-	vs, err := n.seats(op.Names)
-	if err == nil && n.known() != nil {
-		err = &register.ConflictError{Mark: n.known().Mark}
+func (n *Node) bootstrap(now time.Duration, id uint64, op Bootstrap) {
+	vs, err := n.votersNamed(op.Names)
+	if err == nil && n.knownValue() != nil {
+		err = &register.ConflictError{Mark: n.knownValue().Mark}
 	}
 	if err != nil {
 		n.answer(id, err)
 		return
 	}
-	fleet := fmt.Sprintf("%s.%s.%s", n.cfg.Name, n.cfg.Boot, strconv.FormatUint(n.cfg.Seed, 36))
+	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
 	n.opSeq++
-	n.waiting[n.opSeq] = n.replyTo(id, "")
-	n.prop.Found(now, now+within, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
+	n.pendingOps[n.opSeq] = n.replyTo(id, "")
+	n.proposer.Bootstrap(now, now+proposeTimeout, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
 }
 
-func (n *Node) swap(now time.Duration, id uint64, op Swap) {
-	vs, err := n.seats(op.Names)
+func (n *Node) replaceVoters(now time.Duration, id uint64, op ReplaceVoters) {
+	vs, err := n.votersNamed(op.Names)
 	if err != nil {
 		n.answer(id, err)
 		return
 	}
-	n.reseat(now, op.ID, vs, n.replyTo(id, ""))
+	n.changeVoters(now, op.ID, vs, n.replyTo(id, ""))
 }
 
-func (n *Node) reseat(now time.Duration, id string, vs []register.Voter, done ending) {
-	n.ask(now, within, begin(id, vs), false, func(now time.Duration, r register.Result) {
+func (n *Node) changeVoters(now time.Duration, id string, vs []register.Voter, done completion) {
+	n.propose(now, proposeTimeout, beginVoterChange(id, vs), false, func(now time.Duration, r register.Result) {
 		if r.Err != nil {
 			done(now, r)
 			return
 		}
-		n.ask(now, within, settleVoters, false, done)
+		n.propose(now, proposeTimeout, finishVoterChange, false, done)
 	})
 }
 
-func begin(id string, vs []register.Voter) (change register.Change) {
+func beginVoterChange(id string, vs []register.Voter) (change register.Change) {
 	return func(cur *register.Value) (next *register.Value, err error) {
 		if _, done := cur.Done(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.Next, vs) {
 			return nil, nil
@@ -176,7 +176,7 @@
 	}
 }
 
-func settleVoters(cur *register.Value) (next *register.Value, err error) {
+func finishVoterChange(cur *register.Value) (next *register.Value, err error) {
 	if len(cur.Next) == 0 {
 		return nil, nil
 	}
@@ -185,20 +185,20 @@
 	return cur, nil
 }
 
-func (n *Node) depart(now time.Duration) {
-	if n.left {
+func (n *Node) leave(now time.Duration) {
+	if n.leaving {
 		return
 	}
-	n.left = true
+	n.leaving = true
 	if n.value != nil {
-		for _, d := range n.hold.Held() {
-			n.toDisks(n.hold.Drop(d, n.value))
+		for _, d := range n.leases.Held() {
+			n.toDisks(n.leases.Release(d, n.value))
 		}
 	}
-	n.Kin.Update(now, func(m *membership.Member) { m.State = membership.Left })
-	n.spread(now)
+	n.Members.Update(now, func(m *membership.Member) { m.State = membership.Left })
+	n.publishMembers(now)
 	for _, p := range n.peers() {
-		n.send(p.Addr, n.Rumor.News([]string{"m/" + n.cfg.Name}))
+		n.send(p.Addr, n.Gossip.Update([]string{"m/" + n.config.Name}))
 	}
 	n.feed(now)
 }
--- a/control/failures.go
+++ b/control/failures.go
@@ -8,7 +8,7 @@
 // Failures is one router's news of replicas that failed its requests.
 type Failures struct{ mallowbridge.Failures }
 
-func (f Failures) Fleeting() (yes bool)  { return true }
+func (f Failures) Ephemeral() (yes bool) { return true }
 func (f Failures) Since() (build uint32) { return 2 }
 
 // Failed has the other nodes told of failures that this node's router met.
@@ -18,10 +18,12 @@
 
 func (n *Node) failed(f Failed) {
 	n.failures++
-	n.Rumor.Put(gossip.Item{Key: "f/" + n.cfg.Name, Mark: n.mark(n.failures), Data: Failures(f)})
+	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Mark: n.mark(n.failures), Data: Failures(f)})
 }
 
 // mark orders the news that only this node gives, over its lives.
-func (n *Node) mark(seq uint64) (m gossip.Mark) { return gossip.Mark{Hi: n.Kin.Self.Inc, Lo: seq} }
+func (n *Node) mark(seq uint64) (m gossip.Version) {
+	return gossip.Version{Hi: n.Members.Self.Inc, Lo: seq}
+}
 
 func (n *Node) onFailures(f Failures) { n.event(f.Failures) }
--- a/control/join.go
+++ b/control/join.go
@@ -29,48 +29,48 @@
 		n.asked = now
 		n.greet()
 	}
-	if n.known() != nil && !n.reading {
+	if n.knownValue() != nil && !n.reading {
 		n.read(now, readWithin, false)
 	}
 	if now-n.since < neighbours {
 		return
 	}
 	others := 0
-	for _, m := range n.Kin.Table.All() {
-		if m.Name != n.cfg.Name && m.Live() {
+	for _, m := range n.Members.Table.All() {
+		if m.Name != n.config.Name && m.Live() {
 			others++
 		}
 	}
-	if len(n.met) > 0 && len(n.met) >= min(2, others) {
-		n.caughtUp(now, "neighbours were read")
+	if len(n.neighboursRead) > 0 && len(n.neighboursRead) >= min(2, others) {
+		n.finishJoin(now, "neighbours were read")
 		return
 	}
-	if len(n.cfg.Seeds) == 0 && others == 0 && n.known() == nil {
-		n.caughtUp(now, "first of its fleet")
+	if len(n.config.Seeds) == 0 && others == 0 && n.knownValue() == nil {
+		n.finishJoin(now, "first of its fleet")
 	}
 }
 
-func (n *Node) known() (v *register.Value) {
+func (n *Node) knownValue() (v *register.Value) {
 	if n.value != nil {
 		return n.value
 	}
-	if n.voter != nil {
-		return n.voter.Value
+	if n.acceptor != nil {
+		return n.acceptor.Value
 	}
 	return nil
 }
 
 func (n *Node) greet() {
-	sent := map[string]bool{n.cfg.Addr: true}
-	marks := n.Rumor.Marks(true)
-	for _, s := range n.cfg.Seeds {
+	sent := map[string]bool{n.config.Addr: true}
+	marks := n.Gossip.Digest(true)
+	for _, s := range n.config.Seeds {
 		if !sent[s] {
 			sent[s] = true
 			n.send(s, marks)
 		}
 	}
-	for _, m := range n.Kin.Table.All() {
-		if len(sent) > len(n.cfg.Seeds)+3 {
+	for _, m := range n.Members.Table.All() {
+		if len(sent) > len(n.config.Seeds)+3 {
 			return
 		}
 		if !sent[m.Addr] {
@@ -80,41 +80,41 @@
 	}
 }
 
-func (n *Node) caughtUp(now time.Duration, how string) {
+func (n *Node) finishJoin(now time.Duration, how string) {
 	if n.joined {
 		return
 	}
 	n.joined = true
 	n.change("caught up", how)
-	n.obey(now)
+	n.applySnapshot(now)
 }
 
 func (n *Node) feed(now time.Duration) {
-	n.fedAt = now
+	n.feedAt = now
 	n.tell(now)
 }
 
 // tell says at once when serving becomes possible or impossible.
 func (n *Node) tell(now time.Duration) {
-	why := n.hindrance(now)
-	if why != n.why {
-		n.why = why
+	why := n.notServingReason(now)
+	if why != n.notServing {
+		n.notServing = why
 		n.change("serving", map[bool]string{true: "yes", false: why}[why == ""])
 	}
 	n.event(mallowbridge.Feed{Why: why})
 }
 
-func (n *Node) hindrance(now time.Duration) (why string) {
+func (n *Node) notServingReason(now time.Duration) (why string) {
 	switch {
-	case n.left:
+	case n.leaving:
 		return "draining"
-	case n.cfg.ServesCutOff && n.obeyed > 0:
+	case n.config.ServesCutOff && n.applied > 0:
 		return ""
-	case n.Kin.Alone(now):
+	case n.Members.Isolated(now):
 		return "heard by nobody"
 	case !n.joined:
 		return "catching up"
-	case n.pic == nil:
+	case n.snapshot == nil:
 		return "no configuration yet"
 	case n.settled == 0 || now < n.settled:
 		return "settling in"
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -25,11 +25,11 @@
 // newLone is a core with an old picture on its disk and two neighbours that answer its pings; no voter answers.
 func newLone() (l *lone) {
 	l = &lone{n: New(0, Config{
-		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &Kept{Pact: register.State{Disk: "d1", Value: value(1)}},
-		Kin: membership.Defaults(), Rumor: gossip.Defaults(),
+		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Pact: register.State{Disk: "d1", Value: value(1)}},
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})}
 	for _, name := range []string{"n2", "n4"} {
-		l.n.Kin.Hear(0, membership.Member{Name: name, Addr: "a" + name[1:], Domain: "a", Inc: 1})
+		l.n.Members.Merge(0, membership.Member{Name: name, Addr: "a" + name[1:], Domain: "a", Inc: 1})
 	}
 	return l
 }
@@ -45,14 +45,14 @@
 }
 
 func (l *lone) tell(from string, mark uint64) {
-	l.step(Recv{From: from, Msg: gossip.News{Items: []gossip.Item{{Key: "c", Mark: gossip.Mark{Hi: mark, Lo: 1}, Data: value(mark)}}}})
+	l.step(Received{From: from, Msg: gossip.Update{Items: []gossip.Item{{Key: "c", Mark: gossip.Version{Hi: mark, Lo: 1}, Data: value(mark)}}}})
 }
 
 func (l *lone) run(until time.Duration) {
 	for ; l.now < until; l.now += 50 * time.Millisecond {
 		for _, s := range l.step(Tick{}).Sends {
 			if p, ok := s.Msg.(membership.Ping); ok {
-				l.step(Recv{From: s.To, Msg: membership.Ack{Seq: p.Seq}})
+				l.step(Received{From: s.To, Msg: membership.Ack{Seq: p.Seq}})
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 	l := newLone()
 	l.tell("a2", 1)
 	l.run(20 * time.Second)
-	if why := l.n.hindrance(l.now); len(l.orders) > 0 || why != "catching up" {
+	if why := l.n.notServingReason(l.now); len(l.orders) > 0 || why != "catching up" {
 		t.Fatalf("orders %v, hindrance %q after one neighbour was read", l.orders, why)
 	}
 	l.tell("a4", 2)
@@ -78,7 +78,7 @@
 	l.tell("a2", 1)
 	l.tell("a4", 1)
 	l.run(10 * time.Second)
-	if why := l.n.hindrance(l.now); why != "" {
+	if why := l.n.notServingReason(l.now); why != "" {
 		t.Fatal(why)
 	}
 	var last membership.Ping
@@ -91,9 +91,9 @@
 		l.now += 50 * time.Millisecond
 	}
 	l.now += 6 * time.Second
-	l.step(Recv{From: "a2", Msg: membership.Ack{Seq: last.Seq}})
+	l.step(Received{From: "a2", Msg: membership.Ack{Seq: last.Seq}})
 	l.step(Tick{})
-	if why := l.n.hindrance(l.now); why != "catching up" {
+	if why := l.n.notServingReason(l.now); why != "catching up" {
 		t.Errorf("after 6 s without a tick: %q", why)
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	l.now += 6 * time.Second
 	for _, seq := range []uint64{0, last.Seq} {
-		for _, ev := range l.step(Recv{From: "a2", Msg: membership.Ack{Seq: seq}}).Events {
+		for _, ev := range l.step(Received{From: "a2", Msg: membership.Ack{Seq: seq}}).Events {
 			if f, ok := ev.(mallowbridge.Feed); ok && f.Why == "" {
 				t.Fatal("serves by what it knew before it was frozen")
 			}
--- a/control/keeper.go
+++ b/control/journal.go
@@ -14,7 +14,7 @@
 
 const logBytes = 1 << 20
 
-type Kept struct {
+type DiskState struct {
 	Pact   register.State
 	Grants map[string]lease.Record
 }
@@ -25,9 +25,9 @@
 	Granted  *Granted
 }
 
-type Keeper struct {
-	v    *storage.Vault
-	kept Kept
+type Journal struct {
+	store *storage.Store
+	state DiskState
 }
 
 func encode(v any) (raw []byte, err error) {
@@ -45,17 +45,17 @@
 	return nil
 }
 
-func OpenKeeper(disk storage.Disk, freshID string) (k *Keeper, err error) {
+func OpenJournal(disk storage.Disk, freshID string) (k *Journal, err error) {
 	v, slot, entries, err := storage.Open(disk, logBytes)
 	if err != nil {
 		return nil, err
 	}
-	k = &Keeper{v: v}
+	k = &Journal{store: v}
 	if v.Empty() {
-		k.kept = Kept{Pact: register.State{Disk: freshID}}
-		return k, k.turn()
+		k.state = DiskState{Pact: register.State{Disk: freshID}}
+		return k, k.rotate()
 	}
-	if err = decode("slot", slot, &k.kept); err != nil {
+	if err = decode("slot", slot, &k.state); err != nil {
 		return nil, err
 	}
 	for _, raw := range entries {
@@ -68,46 +68,46 @@
 	return k, nil
 }
 
-func (k *Keeper) Kept() (kept Kept) {
-	kept = k.kept
-	kept.Grants = maps.Clone(k.kept.Grants)
+func (k *Journal) State() (kept DiskState) {
+	kept = k.state
+	kept.Grants = maps.Clone(k.state.Grants)
 	return kept
 }
 
-func (k *Keeper) Repair() (what string) { return k.v.Repair }
+func (k *Journal) Repair() (what string) { return k.store.Repair }
 
-func (k *Keeper) turn() (err error) {
-	raw, err := encode(k.kept)
+func (k *Journal) rotate() (err error) {
+	raw, err := encode(k.state)
 	if err != nil {
 		return err
 	}
-	return k.v.Turn(raw)
+	return k.store.Rotate(raw)
 }
 
 // Mend writes the whole state anew after a failure.
-func (k *Keeper) Mend() (err error) {
-	raw, err := encode(k.kept)
+func (k *Journal) Recover() (err error) {
+	raw, err := encode(k.state)
 	if err != nil {
 		return err
 	}
-	return k.v.Mend(raw)
+	return k.store.Recover(raw)
 }
 
-func (k *Keeper) apply(e entry) {
+func (k *Journal) apply(e entry) {
 	switch {
 	case e.Promised != nil:
-		k.kept.Pact.Promised = e.Promised.Ballot
+		k.state.Pact.Promised = e.Promised.Ballot
 	case e.Accepted != nil:
-		k.kept.Pact.Promised, k.kept.Pact.Accepted, k.kept.Pact.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
+		k.state.Pact.Promised, k.state.Pact.Accepted, k.state.Pact.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
 	case e.Granted != nil:
-		if k.kept.Grants == nil {
-			k.kept.Grants = map[string]lease.Record{}
+		if k.state.Grants == nil {
+			k.state.Grants = map[string]lease.Record{}
 		}
-		k.kept.Grants[e.Granted.Duty] = e.Granted.Record
+		k.state.Grants[e.Granted.Duty] = e.Granted.Record
 	}
 }
 
-func wrap(w Write) (e entry) {
+func wrap(w LogWrite) (e entry) {
 	switch x := w.Entry.(type) {
 	case Promised:
 		e.Promised = &x
@@ -119,7 +119,7 @@
 	return e
 }
 
-func (k *Keeper) Save(ws []Write) (err error) {
+func (k *Journal) Append(ws []LogWrite) (err error) {
 	var raws [][]byte
 	for _, w := range ws {
 		e := wrap(w)
@@ -130,8 +130,8 @@
 		}
 		raws = append(raws, raw)
 	}
-	if err = k.v.Add(raws); err != nil || !k.v.Full() {
+	if err = k.store.Append(raws); err != nil || !k.store.Full() {
 		return err
 	}
-	return k.turn()
+	return k.rotate()
 }
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -61,12 +61,12 @@
 	l.ids++
 	cfg := Config{
 		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % 3), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
-		Kin: membership.Defaults(), Rumor: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
 	}
 	if id := l.disks[name]; id != "" {
-		cfg.Disk = &Kept{}
-		if old := l.nodes[name]; old != nil && old.voter.Disk == id {
-			cfg.Disk.Pact, cfg.Disk.Grants = old.voter.State, old.grants.Kept()
+		cfg.Disk = &DiskState{}
+		if old := l.nodes[name]; old != nil && old.acceptor.Disk == id {
+			cfg.Disk.Pact, cfg.Disk.Grants = old.acceptor.State, old.grantor.Records()
 		}
 		cfg.Disk.Pact.Disk = id
 	}
@@ -74,20 +74,20 @@
 	delete(l.down, name)
 }
 
-func anyDocument(raw []byte) (c config.Charter, err error) {
-	return config.Charter{Offers: []config.Offer{{Name: "o", Discovered: true}}}, nil
+func anyDocument(raw []byte) (c config.Config, err error) {
+	return config.Config{Offers: []config.Offer{{Name: "o", Discovered: true}}}, nil
 }
 
 func (l *lab) step(name string, in In) {
 	out := l.nodes[name].Step(l.now, in)
 	for _, s := range out.Sends {
-		if _, ok := s.Msg.(gossip.Marks); ok {
+		if _, ok := s.Msg.(gossip.Digest); ok {
 			l.marks++
 		}
 		l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: name, to: s.To, msg: s.Msg})
 	}
 	if n := len(out.Writes); n > 0 {
-		l.mail = append(l.mail, parcel{at: l.now + 3*time.Millisecond, to: name, msg: Saved{Ticket: out.Writes[n-1].Ticket}})
+		l.mail = append(l.mail, parcel{at: l.now + 3*time.Millisecond, to: name, msg: Persisted{Ticket: out.Writes[n-1].Ticket}})
 	}
 	if out.List {
 		l.lists[name]++
@@ -127,7 +127,7 @@
 					l.step(p.to, in)
 					continue
 				}
-				l.step(p.to, Recv{From: p.from, Msg: p.msg})
+				l.step(p.to, Received{From: p.from, Msg: p.msg})
 			}
 		}
 		if l.now%(50*time.Millisecond) == 0 {
--- a/control/list.go
+++ b/control/list.go
@@ -32,9 +32,9 @@
 func (r Roster) Since() (build uint32) { return 2 }
 
 // Reading tells that the list was read and that the roster of that version is what it says.
-type Reading struct{ Version gossip.Mark }
+type Reading struct{ Version gossip.Version }
 
-func (r Reading) Fleeting() (yes bool)  { return true }
+func (r Reading) Ephemeral() (yes bool) { return true }
 func (r Reading) Since() (build uint32) { return 2 }
 
 // ListRead is what a reading of the platform's list brought.
@@ -49,28 +49,28 @@
 	heard  time.Duration
 	asked  time.Duration
 	asking bool
-	told   gossip.Mark
+	told   gossip.Version
 	fails  uint64
 	reads  uint64
 }
 
 // list has the platform's list read: by who holds the duty, and by each for itself who hears of no reading.
 func (n *Node) listWork(now time.Duration) {
-	if n.cfg.ListEvery == 0 || n.left {
+	if n.config.ListEvery == 0 || n.leaving {
 		return
 	}
-	l := &n.lists
-	if _, known := n.Rumor.Get(rosterKey); !known {
+	l := &n.replicaList
+	if _, known := n.Gossip.Get(rosterKey); !known {
 		n.firstList(now)
 		return
 	}
-	if l.asking || now-l.asked < n.cfg.ListEvery {
+	if l.asking || now-l.asked < n.config.ListEvery {
 		return
 	}
 	held := false
-	if n.value != nil && n.joined && !n.Kin.Alone(now) {
-		if _, held = n.hold.Holds(now, listDuty); held || n.first(listDuty, "") {
-			n.toDisks(n.hold.Want(now, listDuty, n.value))
+	if n.value != nil && n.joined && !n.Members.Isolated(now) {
+		if _, held = n.leases.Holds(now, listDuty); held || n.ranksFirst(listDuty, "") {
+			n.toDisks(n.leases.Acquire(now, listDuty, n.value))
 		}
 	}
 	if !held && now-l.heard < listPatience+time.Duration(n.rank(listDuty))*listStep {
@@ -82,8 +82,8 @@
 
 // firstList reads the list soon after a start: until somebody has, nothing can be served. Seeds begin, and most others hear of it.
 func (n *Node) firstList(now time.Duration) {
-	l := &n.lists
-	if !slices.Contains(n.cfg.Seeds, n.cfg.Addr) && now-n.born < firstListWait+time.Duration(scheduler.Rank(listDuty, n.cfg.Name)%firstListSpread)*time.Millisecond {
+	l := &n.replicaList
+	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+time.Duration(scheduler.Rank(listDuty, n.config.Name)%firstListSpread)*time.Millisecond {
 		return
 	}
 	if l.asking || now-l.asked < firstListAgain+time.Duration(n.rank(listDuty))*listStep {
@@ -98,26 +98,26 @@
 }
 
 func (n *Node) listRead(now time.Duration, r ListRead) {
-	l := &n.lists
+	l := &n.replicaList
 	l.asking = false
 	if r.Err != nil {
 		l.fails++
 		return
 	}
 	l.reads, l.heard = l.reads+1, now
-	version := gossip.Mark{Lo: n.cfg.Seed}
-	it, ok := n.Rumor.Get(rosterKey)
+	version := gossip.Version{Lo: n.config.Seed}
+	it, ok := n.Gossip.Get(rosterKey)
 	if ok {
 		version.Hi = it.Mark.Hi
 	}
 	if !ok || !sameRoster(it.Data.(Roster).Rows, r.Rows) {
 		version.Hi++
-		n.Rumor.Put(gossip.Item{Key: rosterKey, Mark: version, Data: Roster{Rows: r.Rows}})
+		n.Gossip.Put(gossip.Item{Key: rosterKey, Mark: version, Data: Roster{Rows: r.Rows}})
 		n.event(mallowbridge.Roster{Rows: r.Rows})
 	} else {
 		version = it.Mark
 	}
-	n.Rumor.Put(gossip.Item{Key: readKey + n.cfg.Name, Mark: n.mark(l.reads), Data: Reading{Version: version}})
+	n.Gossip.Put(gossip.Item{Key: readKey + n.config.Name, Mark: n.mark(l.reads), Data: Reading{Version: version}})
 }
 
 // sameRoster leaves out how long a replica stays cold, but not whether it is.
@@ -133,4 +133,4 @@
 
 func (n *Node) onRoster(r Roster) { n.event(mallowbridge.Roster{Rows: r.Rows}) }
 
-func (n *Node) onReading(now time.Duration, r Reading) { n.lists.heard = now }
+func (n *Node) onReading(now time.Duration, r Reading) { n.replicaList.heard = now }
--- a/control/msg.go
+++ b/control/msg.go
@@ -14,24 +14,24 @@
 func init() {
 	for name, v := range map[string]any{
 		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
-		"ta": lease.Ask{}, "tg": lease.Grant{}, "td": lease.Drop{},
+		"ta": lease.Request{}, "tg": lease.Grant{}, "td": lease.Release{},
 		"kp": membership.Ping{}, "ka": membership.Ack{}, "kf": membership.PingFor{}, "km": membership.Member{},
-		"rn": gossip.News{}, "rs": gossip.Sum{}, "rm": gossip.Marks{}, "rw": gossip.Want{}, "rt": gossip.Tell{},
-		"cu": Usages{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
+		"rn": gossip.Update{}, "rs": gossip.Checksum{}, "rm": gossip.Digest{}, "rw": gossip.Pull{}, "rt": gossip.Announcement{},
+		"cu": LoadReports{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
 		"ws": WitnessAsk{}, "wy": WitnessSay{}, "wf": WitnessForget{},
 	} {
 		gob.RegisterName(name, v)
 	}
 }
 
-type Usages struct {
+type LoadReports struct {
 	Domain string
 	By     string
 	Urgent bool
 	Rows   []mallowbridge.Usage
 }
 
-func (u Usages) Passing() (yes bool) { return !u.Urgent }
+func (u LoadReports) SentOnce() (yes bool) { return !u.Urgent }
 
 type Listing struct {
 	Replica string `json:"replica"`
@@ -55,14 +55,14 @@
 
 type In interface{ in() }
 
-type Recv struct {
+type Received struct {
 	From string
 	Msg  any
 }
 
 type Tick struct{}
 
-type Saved struct {
+type Persisted struct {
 	Ticket uint64
 	Err    error
 	// Mended tells that everything was written anew after a failure.
@@ -84,11 +84,11 @@
 	Op Op
 }
 
-func (Recv) in()    {}
-func (Tick) in()    {}
-func (Saved) in()   {}
-func (Probed) in()  {}
-func (Command) in() {}
+func (Received) in()  {}
+func (Tick) in()      {}
+func (Persisted) in() {}
+func (Probed) in()    {}
+func (Command) in()   {}
 
 type Op interface{ op() }
 
@@ -106,20 +106,20 @@
 
 type Get struct{}
 
-type Empty struct {
+type Evacuate struct {
 	ID      string
 	Domain  string
 	Restore bool
 }
 
-type Found struct{ Names []string }
+type Bootstrap struct{ Names []string }
 
-type Swap struct {
+type ReplaceVoters struct {
 	ID    string
 	Names []string
 }
 
-type Listed struct {
+type SetListings struct {
 	Rows []Listing
 	At   uint64
 }
@@ -131,30 +131,30 @@
 }
 
 // Seeds replaces the addresses that a node turns to when it knows nobody.
-type Seeds struct{ Addrs []string }
+type SetSeeds struct{ Addrs []string }
 
-type Libs struct{ N int }
+type SetFollowers struct{ N int }
 
-type Depart struct{}
+type Leave struct{}
 
-func (Put) op()     {}
-func (Edit) op()    {}
-func (Get) op()     {}
-func (Empty) op()   {}
-func (Found) op()   {}
-func (Swap) op()    {}
-func (Listed) op()  {}
-func (Witness) op() {}
-func (Libs) op()    {}
-func (Seeds) op()   {}
-func (Depart) op()  {}
+func (Put) op()           {}
+func (Edit) op()          {}
+func (Get) op()           {}
+func (Evacuate) op()      {}
+func (Bootstrap) op()     {}
+func (ReplaceVoters) op() {}
+func (SetListings) op()   {}
+func (Witness) op()       {}
+func (SetFollowers) op()  {}
+func (SetSeeds) op()      {}
+func (Leave) op()         {}
 
 type Send struct {
 	To  string
 	Msg any
 }
 
-type Write struct {
+type LogWrite struct {
 	Ticket uint64
 	Entry  any
 }
@@ -174,7 +174,7 @@
 
 type Out struct {
 	Sends   []Send
-	Writes  []Write
+	Writes  []LogWrite
 	Answers []Answer
 	Events  []mallowbridge.Event
 	Probes  []Probe
--- a/control/news.go
+++ b/control/news.go
@@ -13,34 +13,34 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-func (n *Node) onNews(now time.Duration, from string, m gossip.News) {
+func (n *Node) onUpdate(now time.Duration, from string, m gossip.Update) {
 	near := n.near(from)
 	for _, it := range m.Items {
-		if !n.Rumor.Hear(it, near) {
+		if !n.Gossip.Merge(it, near) {
 			continue
 		}
-		n.take(now, it)
+		n.applyItem(now, it)
 	}
-	n.met[from] = true
+	n.neighboursRead[from] = true
 }
 
 func (n *Node) near(addr string) (yes bool) {
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.Addr == addr {
-			return m.Domain == n.cfg.Domain
+			return m.Domain == n.config.Domain
 		}
 	}
 	return true
 }
 
-func (n *Node) take(now time.Duration, it gossip.Item) {
+func (n *Node) applyItem(now time.Duration, it gossip.Item) {
 	switch d := it.Data.(type) {
 	case membership.Member:
 		d.State = membership.State(it.Mark.Lo)
-		n.Kin.Hear(now, d)
+		n.Members.Merge(now, d)
 	case *register.Value:
-		n.learn(now, d)
-	case Usages:
+		n.learnValue(now, d)
+	case LoadReports:
 		n.onUsages(now, it.Mark, d)
 	case Listing:
 		n.onListing(now, it.Mark, d)
@@ -55,17 +55,17 @@
 
 func (n *Node) event(ev mallowbridge.Event) { n.out.Events = append(n.out.Events, ev) }
 
-func (n *Node) spread(now time.Duration) {
-	for _, m := range n.Kin.TakeNews() {
-		n.Rumor.Put(gossip.Item{Key: "m/" + m.Name, Mark: gossip.Mark{Hi: m.Inc, Lo: uint64(m.State)}, Data: m})
-		if m.Name != n.cfg.Name {
+func (n *Node) publishMembers(now time.Duration) {
+	for _, m := range n.Members.TakeChanges() {
+		n.Gossip.Put(gossip.Item{Key: "m/" + m.Name, Mark: gossip.Version{Hi: m.Inc, Lo: uint64(m.State)}, Data: m})
+		if m.Name != n.config.Name {
 			n.change("member "+m.State.String(), m.Name)
 		}
 	}
-	n.shares(now)
+	n.publishRouters(now)
 }
 
-func (n *Node) shares(now time.Duration) {
+func (n *Node) publishRouters(now time.Duration) {
 	if n.settled == 0 && n.joined {
 		n.settled = now + settle
 	}
@@ -75,8 +75,8 @@
 	}
 	d.shared, d.joined = true, n.joined
 	var names, domains []string
-	for _, m := range n.Kin.Table.All() {
-		if !m.Live() || (m.Name == n.cfg.Name && !n.joined) {
+	for _, m := range n.Members.Table.All() {
+		if !m.Live() || (m.Name == n.config.Name && !n.joined) {
 			continue
 		}
 		names, domains = append(names, m.Name), append(domains, m.Domain)
@@ -90,24 +90,24 @@
 	}
 }
 
-func (n *Node) learn(now time.Duration, v *register.Value) {
+func (n *Node) learnValue(now time.Duration, v *register.Value) {
 	if !v.Newer(n.value) {
 		return
 	}
-	c, err := n.cfg.Read(v.Body)
+	c, err := n.config.Read(v.Body)
 	if err != nil && len(v.Body) > 0 {
 		n.change("picture denied", err.Error())
 		return
 	}
 	old := n.value
 	n.value = v
-	n.prop.Learn(v)
-	n.Rumor.Put(gossip.Item{Key: "c", Mark: gossip.Mark{Hi: v.Mark, Lo: v.Seat}, Data: v})
-	if old == nil || !register.SameSeats(old, v) {
+	n.proposer.Learn(v)
+	n.Gossip.Put(gossip.Item{Key: "c", Mark: gossip.Version{Hi: v.Mark, Lo: v.Seat}, Data: v})
+	if old == nil || !register.SameVoters(old, v) {
 		n.change("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
 	if len(v.Body) > 0 {
-		n.pic = &config.Picture{Mark: v.Mark, Charter: c, Emptied: v.Emptied}
+		n.snapshot = &config.Snapshot{Mark: v.Mark, Charter: c, Emptied: v.Emptied}
 		n.where = map[string]config.Replica{}
 		for _, o := range c.Offers {
 			for _, r := range o.Replicas {
@@ -115,32 +115,32 @@
 			}
 		}
 	}
-	n.obey(now)
+	n.applySnapshot(now)
 }
 
-func (n *Node) obey(now time.Duration) {
-	if !n.joined || n.pic == nil || n.pic.Mark <= n.obeyed {
+func (n *Node) applySnapshot(now time.Duration) {
+	if !n.joined || n.snapshot == nil || n.snapshot.Mark <= n.applied {
 		return
 	}
-	n.obeyed = n.pic.Mark
-	n.change("obeys", fmt.Sprintf("mark %d", n.obeyed))
-	n.event(mallowbridge.Order{Picture: n.pic})
+	n.applied = n.snapshot.Mark
+	n.change("obeys", fmt.Sprintf("mark %d", n.applied))
+	n.event(mallowbridge.Order{Picture: n.snapshot})
 	n.replay(now)
 }
 
 func (n *Node) replay(now time.Duration) {
-	for _, o := range n.pic.Charter.Offers {
+	for _, o := range n.snapshot.Charter.Offers {
 		for _, r := range o.Replicas {
-			if it, ok := n.Rumor.Get("p/" + r.Name); ok {
+			if it, ok := n.Gossip.Get("p/" + r.Name); ok {
 				if l, ok := it.Data.(Listing); ok {
 					n.event(mallowbridge.Listing{Replica: l.Replica, State: l.State})
 				}
 			}
 		}
 	}
-	for _, d := range n.domains() {
-		if it, ok := n.Rumor.Get("u/" + d); ok {
-			if u, ok := it.Data.(Usages); ok {
+	for _, d := range n.zones() {
+		if it, ok := n.Gossip.Get("u/" + d); ok {
+			if u, ok := it.Data.(LoadReports); ok {
 				n.usageEvents(now, u)
 			}
 		}
--- a/control/node.go
+++ b/control/node.go
@@ -19,9 +19,9 @@
 	Build                    uint32
 	Inc                      uint64
 	Seed                     uint64
-	Disk                     *Kept
-	Kin                      membership.Config
-	Rumor                    gossip.Config
+	Disk                     *DiskState
+	Membership               membership.Config
+	Gossip                   gossip.Config
 
 	// Read reads and checks the operators' document; nil: charter.Read.
 	Read config.Reader
@@ -35,60 +35,60 @@
 	ServesCutOff bool
 }
 
-type held struct {
+type heldReply struct {
 	ticket uint64
 	send   Send
 }
 
-type ending func(now time.Duration, r register.Result)
+type completion func(now time.Duration, r register.Result)
 
 type Node struct {
-	cfg    Config
-	out    *Out
-	Kin    *membership.Kin
-	Rumor  *gossip.Store
-	prop   *register.Proposer
-	voter  *register.Acceptor
-	grants *lease.Granter
-	hold   *lease.Holder
-
-	ticket  uint64
-	held    []held
-	oldest  time.Duration
-	broken  error
-	local   []Recv
-	opSeq   uint64
-	waiting map[uint64]ending
-	reading bool
-
-	value   *register.Value
-	pic     *config.Picture
-	where   map[string]config.Replica
-	obeyed  uint64
-	joined  bool
-	since   time.Duration
-	asked   time.Duration
-	met     map[string]bool
-	settled time.Duration
-	left    bool
-	why     string
-	routers string
-	fedAt   time.Duration
-	behind  time.Duration
-	ahead   time.Duration
-	reread  time.Duration
-
-	born     time.Duration
-	founding bool
-	foundAt  time.Duration
-	lists    listing
-	failures uint64
-	derived  derived
-
-	duties  duties
-	sights  map[string]*sight
-	told    map[string]told
-	witness witness
+	config   Config
+	out      *Out
+	Members  *membership.Detector
+	Gossip   *gossip.Store
+	proposer *register.Proposer
+	acceptor *register.Acceptor
+	grantor  *lease.Grantor
+	leases   *lease.Holder
+
+	ticket      uint64
+	heldReplies []heldReply
+	heldSince   time.Duration
+	diskErr     error
+	local       []Received
+	opSeq       uint64
+	pendingOps  map[uint64]completion
+	reading     bool
+
+	value          *register.Value
+	snapshot       *config.Snapshot
+	where          map[string]config.Replica
+	applied        uint64
+	joined         bool
+	since          time.Duration
+	asked          time.Duration
+	neighboursRead map[string]bool
+	settled        time.Duration
+	leaving        bool
+	notServing     string
+	routers        string
+	feedAt         time.Duration
+	behindSince    time.Duration
+	aheadSince     time.Duration
+	rereadAt       time.Duration
+
+	startedAt   time.Duration
+	founding    bool
+	foundAt     time.Duration
+	replicaList listing
+	failures    uint64
+	derived     derived
+
+	tasks          tasks
+	sights         map[string]*sight
+	platformStates map[string]told
+	witness        witness
 }
 
 func New(now time.Duration, cfg Config) (n *Node) {
@@ -98,30 +98,30 @@
 	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, transport.Build)}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
-		cfg: cfg, prop: register.NewProposer(by, cfg.Seed), hold: lease.NewHolder(by, cfg.Seed), Rumor: gossip.New(cfg.Rumor, cfg.Seed),
-		waiting: map[uint64]ending{}, met: map[string]bool{}, since: now, asked: -time.Hour, fedAt: -time.Hour,
-		born: now, foundAt: -time.Hour, lists: listing{heard: now, asked: -time.Hour},
-		duties: newDuties(), witness: newWitness(now), sights: map[string]*sight{}, told: map[string]told{},
+		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
+		pendingOps: map[uint64]completion{}, neighboursRead: map[string]bool{}, since: now, asked: -time.Hour, feedAt: -time.Hour,
+		startedAt: now, foundAt: -time.Hour, replicaList: listing{heard: now, asked: -time.Hour},
+		tasks: newTasks(), witness: newWitness(now), sights: map[string]*sight{}, platformStates: map[string]told{},
 	}
 	if cfg.Disk != nil {
 		self.Disk = cfg.Disk.Pact.Disk
-		n.voter = &register.Acceptor{State: cfg.Disk.Pact}
-		n.grants = lease.NewGranter(self.Disk, cfg.Disk.Grants, now+lease.TTL)
-		n.prop.Learn(cfg.Disk.Pact.Value)
+		n.acceptor = &register.Acceptor{State: cfg.Disk.Pact}
+		n.grantor = lease.NewGrantor(self.Disk, cfg.Disk.Grants, now+lease.TTL)
+		n.proposer.Learn(cfg.Disk.Pact.Value)
 		if v := cfg.Disk.Pact.Value; v != nil {
-			n.grants.Reseat(now, v.Seat)
+			n.grantor.ChangeEpoch(now, v.Seat)
 		}
 	}
-	n.Kin = membership.New(cfg.Kin, self, cfg.Seed, now)
+	n.Members = membership.New(cfg.Membership, self, cfg.Seed, now)
 	return n
 }
 
 func (n *Node) Step(now time.Duration, in In) (out Out) {
 	n.out = &out
 	switch i := in.(type) {
-	case Recv:
+	case Received:
 		n.recv(now, i)
-	case Saved:
+	case Persisted:
 		n.saved(now, i)
 	case Probed:
 		n.probed(now, i)
@@ -139,7 +139,7 @@
 		n.tick(now)
 	}
 	n.flush(now)
-	if n.fedAt > 0 && now-n.fedAt <= n.cfg.Kin.Gap && n.hindrance(now) != n.why {
+	if n.feedAt > 0 && now-n.feedAt <= n.config.Membership.Gap && n.notServingReason(now) != n.notServing {
 		n.tell(now)
 	}
 	return out
@@ -147,8 +147,8 @@
 
 func (n *Node) flush(now time.Duration) {
 	for range 64 {
-		n.register(now)
-		n.spread(now)
+		n.drainProposer(now)
+		n.publishMembers(now)
 		if len(n.local) == 0 {
 			return
 		}
@@ -161,63 +161,63 @@
 }
 
 func (n *Node) tick(now time.Duration) {
-	if now-n.fedAt > n.cfg.Kin.Gap && n.fedAt > 0 && n.joined {
-		n.wake(now, fmt.Sprintf("%s without a tick", now-n.fedAt))
+	if now-n.feedAt > n.config.Membership.Gap && n.feedAt > 0 && n.joined {
+		n.rejoin(now, fmt.Sprintf("%s without a tick", now-n.feedAt))
 	}
-	n.prop.Tick(now)
-	for _, s := range n.Kin.Tick(now) {
+	n.proposer.Tick(now)
+	for _, s := range n.Members.Tick(now) {
 		n.send(s.To, s.Msg)
 	}
-	for _, s := range n.Rumor.Tick(now, n.peers()) {
+	for _, s := range n.Gossip.Tick(now, n.peers()) {
 		n.send(s.To, s.Msg)
 	}
-	if n.Kin.Alone(now) {
-		n.wake(now, "heard by nobody")
+	if n.Members.Isolated(now) {
+		n.rejoin(now, "heard by nobody")
 	}
-	n.foundAlone(now)
+	n.bootstrapFromSeeds(now)
 	n.join(now)
 	n.listWork(now)
-	n.mind(now)
-	n.fitness(now)
-	n.work(now)
+	n.reconcileAcceptor(now)
+	n.checkDisk(now)
+	n.runTasks(now)
 	n.witness.tick(now, n)
 	n.feed(now)
 }
 
 // wake starts over as after a start: what this node knows may be old, and others may have taken its share of room.
-func (n *Node) wake(now time.Duration, why string) {
+func (n *Node) rejoin(now time.Duration, why string) {
 	if n.joined {
 		n.change("starts over", why)
 	}
 	n.joined, n.since, n.settled = false, now, 0
-	n.met = map[string]bool{}
+	n.neighboursRead = map[string]bool{}
 }
 
 func (n *Node) change(what, detail string) {
 	n.out.Changes = append(n.out.Changes, Change{What: what, Detail: detail})
 }
 
-func (n *Node) recv(now time.Duration, r Recv) {
-	if r.From != n.cfg.Addr {
-		n.rouse(r)
+func (n *Node) recv(now time.Duration, r Received) {
+	if r.From != n.config.Addr {
+		n.greetReturned(r)
 	}
 	switch m := r.Msg.(type) {
 	case membership.Ping:
-		n.kinSends(n.Kin.OnPing(r.From, m))
+		n.kinSends(n.Members.OnPing(r.From, m))
 	case membership.PingFor:
-		n.kinSends(n.Kin.OnPingFor(now, r.From, m))
+		n.kinSends(n.Members.OnPingFor(now, r.From, m))
 	case membership.Ack:
-		n.kinSends(n.Kin.OnAck(now, m))
-	case gossip.News:
-		n.onNews(now, r.From, m)
-	case gossip.Sum:
-		n.rumorSends(n.Rumor.OnSum(r.From, m))
-	case gossip.Marks:
-		n.rumorSends(n.Rumor.OnMarks(r.From, m))
-	case gossip.Tell:
-		n.rumorSends(n.Rumor.OnTell(now, r.From, m))
-	case gossip.Want:
-		n.rumorSends(n.Rumor.OnWant(r.From, m))
+		n.kinSends(n.Members.OnAck(now, m))
+	case gossip.Update:
+		n.onUpdate(now, r.From, m)
+	case gossip.Checksum:
+		n.rumorSends(n.Gossip.OnChecksum(r.From, m))
+	case gossip.Digest:
+		n.rumorSends(n.Gossip.OnDigest(r.From, m))
+	case gossip.Announcement:
+		n.rumorSends(n.Gossip.OnAnnouncement(now, r.From, m))
+	case gossip.Pull:
+		n.rumorSends(n.Gossip.OnPull(r.From, m))
 	case Prefills:
 		n.onPrefills(m)
 	case WitnessAsk:
@@ -227,19 +227,19 @@
 	case WitnessSay:
 		n.witness.said(r.From, m, n)
 	default:
-		n.vote(now, r)
+		n.handleRegister(now, r)
 	}
 }
 
-func (n *Node) rouse(r Recv) {
+func (n *Node) greetReturned(r Received) {
 	switch r.Msg.(type) {
 	case membership.Ping, membership.Ack:
 	default:
 		return
 	}
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.Addr == r.From && m.State == membership.Dead {
-			n.send(r.From, n.Rumor.Marks(true))
+			n.send(r.From, n.Gossip.Digest(true))
 		}
 	}
 }
--- a/control/place.go
+++ b/control/place.go
@@ -18,7 +18,7 @@
 const absent = -1
 
 func (n *Node) derive() (d *derived) {
-	if rev := n.Kin.Table.Rev(); n.derived.places == nil || n.derived.rev != rev {
+	if rev := n.Members.Table.Rev(); n.derived.places == nil || n.derived.rev != rev {
 		n.derived = derived{rev: rev, places: map[string]int{}}
 	}
 	return &n.derived
@@ -31,16 +31,16 @@
 	if ok {
 		return above
 	}
-	mine, here := scheduler.Rank(duty, n.cfg.Name), false
-	for _, m := range n.Kin.Table.All() {
+	mine, here := scheduler.Rank(duty, n.config.Name), false
+	for _, m := range n.Members.Table.All() {
 		if !fits(m) {
 			continue
 		}
-		if m.Name == n.cfg.Name {
+		if m.Name == n.config.Name {
 			here = true
 			continue
 		}
-		if w := scheduler.Rank(duty, m.Name); w > mine || (w == mine && m.Name < n.cfg.Name) {
+		if w := scheduler.Rank(duty, m.Name); w > mine || (w == mine && m.Name < n.config.Name) {
 			above++
 		}
 	}
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -21,7 +21,7 @@
 			}
 			n := l.nodes[name]
 			var all, near []string
-			for _, m := range n.Kin.Table.All() {
+			for _, m := range n.Members.Table.All() {
 				if m.State == membership.Alive {
 					all = append(all, m.Name)
 					if m.Domain == "1" {
@@ -34,10 +34,10 @@
 				if got, want := n.place("all/", duty, func(m membership.Member) bool { return m.State == membership.Alive }), slices.Index(ranked, name); got != want {
 					t.Errorf("%s: %s is at place %d of %s, want %d", when, name, got, duty, want)
 				}
-				if n.first(duty, "1") != (scheduler.Nearest(duty, near)[0] == name) || n.first(duty, "nowhere") != (ranked[0] == name) {
+				if n.ranksFirst(duty, "1") != (scheduler.Nearest(duty, near)[0] == name) || n.ranksFirst(duty, "nowhere") != (ranked[0] == name) {
 					t.Errorf("%s: %s disagrees on who is first for %s", when, name, duty)
 				}
-				if n.first(duty, "") {
+				if n.ranksFirst(duty, "") {
 					firsts[duty]++
 				}
 			}
--- a/control/prefill_test.go
+++ b/control/prefill_test.go
@@ -23,7 +23,7 @@
 	if !slices.Equal(to, []string{"n0", "n1", "n2", "n3", "n5"}) {
 		t.Errorf("told %v", to)
 	}
-	out = l.nodes["n5"].Step(l.now, Recv{From: "n4", Msg: Prefills{Rows: []mallowbridge.Prefill{row}}})
+	out = l.nodes["n5"].Step(l.now, Received{From: "n4", Msg: Prefills{Rows: []mallowbridge.Prefill{row}}})
 	if len(out.Events) != 1 || out.Events[0] != row {
 		t.Errorf("%+v", out.Events)
 	}
--- a/control/register.go
+++ b/control/register.go
@@ -25,38 +25,38 @@
 	MaxHeld      = 256
 )
 
-func (n *Node) vote(now time.Duration, r Recv) {
+func (n *Node) handleRegister(now time.Duration, r Received) {
 	switch m := r.Msg.(type) {
 	case register.Promise:
-		n.prop.OnPromise(now, m)
+		n.proposer.OnPromise(now, m)
 		return
 	case register.Accepted:
-		n.prop.OnAccepted(now, m)
+		n.proposer.OnAccepted(now, m)
 		return
 	case lease.Grant:
 		if n.value != nil {
-			n.hold.OnGrant(now, m, n.value)
+			n.leases.OnGrant(now, m, n.value)
 		}
 		return
 	}
-	if n.voter == nil || n.broken != nil || len(n.held) >= MaxHeld {
+	if n.acceptor == nil || n.diskErr != nil || len(n.heldReplies) >= MaxHeld {
 		return
 	}
 	switch m := r.Msg.(type) {
 	case register.Prepare:
-		a, write := n.voter.Prepare(m)
+		a, write := n.acceptor.Prepare(m)
 		n.reply(now, r.From, a, a.Disk != "", write, Promised{Ballot: m.Ballot})
 	case register.Accept:
-		a, write := n.voter.Accept(m)
+		a, write := n.acceptor.Accept(m)
 		if a.OK {
-			n.grants.Reseat(now, m.Value.Seat)
+			n.grantor.ChangeEpoch(now, m.Value.Seat)
 		}
 		n.reply(now, r.From, a, a.Disk != "", write, AcceptedEntry{Ballot: m.Ballot, Value: m.Value})
-	case lease.Ask:
-		g, write := n.grants.Ask(now, m)
+	case lease.Request:
+		g, write := n.grantor.HandleRequest(now, m)
 		n.reply(now, r.From, g, g.Disk != "", write, Granted{Duty: m.Duty, Record: lease.Record{Holder: m.Holder, Mark: m.Mark}})
-	case lease.Drop:
-		n.grants.Drop(m)
+	case lease.Release:
+		n.grantor.HandleRelease(m)
 	}
 }
 
@@ -66,64 +66,64 @@
 	}
 	if write {
 		n.ticket++
-		n.out.Writes = append(n.out.Writes, Write{Ticket: n.ticket, Entry: entry})
-		if len(n.held) == 0 {
-			n.oldest = now
+		n.out.Writes = append(n.out.Writes, LogWrite{Ticket: n.ticket, Entry: entry})
+		if len(n.heldReplies) == 0 {
+			n.heldSince = now
 		}
 	}
-	if !write && len(n.held) == 0 {
+	if !write && len(n.heldReplies) == 0 {
 		n.send(to, msg)
 		return
 	}
-	n.held = append(n.held, held{ticket: n.ticket, send: Send{To: to, Msg: msg}})
+	n.heldReplies = append(n.heldReplies, heldReply{ticket: n.ticket, send: Send{To: to, Msg: msg}})
 }
 
-func (n *Node) saved(now time.Duration, s Saved) {
+func (n *Node) saved(now time.Duration, s Persisted) {
 	if s.Err != nil {
-		n.broken = s.Err
-		n.held = nil
+		n.diskErr = s.Err
+		n.heldReplies = nil
 		n.change("disk broke down", s.Err.Error())
-		n.unfit(now, true)
+		n.setDegraded(now, true)
 		return
 	}
-	if n.broken != nil && s.Mended {
-		n.broken = nil
+	if n.diskErr != nil && s.Mended {
+		n.diskErr = nil
 		n.change("disk works again", "")
 	}
-	for len(n.held) > 0 && n.held[0].ticket <= s.Ticket {
-		n.send(n.held[0].send.To, n.held[0].send.Msg)
-		n.held = n.held[1:]
-		n.oldest = now
+	for len(n.heldReplies) > 0 && n.heldReplies[0].ticket <= s.Ticket {
+		n.send(n.heldReplies[0].send.To, n.heldReplies[0].send.Msg)
+		n.heldReplies = n.heldReplies[1:]
+		n.heldSince = now
 	}
 }
 
-func (n *Node) fitness(now time.Duration) {
-	if n.voter == nil || n.broken != nil {
+func (n *Node) checkDisk(now time.Duration) {
+	if n.acceptor == nil || n.diskErr != nil {
 		return
 	}
-	n.unfit(now, len(n.held) > 0 && now-n.oldest > stalledAfter)
+	n.setDegraded(now, len(n.heldReplies) > 0 && now-n.heldSince > stalledAfter)
 }
 
-func (n *Node) unfit(now time.Duration, yes bool) {
-	if n.Kin.Self.Unfit == yes {
+func (n *Node) setDegraded(now time.Duration, yes bool) {
+	if n.Members.Self.Unfit == yes {
 		return
 	}
 	n.change("disk fitness", map[bool]string{true: "unfit", false: "fit"}[yes])
-	n.Kin.Update(now, func(m *membership.Member) { m.Unfit = yes })
+	n.Members.Update(now, func(m *membership.Member) { m.Unfit = yes })
 }
 
-func (n *Node) ask(now, within time.Duration, change register.Change, full bool, done ending) {
+func (n *Node) propose(now, within time.Duration, change register.Change, full bool, done completion) {
 	n.opSeq++
-	n.waiting[n.opSeq] = done
-	n.prop.Do(now, now+within, n.opSeq, change, full)
+	n.pendingOps[n.opSeq] = done
+	n.proposer.Submit(now, now+within, n.opSeq, change, full)
 }
 
 func (n *Node) read(now, within time.Duration, full bool) {
 	n.reading = true
-	n.ask(now, within, nil, full, func(time.Duration, register.Result) { n.reading = false })
+	n.propose(now, within, nil, full, func(time.Duration, register.Result) { n.reading = false })
 }
 
-func (n *Node) replyTo(id uint64, op string) (done ending) {
+func (n *Node) replyTo(id uint64, op string) (done completion) {
 	return func(_ time.Duration, r register.Result) {
 		a := Answer{ID: id, Value: r.Value, Err: r.Err}
 		if r.Value != nil {
@@ -136,51 +136,51 @@
 	}
 }
 
-func (n *Node) register(now time.Duration) {
-	sends, results := n.prop.Take()
+func (n *Node) drainProposer(now time.Duration) {
+	sends, results := n.proposer.TakeOutput()
 	n.toDisks(sends)
 	for _, r := range results {
 		if r.Value != nil {
 			fresh := r.Value.Newer(n.value)
-			n.learn(now, r.Value)
+			n.learnValue(now, r.Value)
 			if fresh {
-				n.rumorSends(n.Rumor.Hurry(n.peers()))
+				n.rumorSends(n.Gossip.PushNow(n.peers()))
 			}
-			n.caughtUp(now, "a majority was read")
+			n.finishJoin(now, "a majority was read")
 		}
-		done := n.waiting[r.ID]
-		delete(n.waiting, r.ID)
+		done := n.pendingOps[r.ID]
+		delete(n.pendingOps, r.ID)
 		done(now, r)
 	}
 }
 
-func (n *Node) mind(now time.Duration) {
-	if n.voter == nil || n.broken != nil || !n.joined || n.reading || now < n.reread {
+func (n *Node) reconcileAcceptor(now time.Duration) {
+	if n.acceptor == nil || n.diskErr != nil || !n.joined || n.reading || now < n.rereadAt {
 		return
 	}
-	mine := n.voter.Value
+	mine := n.acceptor.Value
 	switch {
 	case mine.Newer(n.value):
-		if n.ahead == 0 {
-			n.ahead = now
+		if n.aheadSince == 0 {
+			n.aheadSince = now
 		}
-	case n.value != nil && n.value.Newer(mine) && n.votes():
-		if n.behind == 0 {
-			n.behind = now
+	case n.value != nil && n.value.Newer(mine) && n.isVoter():
+		if n.behindSince == 0 {
+			n.behindSince = now
 		}
 	default:
-		n.ahead, n.behind = 0, 0
+		n.aheadSince, n.behindSince = 0, 0
 		return
 	}
-	if (n.ahead != 0 && now-n.ahead > 300*time.Millisecond) || (n.behind != 0 && now-n.behind > 500*time.Millisecond) {
-		n.ahead, n.behind, n.reread = 0, 0, now+700*time.Millisecond
+	if (n.aheadSince != 0 && now-n.aheadSince > 300*time.Millisecond) || (n.behindSince != 0 && now-n.behindSince > 500*time.Millisecond) {
+		n.aheadSince, n.behindSince, n.rereadAt = 0, 0, now+700*time.Millisecond
 		n.read(now, 2*time.Second, true)
 	}
 }
 
-func (n *Node) votes() (yes bool) {
+func (n *Node) isVoter() (yes bool) {
 	for _, v := range n.value.All() {
-		if v.Disk == n.voter.Disk {
+		if v.Disk == n.acceptor.Disk {
 			return true
 		}
 	}
--- a/control/mend.go
+++ b/control/repair.go
@@ -8,33 +8,33 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-const halfDone = 2 * time.Second
+const repairInterval = 2 * time.Second
 
-func (n *Node) mend(now time.Duration) {
-	if n.pic == nil {
+func (n *Node) repairVoters(now time.Duration) {
+	if n.snapshot == nil {
 		return
 	}
 	stuck := len(n.value.Next) > 0
-	lost := n.lostVoter(now, n.pic.Charter.ReplaceVoter)
-	if (lost == "" && !stuck) || !n.first("mend", "") {
+	lost := n.lostVoter(now, n.snapshot.Charter.ReplaceVoter)
+	if (lost == "" && !stuck) || !n.ranksFirst("mend", "") {
 		return
 	}
-	n.toDisks(n.hold.Want(now, "mend", n.value))
-	if _, ok := n.hold.Holds(now, "mend"); !ok || now-n.duties.mended < halfDone {
+	n.toDisks(n.leases.Acquire(now, "mend", n.value))
+	if _, ok := n.leases.Holds(now, "mend"); !ok || now-n.tasks.votersChangedAt < repairInterval {
 		return
 	}
-	n.duties.mended = now
+	n.tasks.votersChangedAt = now
 	if stuck {
-		n.ask(now, within, settleVoters, false, func(time.Duration, register.Result) {})
+		n.propose(now, proposeTimeout, finishVoterChange, false, func(time.Duration, register.Result) {})
 		return
 	}
-	vs := n.without(lost)
+	vs := n.votersWithout(lost)
 	if vs == nil {
 		return
 	}
 	n.change("replaces voter", lost)
 	id := "mend/" + lost + "/" + strconv.FormatUint(n.value.Seat, 10)
-	n.reseat(now, id, vs, func(time.Duration, register.Result) {})
+	n.changeVoters(now, id, vs, func(time.Duration, register.Result) {})
 }
 
 func (n *Node) lostVoter(now, patience time.Duration) (disk string) {
@@ -42,22 +42,22 @@
 		return ""
 	}
 	for _, v := range n.value.Voters {
-		if n.sound(v.Disk) {
-			delete(n.duties.lost, v.Disk)
+		if n.voterHealthy(v.Disk) {
+			delete(n.tasks.lostSince, v.Disk)
 			continue
 		}
-		if n.duties.lost[v.Disk] == 0 {
-			n.duties.lost[v.Disk] = now
+		if n.tasks.lostSince[v.Disk] == 0 {
+			n.tasks.lostSince[v.Disk] = now
 		}
-		if disk == "" && now-n.duties.lost[v.Disk] >= patience {
+		if disk == "" && now-n.tasks.lostSince[v.Disk] >= patience {
 			disk = v.Disk
 		}
 	}
 	return disk
 }
 
-func (n *Node) sound(disk string) (yes bool) {
-	for _, m := range n.Kin.Table.All() {
+func (n *Node) voterHealthy(disk string) (yes bool) {
+	for _, m := range n.Members.Table.All() {
 		if m.Disk == disk && m.State == membership.Alive && !m.Unfit {
 			return true
 		}
@@ -65,18 +65,18 @@
 	return false
 }
 
-func (n *Node) without(lost string) (vs []register.Voter) {
+func (n *Node) votersWithout(lost string) (vs []register.Voter) {
 	taken := map[string]int{}
 	for _, v := range n.value.Voters {
 		if v.Disk != lost {
 			vs = append(vs, v)
-			if m, ok := n.Kin.Table.Get(v.Name); ok {
+			if m, ok := n.Members.Table.Get(v.Name); ok {
 				taken[m.Domain]++
 			}
 		}
 	}
 	var best membership.Member
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.Disk == "" || m.State != membership.Alive || m.Unfit || isVoter(n.value.Voters, m.Disk) {
 			continue
 		}
--- a/control/send.go
+++ b/control/send.go
@@ -10,8 +10,8 @@
 type newer interface{ Since() (build uint32) }
 
 func (n *Node) send(to string, msg any) {
-	if to == n.cfg.Addr {
-		n.local = append(n.local, Recv{From: to, Msg: msg})
+	if to == n.config.Addr {
+		n.local = append(n.local, Received{From: to, Msg: msg})
 		return
 	}
 	if msg, ok := n.readable(to, msg); ok && to != "" {
@@ -20,7 +20,7 @@
 }
 
 func (n *Node) addrOf(disk string) (addr string) {
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.Disk == disk && m.State != membership.Left {
 			return m.Addr
 		}
@@ -30,8 +30,8 @@
 
 func (n *Node) toDisks(sends []register.Send) {
 	for _, s := range sends {
-		if n.voter != nil && s.Disk == n.voter.Disk {
-			n.send(n.cfg.Addr, s.Msg)
+		if n.acceptor != nil && s.Disk == n.acceptor.Disk {
+			n.send(n.config.Addr, s.Msg)
 			continue
 		}
 		n.send(n.addrOf(s.Disk), s.Msg)
@@ -44,9 +44,9 @@
 		return d.peers
 	}
 	defer func() { d.peers = ps }()
-	for _, m := range n.Kin.Table.All() {
-		if m.Name != n.cfg.Name && m.Live() {
-			ps = append(ps, gossip.Peer{Name: m.Name, Addr: m.Addr, Domain: m.Domain, Near: m.Domain == n.cfg.Domain})
+	for _, m := range n.Members.Table.All() {
+		if m.Name != n.config.Name && m.Live() {
+			ps = append(ps, gossip.Peer{Name: m.Name, Addr: m.Addr, Domain: m.Domain, Near: m.Domain == n.config.Domain})
 		}
 	}
 	return ps
@@ -67,7 +67,7 @@
 // readable leaves out what the peer's build cannot read: one unknown kind would cost it the whole frame and the connection.
 func (n *Node) readable(to string, msg any) (fit any, ok bool) {
 	build := uint32(1)
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.Addr == to {
 			build = m.Build
 		}
@@ -75,11 +75,11 @@
 	if k, is := msg.(newer); is && k.Since() > build {
 		return nil, false
 	}
-	news, is := msg.(gossip.News)
+	news, is := msg.(gossip.Update)
 	if !is {
 		return msg, true
 	}
-	var fitting gossip.News
+	var fitting gossip.Update
 	for _, it := range news.Items {
 		if k, is := it.Data.(newer); !is || k.Since() <= build {
 			fitting.Items = append(fitting.Items, it)
--- a/control/status.go
+++ b/control/status.go
@@ -36,28 +36,28 @@
 
 func (n *Node) Status(now time.Duration) (s Status) {
 	s = Status{
-		Name: n.cfg.Name, Domain: n.cfg.Domain, Serving: n.why == "" && n.fedAt > 0, Why: n.why, Obeyed: n.obeyed, Unfit: n.Kin.Self.Unfit,
-		Deaths: n.Kin.Deaths, Refutes: n.Kin.Refutes, News: n.Rumor.Len(), Emptied: []string{}, Claims: []string{},
+		Name: n.config.Name, Domain: n.config.Domain, Serving: n.notServing == "" && n.feedAt > 0, Why: n.notServing, Obeyed: n.applied, Unfit: n.Members.Self.Unfit,
+		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, News: n.Gossip.Len(), Emptied: []string{}, Claims: []string{},
 	}
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		s.Members = append(s.Members, MemberStatus{Member: m, State: m.State.String()})
 	}
-	for _, d := range n.hold.Held() {
-		if _, ok := n.hold.Holds(now, d); ok {
+	for _, d := range n.leases.Held() {
+		if _, ok := n.leases.Holds(now, d); ok {
 			s.Claims = append(s.Claims, d)
 		}
 	}
 	if n.value != nil {
 		s.Mark, s.Voters, s.Next, s.Config = n.value.Mark, n.value.Voters, n.value.Next, n.value.Body
 		s.Emptied = append(s.Emptied, n.value.Emptied...)
-		s.Voter = n.voter != nil && n.votes()
+		s.Voter = n.acceptor != nil && n.isVoter()
 	}
 	return s
 }
 
 func (n *Node) Holding(now time.Duration) (duties []string) {
-	for _, d := range n.hold.Held() {
-		if _, ok := n.hold.Holds(now, d); ok {
+	for _, d := range n.leases.Held() {
+		if _, ok := n.leases.Holds(now, d); ok {
 			duties = append(duties, d)
 		}
 	}
@@ -65,11 +65,11 @@
 }
 
 // Picture is what this node obeys, or nil.
-func (n *Node) Picture() (p *config.Picture) {
-	if n.obeyed == 0 {
+func (n *Node) Picture() (p *config.Snapshot) {
+	if n.applied == 0 {
 		return nil
 	}
-	return n.pic
+	return n.snapshot
 }
 
 func (n *Node) Value() (v *register.Value) { return n.value }
--- a/control/watch.go
+++ b/control/watch.go
@@ -58,7 +58,7 @@
 func (n *Node) firsthand(now time.Duration, s *sight, p Probed) {
 	if s.instance != p.InstanceID {
 		s.instance, s.since = p.InstanceID, now
-		if w := n.duties.reps[p.Replica]; w != nil && w.row.InstanceID == p.InstanceID {
+		if w := n.tasks.replicas[p.Replica]; w != nil && w.row.InstanceID == p.InstanceID {
 			s.since = w.since
 		}
 	}
--- a/control/witness.go
+++ b/control/witness.go
@@ -104,7 +104,7 @@
 
 func (w *witness) ask(now time.Duration, n *Node, id uint64, op Witness) {
 	w.rid++
-	a := &asking{answer: id, born: now, msg: WitnessAsk{Rid: w.rid, Request: op.Request, By: n.prop.By, Peek: op.Peek}, wait: min(max(op.Spare, witnessWait), witnessLast)}
+	a := &asking{answer: id, born: now, msg: WitnessAsk{Rid: w.rid, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, wait: min(max(op.Spare, witnessWait), witnessLast)}
 	for _, m := range n.witnesses(op.Request) {
 		a.all = append(a.all, m.Addr)
 		if m.Live() {
@@ -127,14 +127,14 @@
 // remembered, so that a death does not move the others'.
 func (n *Node) witnesses(request string) (ms []membership.Member) {
 	var names []string
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.State != membership.Left && !n.witness.gone[m.Name] {
 			names = append(names, m.Name)
 		}
 	}
 	taken := map[string]int{}
 	for _, name := range scheduler.Nearest("once/"+request, names) {
-		m, _ := n.Kin.Table.Get(name)
+		m, _ := n.Members.Table.Get(name)
 		if len(ms) < witnesses && taken[m.Domain] < perDomain {
 			taken[m.Domain]++
 			ms = append(ms, m)
@@ -194,13 +194,13 @@
 // lose gives up on witnesses that were found dead meanwhile.
 func (a *asking) lose(n *Node) {
 	a.open = slices.DeleteFunc(a.open, func(addr string) bool {
-		return slices.ContainsFunc(n.Kin.Table.All(), func(m membership.Member) bool { return m.Addr == addr && !m.Live() })
+		return slices.ContainsFunc(n.Members.Table.All(), func(m membership.Member) bool { return m.Addr == addr && !m.Live() })
 	})
 	a.need = min(vouchers, a.yes+len(a.open))
 }
 
 func (w *witness) bury(now time.Duration, n *Node) {
-	for _, m := range n.Kin.Table.All() {
+	for _, m := range n.Members.Table.All() {
 		if m.State != membership.Dead {
 			delete(w.dead, m.Name)
 			delete(w.gone, m.Name)
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, n := range f.nodes {
 		for _, o := range f.nodes {
-			n.Kin.Hear(0, o.Kin.Self)
+			n.Members.Merge(0, o.Members.Self)
 		}
 	}
 	return f
@@ -34,9 +34,9 @@
 
 func (f *fleet) boot(i int, life uint64) {
 	name := fmt.Sprint("n", i)
-	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Kin: membership.Defaults(), Rumor: gossip.Defaults()})
+	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 	for _, o := range f.nodes {
-		f.nodes[name].Kin.Hear(f.now, o.Kin.Self)
+		f.nodes[name].Members.Merge(f.now, o.Members.Self)
 	}
 }
 
@@ -48,7 +48,7 @@
 		switch s.Msg.(type) {
 		case WitnessAsk, WitnessSay, WitnessForget:
 			if !f.mute[s.To] && !f.mute[from] {
-				f.carry(s.To, f.nodes[s.To].Step(f.now, Recv{From: from, Msg: s.Msg}))
+				f.carry(s.To, f.nodes[s.To].Step(f.now, Received{From: from, Msg: s.Msg}))
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 		f.mute = map[string]bool{set[3].Name: true}
 		for _, m := range set[:3] {
 			m.State = membership.Dead
-			f.nodes[second].Kin.Hear(f.now, m)
+			f.nodes[second].Members.Merge(f.now, m)
 			f.mute[m.Name] = true
 		}
 		if how, _ := f.ask(second, request); how == "" {
--- a/daemon/valve.go
+++ b/daemon/coalesce.go
@@ -7,7 +7,7 @@
 )
 
 // A valve takes what the control owner tells the market and never makes it wait: what a later word replaces is dropped.
-type valve struct {
+type coalescer struct {
 	in  chan mallowbridge.Event
 	out chan mallowbridge.Event
 }
@@ -17,8 +17,8 @@
 	ev  mallowbridge.Event
 }
 
-func newValve(t *tomb.Tomb, to func(ev mallowbridge.Event)) (v *valve) {
-	v = &valve{in: make(chan mallowbridge.Event), out: make(chan mallowbridge.Event)}
+func newCoalescer(t *tomb.Tomb, to func(ev mallowbridge.Event)) (v *coalescer) {
+	v = &coalescer{in: make(chan mallowbridge.Event), out: make(chan mallowbridge.Event)}
 	t.Go(func() error { return v.run(t) })
 	t.Go(func() error {
 		for {
@@ -33,7 +33,7 @@
 	return v
 }
 
-func (v *valve) run(t *tomb.Tomb) (err error) {
+func (v *coalescer) run(t *tomb.Tomb) (err error) {
 	var q []queued
 	for {
 		var out chan mallowbridge.Event
@@ -86,9 +86,9 @@
 	return ""
 }
 
-func (h *Hearth) tell(ev mallowbridge.Event) {
+func (h *Daemon) tell(ev mallowbridge.Event) {
 	select {
-	case h.valve.in <- ev:
+	case h.coalescer.in <- ev:
 	case <-h.T.Dying():
 	}
 }
--- a/daemon/valve_test.go
+++ b/daemon/coalesce_test.go
@@ -15,7 +15,7 @@
 
 func TestABusyMarketNeverStopsControl(t *testing.T) {
 	tb, busy, took := &tomb.Tomb{}, make(chan struct{}), make(chan mallowbridge.Event, 4096)
-	v := newValve(tb, func(ev mallowbridge.Event) {
+	v := newCoalescer(tb, func(ev mallowbridge.Event) {
 		<-busy
 		took <- ev
 	})
@@ -42,7 +42,7 @@
 }
 
 func TestAFollowerOfManyReplicasStartsWhole(t *testing.T) {
-	fs := newFollowers(&Hearth{})
+	fs := newFollowers(&Daemon{})
 	for i := range 3000 {
 		fs.tell(mallowbridge.Usage{Replica: fmt.Sprint(i)})
 	}
@@ -56,11 +56,11 @@
 
 func TestAStalledDiskHoldsBackNoMoreThanIsWaitedFor(t *testing.T) {
 	n := control.New(0, control.Config{
-		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &control.Kept{Pact: register.State{Disk: "x"}}, Kin: membership.Defaults(), Rumor: gossip.Defaults(),
+		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &control.DiskState{Pact: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})
-	writes := make(chan []control.Write, control.MaxHeld)
+	writes := make(chan []control.LogWrite, control.MaxHeld)
 	for i := range uint64(4 * control.MaxHeld) {
-		out := n.Step(0, control.Recv{From: "other", Msg: register.Prepare{Rid: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
+		out := n.Step(0, control.Received{From: "other", Msg: register.Prepare{Rid: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
 		for _, s := range out.Sends {
 			if p, ok := s.Msg.(register.Promise); ok {
 				t.Fatalf("a promise left before its sync: %v", p)
--- a/daemon/hearth.go
+++ b/daemon/daemon.go
@@ -26,25 +26,25 @@
 	cutOffFeed = time.Minute
 )
 
-type Hearth struct {
-	S      Settings
-	T      *tomb.Tomb
-	Log    *log.Logger
-	Desk   *mallowbridge.Desk
-	Net    *transport.Net
-	in     chan control.In
-	calls  chan call
-	writes chan []control.Write
-	joins  chan *follower
-	leaves chan *follower
-	pics   chan *config.Picture
-	looks  chan string
-	valve  *valve
-	node   *control.Node
-	keeper *control.Keeper
-	boot   string
-	Front  string
-	see    func(p *config.Picture)
+type Daemon struct {
+	S          Settings
+	T          *tomb.Tomb
+	Log        *log.Logger
+	Desk       *mallowbridge.Desk
+	Net        *transport.Net
+	in         chan control.In
+	calls      chan call
+	writes     chan []control.LogWrite
+	joins      chan *follower
+	leaves     chan *follower
+	pics       chan *config.Snapshot
+	looks      chan string
+	coalescer  *coalescer
+	node       *control.Node
+	journal    *control.Journal
+	boot       string
+	Front      string
+	onSnapshot func(p *config.Snapshot)
 
 	prefills chan mallowbridge.Prefill
 }
@@ -71,17 +71,17 @@
 	return hex.EncodeToString(b[:])
 }
 
-func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Hearth, err error) {
+func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Daemon, err error) {
 	boot := strconv.FormatUint(seed(), 36)
-	h = &Hearth{
-		S: s, T: t, Log: lg, in: make(chan control.In, 1024), calls: make(chan call, 64), writes: make(chan []control.Write, control.MaxHeld),
-		joins: make(chan *follower), leaves: make(chan *follower), pics: make(chan *config.Picture, 1), looks: make(chan string, 64), boot: boot,
+	h = &Daemon{
+		S: s, T: t, Log: lg, in: make(chan control.In, 1024), calls: make(chan call, 64), writes: make(chan []control.LogWrite, control.MaxHeld),
+		joins: make(chan *follower), leaves: make(chan *follower), pics: make(chan *config.Snapshot, 1), looks: make(chan string, 64), boot: boot,
 		prefills: make(chan mallowbridge.Prefill, prefillQueue),
 	}
 	h.Front = s.Name + "." + h.boot
 	cfg := control.Config{
 		Name: s.Name, Addr: s.Listen, HTTP: s.HTTP, Domain: s.Domain, Seeds: s.Seeds, Boot: boot, Inc: control.Inc(time.Now(), seed()), Seed: seed(),
-		Kin: membership.Defaults(), Rumor: gossip.Defaults(),
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 		Read: s.Host.Read, ListEvery: s.Host.ListEvery, Tolerate: s.Host.Tolerate, Founds: s.Host.Founds, ServesCutOff: s.Host.ServesCutOff,
 	}
 	if s.Data != "" {
@@ -89,13 +89,13 @@
 		if err != nil {
 			return nil, err
 		}
-		if h.keeper, err = control.OpenKeeper(folder, diskID()); err != nil {
+		if h.journal, err = control.OpenJournal(folder, diskID()); err != nil {
 			return nil, err
 		}
-		if what := h.keeper.Repair(); what != "" {
+		if what := h.journal.Repair(); what != "" {
 			lg.Warn().Str("what", what).Msg("disk was repaired")
 		}
-		kept := h.keeper.Kept()
+		kept := h.journal.State()
 		cfg.Disk = &kept
 	}
 	rc := mallowbridge.Defaults(s.Name, h.boot, s.Domain)
@@ -105,14 +105,14 @@
 	}
 	h.Desk = mallowbridge.NewDesk(t, mallowbridge.New(rc), Clock, deskTicks)
 	h.Desk.OnPrefill(h.placed)
-	h.valve = newValve(t, h.Desk.Tell)
+	h.coalescer = newCoalescer(t, h.Desk.Tell)
 	h.node = control.New(Clock(), cfg)
 	self := transport.Hello{Build: transport.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
 	if h.Net, err = transport.Listen(t, self, h.follow, h.fault); err != nil {
 		return nil, err
 	}
-	if h.keeper != nil {
-		t.Go(h.keep)
+	if h.journal != nil {
+		t.Go(h.persist)
 	}
 	t.Go(h.watch)
 	t.Go(h.failures)
@@ -120,11 +120,11 @@
 	return h, nil
 }
 
-func (h *Hearth) fault(peer string, err error) {
+func (h *Daemon) fault(peer string, err error) {
 	h.Log.Warn().Str("peer", peer).Err(err).Msg("connection closed")
 }
 
-func (h *Hearth) control() (err error) {
+func (h *Daemon) control() (err error) {
 	tick := time.NewTicker(ticks)
 	defer tick.Stop()
 	replies := map[uint64]chan control.Answer{}
@@ -141,7 +141,7 @@
 		case <-tick.C:
 			in = control.Tick{}
 		case m := <-h.Net.In:
-			in = control.Recv{From: m.Hello.Addr, Msg: m.Msg}
+			in = control.Received{From: m.Hello.Addr, Msg: m.Msg}
 		case in = <-h.in:
 		case p := <-h.prefills:
 			in = h.gather(p)
@@ -160,7 +160,7 @@
 			in = control.Command{ID: id, Op: c.op}
 		}
 		out := h.node.Step(Clock(), in)
-		h.carry(out, fs)
+		h.perform(out, fs)
 		for _, a := range out.Answers {
 			if r := replies[a.ID]; r != nil {
 				delete(replies, a.ID)
@@ -170,7 +170,7 @@
 	}
 }
 
-func (h *Hearth) carry(out control.Out, fs *followers) {
+func (h *Daemon) perform(out control.Out, fs *followers) {
 	if len(out.Writes) > 0 {
 		h.writes <- out.Writes
 	}
@@ -185,9 +185,9 @@
 		h.tell(ev)
 		fs.tell(ev)
 		if o, ok := ev.(mallowbridge.Order); ok {
-			h.picture(o.Picture)
-			if h.see != nil {
-				h.see(o.Picture)
+			h.watchSnapshot(o.Picture)
+			if h.onSnapshot != nil {
+				h.onSnapshot(o.Picture)
 			}
 		}
 	}
@@ -206,22 +206,22 @@
 	}
 }
 
-func (h *Hearth) give(in control.In) {
+func (h *Daemon) submit(in control.In) {
 	select {
 	case h.in <- in:
 	case <-h.T.Dying():
 	}
 }
 
-func (h *Hearth) Call(op control.Op) (a control.Answer) {
+func (h *Daemon) Call(op control.Op) (a control.Answer) {
 	return h.call(call{op: op, reply: make(chan control.Answer, 1)})
 }
 
-func (h *Hearth) Look(look func(n *control.Node)) {
+func (h *Daemon) Look(look func(n *control.Node)) {
 	h.call(call{look: look, reply: make(chan control.Answer, 1)})
 }
 
-func (h *Hearth) call(c call) (a control.Answer) {
+func (h *Daemon) call(c call) (a control.Answer) {
 	select {
 	case h.calls <- c:
 	case <-h.T.Dying():
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -21,12 +21,12 @@
 }
 
 type followers struct {
-	h    *Hearth
+	h    *Daemon
 	all  []*follower
 	last map[string]mallowbridge.Event
 }
 
-func newFollowers(h *Hearth) (fs *followers) {
+func newFollowers(h *Daemon) (fs *followers) {
 	return &followers{h: h, last: map[string]mallowbridge.Event{}}
 }
 
@@ -83,10 +83,10 @@
 	for _, f := range fs.all {
 		most = max(most, f.id)
 	}
-	return control.Command{Op: control.Libs{N: most}}
+	return control.Command{Op: control.SetFollowers{N: most}}
 }
 
-func (h *Hearth) follow(conn net.Conn, _ transport.Hello, r *transport.Reader) {
+func (h *Daemon) follow(conn net.Conn, _ transport.Hello, r *transport.Reader) {
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	select {
 	case h.joins <- f:
@@ -107,7 +107,7 @@
 	}
 }
 
-func (h *Hearth) pump(conn net.Conn, w *transport.Writer, f *follower, gone chan struct{}) {
+func (h *Daemon) pump(conn net.Conn, w *transport.Writer, f *follower, gone chan struct{}) {
 	select {
 	case <-f.ready:
 	case <-h.T.Dying():
@@ -132,7 +132,7 @@
 	}
 }
 
-func (h *Hearth) put(conn net.Conn, w *transport.Writer, msg any) (ok bool) {
+func (h *Daemon) put(conn net.Conn, w *transport.Writer, msg any) (ok bool) {
 	frame, err := w.Frame(msg)
 	if err != nil {
 		h.fault("follower", err)
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -21,7 +21,7 @@
 	return lis.Addr().String()
 }
 
-func daemon(t *testing.T, addr, data string) (h *Hearth, stop func()) {
+func daemon(t *testing.T, addr, data string) (h *Daemon, stop func()) {
 	tb := &tomb.Tomb{}
 	s, err := Check(Settings{Role: "core", Name: "n1", Domain: "a", Listen: addr, HTTP: addr, Data: data})
 	if err != nil {
@@ -44,7 +44,7 @@
 func TestLibraryFollowsItsDaemonThroughARestart(t *testing.T) {
 	addr, data := address(t), t.TempDir()
 	h, stop := daemon(t, addr, data)
-	for h.Call(control.Found{Names: []string{"n1"}}).Err != nil {
+	for h.Call(control.Bootstrap{Names: []string{"n1"}}).Err != nil {
 	}
 	if a := h.Call(control.Put{ID: "one", Body: []byte(document)}); a.Err != nil || a.Mark != 1 {
 		t.Fatal(a)
--- a/daemon/keep.go
+++ b/daemon/persist.go
@@ -8,25 +8,25 @@
 
 const mendEvery = 500 * time.Millisecond
 
-func (h *Hearth) list() (err error) {
+func (h *Daemon) list() (err error) {
 	rows, err := h.S.Host.List()
-	h.give(control.ListRead{Rows: rows, Err: err})
+	h.submit(control.ListRead{Rows: rows, Err: err})
 	return nil
 }
 
 // failures hands what the market says of failing replicas to control, which tells the other nodes.
-func (h *Hearth) failures() (err error) {
+func (h *Daemon) failures() (err error) {
 	for {
 		select {
 		case <-h.T.Dying():
 			return nil
 		case f := <-h.Desk.Failures:
-			h.give(control.Failed{Failures: f})
+			h.submit(control.Failed{Failures: f})
 		}
 	}
 }
 
-func (h *Hearth) keep() (err error) {
+func (h *Daemon) persist() (err error) {
 	var mend <-chan time.Time
 	for {
 		select {
@@ -41,16 +41,16 @@
 					more = false
 				}
 			}
-			err := h.keeper.Save(ws)
-			h.give(control.Saved{Ticket: ws[len(ws)-1].Ticket, Err: err})
+			err := h.journal.Append(ws)
+			h.submit(control.Persisted{Ticket: ws[len(ws)-1].Ticket, Err: err})
 			if err != nil {
 				mend = time.After(mendEvery)
 			}
 		case <-mend:
 			mend = time.After(mendEvery)
-			if h.keeper.Mend() == nil {
+			if h.journal.Recover() == nil {
 				mend = nil
-				h.give(control.Saved{Mended: true})
+				h.submit(control.Persisted{Mended: true})
 			}
 		}
 	}
--- a/daemon/prefill.go
+++ b/daemon/prefill.go
@@ -8,7 +8,7 @@
 const prefillQueue = 64
 
 // placed passes a long prompt on to the owner of control state, unless that is busy: the news are worth nothing later.
-func (h *Hearth) placed(p mallowbridge.Prefill) {
+func (h *Daemon) placed(p mallowbridge.Prefill) {
 	select {
 	case h.prefills <- p:
 	default:
@@ -16,7 +16,7 @@
 }
 
 // gather takes all that wait into one message.
-func (h *Hearth) gather(first mallowbridge.Prefill) (ps control.Prefills) {
+func (h *Daemon) gather(first mallowbridge.Prefill) (ps control.Prefills) {
 	ps.Rows = []mallowbridge.Prefill{first}
 	for range len(h.prefills) {
 		ps.Rows = append(ps.Rows, <-h.prefills)
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -34,8 +34,8 @@
 	LagMs      int    `json:"lagMs"`
 }
 
-func (h *Hearth) probe(p control.Probe) {
-	h.give(ask(p))
+func (h *Daemon) probe(p control.Probe) {
+	h.submit(ask(p))
 }
 
 func ask(p control.Probe) (res control.Probed) {
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -67,13 +67,13 @@
 	s.MaxStreams = d.Int("maxStreams", 0, 1, 1<<20)
 	s.Backlog = d.Int("backlog", 0, 1, 1<<16)
 	s.DrainMs = d.Int("drainMs", 0, 1, 600000)
-	d.Shut()
+	d.Close()
 	return s, d.Err()
 }
 
 func Check(in Settings) (s Settings, err error) {
 	s = in.withDefaults()
-	bad := &config.BadError{}
+	bad := &config.InvalidError{}
 	flaw := func(field, val, bound string) {
 		bad.Flaws = append(bad.Flaws, config.Flaw{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
 	}
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -23,8 +23,8 @@
 )
 
 // An eye keeps one idle connection to a replica: when the replica's process ends, the connection tells it at once.
-type eye struct {
-	h          *Hearth
+type replicaWatcher struct {
+	h          *Daemon
 	name, addr string
 	stop       chan struct{}
 	poke       chan struct{}
@@ -33,12 +33,12 @@
 	most       time.Duration
 }
 
-func (h *Hearth) eye(name, addr string, most time.Duration) (e *eye) {
-	return &eye{h: h, name: name, addr: addr, stop: make(chan struct{}), poke: make(chan struct{}, 1), nap: lookAgain, most: most}
+func (h *Daemon) eye(name, addr string, most time.Duration) (e *replicaWatcher) {
+	return &replicaWatcher{h: h, name: name, addr: addr, stop: make(chan struct{}), poke: make(chan struct{}, 1), nap: lookAgain, most: most}
 }
 
-func (h *Hearth) watch() (err error) {
-	eyes := map[string]*eye{}
+func (h *Daemon) watch() (err error) {
+	eyes := map[string]*replicaWatcher{}
 	for {
 		select {
 		case <-h.T.Dying():
@@ -57,7 +57,7 @@
 }
 
 // picture leaves the newest for the watchers and never waits for them.
-func (h *Hearth) picture(p *config.Picture) {
+func (h *Daemon) watchSnapshot(p *config.Snapshot) {
 	select {
 	case <-h.pics:
 	default:
@@ -65,7 +65,7 @@
 	h.pics <- p
 }
 
-func (h *Hearth) wake(names []string) {
+func (h *Daemon) wake(names []string) {
 	for _, name := range names {
 		select {
 		case h.looks <- name:
@@ -74,7 +74,7 @@
 	}
 }
 
-func (h *Hearth) watchAll(eyes map[string]*eye, p *config.Picture) {
+func (h *Daemon) watchAll(eyes map[string]*replicaWatcher, p *config.Snapshot) {
 	wanted := map[string]string{}
 	for _, o := range p.Charter.Offers {
 		for _, r := range o.Replicas {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (e *eye) run() (err error) {
+func (e *replicaWatcher) run() (err error) {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (e *eye) tell(state control.SightState, p control.Probed) {
+func (e *replicaWatcher) tell(state control.SightState, p control.Probed) {
 	p.Replica, p.Own = e.name, true
 	select {
 	case e.h.in <- control.Sighted{State: state, Probed: p}:
@@ -125,7 +125,7 @@
 }
 
 // look looks once, and for as long as the replica keeps the connection. News that it is back wake who naps between looks.
-func (e *eye) look() (seen bool) {
+func (e *replicaWatcher) look() (seen bool) {
 	conn, err := net.DialTimeout("tcp", e.addr, lookFor)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		e.tell(control.Down, control.Probed{})
@@ -157,7 +157,7 @@
 }
 
 // ended tells that the connection was shut, unless this replica keeps none and shuts each at once.
-func (e *eye) ended(soon bool) {
+func (e *replicaWatcher) ended(soon bool) {
 	e.ends++
 	if !soon {
 		e.ends = 0
@@ -167,7 +167,7 @@
 	}
 }
 
-func (e *eye) ask(conn net.Conn, r *bufio.Reader) (p control.Probed, ok bool) {
+func (e *replicaWatcher) ask(conn net.Conn, r *bufio.Reader) (p control.Probed, ok bool) {
 	_ = conn.SetDeadline(time.Now().Add(lookFor))
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.addr+"/v1/usage", nil)
 	if err != nil || req.Write(conn) != nil {
--- a/daemon/watch_test.go
+++ b/daemon/watch_test.go
@@ -13,7 +13,7 @@
 
 func watched(t *testing.T, addr string) (in chan control.In) {
 	tb := &tomb.Tomb{}
-	h := &Hearth{T: tb, in: make(chan control.In)}
+	h := &Daemon{T: tb, in: make(chan control.In)}
 	e := h.eye("r", addr, lookAgain)
 	tb.Go(e.run)
 	t.Cleanup(func() {
--- a/events.go
+++ b/events.go
@@ -27,7 +27,7 @@
 }
 
 type Order struct {
-	Picture *config.Picture
+	Picture *config.Snapshot
 }
 
 type Listing struct {
--- a/gossip/push.go
+++ b/gossip/push.go
@@ -6,7 +6,7 @@
 )
 
 // Tell names news that is too large to be sent unasked.
-type Tell struct{ Marks []KeyMark }
+type Announcement struct{ Marks []KeyVersion }
 
 type sized interface{ Size() (bytes int) }
 
@@ -16,23 +16,23 @@
 )
 
 type asked struct {
-	mark Mark
+	mark Version
 	at   time.Duration
 }
 
 func (s *Store) pack(keys []string) (msgs []any) {
 	var small []string
-	var t Tell
+	var t Announcement
 	sort.Strings(keys)
 	for _, k := range keys {
 		if d, ok := s.items[k].Data.(sized); ok && d.Size() > large {
-			t.Marks = append(t.Marks, KeyMark{Key: k, Mark: s.items[k].Mark})
+			t.Marks = append(t.Marks, KeyVersion{Key: k, Mark: s.items[k].Mark})
 			continue
 		}
 		small = append(small, k)
 	}
 	if len(small) > 0 {
-		msgs = append(msgs, s.News(small))
+		msgs = append(msgs, s.Update(small))
 	}
 	if len(t.Marks) > 0 {
 		msgs = append(msgs, t)
@@ -43,7 +43,7 @@
 // push tells near nodes; what began here goes to every other domain, what a near node told goes to one far node once more.
 func (s *Store) push(peers []Peer) (sends []Send) {
 	var near, far, each []string
-	for k, h := range s.hot {
+	for k, h := range s.pending {
 		near = append(near, k)
 		switch {
 		case h.far == eachDomain:
@@ -53,7 +53,7 @@
 		}
 		h.left, h.first = h.left-1, false
 		if h.left <= 0 {
-			delete(s.hot, k)
+			delete(s.pending, k)
 		}
 	}
 	sends = s.spread(s.pick(peers, true, s.cfg.Near), near)
@@ -82,7 +82,7 @@
 	return sends
 }
 
-func (s *Store) OnTell(now time.Duration, from string, m Tell) (sends []Send) {
+func (s *Store) OnAnnouncement(now time.Duration, from string, m Announcement) (sends []Send) {
 	var want []string
 	for _, km := range m.Marks {
 		if it, ok := s.items[km.Key]; ok && !it.Mark.Less(km.Mark) {
@@ -97,11 +97,11 @@
 	if len(want) == 0 {
 		return nil
 	}
-	return []Send{{To: from, Msg: Want{Keys: want}}}
+	return []Send{{To: from, Msg: Pull{Keys: want}}}
 }
 
 func (s *Store) Tick(now time.Duration, peers []Peer) (sends []Send) {
-	if len(s.hot) > 0 && now-s.pushed >= s.cfg.Push {
+	if len(s.pending) > 0 && now-s.pushed >= s.cfg.Push {
 		s.pushed = now
 		sends = s.push(peers)
 	}
@@ -111,14 +111,14 @@
 		}
 		s.digested[i] = now
 		for _, p := range s.pick(peers, i == 0, 1) {
-			sends = append(sends, Send{To: p.Addr, Msg: Sum{Hash: s.hash, N: s.lasting}})
+			sends = append(sends, Send{To: p.Addr, Msg: Checksum{Hash: s.hash, N: s.durable}})
 		}
 	}
 	return sends
 }
 
-func (s *Store) Hurry(peers []Peer) (sends []Send) {
-	if len(s.hot) == 0 {
+func (s *Store) PushNow(peers []Peer) (sends []Send) {
+	if len(s.pending) == 0 {
 		return nil
 	}
 	return s.push(peers)
--- a/gossip/rumor.go
+++ b/gossip/store.go
@@ -9,36 +9,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-type Mark struct{ Hi, Lo uint64 }
+type Version struct{ Hi, Lo uint64 }
 
-func (m Mark) Less(o Mark) (yes bool) {
+func (m Version) Less(o Version) (yes bool) {
 	return m.Hi < o.Hi || (m.Hi == o.Hi && m.Lo < o.Lo)
 }
 
 type Item struct {
 	Key  string
-	Mark Mark
+	Mark Version
 	Data any
 }
 
-type KeyMark struct {
+type KeyVersion struct {
 	Key  string
-	Mark Mark
+	Mark Version
 }
 
-type News struct{ Items []Item }
+type Update struct{ Items []Item }
 
-type Sum struct {
+type Checksum struct {
 	Hash uint64
 	N    int
 }
 
-type Marks struct {
-	Marks []KeyMark
+type Digest struct {
+	Marks []KeyVersion
 	Reply bool
 }
 
-type Want struct{ Keys []string }
+type Pull struct{ Keys []string }
 
 type Peer struct {
 	Name, Addr, Domain string
@@ -71,31 +71,31 @@
 	eachDomain
 )
 
-type hot struct {
+type pendingPush struct {
 	left  int
 	first bool
 	far   reach
 }
 
 // fleeting news is soon replaced and of no use when old: it is pushed, and digests leave it out, which otherwise never agreed.
-type fleeting interface{ Fleeting() (yes bool) }
+type ephemeral interface{ Ephemeral() (yes bool) }
 
-func (it Item) fleeting() (yes bool) {
-	f, ok := it.Data.(fleeting)
-	return ok && f.Fleeting()
+func (it Item) ephemeral() (yes bool) {
+	f, ok := it.Data.(ephemeral)
+	return ok && f.Ephemeral()
 }
 
 // passing news is soon replaced and told once.
-type passing interface{ Passing() (yes bool) }
+type sentOnce interface{ SentOnce() (yes bool) }
 
 type Store struct {
 	cfg      Config
 	rng      *rand.Rand
 	items    map[string]Item
-	hot      map[string]*hot
+	pending  map[string]*pendingPush
 	asked    map[string]asked
 	hash     uint64
-	lasting  int
+	durable  int
 	pushed   time.Duration
 	digested [2]time.Duration
 	Fresh    uint64
@@ -103,10 +103,10 @@
 }
 
 func New(cfg Config, seed uint64) (s *Store) {
-	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, hot: map[string]*hot{}, asked: map[string]asked{}}
+	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, asked: map[string]asked{}}
 }
 
-func leaf(k string, m Mark) (h uint64) {
+func leaf(k string, m Version) (h uint64) {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], m.Hi)
 	binary.BigEndian.PutUint64(b[8:], m.Lo)
@@ -118,7 +118,7 @@
 
 func (s *Store) Put(it Item) (fresh bool) { return s.hold(it, eachDomain) }
 
-func (s *Store) Hear(it Item, near bool) (fresh bool) {
+func (s *Store) Merge(it Item, near bool) (fresh bool) {
 	if near {
 		return s.hold(it, oneFar)
 	}
@@ -131,20 +131,20 @@
 		s.Stale++
 		return false
 	}
-	if ok && !old.fleeting() {
+	if ok && !old.ephemeral() {
 		s.hash ^= leaf(old.Key, old.Mark)
-		s.lasting--
+		s.durable--
 	}
-	if !it.fleeting() {
+	if !it.ephemeral() {
 		s.hash ^= leaf(it.Key, it.Mark)
-		s.lasting++
+		s.durable++
 	}
 	s.items[it.Key] = it
 	left := s.cfg.Rounds
-	if p, ok := it.Data.(passing); ok && p.Passing() {
+	if p, ok := it.Data.(sentOnce); ok && p.SentOnce() {
 		left = 1
 	}
-	s.hot[it.Key] = &hot{left: left, first: true, far: far}
+	s.pending[it.Key] = &pendingPush{left: left, first: true, far: far}
 	s.Fresh++
 	return true
 }
@@ -158,7 +158,7 @@
 
 func (s *Store) keys() (keys []string) {
 	for k, it := range s.items {
-		if !it.fleeting() {
+		if !it.ephemeral() {
 			keys = append(keys, k)
 		}
 	}
@@ -166,15 +166,15 @@
 	return keys
 }
 
-func (s *Store) Marks(reply bool) (m Marks) {
+func (s *Store) Digest(reply bool) (m Digest) {
 	m.Reply = reply
 	for _, k := range s.keys() {
-		m.Marks = append(m.Marks, KeyMark{Key: k, Mark: s.items[k].Mark})
+		m.Marks = append(m.Marks, KeyVersion{Key: k, Mark: s.items[k].Mark})
 	}
 	return m
 }
 
-func (s *Store) News(keys []string) (n News) {
+func (s *Store) Update(keys []string) (n Update) {
 	for _, k := range keys {
 		if it, ok := s.items[k]; ok {
 			n.Items = append(n.Items, it)
@@ -183,15 +183,15 @@
 	return n
 }
 
-func (s *Store) OnSum(from string, m Sum) (sends []Send) {
-	if m.Hash == s.hash && m.N == s.lasting {
+func (s *Store) OnChecksum(from string, m Checksum) (sends []Send) {
+	if m.Hash == s.hash && m.N == s.durable {
 		return nil
 	}
-	return []Send{{To: from, Msg: s.Marks(true)}}
+	return []Send{{To: from, Msg: s.Digest(true)}}
 }
 
-func (s *Store) OnMarks(from string, m Marks) (sends []Send) {
-	theirs := map[string]Mark{}
+func (s *Store) OnDigest(from string, m Digest) (sends []Send) {
+	theirs := map[string]Version{}
 	var want []string
 	for _, km := range m.Marks {
 		theirs[km.Key] = km.Mark
@@ -206,16 +206,16 @@
 		}
 	}
 	if len(ahead) > 0 || m.Reply {
-		sends = append(sends, Send{To: from, Msg: s.News(ahead)})
+		sends = append(sends, Send{To: from, Msg: s.Update(ahead)})
 	}
 	if len(want) > 0 {
-		sends = append(sends, Send{To: from, Msg: Want{Keys: want}})
+		sends = append(sends, Send{To: from, Msg: Pull{Keys: want}})
 	}
 	return sends
 }
 
-func (s *Store) OnWant(from string, m Want) (sends []Send) {
-	return []Send{{To: from, Msg: s.News(m.Keys)}}
+func (s *Store) OnPull(from string, m Pull) (sends []Send) {
+	return []Send{{To: from, Msg: s.Update(m.Keys)}}
 }
 
 func (s *Store) pick(peers []Peer, near bool, n int) (to []Peer) {
--- a/httpapi/gate_test.go
+++ b/httpapi/gate_test.go
@@ -63,7 +63,7 @@
 	}
 	r.desk = mallowbridge.NewDesk(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
 	for _, ev := range []mallowbridge.Event{
-		mallowbridge.Order{Picture: &config.Picture{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
+		mallowbridge.Order{Picture: &config.Snapshot{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
 		mallowbridge.Usage{Replica: "r1", InstanceID: "i1"}, mallowbridge.Usage{Replica: "r2", InstanceID: "i2"},
 	} {
 		r.desk.Tell(ev)
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Tell(mallowbridge.Order{Picture: &config.Picture{Mark: 2, Charter: c}})
+	r.desk.Tell(mallowbridge.Order{Picture: &config.Snapshot{Mark: 2, Charter: c}})
 	r.desk.Tell(mallowbridge.Usage{Replica: "r9", InstanceID: "i9"})
 	r.later(3 * time.Second)
 	if g := r.ask("once", "q1"); g.Outcome != "done" {
--- a/httpapi/ops.go
+++ b/httpapi/ops.go
@@ -54,8 +54,8 @@
 	r.PUT("/v1/config", o.put)
 	r.POST("/v1/domains/:domain/empty", o.domain(false))
 	r.POST("/v1/domains/:domain/restore", o.domain(true))
-	r.POST("/v1/found", o.voters(func(id string, names []string) control.Op { return control.Found{Names: names} }))
-	r.POST("/v1/voters", o.voters(func(id string, names []string) control.Op { return control.Swap{ID: id, Names: names} }))
+	r.POST("/v1/found", o.voters(func(id string, names []string) control.Op { return control.Bootstrap{Names: names} }))
+	r.POST("/v1/voters", o.voters(func(id string, names []string) control.Op { return control.ReplaceVoters{ID: id, Names: names} }))
 	r.POST("/v1/replicas", o.replicas)
 }
 
@@ -73,11 +73,11 @@
 }
 
 func refuse(w http.ResponseWriter, err error) error {
-	var bad *config.BadError
+	var bad *config.InvalidError
 	var conflict *register.ConflictError
-	var unknown *register.UnknownError
-	var unreached *register.UnreachedError
-	var unfounded *register.UnfoundedError
+	var unknown *register.OutcomeUnknownError
+	var unreached *register.NoQuorumError
+	var unfounded *register.NotBootstrappedError
 	var name *control.NameError
 	var long *http.MaxBytesError
 	t := Trouble{Error: err.Error(), Fate: "unchanged"}
@@ -101,7 +101,7 @@
 }
 
 func flaw(path, val, bound string) (err error) {
-	return &config.BadError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}}
+	return &config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}}
 }
 
 func (o *Ops) changeID(r bunrouter.Request) (id string, err error) {
@@ -116,7 +116,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
 }
 
-func open(w http.ResponseWriter, r bunrouter.Request) (d *config.Desk, err error) {
+func open(w http.ResponseWriter, r bunrouter.Request) (d *config.Decoder, err error) {
 	raw, err := body(w, r)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 		if !known {
 			return refuse(w, &control.NameError{Name: name, Why: "no such domain"})
 		}
-		return o.answer(w, o.C.Call(control.Empty{ID: id, Domain: name, Restore: restore}))
+		return o.answer(w, o.C.Call(control.Evacuate{ID: id, Domain: name, Restore: restore}))
 	}
 }
 
@@ -185,7 +185,7 @@
 		for _, e := range d.List("voters", 1, 15) {
 			names = append(names, e.Text(64))
 		}
-		d.Shut()
+		d.Close()
 		if err = d.Err(); err != nil {
 			return refuse(w, err)
 		}
@@ -198,16 +198,16 @@
 	if err != nil {
 		return refuse(w, err)
 	}
-	op := control.Listed{At: uint64(time.Now().UnixMilli())}
+	op := control.SetListings{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
 		l := control.Listing{Replica: e.Str("name", true, 64), State: e.Str("state", true, 16)}
 		if l.State != "present" && l.State != "leaving" && l.State != "gone" && l.State != "" {
 			e.Flaw(e.At("state"), l.State, "present, leaving or gone")
 		}
-		e.Shut()
+		e.Close()
 		op.Rows = append(op.Rows, l)
 	}
-	d.Shut()
+	d.Close()
 	if err = d.Err(); err != nil {
 		return refuse(w, err)
 	}
--- a/lease/term.go
+++ b/lease/lease.go
@@ -14,20 +14,20 @@
 	Drift = TTL / 10
 )
 
-type Mark struct {
+type Token struct {
 	Seat, N uint64
 }
 
-func (m Mark) Less(o Mark) (yes bool) {
+func (m Token) Less(o Token) (yes bool) {
 	return m.Seat < o.Seat || (m.Seat == o.Seat && m.N < o.N)
 }
 
-type Ask struct {
+type Request struct {
 	Rid    uint64
 	Disk   string
 	Duty   string
 	Holder string
-	Mark   Mark
+	Mark   Token
 	Seat   uint64
 }
 
@@ -36,63 +36,63 @@
 	Disk   string
 	Duty   string
 	OK     bool
-	Mark   Mark
+	Mark   Token
 	Holder string
 }
 
-type Drop struct {
+type Release struct {
 	Disk   string
 	Duty   string
 	Holder string
-	Mark   Mark
+	Mark   Token
 }
 
 type Record struct {
 	Holder string
-	Mark   Mark
+	Mark   Token
 }
 
-type row struct {
+type grantRow struct {
 	Record
 	until time.Duration
 }
 
-type Granter struct {
-	Disk  string
-	rows  map[string]*row
-	quiet time.Duration
-	seat  uint64
+type Grantor struct {
+	Disk       string
+	rows       map[string]*grantRow
+	graceUntil time.Duration
+	epoch      uint64
 }
 
-func NewGranter(disk string, kept map[string]Record, quietUntil time.Duration) (g *Granter) {
-	g = &Granter{Disk: disk, rows: map[string]*row{}, quiet: quietUntil}
+func NewGrantor(disk string, kept map[string]Record, quietUntil time.Duration) (g *Grantor) {
+	g = &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: quietUntil}
 	for duty, r := range kept {
-		g.rows[duty] = &row{Record: r, until: quietUntil}
+		g.rows[duty] = &grantRow{Record: r, until: quietUntil}
 	}
 	return g
 }
 
-func (g *Granter) Reseat(now time.Duration, seat uint64) {
-	if seat > g.seat {
-		g.seat, g.quiet = seat, now+TTL
+func (g *Grantor) ChangeEpoch(now time.Duration, seat uint64) {
+	if seat > g.epoch {
+		g.epoch, g.graceUntil = seat, now+TTL
 	}
 }
 
-func (g *Granter) Ask(now time.Duration, m Ask) (r Grant, write bool) {
+func (g *Grantor) HandleRequest(now time.Duration, m Request) (r Grant, write bool) {
 	if m.Disk != g.Disk {
 		return Grant{}, false
 	}
 	r = Grant{Rid: m.Rid, Disk: g.Disk, Duty: m.Duty}
-	if m.Seat != g.seat {
+	if m.Seat != g.epoch {
 		return r, false
 	}
 	cur := g.rows[m.Duty]
 	if cur == nil {
-		cur = &row{until: g.quiet}
+		cur = &grantRow{until: g.graceUntil}
 		g.rows[m.Duty] = cur
 	}
 	same := cur.Holder == m.Holder && cur.Mark == m.Mark
-	if !same && (now < cur.until || now < g.quiet || !cur.Mark.Less(m.Mark)) {
+	if !same && (now < cur.until || now < g.graceUntil || !cur.Mark.Less(m.Mark)) {
 		r.Mark, r.Holder = cur.Mark, cur.Holder
 		return r, false
 	}
@@ -102,13 +102,13 @@
 	return r, write
 }
 
-func (g *Granter) Drop(m Drop) {
+func (g *Grantor) HandleRelease(m Release) {
 	if cur := g.rows[m.Duty]; cur != nil && m.Disk == g.Disk && cur.Holder == m.Holder && cur.Mark == m.Mark {
 		cur.until = 0
 	}
 }
 
-func (g *Granter) Kept() (kept map[string]Record) {
+func (g *Grantor) Records() (kept map[string]Record) {
 	kept = map[string]Record{}
 	for duty, r := range g.rows {
 		if r.Holder != "" {
@@ -118,9 +118,9 @@
 	return kept
 }
 
-type Claim struct {
+type Lease struct {
 	Duty  string
-	Mark  Mark
+	Token Token
 	until time.Duration
 	asked time.Duration
 	rid   uint64
@@ -130,55 +130,55 @@
 
 type Holder struct {
 	Name   string
-	claims map[string]*Claim
+	leases map[string]*Lease
 	high   map[string]uint64
 	rid    uint64
 	rng    *rand.Rand
 }
 
 func NewHolder(name string, seed uint64) (h *Holder) {
-	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), claims: map[string]*Claim{}, high: map[string]uint64{}}
+	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, high: map[string]uint64{}}
 }
 
-func (h *Holder) Holds(now time.Duration, duty string) (m Mark, ok bool) {
-	c := h.claims[duty]
+func (h *Holder) Holds(now time.Duration, duty string) (m Token, ok bool) {
+	c := h.leases[duty]
 	if c == nil || now >= c.until {
-		return Mark{}, false
+		return Token{}, false
 	}
-	return c.Mark, true
+	return c.Token, true
 }
 
-func (h *Holder) Want(now time.Duration, duty string, seats *register.Value) (sends []register.Send) {
-	c := h.claims[duty]
+func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) (sends []register.Send) {
+	c := h.leases[duty]
 	if c == nil {
-		c = &Claim{Duty: duty, Mark: Mark{Seat: seats.Seat, N: h.high[duty] + 1}}
-		h.claims[duty] = c
+		c = &Lease{Duty: duty, Token: Token{Seat: seats.Seat, N: h.high[duty] + 1}}
+		h.leases[duty] = c
 	}
 	if now < c.next {
 		return nil
 	}
 	if now >= c.until && len(c.yes) > 0 {
 		c.yes, c.rid, c.next = nil, 0, now+Renew/4+time.Duration(h.rng.Int64N(int64(2*Renew)))
-		return h.drops(c, seats)
+		return h.releases(c, seats)
 	}
-	if now >= c.until && (c.Mark.N <= h.high[duty] || c.Mark.Seat != seats.Seat) {
-		c.Mark = Mark{Seat: seats.Seat, N: h.high[duty] + 1}
+	if now >= c.until && (c.Token.N <= h.high[duty] || c.Token.Seat != seats.Seat) {
+		c.Token = Token{Seat: seats.Seat, N: h.high[duty] + 1}
 	}
 	h.rid++
 	c.rid, c.asked, c.yes, c.next = h.rid, now, map[string]bool{}, now+Renew
 	for _, v := range seats.All() {
-		sends = append(sends, register.Send{Disk: v.Disk, Msg: Ask{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Mark, Seat: seats.Seat}})
+		sends = append(sends, register.Send{Disk: v.Disk, Msg: Request{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Token, Seat: seats.Seat}})
 	}
 	return sends
 }
 
 func (h *Holder) OnGrant(now time.Duration, g Grant, seats *register.Value) {
-	c := h.claims[g.Duty]
+	c := h.leases[g.Duty]
 	if c == nil || g.Rid != c.rid {
 		return
 	}
 	if !g.OK {
-		if g.Mark.Seat == c.Mark.Seat {
+		if g.Mark.Seat == c.Token.Seat {
 			h.high[g.Duty] = max(h.high[g.Duty], g.Mark.N)
 		}
 		return
@@ -189,24 +189,24 @@
 	}
 }
 
-func (h *Holder) Drop(duty string, seats *register.Value) (sends []register.Send) {
-	c := h.claims[duty]
+func (h *Holder) Release(duty string, seats *register.Value) (sends []register.Send) {
+	c := h.leases[duty]
 	if c == nil {
 		return nil
 	}
-	delete(h.claims, duty)
-	return h.drops(c, seats)
+	delete(h.leases, duty)
+	return h.releases(c, seats)
 }
 
-func (h *Holder) drops(c *Claim, seats *register.Value) (sends []register.Send) {
+func (h *Holder) releases(c *Lease, seats *register.Value) (sends []register.Send) {
 	for _, v := range seats.All() {
-		sends = append(sends, register.Send{Disk: v.Disk, Msg: Drop{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Mark}})
+		sends = append(sends, register.Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Token}})
 	}
 	return sends
 }
 
 func (h *Holder) Held() (duties []string) {
-	for d := range h.claims {
+	for d := range h.leases {
 		duties = append(duties, d)
 	}
 	slices.Sort(duties)
--- a/lease/term_test.go
+++ b/lease/lease_test.go
@@ -21,7 +21,7 @@
 	rng      *rand.Rand
 	now      time.Duration
 	posts    []post
-	granters map[string]*Granter
+	granters map[string]*Grantor
 	holders  []*Holder
 	drift    []float64
 	views    []*register.Value
@@ -40,11 +40,11 @@
 		r.at(time.Duration(r.rng.IntN(60))*ms, func() {
 			g := r.granters[s.Disk]
 			switch m := s.Msg.(type) {
-			case Ask:
-				grant, _ := g.Ask(r.now, m)
+			case Request:
+				grant, _ := g.HandleRequest(r.now, m)
 				r.at(time.Duration(r.rng.IntN(60))*ms, func() { r.holders[i].OnGrant(r.clock(i), grant, r.views[i]) })
-			case Drop:
-				g.Drop(m)
+			case Release:
+				g.HandleRelease(m)
 			}
 		})
 	}
@@ -61,8 +61,8 @@
 		r.seats = &register.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Voters, Next: next}
 	}
 	for _, v := range r.seats.All() {
-		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].seat == r.seats.Seat }) {
-			r.granters[v.Disk].Reseat(r.now, r.seats.Seat)
+		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].epoch == r.seats.Seat }) {
+			r.granters[v.Disk].ChangeEpoch(r.now, r.seats.Seat)
 		}
 	}
 	seats := r.seats
@@ -94,13 +94,13 @@
 func TestNeverTwoHolders(t *testing.T) {
 	held := 0
 	for seed := range uint64(150) {
-		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Granter{}, seats: &register.Value{Seat: 1}}
+		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Grantor{}, seats: &register.Value{Seat: 1}}
 		for d := range 5 {
-			r.granters[fmt.Sprint(d)] = NewGranter(fmt.Sprint(d), nil, 0)
+			r.granters[fmt.Sprint(d)] = NewGrantor(fmt.Sprint(d), nil, 0)
 		}
 		for d := range 3 {
 			r.seats.Voters = append(r.seats.Voters, register.Voter{Disk: fmt.Sprint(d)})
-			r.granters[fmt.Sprint(d)].Reseat(0, 1)
+			r.granters[fmt.Sprint(d)].ChangeEpoch(0, 1)
 		}
 		for i := range 4 {
 			r.holders, r.views = append(r.holders, NewHolder(fmt.Sprint("h", i), seed*10+uint64(i))), append(r.views, r.seats)
@@ -114,13 +114,13 @@
 			if r.rng.IntN(150) == 0 {
 				d := fmt.Sprint(r.rng.IntN(5))
 				old := r.granters[d]
-				r.granters[d] = NewGranter(d, old.Kept(), r.now+TTL)
-				r.granters[d].Reseat(r.now, old.seat)
+				r.granters[d] = NewGrantor(d, old.Records(), r.now+TTL)
+				r.granters[d].ChangeEpoch(r.now, old.epoch)
 			}
 			holders := []string{}
 			for i, h := range r.holders {
 				if r.rng.IntN(5) == 0 && int(r.now/(7*time.Second))%4 != i {
-					r.carry(i, h.Want(r.clock(i), "d", r.views[i]))
+					r.carry(i, h.Acquire(r.clock(i), "d", r.views[i]))
 				}
 				if _, ok := h.Holds(r.clock(i), "d"); ok {
 					holders = append(holders, h.Name)
--- a/membership/overdue.go
+++ b/membership/overdue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func (k *Kin) overdue(now time.Duration, all []Member) (sends []Send) {
+func (k *Detector) overdue(now time.Duration, all []Member) (sends []Send) {
 	for _, seq := range slices.Sorted(maps.Keys(k.probes)) {
 		p := k.probes[seq]
 		m := k.Table.rows[p.target]
@@ -20,7 +20,7 @@
 			continue
 		}
 		delete(k.probes, seq)
-		if m.State == Alive && !k.Alone(now) {
+		if m.State == Alive && !k.Isolated(now) {
 			m.State = Suspect
 			k.set(now, m)
 		}
@@ -33,7 +33,7 @@
 	return sends
 }
 
-func (k *Kin) helpers(all []Member, target string) (ms []Member) {
+func (k *Detector) helpers(all []Member, target string) (ms []Member) {
 	for _, m := range all {
 		if m.State == Alive && m.Name != k.Self.Name && m.Name != target {
 			ms = append(ms, m)
--- a/membership/watch.go
+++ b/membership/watch.go
@@ -6,19 +6,19 @@
 )
 
 type Config struct {
-	Every   time.Duration
-	Direct  time.Duration
-	Via     time.Duration
-	Suspect time.Duration
-	Gap     time.Duration
-	Alone   time.Duration
-	Helpers int
+	Every         time.Duration
+	Direct        time.Duration
+	Via           time.Duration
+	Suspect       time.Duration
+	Gap           time.Duration
+	IsolatedAfter time.Duration
+	Helpers       int
 }
 
 func Defaults() (c Config) {
 	return Config{
 		Every: 400 * time.Millisecond, Direct: 350 * time.Millisecond, Via: 350 * time.Millisecond,
-		Suspect: 900 * time.Millisecond, Gap: time.Second, Alone: 1500 * time.Millisecond, Helpers: 2,
+		Suspect: 900 * time.Millisecond, Gap: time.Second, IsolatedAfter: 1500 * time.Millisecond, Helpers: 2,
 	}
 }
 
@@ -52,7 +52,7 @@
 	born time.Duration
 }
 
-type Kin struct {
+type Detector struct {
 	cfg     Config
 	Self    Member
 	Table   Table
@@ -69,30 +69,30 @@
 	counted uint64
 	heard   time.Duration
 	ticked  time.Duration
-	news    []Member
+	changes []Member
 	Deaths  uint64
 	Refutes uint64
 }
 
-func New(cfg Config, self Member, seed uint64, now time.Duration) (k *Kin) {
-	k = &Kin{
+func New(cfg Config, self Member, seed uint64, now time.Duration) (k *Detector) {
+	k = &Detector{
 		cfg: cfg, Self: self, rng: rand.New(rand.NewPCG(seed, 13)), probes: map[uint64]*probe{}, relays: map[uint64]relay{},
 		last: map[string]time.Duration{}, suspect: map[string]time.Duration{}, heard: now, ticked: now,
 	}
 	k.Table.rows = map[string]Member{self.Name: self}
-	k.news = []Member{self}
+	k.changes = []Member{self}
 	return k
 }
 
-func (k *Kin) TakeNews() (ms []Member) {
-	ms, k.news = k.news, nil
+func (k *Detector) TakeChanges() (ms []Member) {
+	ms, k.changes = k.changes, nil
 	return ms
 }
 
-func (k *Kin) set(now time.Duration, m Member) {
+func (k *Detector) set(now time.Duration, m Member) {
 	old, had := k.Table.rows[m.Name]
 	k.Table.put(m)
-	k.news = append(k.news, m)
+	k.changes = append(k.changes, m)
 	if m.State != Suspect {
 		delete(k.suspect, m.Name)
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (k *Kin) forget(target string) {
+func (k *Detector) forget(target string) {
 	for seq, p := range k.probes {
 		if p.target == target {
 			delete(k.probes, seq)
@@ -115,13 +115,13 @@
 	}
 }
 
-func (k *Kin) Update(now time.Duration, change func(m *Member)) {
+func (k *Detector) Update(now time.Duration, change func(m *Member)) {
 	change(&k.Self)
 	k.Self.Inc++
 	k.set(now, k.Self)
 }
 
-func (k *Kin) Hear(now time.Duration, m Member) {
+func (k *Detector) Merge(now time.Duration, m Member) {
 	if m.Name == k.Self.Name {
 		if m.Inc > k.Self.Inc || (m.Inc == k.Self.Inc && m.State != k.Self.State) {
 			k.Refutes++
@@ -136,7 +136,7 @@
 	k.set(now, m)
 }
 
-func (k *Kin) Others() (n int) {
+func (k *Detector) Others() (n int) {
 	if k.counted == k.Table.rev+1 {
 		return k.others
 	}
@@ -149,24 +149,24 @@
 	return n
 }
 
-func (k *Kin) Alone(now time.Duration) (yes bool) {
-	return k.Others() > 0 && now-k.heard > k.cfg.Alone
+func (k *Detector) Isolated(now time.Duration) (yes bool) {
+	return k.Others() > 0 && now-k.heard > k.cfg.IsolatedAfter
 }
 
-func (k *Kin) OnPing(from string, m Ping) (sends []Send) {
+func (k *Detector) OnPing(from string, m Ping) (sends []Send) {
 	if m.Name != k.Self.Name {
 		return nil
 	}
 	return []Send{{To: from, Msg: Ack{Seq: m.Seq}}}
 }
 
-func (k *Kin) OnPingFor(now time.Duration, from string, m PingFor) (sends []Send) {
+func (k *Detector) OnPingFor(now time.Duration, from string, m PingFor) (sends []Send) {
 	k.seq++
 	k.relays[k.seq] = relay{to: from, seq: m.Seq, born: now}
 	return []Send{{To: m.Addr, Msg: Ping{Seq: k.seq, Name: m.Name}}}
 }
 
-func (k *Kin) OnAck(now time.Duration, m Ack) (sends []Send) {
+func (k *Detector) OnAck(now time.Duration, m Ack) (sends []Send) {
 	if r, ok := k.relays[m.Seq]; ok {
 		delete(k.relays, m.Seq)
 		return []Send{{To: r.to, Msg: Ack{Seq: r.seq}}}
@@ -180,7 +180,7 @@
 }
 
 // choose names whom this node pings: its own watchers, who must answer it, and whom it watches. It holds until the table changes.
-func (k *Kin) choose(all []Member) {
+func (k *Detector) choose(all []Member) {
 	if k.watched != nil && k.chosen == k.Table.rev {
 		return
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-func (k *Kin) Tick(now time.Duration) (sends []Send) {
+func (k *Detector) Tick(now time.Duration) (sends []Send) {
 	if now-k.ticked > k.cfg.Gap {
 		k.probes = map[uint64]*probe{}
 		for name := range k.suspect {
@@ -204,7 +204,7 @@
 	}
 	k.ticked = now
 	all := k.Table.All()
-	alone := k.Alone(now)
+	alone := k.Isolated(now)
 	for _, m := range all {
 		if _, ok := k.suspect[m.Name]; ok && alone {
 			k.suspect[m.Name] = now
--- a/order.go
+++ b/order.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-func (r *Router) order(now time.Duration, p *config.Picture) {
+func (r *Router) order(now time.Duration, p *config.Snapshot) {
 	if p == nil || (r.pic != nil && p.Mark <= r.pic.Mark) {
 		return
 	}
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -12,21 +12,21 @@
 	return fmt.Sprintf("mark is %d by now", e.Mark)
 }
 
-type UnreachedError struct{}
+type NoQuorumError struct{}
 
-func (e *UnreachedError) Error() (text string) {
+func (e *NoQuorumError) Error() (text string) {
 	return "no majority of voters was reached and nothing was changed"
 }
 
-type UnknownError struct{}
+type OutcomeUnknownError struct{}
 
-func (e *UnknownError) Error() (text string) {
+func (e *OutcomeUnknownError) Error() (text string) {
 	return "the change may or may not have been accepted"
 }
 
-type UnfoundedError struct{}
+type NotBootstrappedError struct{}
 
-func (e *UnfoundedError) Error() (text string) { return "the register has not been founded" }
+func (e *NotBootstrappedError) Error() (text string) { return "the register has not been founded" }
 
 type Change func(cur *Value) (next *Value, err error)
 
@@ -41,14 +41,14 @@
 	Msg  any
 }
 
-type task struct {
-	id       uint64
-	change   Change
-	deadline time.Duration
-	exposed  bool
-	found    bool
-	full     bool
-	looked   bool
+type operation struct {
+	id         uint64
+	change     Change
+	deadline   time.Duration
+	exposed    bool
+	bootstrap  bool
+	full       bool
+	readFailed bool
 }
 
 type phase uint8
@@ -68,22 +68,22 @@
 	Round time.Duration
 	rng   *rand.Rand
 
-	seats   *Value
-	backlog []*task
-	cur     *task
-	phase   phase
-	ballot  Ballot
-	top     uint64
-	rid     uint64
-	until   time.Duration
-	tries   int
-	look    bool
-	got     map[string]Promise
-	yes     map[string]bool
-	asked   map[string]bool
-	offered *Value
-	results []Result
-	sends   []Send
+	voters   *Value
+	queue    []*operation
+	cur      *operation
+	phase    phase
+	ballot   Ballot
+	top      uint64
+	rid      uint64
+	until    time.Duration
+	tries    int
+	look     bool
+	got      map[string]Promise
+	yes      map[string]bool
+	asked    map[string]bool
+	proposed *Value
+	results  []Result
+	sends    []Send
 }
 
 func NewProposer(by string, seed uint64) (p *Proposer) {
@@ -91,32 +91,32 @@
 }
 
 func (p *Proposer) Learn(v *Value) {
-	if v != nil && v.Newer(p.seats) {
-		p.seats = v
+	if v != nil && v.Newer(p.voters) {
+		p.voters = v
 	}
 }
 
-func (p *Proposer) Do(now, deadline time.Duration, id uint64, change Change, full bool) {
-	p.backlog = append(p.backlog, &task{id: id, change: change, deadline: deadline, full: full})
-	p.turn(now)
+func (p *Proposer) Submit(now, deadline time.Duration, id uint64, change Change, full bool) {
+	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, full: full})
+	p.next(now)
 }
 
-func (p *Proposer) Found(now, deadline time.Duration, id uint64, first *Value) {
+func (p *Proposer) Bootstrap(now, deadline time.Duration, id uint64, first *Value) {
 	change := func(cur *Value) (*Value, error) { return first, nil }
-	p.backlog = append(p.backlog, &task{id: id, change: change, deadline: deadline, found: true})
-	p.seats = first
-	p.turn(now)
+	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, bootstrap: true})
+	p.voters = first
+	p.next(now)
 }
 
-func (p *Proposer) Take() (sends []Send, results []Result) {
+func (p *Proposer) TakeOutput() (sends []Send, results []Result) {
 	sends, results = p.sends, p.results
 	p.sends, p.results = nil, nil
 	return sends, results
 }
 
-func (p *Proposer) turn(now time.Duration) {
-	for p.cur == nil && len(p.backlog) > 0 {
-		p.cur, p.backlog = p.backlog[0], p.backlog[1:]
+func (p *Proposer) next(now time.Duration) {
+	for p.cur == nil && len(p.queue) > 0 {
+		p.cur, p.queue = p.queue[0], p.queue[1:]
 		p.tries = 0
 		p.prepare(now)
 	}
@@ -125,16 +125,16 @@
 func (p *Proposer) end(now time.Duration, v *Value, err error) {
 	p.results = append(p.results, Result{ID: p.cur.id, Value: v, Err: err})
 	p.cur, p.phase = nil, idle
-	p.turn(now)
+	p.next(now)
 }
 
 func (p *Proposer) prepare(now time.Duration) {
-	if p.seats == nil {
-		p.end(now, nil, &UnfoundedError{})
+	if p.voters == nil {
+		p.end(now, nil, &NotBootstrappedError{})
 		return
 	}
 	p.rid++
-	p.look = p.cur.change == nil && !p.cur.full && !p.cur.looked
+	p.look = p.cur.change == nil && !p.cur.full && !p.cur.readFailed
 	if !p.look {
 		p.top++
 	}
@@ -145,7 +145,7 @@
 	}
 	p.got, p.yes = map[string]Promise{}, map[string]bool{}
 	p.asked = map[string]bool{}
-	p.ask(p.seats.All())
+	p.ask(p.voters.All())
 }
 
 func (p *Proposer) ask(set []Voter) {
@@ -170,10 +170,10 @@
 	}
 	if now >= p.cur.deadline {
 		if p.cur.exposed {
-			p.end(now, nil, &UnknownError{})
+			p.end(now, nil, &OutcomeUnknownError{})
 			return
 		}
-		p.end(now, nil, &UnreachedError{})
+		p.end(now, nil, &NoQuorumError{})
 		return
 	}
 	if now < p.until {
--- a/register/pact_test.go
+++ b/register/register_test.go
@@ -62,9 +62,9 @@
 		p := NewProposer(fmt.Sprintf("p%d", i), seed+uint64(i))
 		l.props = append(l.props, p)
 	}
-	l.props[0].Found(0, time.Hour, 0, &Value{Fleet: "f", Voters: vs})
+	l.props[0].Bootstrap(0, time.Hour, 0, &Value{Fleet: "f", Voters: vs})
 	l.pump(400, 0)
-	l.props[0].Take()
+	l.props[0].TakeOutput()
 	for _, p := range l.props {
 		p.Learn(&Value{Fleet: "f", Voters: vs})
 	}
@@ -73,7 +73,7 @@
 
 func (l *lab) take() {
 	for i, p := range l.props {
-		sends, rs := p.Take()
+		sends, rs := p.TakeOutput()
 		for _, s := range sends {
 			l.bag = append(l.bag, mail{to: s.Disk, from: fmt.Sprint(i), msg: s.Msg})
 		}
@@ -92,7 +92,7 @@
 	o := &l.ops[at]
 	o.Return = int64(l.now)
 	var c *ConflictError
-	var gone *UnfoundedError
+	var gone *NotBootstrappedError
 	l.gone = l.gone || errors.As(r.Err, &gone)
 	switch {
 	case errors.As(r.Err, &c):
@@ -172,7 +172,7 @@
 			return cur, nil
 		}
 	}
-	l.props[i].Do(l.now, l.now+2*time.Second, l.id, change, l.rng.IntN(4) == 0)
+	l.props[i].Submit(l.now, l.now+2*time.Second, l.id, change, l.rng.IntN(4) == 0)
 }
 
 func (l *lab) reseat() {
@@ -182,14 +182,14 @@
 	}
 	p := l.props[l.rng.IntN(len(l.props))]
 	l.id += 2
-	p.Do(l.now, l.now+2*time.Second, l.id-1, func(cur *Value) (*Value, error) {
+	p.Submit(l.now, l.now+2*time.Second, l.id-1, func(cur *Value) (*Value, error) {
 		if len(cur.Next) > 0 {
 			return nil, nil
 		}
 		cur.Next, cur.Seat = next, cur.Seat+1
 		return cur, nil
 	}, false)
-	p.Do(l.now, l.now+2*time.Second, l.id, func(cur *Value) (*Value, error) {
+	p.Submit(l.now, l.now+2*time.Second, l.id, func(cur *Value) (*Value, error) {
 		if len(cur.Next) == 0 {
 			return nil, nil
 		}
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const laggards = 50 * time.Millisecond
+const stragglerWait = 50 * time.Millisecond
 
 func (p *Proposer) OnPromise(now time.Duration, r Promise) {
 	if p.cur == nil || p.phase != preparing || r.Rid != p.rid {
@@ -15,12 +15,12 @@
 		return
 	}
 	p.got[r.Disk] = r
-	if p.cur.found {
-		p.founded(now)
+	if p.cur.bootstrap {
+		p.bootstrapped(now)
 		return
 	}
 	if best := p.best(); best != nil {
-		p.seats = best
+		p.voters = best
 		p.ask(best.All())
 	}
 	if len(p.got) == len(p.asked) || (!p.cur.full && p.hasQuorum()) {
@@ -28,12 +28,12 @@
 		return
 	}
 	if p.hasQuorum() {
-		p.until = min(p.until, now+laggards)
+		p.until = min(p.until, now+stragglerWait)
 	}
 }
 
 func (p *Proposer) hasQuorum() (yes bool) {
-	return Quorum(p.seats, func(d string) bool { _, ok := p.got[d]; return ok })
+	return Quorum(p.voters, func(d string) bool { _, ok := p.got[d]; return ok })
 }
 
 func (p *Proposer) best() (v *Value) {
@@ -46,28 +46,28 @@
 	return v
 }
 
-func (p *Proposer) founded(now time.Duration) {
+func (p *Proposer) bootstrapped(now time.Duration) {
 	best := p.best()
-	if best != nil && best.Fleet != p.seats.Fleet {
-		p.cur.found = false
-		p.seats = best
+	if best != nil && best.Fleet != p.voters.Fleet {
+		p.cur.bootstrap = false
+		p.voters = best
 		p.cur.change = func(cur *Value) (*Value, error) { return nil, &ConflictError{Mark: cur.Mark} }
 		p.prepare(now)
 		return
 	}
-	if len(p.got) == len(p.seats.All()) {
-		p.offer(now, p.seats)
+	if len(p.got) == len(p.voters.All()) {
+		p.proposeValue(now, p.voters)
 	}
 }
 
 func (p *Proposer) read(now time.Duration) {
 	base := p.best()
 	if base == nil {
-		p.end(now, nil, &UnfoundedError{})
+		p.end(now, nil, &NotBootstrappedError{})
 		return
 	}
 	if p.look && !p.chosen() {
-		p.cur.looked = true
+		p.cur.readFailed = true
 		p.prepare(now)
 		return
 	}
@@ -82,16 +82,16 @@
 			next = changed
 		}
 	}
-	if next == base && p.chosen() && (!p.cur.full || p.everywhere()) {
+	if next == base && p.chosen() && (!p.cur.full || p.acceptedEverywhere()) {
 		p.end(now, base, nil)
 		return
 	}
-	p.offer(now, next)
+	p.proposeValue(now, next)
 }
 
 func (p *Proposer) chosen() (yes bool) {
 	top := p.topAccepted()
-	return Quorum(p.seats, func(d string) bool {
+	return Quorum(p.voters, func(d string) bool {
 		r, ok := p.got[d]
 		return ok && r.Accepted == top
 	})
@@ -106,9 +106,9 @@
 	return top
 }
 
-func (p *Proposer) everywhere() (yes bool) {
+func (p *Proposer) acceptedEverywhere() (yes bool) {
 	top := p.topAccepted()
-	for _, v := range p.seats.All() {
+	for _, v := range p.voters.All() {
 		if r, ok := p.got[v.Disk]; !ok || r.Accepted != top {
 			return false
 		}
@@ -116,12 +116,12 @@
 	return true
 }
 
-func (p *Proposer) offer(now time.Duration, v *Value) {
+func (p *Proposer) proposeValue(now time.Duration, v *Value) {
 	p.rid++
-	p.phase, p.until, p.offered = accepting, now+p.Round, v
+	p.phase, p.until, p.proposed = accepting, now+p.Round, v
 	p.yes = map[string]bool{}
 	p.cur.exposed = p.cur.exposed || p.cur.change != nil
-	to := p.seats.All()
+	to := p.voters.All()
 	for _, s := range v.All() {
 		if !contains(to, s.Disk) {
 			to = append(to, s)
@@ -147,29 +147,29 @@
 		return
 	}
 	if !r.OK {
-		if contains(p.seats.All(), r.Disk) {
+		if contains(p.voters.All(), r.Disk) {
 			p.retry(now)
 		}
 		return
 	}
 	p.yes[r.Disk] = true
-	if !Quorum(p.seats, func(d string) bool { return p.yes[d] }) {
+	if !Quorum(p.voters, func(d string) bool { return p.yes[d] }) {
 		return
 	}
-	p.seats = p.offered
-	p.end(now, p.offered, p.verdict())
+	p.voters = p.proposed
+	p.end(now, p.proposed, p.verdict())
 }
 
 func (p *Proposer) verdict() (err error) {
 	if p.cur.change == nil {
 		return nil
 	}
-	_, err = p.cur.change(p.offered.Clone())
+	_, err = p.cur.change(p.proposed.Clone())
 	return err
 }
 
 func (p *Proposer) settle(now time.Duration) {
-	if p.phase == preparing && !p.cur.found && p.hasQuorum() {
+	if p.phase == preparing && !p.cur.bootstrap && p.hasQuorum() {
 		p.read(now)
 		return
 	}
--- a/register/value.go
+++ b/register/value.go
@@ -76,7 +76,7 @@
 	return v.Mark > o.Mark || (v.Mark == o.Mark && v.Seat > o.Seat)
 }
 
-func sameSet(a, b []Voter) (yes bool) {
+func sameVoters(a, b []Voter) (yes bool) {
 	if len(a) != len(b) {
 		return false
 	}
@@ -88,8 +88,8 @@
 	return true
 }
 
-func SameSeats(a, b *Value) (yes bool) {
-	return sameSet(a.Voters, b.Voters) && sameSet(a.Next, b.Next)
+func SameVoters(a, b *Value) (yes bool) {
+	return sameVoters(a.Voters, b.Voters) && sameVoters(a.Next, b.Next)
 }
 
 func majority(set []Voter, has func(disk string) bool) (yes bool) {
--- a/roster.go
+++ b/roster.go
@@ -106,7 +106,7 @@
 
 // emptied closes replicas of an emptied domain; taken back, they may have turned cold.
 func (r *Router) emptied(now time.Duration, id int, domain string) {
-	rep, is := &r.m.Reps[id], r.pic.Empty(domain)
+	rep, is := &r.m.Reps[id], r.pic.Evacuated(domain)
 	if rep.Emptied && !is {
 		r.m.Chill(id, now+r.coldFor(rep.Offer))
 	}
--- a/route.go
+++ b/route.go
@@ -14,7 +14,7 @@
 )
 
 // route makes each route a kind of every offer that it may go to.
-func (r *Router) route(p *config.Picture, used map[scheduler.KindID]bool) {
+func (r *Router) route(p *config.Snapshot, used map[scheduler.KindID]bool) {
 	r.hosts = map[string][]*config.Route{}
 	for i := range p.Charter.Routes {
 		rt := &p.Charter.Routes[i]
--- a/route_test.go
+++ b/route_test.go
@@ -9,8 +9,8 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-func routes(mark uint64, rs ...config.Route) (p *config.Picture) {
-	p = &config.Picture{Mark: mark}
+func routes(mark uint64, rs ...config.Route) (p *config.Snapshot) {
+	p = &config.Snapshot{Mark: mark}
 	for _, name := range []string{"a", "b"} {
 		p.Charter.Offers = append(p.Charter.Offers, config.Offer{
 			Name: name, Model: "m", Discovered: true, Queues: true, MaxConns: 100, ColdRate: 20, ColdFor: 3 * time.Second, KeepTokens: 10000,
@@ -21,19 +21,19 @@
 	return p
 }
 
-func route(name, prefix string, split ...config.Split) (rt config.Route) {
+func route(name, prefix string, split ...config.WeightedOffer) (rt config.Route) {
 	return config.Route{
 		Name: name, Host: "H.example", Prefix: prefix, Split: split, Timeout: 3 * time.Second, FirstToken: 800 * time.Millisecond, Attempts: 2,
 	}
 }
 
-func all(offer string) (s config.Split) { return config.Split{Offer: offer, Weight: 1} }
+func all(offer string) (s config.WeightedOffer) { return config.WeightedOffer{Offer: offer, Weight: 1} }
 
 func row(id, offer string) (i mallowbridge.Instance) {
 	return mallowbridge.Instance{ID: id, Offer: offer, Addr: "10.0.0.1:1", Domain: "a", Model: "m", Weights: "1", Room: 8}
 }
 
-func routed(p *config.Picture, rows ...mallowbridge.Instance) (r *mallowbridge.Router) {
+func routed(p *config.Snapshot, rows ...mallowbridge.Instance) (r *mallowbridge.Router) {
 	r = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a"))
 	r.Step(0, mallowbridge.Roster{Rows: rows})
 	r.Step(0, mallowbridge.Order{Picture: p})
@@ -75,7 +75,7 @@
 func TestSplitsFollowTheirWeights(t *testing.T) {
 	big, rows := 0, []mallowbridge.Instance{row("i1", "a"), row("i2", "b")}
 	rows[0].Room, rows[1].Room = 4000, 4000
-	r := routed(routes(1, route("k", "/", config.Split{Offer: "a", Weight: 90}, config.Split{Offer: "b", Weight: 10})), rows...)
+	r := routed(routes(1, route("k", "/", config.WeightedOffer{Offer: "a", Weight: 90}, config.WeightedOffer{Offer: "b", Weight: 10})), rows...)
 	for i := range 2000 {
 		if one(t, get(r, settled, fmt.Sprint(i), "/x"), mallowbridge.Place).Instance == "i1" {
 			big++
--- a/router.go
+++ b/router.go
@@ -44,7 +44,7 @@
 type Router struct {
 	cfg    Config
 	m      *scheduler.Market
-	pic    *config.Picture
+	pic    *config.Snapshot
 	offers map[string]int
 	kinds  []map[kindKey]int
 	reps   map[string]int
--- a/router_test.go
+++ b/router_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, mallowbridge.Order{Picture: &config.Picture{Mark: mark, Charter: c, Emptied: emptied}})
+	r.Step(0, mallowbridge.Order{Picture: &config.Snapshot{Mark: mark, Charter: c, Emptied: emptied}})
 }
 
 func replica(name, role, domain string, port int) (text string) {
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -19,7 +19,7 @@
 	if n.build <= transport.Build || n.w.now/time.Second == (n.w.now-tickEvery)/time.Second {
 		return
 	}
-	n.node.Rumor.Put(gossip.Item{Key: "x/" + n.Name, Mark: gossip.Mark{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
+	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Mark: gossip.Version{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
 }
 
 // foreign tells whether this node's build would fail to read the message, and lose its connection by it.
@@ -27,7 +27,7 @@
 	if n.build > transport.Build {
 		return false
 	}
-	news, ok := msg.(gossip.News)
+	news, ok := msg.(gossip.Update)
 	if !ok {
 		_, yes = msg.(Novelty)
 		return yes
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -17,7 +17,7 @@
 func isIdle(r config.Route) (yes bool) { return len(r.Name) > 4 && r.Name[:4] == "idle" }
 
 // vary moves, splits, adds and drops idle routes, and changes time-outs of all.
-func (o *operators) vary(c *config.Charter) {
+func (o *operators) vary(c *config.Config) {
 	rng, spec := o.rng, o.s.spec
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -28,11 +28,11 @@
 			}
 		case rng.IntN(3) == 0:
 			other := spec.Offers[rng.IntN(len(spec.Offers))].Name
-			r.Split = []config.Split{{Offer: other, Weight: 1}}
+			r.Split = []config.WeightedOffer{{Offer: other, Weight: 1}}
 		case rng.IntN(4) == 0:
 			r.Split = nil
 			for _, x := range spec.Offers {
-				r.Split = append(r.Split, config.Split{Offer: x.Name, Weight: float64(1 + rng.IntN(9))})
+				r.Split = append(r.Split, config.WeightedOffer{Offer: x.Name, Weight: float64(1 + rng.IntN(9))})
 			}
 		}
 	}
@@ -46,14 +46,14 @@
 	}
 }
 
-func (o *operators) grow(c *config.Charter) {
+func (o *operators) grow(c *config.Config) {
 	for i := range bigRoutes {
 		c.Routes = append(c.Routes, o.s.spec.idle(fmt.Sprintf("idle-big%d.%d", o.n, i), i))
 	}
 }
 
 // change has one document after the other taken, with looks at what differs.
-func (o *operators) change(until, gap time.Duration, vary func(c *config.Charter)) {
+func (o *operators) change(until, gap time.Duration, vary func(c *config.Config)) {
 	if o.s.w.now >= until {
 		return
 	}
@@ -89,12 +89,12 @@
 	if base == nil {
 		return
 	}
-	flaws := []func(c *config.Charter){
-		func(c *config.Charter) { c.Routes[0].Split = []config.Split{{Offer: "nobody", Weight: 1}} },
-		func(c *config.Charter) { c.Routes[1].Split = []config.Split{{Offer: o.s.spec.Offers[0].Name}} },
-		func(c *config.Charter) { c.Routes[2].Timeout = 0 },
-		func(c *config.Charter) { c.Routes[0].Prefix = c.Routes[1].Prefix },
-		func(c *config.Charter) { c.Revision = base.revision },
+	flaws := []func(c *config.Config){
+		func(c *config.Config) { c.Routes[0].Split = []config.WeightedOffer{{Offer: "nobody", Weight: 1}} },
+		func(c *config.Config) { c.Routes[1].Split = []config.WeightedOffer{{Offer: o.s.spec.Offers[0].Name}} },
+		func(c *config.Config) { c.Routes[2].Timeout = 0 },
+		func(c *config.Config) { c.Routes[0].Prefix = c.Routes[1].Prefix },
+		func(c *config.Config) { c.Revision = base.revision },
 	}
 	for i, flaw := range flaws {
 		c := base.clone()
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -38,7 +38,7 @@
 
 func (c *content) answered(a control.Answer) {
 	var conflict *register.ConflictError
-	var unreached *register.UnreachedError
+	var unreached *register.NoQuorumError
 	c.accepted = a.Err == nil
 	c.denied = errors.As(a.Err, &conflict) || errors.As(a.Err, &unreached)
 }
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (d *Disk) Cut(name string, size int) (err error) {
+func (d *Disk) Truncate(name string, size int) (err error) {
 	f := d.get(name)
 	if len(f.now) > size {
 		f.now = slices.Clone(f.now[:size])
--- a/sim/document.go
+++ b/sim/document.go
@@ -15,16 +15,16 @@
 // A site's operators write a charter.Charter as JSON: routes, offers whose replicas are discovered, limits and a revision.
 
 func flawed(path, val, bound string) (err error) {
-	return trace.Wrap(&config.BadError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}})
 }
 
 // readDocument is the charter.Reader of a site.
-func readDocument(raw []byte) (c config.Charter, err error) {
+func readDocument(raw []byte) (c config.Config, err error) {
 	if err = json.Unmarshal(raw, &c); err != nil {
-		return config.Charter{}, flawed("$", err.Error(), "a charter")
+		return config.Config{}, flawed("$", err.Error(), "a charter")
 	}
 	if c.Revision == 0 {
-		return config.Charter{}, flawed("$.Revision", "0", "above 0")
+		return config.Config{}, flawed("$.Revision", "0", "above 0")
 	}
 	offers := map[string]bool{}
 	for _, o := range c.Offers {
@@ -35,17 +35,17 @@
 		at, sum := fmt.Sprintf("$.Routes[%d]", i), 0.0
 		for _, s := range r.Split {
 			if !offers[s.Offer] {
-				return config.Charter{}, flawed(at+".Split", s.Offer, "a known offer")
+				return config.Config{}, flawed(at+".Split", s.Offer, "a known offer")
 			}
 			sum += s.Weight
 		}
 		switch place := r.Host + r.Prefix; {
 		case sum <= 0:
-			return config.Charter{}, flawed(at+".Split", "0 in all", "above 0")
+			return config.Config{}, flawed(at+".Split", "0 in all", "above 0")
 		case r.Timeout <= 0:
-			return config.Charter{}, flawed(at+".Timeout", "0", "above 0")
+			return config.Config{}, flawed(at+".Timeout", "0", "above 0")
 		case places[place]:
-			return config.Charter{}, flawed(at+".Prefix", place, "named once")
+			return config.Config{}, flawed(at+".Prefix", place, "named once")
 		default:
 			places[place] = true
 		}
@@ -53,7 +53,7 @@
 	return c, nil
 }
 
-func writeDocument(c config.Charter) (raw []byte) {
+func writeDocument(c config.Config) (raw []byte) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -66,7 +66,7 @@
 func prefixOf(name string) (p string) { return "/" + name + "/" }
 
 // first is the document that a day begins with.
-func (s SiteSpec) first() (c config.Charter) {
+func (s SiteSpec) first() (c config.Config) {
 	c.Revision = 1
 	for _, o := range s.Offers {
 		c.Offers = append(c.Offers, config.Offer{
@@ -76,7 +76,7 @@
 	}
 	for _, t := range s.Classes {
 		c.Routes = append(c.Routes, config.Route{
-			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), Split: []config.Split{{Offer: t.Offer, Weight: 1}}, Streaming: t.Streaming,
+			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), Split: []config.WeightedOffer{{Offer: t.Offer, Weight: 1}}, Streaming: t.Streaming,
 			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.Aim, Gap: t.Gap, Attempts: t.Attempts, Rank: t.Rank,
 		})
 	}
@@ -90,7 +90,7 @@
 func (s SiteSpec) idle(name string, offer int) (r config.Route) {
 	plain := s.Classes[len(s.Classes)-1]
 	return config.Route{
-		Name: name, Host: siteHost, Prefix: prefixOf(name), Split: []config.Split{{Offer: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
+		Name: name, Host: siteHost, Prefix: prefixOf(name), Split: []config.WeightedOffer{{Offer: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
 		Timeout: plain.Deadline, FirstToken: plain.Aim, Attempts: 1, Rank: 3,
 	}
 }
@@ -151,7 +151,7 @@
 }
 
 // routeFor finds the route of a request as the document has it, or nothing.
-func routeFor(c *config.Charter, path string) (r *config.Route) {
+func routeFor(c *config.Config, path string) (r *config.Route) {
 	for i := range c.Routes {
 		if o := &c.Routes[i]; strings.HasPrefix(path, o.Prefix) && (r == nil || len(o.Prefix) > len(r.Prefix)) {
 			r = o
--- a/sim/eyes.go
+++ b/sim/eyes.go
@@ -22,7 +22,7 @@
 	return n.w.Net.blocked(n.Addr, r.addr()) || n.w.Net.blocked(r.addr(), n.Addr)
 }
 
-func (n *Node) watch(p *config.Picture) {
+func (n *Node) watch(p *config.Snapshot) {
 	for _, o := range p.Charter.Offers {
 		for _, c := range o.Replicas {
 			if r := n.w.byRep[c.Name]; r != nil && n.eyes[c.Name] == nil {
--- a/sim/gauge.go
+++ b/sim/gauge.go
@@ -77,7 +77,7 @@
 	from := w.now
 	harm(n)
 	dead := func(o *Node) (yes bool) {
-		m, _ := o.node.Kin.Table.Get(n.Name)
+		m, _ := o.node.Members.Table.Get(n.Name)
 		return m.State == membership.Dead
 	}
 	g.read(how+": first node knows", w, from, func() bool { return w.others(n, false, dead) })
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -127,7 +127,7 @@
 
 func (h *Hollow) found() {
 	n := h.node(h.S.Shape.Voters[0])
-	h.call(n, control.Found{Names: h.S.Shape.Voters}, func(a control.Answer) {
+	h.call(n, control.Bootstrap{Names: h.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			h.after(300*time.Millisecond, h.found)
 			return
@@ -208,7 +208,7 @@
 		panic(err)
 	}
 	h.S.Meter.Sent(from, to, s.Msg, len(frame), encoded, decoded)
-	h.after(h.net.delay(from.Domain == to.Domain), func() { to.step(control.Recv{From: from.Addr, Msg: same}) })
+	h.after(h.net.delay(from.Domain == to.Domain), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
 func (n *HollowNode) obeys(o mallowbridge.Order) {
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -23,9 +23,9 @@
 	Control *control.Node
 	Router  *mallowbridge.Router
 	Disk    *Disk
-	keeper  *control.Keeper
+	keeper  *control.Journal
 	saving  bool
-	unsaved []control.Write
+	unsaved []control.LogWrite
 	eyes    map[string]bool
 	asks    map[string]*hollowGo
 	mark    uint64
@@ -45,18 +45,18 @@
 	h := n.h
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Domain: n.Domain, Boot: "b" + n.Name, Inc: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
-		Kin: membership.Defaults(), Rumor: gossip.Defaults(),
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	}
 	for _, o := range h.Nodes[:min(3, len(h.Nodes))] {
 		cfg.Seeds = append(cfg.Seeds, o.Addr)
 	}
 	if n.Disk != nil {
-		k, err := control.OpenKeeper(n.Disk, "disk-"+n.Name)
+		k, err := control.OpenJournal(n.Disk, "disk-"+n.Name)
 		if err != nil {
 			panic(err)
 		}
 		n.keeper = k
-		kept := k.Kept()
+		kept := k.State()
 		cfg.Disk = &kept
 	}
 	n.Control = control.New(h.now, cfg)
@@ -124,8 +124,8 @@
 	n.unsaved = nil
 	n.h.after(3*time.Millisecond, func() {
 		n.saving = false
-		err := n.keeper.Save(batch)
-		n.step(control.Saved{Ticket: batch[len(batch)-1].Ticket, Err: err})
+		err := n.keeper.Append(batch)
+		n.step(control.Persisted{Ticket: batch[len(batch)-1].Ticket, Err: err})
 		n.save()
 	})
 }
@@ -148,7 +148,7 @@
 	n.h.after(2*n.trip(p.Replica), func() { n.step(n.report(p.Replica, p.Own)) })
 }
 
-func (n *HollowNode) watch(p *config.Picture) {
+func (n *HollowNode) watch(p *config.Snapshot) {
 	for _, o := range p.Charter.Offers {
 		for _, r := range o.Replicas {
 			if n.h.reps[r.Name] == nil || n.eyes[r.Name] {
--- a/sim/node.go
+++ b/sim/node.go
@@ -29,12 +29,12 @@
 	wall   time.Duration
 	node   *control.Node
 	router *mallowbridge.Router
-	keeper *control.Keeper
+	keeper *control.Journal
 	Disk   *Disk
 	slow   time.Duration
 	stall  bool
 	saving bool
-	unsent []control.Write
+	unsent []control.LogWrite
 	asks   map[string]*flight
 	eyes   map[string]*eye
 	tick   func()
@@ -90,7 +90,7 @@
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, Domain: n.Domain, Seeds: n.seeds(), Boot: boot, Inc: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
-		Kin: membership.Defaults(), Rumor: gossip.Defaults(), Build: n.build,
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
 	n.open, n.door = false, nil
 	n.dark, n.mending, n.trips, n.pool, n.wakes = false, false, map[string]*trip{}, pool{}, 0
@@ -99,7 +99,7 @@
 		w.site.configure(&cfg, &rc)
 	}
 	if n.Disk != nil {
-		k, err := control.OpenKeeper(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.life))
+		k, err := control.OpenJournal(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.life))
 		if err != nil {
 			w.Say("%s cannot start: %v", n.Name, err)
 			w.Audit.breach("disk cannot be read", n.Name, err.Error())
@@ -107,7 +107,7 @@
 			return
 		}
 		n.keeper = k
-		kept := k.Kept()
+		kept := k.State()
 		cfg.Disk = &kept
 	}
 	n.node = control.New(n.local(), cfg)
--- a/sim/nodeout.go
+++ b/sim/nodeout.go
@@ -21,7 +21,7 @@
 		}
 		msgs, delays := w.Net.carry(n.Addr, s.To, n.Domain == to.Domain, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
-			w.after(delays[i], func() { to.step(control.Recv{From: n.Addr, Msg: m}) })
+			w.after(delays[i], func() { to.step(control.Received{From: n.Addr, Msg: m}) })
 		}
 	}
 	if len(out.Writes) > 0 {
@@ -68,8 +68,8 @@
 	d := time.Millisecond + time.Duration(n.w.rng.Int64N(int64(4*time.Millisecond))) + n.slow
 	n.later(d, func() {
 		n.saving = false
-		err := n.keeper.Save(batch)
-		n.step(control.Saved{Ticket: batch[len(batch)-1].Ticket, Err: err})
+		err := n.keeper.Append(batch)
+		n.step(control.Persisted{Ticket: batch[len(batch)-1].Ticket, Err: err})
 		n.save()
 		if err != nil && n.w.site != nil && !n.mending {
 			n.mend()
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -45,7 +45,7 @@
 
 func fateOf(err error) (f fate) {
 	var conflict *register.ConflictError
-	var bad *config.BadError
+	var bad *config.InvalidError
 	switch {
 	case err == nil:
 		return acked
@@ -170,7 +170,7 @@
 }
 
 // put replaces the document by what vary makes of the newest one; patch says only what differs.
-func (o *operators) put(vary func(c *config.Charter), end func(v *version, acked bool)) {
+func (o *operators) put(vary func(c *config.Config), end func(v *version, acked bool)) {
 	base := o.s.rules.newest()
 	if base == nil {
 		return
@@ -178,7 +178,7 @@
 	o.put2(base, vary, end)
 }
 
-func (o *operators) put2(base *version, vary func(c *config.Charter), end func(v *version, acked bool)) {
+func (o *operators) put2(base *version, vary func(c *config.Config), end func(v *version, acked bool)) {
 	c := base.clone()
 	vary(&c)
 	c.Revision = o.revision()
@@ -195,7 +195,7 @@
 	}})
 }
 
-func (v *version) clone() (c config.Charter) {
+func (v *version) clone() (c config.Config) {
 	c = v.doc
 	c.Routes = append([]config.Route(nil), c.Routes...)
 	return c
@@ -227,7 +227,7 @@
 			}
 		}
 	}
-	o.send(&order{op: control.Empty{ID: o.id(), Domain: domain, Restore: back}, end: func(ok bool) {
+	o.send(&order{op: control.Evacuate{ID: o.id(), Domain: domain, Restore: back}, end: func(ok bool) {
 		if ok && !back {
 			r.evacs[domain] = &evacuation{acked: o.s.w.now}
 		}
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -18,7 +18,7 @@
 	case Lists:
 		w.lists(w.now+f.For, map[string]string{}, 0)
 	case SwapVoters:
-		w.Call(w.someNode(), control.Swap{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
+		w.Call(w.someNode(), control.ReplaceVoters{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
 	case PutStorm, Race, LargePuts:
 		end := w.now + f.For
 		var again func()
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -9,7 +9,7 @@
 // A version is one document that operators sent. It may be in force from then on, unless it was refused.
 type version struct {
 	revision uint64
-	doc      config.Charter
+	doc      config.Config
 	raw      []byte
 	base     uint64
 	flawed   bool
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -131,7 +131,7 @@
 		}
 		for _, n := range w.Nodes {
 			if n.Alive {
-				w.Call(n, control.Seeds{Addrs: slices.Clone(s.seeds)}, func(control.Answer) {})
+				w.Call(n, control.SetSeeds{Addrs: slices.Clone(s.seeds)}, func(control.Answer) {})
 			}
 		}
 	})
@@ -180,7 +180,7 @@
 			return
 		case !left && w.now-from > grace*3/5:
 			left = true
-			w.Call(n, control.Depart{}, func(control.Answer) {})
+			w.Call(n, control.Leave{}, func(control.Answer) {})
 		}
 		w.after(50*time.Millisecond, look)
 	}
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -69,12 +69,12 @@
 func (n *Node) mend() {
 	n.mending = true
 	n.later(500*time.Millisecond, func() {
-		if n.keeper.Mend() != nil {
+		if n.keeper.Recover() != nil {
 			n.mend()
 			return
 		}
 		n.mending = false
-		n.step(control.Saved{Mended: true})
+		n.step(control.Persisted{Mended: true})
 	})
 }
 
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -34,7 +34,7 @@
 			return
 		case n.shut && !departed && (n.router.Unsent() == 0 || w.now-from > retire+letGo):
 			departed = true
-			w.Call(n, control.Depart{}, func(control.Answer) {})
+			w.Call(n, control.Leave{}, func(control.Answer) {})
 		case n.shut && departed && (len(n.asks) == 0 || w.now-from > drainMost):
 			n.kill()
 			w.after(300*time.Millisecond, look)
--- a/sim/world.go
+++ b/sim/world.go
@@ -130,7 +130,7 @@
 }
 
 func (w *World) found() {
-	w.Call(w.Node(w.S.Shape.Voters[0]), control.Found{Names: w.S.Shape.Voters}, func(a control.Answer) {
+	w.Call(w.Node(w.S.Shape.Voters[0]), control.Bootstrap{Names: w.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			w.Say("found: %v", a.Err)
 			w.after(300*time.Millisecond, w.found)
@@ -177,7 +177,7 @@
 
 func (w *World) Empty(n *Node, domain string, restore bool, done func(a control.Answer)) {
 	w.asks++
-	w.Call(n, control.Empty{ID: fmt.Sprintf("empty-%d", w.asks), Domain: domain, Restore: restore}, func(a control.Answer) {
+	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Domain: domain, Restore: restore}, func(a control.Answer) {
 		if a.Err == nil {
 			w.Audit.accepted(n, a.Value)
 			w.Audit.emptied(n, domain, !restore)
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -15,7 +15,7 @@
 	Append(name string, data []byte) (err error)
 	Sync(name string) (err error)
 	SyncFolder() (err error)
-	Cut(name string, size int) (err error)
+	Truncate(name string, size int) (err error)
 }
 
 type FolderError struct{ Path, Why string }
@@ -98,7 +98,7 @@
 	return trace.ConvertSystemError(dir.Sync())
 }
 
-func (f *Folder) Cut(name string, size int) (err error) {
+func (f *Folder) Truncate(name string, size int) (err error) {
 	file, err := f.file(name)
 	if err != nil {
 		return err
--- a/storage/mend_test.go
+++ b/storage/mend_test.go
@@ -10,21 +10,21 @@
 	for seed := range uint64(20) {
 		d := sim.NewDisk(seed)
 		v, _, err := load(d)
-		if err != nil || v.Turn([]byte("a")) != nil || v.Add([][]byte{[]byte("b")}) != nil {
+		if err != nil || v.Rotate([]byte("a")) != nil || v.Append([][]byte{[]byte("b")}) != nil {
 			t.Fatal(err)
 		}
 		d.Full = true
-		if v.Add([][]byte{[]byte("c")}) == nil || v.Mend([]byte("a b c")) == nil {
+		if v.Append([][]byte{[]byte("c")}) == nil || v.Recover([]byte("a b c")) == nil {
 			t.Fatal("a full disk took a write")
 		}
 		d.Full = false
-		if v.Add([][]byte{[]byte("d")}) == nil {
+		if v.Append([][]byte{[]byte("d")}) == nil {
 			t.Fatal("a write was taken before the vault was mended")
 		}
-		if err = v.Mend([]byte("a b c")); err != nil {
+		if err = v.Recover([]byte("a b c")); err != nil {
 			t.Fatal(err)
 		}
-		if err = v.Add([][]byte{[]byte("d")}); err != nil {
+		if err = v.Append([][]byte{[]byte("d")}); err != nil {
 			t.Fatal(err)
 		}
 		d.PowerCut()
--- a/storage/vault.go
+++ b/storage/store.go
@@ -26,13 +26,13 @@
 	MaxEntry = 8 << 20
 )
 
-type Vault struct {
-	disk   Disk
-	gen    uint64
-	log    int
-	most   int
-	broken error
-	Repair string
+type Store struct {
+	disk        Disk
+	generation  uint64
+	logBytes    int
+	maxLogBytes int
+	broken      error
+	Repair      string
 }
 
 func slotName(gen uint64) (name string) { return fmt.Sprintf("slot%d", gen%2) }
@@ -62,8 +62,8 @@
 	return gen, body, headLen + n, sum == binary.BigEndian.Uint32(raw[16:])
 }
 
-func Open(disk Disk, logBytes int) (v *Vault, slot []byte, entries [][]byte, err error) {
-	v = &Vault{disk: disk, most: logBytes}
+func Open(disk Disk, logBytes int) (v *Store, slot []byte, entries [][]byte, err error) {
+	v = &Store{disk: disk, maxLogBytes: logBytes}
 	var slots, logs [2][]byte
 	var gens [2]uint64
 	var whole [2]bool
@@ -98,32 +98,32 @@
 	if whole[1] && (!whole[0] || gens[1] > gens[0]) {
 		best = 1
 	}
-	v.gen = gens[best]
+	v.generation = gens[best]
 	slot = slots[best]
 	if err = v.replay(logs[best], &entries); err != nil {
 		return nil, nil, nil, err
 	}
-	v.log = v.tail(logs[best])
-	if !whole[1-best] && len(logs[1-best]) > 0 && v.owns(logs[1-best], v.gen+1) {
-		v.Repair = slotName(v.gen+1) + " cannot be read: recovered from " + slotName(v.gen) + " and both logs"
-		v.gen++
+	v.logBytes = v.tail(logs[best])
+	if !whole[1-best] && len(logs[1-best]) > 0 && v.owns(logs[1-best], v.generation+1) {
+		v.Repair = slotName(v.generation+1) + " cannot be read: recovered from " + slotName(v.generation) + " and both logs"
+		v.generation++
 		if err = v.replay(logs[1-best], &entries); err != nil {
 			return nil, nil, nil, err
 		}
-		v.log = v.tail(logs[1-best])
+		v.logBytes = v.tail(logs[1-best])
 	}
 	return v, slot, entries, nil
 }
 
-func (v *Vault) owns(log []byte, gen uint64) (yes bool) {
+func (v *Store) owns(log []byte, gen uint64) (yes bool) {
 	g, _, _, ok := unpack(log)
 	return ok && g == gen
 }
 
-func (v *Vault) tail(log []byte) (at int) {
+func (v *Store) tail(log []byte) (at int) {
 	for at < len(log) {
 		gen, _, size, ok := unpack(log[at:])
-		if !ok || gen != v.gen {
+		if !ok || gen != v.generation {
 			return at
 		}
 		at += size
@@ -131,33 +131,33 @@
 	return at
 }
 
-func (v *Vault) replay(log []byte, entries *[][]byte) (err error) {
+func (v *Store) replay(log []byte, entries *[][]byte) (err error) {
 	at := 0
 	for at < len(log) {
 		gen, body, size, ok := unpack(log[at:])
-		if !ok || gen != v.gen {
+		if !ok || gen != v.generation {
 			break
 		}
 		batch, whole := split(body)
 		if !whole {
-			return trace.Wrap(&UnreadableError{File: logName(v.gen), Why: fmt.Sprintf("batch at byte %d has bad lengths", at)})
+			return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf("batch at byte %d has bad lengths", at)})
 		}
 		*entries = append(*entries, batch...)
 		at += size
 	}
 	for next := at + 1; next < len(log); next++ {
-		if gen, _, _, ok := unpack(log[next:]); ok && gen == v.gen {
-			return trace.Wrap(&UnreadableError{File: logName(v.gen), Why: fmt.Sprintf("entry at byte %d is damaged and later ones are whole", at)})
+		if gen, _, _, ok := unpack(log[next:]); ok && gen == v.generation {
+			return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf("entry at byte %d is damaged and later ones are whole", at)})
 		}
 	}
 	return nil
 }
 
-func (v *Vault) Empty() (yes bool) { return v.gen == 0 }
+func (v *Store) Empty() (yes bool) { return v.generation == 0 }
 
-func (v *Vault) Full() (yes bool) { return v.log >= v.most }
+func (v *Store) Full() (yes bool) { return v.logBytes >= v.maxLogBytes }
 
-func (v *Vault) fail(err error) (broke error) {
+func (v *Store) fail(err error) (broke error) {
 	if v.broken == nil {
 		v.broken = trace.Wrap(&BrokenError{Cause: err.Error()})
 	}
--- a/storage/vault_test.go
+++ b/storage/store_test.go
@@ -10,7 +10,7 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-func load(d *sim.Disk) (v *storage.Vault, all []string, err error) {
+func load(d *sim.Disk) (v *storage.Store, all []string, err error) {
 	v, slot, entries, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
@@ -29,14 +29,14 @@
 	if err != nil {
 		return 0
 	}
-	if v.Empty() && v.Turn(nil) != nil {
+	if v.Empty() && v.Rotate(nil) != nil {
 		return 0
 	}
 	for i := range n {
 		e := fmt.Sprintf("entry-%03d", i)
 		all = append(all, e)
-		if err = v.Add([][]byte{[]byte(e)}); err == nil && v.Full() {
-			err = v.Turn(bytes.Join(byteses(all), []byte(" ")))
+		if err = v.Append([][]byte{[]byte(e)}); err == nil && v.Full() {
+			err = v.Rotate(bytes.Join(byteses(all), []byte(" ")))
 		}
 		if err != nil {
 			return acked
@@ -119,15 +119,15 @@
 		t.Fatal(err)
 	}
 	d.BadSync = true
-	if v.Add([][]byte{[]byte("lost")}) == nil {
+	if v.Append([][]byte{[]byte("lost")}) == nil {
 		t.Fatal("a failed sync was taken for a good one")
 	}
 	d.BadSync = false
 	var broken *storage.BrokenError
-	if err = v.Add([][]byte{[]byte("more")}); !errors.As(err, &broken) {
+	if err = v.Append([][]byte{[]byte("more")}); !errors.As(err, &broken) {
 		t.Fatalf("wrote on after a failed sync: %v", err)
 	}
-	if err = v.Turn([]byte("x")); !errors.As(err, &broken) {
+	if err = v.Rotate([]byte("x")); !errors.As(err, &broken) {
 		t.Fatalf("turned slots after a failed sync: %v", err)
 	}
 }
@@ -144,7 +144,7 @@
 			t.Fatal(err)
 		}
 		if round == 0 {
-			if !v.Empty() || v.Turn([]byte("s0")) != nil || v.Add([][]byte{[]byte("a"), []byte("b")}) != nil {
+			if !v.Empty() || v.Rotate([]byte("s0")) != nil || v.Append([][]byte{[]byte("a"), []byte("b")}) != nil {
 				t.Fatal("first round")
 			}
 			continue
@@ -175,7 +175,7 @@
 		if err != nil && !errors.As(err, &bad) {
 			t.Fatalf("an untyped error: %v", err)
 		}
-		if err == nil && !v.Empty() && v.Add([][]byte{[]byte("x")}) != nil {
+		if err == nil && !v.Empty() && v.Append([][]byte{[]byte("x")}) != nil {
 			t.Fatal("opened, yet it takes no entry")
 		}
 	})
--- a/storage/write.go
+++ b/storage/write.go
@@ -22,14 +22,14 @@
 	return entries, true
 }
 
-func (v *Vault) Add(entries [][]byte) (err error) {
+func (v *Store) Append(entries [][]byte) (err error) {
 	if v.broken != nil {
 		return v.broken
 	}
-	name := logName(v.gen)
-	raw := pack(v.gen, join(entries))
-	fresh := v.log == 0
-	if err = v.disk.Cut(name, v.log); err != nil {
+	name := logName(v.generation)
+	raw := pack(v.generation, join(entries))
+	fresh := v.logBytes == 0
+	if err = v.disk.Truncate(name, v.logBytes); err != nil {
 		return v.fail(err)
 	}
 	if err = v.disk.Append(name, raw); err != nil {
@@ -43,21 +43,21 @@
 			return v.fail(err)
 		}
 	}
-	v.log += len(raw)
+	v.logBytes += len(raw)
 	return nil
 }
 
 // Mend forgets an earlier failure and writes everything anew, so that nothing depends on what that failure left behind.
-func (v *Vault) Mend(slot []byte) (err error) {
+func (v *Store) Recover(slot []byte) (err error) {
 	v.broken = nil
-	return v.Turn(slot)
+	return v.Rotate(slot)
 }
 
-func (v *Vault) Turn(slot []byte) (err error) {
+func (v *Store) Rotate(slot []byte) (err error) {
 	if v.broken != nil {
 		return v.broken
 	}
-	gen := v.gen + 1
+	gen := v.generation + 1
 	steps := []func() error{
 		func() error { return v.disk.Write(slotName(gen), pack(gen, slot)) },
 		func() error { return v.disk.Sync(slotName(gen)) },
@@ -70,6 +70,6 @@
 			return v.fail(err)
 		}
 	}
-	v.gen, v.log = gen, 0
+	v.generation, v.logBytes = gen, 0
 	return nil
 }
--- a/transport/net.go
+++ b/transport/net.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	queued     = 512
-	dialFor    = 200 * time.Millisecond
-	writeFor   = 2 * time.Second
-	silentFor  = time.Second
-	redialMin  = 50 * time.Millisecond
-	idleLimit  = 30 * time.Second
-	maxInbound = 1024
+	queued              = 512
+	dialFor             = 200 * time.Millisecond
+	writeFor            = 2 * time.Second
+	unacknowledgedLimit = time.Second
+	redialMin           = 50 * time.Millisecond
+	idleLimit           = 30 * time.Second
+	maxInbound          = 1024
 )
 
 type Counters struct {
@@ -30,7 +30,7 @@
 	Msg   any
 }
 
-type parcel struct {
+type envelope struct {
 	to  string
 	msg any
 }
@@ -39,7 +39,7 @@
 	t       *tomb.Tomb
 	self    Hello
 	lis     net.Listener
-	out     chan parcel
+	out     chan envelope
 	In      chan Inbound
 	N       Counters
 	OnFault func(peer string, err error)
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	n = &Net{t: t, self: self, lis: lis, out: make(chan parcel, queued), In: make(chan Inbound, queued), OnFault: fault, follow: follow}
+	n = &Net{t: t, self: self, lis: lis, out: make(chan envelope, queued), In: make(chan Inbound, queued), OnFault: fault, follow: follow}
 	t.Go(n.accept)
 	t.Go(n.dispatch)
 	t.Go(func() error {
@@ -64,7 +64,7 @@
 
 func (n *Net) Send(to string, msg any) {
 	select {
-	case n.out <- parcel{to: to, msg: msg}:
+	case n.out <- envelope{to: to, msg: msg}:
 	default:
 		n.N.Dropped.Add(1)
 	}
@@ -133,7 +133,7 @@
 
 func (n *Net) dial(addr string) (conn net.Conn, w *Writer, err error) {
 	n.N.Dials.Add(1)
-	d := net.Dialer{Timeout: dialFor, Control: unacknowledged}
+	d := net.Dialer{Timeout: dialFor, Control: setUserTimeout}
 	conn, err = d.Dial("tcp", addr)
 	if err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
@@ -151,9 +151,9 @@
 
 // unacknowledged bounds how long sent bytes may stay unacknowledged. A connection to a machine that lost power, or is cut off, would
 // else live on, and when the machine is back take messages until TCP sends anew, which may be seconds later.
-func unacknowledged(_, _ string, raw syscall.RawConn) (err error) {
+func setUserTimeout(_, _ string, raw syscall.RawConn) (err error) {
 	ctlErr := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentFor.Milliseconds()))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedLimit.Milliseconds()))
 	})
 	if err == nil {
 		err = ctlErr
--- a/transport/wire_test.go
+++ b/transport/transport_test.go
@@ -69,7 +69,7 @@
 
 func FuzzReader(f *testing.F) {
 	w := transport.NewWriter()
-	for _, msg := range []any{membership.Ack{Seq: 1}, gossip.Sum{Hash: 9, N: 2}, gossip.News{Items: []gossip.Item{{Key: "m/n1", Data: membership.Member{Name: "n1"}}}}} {
+	for _, msg := range []any{membership.Ack{Seq: 1}, gossip.Checksum{Hash: 9, N: 2}, gossip.Update{Items: []gossip.Item{{Key: "m/n1", Data: membership.Member{Name: "n1"}}}}} {
 		frame, err := w.Frame(msg)
 		if err != nil {
 			f.Fatal(err)
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -84,9 +84,9 @@
 	p.Rate, p.Hot, p.Prefixes = l.Num("rate", p.Rate, 0.1, 10000), l.Num("hot", p.Hot, 0, 1), l.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range l.List("crowds", 0, 64) {
 		p.Crowds = append(p.Crowds, sim.Crowd{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
-		c.Shut()
+		c.Close()
 	}
-	l.Shut()
+	l.Close()
 	for _, f := range d.List("breakdowns", 0, 1024) {
 		p.Faults = append(p.Faults, breakdown(f, shape, site))
 	}
@@ -100,15 +100,15 @@
 			d.Flaw(d.At("config"), path, "a file that can be read")
 		}
 	}
-	d.Shut()
+	d.Close()
 	return p, d.Err()
 }
 
-func ms(d *config.Desk, key string) (t time.Duration) {
+func ms(d *config.Decoder, key string) (t time.Duration) {
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
-func breakdown(d *config.Desk, shape sim.Shape, site bool) (f sim.Fault) {
+func breakdown(d *config.Decoder, shape sim.Shape, site bool) (f sim.Fault) {
 	f = sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := kinds()
 	if site {
@@ -128,7 +128,7 @@
 	if needs[f.Kind] && len(f.On) == 0 {
 		d.Flaw(d.At("on"), "empty", "named for "+f.Kind)
 	}
-	d.Shut()
+	d.Close()
 	return f
 }
 
