--- a/control/list.go
+++ b/control/list.go
@@ -49,7 +49,6 @@
 	heard  time.Duration
 	asked  time.Duration
 	asking bool
-	told   gossip.Version
 	fails  uint64
 	reads  uint64
 }
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -111,13 +111,13 @@
 
 // judge holds an exchange to what must hold in any order of decisions and signals.
 type judge struct {
-	t                        *testing.T
-	sends, writes, finishes  int
-	open, written, passing   bool
-	began, mayRun, onceSpent bool
-	place                    mallowbridge.Decision
-	steps                    []any
-	moves                    [][]proxy.Move
+	t                       *testing.T
+	sends, writes, finishes int
+	open, written, passing  bool
+	began, mayRun           bool
+	place                   mallowbridge.Decision
+	steps                   []any
+	moves                   [][]proxy.Move
 }
 
 func (j *judge) fail(why string) {
--- a/sim/node.go
+++ b/sim/node.go
@@ -166,10 +166,6 @@
 	n.live(func() { n.carry(n.node.Step(n.local(), in)) })
 }
 
-func (n *Node) event(ev mallowbridge.Event) {
-	n.live(func() { n.decide(n.router.Step(n.local(), ev)) })
-}
-
 func (n *Node) kill() {
 	if !n.Alive {
 		return
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -42,8 +42,8 @@
 }
 
 type evacuation struct {
-	acked, back time.Duration
-	lifted      bool
+	acked  time.Duration
+	lifted bool
 }
 
 func newRules(s *site) (r *rules) {
