--- a/control/command.go
+++ b/control/command.go
@@ -10,11 +10,11 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-const (
-	proposeTimeout = 4 * time.Second
-	// soon is how long an edit is tried before its caller is better served by another node.
-	editTimeout = 1500 * time.Millisecond
-)
+// proposeTimeout bounds the control side's own operations, and the product's own change by marks where it names no deadline.
+const proposeTimeout = 4 * time.Second
+
+// votersScope is the scope of changes of voters in the memory of orders: no zone has this name.
+const votersScope = "\x00voters"
 
 func (n *Node) command(now time.Duration, c Command) {
 	switch op := c.Op.(type) {
@@ -23,13 +23,16 @@
 			n.answer(c.ID, err)
 			return
 		}
-		n.propose(now, proposeTimeout, putChange(op), false, n.replyTo(c.ID, op.ID))
+		if c.Deadline == 0 {
+			c.Deadline = now + proposeTimeout
+		}
+		n.order(now, c, putChange(op), n.replyTo(c.ID, op.ID))
 	case Edit:
-		n.propose(now, editTimeout, editChange(op), false, n.replyTo(c.ID, op.ID))
+		n.order(now, c, editChange(op), n.replyTo(c.ID, op.ID))
 	case Get:
-		n.propose(now, proposeTimeout, nil, false, n.replyTo(c.ID, ""))
+		n.order(now, c, nil, n.replyTo(c.ID, ""))
 	case Evacuate:
-		n.propose(now, proposeTimeout, evacuateChange(op), false, n.replyTo(c.ID, op.ID))
+		n.order(now, c, evacuateChange(op), n.replyTo(c.ID, op.ID))
 	case Bootstrap:
 		n.bootstrap(now, c.ID, op)
 	case ReplaceVoters:
@@ -55,57 +58,6 @@
 	n.out.Answers = append(n.out.Answers, Answer{ID: id, Err: err})
 }
 
-func putChange(op Put) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
-		if _, done := cur.Done(op.ID); done {
-			return nil, nil
-		}
-		if cur.Mark != op.Expect {
-			return nil, &register.ConflictError{Mark: cur.Mark}
-		}
-		cur.Mark++
-		cur.Body = op.Body
-		cur.Note(op.ID)
-		return cur, nil
-	}
-}
-
-func editChange(op Edit) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
-		if _, done := cur.Done(op.ID); done {
-			return nil, nil
-		}
-		body, err := op.Apply(cur.Body)
-		if err != nil {
-			return nil, err
-		}
-		cur.Mark++
-		cur.Body = body
-		cur.Note(op.ID)
-		return cur, nil
-	}
-}
-
-func evacuateChange(op Evacuate) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
-		if _, done := cur.Done(op.ID); done {
-			return nil, nil
-		}
-		at := slices.Index(cur.Emptied, op.Domain)
-		if (at >= 0) != op.Restore {
-			return nil, nil
-		}
-		if op.Restore {
-			cur.Emptied = slices.Delete(cur.Emptied, at, at+1)
-		} else {
-			cur.Emptied = append(cur.Emptied, op.Domain)
-		}
-		cur.Mark++
-		cur.Note(op.ID)
-		return cur, nil
-	}
-}
-
 func (n *Node) votersNamed(names []string) (vs []register.Voter, err error) {
 	for _, name := range names {
 		m, ok := n.Members.Table.Get(name)
@@ -171,7 +123,7 @@
 		}
 		cur.Next = vs
 		cur.Seat++
-		cur.Note(id)
+		cur.TakeScoped(votersScope, id, false)
 		return cur, nil
 	}
 }
--- a/control/msg.go
+++ b/control/msg.go
@@ -79,9 +79,12 @@
 	Lag        time.Duration
 }
 
+// Command is a call of an operator or of the daemon. ID ties its Answer to it.
 type Command struct {
 	ID uint64
 	Op Op
+	// Deadline is when an order may last take effect, on the node's clock; 0 for the operation's own bound, counted from the Step.
+	Deadline time.Duration
 }
 
 func (Received) in()  {}
@@ -99,8 +102,10 @@
 }
 
 // Edit changes the document by a function of the one in place, which may be called several times.
+// Base is the revision that it builds on, the ConflictErrors of Apply tell the current one; an id belongs to one base.
 type Edit struct {
 	ID    string
+	Base  uint64
 	Apply func(body []byte) (next []byte, err error)
 }
 
--- /dev/null
+++ b/control/orders.go
@@ -0,0 +1,120 @@
+package control
+
+import (
+	"bytes"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+const (
+	// Patience is how long an operator's call is tried after it arrived, where it says nothing else: callers leave after a second of
+	// silence, and what takes effect later could undo what they ordered elsewhere since.
+	Patience = 900 * time.Millisecond
+	// patiencePerKiB is added for each KiB of a call's body: callers wait longer for large ones.
+	patiencePerKiB = time.Millisecond
+)
+
+// Deadline is when a call that arrived at arrived, with a body of size bytes, may last take effect.
+func Deadline(arrived time.Duration, size int) (at time.Duration) {
+	return arrived + Patience + time.Duration(size>>10)*patiencePerKiB
+}
+
+// order proposes an operator's order, to be taken before its deadline or not at all.
+func (n *Node) order(now time.Duration, c Command, change register.Change, done completion) {
+	until := c.Deadline
+	if until == 0 {
+		until = Deadline(now, 0)
+	}
+	if until <= now {
+		n.answer(c.ID, &register.NoQuorumError{})
+		return
+	}
+	n.propose(now, until-now, change, false, done)
+}
+
+func putChange(op Put) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if _, done := cur.Done(op.ID); done {
+			return nil, nil
+		}
+		if cur.Mark != op.Expect {
+			return nil, cur.PutRefusal(op.Expect)
+		}
+		cur.Mark++
+		cur.Body = op.Body
+		cur.TakePut(op.ID)
+		return cur, nil
+	}
+}
+
+func editChange(op Edit) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if cur.TookEdit(op.Base, op.ID) {
+			return nil, nil
+		}
+		body, err := op.Apply(cur.Body)
+		var conflict *register.ConflictError
+		if errors.As(err, &conflict) {
+			return nil, cur.Refusal(op.Base, conflict.Mark)
+		}
+		if err != nil {
+			return nil, err
+		}
+		if len(body) > 0 && bytes.Equal(body, cur.Body) {
+			return nil, nil
+		}
+		cur.Mark++
+		cur.Body = body
+		cur.TakeEdit(op.Base, op.ID)
+		return cur, nil
+	}
+}
+
+// A fence tells whether an order on a zone was taken since it was set.
+type fence struct {
+	newest register.Stamp
+	taken  uint64
+}
+
+func fenceOf(cur *register.Value, zone string) (f fence) {
+	return fence{newest: cur.Newest(zone), taken: cur.Taken}
+}
+
+// stands tells whether nothing was taken on the zone. Where so much was taken that an order may be forgotten, it falls.
+func (f fence) stands(cur *register.Value, zone string) (yes bool) {
+	return cur.Newest(zone) == f.newest && cur.Taken-f.taken < register.KeptOrders
+}
+
+// evacuateChange sets a fence at its first reading of a majority, and is refused once another order on the zone was taken. An order that
+// changes nothing is remembered all the same: whoever heard that it was confirmed must not be overtaken by an older one.
+func evacuateChange(op Evacuate) (change register.Change) {
+	var set *fence
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if _, done := cur.Done(op.ID); done {
+			return nil, nil
+		}
+		if set == nil {
+			first := fenceOf(cur, op.Domain)
+			set = &first
+		}
+		if !set.stands(cur, op.Domain) {
+			return nil, &register.FencedError{Scope: op.Domain}
+		}
+		at := slices.Index(cur.Emptied, op.Domain)
+		changes := (at >= 0) == op.Restore
+		switch {
+		case !changes:
+		case op.Restore:
+			cur.Emptied = slices.Delete(cur.Emptied, at, at+1)
+			cur.Mark++
+		default:
+			cur.Emptied = append(cur.Emptied, op.Domain)
+			cur.Mark++
+		}
+		cur.TakeScoped(op.Domain, op.ID, changes)
+		return cur, nil
+	}
+}
--- /dev/null
+++ b/control/orders_test.go
@@ -0,0 +1,115 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// onBase is an order that replaces the document of the revision base, as an operator's call does.
+func onBase(base, revision int) (op Edit) {
+	body := strconv.Itoa(revision)
+	return Edit{ID: fmt.Sprint(base, "/", revision), Base: uint64(base), Apply: func(cur []byte) (next []byte, err error) {
+		at, _ := strconv.Atoi(string(cur))
+		if at != base {
+			return nil, &register.ConflictError{Mark: uint64(at)}
+		}
+		return []byte(body), nil
+	}}
+}
+
+func isConflict(err error) (yes bool) {
+	var conflict *register.ConflictError
+	return errors.As(err, &conflict)
+}
+
+func TestAnOrderThatWasTakenIsNeverRefused(t *testing.T) {
+	l := newLab(t, 6)
+	l.run(2 * time.Second)
+	const changes = 700
+	for i := range changes {
+		if a := l.call("n4", onBase(2*i, 2*i+2)); a.Err != nil {
+			t.Fatalf("change %d: %v", i, a.Err)
+		}
+	}
+	acknowledged := 0
+	for _, i := range []int{0, 100, changes - 500, changes - 65, changes - 2, changes - 1} {
+		a := l.call("n5", onBase(2*i, 2*i+2))
+		if isConflict(a.Err) {
+			t.Errorf("change %d was taken and is refused: %v", i, a.Err)
+		}
+		if a.Err == nil {
+			acknowledged++
+		}
+	}
+	if acknowledged < 4 {
+		t.Errorf("only %d of the repeats are acknowledged", acknowledged)
+	}
+	for _, never := range []Edit{onBase(2*changes-4, 9999), onBase(2*changes-3, 9999), onBase(2*changes+2, 9999)} {
+		if a := l.call("n5", never); !isConflict(a.Err) {
+			t.Errorf("order %s can't have been taken: %v", never.ID, a.Err)
+		}
+	}
+}
+
+func TestAnOldEvacuationDoesNotUndoALaterOne(t *testing.T) {
+	l := newLab(t, 6)
+	l.run(2 * time.Second)
+	if a := l.call("n4", Evacuate{ID: "first", Domain: "z"}); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	// n5 is cut off with an order to restore under way; its caller leaves, and another order is confirmed meanwhile.
+	l.down["n0"], l.down["n1"], l.down["n2"], l.down["n3"] = true, true, true, true
+	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "old", Domain: "z", Restore: true}})
+	l.run(1100 * time.Millisecond)
+	clear(l.down)
+	if a := l.call("n4", Evacuate{ID: "new", Domain: "z"}); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.run(5 * time.Second)
+	if a := l.call("n4", Get{}); !slices.Contains(a.Value.Emptied, "z") {
+		t.Error("an order whose caller had left undid a later one")
+	}
+}
+
+func TestReadsAreAnsweredWhileTheirCallerWaits(t *testing.T) {
+	l := newLab(t, 6)
+	l.run(2 * time.Second)
+	l.write("n4", "x")
+	for name := range l.disks {
+		l.down[name] = true
+	}
+	for i, op := range []Op{Get{}, onBase(0, 1), Evacuate{ID: "e", Domain: "z"}, Get{}} {
+		at := l.now
+		var none *register.NoQuorumError
+		if a := l.call("n5", op); !errors.As(a.Err, &none) {
+			t.Errorf("%d: %v", i, a.Err)
+		}
+		if took := l.now - at; took > 950*time.Millisecond {
+			t.Errorf("%d was answered after %s", i, took)
+		}
+	}
+}
+
+func TestOrdersThatWaitedAreAnsweredTogether(t *testing.T) {
+	l := newLab(t, 6)
+	l.run(2 * time.Second)
+	for name := range l.disks {
+		l.down[name] = true
+	}
+	at := l.now
+	for i := range uint64(8) {
+		l.step("n5", Command{ID: 900 + i, Op: Get{}})
+	}
+	l.run(950 * time.Millisecond)
+	for i := range uint64(8) {
+		if _, ok := l.answers[900+i]; !ok {
+			t.Errorf("call %d has no answer after %s", i, l.now-at)
+		}
+	}
+}
--- a/httpapi/ops.go
+++ b/httpapi/ops.go
@@ -76,6 +76,8 @@
 	var bad *config.InvalidError
 	var conflict *register.ConflictError
 	var unknown *register.OutcomeUnknownError
+	var forgotten *register.ForgottenError
+	var fenced *register.FencedError
 	var unreached *register.NoQuorumError
 	var unfounded *register.NotBootstrappedError
 	var name *control.NameError
@@ -87,9 +89,9 @@
 		status, t.Flaws, t.Error = http.StatusUnprocessableEntity, bad.Flaws, "configuration is flawed"
 	case errors.As(err, &conflict):
 		status, t.Mark = http.StatusConflict, &conflict.Mark
-	case errors.As(err, &unknown):
+	case errors.As(err, &unknown), errors.As(err, &forgotten):
 		status, t.Fate = http.StatusGatewayTimeout, "unknown"
-	case errors.As(err, &unreached), errors.As(err, &unfounded):
+	case errors.As(err, &unreached), errors.As(err, &unfounded), errors.As(err, &fenced):
 		status = http.StatusServiceUnavailable
 		w.Header().Set("Retry-After", "2")
 	case errors.As(err, &name):
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -1,5 +1,6 @@
 package register
 
+// Prepare asks a disk to promise a ballot and to tell what it accepted last. Rid ties the answer to the round.
 type Prepare struct {
 	Rid    uint64
 	Disk   string
@@ -8,6 +9,7 @@
 	Look bool
 }
 
+// Promise answers a Prepare. Where OK is false, Promised is the higher ballot that stands in the way.
 type Promise struct {
 	Rid      uint64
 	Disk     string
@@ -17,6 +19,7 @@
 	Value    *Value
 }
 
+// Accept asks a disk to accept a value under a ballot.
 type Accept struct {
 	Rid    uint64
 	Disk   string
@@ -24,6 +27,7 @@
 	Value  *Value
 }
 
+// Accepted answers an Accept. Where OK is false, Promised is the higher ballot that stands in the way.
 type Accepted struct {
 	Rid      uint64
 	Disk     string
@@ -31,6 +35,7 @@
 	Promised Ballot
 }
 
+// State is what a disk keeps: nothing of it may be told before it is synced.
 type State struct {
 	Disk     string
 	Promised Ballot
@@ -38,10 +43,13 @@
 	Value    *Value
 }
 
+// Acceptor votes for one disk.
 type Acceptor struct {
 	State
 }
 
+// Prepare answers a Prepare; write tells that the answer may leave only after the promise is on disk. A message for another disk gets
+// no answer (an empty Disk).
 func (a *Acceptor) Prepare(m Prepare) (r Promise, write bool) {
 	if m.Disk != a.Disk {
 		return Promise{}, false
@@ -60,6 +68,7 @@
 	return r, write
 }
 
+// Accept answers an Accept; write tells that the answer may leave only after the value is on disk.
 func (a *Acceptor) Accept(m Accept) (r Accepted, write bool) {
 	if m.Disk != a.Disk || m.Value == nil {
 		return Accepted{}, false
--- /dev/null
+++ b/register/orders.go
@@ -0,0 +1,124 @@
+package register
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+)
+
+// KeptOrders bounds each of the two lists of orders in a Value. Changes are taken one after another, each in at least two rounds of
+// messages, and a storm of operators takes about 20 a second; answers may be lost for 20 s. So an order that is sent again may have
+// been followed by 400 others; the next power of two is kept. An entry of the documents' list takes 6 bytes and the revision (8 bytes
+// below revision 16,384), so the list takes 4 KB of each message that carries a value, and less in a fleet that has seen fewer changes.
+const KeptOrders = 512
+
+const (
+	fingerprintBytes = 6
+	scopeBytes       = 4
+)
+
+// Fingerprint is a short hash of an order's id. It is compared with the few entries of one list only; that two of 512 orders agree by
+// accident has a probability of 2^-39 a comparison with the whole list, and of 2^-48 with the one entry of a revision.
+type Fingerprint [fingerprintBytes]byte
+
+// FingerprintOf hashes an order's id.
+func FingerprintOf(id string) (f Fingerprint) {
+	sum := sha256.Sum256([]byte(id))
+	copy(f[:], sum[:])
+	return f
+}
+
+// Changes is the packed memory of the orders that made the last documents, oldest first: for each the revision that it built on
+// (uvarint) and its fingerprint. Revisions rise strictly, so there is at most one entry for a revision.
+type Changes []byte
+
+// ForgottenError says that an order builds on a revision that is older than the memory of orders: it may have been taken, or not.
+type ForgottenError struct {
+	// Base is the revision that the order builds on, Current the one in place.
+	Base, Current uint64
+}
+
+func (e *ForgottenError) Error() (text string) {
+	return "the order builds on a revision whose successor is no longer remembered"
+}
+
+// FencedError says that another order on the same subject was taken after this one had begun. This one changed nothing.
+type FencedError struct{ Scope string }
+
+func (e *FencedError) Error() (text string) {
+	return "another order for " + e.Scope + " was taken meanwhile and nothing was changed"
+}
+
+// each calls see with the entries, oldest first, until it returns false.
+func (c Changes) each(see func(base uint64, f Fingerprint) (more bool)) {
+	for len(c) > 0 {
+		base, n := binary.Uvarint(c)
+		if n <= 0 || len(c) < n+fingerprintBytes {
+			return
+		}
+		if !see(base, Fingerprint(c[n:n+fingerprintBytes])) {
+			return
+		}
+		c = c[n+fingerprintBytes:]
+	}
+}
+
+// Len is the number of entries.
+func (c Changes) Len() (n int) {
+	c.each(func(uint64, Fingerprint) bool {
+		n++
+		return true
+	})
+	return n
+}
+
+// Took tells whether the order with this id made a document on the revision base, as far as that is remembered.
+func (c Changes) Took(base uint64, id string) (yes bool) {
+	f := FingerprintOf(id)
+	c.each(func(at uint64, g Fingerprint) bool {
+		yes = at == base && f == g
+		return !yes
+	})
+	return yes
+}
+
+// Covers tells whether whatever was made on the revision base, and on each later one, is remembered.
+func (c Changes) Covers(base uint64) (yes bool) {
+	c.each(func(oldest uint64, _ Fingerprint) bool {
+		yes = oldest <= base
+		return false
+	})
+	return yes
+}
+
+// with returns the list with one entry more, the oldest one left out when there are too many. It never shares memory with c.
+func (c Changes) with(base uint64, id string) (longer Changes) {
+	rest := c
+	if c.Len() >= KeptOrders {
+		_, n := binary.Uvarint(c)
+		rest = c[n+fingerprintBytes:]
+	}
+	f := FingerprintOf(id)
+	longer = binary.AppendUvarint(bytes.Clone(rest), base)
+	return append(longer, f[:]...)
+}
+
+// TakeEdit remembers that the order with this id made the present document on the revision base.
+func (v *Value) TakeEdit(base uint64, id string) {
+	v.Edits = v.Edits.with(base, id)
+	v.dropOldOp()
+}
+
+// TookEdit tells whether the order with this id, on the revision base, is known to have been taken. Ids that older builds kept count too.
+func (v *Value) TookEdit(base uint64, id string) (yes bool) {
+	return v.Edits.Took(base, id) || v.tookBefore(id)
+}
+
+// Refusal is the error for an order on the revision base that is not the current one and isn't known to have been taken: a
+// ConflictError where it can't have been taken, a ForgottenError where that isn't known.
+func (v *Value) Refusal(base, current uint64) (err error) {
+	if base >= current || v.Edits.Covers(base) {
+		return &ConflictError{Mark: current}
+	}
+	return &ForgottenError{Base: base, Current: current}
+}
--- /dev/null
+++ b/register/orders_test.go
@@ -0,0 +1,152 @@
+package register
+
+import (
+	"bytes"
+	"encoding/gob"
+	"errors"
+	"fmt"
+	"testing"
+)
+
+func refused(err error) (what string) {
+	var conflict *ConflictError
+	var forgotten *ForgottenError
+	switch {
+	case errors.As(err, &conflict):
+		return "412"
+	case errors.As(err, &forgotten):
+		return "503"
+	}
+	return fmt.Sprint(err)
+}
+
+func TestMemoryOfEditsDecidesByRevision(t *testing.T) {
+	v := &Value{}
+	for i := range uint64(KeptOrders + 10) {
+		v.TakeEdit(3*i, fmt.Sprint(i))
+	}
+	current := uint64(3 * (KeptOrders + 10))
+	for _, c := range []struct {
+		what string
+		base uint64
+		id   string
+		took bool
+		say  string
+	}{
+		{"the newest", current - 3, fmt.Sprint(KeptOrders + 9), true, ""},
+		{"the oldest that is kept", 30, "10", true, ""},
+		{"another on the oldest base", 30, "x", false, "412"},
+		{"a revision that never was", 31, "10", false, "412"},
+		{"one that is forgotten", 27, "9", false, "503"},
+		{"another on a forgotten base", 0, "x", false, "503"},
+		{"ahead of the current one", current + 1, "x", false, "412"},
+	} {
+		if took := v.TookEdit(c.base, c.id); took != c.took {
+			t.Errorf("%s: taken %v", c.what, took)
+		}
+		if say := refused(v.Refusal(c.base, current)); !c.took && say != c.say {
+			t.Errorf("%s: %s, not %s", c.what, say, c.say)
+		}
+	}
+	if len(v.Edits) > KeptOrders*(fingerprintBytes+2) {
+		t.Errorf("%d bytes for %d orders", len(v.Edits), KeptOrders)
+	}
+}
+
+func TestMemoryOfPutsDecidesByMark(t *testing.T) {
+	v := &Value{Mark: 5}
+	if say := refused(v.PutRefusal(4)); say != "503" {
+		t.Errorf("nothing is remembered, and %s is said", say)
+	}
+	v.TakeScoped("z", "same", false)
+	v.Mark++
+	v.TakePut("a")
+	v.Mark++
+	v.TakeScoped("z", "b", true)
+	for expect, want := range map[uint64]string{4: "503", 5: "412", 6: "412", 8: "412"} {
+		if say := refused(v.PutRefusal(expect)); say != want {
+			t.Errorf("on %d: %s, not %s", expect, say, want)
+		}
+	}
+	if mark, ok := v.Done("a"); !ok || mark != 6 {
+		t.Errorf("%d %v", mark, ok)
+	}
+}
+
+func TestNewestOrderOfAZone(t *testing.T) {
+	v := &Value{}
+	none := v.Newest("z")
+	v.TakeScoped("y", "1", true)
+	if v.Newest("z") != none {
+		t.Error("an order on another zone counts")
+	}
+	v.TakeScoped("z", "2", false)
+	second := v.Newest("z")
+	v.TakeScoped("z", "3", false)
+	if second == none || v.Newest("z") == second {
+		t.Error("two orders are not told apart")
+	}
+}
+
+func TestACloneSharesNothingThatIsWritten(t *testing.T) {
+	v := &Value{}
+	for i := range 5 {
+		v.TakeEdit(uint64(i), "v")
+	}
+	a, b := v.Clone(), v.Clone()
+	a.TakeEdit(5, "a")
+	b.TakeEdit(5, "b")
+	a.Note("a")
+	b.Note("b")
+	if !a.TookEdit(5, "a") || !b.TookEdit(5, "b") || a.TookEdit(5, "b") {
+		t.Error("clones write over each other")
+	}
+	if _, ok := a.Done("b"); ok {
+		t.Error("clones write over each other")
+	}
+}
+
+// valueBefore is a value as the builds before the packed lists wrote it.
+type valueBefore struct {
+	Fleet   string
+	Mark    uint64
+	Seat    uint64
+	Body    []byte
+	Emptied []string
+	Voters  []Voter
+	Next    []Voter
+	Ops     []Op
+}
+
+func carry(t *testing.T, from, to any) {
+	t.Helper()
+	var buf bytes.Buffer
+	if err := gob.NewEncoder(&buf).Encode(from); err != nil {
+		t.Fatal(err)
+	}
+	if err := gob.NewDecoder(&buf).Decode(to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestValuesOfOlderBuildsAreRead(t *testing.T) {
+	var v Value
+	carry(t, valueBefore{Mark: 9, Body: []byte("x"), Ops: []Op{{ID: "PUT/a", Mark: 8}, {ID: "PUT/b", Mark: 9}}}, &v)
+	if !v.TookEdit(7, "PUT/b") || v.TookEdit(7, "PUT/c") {
+		t.Error("the ids of an older build are not known")
+	}
+	if say := refused(v.Refusal(6, 8)); say != "503" {
+		t.Errorf("an order before the memory began: %s", say)
+	}
+	v.TakeEdit(8, "PUT/d")
+	if say := refused(v.Refusal(8, 9)); say != "412" || !v.TookEdit(8, "PUT/d") || len(v.Ops) != 1 {
+		t.Errorf("%s, %v", say, v.Ops)
+	}
+	var old valueBefore
+	carry(t, v, &old)
+	var back Value
+	carry(t, old, &back)
+	if say := refused(back.Refusal(8, 9)); say != "503" {
+		t.Errorf("an older build dropped the list, and %s is said", say)
+	}
+}
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -6,36 +6,45 @@
 	"time"
 )
 
+// ConflictError says that a change builds on another revision (or mark) than the current one, which is Mark. It can't have been taken
+// and never will be.
 type ConflictError struct{ Mark uint64 }
 
 func (e *ConflictError) Error() (text string) {
 	return fmt.Sprintf("mark is %d by now", e.Mark)
 }
 
+// NoQuorumError says that no majority answered in time and that the change was offered to nobody.
 type NoQuorumError struct{}
 
 func (e *NoQuorumError) Error() (text string) {
 	return "no majority of voters was reached and nothing was changed"
 }
 
+// OutcomeUnknownError says that the change was offered to voters and that no majority is known to have accepted it.
 type OutcomeUnknownError struct{}
 
 func (e *OutcomeUnknownError) Error() (text string) {
 	return "the change may or may not have been accepted"
 }
 
+// NotBootstrappedError says that there is no register yet, as far as this proposer knows.
 type NotBootstrappedError struct{}
 
 func (e *NotBootstrappedError) Error() (text string) { return "the register has not been founded" }
 
+// A Change makes the next value of a copy of the current one. It may run several times, also on a value that holds it already. It returns
+// nil and no error where nothing is left to do.
 type Change func(cur *Value) (next *Value, err error)
 
+// Result ends a submitted operation: with the chosen value that was read or made, or with an error.
 type Result struct {
 	ID    uint64
 	Value *Value
 	Err   error
 }
 
+// Send is a message for a disk.
 type Send struct {
 	Disk string
 	Msg  any
@@ -63,6 +72,8 @@
 // lookRound is the first wait for a look's answers, which cost the voters nothing; it doubles up to Round.
 const lookRound = 80 * time.Millisecond
 
+// Proposer runs the operations of one node, one after another. By must differ between any two lives of any two proposers; Round is how
+// long answers are waited for (0.4 s).
 type Proposer struct {
 	By    string
 	Round time.Duration
@@ -86,21 +97,26 @@
 	sends    []Send
 }
 
+// NewProposer makes a proposer that knows no voters yet.
 func NewProposer(by string, seed uint64) (p *Proposer) {
 	return &Proposer{By: by, Round: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
+// Learn tells of a chosen value, for its voters.
 func (p *Proposer) Learn(v *Value) {
 	if v != nil && v.Newer(p.voters) {
 		p.voters = v
 	}
 }
 
+// Submit queues an operation: a read where change is nil. It is answered soon after deadline at the latest; a change that wasn't offered to
+// voters before its deadline never is. A full operation asks all voters and brings those that lag to the newest value.
 func (p *Proposer) Submit(now, deadline time.Duration, id uint64, change Change, full bool) {
 	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, full: full})
 	p.next(now)
 }
 
+// Bootstrap queues the founding of the register with its first value; all voters named there must answer.
 func (p *Proposer) Bootstrap(now, deadline time.Duration, id uint64, first *Value) {
 	change := func(cur *Value) (*Value, error) { return first, nil }
 	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, bootstrap: true})
@@ -108,13 +124,43 @@
 	p.next(now)
 }
 
+// TakeOutput takes what is to be sent and what has ended since the last call.
 func (p *Proposer) TakeOutput() (sends []Send, results []Result) {
 	sends, results = p.sends, p.results
 	p.sends, p.results = nil, nil
 	return sends, results
 }
 
+// expired ends the current operation if its deadline has passed. It stands before each step that would go on with it, so that a proposer
+// which was frozen doesn't take up what its caller has left.
+func (p *Proposer) expired(now time.Duration) (yes bool) {
+	if now < p.cur.deadline {
+		return false
+	}
+	if p.cur.exposed {
+		p.end(now, nil, &OutcomeUnknownError{})
+		return true
+	}
+	p.end(now, nil, &NoQuorumError{})
+	return true
+}
+
+// expireQueue ends what was never begun before its deadline.
+func (p *Proposer) expireQueue(now time.Duration) {
+	kept := p.queue[:0]
+	for _, o := range p.queue {
+		if now < o.deadline {
+			kept = append(kept, o)
+			continue
+		}
+		p.results = append(p.results, Result{ID: o.id, Err: &NoQuorumError{}})
+	}
+	clear(p.queue[len(kept):])
+	p.queue = kept
+}
+
 func (p *Proposer) next(now time.Duration) {
+	p.expireQueue(now)
 	for p.cur == nil && len(p.queue) > 0 {
 		p.cur, p.queue = p.queue[0], p.queue[1:]
 		p.tries = 0
@@ -164,19 +210,10 @@
 	p.until = now + time.Duration(p.rng.Int64N(most)) + time.Millisecond
 }
 
+// Tick acts on what is due at now: deadlines, rounds without a majority, and pauses before another try.
 func (p *Proposer) Tick(now time.Duration) {
-	if p.cur == nil {
-		return
-	}
-	if now >= p.cur.deadline {
-		if p.cur.exposed {
-			p.end(now, nil, &OutcomeUnknownError{})
-			return
-		}
-		p.end(now, nil, &NoQuorumError{})
-		return
-	}
-	if now < p.until {
+	p.expireQueue(now)
+	if p.cur == nil || p.expired(now) || now < p.until {
 		return
 	}
 	switch p.phase {
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -4,12 +4,16 @@
 
 const stragglerWait = 50 * time.Millisecond
 
+// OnPromise takes the answer to a Prepare.
 func (p *Proposer) OnPromise(now time.Duration, r Promise) {
 	if p.cur == nil || p.phase != preparing || r.Rid != p.rid {
 		p.top = max(p.top, r.Promised.N)
 		return
 	}
 	p.top = max(p.top, r.Promised.N)
+	if p.expired(now) {
+		return
+	}
 	if !r.OK {
 		p.retry(now)
 		return
@@ -56,7 +60,7 @@
 		return
 	}
 	if len(p.got) == len(p.voters.All()) {
-		p.proposeValue(now, p.voters)
+		p.proposeValue(now, p.voters, true)
 	}
 }
 
@@ -86,7 +90,7 @@
 		p.end(now, base, nil)
 		return
 	}
-	p.proposeValue(now, next)
+	p.proposeValue(now, next, next != base)
 }
 
 func (p *Proposer) chosen() (yes bool) {
@@ -116,11 +120,11 @@
 	return true
 }
 
-func (p *Proposer) proposeValue(now time.Duration, v *Value) {
+func (p *Proposer) proposeValue(now time.Duration, v *Value, changed bool) {
 	p.rid++
 	p.phase, p.until, p.proposed = accepting, now+p.Round, v
 	p.yes = map[string]bool{}
-	p.cur.exposed = p.cur.exposed || p.cur.change != nil
+	p.cur.exposed = p.cur.exposed || changed
 	to := p.voters.All()
 	for _, s := range v.All() {
 		if !contains(to, s.Disk) {
@@ -141,6 +145,7 @@
 	return false
 }
 
+// OnAccepted takes the answer to an Accept. A majority that accepted has chosen the value, also after the deadline.
 func (p *Proposer) OnAccepted(now time.Duration, r Accepted) {
 	p.top = max(p.top, r.Promised.N)
 	if p.cur == nil || p.phase != accepting || r.Rid != p.rid {
--- a/register/value.go
+++ b/register/value.go
@@ -2,38 +2,52 @@
 
 import "slices"
 
+// Ballot orders the rounds of all proposers: by number, then by the proposer's name.
 type Ballot struct {
 	N  uint64
 	By string
 }
 
+// Less tells whether b comes before o.
 func (b Ballot) Less(o Ballot) (yes bool) {
 	return b.N < o.N || (b.N == o.N && b.By < o.By)
 }
 
+// Voter is a disk that votes, and the name of the node that holds it.
 type Voter struct {
 	Disk string `json:"disk"`
 	Name string `json:"name"`
 }
 
+// Op is an order that builds before the packed lists kept whole; it is only read.
 type Op struct {
 	ID   string
 	Mark uint64
 }
 
+// Value is what the register holds. It is never changed in place: a Change works on a Clone.
 type Value struct {
-	Fleet   string
-	Mark    uint64
-	Seat    uint64
+	// Fleet names the register since it was founded.
+	Fleet string
+	// Mark rises with each change of the document or of the evacuated zones, Seat with each change of voters.
+	Mark uint64
+	Seat uint64
+	// Body is the operators' document as it was sent, Emptied the evacuated zones.
 	Body    []byte
 	Emptied []string
-	Voters  []Voter
-	Next    []Voter
-	Ops     []Op
+	// Voters are the disks that vote. Next, unless empty, is the set that follows: until it has, majorities of both are needed.
+	Voters []Voter
+	Next   []Voter
+	// Ops is the memory of orders of older builds: kept while there is nothing better.
+	Ops []Op
+	// Edits and Recent are the memory of orders that were taken.
+	Edits  Changes
+	Recent Recent
+	// Taken counts the entries ever made in Recent.
+	Taken uint64
 }
 
-const keptOps = 64
-
+// Clone copies a value so that a Change may alter it. Body, Edits and Recent are shared: they are replaced, never written to.
 func (v *Value) Clone() (c *Value) {
 	c = &Value{}
 	*c = *v
@@ -41,24 +55,10 @@
 	return c
 }
 
-func (v *Value) Done(op string) (mark uint64, ok bool) {
-	for _, o := range v.Ops {
-		if o.ID == op {
-			return o.Mark, true
-		}
-	}
-	return 0, false
-}
-
-func (v *Value) Note(op string) {
-	v.Ops = append(v.Ops, Op{ID: op, Mark: v.Mark})
-	if len(v.Ops) > keptOps {
-		v.Ops = v.Ops[len(v.Ops)-keptOps:]
-	}
-}
-
+// Size is the number of bytes of the document.
 func (v *Value) Size() (bytes int) { return len(v.Body) }
 
+// All lists the voters and the next ones, each once.
 func (v *Value) All() (vs []Voter) {
 	vs = slices.Clone(v.Voters)
 	for _, n := range v.Next {
@@ -69,6 +69,7 @@
 	return vs
 }
 
+// Newer tells whether v was made after o, by mark and seat; any value is newer than none.
 func (v *Value) Newer(o *Value) (yes bool) {
 	if v == nil || o == nil {
 		return v != nil
@@ -88,6 +89,7 @@
 	return true
 }
 
+// SameVoters tells whether two values have the same voters and next voters.
 func SameVoters(a, b *Value) (yes bool) {
 	return sameVoters(a.Voters, b.Voters) && sameVoters(a.Next, b.Next)
 }
@@ -102,6 +104,7 @@
 	return n > len(set)/2
 }
 
+// Quorum tells whether the disks for which has returns true hold a majority of the voters, and of the next ones if there are any.
 func Quorum(v *Value, has func(disk string) bool) (yes bool) {
 	return majority(v.Voters, has) && (len(v.Next) == 0 || majority(v.Next, has))
 }
--- a/register/voters_test.go
+++ b/register/voters_test.go
@@ -43,11 +43,12 @@
 	if _, ok := v.Done("a"); !ok {
 		t.Error("a taken change is forgotten")
 	}
-	for i := range 2 * keptOps {
+	for i := range 2 * KeptOrders {
 		v.Note(fmt.Sprint(i))
+		v.TakeEdit(uint64(i), fmt.Sprint(i))
 	}
-	if len(v.Ops) != keptOps {
-		t.Errorf("%d operations are kept", len(v.Ops))
+	if v.Recent.Len() != KeptOrders || v.Edits.Len() != KeptOrders {
+		t.Errorf("%d orders and %d edits are kept", v.Recent.Len(), v.Edits.Len())
 	}
 }
 
