--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"io"
 	"maps"
 	"net"
@@ -113,14 +114,14 @@
 	}
 	if lis := listeners["readiness"]; lis != nil {
 		ready := func() (why string) { return readiness(h, retired) }
-		serveOps(t, lis, platform.Readiness(ready))
+		serveOps(t, lis, platform.Readiness(ready), nil)
 	}
 	if lis := listeners["control"]; lis != nil {
 		routes := bunrouter.New()
 		platform.Routes(routes, daemon.Documents{Daemon: h})
 		ops := &httpapi.Ops{C: h, Desk: h.Desk, Clock: daemon.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
 		ops.Watch(routes)
-		serveOps(t, lis, routes)
+		serveOps(t, lis, routes, h.Gate.ConnContext)
 	}
 	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
 	err = superviseNode(t, h, p, file, s, retired, lg)
@@ -157,8 +158,8 @@
 	return listeners, nil
 }
 
-func serveOps(t *tomb.Tomb, lis net.Listener, h http.Handler) {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
+func serveOps(t *tomb.Tomb, lis net.Listener, h http.Handler, opened func(context.Context, net.Conn) context.Context) {
+	srv := &http.Server{Handler: h, ConnContext: opened, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 	t.Go(func() error { return served(srv.Serve(lis)) })
 	t.Go(func() error {
 		<-t.Dying()
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -21,12 +21,14 @@
 
 // A lab runs whole nodes in one process: three domains, the first node of each with a disk and a seed.
 type lab struct {
-	t       *testing.T
-	now     time.Duration
-	nodes   map[string]*Node
-	order   []string
-	disks   map[string]string
-	down    map[string]bool
+	t     *testing.T
+	now   time.Duration
+	nodes map[string]*Node
+	order []string
+	disks map[string]string
+	down  map[string]bool
+	// cut tells which ways carry nothing; nil: none is cut.
+	cut     func(from, to string) (yes bool)
 	mail    []parcel
 	answers map[uint64]Answer
 	ids     uint64
@@ -122,6 +124,7 @@
 			case p.at > l.now:
 				l.mail = append(l.mail, p)
 			case l.nodes[p.to] == nil || l.down[p.to] || l.down[p.from]:
+			case l.cut != nil && p.from != "" && l.cut(p.from, p.to):
 			default:
 				if in, own := p.msg.(In); own {
 					l.step(p.to, in)
--- /dev/null
+++ b/control/stale.go
@@ -0,0 +1,14 @@
+package control
+
+import (
+	"fmt"
+	"time"
+)
+
+// StaleCallError says that an order may have lain here while the process stood still: its caller may have left long ago. It has had no
+// effect.
+type StaleCallError struct{ Gap time.Duration }
+
+func (e *StaleCallError) Error() (text string) {
+	return fmt.Sprintf("this process stood still for %s and takes no order that may have come before; nothing was changed", e.Gap)
+}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -45,16 +45,12 @@
 	boot       string
 	Front      string
 	onSnapshot func(p *config.Snapshot)
+	// Gate keeps out orders that lay here while the process stood still.
+	Gate *Gate
 
 	prefills chan mallowbridge.Prefill
 }
 
-type call struct {
-	op    control.Op
-	look  func(n *control.Node)
-	reply chan control.Answer
-}
-
 func seed() (n uint64) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -76,7 +72,7 @@
 	h = &Daemon{
 		S: s, T: t, Log: lg, in: make(chan control.In, 1024), calls: make(chan call, 64), writes: make(chan []control.LogWrite, control.MaxHeld),
 		joins: make(chan *follower), leaves: make(chan *follower), pics: make(chan *config.Snapshot, 1), looks: make(chan string, 64), boot: boot,
-		prefills: make(chan mallowbridge.Prefill, prefillQueue),
+		prefills: make(chan mallowbridge.Prefill, prefillQueue), Gate: NewGate(Clock),
 	}
 	h.Front = s.Name + "." + h.boot
 	cfg := control.Config{
@@ -117,6 +113,7 @@
 	t.Go(h.watch)
 	t.Go(h.failures)
 	t.Go(h.control)
+	t.Go(h.tickGate)
 	return h, nil
 }
 
@@ -157,7 +154,7 @@
 			}
 			id++
 			replies[id] = c.reply
-			in = control.Command{ID: id, Op: c.op}
+			in = control.Command{ID: id, Op: c.op, Deadline: c.deadline}
 		}
 		out := h.node.Step(Clock(), in)
 		h.perform(out, fs)
@@ -205,36 +202,3 @@
 		h.Log.Info().Str("what", c.What).Str("detail", c.Detail).Msg("change")
 	}
 }
-
-func (h *Daemon) submit(in control.In) {
-	select {
-	case h.in <- in:
-	case <-h.T.Dying():
-	}
-}
-
-func (h *Daemon) Call(op control.Op) (a control.Answer) {
-	return h.call(call{op: op, reply: make(chan control.Answer, 1)})
-}
-
-func (h *Daemon) Look(look func(n *control.Node)) {
-	h.call(call{look: look, reply: make(chan control.Answer, 1)})
-}
-
-func (h *Daemon) call(c call) (a control.Answer) {
-	select {
-	case h.calls <- c:
-	case <-h.T.Dying():
-		return control.Answer{Err: &StoppingError{}}
-	}
-	select {
-	case a = <-c.reply:
-		return a
-	case <-h.T.Dying():
-		return control.Answer{Err: &StoppingError{}}
-	}
-}
-
-type StoppingError struct{}
-
-func (e *StoppingError) Error() (text string) { return "node is stopping" }
--- a/daemon/document.go
+++ b/daemon/document.go
@@ -1,34 +1,48 @@
 package daemon
 
 import (
+	"context"
+
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// Documents gives operators' calls the document that the register holds, as it was sent.
+// Documents gives operators' calls the document that the register holds, as it was sent. Each call ends within its caller's patience, and
+// an order has no effect after it.
 type Documents struct{ Daemon *Daemon }
 
-func (d Documents) Edit(id string, edit func(cur []byte) (next []byte, err error)) (body []byte, err error) {
-	a := d.Daemon.Call(control.Edit{ID: id, Apply: edit})
+// Edit changes the document of the revision base; size is the length of the order's body. See control.Edit.
+func (d Documents) Edit(ctx context.Context, id string, base uint64, size int, edit func(cur []byte) (next []byte, err error)) (body []byte, err error) {
+	deadline, err := d.Daemon.Gate.Admit(ctx, size)
+	if err != nil {
+		return nil, err
+	}
+	a := d.Daemon.CallBy(deadline, control.Edit{ID: id, Base: base, Apply: edit})
 	if a.Err != nil {
 		return nil, a.Err
 	}
 	return a.Value.Body, nil
 }
 
-func (d Documents) Get() (body []byte, err error) {
-	a := d.Daemon.Call(control.Get{})
+// Get reads the document from a majority: what this node knows by itself may be old.
+func (d Documents) Get(context.Context) (body []byte, err error) {
+	a := d.Daemon.CallBy(d.Daemon.Gate.Read(), control.Get{})
 	if a.Err != nil {
 		return nil, a.Err
 	}
 	return a.Value.Body, nil
 }
 
-func (d Documents) Evacuate(id, domain string, restore bool) (err error) {
-	return d.Daemon.Call(control.Evacuate{ID: id, Domain: domain, Restore: restore}).Err
+// Evacuate empties a zone, or takes that back.
+func (d Documents) Evacuate(ctx context.Context, id, zone string, restore bool) (err error) {
+	deadline, err := d.Daemon.Gate.Admit(ctx, 0)
+	if err != nil {
+		return err
+	}
+	return d.Daemon.CallBy(deadline, control.Evacuate{ID: id, Domain: zone, Restore: restore}).Err
 }
 
-// OnPicture has see called with each picture that comes into force, by the owner of control state: it must not wait.
+// OnSnapshot has see called with each snapshot that comes into force, by the owner of control state: it must not wait.
 func (h *Daemon) OnSnapshot(see func(p *config.Snapshot)) {
 	h.Look(func(n *control.Node) {
 		h.onSnapshot = see
--- /dev/null
+++ b/daemon/gate.go
@@ -0,0 +1,86 @@
+package daemon
+
+import (
+	"context"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/control"
+)
+
+const (
+	// gateTicks is how often the gate notes that the process runs, gateGap the time without a note that counts as having stood still.
+	gateTicks = 50 * time.Millisecond
+	gateGap   = 300 * time.Millisecond
+	// gateQuiet is how long after a gap a connection that is accepted may still come from the listener's queue of that time.
+	gateQuiet = 250 * time.Millisecond
+)
+
+// A Gate keeps out operators' orders that may have lain in a socket, or in the listener's queue, while the process stood still (a frozen
+// machine, SIGSTOP). Each order that comes looks for a gap itself, as it may run before anything else after the gap. All times are of one
+// steady clock that runs on while the process doesn't.
+type Gate struct {
+	clock func() time.Duration
+	ran   atomic.Int64
+	woke  atomic.Int64
+	gap   atomic.Int64
+}
+
+// NewGate makes a gate that goes by the clock.
+func NewGate(clock func() time.Duration) (g *Gate) {
+	g = &Gate{clock: clock}
+	g.ran.Store(int64(clock()))
+	return g
+}
+
+// Tick notes that the process runs. It is to be called each gateTicks.
+func (g *Gate) Tick() { g.ran.Store(int64(g.look())) }
+
+// look tells the time, and finds a gap that ends here.
+func (g *Gate) look() (now time.Duration) {
+	now = g.clock()
+	gap := now - time.Duration(g.ran.Load())
+	if gap <= gateGap {
+		return now
+	}
+	g.gap.Store(int64(gap))
+	g.woke.Store(int64(now))
+	g.ran.Store(int64(now))
+	return now
+}
+
+type openedAt struct{}
+
+// ConnContext notes when a connection was accepted, for http.Server.
+func (g *Gate) ConnContext(ctx context.Context, _ net.Conn) (noted context.Context) {
+	return context.WithValue(ctx, openedAt{}, g.look())
+}
+
+// Read is the deadline of a read that comes now.
+func (g *Gate) Read() (deadline time.Duration) { return control.Deadline(g.clock(), 0) }
+
+// Admit is the deadline of an order with a body of size bytes, which has been read whole by now. An order on a connection that was open,
+// or waiting to be accepted, while the process stood still is denied: when it was sent can't be known.
+func (g *Gate) Admit(ctx context.Context, size int) (deadline time.Duration, err error) {
+	now := g.look()
+	opened, known := ctx.Value(openedAt{}).(time.Duration)
+	woke := time.Duration(g.woke.Load())
+	if known && woke > 0 && opened < woke+gateQuiet {
+		return 0, &control.StaleCallError{Gap: time.Duration(g.gap.Load())}
+	}
+	return control.Deadline(now, size), nil
+}
+
+func (h *Daemon) tickGate() (err error) {
+	tick := time.NewTicker(gateTicks)
+	defer tick.Stop()
+	for {
+		select {
+		case <-h.T.Dying():
+			return nil
+		case <-tick.C:
+			h.Gate.Tick()
+		}
+	}
+}
--- /dev/null
+++ b/register/look_test.go
@@ -0,0 +1,110 @@
+package register
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestALookOffersNothing(t *testing.T) {
+	d := newDuel(t)
+	d.expose(0, "a")
+	d.only("a", "b", "c")
+	d.y.Submit(d.now, d.now+patience, 7, nil, false)
+	looks, _ := d.y.TakeOutput()
+	for _, s := range looks {
+		if m := s.Msg.(Prepare); !m.Look {
+			t.Fatalf("a read begins with %+v", m)
+		}
+		r, _ := d.disks[s.Disk].Prepare(s.Msg.(Prepare))
+		d.y.OnPromise(d.now, r)
+	}
+	sends, results := d.y.TakeOutput()
+	if len(results) > 0 {
+		t.Fatalf("%+v was read while it was chosen by nobody", results[0])
+	}
+	for _, s := range sends {
+		if m, ok := s.Msg.(Prepare); !ok || m.Look {
+			t.Errorf("a look goes on with %+v", s.Msg)
+		}
+	}
+	if got := fateOf(d.end(d.y)); got != "200" {
+		t.Error(got)
+	}
+}
+
+// move makes a change of voters, the whole of it or only its first half.
+func (d *duel) move(whole bool, disks ...string) {
+	var next []Voter
+	for _, disk := range disks {
+		if d.disks[disk] == nil {
+			d.disks[disk] = &Acceptor{State{Disk: disk}}
+		}
+		next = append(next, Voter{Disk: disk})
+	}
+	begin := func(cur *Value) (*Value, error) {
+		cur.Next, cur.Seat = next, cur.Seat+1
+		return cur, nil
+	}
+	finish := func(cur *Value) (*Value, error) {
+		if len(cur.Next) == 0 {
+			return nil, nil
+		}
+		cur.Voters, cur.Next, cur.Seat = cur.Next, nil, cur.Seat+1
+		return cur, nil
+	}
+	for _, change := range []Change{begin, finish} {
+		d.x.Submit(d.now, d.now+patience, 3, change, false)
+		if err := d.end(d.x); err != nil {
+			d.t.Fatal(err)
+		}
+		if !whole {
+			return
+		}
+	}
+}
+
+// A reader that knows only the first voters never reads an older value than was confirmed, however many sets have followed.
+func TestAReadWithOldVotersIsNeverStale(t *testing.T) {
+	all := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+	for seed := range uint64(200) {
+		d := newDuel(t)
+		stale := NewProposer("z", seed)
+		stale.Learn(d.x.voters)
+		rng := NewProposer("r", seed).rng
+		d.only(all...)
+		mark := uint64(0)
+		confirmed := ""
+		for range 6 {
+			at := rng.Perm(len(all))
+			away := all[rng.IntN(len(all))]
+			d.only(all...)
+			d.reach[away] = false
+			if len(d.x.voters.Next) == 0 {
+				d.move(rng.IntN(3) > 0, all[at[0]], all[at[1]], all[at[2]])
+			}
+			text := fmt.Sprint("t", mark)
+			d.x.Submit(d.now, d.now+patience, 4, take(mark, text), false)
+			if err := d.end(d.x); err != nil {
+				if fateOf(err) != "503 unchanged" && fateOf(err) != "503 unknown" {
+					t.Fatal(err)
+				}
+				break
+			}
+			mark, confirmed = mark+1, text
+			if len(d.x.voters.Next) > 0 {
+				d.x.Submit(d.now, d.now+patience, 5, func(cur *Value) (*Value, error) {
+					cur.Voters, cur.Next, cur.Seat = cur.Next, nil, cur.Seat+1
+					return cur, nil
+				}, false)
+				_ = d.end(d.x)
+			}
+		}
+		d.only(all...)
+		d.reach[all[rng.IntN(len(all))]] = rng.IntN(2) == 0
+		stale.Submit(d.now, d.now+2*time.Second, 6, nil, false)
+		if err := d.end(stale); err == nil && confirmed != "" && d.last.Value.Mark < mark {
+			t.Fatalf("seed %d: read %q, %q was confirmed", seed, d.last.Value.Body, confirmed)
+		}
+	}
+}
