--- /dev/null
+++ b/control/memory_test.go
@@ -0,0 +1,106 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// power takes all nodes down at once and starts them again with what their disks hold.
+func (l *lab) power() {
+	for _, name := range l.order {
+		l.down[name] = true
+	}
+	l.run(500 * time.Millisecond)
+	for _, name := range l.order {
+		l.boot(name, false)
+	}
+	l.run(4 * time.Second)
+}
+
+func TestTheMemoryOfOrdersOutlivesLossesOfDisksAndPower(t *testing.T) {
+	l := newLab(t, 6)
+	l.run(2 * time.Second)
+	for i := range 5 {
+		if a := l.call("n4", onBase(i, i+1)); a.Err != nil {
+			t.Fatal(a.Err)
+		}
+	}
+	if a := l.call("n4", Evacuate{ID: "e", Domain: "z"}); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	for _, name := range []string{"n0", "n1", "n2"} {
+		l.wipe(name)
+		l.run(900 * time.Millisecond)
+		l.boot(name, false)
+		l.run(4 * time.Second)
+		l.power()
+		for i := range 5 {
+			if a := l.call("n5", onBase(i, i+1)); a.Err != nil {
+				t.Errorf("after %s was emptied: order %d: %v", name, i, a.Err)
+			}
+			if a := l.call("n5", onBase(i, 77)); !isConflict(a.Err) {
+				t.Errorf("after %s was emptied: another on %d: %v", name, i, a.Err)
+			}
+		}
+	}
+	if a := l.call("n5", Get{}); string(a.Value.Body) != "5" || len(a.Value.Emptied) != 1 {
+		t.Errorf("%+v", a.Value)
+	}
+}
+
+func TestPutsByMarkAreRememberedToo(t *testing.T) {
+	l := newLab(t, 6)
+	l.run(2 * time.Second)
+	const puts = 600
+	put := func(i uint64) (op Put) { return Put{ID: fmt.Sprint("put", i), Expect: i, Body: fmt.Append(nil, i)} }
+	for i := range uint64(puts) {
+		if a := l.call("n4", put(i)); a.Err != nil || a.Mark != i+1 {
+			t.Fatalf("put %d: %v, mark %d", i, a.Err, a.Mark)
+		}
+	}
+	if a := l.call("n4", Evacuate{ID: "e", Domain: "z"}); a.Err != nil || a.Mark != puts+1 {
+		t.Fatalf("%v, mark %d", a.Err, a.Mark)
+	}
+	for _, i := range []uint64{puts - 400, puts - 1} {
+		if a := l.call("n5", put(i)); a.Err != nil || a.Mark != i+1 {
+			t.Errorf("put %d again: %v, mark %d", i, a.Err, a.Mark)
+		}
+	}
+	var forgotten *register.ForgottenError
+	if a := l.call("n5", put(3)); !errors.As(a.Err, &forgotten) {
+		t.Errorf("a put that is forgotten: %v", a.Err)
+	}
+	for _, i := range []uint64{puts - 400, puts, puts + 2} {
+		if a := l.call("n5", Put{ID: "other", Expect: i}); !isConflict(a.Err) {
+			t.Errorf("another on mark %d: %v", i, a.Err)
+		}
+	}
+}
+
+// Eight orders under way at once, each on a zone of its own, are all acknowledged within a second, and none by a second call.
+func TestEvacuationsUnderWayTogetherAreAcknowledged(t *testing.T) {
+	for seed := range 20 {
+		l := newLab(t, 6)
+		l.run(2*time.Second + time.Duration(seed)*7*time.Millisecond)
+		var ids []uint64
+		from := l.now
+		for i := range 8 {
+			l.ids++
+			ids = append(ids, l.ids)
+			l.step(l.order[i%len(l.order)], Command{ID: l.ids, Op: Evacuate{ID: fmt.Sprint("e", i), Domain: fmt.Sprint("z", i)}})
+		}
+		l.run(time.Second)
+		for _, id := range ids {
+			if a, ok := l.answers[id]; !ok || a.Err != nil {
+				t.Errorf("seed %d: order %d: %v %v", seed, id, ok, a.Err)
+			}
+		}
+		if a := l.call("n5", Get{}); len(a.Value.Emptied) != 8 {
+			t.Errorf("seed %d, from %s: %v", seed, from, a.Value.Emptied)
+		}
+	}
+}
--- a/control/orders.go
+++ b/control/orders.go
@@ -22,16 +22,12 @@
 	return arrived + Patience + time.Duration(size>>10)*patiencePerKiB
 }
 
-// order proposes an operator's order, to be taken before its deadline or not at all.
+// order proposes an operator's order, to be offered before its deadline or not at all; the proposer ends what comes too late.
 func (n *Node) order(now time.Duration, c Command, change register.Change, done completion) {
 	until := c.Deadline
 	if until == 0 {
 		until = Deadline(now, 0)
 	}
-	if until <= now {
-		n.answer(c.ID, &register.NoQuorumError{})
-		return
-	}
 	n.propose(now, until-now, change, false, done)
 }
 
