--- a/register/proposer.go
+++ b/register/proposer.go
@@ -51,11 +51,12 @@
 }
 
 type operation struct {
-	id         uint64
-	change     Change
-	deadline   time.Duration
-	exposed    bool
-	bootstrap  bool
+	id       uint64
+	change   Change
+	deadline time.Duration
+	exposed  bool
+	// first is the value to found the register with, until one is found.
+	first      *Value
 	full       bool
 	readFailed bool
 }
@@ -119,7 +120,7 @@
 // Bootstrap queues the founding of the register with its first value; all voters named there must answer.
 func (p *Proposer) Bootstrap(now, deadline time.Duration, id uint64, first *Value) {
 	change := func(cur *Value) (*Value, error) { return first, nil }
-	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, bootstrap: true})
+	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, first: first})
 	p.voters = first
 	p.next(now)
 }
@@ -179,6 +180,7 @@
 		p.end(now, nil, &NotBootstrappedError{})
 		return
 	}
+	p.findRegister()
 	p.rid++
 	p.look = p.cur.change == nil && !p.cur.full && !p.cur.readFailed
 	if !p.look {
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -19,7 +19,7 @@
 		return
 	}
 	p.got[r.Disk] = r
-	if p.cur.bootstrap {
+	if p.cur.first != nil {
 		p.bootstrapped(now)
 		return
 	}
@@ -50,17 +50,38 @@
 	return v
 }
 
+// bootstrapped goes on with a founding. Whatever a disk holds was accepted under a register that is there already, this one after an
+// earlier try or another: it is finished like any change, never offered over.
 func (p *Proposer) bootstrapped(now time.Duration) {
-	best := p.best()
-	if best != nil && best.Fleet != p.voters.Fleet {
-		p.cur.bootstrap = false
+	first := p.cur.first
+	if best := p.best(); best != nil {
 		p.voters = best
-		p.cur.change = func(cur *Value) (*Value, error) { return nil, &ConflictError{Mark: cur.Mark} }
+	}
+	if p.voters != first {
 		p.prepare(now)
 		return
 	}
-	if len(p.got) == len(p.voters.All()) {
-		p.proposeValue(now, p.voters, true)
+	if len(p.got) == len(first.All()) {
+		p.proposeValue(now, first, true)
+	}
+}
+
+// findRegister turns a founding into a look for its own register, once any is known.
+func (p *Proposer) findRegister() {
+	first := p.cur.first
+	if first == nil || p.voters == first {
+		return
+	}
+	p.cur.first, p.cur.change = nil, founded(first.Fleet)
+}
+
+// founded is a founding that finds a register: done where it is its own.
+func founded(fleet string) (change Change) {
+	return func(cur *Value) (next *Value, err error) {
+		if cur.Fleet == fleet {
+			return nil, nil
+		}
+		return nil, &ConflictError{Mark: cur.Mark}
 	}
 }
 
@@ -174,7 +195,7 @@
 }
 
 func (p *Proposer) settle(now time.Duration) {
-	if p.phase == preparing && !p.cur.bootstrap && p.hasQuorum() {
+	if p.phase == preparing && p.cur.first == nil && p.hasQuorum() {
 		p.read(now)
 		return
 	}
