--- /dev/null
+++ b/daemon/call_test.go
@@ -0,0 +1,30 @@
+package daemon
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"gopkg.in/tomb.v2"
+
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+func TestACallIsAnsweredThoughTheControlLoopIsStuck(t *testing.T) {
+	h := &Daemon{T: &tomb.Tomb{}, calls: make(chan call)}
+	late := make(chan time.Time, 1)
+	late <- time.Time{}
+	var none *register.NoQuorumError
+	if a := h.call(call{op: control.Get{}, reply: make(chan control.Answer, 1)}, late); !errors.As(a.Err, &none) {
+		t.Errorf("not taken over: %v", a.Err)
+	}
+	go func() {
+		<-h.calls
+		late <- time.Time{}
+	}()
+	var unknown *register.OutcomeUnknownError
+	if a := h.call(call{op: control.Get{}, reply: make(chan control.Answer, 1)}, late); !errors.As(a.Err, &unknown) {
+		t.Errorf("taken over, and no answer: %v", a.Err)
+	}
+}
