--- /dev/null
+++ b/control/firstanswer_test.go
@@ -0,0 +1,38 @@
+package control
+
+import (
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// TestTheFirstAnswerOfALifeWaitsForTheDisk: what was read at the start may not outlive a loss of power until it is synced.
+func TestTheFirstAnswerOfALifeWaitsForTheDisk(t *testing.T) {
+	kept := &DiskState{Pact: register.State{Disk: "d", Accepted: register.Ballot{N: 4, By: "x"}, Value: &register.Value{Mark: 7}}}
+	n := New(0, Config{Name: "n0", Addr: "n0", Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, Disk: kept})
+	look := Received{From: "n1", Msg: register.Prepare{Rid: 1, Disk: "d", Look: true}}
+	out := n.Step(1, look)
+	if promises(out) != 0 || len(out.Writes) != 1 {
+		t.Fatalf("%d answers and %d writes", promises(out), len(out.Writes))
+	}
+	if out = n.Step(2, look); promises(out) != 0 {
+		t.Fatal("a second look is answered before the disk is synced")
+	}
+	if out = n.Step(3, Persisted{Ticket: 1}); promises(out) != 2 {
+		t.Fatalf("%d answers after the sync", promises(out))
+	}
+	if out = n.Step(4, look); promises(out) != 1 || len(out.Writes) != 0 {
+		t.Fatal("a later look is written")
+	}
+}
+
+func promises(out Out) (count int) {
+	for _, s := range out.Sends {
+		if _, ok := s.Msg.(register.Promise); ok {
+			count++
+		}
+	}
+	return count
+}
--- a/control/register.go
+++ b/control/register.go
@@ -20,6 +20,10 @@
 	Record lease.Record
 }
 
+// Opened changes nothing: it is written before the first answer of a life, for what the node read from its disk may have been written
+// by a process that was killed before its sync, and a loss of power may yet take it back.
+type Opened struct{}
+
 const (
 	stalledAfter = time.Second
 	MaxHeld      = 256
@@ -64,6 +68,9 @@
 	if !ours {
 		return
 	}
+	if n.ticket == 0 && !write {
+		write, entry = true, Opened{}
+	}
 	if write {
 		n.ticket++
 		n.out.Writes = append(n.out.Writes, LogWrite{Ticket: n.ticket, Entry: entry})
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -9,24 +9,35 @@
 	"github.com/gravitational/trace"
 )
 
+// Disk is a folder of files. Only what was synced outlives a loss of power: contents by Sync, and names of new files by SyncFolder.
 type Disk interface {
+	// Read returns a whole file; found is false where there is none.
 	Read(name string) (data []byte, found bool, err error)
+	// Write replaces a file's contents in place, and makes it if it is missing.
 	Write(name string, data []byte) (err error)
+	// Append writes behind the end of a file, and makes it if it is missing.
 	Append(name string, data []byte) (err error)
+	// Sync makes a file's contents durable, not its name.
 	Sync(name string) (err error)
+	// SyncFolder makes the names of all files durable.
 	SyncFolder() (err error)
+	// Truncate cuts a file to size bytes.
 	Truncate(name string, size int) (err error)
 }
 
+// FolderError is returned for a folder that cannot be made.
 type FolderError struct{ Path, Why string }
 
+// Error implements error.
 func (e *FolderError) Error() (text string) { return "data folder " + e.Path + ": " + e.Why }
 
+// Folder is a Disk in the file system. It keeps its files open.
 type Folder struct {
 	path string
 	open map[string]*os.File
 }
 
+// OpenFolder makes the folder if it is missing.
 func OpenFolder(path string) (f *Folder, err error) {
 	if err = os.MkdirAll(path, 0o700); err != nil {
 		return nil, trace.Wrap(&FolderError{Path: path, Why: err.Error()})
@@ -36,6 +47,7 @@
 
 func (f *Folder) at(name string) (p string) { return filepath.Join(f.path, name) }
 
+// Read implements Disk.
 func (f *Folder) Read(name string) (data []byte, found bool, err error) {
 	data, err = os.ReadFile(f.at(name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -56,6 +68,7 @@
 	return file, nil
 }
 
+// Write implements Disk.
 func (f *Folder) Write(name string, data []byte) (err error) {
 	file, err := f.file(name)
 	if err != nil {
@@ -68,6 +81,7 @@
 	return trace.ConvertSystemError(err)
 }
 
+// Append implements Disk.
 func (f *Folder) Append(name string, data []byte) (err error) {
 	file, err := f.file(name)
 	if err != nil {
@@ -81,6 +95,7 @@
 	return trace.ConvertSystemError(err)
 }
 
+// Sync implements Disk.
 func (f *Folder) Sync(name string) (err error) {
 	file, err := f.file(name)
 	if err != nil {
@@ -89,6 +104,7 @@
 	return trace.ConvertSystemError(file.Sync())
 }
 
+// SyncFolder implements Disk.
 func (f *Folder) SyncFolder() (err error) {
 	dir, err := os.Open(f.path)
 	if err != nil {
@@ -98,6 +114,7 @@
 	return trace.ConvertSystemError(dir.Sync())
 }
 
+// Truncate implements Disk.
 func (f *Folder) Truncate(name string, size int) (err error) {
 	file, err := f.file(name)
 	if err != nil {
--- /dev/null
+++ b/storage/open.go
@@ -0,0 +1,127 @@
+package storage
+
+import (
+	"fmt"
+
+	"github.com/gravitational/trace"
+)
+
+// A half is one slot with its log, as they were read.
+type half struct {
+	slot, log           []byte
+	slotThere, logThere bool
+	generation          uint64
+	whole               bool
+}
+
+func (h half) there() (yes bool) { return h.slotThere || h.logThere }
+
+// Open reads the disk and writes nothing: the newest whole snapshot, and the entries after it in the order of their Append. A process
+// that was killed between a write and its sync left bytes that a loss of power may yet take away: all that is returned is durable only
+// when the first write has succeeded, and nobody may act on it before. A disk that may have lost entries which were synced is reported
+// as UnreadableError. The log is Full from logBytes on.
+func Open(disk Disk, logBytes int) (v *Store, snapshot []byte, entries [][]byte, err error) {
+	v = &Store{disk: disk, maxLogBytes: logBytes}
+	var halves [2]half
+	for i := range uint64(2) {
+		if halves[i], err = readHalf(disk, i); err != nil {
+			return nil, nil, nil, err
+		}
+	}
+	if !halves[0].there() && !halves[1].there() {
+		return v, nil, nil, nil
+	}
+	v.unsynced = namesOf(halves)
+	if !halves[0].whole && !halves[1].whole {
+		return v.openTorn(halves)
+	}
+	best := 0
+	if halves[1].whole && (!halves[0].whole || halves[1].generation > halves[0].generation) {
+		best = 1
+	}
+	newest, other := halves[best], halves[1-best]
+	v.generation = newest.generation
+	if err = v.replay(newest.log, &entries); err != nil {
+		return nil, nil, nil, err
+	}
+	if other.whole || !v.owns(other.log, v.generation+1) {
+		return v, newest.slot, entries, nil
+	}
+	v.generation++
+	v.slotDamaged = true
+	v.Repair = slotName(v.generation) + " cannot be read: recovered from " + slotName(v.generation-1) + " and both logs"
+	if err = v.replay(other.log, &entries); err != nil {
+		return nil, nil, nil, err
+	}
+	return v, newest.slot, entries, nil
+}
+
+func readHalf(disk Disk, i uint64) (h half, err error) {
+	raw, there, err := disk.Read(slotName(i))
+	if err != nil {
+		return h, trace.Wrap(&UnreadableError{File: slotName(i), Why: err.Error()})
+	}
+	h.slotThere = there
+	h.log, h.logThere, err = disk.Read(logName(i))
+	if err != nil {
+		return h, trace.Wrap(&UnreadableError{File: logName(i), Why: err.Error()})
+	}
+	gen, body, size, ok := unpack(raw)
+	h.generation, h.slot = gen, body
+	h.whole = ok && size == len(raw) && gen%2 == i
+	return h, nil
+}
+
+func namesOf(halves [2]half) (names []string) {
+	for i, h := range halves {
+		if h.slotThere {
+			names = append(names, slotName(uint64(i)))
+		}
+		if h.logThere {
+			names = append(names, logName(uint64(i)))
+		}
+	}
+	return names
+}
+
+// openTorn opens a disk without a whole slot: new, if its first write was cut before anything was acknowledged, else unreadable.
+func (v *Store) openTorn(halves [2]half) (fresh *Store, snapshot []byte, entries [][]byte, err error) {
+	if len(halves[0].log)+len(halves[1].log) == 0 && !halves[0].slotThere {
+		v.Repair = "both slots are torn and no log was begun: a first write was cut"
+		return v, nil, nil, nil
+	}
+	return nil, nil, nil, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Why: "no valid slot, yet more than a first write"})
+}
+
+func (v *Store) owns(log []byte, gen uint64) (yes bool) {
+	g, _, _, ok := unpack(log)
+	return ok && g == gen
+}
+
+// replay appends the log's entries of the present generation. A torn end is left for the next Append to cut off; a damaged entry with
+// whole ones behind it is an error.
+func (v *Store) replay(log []byte, entries *[][]byte) (err error) {
+	v.logBytes = 0
+	for v.logBytes < len(log) {
+		gen, body, size, ok := unpack(log[v.logBytes:])
+		if !ok || gen != v.generation {
+			break
+		}
+		batch, whole := split(body)
+		if !whole {
+			return v.damaged("batch at byte %d has bad lengths")
+		}
+		*entries = append(*entries, batch...)
+		v.logBytes += size
+	}
+	for next := v.logBytes + 1; next < len(log); next++ {
+		if v.owns(log[next:], v.generation) {
+			return v.damaged("entry at byte %d is damaged and later ones are whole")
+		}
+	}
+	return nil
+}
+
+func (v *Store) damaged(why string) (err error) {
+	return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf(why, v.logBytes)})
+}
--- a/storage/store.go
+++ b/storage/store.go
@@ -8,12 +8,16 @@
 	"github.com/gravitational/trace"
 )
 
+// UnreadableError is returned by Open for a file whose damage would lose entries that were synced.
 type UnreadableError struct{ File, Why string }
 
+// Error implements error.
 func (e *UnreadableError) Error() (text string) { return e.File + " cannot be read: " + e.Why }
 
+// BrokenError is returned by each write after a failed one, until Recover succeeds.
 type BrokenError struct{ Cause string }
 
+// Error implements error.
 func (e *BrokenError) Error() (text string) {
 	return "disk broke down earlier, nothing more is written: " + e.Cause
 }
@@ -21,18 +25,25 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 const (
-	magic    = 0x6d62_7631
-	headLen  = 20
+	magic   = 0x6d62_7631
+	headLen = 20
+	// MaxEntry is the largest body of a snapshot or of a batch of entries, in bytes.
 	MaxEntry = 8 << 20
 )
 
+// Store writes one node's state. It is owned by one goroutine.
 type Store struct {
 	disk        Disk
 	generation  uint64
 	logBytes    int
 	maxLogBytes int
 	broken      error
-	Repair      string
+	// slotDamaged says that the slot of the present generation cannot be read: only the slot and the log before it stand in for it.
+	slotDamaged bool
+	// unsynced are the files that Open read and nobody has synced since.
+	unsynced []string
+	// Repair says what Open found damaged and made good from the rest; empty for a sound disk.
+	Repair string
 }
 
 func slotName(gen uint64) (name string) { return fmt.Sprintf("slot%d", gen%2) }
@@ -62,99 +73,10 @@
 	return gen, body, headLen + n, sum == binary.BigEndian.Uint32(raw[16:])
 }
 
-func Open(disk Disk, logBytes int) (v *Store, slot []byte, entries [][]byte, err error) {
-	v = &Store{disk: disk, maxLogBytes: logBytes}
-	var slots, logs [2][]byte
-	var gens [2]uint64
-	var whole [2]bool
-	empty, turned := true, false
-	for i := range uint64(2) {
-		var there bool
-		if slots[i], there, err = disk.Read(slotName(i)); err != nil {
-			return nil, nil, nil, trace.Wrap(&UnreadableError{File: slotName(i), Why: err.Error()})
-		}
-		empty, turned = empty && !there, turned || (there && i == 0)
-		if logs[i], there, err = disk.Read(logName(i)); err != nil {
-			return nil, nil, nil, trace.Wrap(&UnreadableError{File: logName(i), Why: err.Error()})
-		}
-		empty = empty && !there
-		var body []byte
-		var size int
-		gens[i], body, size, whole[i] = unpack(slots[i])
-		whole[i] = whole[i] && size == len(slots[i]) && gens[i]%2 == i
-		slots[i] = body
-	}
-	if empty {
-		return v, nil, nil, nil
-	}
-	if !whole[0] && !whole[1] {
-		if len(logs[0])+len(logs[1]) == 0 && !turned {
-			v.Repair = "both slots are torn and no log was begun: a first write was cut"
-			return v, nil, nil, nil
-		}
-		return nil, nil, nil, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Why: "no valid slot, yet more than a first write"})
-	}
-	best := 0
-	if whole[1] && (!whole[0] || gens[1] > gens[0]) {
-		best = 1
-	}
-	v.generation = gens[best]
-	slot = slots[best]
-	if err = v.replay(logs[best], &entries); err != nil {
-		return nil, nil, nil, err
-	}
-	v.logBytes = v.tail(logs[best])
-	if !whole[1-best] && len(logs[1-best]) > 0 && v.owns(logs[1-best], v.generation+1) {
-		v.Repair = slotName(v.generation+1) + " cannot be read: recovered from " + slotName(v.generation) + " and both logs"
-		v.generation++
-		if err = v.replay(logs[1-best], &entries); err != nil {
-			return nil, nil, nil, err
-		}
-		v.logBytes = v.tail(logs[1-best])
-	}
-	return v, slot, entries, nil
-}
-
-func (v *Store) owns(log []byte, gen uint64) (yes bool) {
-	g, _, _, ok := unpack(log)
-	return ok && g == gen
-}
-
-func (v *Store) tail(log []byte) (at int) {
-	for at < len(log) {
-		gen, _, size, ok := unpack(log[at:])
-		if !ok || gen != v.generation {
-			return at
-		}
-		at += size
-	}
-	return at
-}
-
-func (v *Store) replay(log []byte, entries *[][]byte) (err error) {
-	at := 0
-	for at < len(log) {
-		gen, body, size, ok := unpack(log[at:])
-		if !ok || gen != v.generation {
-			break
-		}
-		batch, whole := split(body)
-		if !whole {
-			return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf("batch at byte %d has bad lengths", at)})
-		}
-		*entries = append(*entries, batch...)
-		at += size
-	}
-	for next := at + 1; next < len(log); next++ {
-		if gen, _, _, ok := unpack(log[next:]); ok && gen == v.generation {
-			return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf("entry at byte %d is damaged and later ones are whole", at)})
-		}
-	}
-	return nil
-}
-
+// Empty says that nothing was ever written to the disk; the first call must be Rotate.
 func (v *Store) Empty() (yes bool) { return v.generation == 0 }
 
+// Full says that the log has reached its bound, so that Rotate is due.
 func (v *Store) Full() (yes bool) { return v.logBytes >= v.maxLogBytes }
 
 func (v *Store) fail(err error) (broke error) {
--- a/storage/write.go
+++ b/storage/write.go
@@ -22,10 +22,14 @@
 	return entries, true
 }
 
+// Append writes entries behind those before and returns once they are durable. After an error nothing more is written until Recover.
 func (v *Store) Append(entries [][]byte) (err error) {
 	if v.broken != nil {
 		return v.broken
 	}
+	if err = v.settle(); err != nil {
+		return v.fail(err)
+	}
 	name := logName(v.generation)
 	raw := pack(v.generation, join(entries))
 	fresh := v.logBytes == 0
@@ -47,18 +51,21 @@
 	return nil
 }
 
-// Mend forgets an earlier failure and writes everything anew, so that nothing depends on what that failure left behind.
+// Recover forgets an earlier failure and writes everything anew, so that nothing depends on what that failure left behind.
 func (v *Store) Recover(slot []byte) (err error) {
 	v.broken = nil
 	return v.Rotate(slot)
 }
 
+// Rotate writes a snapshot that stands for all before it and begins a new log. Until it has returned, the snapshot and the log before
+// it are left as they are.
 func (v *Store) Rotate(slot []byte) (err error) {
 	if v.broken != nil {
 		return v.broken
 	}
-	gen := v.generation + 1
+	gen := v.nextGeneration()
 	steps := []func() error{
+		v.settle,
 		func() error { return v.disk.Write(slotName(gen), pack(gen, slot)) },
 		func() error { return v.disk.Sync(slotName(gen)) },
 		func() error { return v.disk.Write(logName(gen), nil) },
@@ -70,6 +77,31 @@
 			return v.fail(err)
 		}
 	}
-	v.generation, v.logBytes = gen, 0
+	v.generation, v.logBytes, v.slotDamaged = gen, 0, false
+	return nil
+}
+
+// nextGeneration decides which slot is overwritten: the older one, or the one that cannot be read, since the older one then carries all.
+func (v *Store) nextGeneration() (gen uint64) {
+	if v.slotDamaged {
+		return v.generation + 2
+	}
+	return v.generation + 1
+}
+
+// settle syncs what Open read, once, before anything is written behind it or over its older half.
+func (v *Store) settle() (err error) {
+	if len(v.unsynced) == 0 {
+		return nil
+	}
+	for _, name := range v.unsynced {
+		if err = v.disk.Sync(name); err != nil {
+			return err
+		}
+	}
+	if err = v.disk.SyncFolder(); err != nil {
+		return err
+	}
+	v.unsynced = nil
 	return nil
 }
