--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -145,6 +145,7 @@
 // for the streams.
 func drain(h *daemon.Daemon, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
 	g.Retire()
+	h.Call(control.Retire{})
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -31,6 +31,7 @@
 			lg.Info().Msg("draining")
 			retired.Store(true)
 			p.Retire()
+			h.Call(control.Retire{})
 			drainNode(h, p, s.Bounds.GracePeriod)
 			t.Kill(nil)
 			err = t.Wait()
--- /dev/null
+++ b/control/bootstrap.go
@@ -0,0 +1,50 @@
+package control
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+const bootstrapStagger = 1500 * time.Millisecond
+
+// bootstrapFromSeeds founds the register on a first start: the seeds with a disk become its voters, once all seeds are known.
+// The first seed begins, the others follow at a distance; whoever comes late finds the value of who was first.
+func (n *Node) bootstrapFromSeeds(now time.Duration) {
+	if !n.config.Founds || n.acceptor == nil || n.knownValue() != nil || n.founding || len(n.config.Seeds) == 0 {
+		return
+	}
+	at := slices.Index(n.config.Seeds, n.config.Addr)
+	if at < 0 || now-n.startedAt < time.Duration(at)*bootstrapStagger || now-n.foundAt < bootstrapStagger {
+		return
+	}
+	var vs []register.Voter
+	for _, addr := range n.config.Seeds {
+		m, ok := n.memberAt(addr)
+		if !ok {
+			return
+		}
+		if m.Disk != "" {
+			vs = append(vs, register.Voter{Disk: m.Disk, Name: m.Name})
+		}
+	}
+	n.founding, n.foundAt = true, now
+	n.change("founds", fmt.Sprint(vs))
+	n.opSeq++
+	n.pendingOps[n.opSeq] = func(time.Duration, register.Result) { n.founding = false }
+	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
+	n.proposer.Bootstrap(now, now+bootstrapStagger, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
+}
+
+func (n *Node) memberAt(addr string) (m membership.Member, ok bool) {
+	for _, m := range n.Members.Table.All() {
+		if m.Addr == addr && m.Live() {
+			return m, true
+		}
+	}
+	return m, false
+}
--- a/control/command.go
+++ b/control/command.go
@@ -48,6 +48,9 @@
 	case SetSeeds:
 		n.config.Seeds = op.Addrs
 		n.answer(c.ID, nil)
+	case Retire:
+		n.Members.Update(now, func(m *membership.Member) { m.Retiring = true })
+		n.answer(c.ID, nil)
 	case Leave:
 		n.leave(now)
 		n.answer(c.ID, nil)
@@ -109,7 +112,7 @@
 			done(now, r)
 			return
 		}
-		n.propose(now, proposeTimeout, finishVoterChange, false, done)
+		n.propose(now, proposeTimeout, finishVoterChangeAt(r.Value.Seat), false, done)
 	})
 }
 
@@ -128,13 +131,17 @@
 	}
 }
 
-func finishVoterChange(cur *register.Value) (next *register.Value, err error) {
-	if len(cur.Next) == 0 {
-		return nil, nil
+// finishVoterChangeAt seats the next voters of the epoch in which a change is known to have been chosen. A later one that was merely
+// accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
+func finishVoterChangeAt(seat uint64) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if len(cur.Next) == 0 || cur.Seat != seat {
+			return nil, nil
+		}
+		cur.Voters, cur.Next = cur.Next, nil
+		cur.Seat++
+		return cur, nil
 	}
-	cur.Voters, cur.Next = cur.Next, nil
-	cur.Seat++
-	return cur, nil
 }
 
 func (n *Node) leave(now time.Duration) {
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -19,7 +19,7 @@
 	msg  any
 }
 
-// A lab runs whole nodes in one process: three domains, the first node of each with a disk and a seed.
+// A lab runs whole nodes in one process: three domains where nothing else is said, the first three nodes are the seeds.
 type lab struct {
 	t     *testing.T
 	now   time.Duration
@@ -40,14 +40,20 @@
 	// failures are the last ones each node heard of, marks the lists of marks sent.
 	failures map[string]mallowbridge.Failures
 	marks    int
+	// domains and tolerate are those of every node.
+	domains  int
+	tolerate int
 }
 
-func newLab(t *testing.T, size int) (l *lab) {
-	l = &lab{t: t, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}}
+func newLab(t *testing.T, size int) (l *lab) { return newSizedLab(t, size, 4, 3, 1, 0) }
+
+// newSizedLab has so many nodes, the first of them with a disk, over domains in turn; another seed draws everything else anew.
+func newSizedLab(t *testing.T, size, disks, domains, tolerate int, seed uint64) (l *lab) {
+	l = &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}}
 	for i := range size {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
-		if i < 4 {
+		if i < disks {
 			l.disks[name] = "disk-" + name
 		}
 	}
@@ -62,8 +68,8 @@
 	fmt.Sscanf(name, "n%d", &at)
 	l.ids++
 	cfg := Config{
-		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % 3), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
-		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: 1, Founds: first, ServesCutOff: true,
+		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % l.domains), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: l.tolerate, Founds: first, ServesCutOff: true,
 	}
 	if id := l.disks[name]; id != "" {
 		cfg.Disk = &DiskState{}
--- a/control/msg.go
+++ b/control/msg.go
@@ -140,6 +140,9 @@
 
 type SetFollowers struct{ N int }
 
+// Retire says that the process was told to end and will soon leave: until then it votes on, and its seat goes to a spare disk.
+type Retire struct{}
+
 type Leave struct{}
 
 func (Put) op()           {}
@@ -152,6 +155,7 @@
 func (Witness) op()       {}
 func (SetFollowers) op()  {}
 func (SetSeeds) op()      {}
+func (Retire) op()        {}
 func (Leave) op()         {}
 
 type Send struct {
--- a/control/repair.go
+++ b/control/repair.go
@@ -1,86 +1,83 @@
 package control
 
 import (
-	"strconv"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-const repairInterval = 2 * time.Second
-
-func (n *Node) repairVoters(now time.Duration) {
-	if n.snapshot == nil {
-		return
-	}
-	stuck := len(n.value.Next) > 0
-	lost := n.lostVoter(now, n.snapshot.Charter.ReplaceVoter)
-	if (lost == "" && !stuck) || !n.ranksFirst("mend", "") {
-		return
-	}
-	n.toDisks(n.leases.Acquire(now, "mend", n.value))
-	if _, ok := n.leases.Holds(now, "mend"); !ok || now-n.tasks.votersChangedAt < repairInterval {
-		return
-	}
-	n.tasks.votersChangedAt = now
-	if stuck {
-		n.propose(now, proposeTimeout, finishVoterChange, false, func(time.Duration, register.Result) {})
-		return
-	}
-	vs := n.votersWithout(lost)
-	if vs == nil {
-		return
+// trackVoters notes since when each voter is lost. Every node does, so that whoever is first by rank next need not wait anew.
+func (n *Node) trackVoters(now time.Duration) {
+	since := map[string]time.Duration{}
+	for _, v := range n.value.Voters {
+		if n.voterHealthy(v.Disk) {
+			continue
+		}
+		since[v.Disk] = now
+		if before, ok := n.tasks.lostSince[v.Disk]; ok {
+			since[v.Disk] = before
+		}
 	}
-	n.change("replaces voter", lost)
-	id := "mend/" + lost + "/" + strconv.FormatUint(n.value.Seat, 10)
-	n.changeVoters(now, id, vs, func(time.Duration, register.Result) {})
+	n.tasks.lostSince = since
 }
 
+// lostVoter names the disk of the first voter that has been lost for as long as patience.
 func (n *Node) lostVoter(now, patience time.Duration) (disk string) {
-	if patience <= 0 {
-		return ""
-	}
 	for _, v := range n.value.Voters {
-		if n.voterHealthy(v.Disk) {
-			delete(n.tasks.lostSince, v.Disk)
-			continue
-		}
-		if n.tasks.lostSince[v.Disk] == 0 {
-			n.tasks.lostSince[v.Disk] = now
+		if since, ok := n.tasks.lostSince[v.Disk]; ok && now-since >= patience {
+			return v.Disk
 		}
-		if disk == "" && now-n.tasks.lostSince[v.Disk] >= patience {
-			disk = v.Disk
+	}
+	return ""
+}
+
+// leavingVoter names the disk of the first voter whose process was told to end, or has said goodbye. Whether it is only restarted
+// nobody can tell: with a spare disk the seat goes there and stays, and the one that comes back is the next spare.
+func (n *Node) leavingVoter() (disk string) {
+	for _, v := range n.value.Voters {
+		m, ok := n.diskMember(v.Disk)
+		if ok && (m.Retiring || m.State == membership.Left) {
+			return v.Disk
 		}
 	}
-	return disk
+	return ""
 }
 
-func (n *Node) voterHealthy(disk string) (yes bool) {
+func (n *Node) diskMember(disk string) (m membership.Member, ok bool) {
 	for _, m := range n.Members.Table.All() {
-		if m.Disk == disk && m.State == membership.Alive && !m.Unfit {
-			return true
+		if m.Disk == disk {
+			return m, true
 		}
 	}
-	return false
+	return m, false
 }
 
+func (n *Node) voterHealthy(disk string) (yes bool) {
+	m, ok := n.diskMember(disk)
+	return ok && m.State == membership.Alive && !m.Unfit
+}
+
+// spare says whether a member has a fit disk that could take a seat and means to stay.
+func (n *Node) spare(m membership.Member) (yes bool) {
+	return m.Disk != "" && m.State == membership.Alive && !m.Unfit && !m.Retiring && !isVoter(n.value.Voters, m.Disk)
+}
+
+// votersWithout puts a spare disk in the place of a lost one, in the domain with the fewest voters; nil: there is none.
 func (n *Node) votersWithout(lost string) (vs []register.Voter) {
 	taken := map[string]int{}
 	for _, v := range n.value.Voters {
-		if v.Disk != lost {
-			vs = append(vs, v)
-			if m, ok := n.Members.Table.Get(v.Name); ok {
-				taken[m.Domain]++
-			}
+		if v.Disk == lost {
+			continue
+		}
+		vs = append(vs, v)
+		if m, ok := n.Members.Table.Get(v.Name); ok {
+			taken[m.Domain]++
 		}
 	}
 	var best membership.Member
 	for _, m := range n.Members.Table.All() {
-		if m.Disk == "" || m.State != membership.Alive || m.Unfit || isVoter(n.value.Voters, m.Disk) {
-			continue
-		}
-		if best.Name == "" || taken[m.Domain] < taken[best.Domain] {
+		if n.spare(m) && (best.Name == "" || taken[m.Domain] < taken[best.Domain]) {
 			best = m
 		}
 	}
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -85,7 +85,6 @@
 	for _, d := range n.zones() {
 		n.probeDuty(now, d)
 	}
-	n.repairVoters(now)
 	n.maintainVoters(now)
 }
 
--- a/control/voters.go
+++ b/control/voters.go
@@ -1,95 +1,83 @@
 package control
 
 import (
-	"fmt"
 	"slices"
-	"strconv"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-const bootstrapStagger = 1500 * time.Millisecond
+const (
+	// voterLostAfter is how long a voter may be out of touch before its seat goes to another disk, where the fleet seats voters itself.
+	voterLostAfter = 2500 * time.Millisecond
+	// voterChangeInterval is the time between two tries of one node to change the voters.
+	voterChangeInterval = time.Second
+)
 
-// foundAlone founds the register on a first start: the seeds with a disk become its voters, once all seeds are known.
-// The first seed begins, the others follow at a distance; whoever comes late finds the value of who was first.
-func (n *Node) bootstrapFromSeeds(now time.Duration) {
-	if !n.config.Founds || n.acceptor == nil || n.knownValue() != nil || n.founding || len(n.config.Seeds) == 0 {
-		return
+// voterPatience is how long a voter may be lost before its seat goes to another disk: fixed where the fleet bears losses by itself
+// (Tolerate), else as the operators' document says. 0: seats stay as they are.
+func (n *Node) voterPatience() (patience time.Duration) {
+	if n.config.Tolerate > 0 {
+		return voterLostAfter
 	}
-	at := slices.Index(n.config.Seeds, n.config.Addr)
-	if at < 0 || now-n.startedAt < time.Duration(at)*bootstrapStagger || now-n.foundAt < bootstrapStagger {
-		return
+	if n.snapshot == nil {
+		return 0
 	}
-	var vs []register.Voter
-	for _, addr := range n.config.Seeds {
-		m, ok := n.memberAt(addr)
-		if !ok {
-			return
-		}
-		if m.Disk != "" {
-			vs = append(vs, register.Voter{Disk: m.Disk, Name: m.Name})
-		}
-	}
-	n.founding, n.foundAt = true, now
-	n.change("founds", fmt.Sprint(vs))
-	n.opSeq++
-	n.pendingOps[n.opSeq] = func(time.Duration, register.Result) { n.founding = false }
-	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
-	n.proposer.Bootstrap(now, now+bootstrapStagger, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
+	return n.snapshot.Charter.ReplaceVoter
 }
 
-func (n *Node) memberAt(addr string) (m membership.Member, ok bool) {
-	for _, m := range n.Members.Table.All() {
-		if m.Addr == addr && m.Live() {
-			return m, true
-		}
-	}
-	return m, false
-}
-
-const (
-	voterLostAfter      = 2500 * time.Millisecond
-	voterChangeInterval = time.Second
-)
-
-// tend keeps twice as many voters as may be lost, and one: it replaces a voter whose disk came back empty at once, one that is
-// lost after some patience by a disk that does not vote yet, and adds disks while there are too few voters.
+// maintainVoters keeps the set of voters whole. One node does it, the first by rank; where two believe that they are first, the epoch
+// on which each change builds lets one through. A change that was begun is finished before another is thought of.
 func (n *Node) maintainVoters(now time.Duration) {
-	if n.config.Tolerate == 0 || n.value == nil || !n.ranksFirst("mend", "") || now-n.tasks.votersChangedAt < voterChangeInterval {
+	n.trackVoters(now)
+	if !n.ranksFirst("mend", "") || now-n.tasks.votersChangedAt < voterChangeInterval {
 		return
 	}
 	if len(n.value.Next) > 0 {
 		n.tasks.votersChangedAt = now
-		n.propose(now, proposeTimeout, finishVoterChange, false, func(time.Duration, register.Result) {})
+		n.finishVoters(now, n.value.Seat)
 		return
 	}
 	next, why := n.nextVoters(now)
-	if why == "" {
+	if next == nil {
 		return
 	}
 	n.tasks.votersChangedAt = now
 	n.change("voters change", why)
-	seat := n.value.Seat
-	n.propose(now, proposeTimeout, beginVoterChangeAt(seat, next), false, func(now time.Duration, r register.Result) {
+	n.propose(now, proposeTimeout, beginVoterChangeAt(n.value.Seat, next), false, func(now time.Duration, r register.Result) {
 		if r.Err == nil {
-			n.propose(now, proposeTimeout, finishVoterChange, false, func(time.Duration, register.Result) {})
+			n.finishVoters(now, r.Value.Seat)
 		}
 	})
 }
 
+func (n *Node) finishVoters(now time.Duration, seat uint64) {
+	n.propose(now, proposeTimeout, finishVoterChangeAt(seat), false, func(time.Duration, register.Result) {})
+}
+
+// nextVoters names the voters that should take over from the present ones, and why; nil: the present ones stay. The order is that of
+// need: a disk that came back empty, a lost voter, one that is about to leave, and a seat that nobody has yet.
 func (n *Node) nextVoters(now time.Duration) (vs []register.Voter, why string) {
+	patience := n.voterPatience()
+	if patience <= 0 {
+		return nil, ""
+	}
 	for _, v := range n.value.Voters {
 		if m, ok := n.replacedDisk(v); ok {
 			return n.replaceVoter(v, m), "disk of " + v.Name + " came back empty"
 		}
 	}
-	if lost := n.lostVoter(now, voterLostAfter); lost != "" {
+	if lost := n.lostVoter(now, patience); lost != "" {
 		if vs = n.votersWithout(lost); vs != nil {
 			return vs, "disk " + lost + " is lost"
 		}
 	}
+	if leaving := n.leavingVoter(); leaving != "" {
+		if vs = n.votersWithout(leaving); vs != nil {
+			return vs, "disk " + leaving + " leaves"
+		}
+	}
 	if len(n.value.Voters) < 2*n.config.Tolerate+1 {
 		if vs = n.votersWithout(""); vs != nil {
 			return vs, "a disk joins"
@@ -98,10 +86,10 @@
 	return nil, ""
 }
 
-// emptied finds the machine of a voter that is back with another disk.
+// replacedDisk finds the machine of a voter that is back with another disk.
 func (n *Node) replacedDisk(v register.Voter) (m membership.Member, yes bool) {
 	m, ok := n.Members.Table.Get(v.Name)
-	yes = ok && m.State == membership.Alive && m.Disk != "" && m.Disk != v.Disk && !m.Unfit && !isVoter(n.value.Voters, m.Disk)
+	yes = ok && m.Disk != v.Disk && n.spare(m)
 	return m, yes
 }
 
@@ -115,12 +103,13 @@
 	return vs
 }
 
+// beginVoterChangeAt installs the next voters beside the present ones, if the epoch is still the one that the choice was made on.
 func beginVoterChangeAt(seat uint64, vs []register.Voter) (change register.Change) {
 	return func(cur *register.Value) (next *register.Value, err error) {
 		if slices.Equal(cur.Next, vs) || slices.Equal(cur.Voters, vs) {
 			return nil, nil
 		}
-		if cur.Seat != seat {
+		if cur.Seat != seat || len(cur.Next) > 0 {
 			return nil, &register.ConflictError{Mark: cur.Mark}
 		}
 		cur.Next = vs
--- a/membership/member.go
+++ b/membership/member.go
@@ -30,6 +30,8 @@
 	Build  uint32 `json:"build"`
 	Libs   int    `json:"libs"`
 	Unfit  bool   `json:"unfit,omitempty"`
+	// Retiring says that the process was told to end: it still votes, but gives its seat away where it can.
+	Retiring bool `json:"retiring,omitempty"`
 }
 
 func (m Member) Live() (yes bool) { return m.State == Alive || m.State == Suspect }
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -167,6 +167,7 @@
 	w.Say("%s is told to stop", n.Name)
 	s.rules.harm([]*Node{n}, grace+time.Second, true, false)
 	n.retire = true
+	w.Call(n, control.Retire{}, func(control.Answer) {})
 	left := false
 	var look func()
 	look = func() {
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -22,6 +22,7 @@
 	n, from := ns[0], w.now
 	w.Say("%s drains", n.Name)
 	n.retire = true
+	w.Call(n, control.Retire{}, func(control.Answer) {})
 	w.after(retire, func() { n.shut = n.retire })
 	departed := false
 	var look func()
