--- a/lease/lease.go
+++ b/lease/lease.go
@@ -9,19 +9,25 @@
 )
 
 const (
-	TTL   = 3 * time.Second
+	// TTL is how long a grant binds its grantor, by the grantor's clock.
+	TTL = 3 * time.Second
+	// Renew is the time between two requests of a holder for one lease.
 	Renew = time.Second
+	// Drift is by how much a holder stops earlier than its grantors, so that clocks may run at rates that differ by a tenth.
 	Drift = TTL / 10
 )
 
+// Token orders the holders of a duty: by the epoch of the voters, then by number. It is a fencing token: work under a lower one is void.
 type Token struct {
 	Seat, N uint64
 }
 
+// Less says whether m is older than o.
 func (m Token) Less(o Token) (yes bool) {
 	return m.Seat < o.Seat || (m.Seat == o.Seat && m.N < o.N)
 }
 
+// Request asks one grantor, named by its disk, for a duty under a token, in the epoch Seat. Rid returns in the answer.
 type Request struct {
 	Rid    uint64
 	Disk   string
@@ -31,6 +37,7 @@
 	Seat   uint64
 }
 
+// Grant answers a Request. If it is refused, Mark and Holder are those in force.
 type Grant struct {
 	Rid    uint64
 	Disk   string
@@ -40,6 +47,7 @@
 	Holder string
 }
 
+// Release gives a token up before its time.
 type Release struct {
 	Disk   string
 	Duty   string
@@ -47,6 +55,7 @@
 	Mark   Token
 }
 
+// Record is what a grantor keeps on disk of one duty.
 type Record struct {
 	Holder string
 	Mark   Token
@@ -57,13 +66,16 @@
 	until time.Duration
 }
 
+// Grantor is the part of a voter that grants leases. It is owned by one goroutine and takes the time of its own clock.
 type Grantor struct {
+	// Disk names the voter; requests to another one are left unanswered.
 	Disk       string
 	rows       map[string]*grantRow
 	graceUntil time.Duration
 	epoch      uint64
 }
 
+// NewGrantor starts from what the disk kept. It grants nothing new before quietUntil, since it does not know what it granted when.
 func NewGrantor(disk string, kept map[string]Record, quietUntil time.Duration) (g *Grantor) {
 	g = &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: quietUntil}
 	for duty, r := range kept {
@@ -72,12 +84,14 @@
 	return g
 }
 
+// ChangeEpoch moves to a later epoch of the voters. Leases of the epoch before may run on for TTL, during which nothing is granted.
 func (g *Grantor) ChangeEpoch(now time.Duration, seat uint64) {
 	if seat > g.epoch {
 		g.epoch, g.graceUntil = seat, now+TTL
 	}
 }
 
+// HandleRequest grants or refuses. With write set, the answer must wait until Records is durable; an answer without Disk is not sent.
 func (g *Grantor) HandleRequest(now time.Duration, m Request) (r Grant, write bool) {
 	if m.Disk != g.Disk {
 		return Grant{}, false
@@ -102,12 +116,14 @@
 	return r, write
 }
 
+// HandleRelease frees a duty whose holder gave it up.
 func (g *Grantor) HandleRelease(m Release) {
 	if cur := g.rows[m.Duty]; cur != nil && m.Disk == g.Disk && cur.Holder == m.Holder && cur.Mark == m.Mark {
 		cur.until = 0
 	}
 }
 
+// Records is what has to outlive a restart.
 func (g *Grantor) Records() (kept map[string]Record) {
 	kept = map[string]Record{}
 	for duty, r := range g.rows {
@@ -118,6 +134,7 @@
 	return kept
 }
 
+// Lease is a holder's side of one duty: the token it asks with, and until when it counts on the grants it got.
 type Lease struct {
 	Duty  string
 	Token Token
@@ -128,7 +145,9 @@
 	next  time.Duration
 }
 
+// Holder acquires, renews and releases leases. It is owned by one goroutine and takes the time of its own clock.
 type Holder struct {
+	// Name must not be used by any other process, not even by an earlier one on the same machine.
 	Name   string
 	leases map[string]*Lease
 	high   map[string]uint64
@@ -136,10 +155,12 @@
 	rng    *rand.Rand
 }
 
+// NewHolder holds nothing yet; seed spreads its retries.
 func NewHolder(name string, seed uint64) (h *Holder) {
 	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, high: map[string]uint64{}}
 }
 
+// Holds tells the token under which the duty may be done now.
 func (h *Holder) Holds(now time.Duration, duty string) (m Token, ok bool) {
 	c := h.leases[duty]
 	if c == nil || now >= c.until {
@@ -148,6 +169,7 @@
 	return c.Token, true
 }
 
+// Acquire asks for the duty, or for more time, when it is due; it is called again and again for as long as the duty is wanted.
 func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) (sends []register.Send) {
 	c := h.leases[duty]
 	if c == nil {
@@ -172,6 +194,8 @@
 	return sends
 }
 
+// OnGrant takes one answer. The lease is held when a majority of the voters, of both sets while they change, granted one request; its
+// time runs from the sending of that request.
 func (h *Holder) OnGrant(now time.Duration, g Grant, seats *register.Value) {
 	c := h.leases[g.Duty]
 	if c == nil || g.Rid != c.rid {
@@ -189,6 +213,7 @@
 	}
 }
 
+// Release gives the duty up.
 func (h *Holder) Release(duty string, seats *register.Value) (sends []register.Send) {
 	c := h.leases[duty]
 	if c == nil {
@@ -198,13 +223,17 @@
 	return h.releases(c, seats)
 }
 
+// releases gives a token up. It is never asked for again: its release may arrive after a later request, and would end a lease that its
+// holder counts on.
 func (h *Holder) releases(c *Lease, seats *register.Value) (sends []register.Send) {
+	h.high[c.Duty] = max(h.high[c.Duty], c.Token.N)
 	for _, v := range seats.All() {
 		sends = append(sends, register.Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Token}})
 	}
 	return sends
 }
 
+// Held lists the duties that are wanted, in order.
 func (h *Holder) Held() (duties []string) {
 	for d := range h.leases {
 		duties = append(duties, d)
