--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -34,10 +34,9 @@
 	}
 	n.founding, n.foundAt = true, now
 	n.change("founds", fmt.Sprint(vs))
-	n.opSeq++
-	n.pendingOps[n.opSeq] = func(time.Duration, register.Result) { n.founding = false }
+	id := n.await(now, func(time.Duration, register.Result) { n.founding = false })
 	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
-	n.proposer.Bootstrap(now, now+bootstrapStagger, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
+	n.proposer.Bootstrap(now, now+bootstrapStagger, id, &register.Value{Fleet: fleet, Voters: vs})
 }
 
 func (n *Node) memberAt(addr string) (m membership.Member, ok bool) {
--- a/control/command.go
+++ b/control/command.go
@@ -92,9 +92,7 @@
 		return
 	}
 	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
-	n.opSeq++
-	n.pendingOps[n.opSeq] = n.replyTo(id, "")
-	n.proposer.Bootstrap(now, now+proposeTimeout, n.opSeq, &register.Value{Fleet: fleet, Voters: vs})
+	n.proposer.Bootstrap(now, now+proposeTimeout, n.await(now, n.replyTo(id, "")), &register.Value{Fleet: fleet, Voters: vs})
 }
 
 func (n *Node) replaceVoters(now time.Duration, id uint64, op ReplaceVoters) {
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -113,4 +113,6 @@
 	}
 }
 
-func confirmed(results []register.Result) (yes bool) { return len(results) == 1 && results[0].Err == nil }
+func confirmed(results []register.Result) (yes bool) {
+	return len(results) == 1 && results[0].Err == nil
+}
--- a/control/join.go
+++ b/control/join.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
@@ -80,6 +81,24 @@
 	}
 }
 
+// noticeFreeze starts over at the first input after a pause, before that is taken in: it may have lain in a socket since before the
+// pause, as may the answers to a read.
+func (n *Node) noticeFreeze(now time.Duration) {
+	if pause := now - n.inputAt; n.inputAt > 0 && pause > n.config.Membership.Gap {
+		n.rejoin(now, fmt.Sprintf("%s without an input", pause))
+	}
+	n.inputAt = now
+}
+
+// rejoin starts over as after a start: what this node knows may be old, and others may have taken its share of room.
+func (n *Node) rejoin(now time.Duration, why string) {
+	if n.joined {
+		n.change("starts over", why)
+	}
+	n.joined, n.since, n.settled = false, now, 0
+	n.neighboursRead = map[string]bool{}
+}
+
 func (n *Node) finishJoin(now time.Duration, how string) {
 	if n.joined {
 		return
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -40,6 +40,8 @@
 	// failures are the last ones each node heard of, marks the lists of marks sent.
 	failures map[string]mallowbridge.Failures
 	marks    int
+	// frozen nodes take nothing; what is sent to them waits until they wake.
+	frozen map[string]bool
 	// domains and tolerate are those of every node.
 	domains  int
 	tolerate int
@@ -127,7 +129,7 @@
 		l.mail = nil
 		for _, p := range due {
 			switch {
-			case p.at > l.now:
+			case p.at > l.now || l.frozen[p.to]:
 				l.mail = append(l.mail, p)
 			case l.nodes[p.to] == nil || l.down[p.to] || l.down[p.from]:
 			case l.cut != nil && p.from != "" && l.cut(p.from, p.to):
@@ -141,7 +143,7 @@
 		}
 		if l.now%(50*time.Millisecond) == 0 {
 			for _, name := range l.order {
-				if !l.down[name] {
+				if !l.down[name] && !l.frozen[name] {
 					l.step(name, Tick{})
 				}
 			}
--- a/control/node.go
+++ b/control/node.go
@@ -42,6 +42,12 @@
 
 type completion func(now time.Duration, r register.Result)
 
+// A pendingOp waits for the proposer since it was submitted.
+type pendingOp struct {
+	since time.Duration
+	done  completion
+}
+
 type Node struct {
 	config   Config
 	out      *Out
@@ -58,7 +64,7 @@
 	diskErr     error
 	local       []Received
 	opSeq       uint64
-	pendingOps  map[uint64]completion
+	pendingOps  map[uint64]pendingOp
 	reading     bool
 
 	value          *register.Value
@@ -74,6 +80,7 @@
 	notServing     string
 	routers        string
 	feedAt         time.Duration
+	inputAt        time.Duration
 	behindSince    time.Duration
 	aheadSince     time.Duration
 	rereadAt       time.Duration
@@ -99,7 +106,7 @@
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
-		pendingOps: map[uint64]completion{}, neighboursRead: map[string]bool{}, since: now, asked: -time.Hour, feedAt: -time.Hour,
+		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, since: now, asked: -time.Hour, feedAt: -time.Hour,
 		startedAt: now, foundAt: -time.Hour, replicaList: listing{heard: now, asked: -time.Hour},
 		tasks: newTasks(), witness: newWitness(now), sights: map[string]*sight{}, platformStates: map[string]told{},
 	}
@@ -118,6 +125,7 @@
 
 func (n *Node) Step(now time.Duration, in In) (out Out) {
 	n.out = &out
+	n.noticeFreeze(now)
 	switch i := in.(type) {
 	case Received:
 		n.recv(now, i)
@@ -184,15 +192,6 @@
 	n.feed(now)
 }
 
-// wake starts over as after a start: what this node knows may be old, and others may have taken its share of room.
-func (n *Node) rejoin(now time.Duration, why string) {
-	if n.joined {
-		n.change("starts over", why)
-	}
-	n.joined, n.since, n.settled = false, now, 0
-	n.neighboursRead = map[string]bool{}
-}
-
 func (n *Node) change(what, detail string) {
 	n.out.Changes = append(n.out.Changes, Change{What: what, Detail: detail})
 }
--- a/control/register.go
+++ b/control/register.go
@@ -119,10 +119,15 @@
 	n.Members.Update(now, func(m *membership.Member) { m.Unfit = yes })
 }
 
-func (n *Node) propose(now, within time.Duration, change register.Change, full bool, done completion) {
+// await numbers an operation of the proposer and has done called with its result.
+func (n *Node) await(now time.Duration, done completion) (id uint64) {
 	n.opSeq++
-	n.pendingOps[n.opSeq] = done
-	n.proposer.Submit(now, now+within, n.opSeq, change, full)
+	n.pendingOps[n.opSeq] = pendingOp{since: now, done: done}
+	return n.opSeq
+}
+
+func (n *Node) propose(now, within time.Duration, change register.Change, full bool, done completion) {
+	n.proposer.Submit(now, now+within, n.await(now, done), change, full)
 }
 
 func (n *Node) read(now, within time.Duration, full bool) {
@@ -147,17 +152,19 @@
 	sends, results := n.proposer.TakeOutput()
 	n.toDisks(sends)
 	for _, r := range results {
+		op := n.pendingOps[r.ID]
+		delete(n.pendingOps, r.ID)
 		if r.Value != nil {
 			fresh := r.Value.Newer(n.value)
 			n.learnValue(now, r.Value)
 			if fresh {
 				n.rumorSends(n.Gossip.PushNow(n.peers()))
 			}
-			n.finishJoin(now, "a majority was read")
+			if op.since >= n.since {
+				n.finishJoin(now, "a majority was read")
+			}
 		}
-		done := n.pendingOps[r.ID]
-		delete(n.pendingOps, r.ID)
-		done(now, r)
+		op.done(now, r)
 	}
 }
 
