--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -146,3 +146,30 @@
 		r.next()
 	}
 }
+
+// TestAVoterSetBackToAnOlderCopy: one voter was away when a change was confirmed, another comes back with an older copy of its disk,
+// and the third is lost. The two make a majority that never heard of the change.
+func TestAVoterSetBackToAnOlderCopy(t *testing.T) {
+	r := newRefill(t, fleetShapes[0], 9)
+	older := *r.nodes["n1"].acceptor
+	r.down["n2"] = true
+	r.run(200 * time.Millisecond)
+	r.change()
+	r.down["n1"] = true
+	r.run(300 * time.Millisecond)
+	r.nodes["n1"].acceptor = &older
+	r.boot("n1", false)
+	r.boot("n2", false)
+	r.down["n0"] = true
+	for range 5 {
+		if got := r.read("n8"); got != fmt.Sprint("w", r.writes) {
+			t.Fatalf("reads %q, confirmed was w%d", got, r.writes)
+		}
+		r.run(200 * time.Millisecond)
+	}
+	for _, name := range []string{"n1", "n2"} {
+		if got := string(r.nodes[name].acceptor.Value.Body); got != fmt.Sprint("w", r.writes) {
+			t.Errorf("%s holds %q", name, got)
+		}
+	}
+}
--- a/control/news.go
+++ b/control/news.go
@@ -101,7 +101,7 @@
 	}
 	old := n.value
 	n.value = v
-	n.proposer.Learn(v)
+	n.proposer.LearnChosen(v)
 	n.Gossip.Put(gossip.Item{Key: "c", Mark: gossip.Version{Hi: v.Mark, Lo: v.Seat}, Data: v})
 	if old == nil || !register.SameVoters(old, v) {
 		n.change("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
--- /dev/null
+++ b/register/forgotten_test.go
@@ -0,0 +1,61 @@
+package register
+
+import (
+	"testing"
+	"time"
+)
+
+// TestADiskThatWentBackLosesNothingThatIsKnown: of three voters one lacks the newest value, one is set back to an older copy of its
+// files. The two make a majority that has never heard of what was confirmed; who knows it is chosen does not read or build on less.
+func TestADiskThatWentBackLosesNothingThatIsKnown(t *testing.T) {
+	voters := []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}
+	old := &Value{Fleet: "f", Mark: 1, Voters: voters}
+	confirmed := &Value{Fleet: "f", Mark: 2, Voters: voters}
+	for _, change := range []Change{nil, func(cur *Value) (next *Value, err error) { cur.Mark++; return cur, nil }} {
+		disks := map[string]*Acceptor{}
+		for _, d := range []string{"b", "c"} {
+			disks[d] = &Acceptor{State{Disk: d, Promised: Ballot{N: 1}, Accepted: Ballot{N: 1}, Value: old}}
+		}
+		p := NewProposer("p", 1)
+		p.LearnChosen(confirmed)
+		p.Submit(0, time.Second, 1, change, false)
+		r := runAlone(p, disks)
+		if r == nil || r.Err != nil || r.Value.Mark < confirmed.Mark {
+			t.Fatalf("%+v", r)
+		}
+		if change != nil && r.Value.Mark != confirmed.Mark+1 {
+			t.Fatalf("a change builds on mark %d", r.Value.Mark-1)
+		}
+		for _, d := range disks {
+			if d.Value.Mark < confirmed.Mark {
+				t.Errorf("%s still holds mark %d", d.Disk, d.Value.Mark)
+			}
+		}
+	}
+}
+
+// runAlone delivers at once, to those disks that are there, until the proposer is done.
+func runAlone(p *Proposer, disks map[string]*Acceptor) (r *Result) {
+	for now := time.Duration(0); now < time.Second; now += time.Millisecond {
+		sends, results := p.TakeOutput()
+		if len(results) > 0 {
+			return &results[0]
+		}
+		for _, s := range sends {
+			a := disks[s.Disk]
+			if a == nil {
+				continue
+			}
+			switch m := s.Msg.(type) {
+			case Prepare:
+				promise, _ := a.Prepare(m)
+				p.OnPromise(now, promise)
+			case Accept:
+				accepted, _ := a.Accept(m)
+				p.OnAccepted(now, accepted)
+			}
+		}
+		p.Tick(now)
+	}
+	return nil
+}
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -81,6 +81,7 @@
 	rng   *rand.Rand
 
 	voters   *Value
+	chosen   *Value
 	queue    []*operation
 	cur      *operation
 	phase    phase
@@ -110,6 +111,15 @@
 	}
 }
 
+// LearnChosen tells of a value that a majority is known to have accepted. The proposer neither reads less nor builds on less, even where
+// a majority has forgotten it: a disk was then set back to an older copy of its files.
+func (p *Proposer) LearnChosen(v *Value) {
+	if v.Newer(p.chosen) {
+		p.chosen = v
+	}
+	p.Learn(v)
+}
+
 // Submit queues an operation: a read where change is nil. It is answered soon after deadline at the latest; a change that wasn't offered to
 // voters before its deadline never is. A full operation asks all voters and brings those that lag to the newest value.
 func (p *Proposer) Submit(now, deadline time.Duration, id uint64, change Change, full bool) {
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -40,7 +40,21 @@
 	return Quorum(p.voters, func(d string) bool { _, ok := p.got[d]; return ok })
 }
 
+// best is the value to build on: the one with the highest ballot, or the newest that is known to be chosen if that is newer still.
 func (p *Proposer) best() (v *Value) {
+	v = p.bestAnswer()
+	if p.knowsNewer(v) {
+		return p.chosen
+	}
+	return v
+}
+
+// knowsNewer says that a value of the same fleet is known to be chosen that is newer than v.
+func (p *Proposer) knowsNewer(v *Value) (yes bool) {
+	return p.chosen.Newer(v) && (v == nil || v.Fleet == p.chosen.Fleet)
+}
+
+func (p *Proposer) bestAnswer() (v *Value) {
 	var top Ballot
 	for _, r := range p.got {
 		if r.Value != nil && (v == nil || top.Less(r.Accepted)) {
@@ -91,7 +105,7 @@
 		p.end(now, nil, &NotBootstrappedError{})
 		return
 	}
-	if p.look && !p.chosen() {
+	if p.look && !p.agreed() {
 		p.cur.readFailed = true
 		p.prepare(now)
 		return
@@ -99,7 +113,7 @@
 	next := base
 	if p.cur.change != nil {
 		changed, err := p.cur.change(base.Clone())
-		if err != nil && p.chosen() {
+		if err != nil && p.agreed() {
 			p.end(now, base, err)
 			return
 		}
@@ -107,14 +121,18 @@
 			next = changed
 		}
 	}
-	if next == base && p.chosen() && (!p.cur.full || p.acceptedEverywhere()) {
+	if next == base && p.agreed() && (!p.cur.full || p.acceptedEverywhere()) {
 		p.end(now, base, nil)
 		return
 	}
 	p.proposeValue(now, next, next != base)
 }
 
-func (p *Proposer) chosen() (yes bool) {
+// agreed says that a majority answered with one value, which is then chosen, and that nothing newer is known.
+func (p *Proposer) agreed() (yes bool) {
+	if p.knowsNewer(p.bestAnswer()) {
+		return false
+	}
 	top := p.topAccepted()
 	return Quorum(p.voters, func(d string) bool {
 		r, ok := p.got[d]
