--- a/control/journal.go
+++ b/control/journal.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/gob"
+	"errors"
 	"maps"
 
 	"github.com/gravitational/trace"
@@ -14,6 +15,7 @@
 
 const logBytes = 1 << 20
 
+// DiskState is what a node keeps on its disk: its part of the register, and what it granted.
 type DiskState struct {
 	Pact   register.State
 	Grants map[string]lease.Record
@@ -25,6 +27,7 @@
 	Granted  *Granted
 }
 
+// Journal keeps a DiskState on disk. It is owned by one goroutine.
 type Journal struct {
 	store *storage.Store
 	state DiskState
@@ -45,6 +48,8 @@
 	return nil
 }
 
+// OpenJournal reads what the disk kept, or begins a new disk under freshID. A new disk that takes no bytes yet is opened as well: Append
+// fails until Recover has succeeded.
 func OpenJournal(disk storage.Disk, freshID string) (k *Journal, err error) {
 	v, slot, entries, err := storage.Open(disk, logBytes)
 	if err != nil {
@@ -53,7 +58,7 @@
 	k = &Journal{store: v}
 	if v.Empty() {
 		k.state = DiskState{Pact: register.State{Disk: freshID}}
-		return k, k.rotate()
+		return k, k.found()
 	}
 	if err = decode("slot", slot, &k.state); err != nil {
 		return nil, err
@@ -68,14 +73,25 @@
 	return k, nil
 }
 
+// State is a copy of what is kept.
 func (k *Journal) State() (kept DiskState) {
 	kept = k.state
 	kept.Grants = maps.Clone(k.state.Grants)
 	return kept
 }
 
+// Repair says what was damaged and made good at the opening; empty for a sound disk.
 func (k *Journal) Repair() (what string) { return k.store.Repair }
 
+// found writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
+func (k *Journal) found() (err error) {
+	var broken *storage.BrokenError
+	if err = k.rotate(); errors.As(err, &broken) {
+		return nil
+	}
+	return err
+}
+
 func (k *Journal) rotate() (err error) {
 	raw, err := encode(k.state)
 	if err != nil {
@@ -84,7 +100,7 @@
 	return k.store.Rotate(raw)
 }
 
-// Mend writes the whole state anew after a failure.
+// Recover writes the whole state anew after a failure.
 func (k *Journal) Recover() (err error) {
 	raw, err := encode(k.state)
 	if err != nil {
@@ -119,6 +135,7 @@
 	return e
 }
 
+// Append writes entries and returns once they are durable. After an error nothing is written until Recover.
 func (k *Journal) Append(ws []LogWrite) (err error) {
 	var raws [][]byte
 	for _, w := range ws {
--- /dev/null
+++ b/control/journal_test.go
@@ -0,0 +1,59 @@
+package control_test
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/sim"
+)
+
+// TestANewDiskThatIsFullIsMendedLater: a machine whose disk came back empty starts while the disk takes no bytes, and writes its state
+// once it does.
+func TestANewDiskThatIsFullIsMendedLater(t *testing.T) {
+	d := sim.NewDisk(1)
+	d.Full = true
+	k, err := control.OpenJournal(d, "fresh")
+	if err != nil {
+		t.Fatal(err)
+	}
+	promised := control.Promised{Ballot: register.Ballot{N: 3, By: "p"}}
+	if k.Append([]control.LogWrite{{Ticket: 1, Entry: promised}}) == nil {
+		t.Fatal("a full disk took an entry")
+	}
+	d.Full = false
+	if err = k.Recover(); err != nil {
+		t.Fatal(err)
+	}
+	d.PowerCut()
+	if k, err = control.OpenJournal(d, "other"); err != nil {
+		t.Fatal(err)
+	}
+	if kept := k.State().Pact; kept.Disk != "fresh" || kept.Promised != promised.Ballot {
+		t.Errorf("kept %+v", kept)
+	}
+}
+
+// TestAJournalOverHundredsOfChangesKeepsThem writes values of some weight through many rotations, with a restart after each hundred.
+func TestAJournalOverHundredsOfChangesKeepsThem(t *testing.T) {
+	d := sim.NewDisk(2)
+	for life := range 5 {
+		k, err := control.OpenJournal(d, "fresh")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if kept := k.State().Pact; life > 0 && (kept.Value == nil || kept.Value.Mark != uint64(100*life)) {
+			t.Fatalf("life %d: kept %+v", life, kept)
+		}
+		for i := range 100 {
+			mark := uint64(100*life + i + 1)
+			v := &register.Value{Mark: mark, Body: make([]byte, 64<<10)}
+			at := register.Ballot{N: mark, By: fmt.Sprint(life)}
+			if err = k.Append([]control.LogWrite{{Entry: control.Promised{Ballot: at}}, {Entry: control.AcceptedEntry{Ballot: at, Value: v}}}); err != nil {
+				t.Fatal(err)
+			}
+		}
+		d.PowerCut()
+	}
+}
--- a/storage/crash_test.go
+++ b/storage/crash_test.go
@@ -16,7 +16,10 @@
 	tried []string
 }
 
-const crashLogBytes = 60
+const (
+	crashLogBytes = 60
+	recoverTries  = 8
+)
 
 // live opens the disk and works on it until it stops; failures are recovered from once.
 func live(d *crashDisk, before crashLife, from, rounds int) (l crashLife, err error) {
@@ -36,7 +39,14 @@
 		return l, err
 	}
 	l.tried = slices.Clone(state[len(l.known):])
-	recover := func() (ok bool) { return v.Recover([]byte(strings.Join(state, " "))) == nil }
+	recover := func() (ok bool) {
+		for range recoverTries {
+			if ok = v.Recover([]byte(strings.Join(state, " "))) == nil; ok || d.dead {
+				return ok
+			}
+		}
+		return false
+	}
 	if v.Empty() && v.Rotate(nil) != nil && !recover() {
 		return l, nil
 	}
--- a/storage/crashdisk_test.go
+++ b/storage/crashdisk_test.go
@@ -20,7 +20,9 @@
 	ops    int
 	stopAt int
 	failAt int
-	dead   bool
+	// fullFrom and fullTo bound the operations at which the disk takes nothing; equal: it never is full.
+	fullFrom, fullTo int
+	dead             bool
 }
 
 type crashError struct{ what string }
@@ -47,7 +49,7 @@
 		return false, &crashError{"stopped"}
 	}
 	d.ops++
-	if d.ops-1 == d.failAt {
+	if d.ops-1 == d.failAt || (d.ops > d.fullFrom && d.ops <= d.fullTo) {
 		return false, &crashError{"failed"}
 	}
 	if d.ops-1 == d.stopAt {
