--- /dev/null
+++ b/lease/epoch_test.go
@@ -0,0 +1,34 @@
+package lease
+
+import (
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+func voters(disks ...string) (vs []register.Voter) {
+	for _, d := range disks {
+		vs = append(vs, register.Voter{Disk: d})
+	}
+	return vs
+}
+
+// Asked while both sets had to agree, granted by a majority of the new one alone: another may hold the duty by the old one.
+func TestGrantsCountUnderTheVotersThatWereAsked(t *testing.T) {
+	both := &register.Value{Seat: 2, Voters: voters("a", "b", "c"), Next: voters("a", "b", "s")}
+	after := &register.Value{Seat: 3, Voters: voters("a", "b", "s")}
+	h := NewHolder("h", 1)
+	rid := h.Acquire(0, "d", both)[0].Msg.(Request).Rid
+	for _, d := range []string{"b", "s"} {
+		h.OnGrant(0, Grant{Rid: rid, Disk: d, Duty: "d", OK: true}, after)
+	}
+	if _, ok := h.Holds(0, "d"); ok {
+		t.Error("holds by grants of another epoch")
+	}
+	for _, d := range []string{"b", "s", "a"} {
+		h.OnGrant(0, Grant{Rid: rid, Disk: d, Duty: "d", OK: true}, both)
+	}
+	if _, ok := h.Holds(0, "d"); !ok {
+		t.Error("does not hold by grants of all who must agree")
+	}
+}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -143,6 +143,8 @@
 	rid   uint64
 	yes   map[string]bool
 	next  time.Duration
+	// epoch is that of the voters who were asked: a round's grants count under them alone.
+	epoch uint64
 }
 
 // Holder acquires, renews and releases leases. It is owned by one goroutine and takes the time of its own clock.
@@ -187,7 +189,7 @@
 		c.Token = Token{Seat: seats.Seat, N: h.high[duty] + 1}
 	}
 	h.rid++
-	c.rid, c.asked, c.yes, c.next = h.rid, now, map[string]bool{}, now+Renew
+	c.rid, c.asked, c.yes, c.next, c.epoch = h.rid, now, map[string]bool{}, now+Renew, seats.Seat
 	for _, v := range seats.All() {
 		sends = append(sends, register.Send{Disk: v.Disk, Msg: Request{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Token, Seat: seats.Seat}})
 	}
@@ -198,7 +200,7 @@
 // time runs from the sending of that request.
 func (h *Holder) OnGrant(now time.Duration, g Grant, seats *register.Value) {
 	c := h.leases[g.Duty]
-	if c == nil || g.Rid != c.rid {
+	if c == nil || g.Rid != c.rid || seats.Seat != c.epoch {
 		return
 	}
 	if !g.OK {
