--- a/register/proposer.go
+++ b/register/proposer.go
@@ -55,6 +55,8 @@
 	change   Change
 	deadline time.Duration
 	exposed  bool
+	// offered is the ballot under which a value with the change was last offered.
+	offered Ballot
 	// first is the value to found the register with, until one is found.
 	first      *Value
 	full       bool
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -113,7 +113,7 @@
 	next := base
 	if p.cur.change != nil {
 		changed, err := p.cur.change(base.Clone())
-		if err != nil && p.agreed() {
+		if err != nil && p.settled() {
 			p.end(now, base, err)
 			return
 		}
@@ -121,13 +121,19 @@
 			next = changed
 		}
 	}
-	if next == base && p.agreed() && (!p.cur.full || p.acceptedEverywhere()) {
+	if next == base && p.settled() && (!p.cur.full || p.acceptedEverywhere()) {
 		p.end(now, base, nil)
 		return
 	}
 	p.proposeValue(now, next, next != base)
 }
 
+// settled says that what was read is chosen, and that nothing which the operation itself offered can still be: it was offered under no
+// higher ballot. Otherwise a disk that holds the offer may have it proposed again, after the operation was refused.
+func (p *Proposer) settled() (yes bool) {
+	return p.agreed() && !p.topAccepted().Less(p.cur.offered)
+}
+
 // agreed says that a majority answered with one value, which is then chosen, and that nothing newer is known.
 func (p *Proposer) agreed() (yes bool) {
 	if p.knowsNewer(p.bestAnswer()) {
@@ -163,7 +169,9 @@
 	p.rid++
 	p.phase, p.until, p.proposed = accepting, now+p.Round, v
 	p.yes = map[string]bool{}
-	p.cur.exposed = p.cur.exposed || changed
+	if changed {
+		p.cur.exposed, p.cur.offered = true, p.ballot
+	}
 	to := p.voters.All()
 	for _, s := range v.All() {
 		if !contains(to, s.Disk) {
