--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -32,3 +32,22 @@
 		t.Error("does not hold by grants of all who must agree")
 	}
 }
+
+// A voter that was frozen grants what the life before asked for.
+func TestAGrantToTheLifeBeforeDoesNotCount(t *testing.T) {
+	seats := &register.Value{Seat: 1, Voters: voters("a")}
+	before, after := NewHolder("n/1", 1), NewHolder("n/2", 1)
+	asked := before.Acquire(0, "d", seats)[0].Msg.(Request)
+	after.Acquire(0, "d", seats)
+	grant, _ := newGrantorAt("a", 1).HandleRequest(0, asked)
+	after.OnGrant(0, grant, seats)
+	if _, ok := after.Holds(0, "d"); ok || !grant.OK {
+		t.Errorf("granted %t to the life before, held by the one after: %t", grant.OK, ok)
+	}
+}
+
+func newGrantorAt(disk string, epoch uint64) (g *Grantor) {
+	g = NewGrantor(disk, nil, 0)
+	g.ChangeEpoch(-TTL, epoch)
+	return g
+}
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // ConflictError says that a change builds on another revision (or mark) than the current one, which is Mark. It can't have been taken
@@ -103,9 +105,15 @@
 
 // NewProposer makes a proposer that knows no voters yet.
 func NewProposer(by string, seed uint64) (p *Proposer) {
-	return &Proposer{By: by, Round: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7))}
+	return &Proposer{By: by, Round: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), rid: firstRid(by)}
 }
 
+// firstRid starts the round ids of each life elsewhere: an answer to the life before, from a voter that was frozen, must match no round.
+func firstRid(by string) (rid uint64) { return xxhash.Sum64String(by) >> ridSpare }
+
+// ridSpare are the bits of a hash that a first round id leaves out, so that ids stay short and never wrap around.
+const ridSpare = 16
+
 // Learn tells of a chosen value, for its voters.
 func (p *Proposer) Learn(v *Value) {
 	if v != nil && v.Newer(p.voters) {
