--- a/lease/lease.go
+++ b/lease/lease.go
@@ -5,8 +5,6 @@
 	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -164,12 +162,6 @@
 	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, high: map[string]uint64{}, rid: firstRid(name)}
 }
 
-// firstRid starts the round ids of each life elsewhere: an answer to the life before, from a voter that was frozen, must match no round.
-func firstRid(name string) (rid uint64) { return xxhash.Sum64String(name) >> ridSpare }
-
-// ridSpare are the bits of a hash that a first round id leaves out, so that ids stay short and never wrap around.
-const ridSpare = 16
-
 // Holds tells the token under which the duty may be done now.
 func (h *Holder) Holds(now time.Duration, duty string) (m Token, ok bool) {
 	c := h.leases[duty]
