--- /dev/null
+++ b/lease/clone_test.go
@@ -0,0 +1,44 @@
+package lease
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
+func TestFingerprintsKnowEveryField(t *testing.T) {
+	for kind, fields := range map[reflect.Type]int{
+		reflect.TypeFor[Holder]():   5,
+		reflect.TypeFor[Lease]():    8,
+		reflect.TypeFor[Grantor]():  4,
+		reflect.TypeFor[grantRow](): 2,
+		reflect.TypeFor[Record]():   2,
+		reflect.TypeFor[Token]():    2,
+	} {
+		if kind.NumField() != fields {
+			t.Errorf("%s has %d fields, clone.go knows %d", kind, kind.NumField(), fields)
+		}
+	}
+}
+
+func TestClonesGoTheirOwnWay(t *testing.T) {
+	seats := &register.Value{Voters: []register.Voter{{Disk: "a"}}}
+	g, h := NewGrantor("a", nil, 0), NewHolder("h", 1)
+	request := h.Acquire(0, "d", seats)[0].Msg.(Request)
+	before := h.AppendFingerprint(g.AppendFingerprint(nil, 0), 0)
+	g2, h2 := g.Clone(), h.Clone()
+	if !bytes.Equal(before, h2.AppendFingerprint(g2.AppendFingerprint(nil, 0), 0)) {
+		t.Fatal("clones differ")
+	}
+	grant, _ := g2.HandleRequest(0, request)
+	h2.OnGrant(0, grant, seats)
+	if _, ok := h2.Holds(0, "d"); !ok {
+		t.Error("a clone gets no lease")
+	}
+	if !bytes.Equal(before, h.AppendFingerprint(g.AppendFingerprint(nil, 0), 0)) {
+		t.Error("what clones do shows in the first")
+	}
+}
--- /dev/null
+++ b/modelcheck/cluster.go
@@ -0,0 +1,169 @@
+package modelcheck
+
+import (
+	"slices"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+const (
+	proposers = 2
+	// tolerated is how many of three voters may be lost together.
+	tolerated  = 1
+	noDeadline = time.Hour
+)
+
+// mail is a request on its way to the disk that it names, or an answer on its way to the proposer.
+type mail struct {
+	proposer int
+	disk     string
+	msg      message
+	// hash leaves out the disk's name.
+	hash uint64
+}
+
+func newMail(proposer int, disk string, msg message) (m mail) {
+	return mail{proposer: proposer, disk: disk, msg: msg, hash: hashOf(proposer, msg)}
+}
+
+// message is one of the register's four messages.
+type message interface {
+	AppendFingerprint(b []byte) (out []byte)
+}
+
+// operation is one attempt of an order, or one half of a change of voters, that a proposer has not answered yet.
+type operation struct {
+	id       uint64
+	proposer int
+	// order is the index of the order, or -1.
+	order int
+	// begins are the voters of the first half of a change of voters, or nil.
+	begins []register.Voter
+	// floor is the newest version that anybody was told of before the operation began.
+	floor version
+}
+
+type progress struct {
+	sent               uint8
+	confirmed, refused bool
+}
+
+// Cluster is one state of a world of the register.
+type Cluster struct {
+	plan      *Plan
+	left      Budget
+	proposers [proposers]*register.Proposer
+	boots     [proposers]uint8
+	known     [proposers]*register.Value
+	disks     []disk
+	mail      []mail
+	open      []operation
+	orders    []progress
+	changes   uint64
+	told      []told
+	newest    *register.Value
+	first     *register.Value
+	// replaced are lost disks that a told value has let go.
+	replaced []string
+	broken   error
+}
+
+// NewCluster is the first state of a world: the register is founded, all voters hold its first value.
+func NewCluster(plan Plan) (c *Cluster) {
+	first := &register.Value{Fleet: "f"}
+	for _, id := range plan.Disks[:plan.Voters] {
+		first.Voters = append(first.Voters, register.Voter{Disk: id, Name: id})
+	}
+	c = &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), newest: first, first: first}
+	c.told = []told{tell(first)}
+	for at, id := range plan.Disks {
+		d := disk{name: id, kept: register.State{Disk: id}}
+		if at < plan.Voters {
+			founded := register.Ballot{By: "founder"}
+			d.kept = register.State{Disk: id, Promised: founded, Accepted: founded, Value: first}
+		}
+		d.acceptor = register.Acceptor{State: d.kept}
+		c.disks = append(c.disks, d)
+	}
+	for at := range c.proposers {
+		c.proposers[at], c.known[at] = c.boot(at, first), first
+	}
+	return c
+}
+
+func (c *Cluster) boot(at int, known *register.Value) (p *register.Proposer) {
+	p = register.NewProposer(string(rune('p'+at))+string(rune('1'+c.boots[at])), 0).Clone()
+	p.Learn(known)
+	return p
+}
+
+// clone copies what every step may change; proposers are copied when they are touched.
+func (c *Cluster) clone() (n *Cluster) {
+	n = &Cluster{}
+	*n = *c
+	n.disks = slices.Clone(c.disks)
+	n.mail = slices.Clone(c.mail)
+	n.open = slices.Clone(c.open)
+	n.orders = slices.Clone(c.orders)
+	n.told = slices.Clone(c.told)
+	return n
+}
+
+// Broken is the invariant that the last step broke.
+func (c *Cluster) Broken() (err error) { return c.broken }
+
+// touch returns the proposer for a change in this state alone.
+func (c *Cluster) touch(at int) (p *register.Proposer) {
+	c.proposers[at] = c.proposers[at].Clone()
+	return c.proposers[at]
+}
+
+func (c *Cluster) diskOf(id string) (at int) {
+	return slices.IndexFunc(c.disks, func(d disk) bool { return d.acceptor.Disk == id })
+}
+
+// submit hands an operation to a proposer; the caller collects.
+func (c *Cluster) submit(o operation, change register.Change, full bool) {
+	o.floor = versionOf(c.newest)
+	c.open = append(c.open, o)
+	slices.SortFunc(c.open, func(a, b operation) int { return int(a.id) - int(b.id) })
+	c.proposers[o.proposer].Submit(0, noDeadline, o.id, change, full)
+}
+
+// collect posts what the proposer sends and tells callers what it answers, until it does neither.
+func (c *Cluster) collect(at int) {
+	for {
+		sends, results := c.proposers[at].TakeOutput()
+		if len(sends)+len(results) == 0 {
+			break
+		}
+		for _, s := range sends {
+			if c.diskOf(s.Disk) >= 0 {
+				c.mail = append(c.mail, newMail(at, s.Disk, s.Msg.(message)))
+			}
+		}
+		for _, r := range results {
+			c.answered(at, r)
+		}
+	}
+	c.mail = slices.DeleteFunc(c.mail, c.useless)
+}
+
+// answered ends an operation.
+func (c *Cluster) answered(at int, r register.Result) {
+	i := slices.IndexFunc(c.open, func(o operation) bool { return o.id == r.ID && o.proposer == at })
+	if i < 0 {
+		return
+	}
+	o := c.open[i]
+	c.open = slices.Delete(c.open, i, i+1)
+	if r.Value.Newer(c.known[at]) {
+		c.known[at] = r.Value
+		c.proposers[at].LearnChosen(r.Value)
+	}
+	c.check(o, r)
+	if o.begins != nil && r.Err == nil {
+		c.submit(operation{id: o.id + 1, proposer: at, order: -1}, c.plan.Rules.Finish(r.Value.Seat), false)
+	}
+}
--- /dev/null
+++ b/modelcheck/cluster_test.go
@@ -0,0 +1,132 @@
+package modelcheck
+
+import (
+	"flag"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var (
+	states = flag.Int("states", 10_000, "states a world; 0: no bound")
+	depth  = flag.Int("depth", 0, "depth of a world; 0: no bound")
+)
+
+// bounds are those of the flags.
+func bounds() (b Bounds) { return Bounds{States: *states, Depth: *depth} }
+
+var (
+	three = []string{"a", "b", "c"}
+	spare = []string{"a", "b", "c", "s"}
+)
+
+// everything stands for the delivery of all mail.
+const everything = "everything is delivered"
+
+// after takes steps before an exploration begins: each the first event whose description begins so.
+func (c *Cluster) after(t *testing.T, steps []string) (then *Cluster) {
+	t.Helper()
+	for _, step := range steps {
+		if step == everything {
+			for len(c.mail) > 0 {
+				c = c.Apply(Event{Kind: deliver})
+			}
+			continue
+		}
+		events := c.Events()
+		at := slices.IndexFunc(events, func(e Event) bool { return strings.HasPrefix(c.Describe(e), step) })
+		if at < 0 {
+			t.Fatalf("no event begins with %q", step)
+		}
+		c = c.Apply(events[at])
+	}
+	return c
+}
+
+// Steps before an exploration.
+var (
+	// aIsReplaced loses disk a and has the first proposer seat the one that its machine came back with.
+	aIsReplaced = []string{"disk a is lost", "p1 begins to replace voter a", everything}
+	// halfBegun has a planned change of voters accepted by the new disk alone, and its proposer restart.
+	halfBegun = []string{
+		"p1 begins to replace voter a by s", "delivered: p asks a to prepare", "delivered: p asks b to prepare", "delivered: p asks s to accept",
+		"p1 restarts",
+	}
+)
+
+type scenario struct {
+	plan   Plan
+	before []string
+}
+
+var (
+	x    = Order{ID: "x"}
+	y    = Order{ID: "y", Home: 1}
+	yOnX = Order{ID: "y", Expect: 1, Home: 1}
+	read = Order{ID: "r", Kind: Read, Home: 1}
+)
+
+// worlds are the register's worlds that hold on the real machines. The first ones are explored whole, if the flags allow it.
+var worlds = map[string]scenario{
+	"two orders on one base":                 {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Timers: 1}}},
+	"two orders, one sent again":             {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Resends: 1}}},
+	"an order on another, and a read":        {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, yOnX, read}, Budget: Budget{Timers: 1}}},
+	"an order sent again, proposers restart": {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x}, Budget: Budget{Timers: 1, Resends: 1, Restarts: 1}}},
+	"two orders, crash before the write":     {plan: Plan{Disks: three, Voters: 3, Journal: true, Orders: []Order{x, y}, Budget: Budget{Crashes: 1}}},
+	"two orders, queued answers":             {plan: Plan{Disks: three, Voters: 3, Queued: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1}}},
+	"an order and a planned replacement":     {plan: Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{y}, Budget: Budget{Replacements: 1}}},
+	"an order, a loss and its replacement":   {plan: Plan{Disks: spare, Voters: 3, Orders: []Order{y}, Budget: Budget{Wipes: 1, Replacements: 1}}},
+	"a second loss after a replacement": {
+		plan:   Plan{Disks: spare, Voters: 3, Orders: []Order{x, yOnX}, Budget: Budget{Timers: 1, Wipes: 2, Replacements: 1}},
+		before: aIsReplaced,
+	},
+	"a second loss and its replacement": {
+		plan:   Plan{Disks: spare, Voters: 3, Orders: []Order{x}, Budget: Budget{Wipes: 2, Replacements: 2, Finishes: 1}},
+		before: aIsReplaced,
+	},
+	"a node that missed a replacement": {
+		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2}},
+		before: aIsReplaced,
+	},
+	"two orders beside a half-begun change of voters": {
+		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1, Restarts: 1, Replacements: 1}},
+		before: halfBegun,
+	},
+	"two orders on one base, everything": {
+		plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Timers: 2, Deadlines: 1, Resends: 1, Doubles: 1, Mutes: 1}},
+	},
+	"three orders, everything": {
+		plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, yOnX, read}, Budget: Budget{Timers: 1, Deadlines: 1, Resends: 1, Doubles: 1}},
+	},
+	"two edits and a read of all": {
+		plan: Plan{
+			Disks: three, Voters: 3, Budget: Budget{Timers: 2, Resends: 1},
+			Orders: []Order{{ID: "e", Kind: Edit}, {ID: "f", Kind: Edit, Expect: 1, Home: 1}, {ID: "r", Kind: FullRead, Home: 1}},
+		},
+	},
+	"two orders, crash before the write, everything": {
+		plan: Plan{Disks: three, Voters: 3, Journal: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1, Crashes: 1, Resends: 1}},
+	},
+	"an order and a planned replacement, everything": {
+		plan: Plan{
+			Disks: spare, Voters: 3, Planned: true, Orders: []Order{y},
+			Budget: Budget{Timers: 1, Resends: 1, Replacements: 1, Finishes: 1, Learns: 1},
+		},
+	},
+	"two nodes mend at once": {
+		plan: Plan{Disks: spare, Voters: 3, Planned: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2, Finishes: 1, Learns: 1}},
+	},
+}
+
+func TestRegisterWorldsHold(t *testing.T) {
+	for name, world := range worlds {
+		t.Run(name, func(t *testing.T) {
+			world.plan.Rules = RealRules()
+			report := Explore(NewCluster(world.plan).after(t, world.before), bounds())
+			if report.Err != nil {
+				t.Fatal(report)
+			}
+			t.Log(report)
+		})
+	}
+}
--- /dev/null
+++ b/modelcheck/disk.go
@@ -0,0 +1,125 @@
+package modelcheck
+
+import (
+	"encoding/binary"
+	"slices"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// disk is one machine's acceptor and what of it is on stable storage. As in the running node an answer waits for every write
+// that was ordered before it, and a crash loses what was not written.
+type disk struct {
+	name     string
+	acceptor register.Acceptor
+	kept     register.State
+	held     []mail
+	wiped    uint8
+}
+
+func (d disk) appendFingerprint(b []byte) (out []byte) {
+	now, kept := d.acceptor.State, d.kept
+	now.Disk, kept.Disk = "", ""
+	b = now.AppendFingerprint(append(b, d.wiped, byte(len(d.held))))
+	if !sameState(now, kept) {
+		b = kept.AppendFingerprint(b)
+	}
+	for _, m := range d.held {
+		b = binary.LittleEndian.AppendUint64(b, m.hash)
+	}
+	return b
+}
+
+func sameState(a, b register.State) (same bool) {
+	return a.Disk == b.Disk && a.Promised == b.Promised && a.Accepted == b.Accepted && a.Value == b.Value
+}
+
+// receive has the acceptor obey a request and returns its answer, if it may leave at once.
+func (c *Cluster) receive(m mail, at int) (answer mail, leaves bool) {
+	d := &c.disks[at]
+	write, ours := false, false
+	switch request := m.msg.(type) {
+	case register.Prepare:
+		var r register.Promise
+		r, write = c.plan.Rules.Prepare(&d.acceptor, request)
+		answer, ours = newMail(m.proposer, r.Disk, r), r.Disk != ""
+	case register.Accept:
+		var r register.Accepted
+		r, write = c.plan.Rules.Accept(&d.acceptor, request)
+		answer, ours = newMail(m.proposer, r.Disk, r), r.Disk != ""
+	}
+	if !c.plan.Journal {
+		d.kept = d.acceptor.State
+		return answer, ours
+	}
+	if !ours {
+		return answer, false
+	}
+	if c.plan.Rules.AnswersFirst || (!write && sameState(d.kept, d.acceptor.State) && len(d.held) == 0) {
+		return answer, true
+	}
+	d.held = append(slices.Clone(d.held), answer)
+	return answer, false
+}
+
+// unwritten tells whether a crash would lose something.
+func (d disk) unwritten() (yes bool) { return len(d.held) > 0 || !sameState(d.kept, d.acceptor.State) }
+
+// sync writes everything that waits and lets the answers leave.
+func (c *Cluster) sync(at int) {
+	d := &c.disks[at]
+	d.kept = d.acceptor.State
+	held := d.held
+	d.held = nil
+	for _, m := range held {
+		c.reply(m)
+	}
+}
+
+// crash restarts the disk's machine on what was written.
+func (c *Cluster) crash(at int) {
+	d := &c.disks[at]
+	d.acceptor.State, d.held = d.kept, nil
+}
+
+// wipe restarts the machine on an empty disk, which gets an id of its own.
+func (c *Cluster) wipe(at int) {
+	d := &c.disks[at]
+	d.wiped++
+	fresh := d.name + string(rune('1'+d.wiped))
+	d.kept = c.plan.Rules.Wiped(d.kept, fresh)
+	d.acceptor.State, d.held = d.kept, nil
+	c.mail = slices.DeleteFunc(c.mail, func(m mail) bool {
+		return m.request() && c.diskOf(m.disk) < 0
+	})
+}
+
+// request tells a request to a disk from an answer.
+func (m mail) request() (yes bool) {
+	switch m.msg.(type) {
+	case register.Prepare, register.Accept:
+		return true
+	}
+	return false
+}
+
+// useless finds mail whose delivery can change nothing any more, now or later: its proposer waits for another round, and the disk
+// has promised more or accepted the same.
+func (c *Cluster) useless(m mail) (yes bool) {
+	p := c.proposers[m.proposer]
+	switch r := m.msg.(type) {
+	case register.Promise:
+		return !p.Expects(r.Rid, r.Promised)
+	case register.Accepted:
+		return !p.Expects(r.Rid, r.Promised)
+	case register.Prepare:
+		kept := c.disks[c.diskOf(r.Disk)].kept
+		settled := r.Look || r.Ballot.Less(kept.Promised) || r.Ballot == kept.Promised
+		return settled && !p.Expects(r.Rid, kept.Promised)
+	case register.Accept:
+		kept := c.disks[c.diskOf(r.Disk)].kept
+		settled := r.Ballot.Less(kept.Promised) || r.Ballot == kept.Accepted
+		return settled && !p.Expects(r.Rid, kept.Promised)
+	}
+	return false
+}
--- /dev/null
+++ b/modelcheck/explore_test.go
@@ -0,0 +1,88 @@
+package modelcheck
+
+import (
+	"errors"
+	"slices"
+	"testing"
+)
+
+// jugs are a toy world: a jug of three and one of five; four in the second is the fault, six steps away.
+type jugs struct{ small, large uint8 }
+
+var errFour = errors.New("four")
+
+const (
+	fillSmall uint8 = iota
+	fillLarge
+	emptySmall
+	emptyLarge
+	pourSmall
+	pourLarge
+)
+
+func (j jugs) Events() (events []Event) {
+	for kind := fillSmall; kind <= pourLarge; kind++ {
+		events = append(events, Event{Kind: kind})
+	}
+	return events
+}
+
+func (j jugs) Apply(e Event) (next jugs) {
+	switch e.Kind {
+	case fillSmall:
+		return jugs{3, j.large}
+	case fillLarge:
+		return jugs{j.small, 5}
+	case emptySmall:
+		return jugs{0, j.large}
+	case emptyLarge:
+		return jugs{j.small, 0}
+	case pourSmall:
+		n := min(j.small, 5-j.large)
+		return jugs{j.small - n, j.large + n}
+	}
+	n := min(j.large, 3-j.small)
+	return jugs{j.small + n, j.large - n}
+}
+
+func (j jugs) Fingerprint() (hash uint64) { return uint64(j.small)<<8 | uint64(j.large) }
+
+func (j jugs) Broken() (err error) {
+	if j.large == 4 {
+		return errFour
+	}
+	return nil
+}
+
+func (j jugs) Describe(e Event) (text string) {
+	return []string{"fill 3", "fill 5", "empty 3", "empty 5", "pour 3", "pour 5"}[e.Kind]
+}
+
+func TestTheShortestTraceIsFound(t *testing.T) {
+	want := []string{"fill 5", "pour 5", "empty 3", "pour 5", "fill 5", "pour 5"}
+	for workers := 1; workers <= 4; workers++ {
+		r := Explore(jugs{}, Bounds{Workers: workers})
+		if !errors.Is(r.Err, errFour) || !slices.Equal(r.Trace, want) {
+			t.Errorf("%d workers: %s", workers, r)
+		}
+	}
+}
+
+func TestBoundsEndAnExploration(t *testing.T) {
+	if r := Explore(jugs{}, Bounds{Depth: 5}); r.Err != nil || r.Depth != 5 || r.Whole {
+		t.Error("a fault six steps away, explored to five:", r)
+	}
+	if r := Explore(jugs{}, Bounds{States: 5}); r.States != 5 || r.Whole {
+		t.Error("five states:", r)
+	}
+}
+
+// The counts of a real world don't depend on how many goroutines share the work.
+func TestAnExplorationIsTheSameForAnyNumberOfWorkers(t *testing.T) {
+	plan := worlds["two orders on one base"].plan
+	plan.Rules = RealRules()
+	one, four := Explore(NewCluster(plan), Bounds{Workers: 1}), Explore(NewCluster(plan), Bounds{Workers: 4})
+	if !one.Whole || one.String() != four.String() {
+		t.Errorf("%s\n%s", one, four)
+	}
+}
--- /dev/null
+++ b/modelcheck/invariants.go
@@ -0,0 +1,210 @@
+package modelcheck
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// InvariantError is a broken invariant: its name and how it broke.
+type InvariantError struct{ Invariant, How string }
+
+func (e *InvariantError) Error() (text string) { return e.Invariant + ": " + e.How }
+
+// version orders values: by revision, then by the epoch of the voters.
+type version struct{ mark, epoch uint64 }
+
+func versionOf(v *register.Value) (at version) { return version{mark: v.Mark, epoch: v.Seat} }
+
+func (v version) older(o version) (yes bool) {
+	return v.mark < o.mark || (v.mark == o.mark && v.epoch < o.epoch)
+}
+
+// told is a version that a caller was told of, and a hash of all that the value holds.
+type told struct {
+	version
+	hash uint64
+}
+
+func tell(v *register.Value) (t told) {
+	return told{version: versionOf(v), hash: xxhash.Sum64(v.AppendFingerprint(nil))}
+}
+
+// check judges an answer against all that was told before.
+func (c *Cluster) check(o operation, r register.Result) {
+	if r.Value != nil {
+		c.fail(c.oneValueAVersion(r.Value))
+		c.fail(c.readNotOlder(o, r.Value))
+		c.fail(c.confirmedSurvives(r.Value))
+		c.fail(c.refusedIsNotTaken(r.Value))
+		c.fail(c.appliedOnce(r.Value))
+		c.fail(c.lostVoterStaysOut(r.Value))
+		c.learnTold(r.Value)
+	}
+	if o.order >= 0 {
+		c.fail(c.orderAnswered(o, r))
+	}
+}
+
+func (c *Cluster) fail(err error) {
+	if c.broken == nil {
+		c.broken = err
+	}
+}
+
+func (c *Cluster) learnTold(v *register.Value) {
+	t := tell(v)
+	if !slices.Contains(c.told, t) {
+		c.told = append(c.told, t)
+		slices.SortFunc(c.told, func(a, b told) int { return sign(a.older(b.version)) })
+	}
+	if v.Newer(c.newest) {
+		c.noteReplaced(v)
+		c.newest = v
+	}
+}
+
+func sign(less bool) (n int) {
+	if less {
+		return -1
+	}
+	return 1
+}
+
+// oneValueAVersion: two different values are never told under one revision and epoch.
+func (c *Cluster) oneValueAVersion(v *register.Value) (err error) {
+	now := tell(v)
+	for _, before := range c.told {
+		if before.version == now.version && before.hash != now.hash {
+			return &InvariantError{Invariant: "one value a version", How: fmt.Sprintf("revision %d epoch %d stands for two values", v.Mark, v.Seat)}
+		}
+	}
+	return nil
+}
+
+// readNotOlder: an operation never brings a value older than what was told before it began.
+func (c *Cluster) readNotOlder(o operation, v *register.Value) (err error) {
+	if versionOf(v).older(o.floor) {
+		return &InvariantError{Invariant: "a read is never old", How: fmt.Sprintf("revision %d epoch %d was read, %d epoch %d was told before it began", v.Mark, v.Seat, o.floor.mark, o.floor.epoch)}
+	}
+	return nil
+}
+
+// confirmedSurvives: every value that is at least as new as a confirmed order holds it in its history.
+func (c *Cluster) confirmedSurvives(v *register.Value) (err error) {
+	for at, p := range c.orders {
+		o := c.plan.Orders[at]
+		if p.confirmed && !o.reads() && !o.recorded(v) && !versionOf(v).older(versionOf(c.newest)) {
+			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("order %s is not in revision %d", o.ID, v.Mark)}
+		}
+	}
+	return nil
+}
+
+// refusedIsNotTaken: an order that was refused for its base is in no value, whether it was asked once or again.
+func (c *Cluster) refusedIsNotTaken(v *register.Value) (err error) {
+	for at, p := range c.orders {
+		if p.refused && c.plan.Orders[at].recorded(v) {
+			return &InvariantError{Invariant: "what was taken is never refused", How: fmt.Sprintf("order %s was refused and is in revision %d", c.plan.Orders[at].ID, v.Mark)}
+		}
+	}
+	return nil
+}
+
+// appliedOnce: an edit, however often it is sent, changes the document once.
+func (c *Cluster) appliedOnce(v *register.Value) (err error) {
+	for _, o := range c.plan.Orders {
+		if strings.Count(string(v.Body), o.ID) > 1 {
+			return &InvariantError{Invariant: "an order is applied once", How: fmt.Sprintf("order %s is twice in revision %d", o.ID, v.Mark)}
+		}
+	}
+	return nil
+}
+
+// lostVoterStaysOut: no change of voters brings back a disk that was lost and replaced.
+func (c *Cluster) lostVoterStaysOut(v *register.Value) (err error) {
+	for _, w := range v.All() {
+		if slices.Contains(c.replaced, w.Disk) && !versionOf(v).older(versionOf(c.newest)) {
+			return &InvariantError{Invariant: "a replaced voter stays out", How: fmt.Sprintf("disk %s is lost, was replaced, and is to vote again", w.Disk)}
+		}
+	}
+	return nil
+}
+
+// noteReplaced remembers the lost disks that the newest value lets go.
+func (c *Cluster) noteReplaced(v *register.Value) {
+	for _, w := range c.newest.All() {
+		if c.diskOf(w.Disk) < 0 && !slices.Contains(v.All(), w) {
+			c.replaced = append(slices.Clone(c.replaced), w.Disk)
+		}
+	}
+}
+
+func (c *Cluster) lost(vs []register.Voter) (n int) {
+	for _, v := range vs {
+		if c.diskOf(v.Disk) < 0 {
+			n++
+		}
+	}
+	return n
+}
+
+// orderAnswered: an order is confirmed only if it is in the history, two on one base never both, and a taken one is not refused.
+func (c *Cluster) orderAnswered(o operation, r register.Result) (err error) {
+	order, p := c.plan.Orders[o.order], &c.orders[o.order]
+	var conflict *register.ConflictError
+	switch {
+	case order.reads():
+		return nil
+	case r.Err == nil:
+		p.confirmed = true
+	case errors.As(r.Err, &conflict):
+		p.refused = true
+	default:
+		return nil
+	}
+	held := order.recorded(r.Value)
+	switch {
+	case p.refused && p.confirmed, p.refused && held:
+		return &InvariantError{Invariant: "what was taken is never refused", How: "order " + order.ID}
+	case p.confirmed && !held:
+		return &InvariantError{Invariant: "what was confirmed is recorded", How: "order " + order.ID}
+	}
+	return c.oneOnABase(o.order)
+}
+
+// oneOnABase: of the orders on one base at most one is confirmed.
+func (c *Cluster) oneOnABase(at int) (err error) {
+	order := c.plan.Orders[at]
+	for other, o := range c.plan.Orders {
+		if other != at && !o.reads() && o.Kind == order.Kind && o.Expect == order.Expect && c.orders[other].confirmed && c.orders[at].confirmed {
+			return &InvariantError{Invariant: "one order on a base", How: fmt.Sprintf("%s and %s on revision %d", order.ID, o.ID, o.Expect)}
+		}
+	}
+	return nil
+}
+
+// majorityHolds: whatever quorum of the newest told value's voters is left, one of it holds that value or a newer one on disk.
+func (c *Cluster) majorityHolds() (err error) {
+	without := register.Quorum(c.newest, func(id string) bool {
+		at := c.diskOf(id)
+		return at >= 0 && c.newest.Newer(c.disks[at].kept.Value)
+	})
+	if without {
+		return &InvariantError{Invariant: "every majority left holds the newest value", How: fmt.Sprintf("revision %d epoch %d is held by none of a quorum", c.newest.Mark, c.newest.Seat)}
+	}
+	return nil
+}
+
+// majorityLeft: as many voters are left as the tolerance promises.
+func (c *Cluster) majorityLeft() (err error) {
+	if !register.Quorum(c.newest, func(id string) bool { return c.diskOf(id) >= 0 }) {
+		return &InvariantError{Invariant: "a majority is left", How: fmt.Sprintf("of %v", c.newest.All())}
+	}
+	return nil
+}
--- /dev/null
+++ b/modelcheck/lease_steps.go
@@ -0,0 +1,221 @@
+package modelcheck
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// Kinds of events of Leases. What is a holder, a grantor, a step or, for mail, nothing.
+const (
+	carryLease uint8 = iota
+	doubleLease
+	acquire
+	advance
+	restartGrantor
+	acceptEpoch
+	learnEpoch
+	muteLease
+)
+
+// Events are the steps that are possible now.
+func (l *Leases) Events() (events []Event) {
+	for at := range l.mail {
+		events = append(events, Event{Kind: carryLease, Which: uint16(at)})
+		if l.left.Doubles > 0 {
+			events = append(events, Event{Kind: doubleLease, Which: uint16(at)})
+		}
+		if _, request := l.mail[at].msg.(lease.Request); request && l.left.Mutes > 0 && !l.plan.Queued {
+			events = append(events, Event{Kind: muteLease, Which: uint16(at)})
+		}
+	}
+	for at := range l.holders {
+		if l.acquires[at] > 0 {
+			events = append(events, Event{Kind: acquire, What: uint8(at)})
+		}
+		if next := l.views[at] + 1; next < len(l.plan.Epochs) && l.chosen(next) {
+			events = append(events, Event{Kind: learnEpoch, What: uint8(at)})
+		}
+	}
+	for at := range l.plan.Steps {
+		if l.left.Advances > 0 {
+			events = append(events, Event{Kind: advance, What: uint8(at)})
+		}
+	}
+	return l.grantorEvents(events)
+}
+
+func (l *Leases) grantorEvents(events []Event) (more []Event) {
+	for at, g := range l.grantors {
+		if l.left.Restarts > 0 {
+			events = append(events, Event{Kind: restartGrantor, What: uint8(at)})
+		}
+		for next := 1; next < len(l.plan.Epochs); next++ {
+			if l.plan.Epochs[next].Seat > g.Epoch() && l.chosen(next-1) && l.asked(next, g.Disk) {
+				events = append(events, Event{Kind: acceptEpoch, What: uint8(at), Which: uint16(next)})
+			}
+		}
+	}
+	return events
+}
+
+// chosen tells whether a quorum of the voters before accepted that epoch.
+func (l *Leases) chosen(epoch int) (yes bool) {
+	if epoch == 0 {
+		return true
+	}
+	return register.Quorum(l.plan.Epochs[epoch-1], func(disk string) bool {
+		return l.grantors[l.grantorOf(disk)].Epoch() >= l.plan.Epochs[epoch].Seat
+	})
+}
+
+// asked tells whether a disk is asked to accept that epoch: as a voter before or after.
+func (l *Leases) asked(epoch int, disk string) (yes bool) {
+	votes := func(v register.Voter) bool { return v.Disk == disk }
+	return slices.ContainsFunc(l.plan.Epochs[epoch].All(), votes) || slices.ContainsFunc(l.plan.Epochs[epoch-1].All(), votes)
+}
+
+// Apply takes one step.
+func (l *Leases) Apply(e Event) (next *Leases) {
+	n := l.clone()
+	what := int(e.What)
+	switch e.Kind {
+	case carryLease, doubleLease, muteLease:
+		n.carry(e)
+	case acquire:
+		n.acquires[what]--
+		n.acquire(what)
+	case advance:
+		n.left.Advances--
+		n.now += n.plan.Steps[what]
+	case restartGrantor:
+		n.left.Restarts--
+		n.restart(what)
+	case acceptEpoch:
+		n.touchGrantor(what)
+		n.plan.Rules.ChangeEpoch(n.grantors[what], n.grantorClock(what), n.plan.Epochs[e.Which].Seat)
+	case learnEpoch:
+		n.views[what]++
+	}
+	n.mail = slices.DeleteFunc(n.mail, n.useless)
+	n.broken = n.oneHolder()
+	return n
+}
+
+func (l *Leases) touchGrantor(at int) { l.grantors[at] = l.grantors[at].Clone() }
+
+func (l *Leases) view(at int) (seats *register.Value) { return l.plan.Epochs[l.views[at]] }
+
+func (l *Leases) acquire(at int) {
+	h := l.holders[at].Clone()
+	h.Hurry(duty)
+	l.holders[at] = h
+	for _, s := range h.Acquire(l.holderClock(at), duty, l.view(at)) {
+		l.mail = append(l.mail, leaseMail{grantor: l.grantorOf(s.Disk), holder: at, msg: s.Msg})
+	}
+}
+
+func (l *Leases) restart(at int) {
+	now, epoch := l.grantorClock(at), l.grantors[at].Epoch()
+	l.grantors[at] = l.plan.Rules.Restarted(l.grantors[at], now)
+	l.plan.Rules.ChangeEpoch(l.grantors[at], now, epoch)
+}
+
+func (l *Leases) carry(e Event) {
+	m := l.mail[e.Which]
+	if e.Kind == doubleLease {
+		l.left.Doubles--
+	} else {
+		l.mail = slices.Delete(l.mail, int(e.Which), int(e.Which)+1)
+	}
+	switch msg := m.msg.(type) {
+	case lease.Request:
+		l.touchGrantor(m.grantor)
+		grant := l.plan.Rules.Request(l.grantors[m.grantor], l.grantorClock(m.grantor), msg)
+		l.answer(e, leaseMail{grantor: m.grantor, holder: m.holder, msg: grant})
+	case lease.Release:
+		l.touchGrantor(m.grantor)
+		l.grantors[m.grantor].HandleRelease(msg)
+	case lease.Grant:
+		l.granted(m.holder, msg)
+	}
+}
+
+// answer posts a grant or, without a queue, hands it over or loses it.
+func (l *Leases) answer(e Event, m leaseMail) {
+	switch {
+	case e.Kind == muteLease:
+		l.left.Mutes--
+	case l.plan.Queued:
+		l.mail = append(l.mail, m)
+	default:
+		l.granted(m.holder, m.msg.(lease.Grant))
+	}
+}
+
+func (l *Leases) granted(at int, g lease.Grant) {
+	l.holders[at] = l.holders[at].Clone()
+	l.holders[at].OnGrant(l.holderClock(at), g, l.view(at))
+}
+
+// useless finds mail that can change nothing any more: grants of rounds that are over, requests of an epoch that the grantor has
+// left or of a round that is over with a token below the one granted, and releases of tokens below it.
+func (l *Leases) useless(m leaseMail) (yes bool) {
+	grantor, holder := l.grantors[m.grantor], l.holders[m.holder]
+	row := grantor.Records()[duty]
+	switch msg := m.msg.(type) {
+	case lease.Grant:
+		return !holder.Expects(duty, msg.Rid)
+	case lease.Request:
+		refused := msg.Seat < grantor.Epoch() && !l.plan.Rules.AnyEpoch
+		return refused || (!holder.Expects(duty, msg.Rid) && msg.Mark.Less(row.Mark))
+	case lease.Release:
+		return msg.Mark.Less(row.Mark)
+	}
+	return false
+}
+
+// oneHolder: at one true time at most one holder believes, by its own clock, that it holds the duty.
+func (l *Leases) oneHolder() (err error) {
+	for at, h := range l.holders {
+		if !l.plan.Rules.Holds(h, l.holderClock(at)) {
+			return nil
+		}
+	}
+	return &InvariantError{Invariant: "one holder of a lease", How: "both hold it"}
+}
+
+// Describe tells what an event of this state is.
+func (l *Leases) Describe(e Event) (text string) {
+	switch e.Kind {
+	case carryLease:
+		return "delivered: " + l.describeMail(l.mail[e.Which])
+	case doubleLease:
+		return "delivered and kept to come again: " + l.describeMail(l.mail[e.Which])
+	case acquire:
+		return l.holders[e.What].Name + " asks for the lease"
+	case advance:
+		return fmt.Sprintf("%s pass", l.plan.Steps[e.What])
+	case muteLease:
+		return "delivered, answer lost: " + l.describeMail(l.mail[e.Which])
+	case restartGrantor:
+		return "grantor " + l.grantors[e.What].Disk + " restarts"
+	case acceptEpoch:
+		return fmt.Sprintf("grantor %s accepts epoch %d", l.grantors[e.What].Disk, l.plan.Epochs[e.Which].Seat)
+	}
+	return fmt.Sprintf("%s learns of epoch %d", l.holders[e.What].Name, l.plan.Epochs[l.views[e.What]+1].Seat)
+}
+
+func (l *Leases) describeMail(m leaseMail) (text string) {
+	switch msg := m.msg.(type) {
+	case lease.Request:
+		return fmt.Sprintf("%s asks %s, epoch %d, token %d.%d", l.holders[m.holder].Name, msg.Disk, msg.Seat, msg.Mark.Seat, msg.Mark.N)
+	case lease.Release:
+		return fmt.Sprintf("%s gives back to %s token %d.%d", l.holders[m.holder].Name, msg.Disk, msg.Mark.Seat, msg.Mark.N)
+	case lease.Grant:
+		return fmt.Sprintf("%s answers %s: granted %t, held by %s", msg.Disk, l.holders[m.holder].Name, msg.OK, msg.Holder)
+	}
+	return ""
+}
--- /dev/null
+++ b/modelcheck/leases.go
@@ -0,0 +1,187 @@
+package modelcheck
+
+import (
+	"encoding/binary"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+const (
+	holders = 2
+	duty    = "d"
+)
+
+// LeaseBudget is how often each thing may happen in one trace. Loss, delay and reordering of requests, and cuts, need no budget.
+// Acquires are for each holder; Mutes lose a grant, unless grants are queued.
+type LeaseBudget struct{ Acquires, Advances, Restarts, Doubles, Mutes uint8 }
+
+// LeaseRules are the functions that a world of leases is made of. Tests put one that misbehaves in place of a real one.
+type LeaseRules struct {
+	Request     func(g *lease.Grantor, now time.Duration, m lease.Request) (r lease.Grant)
+	Restarted   func(g *lease.Grantor, now time.Duration) (fresh *lease.Grantor)
+	ChangeEpoch func(g *lease.Grantor, now time.Duration, epoch uint64)
+	Holds       func(h *lease.Holder, now time.Duration) (yes bool)
+	// AnyEpoch tells that Request may grant in an epoch that is over, so that such requests matter.
+	AnyEpoch bool
+}
+
+// RealLeaseRules are the rules as they run.
+func RealLeaseRules() (r LeaseRules) {
+	return LeaseRules{
+		Request: func(g *lease.Grantor, now time.Duration, m lease.Request) (r lease.Grant) {
+			r, _ = g.HandleRequest(now, m)
+			return r
+		},
+		Restarted: func(g *lease.Grantor, now time.Duration) (fresh *lease.Grantor) {
+			return lease.NewGrantor(g.Disk, g.Records(), now+lease.TTL)
+		},
+		ChangeEpoch: (*lease.Grantor).ChangeEpoch,
+		Holds: func(h *lease.Holder, now time.Duration) (yes bool) {
+			_, yes = h.Holds(now, duty)
+			return yes
+		},
+	}
+}
+
+// LeasePlan is a bounded world of leases: two holders of one duty, the disks of all epochs as grantors. Voters are the values of
+// the register in the order in which they are chosen. Clocks run at HolderRate and GrantorRate thousandths of true time, which goes
+// on by one of Steps at a time.
+type LeasePlan struct {
+	Epochs                  []*register.Value
+	Steps                   []time.Duration
+	HolderRate, GrantorRate [holders]int
+	Budget                  LeaseBudget
+	// Queued has grants wait in the network like requests; otherwise a grant arrives with its request, or is muted.
+	Queued bool
+	Rules  LeaseRules
+}
+
+// leaseMail is a message on its way between a grantor and a holder.
+type leaseMail struct {
+	grantor, holder int
+	msg             leaseMessage
+}
+
+// leaseMessage is a Request, a Release or a Grant of package lease.
+type leaseMessage any
+
+// Leases is one state of a world of leases.
+type Leases struct {
+	plan     *LeasePlan
+	left     LeaseBudget
+	acquires [holders]uint8
+	now      time.Duration
+	holders  [holders]*lease.Holder
+	views    [holders]int
+	grantors []*lease.Grantor
+	mail     []leaseMail
+	broken   error
+}
+
+// NewLeases is the first state of a world: nobody holds the duty, everybody is in the first epoch and no grace runs.
+func NewLeases(plan LeasePlan) (l *Leases) {
+	l = &Leases{plan: &plan, left: plan.Budget, now: time.Hour}
+	for _, value := range plan.Epochs {
+		for _, v := range value.All() {
+			if l.grantorOf(v.Disk) < 0 {
+				g := lease.NewGrantor(v.Disk, nil, 0)
+				g.ChangeEpoch(0, plan.Epochs[0].Seat)
+				l.grantors = append(l.grantors, g)
+			}
+		}
+	}
+	for at := range l.holders {
+		l.holders[at] = lease.NewHolder(string(rune('h'+at)), 0).Clone()
+		l.acquires[at] = plan.Budget.Acquires
+	}
+	return l
+}
+
+func (l *Leases) grantorOf(disk string) (at int) {
+	return slices.IndexFunc(l.grantors, func(g *lease.Grantor) bool { return g.Disk == disk })
+}
+
+func (l *Leases) holderClock(at int) (now time.Duration) {
+	return l.now * time.Duration(l.plan.HolderRate[at]) / 1000
+}
+
+// grantorClock gives every second grantor the second rate.
+func (l *Leases) grantorClock(at int) (now time.Duration) {
+	return l.now * time.Duration(l.plan.GrantorRate[at%len(l.plan.GrantorRate)]) / 1000
+}
+
+func (l *Leases) clone() (n *Leases) {
+	n = &Leases{}
+	*n = *l
+	n.grantors, n.mail = slices.Clone(l.grantors), slices.Clone(l.mail)
+	return n
+}
+
+// Broken is the invariant that the last step broke.
+func (l *Leases) Broken() (err error) { return l.broken }
+
+// Fingerprint is a hash of the whole state; the order of mail does not count, nor does true time itself.
+func (l *Leases) Fingerprint() (hash uint64) {
+	var space [1024]byte
+	b := append(space[:0], l.left.Advances, l.left.Restarts, l.left.Doubles, l.left.Mutes)
+	for at, h := range l.holders {
+		b = h.AppendFingerprint(append(b, l.acquires[at], byte(l.views[at])), l.holderClock(at))
+	}
+	b = append(b, truth(l.broken != nil))
+	return xxhash.Sum64(l.appendGrantors(b))
+}
+
+// appendGrantors appends a hash for each grantor and its mail. In a single epoch grantors whose clocks run alike are alike.
+func (l *Leases) appendGrantors(b []byte) (out []byte) {
+	var hashes [8]uint64
+	alike := len(l.plan.Epochs) == 1 && l.plan.GrantorRate[0] == l.plan.GrantorRate[1]
+	for at, g := range l.grantors {
+		hashes[at] = l.hashGrantor(at, g)
+	}
+	if alike {
+		slices.Sort(hashes[:len(l.grantors)])
+	}
+	for _, hash := range hashes[:len(l.grantors)] {
+		b = binary.LittleEndian.AppendUint64(b, hash)
+	}
+	return b
+}
+
+func (l *Leases) hashGrantor(at int, g *lease.Grantor) (hash uint64) {
+	var space [256]byte
+	b := g.AppendFingerprint(space[:0], l.grantorClock(at))
+	for _, h := range l.holders {
+		b = append(b, truth(h.Heard(duty, g.Disk)))
+	}
+	hash = xxhash.Sum64(b)
+	for _, m := range l.mail {
+		if m.grantor == at {
+			hash += m.hash()
+		}
+	}
+	return hash
+}
+
+func (m leaseMail) hash() (hash uint64) {
+	var space [64]byte
+	b := append(space[:0], byte(m.holder))
+	var token lease.Token
+	var rid, epoch uint64
+	switch msg := m.msg.(type) {
+	case lease.Request:
+		b, token, rid, epoch = append(b, 'r'), msg.Mark, msg.Rid, msg.Seat
+	case lease.Release:
+		b, token = append(b, 'l'), msg.Mark
+	case lease.Grant:
+		b, token, rid = append(append(b, 'g', truth(msg.OK)), msg.Holder...), msg.Mark, msg.Rid
+	}
+	for _, n := range []uint64{token.Seat, token.N, rid, epoch} {
+		b = binary.AppendUvarint(b, n)
+	}
+	return xxhash.Sum64(b)
+}
--- /dev/null
+++ b/modelcheck/leases_test.go
@@ -0,0 +1,193 @@
+package modelcheck
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+func seats(epoch uint64, disks ...string) (v *register.Value) {
+	v = &register.Value{Seat: epoch}
+	for _, d := range disks {
+		v.Voters = append(v.Voters, register.Voter{Disk: d})
+	}
+	return v
+}
+
+// oneEpoch has no change of voters; oneChange replaces c by s, with both sets in between.
+func oneEpoch() (epochs []*register.Value) { return []*register.Value{seats(1, "a", "b", "c")} }
+
+func oneChange() (epochs []*register.Value) {
+	both := seats(2, "a", "b", "c")
+	both.Next = seats(2, "a", "b", "s").Voters
+	return []*register.Value{seats(1, "a", "b", "c"), both, seats(3, "a", "b", "s")}
+}
+
+var (
+	even = [holders]int{1000, 1000}
+	slow = [holders]int{950, 950}
+	fast = [holders]int{1050, 1050}
+	mix  = [holders]int{950, 1050}
+
+	wholeTerm = []time.Duration{lease.TTL}
+)
+
+var leaseWorlds = map[string]LeasePlan{
+	"restart of a grantor": {
+		Epochs: oneEpoch(), Steps: wholeTerm, HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 2, Advances: 1, Restarts: 1},
+	},
+	"slow holders, fast grantors": {
+		Epochs: oneEpoch(), Steps: wholeTerm, HolderRate: slow, GrantorRate: fast,
+		Budget: LeaseBudget{Acquires: 2, Advances: 2},
+	},
+	"every second": {
+		Epochs: oneEpoch(), Steps: []time.Duration{time.Second}, HolderRate: slow, GrantorRate: fast,
+		Budget: LeaseBudget{Acquires: 1, Advances: 4, Restarts: 1},
+	},
+	"mixed clocks, a restart, doubles": {
+		Epochs: oneEpoch(), Steps: []time.Duration{2 * time.Second, 100 * time.Millisecond}, HolderRate: mix, GrantorRate: mix,
+		Budget: LeaseBudget{Acquires: 1, Advances: 3, Restarts: 1, Doubles: 1},
+	},
+	"queued grants": {
+		Epochs: oneEpoch(), Steps: wholeTerm, HolderRate: slow, GrantorRate: fast, Queued: true,
+		Budget: LeaseBudget{Acquires: 1, Advances: 2},
+	},
+	"change of voters at once": {
+		Epochs: oneChange(), HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 1},
+	},
+	"change of voters": {
+		Epochs: oneChange(), Steps: wholeTerm, HolderRate: slow, GrantorRate: fast,
+		Budget: LeaseBudget{Acquires: 1, Advances: 1},
+	},
+	"change of voters, half known for a term": {
+		Epochs: oneChange(), Steps: wholeTerm, HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 1, Advances: 1},
+	},
+	"change of voters, long over": {
+		Epochs: oneChange(), Steps: wholeTerm, HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 1, Advances: 1},
+	},
+	"change of voters and a restart": {
+		Epochs: oneChange(), HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 1, Restarts: 1},
+	},
+}
+
+// Grantors of oneChange, in the order in which they are met.
+const (
+	grantorA = iota
+	grantorB
+	grantorC
+	grantorS
+)
+
+// leasePrologues are steps that are taken before a world is explored.
+var leasePrologues = map[string][]Event{
+	// The epoch with both sets is known at b and s alone for a whole term: whoever proposed it reached no more.
+	"change of voters, half known for a term": {
+		{Kind: acceptEpoch, What: grantorB, Which: 1}, {Kind: acceptEpoch, What: grantorS, Which: 1}, {Kind: advance},
+	},
+	// The change is over for a whole term, and a has heard nothing of it.
+	"change of voters, long over": {
+		{Kind: acceptEpoch, What: grantorB, Which: 1}, {Kind: acceptEpoch, What: grantorC, Which: 1},
+		{Kind: acceptEpoch, What: grantorB, Which: 2}, {Kind: acceptEpoch, What: grantorC, Which: 2}, {Kind: acceptEpoch, What: grantorS, Which: 2},
+		{Kind: learnEpoch, What: 1}, {Kind: learnEpoch, What: 1}, {Kind: advance},
+	},
+}
+
+// after takes steps before an exploration begins.
+func (l *Leases) after(steps []Event) (then *Leases) {
+	for _, e := range steps {
+		l = l.Apply(e)
+	}
+	return l
+}
+
+func TestLeaseWorldsHold(t *testing.T) {
+	for name, plan := range leaseWorlds {
+		t.Run(name, func(t *testing.T) {
+			plan.Rules = RealLeaseRules()
+			report := Explore(NewLeases(plan).after(leasePrologues[name]), bounds())
+			if report.Err != nil {
+				t.Fatal(report)
+			}
+			t.Log(report)
+		})
+	}
+}
+
+// overruled has a grantor forget whom it granted to when another one asks.
+func overruled(g *lease.Grantor, now time.Duration, m lease.Request) (r lease.Grant) {
+	if kept, ok := g.Records()[m.Duty]; ok && kept.Holder != m.Holder {
+		g.HandleRelease(lease.Release{Disk: g.Disk, Duty: m.Duty, Holder: kept.Holder, Mark: kept.Mark})
+		m.Mark.N += kept.Mark.N
+	}
+	r, _ = g.HandleRequest(now, m)
+	return r
+}
+
+// anyEpoch grants to holders that know other voters.
+func anyEpoch(g *lease.Grantor, now time.Duration, m lease.Request) (r lease.Grant) {
+	m.Seat = g.Epoch()
+	r, _ = g.HandleRequest(now, m)
+	return r
+}
+
+var leaseMutations = map[string]struct {
+	world  string
+	mutate func(r *LeaseRules)
+}{
+	"no grace after a restart": {
+		world: "restart of a grantor",
+		mutate: func(r *LeaseRules) {
+			r.Restarted = func(g *lease.Grantor, now time.Duration) (fresh *lease.Grantor) {
+				return lease.NewGrantor(g.Disk, g.Records(), now)
+			}
+			r.ChangeEpoch = func(g *lease.Grantor, now time.Duration, epoch uint64) { g.ChangeEpoch(now-lease.TTL, epoch) }
+		},
+	},
+	"no grace after a change of voters": {
+		world: "change of voters at once",
+		mutate: func(r *LeaseRules) {
+			r.ChangeEpoch = func(g *lease.Grantor, now time.Duration, epoch uint64) { g.ChangeEpoch(now-lease.TTL, epoch) }
+		},
+	},
+	"no margin for drift": {
+		world: "slow holders, fast grantors",
+		mutate: func(r *LeaseRules) {
+			r.Holds = func(h *lease.Holder, now time.Duration) (yes bool) {
+				_, yes = h.Holds(now-lease.Drift, duty)
+				return yes
+			}
+		},
+	},
+	"a new asker overrules a grant": {
+		world:  "slow holders, fast grantors",
+		mutate: func(r *LeaseRules) { r.Request = overruled },
+	},
+	"grants in any epoch": {
+		world:  "change of voters, long over",
+		mutate: func(r *LeaseRules) { r.Request, r.AnyEpoch = anyEpoch, true },
+	},
+}
+
+func TestEachLeaseMechanismTakenOutBreaksAnInvariant(t *testing.T) {
+	for name, m := range leaseMutations {
+		t.Run(name, func(t *testing.T) {
+			plan := leaseWorlds[m.world]
+			plan.Rules = RealLeaseRules()
+			m.mutate(&plan.Rules)
+			report := Explore(NewLeases(plan).after(leasePrologues[m.world]), Bounds{States: mutationStates})
+			var broken *InvariantError
+			if !errors.As(report.Err, &broken) {
+				t.Fatal("nothing breaks:", report)
+			}
+			t.Log(report)
+		})
+	}
+}
--- /dev/null
+++ b/modelcheck/mutations_test.go
@@ -0,0 +1,168 @@
+package modelcheck
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// mutation takes one mechanism out of the rules; the plan is a world that shows it.
+type mutation struct {
+	plan   Plan
+	before []string
+	mutate func(r *Rules)
+}
+
+func acceptWithoutPromise(a *register.Acceptor, m register.Accept) (r register.Accepted, write bool) {
+	promised := a.Promised
+	if m.Ballot.Less(promised) {
+		a.Promised = register.Ballot{}
+	}
+	r, write = a.Accept(m)
+	if a.Promised.Less(promised) {
+		a.Promised = promised
+	}
+	return r, write
+}
+
+// lowestWins turns the order of the accepted ballots round.
+func lowestWins(p *register.Proposer, r register.Promise) {
+	if r.Accepted.N > 0 {
+		r.Accepted = register.Ballot{N: 1000 - r.Accepted.N, By: string('z' - rune(r.Accepted.By[0]) + 'a')}
+	}
+	p.OnPromise(0, r)
+}
+
+// hidesAccepted promises without telling what was accepted since the founding.
+func hidesAccepted(first *register.Value) func(p *register.Proposer, r register.Promise) {
+	return func(p *register.Proposer, r register.Promise) {
+		if r.Value != nil {
+			r.Accepted, r.Value = register.Ballot{By: "founder"}, first
+		}
+		p.OnPromise(0, r)
+	}
+}
+
+// beginAlone seats the next voters without a time in which both sets must agree.
+func beginAlone(epoch uint64, voters []register.Voter) (change register.Change) {
+	begin := control.BeginVoterChange(epoch, voters)
+	return func(cur *register.Value) (next *register.Value, err error) {
+		next, err = begin(cur)
+		if err == nil && next != nil && len(next.Next) > 0 {
+			next.Voters, next.Next = next.Next, nil
+		}
+		return next, err
+	}
+}
+
+// beginAtAnyEpoch takes no heed of changes since the voters were chosen.
+func beginAtAnyEpoch(_ uint64, voters []register.Voter) (change register.Change) {
+	return func(cur *register.Value) (next *register.Value, err error) {
+		return control.BeginVoterChange(cur.Seat, voters)(cur)
+	}
+}
+
+// forgetfulPut has a put not look for itself in the history.
+func forgetfulPut(op control.Put) (change register.Change) {
+	put := control.PutChange(op)
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if cur.Mark == op.Expect {
+			return put(cur)
+		}
+		return nil, &register.ConflictError{Mark: cur.Mark}
+	}
+}
+
+// shortHistoryPut keeps no order but the last.
+func shortHistoryPut(op control.Put) (change register.Change) {
+	put := control.PutChange(op)
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if _, done := cur.Done(op.ID); !done {
+			cur.Recent = nil
+		}
+		return put(cur)
+	}
+}
+
+// forgetfulEdit has an edit refused for its base without a look at the history.
+func forgetfulEdit(op control.Edit) (change register.Change) {
+	edit := control.EditChange(op)
+	return func(cur *register.Value) (next *register.Value, err error) {
+		if _, err = op.Apply(cur.Body); err != nil {
+			return nil, err
+		}
+		return edit(cur)
+	}
+}
+
+var twoPuts = []Order{x, y}
+
+var mutations = map[string]mutation{
+	"accept regards no promise": {
+		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts},
+		mutate: func(r *Rules) { r.Accept = acceptWithoutPromise },
+	},
+	"lowest accepted ballot wins": {
+		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Timers: 1}},
+		mutate: func(r *Rules) { r.OnPromise = lowestWins },
+	},
+	"accepted value is not proposed again": {
+		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Timers: 1}},
+		mutate: func(r *Rules) { r.OnPromise = hidesAccepted(founding(three, 3)) },
+	},
+	"voters change without joint quorums": {
+		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{{ID: "x", Home: 1}}, Budget: Budget{Timers: 1, Replacements: 1}},
+		mutate: func(r *Rules) { r.Begin = beginAlone },
+	},
+	"voters change without the epoch's compare-and-set": {
+		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2}},
+		before: aIsReplaced,
+		mutate: func(r *Rules) { r.Begin = beginAtAnyEpoch },
+	},
+	"answer before the write": {
+		plan:   Plan{Disks: three, Voters: 3, Journal: true, Orders: twoPuts, Budget: Budget{Crashes: 1}},
+		mutate: func(r *Rules) { r.AnswersFirst = true },
+	},
+	"empty disk votes as its old self": {
+		plan: Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Wipes: 1}},
+		mutate: func(r *Rules) {
+			r.Wiped = func(old register.State, _ string) (state register.State) { return register.State{Disk: old.Disk} }
+		},
+	},
+	"put regards no history": {
+		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts[:1], Budget: Budget{Resends: 1}},
+		mutate: func(r *Rules) { r.Put = forgetfulPut },
+	},
+	"history keeps one order": {
+		plan:   Plan{Disks: three, Voters: 3, Orders: []Order{{ID: "x"}, {ID: "y", Expect: 1}}, Budget: Budget{Resends: 1, Timers: 1}},
+		mutate: func(r *Rules) { r.Put = shortHistoryPut },
+	},
+	"edit regards no history": {
+		plan:   Plan{Disks: three, Voters: 3, Orders: []Order{{ID: "e", Kind: Edit}}, Budget: Budget{Resends: 1}},
+		mutate: func(r *Rules) { r.Edit = forgetfulEdit },
+	},
+}
+
+func founding(disks []string, voters int) (first *register.Value) {
+	return NewCluster(Plan{Disks: disks, Voters: voters, Rules: RealRules()}).first
+}
+
+// mutationStates bounds the search for a mutation's fault.
+const mutationStates = 400_000
+
+func TestEachMechanismTakenOutBreaksAnInvariant(t *testing.T) {
+	for name, m := range mutations {
+		t.Run(name, func(t *testing.T) {
+			m.plan.Rules = RealRules()
+			m.mutate(&m.plan.Rules)
+			report := Explore(NewCluster(m.plan).after(t, m.before), Bounds{States: mutationStates})
+			var broken *InvariantError
+			if !errors.As(report.Err, &broken) {
+				t.Fatal("nothing breaks:", report)
+			}
+			t.Log(report)
+		})
+	}
+}
--- /dev/null
+++ b/modelcheck/plan.go
@@ -0,0 +1,110 @@
+package modelcheck
+
+import (
+	"slices"
+
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// OrderKind is what a caller asks of the register.
+type OrderKind uint8
+
+// The kinds of orders: Put on a mark, Edit on a revision of the document, and reads. A document is the list of the edits' ids, each of
+// one letter, and their number its revision.
+const (
+	Put OrderKind = iota
+	Edit
+	Read
+	FullRead
+)
+
+// Order is one call of an operator. Home is the proposer that is asked first; a repeat goes to the other one.
+type Order struct {
+	ID     string
+	Kind   OrderKind
+	Expect uint64
+	Home   int
+}
+
+func (o Order) reads() (yes bool) { return o.Kind == Read || o.Kind == FullRead }
+
+// Budget is how often each kind of trouble may come in one trace. Loss, delay, reordering and cuts need no budget: any request may
+// stay undelivered for ever. A deadline comes only where another operation waits: otherwise it changes nothing but that a caller stops
+// waiting, and callers repeat orders without regard to it. Mutes lose the answer to a request that was obeyed; a queued network needs no mutes.
+type Budget struct {
+	Timers, Deadlines, Resends, Doubles, Mutes uint8
+	Crashes, Restarts, Wipes                   uint8
+	Replacements, Finishes, Learns             uint8
+}
+
+// Rules are the functions of the control side that a world is made of. Tests put one that misbehaves in place of a real one.
+type Rules struct {
+	Prepare   func(a *register.Acceptor, m register.Prepare) (r register.Promise, write bool)
+	Accept    func(a *register.Acceptor, m register.Accept) (r register.Accepted, write bool)
+	OnPromise func(p *register.Proposer, r register.Promise)
+	Put       func(op control.Put) (change register.Change)
+	Edit      func(op control.Edit) (change register.Change)
+	Begin     func(epoch uint64, voters []register.Voter) (change register.Change)
+	Finish    func(epoch uint64) (change register.Change)
+	// Wiped is what a disk holds that came back empty.
+	Wiped func(old register.State, fresh string) (state register.State)
+	// AnswersFirst lets answers leave before what they tell is written.
+	AnswersFirst bool
+}
+
+// RealRules are the rules as they run.
+func RealRules() (r Rules) {
+	return Rules{
+		Prepare:   (*register.Acceptor).Prepare,
+		Accept:    (*register.Acceptor).Accept,
+		OnPromise: func(p *register.Proposer, r register.Promise) { p.OnPromise(0, r) },
+		Put:       control.PutChange,
+		Edit:      control.EditChange,
+		Begin:     control.BeginVoterChange,
+		Finish:    control.FinishVoterChange,
+		Wiped:     func(_ register.State, fresh string) (state register.State) { return register.State{Disk: fresh} },
+	}
+}
+
+// Plan is a bounded world of the register: the first Voters of Disks vote, the others are spare; two proposers.
+type Plan struct {
+	Disks  []string
+	Voters int
+	Orders []Order
+	Budget Budget
+	// Queued has answers wait in the network like requests; otherwise an answer arrives with the request, or is muted.
+	Queued bool
+	// Journal has writes wait for the disk, and answers behind them; otherwise both are one step.
+	Journal bool
+	// Planned lets a voter be replaced that is not lost.
+	Planned bool
+	Rules   Rules
+}
+
+func (p *Plan) change(o Order) (change register.Change) {
+	switch o.Kind {
+	case Put:
+		return p.Rules.Put(control.Put{ID: o.ID, Expect: o.Expect, Body: []byte(o.ID)})
+	case Edit:
+		return p.Rules.Edit(control.Edit{ID: o.ID, Base: o.Expect, Apply: o.apply})
+	}
+	return nil
+}
+
+// apply appends the order to the document, if that is still the revision which it builds on.
+func (o Order) apply(body []byte) (next []byte, err error) {
+	if revision := uint64(len(body)); revision != o.Expect {
+		return nil, &register.ConflictError{Mark: revision}
+	}
+	return append(slices.Clone(body), o.ID...), nil
+}
+
+// recorded tells whether a value remembers that the order was taken.
+func (o Order) recorded(v *register.Value) (yes bool) {
+	if o.Kind == Edit {
+		return v.TookEdit(o.Expect, o.ID)
+	}
+	_, yes = v.Done(o.ID)
+	return yes
+}
--- /dev/null
+++ b/modelcheck/steps.go
@@ -0,0 +1,212 @@
+package modelcheck
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// Kinds of events of a Cluster. What is a proposer, a disk or an order; Which is a place in the mail, or a voter.
+const (
+	deliver uint8 = iota
+	double
+	mute
+	syncDisk
+	submit
+	resend
+	timer
+	deadline
+	crashDisk
+	restart
+	wipe
+	replace
+	finish
+	learn
+)
+
+// Events are the steps that are possible now.
+func (c *Cluster) Events() (events []Event) {
+	events = c.networkEvents(events)
+	events = c.orderEvents(events)
+	events = c.proposerEvents(events)
+	return c.diskEvents(events)
+}
+
+func (c *Cluster) networkEvents(events []Event) (more []Event) {
+	for at, m := range c.mail {
+		events = append(events, Event{Kind: deliver, Which: uint16(at)})
+		if c.left.Doubles > 0 {
+			events = append(events, Event{Kind: double, Which: uint16(at)})
+		}
+		if m.request() && c.left.Mutes > 0 && !c.plan.Queued && !c.plan.Journal {
+			events = append(events, Event{Kind: mute, Which: uint16(at)})
+		}
+	}
+	return events
+}
+
+func (c *Cluster) orderEvents(events []Event) (more []Event) {
+	for at, p := range c.orders {
+		switch {
+		case p.sent == 0:
+			events = append(events, Event{Kind: submit, What: uint8(at)})
+		case p.sent == 1 && c.left.Resends > 0 && !c.plan.Orders[at].reads():
+			events = append(events, Event{Kind: resend, What: uint8(at)})
+		}
+	}
+	return events
+}
+
+func (c *Cluster) proposerEvents(events []Event) (more []Event) {
+	for at, p := range c.proposers {
+		what := uint8(at)
+		if p.Busy() && c.left.Timers > 0 {
+			events = append(events, Event{Kind: timer, What: what})
+		}
+		if p.Queued() && c.left.Deadlines > 0 {
+			events = append(events, Event{Kind: deadline, What: what})
+		}
+		if c.left.Restarts > 0 {
+			events = append(events, Event{Kind: restart, What: what})
+		}
+		if c.left.Learns > 0 && c.known[1-at].Newer(c.known[at]) {
+			events = append(events, Event{Kind: learn, What: what})
+		}
+		if c.left.Finishes > 0 && len(c.known[at].Next) > 0 && !p.Busy() {
+			events = append(events, Event{Kind: finish, What: what})
+		}
+		if c.left.Replacements > 0 {
+			events = c.replacements(events, at)
+		}
+	}
+	return events
+}
+
+// replacements are the changes of voters that a node would begin by what it knows: of a lost voter, or of any, if planned.
+func (c *Cluster) replacements(events []Event, at int) (more []Event) {
+	known := c.known[at]
+	if len(known.Next) > 0 || c.spare(known) < 0 {
+		return events
+	}
+	for place, v := range known.Voters {
+		if c.diskOf(v.Disk) < 0 || c.plan.Planned {
+			events = append(events, Event{Kind: replace, What: uint8(at), Which: uint16(place)})
+		}
+	}
+	return events
+}
+
+// spare is a disk that is there and does not vote.
+func (c *Cluster) spare(known *register.Value) (at int) {
+	return slices.IndexFunc(c.disks, func(d disk) bool {
+		return !slices.ContainsFunc(known.All(), func(v register.Voter) bool { return v.Disk == d.acceptor.Disk })
+	})
+}
+
+func (c *Cluster) diskEvents(events []Event) (more []Event) {
+	for at, d := range c.disks {
+		what := uint8(at)
+		if d.unwritten() {
+			events = append(events, Event{Kind: syncDisk, What: what})
+		}
+		if c.left.Crashes > 0 && (d.unwritten() || c.plan.Rules.AnswersFirst) {
+			events = append(events, Event{Kind: crashDisk, What: what})
+		}
+		if c.left.Wipes > 0 && c.mayLose(d.acceptor.Disk) {
+			events = append(events, Event{Kind: wipe, What: what})
+		}
+	}
+	return events
+}
+
+// mayLose keeps to the tolerance: a disk may be lost if no more than the tolerated number of voters is lost with it, and while a
+// change of voters is under way only as the first.
+func (c *Cluster) mayLose(id string) (yes bool) {
+	gone := c.lost(c.newest.All())
+	if !slices.ContainsFunc(c.newest.All(), func(v register.Voter) bool { return v.Disk == id }) {
+		return false
+	}
+	return gone < tolerated && (len(c.newest.Next) == 0 || c.left.Wipes == c.plan.Budget.Wipes)
+}
+
+// Describe tells what an event of this state is.
+func (c *Cluster) Describe(e Event) (text string) {
+	name := func() string { return string(rune('p'+e.What)) + string(rune('1'+c.boots[e.What])) }
+	switch e.Kind {
+	case deliver:
+		return "delivered: " + c.mail[e.Which].String()
+	case double:
+		return "delivered and kept to come again: " + c.mail[e.Which].String()
+	case mute:
+		return "delivered, answer lost: " + c.mail[e.Which].String()
+	case syncDisk:
+		return "disk " + c.disks[e.What].acceptor.Disk + " has written"
+	case submit:
+		o := c.plan.Orders[e.What]
+		return fmt.Sprintf("order %s is sent to %s", o, c.proposers[o.Home].By)
+	case resend:
+		o := c.plan.Orders[e.What]
+		return fmt.Sprintf("order %s is sent again, to %s", o, c.proposers[1-o.Home].By)
+	case timer:
+		return "timer of " + name()
+	case deadline:
+		return "deadline at " + name()
+	case crashDisk:
+		return "disk " + c.disks[e.What].acceptor.Disk + " crashes and restarts"
+	case restart:
+		return name() + " restarts and forgets what it was doing"
+	case wipe:
+		return "disk " + c.disks[e.What].acceptor.Disk + " is lost; its machine comes back with an empty one"
+	case replace:
+		return fmt.Sprintf("%s begins to replace voter %s by %s", name(), c.known[e.What].Voters[e.Which].Disk, c.disks[c.spare(c.known[e.What])].acceptor.Disk)
+	case finish:
+		return name() + " finishes a change of voters that it heard of"
+	}
+	return name() + " hears of the newest value that the other one knows"
+}
+
+// String names the order, its kind and base.
+func (o Order) String() (text string) {
+	switch o.Kind {
+	case Put:
+		return fmt.Sprintf("%s (put on revision %d)", o.ID, o.Expect)
+	case Edit:
+		return fmt.Sprintf("%s (edit of revision %d)", o.ID, o.Expect)
+	case FullRead:
+		return o.ID + " (read of all)"
+	}
+	return o.ID + " (read)"
+}
+
+func (m mail) String() (text string) {
+	from := string(rune('p' + m.proposer))
+	switch r := m.msg.(type) {
+	case register.Prepare:
+		return fmt.Sprintf("%s asks %s to prepare %d%s (look %t)", from, r.Disk, r.Ballot.N, r.Ballot.By, r.Look)
+	case register.Accept:
+		return fmt.Sprintf("%s asks %s to accept %d%s: %s", from, r.Disk, r.Ballot.N, r.Ballot.By, brief(r.Value))
+	case register.Promise:
+		return fmt.Sprintf("%s answers %s: promise %t of %d%s, accepted %d%s: %s", r.Disk, from, r.OK, r.Promised.N, r.Promised.By, r.Accepted.N, r.Accepted.By, brief(r.Value))
+	case register.Accepted:
+		return fmt.Sprintf("%s answers %s: accepted %t, promised %d%s", r.Disk, from, r.OK, r.Promised.N, r.Promised.By)
+	}
+	return ""
+}
+
+func brief(v *register.Value) (text string) {
+	if v == nil {
+		return "nothing"
+	}
+	text = fmt.Sprintf("revision %d epoch %d %q voters", v.Mark, v.Seat, v.Body)
+	for _, w := range v.Voters {
+		text += " " + w.Disk
+	}
+	if len(v.Next) > 0 {
+		text += " next"
+	}
+	for _, w := range v.Next {
+		text += " " + w.Disk
+	}
+	return text
+}
--- /dev/null
+++ b/register/clone.go
@@ -0,0 +1,194 @@
+package register
+
+import (
+	"encoding/binary"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+// still is a source without state: a copy's backoff is always the longest, for whoever copies a proposer fires its timers.
+type still struct{}
+
+// Uint64 returns the highest number; bounded draws would reject zero for ever.
+func (still) Uint64() (n uint64) { return math.MaxUint64 }
+
+var stillRand = rand.New(still{})
+
+// Clone returns an independent copy for a model checker. Its backoff draws nothing, so that equal copies stay equal.
+func (p *Proposer) Clone() (c *Proposer) {
+	c = &Proposer{}
+	*c = *p
+	c.rng = stillRand
+	if p.cur != nil {
+		cur := *p.cur
+		c.cur = &cur
+	}
+	c.queue = nil
+	for _, o := range p.queue {
+		queued := *o
+		c.queue = append(c.queue, &queued)
+	}
+	c.got, c.yes, c.asked = maps.Clone(p.got), maps.Clone(p.yes), maps.Clone(p.asked)
+	c.results, c.sends = slices.Clone(p.results), slices.Clone(p.sends)
+	return c
+}
+
+// Known is the newest value whose voters the proposer goes by, or nil.
+func (p *Proposer) Known() (v *Value) { return p.voters }
+
+// Busy tells whether an operation is under way and its timer may fire.
+func (p *Proposer) Busy() (yes bool) { return p.cur != nil }
+
+// Queued tells whether an operation waits behind the one that is under way.
+func (p *Proposer) Queued() (yes bool) { return len(p.queue) > 0 }
+
+// Backing tells whether the proposer waits before its next ballot.
+func (p *Proposer) Backing() (yes bool) { return p.phase == waiting }
+
+// FireTimer has the wait of the present phase end now, at time zero.
+func (p *Proposer) FireTimer() {
+	p.until = 0
+	p.Tick(0)
+}
+
+// FireDeadline has the present operation run out of time now, at time zero.
+func (p *Proposer) FireDeadline() {
+	if p.cur == nil {
+		return
+	}
+	p.cur.deadline = 0
+	p.Tick(0)
+}
+
+// Expects tells whether an answer with that round id and promised ballot can still change anything here.
+func (p *Proposer) Expects(rid uint64, promised Ballot) (yes bool) {
+	return (rid == p.rid && (p.phase == preparing || p.phase == accepting)) || promised.N > p.top
+}
+
+// AppendFingerprint appends all that decides what the proposer does next but for what it heard of each disk (AppendHeard). Times are
+// left out, they are fired by hand.
+func (p *Proposer) AppendFingerprint(b []byte) (out []byte) {
+	b = appendText(b, p.By)
+	b = append(b, byte(p.phase))
+	b = appendNumbers(b, p.top, p.rid)
+	b = p.chosen.AppendFingerprint(p.voters.AppendFingerprint(b))
+	b = p.cur.appendFingerprint(b)
+	for _, o := range p.queue {
+		b = o.appendFingerprint(b)
+	}
+	switch p.phase {
+	case preparing:
+		return append(p.ballot.appendFingerprint(b), bit(p.look))
+	case accepting:
+		return p.proposed.AppendFingerprint(p.ballot.appendFingerprint(b))
+	}
+	return b
+}
+
+// AppendHeard appends what the proposer asked of and heard from a disk in the present round, without the disk's name.
+func (p *Proposer) AppendHeard(b []byte, disk string) (out []byte) {
+	switch p.phase {
+	case preparing:
+		r, heard := p.got[disk]
+		b = append(b, bit(p.asked[disk]), bit(heard))
+		if heard {
+			r.Disk = ""
+			b = r.AppendFingerprint(b)
+		}
+	case accepting:
+		b = append(b, bit(p.yes[disk]))
+	}
+	return b
+}
+
+func (o *operation) appendFingerprint(b []byte) (out []byte) {
+	if o == nil {
+		return append(b, 0)
+	}
+	b = o.offered.appendFingerprint(appendNumbers(append(b, 1), o.id))
+	return append(o.first.AppendFingerprint(b), bit(o.exposed), bit(o.full), bit(o.readFailed))
+}
+
+func bit(yes bool) (b byte) {
+	if yes {
+		return 1
+	}
+	return 0
+}
+
+func appendNumbers(b []byte, ns ...uint64) (out []byte) {
+	for _, n := range ns {
+		b = binary.AppendUvarint(b, n)
+	}
+	return b
+}
+
+func appendText(b []byte, s string) (out []byte) {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
+
+func (b Ballot) appendFingerprint(to []byte) (out []byte) {
+	return appendText(appendNumbers(to, b.N), b.By)
+}
+
+// AppendFingerprint appends the whole promise.
+func (r Promise) AppendFingerprint(b []byte) (out []byte) {
+	b = appendNumbers(appendText(append(b, bit(r.OK)), r.Disk), r.Rid)
+	b = r.Accepted.appendFingerprint(r.Promised.appendFingerprint(b))
+	return r.Value.AppendFingerprint(b)
+}
+
+// AppendFingerprint appends the whole answer.
+func (r Accepted) AppendFingerprint(b []byte) (out []byte) {
+	b = appendNumbers(appendText(append(b, bit(r.OK)), r.Disk), r.Rid)
+	return r.Promised.appendFingerprint(b)
+}
+
+// AppendFingerprint appends the whole request.
+func (m Prepare) AppendFingerprint(b []byte) (out []byte) {
+	b = appendNumbers(appendText(append(b, bit(m.Look)), m.Disk), m.Rid)
+	return m.Ballot.appendFingerprint(b)
+}
+
+// AppendFingerprint appends the whole request.
+func (m Accept) AppendFingerprint(b []byte) (out []byte) {
+	b = m.Ballot.appendFingerprint(appendNumbers(appendText(b, m.Disk), m.Rid))
+	return m.Value.AppendFingerprint(b)
+}
+
+// AppendFingerprint appends what the acceptor holds.
+func (s State) AppendFingerprint(b []byte) (out []byte) {
+	b = s.Accepted.appendFingerprint(s.Promised.appendFingerprint(appendText(b, s.Disk)))
+	return s.Value.AppendFingerprint(b)
+}
+
+// AppendFingerprint appends every field of the value; nil has a fingerprint of its own.
+func (v *Value) AppendFingerprint(b []byte) (out []byte) {
+	if v == nil {
+		return append(b, 0)
+	}
+	b = appendNumbers(appendText(append(b, 1), v.Fleet), v.Mark, v.Seat)
+	b = append(appendNumbers(b, uint64(len(v.Body))), v.Body...)
+	b = appendNumbers(b, uint64(len(v.Emptied)))
+	for _, domain := range v.Emptied {
+		b = appendText(b, domain)
+	}
+	b = appendVoters(appendVoters(b, v.Voters), v.Next)
+	b = appendNumbers(b, uint64(len(v.Ops)))
+	for _, o := range v.Ops {
+		b = appendNumbers(appendText(b, o.ID), o.Mark)
+	}
+	b = append(appendNumbers(b, uint64(len(v.Edits))), v.Edits...)
+	b = append(appendNumbers(b, uint64(len(v.Recent))), v.Recent...)
+	return appendNumbers(b, v.Taken)
+}
+
+func appendVoters(b []byte, vs []Voter) (out []byte) {
+	b = append(b, byte(len(vs)))
+	for _, v := range vs {
+		b = appendText(appendText(b, v.Disk), v.Name)
+	}
+	return b
+}
--- /dev/null
+++ b/register/clone_test.go
@@ -0,0 +1,49 @@
+package register
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
+func TestFingerprintsKnowEveryField(t *testing.T) {
+	for kind, fields := range map[reflect.Type]int{
+		reflect.TypeFor[Proposer]():  20,
+		reflect.TypeFor[operation](): 8,
+		reflect.TypeFor[Value]():     11,
+		reflect.TypeFor[Op]():        2,
+		reflect.TypeFor[Voter]():     2,
+		reflect.TypeFor[State]():     4,
+		reflect.TypeFor[Prepare]():   4,
+		reflect.TypeFor[Promise]():   6,
+		reflect.TypeFor[Accept]():    4,
+		reflect.TypeFor[Accepted]():  4,
+	} {
+		if kind.NumField() != fields {
+			t.Errorf("%s has %d fields, clone.go knows %d", kind, kind.NumField(), fields)
+		}
+	}
+}
+
+func TestACloneGoesItsOwnWay(t *testing.T) {
+	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
+	p := NewProposer("p", 1)
+	p.Learn(first)
+	p.Submit(0, time.Hour, 1, nil, false)
+	sends, _ := p.TakeOutput()
+	before := p.AppendFingerprint(nil)
+	c := p.Clone()
+	if !bytes.Equal(before, c.AppendFingerprint(nil)) {
+		t.Fatal("a clone differs")
+	}
+	c.OnPromise(0, Promise{Rid: sends[0].Msg.(Prepare).Rid, Disk: "a", OK: true, Value: first})
+	c.FireDeadline()
+	if !bytes.Equal(before, p.AppendFingerprint(nil)) {
+		t.Error("what a clone does shows in the first")
+	}
+	if _, results := c.TakeOutput(); len(results) != 1 || c.Busy() {
+		t.Error("a deadline ends nothing")
+	}
+}
