--- /dev/null
+++ b/control/menders_test.go
@@ -0,0 +1,182 @@
+package control
+
+import (
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// A mendWorld has several nodes change the voters at once while operators change the document. Messages are lost, doubled and delivered
+// in any order; each actor knows the newest value that it was told of, which may be old.
+type mendWorld struct {
+	t         *testing.T
+	seed      uint64
+	rng       *rand.Rand
+	now       time.Duration
+	disks     map[string]*register.Acceptor
+	actors    []*mendActor
+	bag       []mendMail
+	ids       uint64
+	confirmed map[uint64]string
+	highest   uint64
+}
+
+type mendActor struct {
+	proposer *register.Proposer
+	known    *register.Value
+	operator bool
+	busy     map[uint64]string
+}
+
+type mendMail struct {
+	to  string
+	by  int
+	msg any
+}
+
+const mendDisks = 6
+
+var menderSeeds = flag.Int("menders", 150, "seeds of TestSeveralThatChangeTheVotersAtOnce")
+
+func newMendWorld(t *testing.T, seed uint64) (w *mendWorld) {
+	w = &mendWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
+	first := &register.Value{Fleet: "f", Voters: votersOf("d0", "d1", "d2")}
+	for i := range mendDisks {
+		name := fmt.Sprint("d", i)
+		w.disks[name] = &register.Acceptor{State: register.State{Disk: name}}
+		if i < 3 {
+			w.disks[name].State = register.State{Disk: name, Promised: register.Ballot{N: 1}, Accepted: register.Ballot{N: 1}, Value: first}
+		}
+	}
+	for i := range 5 {
+		a := &mendActor{proposer: register.NewProposer(fmt.Sprint("p", i), seed*8+uint64(i)), known: first, operator: i < 2, busy: map[uint64]string{}}
+		a.proposer.LearnChosen(first)
+		w.actors = append(w.actors, a)
+	}
+	return w
+}
+
+// act has an idle actor submit what it would by what it knows.
+func (w *mendWorld) act(a *mendActor) {
+	if len(a.busy) > 0 {
+		return
+	}
+	w.ids++
+	body := fmt.Sprint(w.ids)
+	within := w.now + time.Duration(100+w.rng.IntN(1500))*time.Millisecond
+	a.busy[w.ids] = body
+	a.proposer.Submit(w.now, within, w.ids, w.wish(a, body), false)
+}
+
+func (w *mendWorld) wish(a *mendActor, body string) (change register.Change) {
+	switch {
+	case a.operator:
+		return edit(a.known.Mark, body)
+	case len(a.known.Next) > 0:
+		return finishVoterChangeAt(a.known.Seat)
+	}
+	vs := append([]register.Voter{}, a.known.Voters...)
+	for {
+		fresh := fmt.Sprint("d", w.rng.IntN(mendDisks))
+		if !isVoter(vs, fresh) {
+			vs[w.rng.IntN(len(vs))] = register.Voter{Disk: fresh, Name: fresh}
+			return beginVoterChangeAt(a.known.Seat, vs)
+		}
+	}
+}
+
+func (w *mendWorld) collect() {
+	for i, a := range w.actors {
+		sends, results := a.proposer.TakeOutput()
+		for _, s := range sends {
+			w.bag = append(w.bag, mendMail{to: s.Disk, by: i, msg: s.Msg})
+		}
+		for _, r := range results {
+			w.done(a, r)
+		}
+	}
+}
+
+func (w *mendWorld) done(a *mendActor, r register.Result) {
+	body := a.busy[r.ID]
+	delete(a.busy, r.ID)
+	if r.Value == nil {
+		return
+	}
+	if r.Value.Newer(a.known) {
+		a.known = r.Value
+		a.proposer.LearnChosen(r.Value)
+	}
+	mark, taken := r.Value.Done(body)
+	if !a.operator || r.Err != nil || !taken {
+		return
+	}
+	if other, ok := w.confirmed[mark]; ok && other != body {
+		w.t.Fatalf("seed %d at %s: mark %d is confirmed for orders %s and %s", w.seed, w.now, mark, other, body)
+	}
+	w.confirmed[mark] = body
+	w.highest = max(w.highest, mark)
+}
+
+func (w *mendWorld) deliver(m mendMail) {
+	reply := func(msg any) { w.bag = append(w.bag, mendMail{by: m.by, msg: msg}) }
+	switch x := m.msg.(type) {
+	case register.Prepare:
+		r, _ := w.disks[m.to].Prepare(x)
+		reply(r)
+	case register.Accept:
+		r, _ := w.disks[m.to].Accept(x)
+		reply(r)
+	case register.Promise:
+		w.actors[m.by].proposer.OnPromise(w.now, x)
+	case register.Accepted:
+		w.actors[m.by].proposer.OnAccepted(w.now, x)
+	}
+}
+
+func (w *mendWorld) step() {
+	w.now += time.Duration(w.rng.IntN(3)) * time.Millisecond
+	for _, a := range w.actors {
+		if w.rng.IntN(40) == 0 {
+			w.act(a)
+		}
+		a.proposer.Tick(w.now)
+	}
+	w.collect()
+	if len(w.bag) == 0 {
+		return
+	}
+	at := w.rng.IntN(len(w.bag))
+	m := w.bag[at]
+	if w.rng.IntN(20) > 0 {
+		w.bag[at] = w.bag[len(w.bag)-1]
+		w.bag = w.bag[:len(w.bag)-1]
+	}
+	if w.rng.IntN(6) > 0 {
+		w.deliver(m)
+	}
+}
+
+// TestSeveralThatChangeTheVotersAtOnce: no version is confirmed twice, which one that was lost would be.
+func TestSeveralThatChangeTheVotersAtOnce(t *testing.T) {
+	const steps = 6000
+	seeds := *menderSeeds
+	epochs, marks := uint64(0), uint64(0)
+	for seed := range uint64(seeds) {
+		w := newMendWorld(t, seed)
+		for range steps {
+			w.step()
+		}
+		marks += w.highest
+		for _, a := range w.actors {
+			epochs = max(epochs, a.known.Seat)
+		}
+	}
+	if t.Logf("%d changes confirmed over %d seeds, up to %d epochs in one", marks, seeds, epochs); marks < uint64(seeds) || epochs < 4 {
+		t.Error("the test proves little")
+	}
+}
