--- /dev/null
+++ b/control/votercut_test.go
@@ -0,0 +1,91 @@
+package control
+
+import (
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// subset is the disks whose bit is set.
+func subset(disks []string, bits int) (some []string) {
+	for i, d := range disks {
+		if bits&(1<<i) != 0 {
+			some = append(some, d)
+		}
+	}
+	return some
+}
+
+// TestAChangeOfVotersCutAtEachPoint: an order was confirmed by a majority of a, b and c. Then c's seat goes to d, whose disk is empty; the
+// accepts of both rounds reach any of the disks and no others, and after that any one disk is lost and comes back empty under its name,
+// with another id. Who knows the first voters alone still reads the order.
+func TestAChangeOfVotersCutAtEachPoint(t *testing.T) {
+	all := []string{"a", "b", "c", "d"}
+	runs := 0
+	for _, confirmedBy := range [][]string{{"a", "b"}, {"a", "c"}, {"b", "c"}, {"a", "b", "c"}} {
+		for begins := range 16 {
+			for finishes := range 16 {
+				for _, lost := range append(all, "") {
+					runs++
+					h := newHandRegister(t)
+					order := h.proposer("o", edit(0, "order"))
+					accepts, _ := h.prepare(order, 1, "a", "b", "c")
+					if !confirmed(h.accept(order, accepts, confirmedBy...)) {
+						t.Fatal("the order was not confirmed")
+					}
+					h.move(subset(all, begins), subset(all, finishes))
+					delete(h.disks, lost)
+					if got := h.readAll(); got != "order" {
+						t.Fatalf("confirmed by %v, begun at %v, finished at %v, %s lost: reads %q", confirmedBy, subset(all, begins), subset(all, finishes), lost, got)
+					}
+				}
+			}
+		}
+	}
+	t.Logf("%d runs", runs)
+}
+
+// move begins the change and, where that was chosen, finishes it.
+func (h *handRegister) move(begins, finishes []string) {
+	begin := h.proposer("m", beginVoterChangeAt(0, votersOf("a", "b", "d")))
+	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
+	done := h.accept(begin, accepts, begins...)
+	if !confirmed(done) {
+		return
+	}
+	finish := h.proposer("n", finishVoterChangeAt(done[0].Value.Seat))
+	accepts, _ = h.prepare(finish, 3, "a", "b", "c", "d")
+	h.accept(finish, accepts, finishes...)
+}
+
+// readAll has a node that knows the first voters alone read, with all disks in reach that are left.
+func (h *handRegister) readAll() (body string) {
+	p := h.proposer("z", nil)
+	for range 200 {
+		sends, results := p.TakeOutput()
+		if len(results) > 0 {
+			if results[0].Err != nil {
+				return results[0].Err.Error()
+			}
+			return string(results[0].Value.Body)
+		}
+		for _, s := range sends {
+			a := h.disks[s.Disk]
+			if a == nil {
+				continue
+			}
+			switch m := s.Msg.(type) {
+			case register.Prepare:
+				r, _ := a.Prepare(m)
+				p.OnPromise(h.now, r)
+			case register.Accept:
+				r, _ := a.Accept(m)
+				p.OnAccepted(h.now, r)
+			}
+		}
+		h.now += 10 * time.Millisecond
+		p.Tick(h.now)
+	}
+	return "no answer"
+}
