--- a/sim/changes.go
+++ b/sim/changes.go
@@ -57,7 +57,7 @@
 	if o.s.w.now >= until {
 		return
 	}
-	base := o.s.rules.newest()
+	base := o.base()
 	o.put(vary, func(v *version, ok bool) {
 		if ok && base != nil {
 			o.looks(base, v)
@@ -71,9 +71,9 @@
 	if times == 0 {
 		return
 	}
-	if base := o.s.rules.newest(); base != nil {
+	if base := o.base(); base != nil {
 		for range 2 + o.rng.IntN(2) {
-			o.put2(base, o.vary, func(v *version, ok bool) {
+			o.put2(base, o.revision(), o.vary, func(v *version, ok bool) {
 				if ok {
 					o.looks(base, v)
 				}
@@ -85,7 +85,7 @@
 
 // flawed sends documents that must not be taken, each flawed in another way.
 func (o *operators) flawed() {
-	base := o.s.rules.newest()
+	base := o.base()
 	if base == nil {
 		return
 	}
@@ -121,7 +121,7 @@
 	}
 	o.rng.Shuffle(len(paths), func(i, j int) { paths[i], paths[j] = paths[j], paths[i] })
 	paths = append(paths[:min(len(paths), 3)], prefixOf("never")+"x")
-	for _, d := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, applyWithin + 50*time.Millisecond} {
+	for _, d := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, o.s.spec.Bounds.Apply + 50*time.Millisecond} {
 		o.s.w.after(d, func() {
 			for _, n := range o.s.w.Nodes {
 				for _, path := range paths {
--- a/sim/days.go
+++ b/sim/days.go
@@ -43,7 +43,7 @@
 	s.ops.acked = func(n *Node) {
 		for _, f := range faults(n.Name) {
 			s.w.Break(f)
-			s.report.after = max(s.report.after, s.w.now+f.For+recoverIn)
+			s.report.after = max(s.report.after, s.w.now+f.For+s.spec.Bounds.Recover)
 		}
 	}
 	s.ops.put(s.ops.vary, nil)
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -136,6 +136,20 @@
 	return left
 }
 
+// Copy is what a power cut would leave at best: all that was synced.
+func (d *Disk) Copy() (files map[string]*file) {
+	files = map[string]*file{}
+	for name, f := range d.files {
+		if f.named {
+			files[name] = &file{kept: slices.Clone(f.kept), now: slices.Clone(f.kept), named: true}
+		}
+	}
+	return files
+}
+
+// Restore puts an earlier copy in place of what is there.
+func (d *Disk) Restore(files map[string]*file) { d.files = files }
+
 func (d *Disk) Wipe() { d.files = map[string]*file{} }
 
 func (d *Disk) Rot(name string, at int) (ok bool) {
--- a/sim/document.go
+++ b/sim/document.go
@@ -71,7 +71,7 @@
 	for _, o := range s.Offers {
 		c.Offers = append(c.Offers, config.Offer{
 			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, ColdRate: o.ColdRate, ColdFor: o.ColdFor,
-			KeepTokens: o.Memory, Stride: o.Stride, SecondShare: retryShare, SecondPlus: retryExtra * 3 / 4, StaleCap: guessMost,
+			KeepTokens: o.Memory, Stride: o.Stride, SecondShare: retryShare, SecondPlus: s.Bounds.RetryExtra * 3 / 4, StaleCap: guessMost,
 		})
 	}
 	for _, t := range s.Classes {
--- /dev/null
+++ b/sim/grownshape.go
@@ -0,0 +1,79 @@
+package sim
+
+import "time"
+
+// Bounds are the times and counts that the rules of a platform name.
+type Bounds struct {
+	// Touch is how long a machine must have been undisturbed before it counts as in touch.
+	Touch time.Duration
+	// Ack is how long an order may wait for its acknowledgement in a calm time.
+	Ack time.Duration
+	// Apply is how long after its acknowledgement a configuration must be obeyed.
+	Apply time.Duration
+	// Outer is what an unsettled core adds to Apply.
+	Outer time.Duration
+	// Drain is how long a replica that leaves may still be sent requests.
+	Drain time.Duration
+	// CatchUp is how long after its return a machine still counts as lost.
+	CatchUp time.Duration
+	// Recover is how long after a closing fault requests must be served again.
+	Recover time.Duration
+	// RetryExtra is how many second attempts a service may get in a window beyond its share.
+	RetryExtra int
+}
+
+func smallBounds() Bounds {
+	return Bounds{
+		Touch: 3 * time.Second, Ack: 4 * time.Second, Apply: 2 * time.Second, Outer: 5 * time.Second, Drain: 3 * time.Second,
+		CatchUp: 4 * time.Second, Recover: 12 * time.Second, RetryExtra: 62,
+	}
+}
+
+func grownBounds(retryExtra int) Bounds {
+	return Bounds{
+		Touch: 4 * time.Second, Ack: 5 * time.Second, Apply: 2500 * time.Millisecond, Outer: 6 * time.Second, Drain: 4 * time.Second,
+		CatchUp: 6 * time.Second, Recover: 15 * time.Second, RetryExtra: retryExtra,
+	}
+}
+
+// Whole is the share of a large site's machines and replicas that SiteOf gives; FewMachines that of most simulated days, where all
+// machines with a disk remain and only their number of followers, replicas and requests is smaller.
+const (
+	Whole       = 1.0
+	FewMachines = 0.25
+	// trafficScale is the share of the requests of a large site that is simulated: its control side is the matter here.
+	trafficScale = 1.5
+)
+
+func partOf(n int, share float64, least int) int { return max(int(float64(n)*share), least) }
+
+// GrownTramitesSite has the disks of the large site with zones of two disks each, and a share of its machines and replicas.
+func GrownTramitesSite(share float64) SiteSpec {
+	const nodes, zones, disks, replicas = 88, 3, 6, 89
+	s := SiteSpec{
+		Shape: siteNodes("grown-tramites site", partOf(nodes, share, 2*disks), zones, disks), Far: 500 * time.Microsecond, Idle: 40,
+		Bounds: grownBounds(216), Tolerate: 2, ListRate: 310,
+		Offers: []OfferSpec{llmOffer("permisos", partOf(replicas, share, zones), 437458), plainOffer("borrador", 4)},
+	}
+	s.Offers[0].Slots, s.Offers[0].Queue, s.Offers[0].ColdRate = 24, 72, 18
+	s.Classes = classes("permisos", "borrador", [3]string{"dossier", "zoning", "checklist"}, share*trafficScale, 300*time.Millisecond, 60*time.Millisecond, 1500*time.Millisecond)
+	return s
+}
+
+// GrownAtlasSite has the disks of the large site with one disk in each of five zones, and a share of its machines and replicas.
+func GrownAtlasSite(share float64) SiteSpec {
+	const nodes, zones, disks, replicas = 72, 5, 5, 60
+	s := SiteSpec{
+		Shape: siteNodes("grown-atlas site", partOf(nodes, share, 2*disks), zones, disks), Far: 1400 * time.Microsecond, Idle: 40,
+		Bounds: grownBounds(184), Tolerate: 2, ListRate: 260,
+		Offers: []OfferSpec{llmOffer("logbook", partOf(replicas, share, zones), 827815), plainOffer("onair", 5)},
+	}
+	s.Classes = classes("logbook", "onair", [3]string{"reconcile", "award", "lookup"}, share*trafficScale, 150*time.Millisecond, 30*time.Millisecond, 1500*time.Millisecond)
+	s.Classes[1].Attempts = 2
+	return s
+}
+
+// Sites are the four sites of the users' platform, the large ones with that share of their machines.
+func Sites(share float64) []SiteSpec {
+	return []SiteSpec{TramitesSite(), AtlasSite(), GrownTramitesSite(share), GrownAtlasSite(share)}
+}
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -83,7 +83,7 @@
 	}
 	i.leaves = i.s.w.now
 	i.s.w.Say("%s at %s drains", i.ID, i.Addr)
-	i.s.w.after(listBehind+drainWithin+500*time.Millisecond, func() { i.end(false) })
+	i.s.w.after(listBehind+i.s.spec.Bounds.Drain+500*time.Millisecond, func() { i.end(false) })
 }
 
 // end is the end of a life: planned, or as a crash, which the list notices late.
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -19,6 +19,12 @@
 	n    int
 	// acked is called once, right after the next order that is acknowledged.
 	acked func(n *Node)
+	// underWay is how many changes of a rapid run are not settled yet.
+	underWay int
+	// losses are the times in which answers to operators are lost.
+	losses []ackLoss
+	// taken are the changes that were acknowledged, to be sent again.
+	taken []*order
 }
 
 // An order is one call of an operator, sent unchanged to node after node.
@@ -32,7 +38,9 @@
 	over   bool
 	vague  bool
 	forced bool
-	end    func(acked bool)
+	// lost says that an answer to it was lost on its way; again that it was acknowledged before.
+	lost, again bool
+	end         func(acked bool)
 }
 
 type fate uint8
@@ -58,13 +66,13 @@
 const callAnew = time.Second
 
 func (o *operators) send(d *order) {
-	d.from, d.until = o.s.w.now, o.s.w.now+ackWithin+2*time.Second
+	d.from, d.until = o.s.w.now, o.s.w.now+o.s.spec.Bounds.Ack+2*time.Second
 	if d.forced {
 		d.until = never
 	}
-	if d.v != nil {
+	if d.v != nil && !d.again {
 		o.s.rules.offered(d.v)
-		d.v.refused = d.v.flawed
+		d.v.base, d.v.refused = d.base, d.v.flawed
 	}
 	o.try(d, 100*time.Millisecond)
 }
@@ -94,8 +102,13 @@
 	}
 	sent := w.now
 	w.after(clientDelay, func() {
-		w.Call(n, d.op, func(a control.Answer) {
+		w.Call(n, o.callOf(d), func(a control.Answer) {
 			f := fateOf(a.Err)
+			if o.loses() {
+				d.vague, d.lost = true, true
+				o.extend(d)
+				return
+			}
 			switch {
 			case d.over || w.now-sent > callAnew || call != d.calls:
 				d.vague = true
@@ -114,6 +127,10 @@
 func (o *operators) settle(d *order, n *Node, f fate) {
 	w, v := o.s.w, d.v
 	d.over = true
+	if d.again {
+		o.repeated(d, n, f)
+		return
+	}
 	w.Say("order %d is settled: %v after %s", d.base, f, w.now-d.from)
 	if v != nil {
 		switch {
@@ -123,12 +140,18 @@
 			v.acked = w.now
 			o.s.report.Puts++
 			o.rival(v, d)
-		case f == refused && !d.vague:
+			o.taken = append(o.taken, d)
+			o.inForce(v)
+		case f == refused && !v.flawed:
+			o.denied(d, n)
+			if d.vague {
+				break
+			}
 			v.refused = true
 			o.s.report.PutsRefused++
 		}
 	}
-	if f != acked && !d.forced && (v == nil || !v.flawed) && w.now-d.from >= ackWithin && o.s.rules.still("", d.from, w.now) {
+	if f != acked && !d.forced && !d.lost && (v == nil || !v.flawed) && w.now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.now) {
 		o.s.rules.breach(RuleAcks, fmt.Sprint(d.base), "not within %s", w.now-d.from)
 	}
 	if f == acked && o.acked != nil {
@@ -144,11 +167,10 @@
 // rival looks for another change that was taken on top of the same version.
 func (o *operators) rival(v *version, d *order) {
 	for _, x := range o.s.rules.versions {
-		if x != v && x.acked > 0 && x.base == d.base && d.base > 0 {
+		if x != v && x.acked > 0 && (x.base == d.base && d.base > 0 || x.revision == v.revision) {
 			o.s.rules.breach(RuleTaken, fmt.Sprint(v.revision), "and %d, both on top of %d", x.revision, d.base)
 		}
 	}
-	v.base = d.base
 }
 
 func (o *operators) id() (id string) {
@@ -171,17 +193,17 @@
 
 // put replaces the document by what vary makes of the newest one; patch says only what differs.
 func (o *operators) put(vary func(c *config.Config), end func(v *version, acked bool)) {
-	base := o.s.rules.newest()
+	base := o.base()
 	if base == nil {
 		return
 	}
-	o.put2(base, vary, end)
+	o.put2(base, o.revision(), vary, end)
 }
 
-func (o *operators) put2(base *version, vary func(c *config.Config), end func(v *version, acked bool)) {
+func (o *operators) put2(base *version, revision uint64, vary func(c *config.Config), end func(v *version, acked bool)) {
 	c := base.clone()
 	vary(&c)
-	c.Revision = o.revision()
+	c.Revision = revision
 	v := &version{revision: c.Revision, doc: c, raw: writeDocument(c)}
 	e := putEdit(base.revision, v.raw)
 	if o.rng.IntN(2) == 0 {
@@ -213,26 +235,3 @@
 	}
 	return names
 }
-
-// evacuate closes a domain, or opens it again after its replicas turned cold.
-func (o *operators) evacuate(domain string, back bool) {
-	r := o.s.rules
-	if back {
-		if e := r.evacs[domain]; e != nil {
-			e.lifted = true
-		}
-		for _, i := range o.s.instances {
-			if i.up && i.Domain == domain && i.offer.ColdRate > 0 {
-				i.chill()
-			}
-		}
-	}
-	o.send(&order{op: control.Evacuate{ID: o.id(), Domain: domain, Restore: back}, end: func(ok bool) {
-		if ok && !back {
-			r.evacs[domain] = &evacuation{acked: o.s.w.now}
-		}
-		if ok && back {
-			delete(r.evacs, domain)
-		}
-	}})
-}
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -27,6 +27,9 @@
 	RuleAcks    = "order not acknowledged"
 	RuleTries   = "sent to too many replicas"
 	RuleServed  = "too little served"
+	RuleStale   = "old configuration handed out"
+	RuleAgain   = "taken order refused"
+	RuleDenies  = "order refused though nothing else was taken"
 )
 
 // rules judges by what user agents, replicas, operators and the platform see.
@@ -38,6 +41,8 @@
 	asked    map[string][]time.Duration
 	again    map[string][]time.Duration
 	floors   map[uint64]floor
+	// reopened are the domains whose evacuation was taken back, as acknowledged, and that nobody evacuated since.
+	reopened map[string]bool
 	Refused  int
 }
 
@@ -48,7 +53,7 @@
 
 func newRules(s *site) (r *rules) {
 	return &rules{
-		s: s, evacs: map[string]*evacuation{}, asked: map[string][]time.Duration{}, again: map[string][]time.Duration{}, floors: map[uint64]floor{},
+		s: s, evacs: map[string]*evacuation{}, asked: map[string][]time.Duration{}, again: map[string][]time.Duration{}, floors: map[uint64]floor{}, reopened: map[string]bool{},
 	}
 }
 
@@ -66,7 +71,7 @@
 func (r *rules) arrived(i *Instance, q *request) {
 	now, n := r.s.w.now, q.n
 	r.config(i, q)
-	if at := i.shown(); q.calm && at < now && r.s.since(at) > drainWithin {
+	if at := i.shown(); q.calm && at < now && r.s.since(at) > r.s.spec.Bounds.Drain {
 		r.breach(RuleDrain, i.ID, "%s, %s after the list showed it", n.Name, now-at)
 	}
 	if e := r.evacs[i.Domain]; e != nil && e.acked > 0 && !e.lifted {
@@ -114,7 +119,7 @@
 	for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
 		most = max(most, countIn(r.asked[offer], now-back-retryWindow, now-back))
 	}
-	if n := countIn(r.again[offer], now-retryWindow, now); float64(n) > retryShare*float64(most)+retryExtra {
+	if n := countIn(r.again[offer], now-retryWindow, now); float64(n) > retryShare*float64(most)+float64(r.s.spec.Bounds.RetryExtra) {
 		r.breach(RuleBudget, offer, "%d for %d requests", n, most)
 	}
 }
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -16,7 +16,9 @@
 	offered  time.Duration
 	acked    time.Duration
 	refused  bool
-	routes   map[string]*config.Route
+	// seen says that it was in force at some time; denied that an operator was told that another is.
+	seen, denied bool
+	routes       map[string]*config.Route
 }
 
 // A floor is the least version that a life of a node has shown to obey, and since when.
@@ -117,7 +119,7 @@
 	if c.passes > most {
 		r.breach(RuleTries, c.id, "%d, at most %d", c.passes, most)
 	}
-	bound, must := r.within(q.n, q, applyWithin)
+	bound, must := r.within(q.n, q, r.s.spec.Bounds.Apply)
 	r.obeyed(q.n, c, least, newest, bound, must)
 }
 
@@ -143,7 +145,7 @@
 func (r *rules) unknown(c *try, n *Node) {
 	least, newest, _ := r.handled(func(v *version) bool { return v.route(c.path) == nil })
 	q := &request{n: n, sent: r.s.w.now, calm: r.inTouch(n, r.s.w.now)}
-	bound, must := r.within(n, q, applyWithin)
+	bound, must := r.within(n, q, r.s.spec.Bounds.Apply)
 	if newest == nil {
 		if must && r.due(c.sent, bound) > 0 {
 			r.breach(RuleDenied, c.path, "%s by %s, every version has the route", c.id, n.Name)
--- a/sim/site.go
+++ b/sim/site.go
@@ -67,7 +67,7 @@
 
 // configure makes a node's settings those of the ordinary path.
 func (s *site) configure(c *control.Config, r *mallowbridge.Config) {
-	c.Read, c.ListEvery, c.Tolerate, c.Founds, c.ServesCutOff = readDocument, time.Second, 1, s.first, true
+	c.Read, c.ListEvery, c.Tolerate, c.Founds, c.ServesCutOff = readDocument, time.Second, s.spec.Tolerate, s.first, true
 	c.Seeds = slices.Clone(s.seeds)
 	r.Market.Backlog, r.Market.Feed = 1024, time.Minute
 	if s.w.tune != nil {
--- /dev/null
+++ b/sim/sitecuts.go
@@ -0,0 +1,174 @@
+package sim
+
+import (
+	"slices"
+	"time"
+)
+
+// Troubles of the control side of a site. On names machines, or is AnyCore: machines with a disk, so many as may still be lost.
+const (
+	// CutCore, CutCoreOut and CutCoreIn cut machines with a disk off from the others with one: both ways, what they send, what they get.
+	CutCore    = "core cut"
+	CutCoreOut = "core cut, sends nothing"
+	CutCoreIn  = "core cut, gets nothing"
+	// CutIn cuts what machines get from all other nodes; CutOneWay is what they send.
+	CutIn = "cut, gets nothing"
+	// OldDisk has machines come back with the disk that they had For before.
+	OldDisk = "disk restored from before"
+	// Retire starts an empty machine, and after For stops the one whose place it takes, for good.
+	Retire = "planned replacement"
+	// RepFreeze has replicas of an offer stand still and then go on with what lay there.
+	RepFreeze = "replica freezes"
+	// AckLost loses a share of the answers to operators, or all of them for On "all".
+	AckLost = "acknowledgements are lost"
+	// Rapid sends ten changes a second, up to eight under way.
+	Rapid = "rapid changes"
+	// SameNumber has pairs of operators use one number for different changes.
+	SameNumber = "one number twice"
+	// Again sends changes again that were acknowledged before.
+	Again = "taken changes sent again"
+	// Reads asks nodes for the configuration all the time.
+	Reads = "configuration is read"
+	// EvacTurns evacuates a domain and takes that back by turns.
+	EvacTurns = "evacuated by turns"
+	// AnyCore stands for a machine with a disk that may be lost, and AllCore for as many as may.
+	AnyCore = "any core machine"
+	AllCore = "as many core machines as may be lost"
+)
+
+const waitTurn = 200 * time.Millisecond
+
+// isCore tells that a machine counts among those whose loss is bounded.
+func (n *Node) isCore() bool { return n.Disk != nil && !n.removed }
+
+// lostNow tells whether a machine counts as lost: down, disturbed, or not back for long enough.
+func (s *site) lostNow(n *Node) bool {
+	if !n.Alive || n.frozen {
+		return true
+	}
+	now := s.w.now
+	return slices.ContainsFunc(s.rules.troubles, func(t *trouble) bool {
+		return t.node == n.Name && t.from <= now && t.until+s.spec.Bounds.CatchUp > now
+	})
+}
+
+// waits names the machines of a trouble that strikes any of the core; where as many are lost as may be, it waits for its turn.
+func (s *site) waits(f *Fault) bool {
+	if len(f.On) != 1 || f.On[0] != AnyCore && f.On[0] != AllCore {
+		return false
+	}
+	var fit []string
+	lost := 0
+	for _, n := range s.w.Nodes {
+		switch {
+		case !n.isCore():
+		case s.lostNow(n):
+			lost++
+		default:
+			fit = append(fit, n.Name)
+		}
+	}
+	spare := s.spec.Tolerate - lost
+	if spare <= 0 || len(fit) == 0 {
+		later := *f
+		s.w.after(waitTurn, func() { s.strike(later) })
+		return true
+	}
+	if f.On[0] == AnyCore {
+		spare = 1
+	}
+	f.On = some(s.whim, fit, spare)
+	s.w.Say("fault %s strikes %v", f.Kind, f.On)
+	return false
+}
+
+// cutLinks cuts machines off from nodes, or from those with a disk alone, one way or both.
+func (s *site) cutLinks(f Fault, ns []*Node) {
+	s.rules.harm(ns, f.For, false, false)
+	core := f.Kind == CutCore || f.Kind == CutCoreOut || f.Kind == CutCoreIn
+	outward, inward := f.Kind != CutCoreIn && f.Kind != CutIn, f.Kind != CutCoreOut && f.Kind != CutOneWay
+	in := func(addr string) bool { return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr }) }
+	other := func(addr string) bool {
+		n := s.w.byAddr[addr]
+		return n != nil && !in(addr) && (!core || n.Disk != nil)
+	}
+	heal := s.w.Net.cut(func(from, to string) bool {
+		return outward && in(from) && other(to) || inward && other(from) && in(to)
+	})
+	s.w.after(f.For, heal)
+}
+
+// comeBack has machines return as what they were before, or an empty one in their place.
+func (s *site) comeBack(f Fault, ns []*Node) {
+	for _, n := range ns {
+		if f.Kind == Retire {
+			s.retire(n, f.For)
+			continue
+		}
+		s.restore(n, f.For)
+	}
+}
+
+// restore takes a copy of a disk, and later starts the machine from it.
+func (s *site) restore(n *Node, d time.Duration) {
+	old := n.Disk.Copy()
+	s.w.after(d, func() {
+		if !n.Alive || n.removed {
+			return
+		}
+		s.rules.harm([]*Node{n}, time.Second, false, false)
+		n.kill()
+		n.Disk.PowerCut()
+		n.Disk.Restore(old)
+		s.w.after(time.Second, func() { s.start(n) })
+	})
+}
+
+// retire starts the machine that takes another's place, and stops that one, with a warning, a while after.
+func (s *site) retire(old *Node, d time.Duration) {
+	if old.removed || !old.Alive {
+		return
+	}
+	fresh := s.successor(old)
+	s.start(fresh)
+	s.renewSeeds(old, fresh, 0)
+	s.w.after(d, func() {
+		old.removed = true
+		s.roll([]*Node{old})
+	})
+}
+
+// freezeReplica has a replica stand still; connections on which it owes something for long break.
+func (s *site) freezeReplica(i *Instance, d time.Duration) {
+	for _, k := range i.sockets {
+		k.harm()
+	}
+	i.dark = true
+	s.w.after(d, func() { i.dark = false })
+}
+
+// press has operators press in one of the ways of a trouble.
+func (o *operators) press(f Fault) {
+	now := o.s.w.now
+	until := now + f.For
+	switch f.Kind {
+	case AckLost:
+		l := ackLoss{window: window{from: now, until: until}, share: lostShare}
+		if slices.Contains(f.On, "all") {
+			l.share = 1
+		}
+		o.losses = append(o.losses, l)
+	case Rapid:
+		o.rapid(until, 100*time.Millisecond, 0)
+	case SameNumber:
+		o.sameNumber(int(f.For/time.Second), time.Second)
+	case Again:
+		o.again(until, 300*time.Millisecond)
+	case Reads:
+		o.reads(until, 50*time.Millisecond)
+	case EvacTurns:
+		for _, domain := range f.On {
+			o.turns(domain, until, false)
+		}
+	}
+}
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -21,6 +21,9 @@
 
 func (s *site) strike(f Fault) {
 	w := s.w
+	if s.waits(&f) {
+		return
+	}
 	ns := w.nodes(f.On)
 	switch f.Kind {
 	case Kill, Power, Wipe, ClockBack, AllDown:
@@ -74,6 +77,12 @@
 		s.ops.race(3, 1200*time.Millisecond)
 	case BadPuts:
 		s.ops.flawed()
+	case CutCore, CutCoreOut, CutCoreIn, CutOneWay, CutIn:
+		s.cutLinks(f, ns)
+	case OldDisk, Retire:
+		s.comeBack(f, ns)
+	case AckLost, Rapid, SameNumber, Again, Reads, EvacTurns:
+		s.ops.press(f)
 	case ListDown:
 		s.downs = append(s.downs, window{from: w.now, until: w.now + f.For})
 	default:
@@ -116,13 +125,29 @@
 // replace puts an empty machine at another address in the place of one, and tells the nodes the new seeds some time later.
 func (s *site) replace(old *Node, d time.Duration) {
 	w := s.w
+	if old.removed {
+		return
+	}
 	s.rules.harm([]*Node{old}, -1, false, false)
 	old.kill()
 	old.removed = true
+	fresh := s.successor(old)
+	w.after(d, func() { s.start(fresh) })
+	s.renewSeeds(old, fresh, d)
+}
+
+// successor is an empty machine at another address, not started yet.
+func (s *site) successor(old *Node) *Node {
+	w := s.w
 	fresh := newNode(w, len(w.Nodes), NodeShape{Name: old.Name + "b", Domain: old.Domain, Disk: old.Disk != nil})
 	fresh.wall = 0
 	w.Nodes = append(w.Nodes, fresh)
-	w.after(d, func() { s.start(fresh) })
+	return fresh
+}
+
+// renewSeeds tells the nodes the address of a successor some time after its start.
+func (s *site) renewSeeds(old, fresh *Node, d time.Duration) {
+	w := s.w
 	w.after(d+seedLag, func() {
 		for i, a := range s.seeds {
 			if a == old.Addr {
@@ -176,7 +201,9 @@
 			return
 		case w.now-from > grace*9/10, left && len(n.trips) == 0:
 			n.kill()
-			w.after(300*time.Millisecond, n.start)
+			if !n.removed {
+				w.after(300*time.Millisecond, n.start)
+			}
 			w.after(stopGap, func() { s.roll(ns[1:]) })
 			return
 		case !left && w.now-from > grace*3/5:
--- a/sim/sitelist.go
+++ b/sim/sitelist.go
@@ -48,7 +48,7 @@
 	for len(s.calls) > 0 && w.now-s.calls[0] >= time.Second {
 		s.calls = s.calls[1:]
 	}
-	if len(s.calls) > listRate {
+	if len(s.calls) > s.spec.ListRate {
 		s.report.ListRefused++
 		give(control.ListRead{Err: &ListError{Why: "called too often"}})
 		return
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -26,6 +26,10 @@
 		for _, i := range s.chosen(f, most) {
 			s.crash(i, f)
 		}
+	case RepFreeze:
+		for _, i := range s.chosen(f, 2) {
+			s.freezeReplica(i, f.For)
+		}
 	case Release:
 		s.renew(s.chosen(f, 4))
 	case ScaleIn:
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"slices"
@@ -24,6 +23,7 @@
 	GaveUp, LateEvents, Seconds, Resumed int
 	Lists, ListRefused                   int
 	Puts, PutsRefused                    int
+	Reads, Repeats                       int
 	Dials, Misplaced                     int
 	Confirmed, Predicted                 int
 	Prompted, Cached                     uint64
@@ -89,7 +89,7 @@
 	}
 	fmt.Fprintf(out, "outcomes %v, gave up %d, events late %d\nwhy denied: %v\n", r.Outcomes, r.GaveUp, r.LateEvents, r.Whys)
 	fmt.Fprintf(out, "second attempts %d, resumed %d, connections %d, misplaced %d, lists %d (%d refused)\n", r.Seconds, r.Resumed, r.Dials, r.Misplaced, r.Lists, r.ListRefused)
-	fmt.Fprintf(out, "documents taken %d, refused %d; replicas admitted %d, refused %d, preempted %d\n", r.Puts, r.PutsRefused, r.Admitted, r.Refused, r.Preempted)
+	fmt.Fprintf(out, "documents taken %d, refused %d, read %d, sent again %d; replicas admitted %d, refused %d, preempted %d\n", r.Puts, r.PutsRefused, r.Reads, r.Repeats, r.Admitted, r.Refused, r.Preempted)
 	fmt.Fprintf(out, "prompt parts in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", share(int(r.Cached), r.Prompted), share(r.Confirmed, r.Prompted), share(r.Predicted, r.Prompted))
 }
 
@@ -105,8 +105,8 @@
 			s.tallied(i)
 		}
 	}
-	s.kept(s.w.now + touchAfter)
-	s.w.run(s.w.now + touchAfter + 3*time.Second)
+	s.kept(s.w.now + s.spec.Bounds.Touch)
+	s.w.run(s.w.now + s.spec.Bounds.Touch + 3*time.Second)
 	if s.report.after > 0 && (s.report.asked == 0 || 4*s.report.served < s.report.asked) {
 		s.rules.breach(RuleRecover, "fleet", "%d of %d served", s.report.served, s.report.asked)
 	}
@@ -140,10 +140,8 @@
 func (s *site) compare(n *Node, a control.Answer) {
 	at, _ := revisionIn(a.Value.Body)
 	newest := s.rules.newest()
-	for _, v := range s.rules.versions {
-		if v.revision == at && !v.flawed && !bytes.Equal(v.raw, a.Value.Body) {
-			s.rules.breach(RuleKept, "document", "revision %d is not what was sent", at)
-		}
+	if !s.rules.sent(at, a.Value.Body) {
+		s.rules.breach(RuleKept, "document", "revision %d is not what was sent", at)
 	}
 	if newest != nil && at < newest.revision {
 		s.rules.breach(RuleKept, "document", "%s gives revision %d, %d was acknowledged", n.Name, at, newest.revision)
@@ -153,4 +151,9 @@
 			s.rules.breach(RuleKept, "evacuation", "%s does not know that %s is evacuated", n.Name, d)
 		}
 	}
+	for _, d := range sortedKeys(s.rules.reopened) {
+		if slices.Contains(a.Value.Emptied, d) {
+			s.rules.breach(RuleKept, "evacuation", "%s holds %s evacuated, which was taken back", n.Name, d)
+		}
+	}
 }
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -43,28 +43,26 @@
 	Far time.Duration
 	// Idle is how many routes nobody uses but who looks which configuration is in force.
 	Idle int
+	// Bounds are those of the rules that the platform keeps its nodes to.
+	Bounds Bounds
+	// Tolerate is how many machines with a disk may be lost together.
+	Tolerate int
+	// ListRate is how many calls a second the platform's list takes.
+	ListRate int
 }
 
-// Bounds of the rules that a platform keeps its nodes to.
+// Times of the platform that are alike on all sites.
 const (
 	seedLag     = 3 * time.Second
 	reuseAfter  = 2 * time.Second
-	touchAfter  = 3 * time.Second
-	ackWithin   = 4 * time.Second
-	drainWithin = 3 * time.Second
 	grace       = 8 * time.Second
-	applyWithin = 2 * time.Second
 	backSlack   = 250 * time.Millisecond
-	outerMost   = 5 * time.Second
 	retryShare  = 0.2
-	retryExtra  = 62
 	retryWindow = 10 * time.Second
 	coldOver    = 1.5
 	coldSlack   = 5
 	evacWithin  = 5 * time.Second
-	recoverIn   = 12 * time.Second
 	passWithin  = 120 * time.Millisecond
-	listRate    = 44
 	listBehind  = 800 * time.Millisecond
 	trafficFrom = 10 * time.Second
 )
@@ -100,7 +98,7 @@
 // TramitesSite and AtlasSite are the two small sites of the users' platform.
 func TramitesSite() (s SiteSpec) {
 	s = SiteSpec{
-		Shape: siteNodes("tramites site", 11, 3, 3), Far: 500 * time.Microsecond, Idle: 8,
+		Shape: siteNodes("tramites site", 11, 3, 3), Far: 500 * time.Microsecond, Idle: 8, Bounds: smallBounds(), Tolerate: 1, ListRate: 44,
 		Offers: []OfferSpec{llmOffer("permisos", 9, 654078), plainOffer("borrador", 3)},
 	}
 	s.Classes = classes("permisos", "borrador", [3]string{"dossier", "zoning", "checklist"}, 1, 300*time.Millisecond, 60*time.Millisecond, 1500*time.Millisecond)
@@ -109,7 +107,7 @@
 
 func AtlasSite() (s SiteSpec) {
 	s = SiteSpec{
-		Shape: siteNodes("atlas site", 12, 4, 4), Far: 900 * time.Microsecond, Idle: 8,
+		Shape: siteNodes("atlas site", 12, 4, 4), Far: 900 * time.Microsecond, Idle: 8, Bounds: smallBounds(), Tolerate: 1, ListRate: 44,
 		Offers: []OfferSpec{llmOffer("logbook", 9, 729140), plainOffer("onair", 4)},
 	}
 	s.Classes = classes("logbook", "onair", [3]string{"reconcile", "award", "lookup"}, 1.04, 100*time.Millisecond, 15*time.Millisecond, time.Second)
@@ -125,6 +123,10 @@
 		s = TramitesSite()
 	case "atlas site":
 		s = AtlasSite()
+	case "grown-tramites site":
+		s = GrownTramitesSite(Whole)
+	case "grown-atlas site":
+		s = GrownAtlasSite(Whole)
 	default:
 		return s, false
 	}
--- a/sim/touch.go
+++ b/sim/touch.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// still tells that nothing disturbed a node, or the core, in that time and touchAfter before.
+// still tells that nothing disturbed a node, or the core, in that time and Bounds.Touch before.
 func (r *rules) still(node string, from, until time.Duration) (yes bool) {
 	for _, t := range r.troubles {
-		if t.node == node && t.from <= until && t.until >= from-touchAfter {
+		if t.node == node && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
 			return false
 		}
 	}
@@ -57,7 +57,7 @@
 	case q.calm:
 		return bound, true
 	case r.still(n.Name, q.sent, q.sent) && r.majority(q.sent):
-		return bound + outerMost, true
+		return bound + r.s.spec.Bounds.Outer, true
 	}
 	return 0, false
 }
@@ -65,17 +65,17 @@
 // majority tells that most of the core ran and was joined for long before now.
 func (r *rules) majority(now time.Duration) (yes bool) {
 	for _, t := range r.troubles {
-		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-outerMost-touchAfter {
+		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-r.s.spec.Bounds.Outer-r.s.spec.Bounds.Touch {
 			return false
 		}
 	}
 	return true
 }
 
-// unplanned tells that something nobody planned happened anywhere in that time or touchAfter before.
+// unplanned tells that something nobody planned happened anywhere in that time or Bounds.Touch before.
 func (r *rules) unplanned(from, until time.Duration) (yes bool) {
 	for _, t := range r.troubles {
-		if !t.planned && t.from <= until && t.until >= from-touchAfter {
+		if !t.planned && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
 			return true
 		}
 	}
--- /dev/null
+++ b/sim/worst_test.go
@@ -0,0 +1,193 @@
+package sim
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// fewSeeds is how many seeds play each day at one of the sites in turn; with more, each day is played at all of them.
+const fewSeeds = 2
+
+func TestWorstDays(t *testing.T) { playAll(t, WorstDays()) }
+
+func TestMarathon(t *testing.T) { playAll(t, []Day{Marathon()}) }
+
+func playAll(t *testing.T, days []Day) {
+	sites := Sites(FewMachines)
+	for i, d := range days {
+		if raced && i > 0 {
+			continue
+		}
+		t.Run(strings.ReplaceAll(d.Name, " ", "-"), func(t *testing.T) {
+			t.Parallel()
+			for k := range uint64(*seeds) {
+				seed := *first + k
+				for at, spec := range sites {
+					if *seeds <= fewSeeds && (uint64(i)+seed)%uint64(len(sites)) != uint64(at) {
+						continue
+					}
+					t.Run(fmt.Sprint(strings.Fields(spec.Shape.Name)[0], "/", seed), func(t *testing.T) {
+						t.Parallel()
+						play(t, d, spec, seed)
+					})
+				}
+			}
+		})
+	}
+}
+
+// TestMarathonIsLong counts what a marathon is made of, over some seeds: every kind of trouble, three at a time, 300 changes sent.
+func TestMarathonIsLong(t *testing.T) {
+	onCore, onNodes, onReplicas, plain := marathonKinds()
+	seen := map[string]int{}
+	for seed := range uint64(40) {
+		s := Marathon().Scenario(AtlasSite(), seed)
+		if s.Lasts < 110*time.Second || len(s.Faults) < 3*20 {
+			t.Errorf("seed %d: %s with %d troubles", seed, s.Lasts, len(s.Faults))
+		}
+		for _, f := range s.Faults {
+			seen[f.Kind]++
+		}
+	}
+	for _, kinds := range [][]string{onCore, onNodes, onReplicas, plain} {
+		for _, k := range kinds {
+			if seen[k] == 0 {
+				t.Errorf("%s never came", k)
+			}
+		}
+	}
+}
+
+func TestMarathonChangesHundreds(t *testing.T) {
+	if raced {
+		t.Skip("a world is one goroutine; the plain run covers it")
+	}
+	w := Run(Marathon().Scenario(TramitesSite(), *first))
+	r := w.Site()
+	if r.Puts < 300 || r.Reads < 500 || r.Repeats < 200 {
+		t.Errorf("%d changes were taken, %d reads answered, %d changes sent again", r.Puts, r.Reads, r.Repeats)
+	}
+}
+
+// quiet is a world whose operators can be asked directly, with two versions acknowledged and one that was only sent.
+func quiet(t *testing.T) (w *World, old, newest, sent *version) {
+	t.Helper()
+	w = New(Scenario{Seed: 1, Site: &[]SiteSpec{TramitesSite()}[0]})
+	make1 := func(revision, base uint64) *version {
+		c := w.site.spec.first()
+		c.Revision = revision
+		v := &version{revision: revision, base: base, doc: c, raw: writeDocument(c)}
+		w.site.rules.offered(v)
+		return v
+	}
+	old, newest, sent = make1(3, 0), make1(5, 3), make1(7, 5)
+	old.acked, newest.acked = 1, 2
+	old.seen, newest.seen = true, true
+	return w, old, newest, sent
+}
+
+func wantBreach(t *testing.T, w *World, what string) {
+	t.Helper()
+	var got []string
+	for _, b := range w.Audit.Breaches {
+		got = append(got, fmt.Sprint(b))
+	}
+	switch {
+	case what == "" && len(got) > 0:
+		t.Errorf("breaches: %v", got)
+	case what != "" && (len(got) != 1 || !strings.HasPrefix(got[0], what)):
+		t.Errorf("breaches %v, not %q", got, what)
+	}
+}
+
+func TestStaleReadIsSeen(t *testing.T) {
+	w, old, newest, sent := quiet(t)
+	ops := &w.site.ops
+	ops.found(w.Nodes[0], newest.raw, old)
+	ops.found(w.Nodes[0], sent.raw, newest)
+	wantBreach(t, w, "")
+	ops.found(w.Nodes[0], old.raw, newest)
+	wantBreach(t, w, RuleStale)
+}
+
+func TestRefusedThoughTakenIsSeen(t *testing.T) {
+	w, _, newest, _ := quiet(t)
+	w.site.ops.denied(&order{v: newest, base: 3}, w.Nodes[0])
+	wantBreach(t, w, RuleAgain)
+}
+
+func TestRefusedThenInForceIsSeen(t *testing.T) {
+	w, _, newest, sent := quiet(t)
+	rival := &version{revision: 8, base: 5, doc: sent.doc, raw: []byte("other")}
+	w.site.rules.offered(rival)
+	w.site.ops.denied(&order{v: sent, base: 5}, w.Nodes[0])
+	wantBreach(t, w, "")
+	w.site.ops.found(w.Nodes[0], sent.raw, newest)
+	wantBreach(t, w, RuleAgain)
+}
+
+func TestRefusedWithoutRivalIsSeen(t *testing.T) {
+	w, _, _, sent := quiet(t)
+	w.site.ops.denied(&order{v: sent, base: 5}, w.Nodes[0])
+	wantBreach(t, w, RuleDenies)
+}
+
+func TestRepeatRefusedIsSeen(t *testing.T) {
+	w, old, _, _ := quiet(t)
+	d := &order{v: old, again: true}
+	w.site.ops.settle(d, w.Nodes[0], acked)
+	w.site.ops.settle(d, w.Nodes[0], unclear)
+	wantBreach(t, w, "")
+	w.site.ops.settle(d, w.Nodes[0], refused)
+	wantBreach(t, w, RuleAgain)
+}
+
+func TestOneNumberTakenTwiceIsSeen(t *testing.T) {
+	w, _, newest, sent := quiet(t)
+	twin := &version{revision: 5, base: 3, doc: sent.doc, raw: []byte("twin")}
+	w.site.rules.offered(twin)
+	w.site.ops.settle(&order{v: twin, base: 3}, w.Nodes[0], acked)
+	if len(w.Audit.Breaches) == 0 {
+		t.Error("two changes of one number were taken unseen")
+	}
+	if w.site.rules.sent(5, []byte("neither")) || !w.site.rules.sent(5, newest.raw) {
+		t.Error("the document read back is not compared with the one acknowledged")
+	}
+}
+
+func TestEvacuationThatComesBackIsSeen(t *testing.T) {
+	w, _, newest, _ := quiet(t)
+	w.site.rules.reopened["a"] = true
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Body: newest.raw, Emptied: []string{"b"}}})
+	wantBreach(t, w, "")
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Body: newest.raw, Emptied: []string{"a"}}})
+	wantBreach(t, w, RuleKept)
+}
+
+// TestCoreTroublesWaitTheirTurn checks on a marathon that never more machines with a disk are struck than may be lost.
+func TestCoreTroublesWaitTheirTurn(t *testing.T) {
+	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{GrownAtlasSite(FewMachines)}[0]})
+	for _, n := range w.Nodes {
+		n.Alive = true
+	}
+	s := w.site
+	f := one(Freeze, 0, time.Second, AllCore)
+	if s.waits(&f) || len(f.On) != s.spec.Tolerate {
+		t.Fatalf("struck %v", f.On)
+	}
+	s.rules.harm(w.nodes(f.On), time.Second, false, false)
+	late := one(Freeze, 0, time.Second, AnyCore)
+	if !s.waits(&late) {
+		t.Errorf("struck %v while %v are lost", late.On, f.On)
+	}
+	w.now = time.Second + s.spec.Bounds.CatchUp + 1
+	next := one(Freeze, 0, time.Second, AnyCore)
+	if s.waits(&next) || len(next.On) != 1 {
+		t.Errorf("struck %v after the others are back", next.On)
+	}
+}
--- /dev/null
+++ b/sim/worstdays.go
@@ -0,0 +1,87 @@
+package sim
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// pressing are the orders that go on through a worst day: changes in quick succession, reads, evacuations and taken changes sent again.
+func pressing(s SiteSpec, rng *rand.Rand, from, until time.Duration) []Fault {
+	domain := s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]
+	return []Fault{
+		one(Rapid, from, until-from), one(Reads, from, until-from), one(Again, from+sec, until-from-sec), one(EvacTurns, from, until-from, domain),
+		one(SameNumber, from+2*sec, 3*sec), one(SameNumber, until-5*sec, 3*sec),
+	}
+}
+
+// drawn is one of some words.
+func drawn(rng *rand.Rand, words ...string) string { return words[rng.IntN(len(words))] }
+
+// WorstDays are days for the five things that went wrong on the control side, each under orders that never pause.
+func WorstDays() []Day {
+	return append(cutOffDays(), lossDays()...)
+}
+
+func cutOffDays() []Day {
+	const long = 20 * sec
+	ways := []string{CutCore, CutCoreOut, CutCoreIn, CutControl, CutOneWay, CutIn, CutNode}
+	return []Day{
+		{Name: "a control machine is cut off for 20 s", Lasts: 64 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := pressing(s, rng, 11*sec, 58*sec)
+			fs = append(fs, one(drawn(rng, ways...), 13*sec, long, AnyCore), one(drawn(rng, ways...), 35*sec, long, AllCore))
+			return append(fs, one(CutIn, 20*sec, long, some(rng, nodeNames(s.Shape)[len(disks(s)):], 2)...))
+		}},
+		{Name: "a control machine stands still for 20 s", Lasts: 64 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := pressing(s, rng, 11*sec, 58*sec)
+			fs = append(fs, one(Freeze, 13*sec, long, AnyCore), one(Freeze, 35*sec, long, AllCore))
+			for at := 14 * sec; at < 50*sec; at += 5 * sec {
+				fs = append(fs, one(Freeze, at, time.Duration(1500+rng.IntN(6000))*ms, some(rng, nodeNames(s.Shape)[len(disks(s)):], 3)...))
+			}
+			return fs
+		}},
+		{Name: "orders are repeated while acknowledgements are lost", Lasts: 60 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := pressing(s, rng, 11*sec, 50*sec)
+			fs = append(fs, one(AckLost, 12*sec, long), one(AckLost, 38*sec, 4*sec, "all"), one(SameNumber, 13*sec, long))
+			return append(fs, one(Power, 15*sec, 3*sec, AnyCore), one(Freeze, 24*sec, 4*sec, AnyCore), one(drawn(rng, ways...), 33*sec, 4*sec, AnyCore))
+		}},
+		{Name: "answers go to the wrong caller", Lasts: 50 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := []Fault{one(PutStorm, 12*sec, 30*sec)}
+			for i, how := range some(rng, []string{"late", "surplus", "reset", "silent", "junk", "cut"}, 4) {
+				fs = append(fs, one(Garble, time.Duration(11+8*i)*sec, 8*sec, how))
+			}
+			for at := 12 * sec; at < 40*sec; at += 4 * sec {
+				offer := s.Offers[rng.IntN(len(s.Offers))].Name
+				fs = append(fs, one(RepFreeze, at, time.Duration(500+rng.IntN(5000))*ms, offer), one(RepBlink, at+sec, 30*ms, offer))
+				fs = append(fs, one(Freeze, at+2*sec, time.Duration(300+rng.IntN(3500))*ms, some(rng, nodeNames(s.Shape), 1)...))
+			}
+			return append(fs, one(RepFreeze, 14*sec, long, s.Offers[0].Name), one(Freeze, 15*sec, long, some(rng, nodeNames(s.Shape), 1)...))
+		}},
+	}
+}
+
+// lossAndMore closes a day: as many disks as may be lost are, and at times all others lose power.
+func lossAndMore(_ SiteSpec, rng *rand.Rand, _ string) []Fault {
+	fs := []Fault{one(Wipe, 0, sec, AllCore)}
+	if rng.IntN(2) == 0 {
+		return append(fs, one(AllDown, ms, sec))
+	}
+	return fs
+}
+
+func lossDays() []Day {
+	return []Day{
+		{Name: "a second loss right after a repair", Lasts: 66 * sec, Close: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := pressing(s, rng, 11*sec, 60*sec)
+			for i := range 12 {
+				kind := drawn(rng, Wipe, Move, Retire, Power, Wipe, Kill, OldDisk)
+				fs = append(fs, one(kind, 12*sec+time.Duration(i)*ms, time.Duration(300+rng.IntN(2000))*ms, AnyCore))
+			}
+			return fs
+		}},
+		{Name: "a member returns after hundreds of changes", Lasts: 62 * sec, Close: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := pressing(s, rng, 11*sec, 56*sec)
+			fs = append(fs, one(Kill, 12*sec, 25*sec, AnyCore), one(OldDisk, 11500*ms, 30*sec, AnyCore))
+			return append(fs, one(Wipe, 38*sec, sec, AnyCore), one(Power, 40*sec, sec, AnyCore), one(Wipe, 42*sec, sec, AllCore))
+		}},
+	}
+}
