--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -114,6 +114,19 @@
 	}
 }
 
+func TestStateFieldsExist(t *testing.T) {
+	for machine, fields := range stateFields {
+		for name := range fields {
+			if _, ok := machine.FieldByName(name); !ok {
+				t.Errorf("%s has no field %s", machine, name)
+			}
+		}
+	}
+	if len(stateFields) != 3 {
+		t.Errorf("%d state machines are divided, want the control node, the router and its scheduler", len(stateFields))
+	}
+}
+
 func TestPaddedConfigurationsAreTaken(t *testing.T) {
 	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, Changes: 1, Warm: 12 * time.Second, Lasts: 4 * time.Second, Seed: 1,
 		Clock: func() (t time.Duration) { return 0 }}
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -3,7 +3,6 @@
 
 import (
 	"reflect"
-	"strings"
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
@@ -11,6 +10,7 @@
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/scheduler"
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
@@ -152,41 +152,50 @@
 	return Other
 }
 
-// fields says which mechanism a field of the two machines is state of; what is not named is Other.
-var fields = map[string]Mechanism{
-	"crux.Node.Kin": Watching, "crux.Node.Rumor": Digests, "crux.Node.prop": Register, "crux.Node.voter": Register, "crux.Node.value": Config,
-	"crux.Node.pic": Config, "crux.Node.where": Config, "crux.Node.grants": Claims, "crux.Node.hold": Claims, "crux.Node.duties": Usage,
-	"crux.Node.sights": Probes, "crux.Node.told": Listings, "crux.Node.lists": Listings, "crux.Node.witness": Witnesses, "crux.Node.routers": Division,
-	"mallowbridge.Router.pic": Config, "mallowbridge.Router.offers": Config, "mallowbridge.Router.kinds": Config,
-	"mallowbridge.Router.reps": Config, "mallowbridge.Router.seats": Config, "mallowbridge.Router.asks": Requests,
-	"mallowbridge.Router.names": Requests, "mallowbridge.Router.once": Requests,
-	"bid.Market.Index": Index, "bid.Market.Asks": Requests, "bid.Market.Offers": Config, "bid.Market.Reps": Usage,
-	"bid.Market.routers": Division, "bid.Market.rows": Division, "bid.Market.divs": Division, "bid.Market.waiting": Requests,
+// stateFields says which mechanism a field of the state machines is state of; fields that are not named count for Other. Types are
+// named by the compiler and TestStateFieldsExist checks the fields, so that a rename cannot move state to Other unseen.
+var stateFields = map[reflect.Type]map[string]Mechanism{
+	reflect.TypeFor[control.Node](): {
+		"Members": Watching, "Gossip": Digests, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config,
+		"where": Config, "grantor": Claims, "leases": Claims, "tasks": Usage, "sights": Probes, "platformStates": Listings,
+		"replicaList": Listings, "witness": Witnesses, "routers": Division,
+	},
+	reflect.TypeFor[mallowbridge.Router](): {
+		"pic": Config, "offers": Config, "kinds": Config, "reps": Config, "seats": Config, "asks": Requests, "names": Requests, "once": Requests,
+	},
+	reflect.TypeFor[scheduler.Market](): {
+		"Index": Index, "Asks": Requests, "Offers": Config, "Reps": Usage, "routers": Division, "rows": Division, "divs": Division,
+		"waiting": Requests,
+	},
 }
 
 // State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
 func State(n *sim.HollowNode) (bytes map[Mechanism]uint64) {
 	bytes = map[Mechanism]uint64{}
 	w := newWalk()
-	parts := []reflect.Value{reflect.ValueOf(n.Control).Elem(), reflect.ValueOf(n.Router).Elem()}
-	for len(parts) > 0 {
-		v := parts[0]
-		parts = parts[1:]
-		if !v.IsValid() {
+	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
+		w.addState(bytes, machine)
+	}
+	return bytes
+}
+
+// addState adds the state that a pointer to a state machine holds; a machine inside it is divided by its own fields.
+func (w *walk) addState(bytes map[Mechanism]uint64, machine reflect.Value) {
+	if machine.IsNil() {
+		return
+	}
+	v := machine.Elem()
+	fields := stateFields[v.Type()]
+	for i := range v.NumField() {
+		f := v.Type().Field(i)
+		if f.Type.Kind() == reflect.Pointer && stateFields[f.Type.Elem()] != nil {
+			w.addState(bytes, v.Field(i))
 			continue
 		}
-		for i := range v.NumField() {
-			f := v.Type().Field(i)
-			if f.Type.Kind() == reflect.Pointer && strings.HasSuffix(f.Type.String(), "bid.Market") {
-				parts = append(parts, v.Field(i).Elem())
-				continue
-			}
-			m, known := fields[v.Type().String()+"."+f.Name]
-			if !known {
-				m = Other
-			}
-			bytes[m] += uint64(f.Type.Size()) + w.beyond(v.Field(i))
+		m, known := fields[f.Name]
+		if !known {
+			m = Other
 		}
+		bytes[m] += uint64(f.Type.Size()) + w.beyond(v.Field(i))
 	}
-	return bytes
 }
