--- /dev/null
+++ b/ledger/check.go
@@ -0,0 +1,181 @@
+package ledger
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Breach is a promise that the ledgers show to be broken.
+type Breach struct {
+	// What is one of the constants below.
+	What    string `json:"what"`
+	Request string `json:"request"`
+	Detail  string `json:"detail"`
+}
+
+func (b Breach) String() (s string) { return b.What + ": " + b.Request + ": " + b.Detail }
+
+// The kinds of breaches.
+const (
+	// RanTwice: a request that may not be repeated was run more than once.
+	RanTwice = "ran twice"
+	// DeniedRan: a request that was called not run was run.
+	DeniedRan = "denied and ran"
+	// Mixed: a piece belongs to another request.
+	Mixed = "another's answer"
+	// Spliced: an answer has pieces of two attempts.
+	Spliced = "two runs spliced"
+	// Gap: a piece is missing or there twice.
+	Gap = "piece lost or repeated"
+	// Truncated: an answer that is called whole lacks pieces.
+	Truncated = "partial that looks complete"
+	// Unrun: an answer that is called whole has no run.
+	Unrun = "done without a run"
+	// Reused: two runs have one attempt id.
+	Reused = "one id for two gos"
+)
+
+// runs are all runs of one request.
+type runs struct {
+	begun []Ran
+	// done is how many pieces each finished attempt has.
+	done map[string]int
+}
+
+func (x *runs) attempts() (ids []string) {
+	for _, r := range x.begun {
+		ids = append(ids, r.Go)
+	}
+	return ids
+}
+
+// attemptsOf picks the attempts of one boot of a node within a time; attempt ids begin with both.
+func (x *runs) attemptsOf(node string, from, until int64) (ids []string) {
+	if node == "" {
+		return nil
+	}
+	for _, r := range x.begun {
+		if strings.HasPrefix(r.Go, node+".") && r.AtMs >= from && r.AtMs < until {
+			ids = append(ids, r.Go)
+		}
+	}
+	return ids
+}
+
+type runsByRequest map[string]*runs
+
+func (all runsByRequest) of(request string) (x *runs) {
+	if all[request] == nil {
+		all[request] = &runs{done: map[string]int{}}
+	}
+	return all[request]
+}
+
+// Check compares the ledgers of replicas and clients and gives every breach, those of attempt ids first, then by request.
+func Check(ran []Ran, got []Got) (breaches []Breach) {
+	all, breaches := collect(ran)
+	asked := map[string][]Got{}
+	for _, g := range got {
+		asked[g.Request] = append(asked[g.Request], g)
+	}
+	for _, request := range slices.Sorted(maps.Keys(asked)) {
+		x := all.of(request)
+		slices.SortStableFunc(asked[request], func(a, b Got) int { return cmp.Compare(a.AtMs, b.AtMs) })
+		breaches = append(breaches, checkRejections(request, x, asked[request])...)
+		for _, g := range asked[request] {
+			if b, bad := checkAnswer(g, x); bad {
+				breaches = append(breaches, b)
+			}
+		}
+	}
+	return breaches
+}
+
+func collect(ran []Ran) (all runsByRequest, breaches []Breach) {
+	all = runsByRequest{}
+	requestOf := map[string]string{}
+	for _, r := range ran {
+		x := all.of(r.Request)
+		switch r.Event {
+		case EventBegun:
+			if other, twice := requestOf[r.Go]; twice {
+				breaches = append(breaches, Breach{What: Reused, Request: r.Request, Detail: r.Go + ", before for " + other})
+			}
+			requestOf[r.Go] = r.Request
+			x.begun = append(x.begun, r)
+		case EventDone:
+			x.done[r.Go] = r.Pieces
+		}
+	}
+	return all, breaches
+}
+
+func notRun(g Got) (yes bool) { return g.Outcome == outcomeDenied || g.Outcome == outcomeBad }
+
+// checkRejections holds what clients were told against what ran. A rejection speaks for one sending at one node: no attempt of that
+// node may follow it before the next sending, and where the request may not be repeated none may have gone before.
+func checkRejections(request string, x *runs, gots []Got) (bs []Breach) {
+	if !gots[0].Repeatable && len(x.begun) > 1 {
+		bs = append(bs, Breach{What: RanTwice, Request: request, Detail: strings.Join(x.attempts(), " ")})
+	}
+	mayHaveRun := slices.ContainsFunc(gots, func(g Got) bool { return !notRun(g) && g.Outcome != outcomeRepeat })
+	if !mayHaveRun && len(x.begun) > 0 {
+		return append(bs, Breach{What: DeniedRan, Request: request, Detail: strings.Join(x.attempts(), " ")})
+	}
+	for i, g := range gots {
+		if !notRun(g) {
+			continue
+		}
+		from := g.AtMs
+		if !g.Repeatable {
+			from = math.MinInt64
+		}
+		if ids := x.attemptsOf(g.Node, from, nextSending(g.Node, gots[i+1:])); len(ids) > 0 {
+			bs = append(bs, Breach{What: DeniedRan, Request: request, Detail: "by " + g.Node + ": " + strings.Join(ids, " ")})
+		}
+	}
+	return bs
+}
+
+func nextSending(node string, later []Got) (atMs int64) {
+	for _, next := range later {
+		if next.Node == node {
+			return next.AtMs
+		}
+	}
+	return math.MaxInt64
+}
+
+// checkAnswer reads an answer's pieces, which must be those of one attempt in order, and all of them where it is called whole.
+func checkAnswer(g Got, x *runs) (b Breach, bad bool) {
+	attempt := ""
+	for i, p := range g.Pieces {
+		f := strings.Split(p, "|")
+		if len(f) != 3 || f[0] != g.Request {
+			return Breach{What: Mixed, Request: g.Request, Detail: p}, true
+		}
+		if attempt != "" && f[1] != attempt {
+			return Breach{What: Spliced, Request: g.Request, Detail: attempt + " and " + f[1]}, true
+		}
+		attempt = f[1]
+		if f[2] != strconv.Itoa(i) {
+			return Breach{What: Gap, Request: g.Request, Detail: fmt.Sprintf("piece %d says %s", i, f[2])}, true
+		}
+	}
+	if g.Outcome != outcomeDone {
+		return b, false
+	}
+	n, ok := x.done[attempt]
+	switch {
+	case !ok && len(g.Pieces) > 0 && slices.Contains(x.attempts(), attempt), ok && n != len(g.Pieces):
+		return Breach{What: Truncated, Request: g.Request, Detail: fmt.Sprintf("%d pieces of %d", len(g.Pieces), n)}, true
+	case !ok:
+		return Breach{What: Unrun, Request: g.Request, Detail: "attempt " + strconv.Quote(attempt)}, true
+	}
+	return b, false
+}
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -13,17 +13,24 @@
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
+// outcomeLost is what a client notes of a request that it heard nothing of.
+const outcomeLost = "lost"
+
+// Agent is a client of the product's own interface that sends generated requests to nodes in turn.
 type Agent struct {
+	// Nodes are the nodes' HTTP addresses, host:port.
 	Nodes  []string
 	Client *http.Client
 }
 
+// NewAgent gives a client that keeps connections to the nodes.
 func NewAgent(nodes []string) (a *Agent) {
 	return &Agent{Nodes: nodes, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
+// Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
 func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) (g ledger.Got) {
-	g = ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: "lost"}
+	g = ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Kind.Offer+"/"+k.Kind.Name, strings.NewReader(body))
 	if err != nil {
@@ -44,7 +51,7 @@
 	if resp.StatusCode != http.StatusOK {
 		g.Outcome = resp.Header.Get("X-Outcome")
 		if g.Outcome == "" {
-			g.Outcome = "lost"
+			g.Outcome = outcomeLost
 		}
 		return g
 	}
@@ -71,6 +78,8 @@
 	return g
 }
 
+// Run sends n requests at the times that the source gives them, to the nodes in turn, and has took called with each outcome, one at
+// a time. When the context ends, the rest is sent at once and fails.
 func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, took func(g ledger.Got)) {
 	start := time.Now()
 	out := make(chan ledger.Got)
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -18,7 +18,10 @@
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
+// Fault is what a replica is told to do wrong, by POST /faults.
 type Fault struct {
+	// Dark: it answers nothing. Leaving: it says that it leaves. CutAt breaks a run off: when it is "read", "begun", or at a "piece",
+	// the one after CutAfter. Twist spoils piece CutAfter: "go", "instance", "skip" or "end". Times: for so many runs; 0: for all.
 	Dark     bool   `json:"dark"`
 	Leaving  bool   `json:"leaving"`
 	CutAt    string `json:"cutAt"`
@@ -27,22 +30,31 @@
 	Times    int    `json:"times"`
 }
 
+const (
+	// maxBody bounds the request bodies that are read, in bytes; bytesPerToken reckons their tokens.
+	maxBody       = 8 << 20
+	bytesPerToken = 4
+)
+
+// A job is run by the goroutine that owns the replica.
 type job func(r *Replica)
 
+// Replica is a stand-in model replica behind HTTP. One goroutine owns its simulated engine.
 type Replica struct {
 	t      *tomb.Tomb
 	name   string
-	prompt string
+	model  string
 	clock  func() time.Duration
-	model  *sim.Replica
+	engine *sim.Replica
 	fault  Fault
 	runs   *json.Encoder
 	jobs   chan job
 }
 
-func NewReplica(t *tomb.Tomb, name, prompt, instance string, m sim.Model, runs io.Writer, clock func() time.Duration) (r *Replica) {
+// NewReplica starts a replica that writes its ledger to runs. model names the model that prompts are hashed with.
+func NewReplica(t *tomb.Tomb, name, model, instance string, engine sim.Model, runs io.Writer, clock func() time.Duration) (r *Replica) {
 	r = &Replica{
-		t: t, name: name, prompt: prompt, clock: clock, model: sim.NewReplica(m, instance, clock()),
+		t: t, name: name, model: model, clock: clock, engine: sim.NewReplica(engine, instance, clock()),
 		runs: json.NewEncoder(runs), jobs: make(chan job),
 	}
 	t.Go(func() error {
@@ -69,6 +81,7 @@
 	}
 }
 
+// Serve answers POST /v1/run, GET /v1/usage and POST /faults on the listener until the tomb dies.
 func (r *Replica) Serve(lis net.Listener) (srv *http.Server) {
 	mux := bunrouter.New()
 	mux.POST("/v1/run", r.run)
@@ -90,9 +103,9 @@
 	var out map[string]any
 	dark := false
 	r.do(func(r *Replica) {
-		n, lag := r.model.Usage(r.clock())
+		n, lag := r.engine.Usage(r.clock())
 		dark = r.fault.Dark
-		out = map[string]any{"instanceId": r.model.Instance, "running": n, "leaving": r.fault.Leaving, "lagMs": lag.Milliseconds()}
+		out = map[string]any{"instanceId": r.engine.Instance, "running": n, "leaving": r.fault.Leaving, "lagMs": lag.Milliseconds()}
 	})
 	if dark {
 		<-req.Context().Done()
@@ -115,10 +128,11 @@
 
 func (r *Replica) note(event, request, id string, n int) {
 	_ = r.runs.Encode(ledger.Ran{
-		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.model.Instance, Request: request, Go: id, Event: event, Pieces: n,
+		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.engine.Instance, Request: request, Go: id, Event: event, Pieces: n,
 	})
 }
 
+// start is how a run begins: admitted or not, and with which fault.
 type start struct {
 	plan  sim.Plan
 	ok    bool
@@ -126,32 +140,16 @@
 }
 
 func (r *Replica) run(w http.ResponseWriter, req bunrouter.Request) (err error) {
-	id, request := req.Header.Get("X-Request-Attempt-Id"), req.Header.Get("X-Request-Id")
-	body, _ := io.ReadAll(io.LimitReader(req.Body, 8<<20))
-	parts, err := prefixindex.Parse(r.prompt, req.Header.Get("X-Prompt-Prefix"))
-	w.Header().Set("X-Request-Attempt-Id", id)
+	attempt, request := req.Header.Get("X-Request-Attempt-Id"), req.Header.Get("X-Request-Id")
+	body, _ := io.ReadAll(io.LimitReader(req.Body, maxBody))
+	parts, err := prefixindex.Parse(r.model, req.Header.Get("X-Prompt-Prefix"))
+	w.Header().Set("X-Request-Attempt-Id", attempt)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return nil
 	}
 	var s start
-	r.do(func(r *Replica) {
-		s.fault = r.fault
-		if s.fault.Times > 0 {
-			if r.fault.Times--; r.fault.Times == 0 {
-				r.fault = Fault{}
-			}
-		}
-		if s.fault.CutAt == "read" {
-			return
-		}
-		s.plan, s.ok = r.model.Admit(r.clock(), id, parts, len(body)/4)
-		if !s.ok {
-			r.note("refused", request, id, 0)
-			return
-		}
-		r.note("begun", request, id, 0)
-	})
+	r.do(func(r *Replica) { s = r.begin(request, attempt, parts, len(body)/bytesPerToken) })
 	if s.fault.CutAt == "read" {
 		panic(http.ErrAbortHandler)
 	}
@@ -159,8 +157,28 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return nil
 	}
-	defer r.do(func(r *Replica) { r.model.Release(r.clock(), id) })
-	return r.stream(w, req, s, request, id)
+	defer r.do(func(r *Replica) { r.engine.Release(r.clock(), attempt) })
+	return r.stream(w, req, s, request, attempt)
+}
+
+// begin admits a run, unless the replica is full or told to break off before.
+func (r *Replica) begin(request, attempt string, parts []prefixindex.Part, tail int) (s start) {
+	s.fault = r.fault
+	if s.fault.Times > 0 {
+		if r.fault.Times--; r.fault.Times == 0 {
+			r.fault = Fault{}
+		}
+	}
+	if s.fault.CutAt == "read" {
+		return s
+	}
+	s.plan, s.ok = r.engine.Admit(r.clock(), attempt, parts, tail)
+	if !s.ok {
+		r.note("refused", request, attempt, 0)
+		return s
+	}
+	r.note(ledger.EventBegun, request, attempt, 0)
+	return s
 }
 
 func (r *Replica) stream(w http.ResponseWriter, req bunrouter.Request, s start, request, id string) (err error) {
@@ -178,7 +196,7 @@
 		if s.fault.CutAt == "piece" && i == s.fault.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		l := mallowbridge.Line{Go: id, InstanceID: r.model.Instance, Piece: &i, Text: ledger.Piece(request, id, i)}
+		l := mallowbridge.Line{Go: id, InstanceID: r.engine.Instance, Piece: &i, Text: ledger.Piece(request, id, i)}
 		if i == s.fault.CutAfter {
 			twist(s.fault.Twist, &l)
 		}
@@ -190,8 +208,8 @@
 			return nil
 		}
 	}
-	r.do(func(r *Replica) { r.note("done", request, id, s.plan.Pieces) })
-	return enc.Encode(mallowbridge.Line{Go: id, InstanceID: r.model.Instance, End: true, Pieces: s.plan.Pieces})
+	r.do(func(r *Replica) { r.note(ledger.EventDone, request, id, s.plan.Pieces) })
+	return enc.Encode(mallowbridge.Line{Go: id, InstanceID: r.engine.Instance, End: true, Pieces: s.plan.Pieces})
 }
 
 func twist(how string, l *mallowbridge.Line) {
@@ -219,6 +237,7 @@
 	}
 }
 
+// Ledger opens a ledger for appending; an empty path gives one that keeps nothing.
 func Ledger(path string) (w io.Writer, err error) {
 	if path == "" {
 		return io.Discard, nil
