--- a/control/join.go
+++ b/control/join.go
@@ -84,7 +84,7 @@
 // noticeFreeze starts over at the first input after a pause, before that is taken in: it may have lain in a socket since before the
 // pause, as may the answers to a read.
 func (n *Node) noticeFreeze(now time.Duration) {
-	if pause := now - n.inputAt; n.inputAt > 0 && pause > n.config.Membership.Gap {
+	if pause := now - n.inputAt; n.inputAt > 0 && pause > n.config.Membership.PauseGap {
 		n.rejoin(now, fmt.Sprintf("%s without an input", pause))
 	}
 	n.inputAt = now
--- a/control/node.go
+++ b/control/node.go
@@ -147,7 +147,7 @@
 		n.tick(now)
 	}
 	n.flush(now)
-	if n.feedAt > 0 && now-n.feedAt <= n.config.Membership.Gap && n.notServingReason(now) != n.notServing {
+	if n.feedAt > 0 && now-n.feedAt <= n.config.Membership.PauseGap && n.notServingReason(now) != n.notServing {
 		n.tell(now)
 	}
 	return out
@@ -169,7 +169,7 @@
 }
 
 func (n *Node) tick(now time.Duration) {
-	if now-n.feedAt > n.config.Membership.Gap && n.feedAt > 0 && n.joined {
+	if now-n.feedAt > n.config.Membership.PauseGap && n.feedAt > 0 && n.joined {
 		n.rejoin(now, fmt.Sprintf("%s without a tick", now-n.feedAt))
 	}
 	n.proposer.Tick(now)
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,8 +6,11 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
+// State is what a member is held to be. Its numbers are part of the format between nodes; a higher one goes before a lower at the
+// same incarnation.
 type State uint8
 
+// The states of a member.
 const (
 	Alive State = iota
 	Suspect
@@ -19,32 +22,41 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
+// Member is a node of the fleet as gossip carries it. Its field names are part of the format between nodes and of the status, and stay:
+// Domain is the member's zone, Inc its incarnation, Unfit says that its disk failed or that it is degraded otherwise.
 type Member struct {
-	Name   string `json:"name"`
+	Name string `json:"name"`
+	// Addr is where other nodes reach it, HTTP where clients do, both host:port.
 	Addr   string `json:"addr"`
 	HTTP   string `json:"http"`
 	Domain string `json:"domain"`
-	Disk   string `json:"disk,omitempty"`
-	Inc    uint64 `json:"incarnation"`
-	State  State  `json:"-"`
-	Build  uint32 `json:"build"`
-	Libs   int    `json:"libs"`
-	Unfit  bool   `json:"unfit,omitempty"`
+	// Disk is the random id of its disk, empty where it has none.
+	Disk  string `json:"disk,omitempty"`
+	Inc   uint64 `json:"incarnation"`
+	State State  `json:"-"`
+	// Build is the number of its message formats, Libs how many embedded routers follow it.
+	Build uint32 `json:"build"`
+	Libs  int    `json:"libs"`
+	Unfit bool   `json:"unfit,omitempty"`
 	// Retiring says that the process was told to end: it still votes, but gives its seat away where it can.
 	Retiring bool `json:"retiring,omitempty"`
 }
 
+// Live tells that the member counts as present.
 func (m Member) Live() (yes bool) { return m.State == Alive || m.State == Suspect }
 
+// Newer tells that m replaces o: by incarnation, then by state.
 func (m Member) Newer(o Member) (yes bool) {
 	return m.Inc > o.Inc || (m.Inc == o.Inc && m.State > o.State)
 }
 
+// watchersInZone and watchersElsewhere are how many members watch each, of its own zone and of others.
 const (
-	watchNear = 2
-	watchFar  = 2
+	watchersInZone    = 2
+	watchersElsewhere = 2
 )
 
+// Watchers names the live members that watch the target: the first by rendezvous hashing in its zone and elsewhere.
 func Watchers(target Member, all []Member) (names []string) {
 	var near, far []string
 	for _, m := range all {
@@ -57,8 +69,8 @@
 		}
 	}
 	near, far = scheduler.Nearest(target.Name, near), scheduler.Nearest(target.Name, far)
-	names = append(names, near[:min(watchNear, len(near))]...)
-	return append(names, far[:min(watchFar, len(far))]...)
+	names = append(names, near[:min(watchersInZone, len(near))]...)
+	return append(names, far[:min(watchersElsewhere, len(far))]...)
 }
 
 // watches tells whether by is among the watchers of target, without ranking all the others.
@@ -66,9 +78,9 @@
 	if by.Name == target.Name || !by.Live() {
 		return false
 	}
-	most := watchFar
+	most := watchersElsewhere
 	if by.Domain == target.Domain {
-		most = watchNear
+		most = watchersInZone
 	}
 	mine, above := scheduler.Rank(target.Name, by.Name), 0
 	for _, m := range all {
@@ -84,6 +96,7 @@
 	return true
 }
 
+// Table holds the members by name. Its rows are not to be changed.
 type Table struct {
 	rows   map[string]Member
 	sorted []Member
@@ -99,11 +112,13 @@
 // Rev changes whenever the table does.
 func (t *Table) Rev() (rev uint64) { return t.rev }
 
+// Get gives a member by its name.
 func (t *Table) Get(name string) (m Member, ok bool) {
 	m, ok = t.rows[name]
 	return m, ok
 }
 
+// All gives the members by name; the slice is shared until the table changes.
 func (t *Table) All() (ms []Member) {
 	if t.sorted != nil {
 		return t.sorted
--- a/membership/overdue.go
+++ b/membership/probe.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-func (k *Detector) overdue(now time.Duration, all []Member) (sends []Send) {
+// checkProbes asks helpers about pings that stay unanswered, and suspects members that do not answer those either.
+func (k *Detector) checkProbes(now time.Duration, all []Member) (sends []Send) {
 	for _, seq := range slices.Sorted(maps.Keys(k.probes)) {
 		p := k.probes[seq]
 		m := k.Table.rows[p.target]
-		if !p.helped && now-p.sent >= k.cfg.Direct {
-			p.helped = true
+		if !p.indirect && now-p.sentAt >= k.cfg.DirectTimeout {
+			p.indirect = true
 			for _, h := range k.helpers(all, p.target) {
 				sends = append(sends, Send{To: h.Addr, Msg: PingFor{Seq: seq, Addr: m.Addr, Name: m.Name}})
 			}
 		}
-		if now-p.sent < k.cfg.Direct+k.cfg.Via {
+		if now-p.sentAt < k.cfg.DirectTimeout+k.cfg.IndirectTimeout {
 			continue
 		}
 		delete(k.probes, seq)
@@ -26,13 +27,14 @@
 		}
 	}
 	for seq, r := range k.relays {
-		if now-r.born > 5*time.Second {
+		if now-r.receivedAt > relayFor {
 			delete(k.relays, seq)
 		}
 	}
 	return sends
 }
 
+// helpers draws members to ping the target.
 func (k *Detector) helpers(all []Member, target string) (ms []Member) {
 	for _, m := range all {
 		if m.State == Alive && m.Name != k.Self.Name && m.Name != target {
