--- a/config/config.go
+++ b/config/config.go
@@ -6,55 +6,82 @@
 	"time"
 )
 
+// MaxBytes is the longest document that is taken.
 const MaxBytes = 1 << 20
 
+const (
+	maxName     = 64
+	maxOffers   = 256
+	maxReplicas = 4096
+	maxKinds    = 64
+)
+
+// The types below are sent between nodes by gob and kept on disk in a Snapshot, so that their field names are part of the format
+// and stay: an Offer is a service, a Kind a class of requests, Domain a zone, SecondShare and SecondPlus bound retries, Mark is a
+// version, Charter the configuration, Emptied the evacuated zones.
+
+// Replica is a replica that the document names.
 type Replica struct {
+	// Addr is an IP address and port; Role is "both", "prefill" or "decode".
 	Name, Addr, Domain, Role string
-	Room                     int
+	// Room is how many requests it runs at once.
+	Room int
 }
 
+// Kind is a class of requests to a service.
 type Kind struct {
-	Name       string
-	Value      float64
-	Urgency    float64
+	Name string
+	// Value and Urgency multiply the priority of its requests.
+	Value   float64
+	Urgency float64
+	// FirstToken is the aim for the first token, from the arrival.
 	FirstToken time.Duration
 	Repeatable bool
 }
 
+// Offer is a service: a model, its replicas and what they have in common.
 type Offer struct {
 	Name, Model string
 	Replicas    []Replica
 	Kinds       []Kind
-	ColdRoom    int
-	ColdRamp    time.Duration
+	// ColdRoom is how many requests a new replica bears at first; that grows to its room over ColdRamp.
+	ColdRoom int
+	ColdRamp time.Duration
+	// SecondShare is the most retries a first attempt, SecondPlus the most in hand beyond, over the fleet.
 	SecondShare float64
 	SecondPlus  int
-	StaleCap    time.Duration
-	Base        time.Duration
-	PerToken    time.Duration
-	KeepTokens  int
-	CrossCost   float64
+	// StaleCap bounds how long a predicted holding is trusted.
+	StaleCap time.Duration
+	// Base and PerToken estimate the time to the first token of an idle replica.
+	Base     time.Duration
+	PerToken time.Duration
+	// KeepTokens is how many tokens a replica's prefix cache keeps.
+	KeepTokens int
+	// CrossCost is added for replicas of other zones, in units of FirstToken.
+	CrossCost float64
 
 	// Discovered: the replicas come from the platform's list (Roster), none stand in the document.
 	Discovered bool
 	// Queues: replicas queue what is beyond their room and tell their load, so room is not divided among routers.
-	Queues   bool
-	Health   string
+	Queues bool
+	// Health is the path of a replica's health check as the document names it; nothing asks it.
+	Health string
+	// MaxConns is the most connections that a replica bears; 0: no bound.
 	MaxConns int
-	// ColdRate is how many requests a second a cold replica bears from all routers together; 0: no bound.
+	// ColdRate is how many requests a second a cold replica bears from all routers together; 0: no bound. It is cold for ColdFor.
 	ColdRate float64
 	ColdFor  time.Duration
 	// Stride is how many tokens a piece of a stream may hold; 0 where replicas do not batch.
 	Stride int
 }
 
-// Split sends a part of a route's requests to an offer.
+// WeightedOffer gives a service a part of a route's requests; weights are relative to each other.
 type WeightedOffer struct {
 	Offer  string
 	Weight float64
 }
 
-// A Route takes requests by host and longest path prefix to offers.
+// A Route takes requests by host and longest path prefix to services.
 type Route struct {
 	Name, Host, Prefix string
 	Split              []WeightedOffer
@@ -68,30 +95,34 @@
 	Rank int
 }
 
-// Limits bound what a user agent may send and how long it may take. Zero leaves the daemon's own bound.
+// Limits bound what a client may send and how long it may take. Zero leaves the daemon's own bound.
 type Limits struct {
 	HeaderBytes, BodyBytes int
 	Header, Idle           time.Duration
 }
 
+// Config is a whole document, read and checked. It is immutable.
 type Config struct {
-	Offers       []Offer
-	Routes       []Route
-	Limits       Limits
+	Offers []Offer
+	Routes []Route
+	Limits Limits
+	// ReplaceVoter is how long a voter must be lost until another takes its place; 0: never by itself.
 	ReplaceVoter time.Duration
 	// Revision is the operators' own number for the document; 0 where they give none.
 	Revision uint64
 }
 
-// A Reader reads and checks an operators' document; Read is the product's own.
+// A Reader reads and checks an operators' document; Read is the product's own. Flaws of the document are an *InvalidError.
 type Reader func(raw []byte) (c Config, err error)
 
+// Snapshot is a whole configuration at one version (Mark), as agreed upon. It is immutable; the control node gives it to routers.
 type Snapshot struct {
 	Mark    uint64
 	Charter Config
 	Emptied []string
 }
 
+// Evacuated tells whether a zone is to get no requests.
 func (p *Snapshot) Evacuated(domain string) (yes bool) {
 	for _, d := range p.Emptied {
 		if d == domain {
@@ -101,12 +132,12 @@
 	return false
 }
 
-const name = 64
-
+// ms reads a number of milliseconds.
 func ms(d *Decoder, key string, def, min, max int) (t time.Duration) {
 	return time.Duration(d.Int(key, def, min, max)) * time.Millisecond
 }
 
+// Read reads the product's own JSON document; the error is an *InvalidError with every flaw.
 func Read(raw []byte) (c Config, err error) {
 	if len(raw) > MaxBytes {
 		return c, flawed("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxBytes))
@@ -117,7 +148,7 @@
 	}
 	c.ReplaceVoter = ms(d, "replaceLostVoterMs", 0, 0, 86400000)
 	offers, reps := map[string]bool{}, map[string]bool{}
-	for _, o := range d.List("offers", 1, 256) {
+	for _, o := range d.List("offers", 1, maxOffers) {
 		c.Offers = append(c.Offers, readOffer(o, offers, reps))
 	}
 	d.Close()
@@ -129,26 +160,17 @@
 
 func readOffer(d *Decoder, offers, reps map[string]bool) (o Offer) {
 	o.Name = unique(d, "name", offers)
-	o.Model = d.Str("model", true, name)
-	for _, r := range d.List("replicas", 1, 4096) {
+	o.Model = d.Str("model", true, maxName)
+	for _, r := range d.List("replicas", 1, maxReplicas) {
 		o.Replicas = append(o.Replicas, readReplica(r, reps))
 	}
 	kinds := map[string]bool{}
-	for _, k := range d.List("kinds", 1, 64) {
+	for _, k := range d.List("kinds", 1, maxKinds) {
 		o.Kinds = append(o.Kinds, readKind(k, kinds))
 	}
-	cold := d.Sub("cold")
-	o.ColdRoom = cold.Int("startRoom", 1, 1, 1024)
-	o.ColdRamp = ms(cold, "rampMs", 6000, 0, 600000)
-	cold.Close()
-	second := d.Sub("secondGo")
-	o.SecondShare = second.Num("share", 0.2, 0, 0.2)
-	o.SecondPlus = second.Int("allowance", 24, 0, 48)
-	second.Close()
-	est := d.Sub("estimate")
-	o.Base = ms(est, "baseMs", 60, 0, 60000)
-	o.PerToken = time.Duration(est.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
-	est.Close()
+	readWarmUp(d.Sub("cold"), &o)
+	readRetries(d.Sub("secondGo"), &o)
+	readEstimate(d.Sub("estimate"), &o)
 	o.StaleCap = ms(d, "staleCapMs", 2000, 100, 2000)
 	o.KeepTokens = d.Int("keepTokens", 65536, 0, 1<<30)
 	o.CrossCost = d.Num("crossCost", 0.2, 0, 100)
@@ -156,8 +178,27 @@
 	return o
 }
 
+func readWarmUp(d *Decoder, o *Offer) {
+	o.ColdRoom = d.Int("startRoom", 1, 1, 1024)
+	o.ColdRamp = ms(d, "rampMs", 6000, 0, 600000)
+	d.Close()
+}
+
+func readRetries(d *Decoder, o *Offer) {
+	o.SecondShare = d.Num("share", 0.2, 0, 0.2)
+	o.SecondPlus = d.Int("allowance", 24, 0, 48)
+	d.Close()
+}
+
+func readEstimate(d *Decoder, o *Offer) {
+	o.Base = ms(d, "baseMs", 60, 0, 60000)
+	o.PerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
+	d.Close()
+}
+
+// unique reads a name that must not stand twice.
 func unique(d *Decoder, key string, seen map[string]bool) (s string) {
-	s = d.Str(key, true, name)
+	s = d.Str(key, true, maxName)
 	if s != "" && seen[s] {
 		d.Flaw(d.At(key), s, "named once")
 	}
@@ -167,13 +208,13 @@
 
 func readReplica(d *Decoder, seen map[string]bool) (r Replica) {
 	r.Name = unique(d, "name", seen)
-	r.Addr = d.Str("addr", true, name)
+	r.Addr = d.Str("addr", true, maxName)
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
 		d.Flaw(d.At("addr"), r.Addr, "an IP number and port")
 	}
-	r.Domain = d.Str("domain", true, name)
+	r.Domain = d.Str("domain", true, maxName)
 	r.Room = d.Int("room", 8, 1, 4096)
-	r.Role = d.Str("role", false, name)
+	r.Role = d.Str("role", false, maxName)
 	switch r.Role {
 	case "":
 		r.Role = "both"
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -7,6 +7,8 @@
 	"github.com/gravitational/trace"
 )
 
+// Decoder reads one object of a document field by field and collects flaws instead of stopping at the first; what is flawed reads as
+// its default. The decoders of parts share the flaws. Fields that nobody read are flaws when it is closed.
 type Decoder struct {
 	path  string
 	t     tree
@@ -14,6 +16,7 @@
 	flaws *[]Flaw
 }
 
+// Open parses a JSON document; the error is an *InvalidError.
 func Open(raw []byte) (d *Decoder, err error) {
 	t, err := parse(raw)
 	if err != nil {
@@ -22,10 +25,12 @@
 	return &Decoder{path: "$", t: t, used: map[string]bool{}, flaws: &[]Flaw{}}, nil
 }
 
+// Flaw adds a flaw.
 func (d *Decoder) Flaw(path, val, bound string) {
 	*d.flaws = append(*d.flaws, Flaw{Path: path, Value: val, Bound: bound})
 }
 
+// At is the path of a field.
 func (d *Decoder) At(key string) (path string) { return d.path + "." + key }
 
 func (d *Decoder) find(key string) (t tree, ok bool) {
@@ -38,6 +43,7 @@
 	return tree{}, false
 }
 
+// Str reads a string of at most max bytes, which must be there and not empty if needed.
 func (d *Decoder) Str(key string, need bool, max int) (s string) {
 	t, ok := d.find(key)
 	if !ok && !need {
@@ -50,6 +56,7 @@
 	return t.str
 }
 
+// Num reads a number from min to max, or def where it is absent.
 func (d *Decoder) Num(key string, def, min, max float64) (n float64) {
 	t, ok := d.find(key)
 	if !ok {
@@ -63,6 +70,7 @@
 	return n
 }
 
+// Int reads a whole number from min to max, or def where it is absent.
 func (d *Decoder) Int(key string, def, min, max int) (n int) {
 	f := d.Num(key, float64(def), float64(min), float64(max))
 	if f != float64(int(f)) {
@@ -72,6 +80,7 @@
 	return int(f)
 }
 
+// Bool reads true or false, or def where it is absent.
 func (d *Decoder) Bool(key string, def bool) (b bool) {
 	t, ok := d.find(key)
 	if !ok {
@@ -83,6 +92,7 @@
 	return t.str == "true"
 }
 
+// Sub reads an object; an absent one has no fields.
 func (d *Decoder) Sub(key string) (s *Decoder) {
 	t, ok := d.find(key)
 	if ok && t.kind != 'o' {
@@ -91,6 +101,7 @@
 	return &Decoder{path: d.At(key), t: t, used: map[string]bool{}, flaws: d.flaws}
 }
 
+// List reads a list of min to max elements; an absent one is empty.
 func (d *Decoder) List(key string, min, max int) (subs []*Decoder) {
 	t, _ := d.find(key)
 	if len(t.kids) < min || len(t.kids) > max || (t.kind != 'a' && t.kind != 0) {
@@ -103,6 +114,7 @@
 	return subs
 }
 
+// Text reads a list's element that is a string of 1 to max bytes.
 func (d *Decoder) Text(max int) (s string) {
 	if d.t.kind != 's' || d.t.str == "" || len(d.t.str) > max {
 		d.Flaw(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
@@ -110,6 +122,7 @@
 	return d.t.str
 }
 
+// Close adds a flaw for each field that was not read.
 func (d *Decoder) Close() {
 	if d.t.kind != 'o' && d.t.kind != 0 {
 		d.Flaw(d.path, d.t.show(), "an object")
@@ -121,6 +134,7 @@
 	}
 }
 
+// Err is an *InvalidError with all flaws so far, or nil.
 func (d *Decoder) Err() (err error) {
 	if len(*d.flaws) == 0 {
 		return nil
--- a/config/read.go
+++ b/config/read.go
@@ -11,7 +11,9 @@
 	"github.com/gravitational/trace"
 )
 
+// Flaw is one thing wrong with a document: where, what stands there, and what it must be.
 type Flaw struct {
+	// Path is as in "$.offers[0].name".
 	Path  string `json:"path"`
 	Value string `json:"value"`
 	Bound string `json:"bound"`
@@ -21,6 +23,7 @@
 	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Bound)
 }
 
+// InvalidError is a document that cannot be taken, with all flaws that were found.
 type InvalidError struct {
 	Flaws []Flaw
 }
@@ -37,6 +40,7 @@
 	return trace.Wrap(&InvalidError{Flaws: []Flaw{{Path: path, Value: val, Bound: bound}}})
 }
 
+// tree is a JSON value as it was written, with doubled keys refused.
 type tree struct {
 	kind byte
 	str  string
--- a/membership/member.go
+++ b/membership/member.go
@@ -23,7 +23,8 @@
 }
 
 // Member is a node of the fleet as gossip carries it. Its field names are part of the format between nodes and of the status, and stay:
-// Domain is the member's zone, Inc its incarnation, Unfit says that its disk failed or that it is degraded otherwise.
+// Domain is the member's zone, Inc its incarnation, Unfit says that its
+// disk is too slow to vote.
 type Member struct {
 	Name string `json:"name"`
 	// Addr is where other nodes reach it, HTTP where clients do, both host:port.
