--- a/arrive.go
+++ b/arrive.go
@@ -3,69 +3,120 @@
 import (
 	"time"
 
+	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
+const runningHere = "request is already running here"
+
+// arrive gives a new request to the scheduler, or answers it at once.
 func (r *Router) arrive(now time.Duration, e Arrive) (d Decision, answered bool) {
-	deny := func(why string, repeat bool) (Decision, bool) {
-		return Decision{Verdict: Deny, Request: e.Request, Why: why, After: time.Second, Repeat: repeat}, true
-	}
-	bad := func(why string) (Decision, bool) {
-		return Decision{Verdict: Deny, Request: e.Request, Why: why, Bad: true}, true
+	if r.snapshot == nil {
+		return e.denied("no configuration yet", false), true
 	}
-	if r.pic == nil {
-		return deny("no picture yet", false)
-	}
-	if _, twice := r.asks[e.Request]; twice {
-		return deny(runsHere, true)
+	if _, twice := r.requestIDs[e.Request]; twice {
+		return e.denied(runningHere, true), true
 	}
 	if e.Offer == "" {
 		return r.arriveRouted(now, e)
 	}
-	offer, ok := r.offers[e.Offer]
+	return r.arriveDirect(now, e)
+}
+
+// arriveDirect is for requests of the product's own interface, which name a service and a class.
+func (r *Router) arriveDirect(now time.Duration, e Arrive) (d Decision, answered bool) {
+	service, ok := r.services[e.Offer]
 	if !ok {
-		return bad("no such offer")
+		return e.bad("no such offer"), true
 	}
-	kind, ok := r.kinds[offer][kindKey{name: e.Kind}]
-	o := &r.m.Services[offer]
-	if !ok || o.Classes[kind].Gone {
-		return bad("no such kind")
+	class, ok := r.classes[service][classKey{name: e.Kind}]
+	row := &r.scheduler.Services[service]
+	if !ok || row.Classes[class].Gone {
+		return e.bad("no such kind"), true
 	}
-	if !o.Classes[kind].Repeatable && r.once.had(now, e.Request) {
-		return deny(scheduler.AlreadyRan, true)
+	if !row.Classes[class].Repeatable && r.alreadyRan.has(now, e.Request) {
+		return e.denied(scheduler.AlreadyRan, true), true
 	}
 	parts, err := prefixindex.Parse(r.model(e.Offer), e.Prefix)
 	if err != nil {
-		return bad(err.Error())
+		return e.bad(err.Error()), true
+	}
+	r.schedule(now, e, scheduler.Request{Service: service, Class: class, Parts: parts}, nil)
+	return d, false
+}
+
+// arriveRouted is for requests of routes, which are chosen by host and path. A prefix that cannot be read counts as none.
+func (r *Router) arriveRouted(now time.Duration, e Arrive) (d Decision, answered bool) {
+	route := r.matchRoute(e.Host, e.Path)
+	if route == nil {
+		return e.bad("no such route"), true
+	}
+	name := pickService(route, e.Request)
+	service, ok := r.services[name]
+	if !ok {
+		return e.bad("no such offer"), true
+	}
+	model := e.Model
+	if model == "" {
+		model = r.model(name)
+	}
+	parts, err := prefixindex.Parse(model, e.Prefix)
+	if err != nil {
+		parts = nil
 	}
-	id := r.m.Arrive(now, scheduler.Request{Service: offer, Class: kind, Parts: parts, Tail: e.tail(parts), Patience: e.Patience})
-	r.asks[e.Request], r.names[id] = id, asked{request: e.Request}
+	class := r.classes[service][classKey{name: route.Name, route: true}]
+	r.schedule(now, e, scheduler.Request{Service: service, Class: class, Parts: parts}, route)
 	return d, false
 }
 
-const runsHere = "request is already running here"
+func (r *Router) schedule(now time.Duration, e Arrive, req scheduler.Request, route *config.Route) {
+	req.Tail, req.Patience = e.tail(req.Parts), e.Patience
+	id := r.scheduler.Arrive(now, req)
+	r.requestIDs[e.Request] = id
+	r.requests[id] = liveRequest{request: e.Request, route: route}
+}
+
+func (e Arrive) denied(why string, repeat bool) (d Decision) {
+	return Decision{Verdict: Deny, Request: e.Request, Why: why, After: time.Second, Repeat: repeat}
+}
 
-// Had tells why a request that is sent again must not be denied as not run, or nothing.
-func (r *Router) Had(offer, kind, request string) (why string) {
-	if _, twice := r.asks[request]; twice {
-		return runsHere
+func (e Arrive) bad(why string) (d Decision) {
+	return Decision{Verdict: Deny, Request: e.Request, Why: why, Bad: true}
+}
+
+// tail is how many tokens follow the prefix.
+func (e Arrive) tail(parts []prefixindex.Part) (tokens int) {
+	if e.Tokens == 0 {
+		return e.Tail
 	}
-	o, known := r.offers[offer]
+	return max(e.Tokens-prefixindex.Tokens(parts), 0)
+}
+
+// AlreadyRan tells why a request that is sent again must not be rejected as not run, or "". The HTTP interface asks before it rejects
+// a request without passing it to the router.
+func (r *Router) AlreadyRan(offer, kind, request string) (why string) {
+	if _, twice := r.requestIDs[request]; twice {
+		return runningHere
+	}
+	service, known := r.services[offer]
 	if !known {
 		return ""
 	}
-	k, known := r.kinds[o][kindKey{name: kind}]
-	if _, had := r.once.at[request]; had && known && !r.m.Services[o].Classes[k].Repeatable {
-		return scheduler.AlreadyRan
+	class, known := r.classes[service][classKey{name: kind}]
+	if !known || r.scheduler.Services[service].Classes[class].Repeatable {
+		return ""
+	}
+	if _, ran := r.alreadyRan.seenAt[request]; !ran {
+		return ""
 	}
-	return ""
+	return scheduler.AlreadyRan
 }
 
-func (r *Router) model(offer string) (model string) {
-	for i := range r.pic.Charter.Offers {
-		if r.pic.Charter.Offers[i].Name == offer {
-			return r.pic.Charter.Offers[i].Model
+func (r *Router) model(service string) (model string) {
+	for i := range r.snapshot.Charter.Offers {
+		if r.snapshot.Charter.Offers[i].Name == service {
+			return r.snapshot.Charter.Offers[i].Model
 		}
 	}
 	return ""
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -161,7 +161,8 @@
 		"replicaList": Listings, "witness": Witnesses, "routers": Division,
 	},
 	reflect.TypeFor[mallowbridge.Router](): {
-		"pic": Config, "offers": Config, "kinds": Config, "reps": Config, "seats": Config, "asks": Requests, "names": Requests, "once": Requests,
+		"snapshot": Config, "services": Config, "classes": Config, "replicaIDs": Config, "replicas": Config,
+		"requestIDs": Requests, "requests": Requests, "alreadyRan": Requests,
 	},
 	reflect.TypeFor[scheduler.Scheduler](): {
 		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": Usage, "routers": Division, "routerZones": Division,
--- /dev/null
+++ b/decision.go
@@ -0,0 +1,77 @@
+package mallowbridge
+
+import (
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/config"
+)
+
+// Verdict says what is to be done for a request.
+type Verdict string
+
+// The verdicts. Deny, Unknown, Partial and Done are final.
+const (
+	// Place opens an attempt at a replica; nothing may be sent before Send.
+	Place Verdict = "place"
+	// Send permits the attempt's bytes to leave.
+	Send Verdict = "send"
+	// Recall closes an attempt of which nothing was sent.
+	Recall Verdict = "recall"
+	// Deny ends a request that was not run.
+	Deny Verdict = "deny"
+	// Cancel closes an attempt that may be running.
+	Cancel Verdict = "cancel"
+	// Unknown ends a request that may or may not have run.
+	Unknown Verdict = "unknown"
+	// Partial ends a request whose answer broke off.
+	Partial Verdict = "partial"
+	// Done ends a request that was answered whole.
+	Done Verdict = "done"
+	// Peek asks the witnesses of a waiting request early.
+	Peek Verdict = "peek"
+)
+
+func (v Verdict) final() (yes bool) {
+	return v == Deny || v == Unknown || v == Partial || v == Done
+}
+
+// Decision is what a Router decided for one request. The command decide writes decisions as JSON, so that these names are published.
+type Decision struct {
+	Verdict Verdict `json:"verdict"`
+	Request string  `json:"request"`
+	// Go is the id of the attempt, Replica and Addr (host:port) where it goes, Prefill the address of the replica that reads the
+	// prompt where roles are split.
+	Go      string `json:"go,omitempty"`
+	Replica string `json:"replica,omitempty"`
+	Addr    string `json:"addr,omitempty"`
+	Prefill string `json:"prefill,omitempty"`
+	// Why is a reason for people; After is when a rejected client should come back.
+	Why   string        `json:"why,omitempty"`
+	After time.Duration `json:"after,omitempty"`
+	// Late marks a rejection after the request had been placed, or had waited for a quarter of its bound.
+	Late bool `json:"late,omitempty"`
+	// Confirmed and Predicted are how many tokens of the prompt the replica is held to have cached.
+	Confirmed int `json:"confirmed,omitempty"`
+	Predicted int `json:"predicted,omitempty"`
+	// Repeat marks a rejection of a request that was run before, Bad one of a request that cannot be served as it is.
+	Repeat bool `json:"repeat,omitempty"`
+	Bad    bool `json:"bad,omitempty"`
+	// Once asks for a quorum of witnesses before the request is sent; Spare is the time that they may take without harm.
+	Once  bool          `json:"once,omitempty"`
+	Spare time.Duration `json:"spare,omitempty"`
+
+	// Instance is the life of the replica that was chosen, where the platform lists it.
+	Instance string `json:"instance,omitempty"`
+	// Route is the route taken, nil for a request to /v1/offers. It is immutable.
+	Route *config.Route `json:"-"`
+	// Unread is how many tokens the replica is expected to read, where it batches and other routers should know.
+	Unread int `json:"unread,omitempty"`
+	// Rank tells the replica how urgent the request is, 0 first.
+	Rank int `json:"rank,omitempty"`
+	// Conns is the most connections that this node may keep to the replica; 0: no bound.
+	Conns int `json:"conns,omitempty"`
+	// Until is when the request is given up, on the router's clock; 0: not bounded.
+	Until time.Duration `json:"until,omitempty"`
+	// Resumes tells that the replica is to go on after the last event passed on.
+	Resumes bool `json:"resumes,omitempty"`
+}
--- /dev/null
+++ b/decisions.go
@@ -0,0 +1,84 @@
+package mallowbridge
+
+import (
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/scheduler"
+)
+
+// connShare is the part of a replica's connections that the routers give out; the rest is for probes and for changes of routers.
+const connShare = 0.8
+
+// decisions puts the scheduler's actions into words of the outside and forgets requests that ended.
+func (r *Router) decisions(now time.Duration, actions []scheduler.Action) (out []Decision) {
+	for _, a := range actions {
+		out = append(out, r.decision(a))
+		r.follow(now, a)
+	}
+	return out
+}
+
+func (r *Router) decision(a scheduler.Action) (d Decision) {
+	d = Decision{
+		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Why: a.Reason, After: a.RetryAfter, Late: a.Late,
+		Confirmed: a.ConfirmedTokens, Predicted: a.PredictedTokens, Once: a.OnceOnly, Repeat: a.Repeat, Spare: a.SpareTime,
+	}
+	if a.Attempt != 0 {
+		d.Go = r.attemptID(a.Attempt)
+	}
+	if a.Replica >= 0 {
+		d.Replica, d.Addr = r.replicas[a.Replica].name, r.replicas[a.Replica].addr
+	}
+	if a.Kind == scheduler.Place {
+		r.fillPlacement(&d, a)
+	}
+	return d
+}
+
+// follow keeps the router's own tables in step with an action.
+func (r *Router) follow(now time.Duration, a scheduler.Action) {
+	switch a.Kind {
+	case scheduler.Send:
+		r.alreadyRan.add(now, r.requests[a.Request].request)
+	case scheduler.Reject:
+		if !a.Repeat {
+			r.alreadyRan.remove(r.requests[a.Request].request)
+		}
+		r.forget(a.Request)
+	case scheduler.Done, scheduler.Unknown, scheduler.Partial:
+		r.forget(a.Request)
+	}
+}
+
+func (r *Router) fillPlacement(d *Decision, a scheduler.Action) {
+	if a.PrefillReplica >= 0 {
+		d.Prefill = r.replicas[a.PrefillReplica].addr
+	}
+	entry := &r.replicas[a.Replica]
+	if entry.discovered {
+		d.Instance = entry.instance
+	}
+	d.Resumes, d.Unread, d.Rank = a.Resumes, a.Unread, a.Rank
+	service := &r.scheduler.Services[r.scheduler.Replicas[a.Replica].Service]
+	d.Conns = r.scheduler.RouterShare(connShare * float64(service.MaxConns))
+	d.Route = r.requests[a.Request].route
+	if d.Route == nil {
+		return
+	}
+	d.Until = a.Until
+	if d.Rank < 0 {
+		d.Rank = d.Route.Rank
+	}
+}
+
+var verdicts = map[scheduler.ActionKind]Verdict{
+	scheduler.Place: Place, scheduler.Send: Send, scheduler.Recall: Recall, scheduler.Reject: Deny, scheduler.Cancel: Cancel,
+	scheduler.Unknown: Unknown, scheduler.Partial: Partial, scheduler.Done: Done, scheduler.PollWitnesses: Peek,
+}
+
+func (r *Router) forget(id int) {
+	if req, ok := r.requests[id]; ok {
+		delete(r.requestIDs, req.request)
+		delete(r.requests, id)
+	}
+}
--- a/desk.go
+++ b/desk.go
@@ -6,21 +6,22 @@
 	"gopkg.in/tomb.v2"
 )
 
-type ask struct {
-	ev   Event
-	sub  chan Decision
-	look func(r *Router)
-	done chan struct{}
+// deskMessage is an event, with a channel for its decisions if it is an arrival; or a look at the router.
+type deskMessage struct {
+	event     Event
+	decisions chan Decision
+	look      func(r *Router)
+	done      chan struct{}
 }
 
 // Desk owns one Router in one goroutine; events go in by Tell, a request's decisions come back on its own channel.
 type Desk struct {
-	t     *tomb.Tomb
-	clock func() time.Duration
-	in    chan ask
-	r     *Router
-	subs  map[string]chan Decision
-	every time.Duration
+	tomb        *tomb.Tomb
+	clock       func() time.Duration
+	inbox       chan deskMessage
+	router      *Router
+	subscribers map[string]chan Decision
+	every       time.Duration
 	// announce is told of prompts that other routers should know of; it must not wait.
 	announce func(p Prefill)
 	// Failures carries what the router would tell others of failing replicas; what nobody takes in time is dropped.
@@ -30,11 +31,15 @@
 // Idle is how long a desk sleeps at most.
 const Idle = 250 * time.Millisecond
 
+// deskQueue is how many events may wait for the desk.
 const deskQueue = 1024
 
-// NewDesk starts the goroutine; it sleeps until the router needs the time, and never longer than every.
+// NewDesk starts the goroutine, which ends with the tomb; it sleeps until the router needs the time, and never longer than every.
 func NewDesk(t *tomb.Tomb, r *Router, clock func() time.Duration, every time.Duration) (d *Desk) {
-	d = &Desk{t: t, clock: clock, in: make(chan ask, deskQueue), r: r, subs: map[string]chan Decision{}, every: every, Failures: make(chan Failures, 1)}
+	d = &Desk{
+		tomb: t, clock: clock, inbox: make(chan deskMessage, deskQueue), router: r, subscribers: map[string]chan Decision{}, every: every,
+		Failures: make(chan Failures, 1),
+	}
 	t.Go(d.run)
 	return d
 }
@@ -44,23 +49,23 @@
 	defer wake.Stop()
 	for {
 		select {
-		case <-d.t.Dying():
-			for req := range d.subs {
-				d.shut(req)
+		case <-d.tomb.Dying():
+			for req := range d.subscribers {
+				d.endRequest(req)
 			}
 			return nil
 		case <-wake.C:
-			d.deal(d.r.Step(d.clock(), Tick{}))
-		case a := <-d.in:
-			d.take(a)
+			d.deliver(d.router.Step(d.clock(), Tick{}))
+		case a := <-d.inbox:
+			d.handle(a)
 		}
-		d.report()
+		d.reportFailures()
 		wake.Reset(d.pause())
 	}
 }
 
-func (d *Desk) report() {
-	f, any := d.r.Failures(d.clock())
+func (d *Desk) reportFailures() {
+	f, any := d.router.Failures(d.clock())
 	if !any {
 		return
 	}
@@ -72,70 +77,79 @@
 
 const shortestPause = time.Millisecond
 
+// pause is how long the desk may sleep.
 func (d *Desk) pause() (t time.Duration) {
 	now := d.clock()
-	at, any := d.r.Next(now)
+	at, any := d.router.Next(now)
 	if !any {
 		return d.every
 	}
 	return min(max(at-now, shortestPause), d.every)
 }
 
-func (d *Desk) take(a ask) {
-	if a.look != nil {
-		a.look(d.r)
-		close(a.done)
+func (d *Desk) handle(m deskMessage) {
+	if m.look != nil {
+		m.look(d.router)
+		close(m.done)
 		return
 	}
-	if arr, ok := a.ev.(Arrive); ok {
-		if d.subs[arr.Request] != nil {
-			a.sub <- Decision{Verdict: Deny, Request: arr.Request, Why: runsHere, Repeat: true}
-			close(a.sub)
-			return
-		}
-		d.subs[arr.Request] = a.sub
+	if e, ok := m.event.(Arrive); ok && !d.subscribe(e, m.decisions) {
+		return
 	}
-	d.deal(d.r.Step(d.clock(), a.ev))
-	if h, ok := a.ev.(Hangup); ok {
-		d.shut(h.Request)
+	d.deliver(d.router.Step(d.clock(), m.event))
+	if e, ok := m.event.(Hangup); ok {
+		d.endRequest(e.Request)
 	}
 }
 
-func (d *Desk) shut(req string) {
-	if sub := d.subs[req]; sub != nil {
-		delete(d.subs, req)
-		close(sub)
+// subscribe gives a request its channel, or rejects it where its id runs already.
+func (d *Desk) subscribe(e Arrive, decisions chan Decision) (ok bool) {
+	if d.subscribers[e.Request] != nil {
+		decisions <- e.denied(runningHere, true)
+		close(decisions)
+		return false
 	}
+	d.subscribers[e.Request] = decisions
+	return true
 }
 
-func (d *Desk) deal(ds []Decision) {
-	for _, x := range ds {
-		if x.Unread > 0 && d.announce != nil {
-			d.announce(Prefill{Replica: x.Replica, Tokens: x.Unread})
-		}
-		sub := d.subs[x.Request]
-		if sub == nil {
-			continue
-		}
-		select {
-		case sub <- x:
-		default:
-			d.shut(x.Request)
-			d.deal(d.r.Step(d.clock(), Hangup{Request: x.Request}))
-			continue
+func (d *Desk) endRequest(request string) {
+	if decisions := d.subscribers[request]; decisions != nil {
+		delete(d.subscribers, request)
+		close(decisions)
+	}
+}
+
+func (d *Desk) deliver(decisions []Decision) {
+	for _, one := range decisions {
+		if one.Unread > 0 && d.announce != nil {
+			d.announce(Prefill{Replica: one.Replica, Tokens: one.Unread})
 		}
-		switch x.Verdict {
-		case Deny, Unknown, Partial, Done:
-			d.shut(x.Request)
+		if d.subscribers[one.Request] != nil {
+			d.deliverTo(d.subscribers[one.Request], one)
 		}
 	}
 }
 
-func (d *Desk) put(a ask) (ok bool) {
+// deliverTo ends a request whose decisions nobody reads.
+func (d *Desk) deliverTo(subscriber chan Decision, one Decision) {
+	select {
+	case subscriber <- one:
+	default:
+		d.endRequest(one.Request)
+		d.deliver(d.router.Step(d.clock(), Hangup{Request: one.Request}))
+		return
+	}
+	if one.Verdict.final() {
+		d.endRequest(one.Request)
+	}
+}
+
+func (d *Desk) post(a deskMessage) (ok bool) {
 	select {
-	case d.in <- a:
+	case d.inbox <- a:
 		return true
-	case <-d.t.Dying():
+	case <-d.tomb.Dying():
 		return false
 	}
 }
@@ -148,31 +162,34 @@
 // Hint gives an event that is worth nothing later: a desk that is busy doesn't get it.
 func (d *Desk) Hint(ev Event) {
 	select {
-	case d.in <- ask{ev: ev}:
+	case d.inbox <- deskMessage{event: ev}:
 	default:
 	}
 }
 
-func (d *Desk) Tell(ev Event) { d.put(ask{ev: ev}) }
+// Tell gives an event; it waits while the desk is behind, and drops the event once the desk has ended.
+func (d *Desk) Tell(ev Event) { d.post(deskMessage{event: ev}) }
 
-const subRoom = 64
+// decisionRoom is how many decisions of a request may wait to be read.
+const decisionRoom = 64
 
 // Submit gives the channel of a request's decisions; it is closed after the last, and early when nobody reads it.
 func (d *Desk) Submit(a Arrive) (decisions <-chan Decision) {
-	sub := make(chan Decision, subRoom)
-	if !d.put(ask{ev: a, sub: sub}) {
+	sub := make(chan Decision, decisionRoom)
+	if !d.post(deskMessage{event: a, decisions: sub}) {
 		close(sub)
 	}
 	return sub
 }
 
+// Look calls look in the desk's goroutine and waits for it; look must not wait for the desk. It is not called once the desk has ended.
 func (d *Desk) Look(look func(r *Router)) {
 	done := make(chan struct{})
-	if !d.put(ask{look: look, done: done}) {
+	if !d.post(deskMessage{look: look, done: done}) {
 		return
 	}
 	select {
 	case <-done:
-	case <-d.t.Dying():
+	case <-d.tomb.Dying():
 	}
 }
--- a/embed.go
+++ b/embed.go
@@ -8,7 +8,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Embed gives a caller's program its own router, which follows the daemon at addr.
+// Embed gives a caller's program its own router, which follows the daemon at addr (host:port) until the tomb dies. name is unique among
+// the daemon's followers; domain is the zone until the daemon has told its own.
 func Embed(t *tomb.Tomb, addr, name, domain string, clock func() time.Duration) (d *Desk) {
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
--- a/events.go
+++ b/events.go
@@ -6,14 +6,21 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
+// Event is what a Router takes. Requests, answers and connections are told by the data path; the configuration, the fleet's routers
+// and the replicas by the daemon, which sends the same events to programs that follow it.
+//
+// Events to followers are written by gob and commands read events as JSON, so that their field names are formats and stay: Go is the
+// id of an attempt, Offer a service, Kind a class of requests, Domain a zone, Picture a snapshot.
 type Event interface{ event() }
 
+// Arrive is a new request.
 type Arrive struct {
 	Request string `json:"request"`
 	Offer   string `json:"offer"`
 	Kind    string `json:"kind"`
-	Prefix  string `json:"prefix"`
-	Tail    int    `json:"tail"`
+	// Prefix is the X-Prompt-Prefix header; Tail is how many tokens follow the prefix.
+	Prefix string `json:"prefix"`
+	Tail   int    `json:"tail"`
 
 	// Host and Path choose a route where Offer is empty.
 	Host  string `json:"host,omitempty"`
@@ -22,14 +29,16 @@
 	// Tokens is the whole prompt, Most the longest answer in tokens; 0: not told.
 	Tokens int `json:"tokens,omitempty"`
 	Most   int `json:"most,omitempty"`
-	// Patience is how long the user agent will wait; 0: not told.
+	// Patience is how long the client will wait; 0: not told.
 	Patience time.Duration `json:"patience,omitempty"`
 }
 
+// Order brings a configuration; an older one than that in force is dropped.
 type Order struct {
 	Picture *config.Snapshot
 }
 
+// Listing is what operators say of a replica of the document: "present", "leaving" or "gone".
 type Listing struct {
 	Replica string `json:"replica"`
 	State   string `json:"state"`
@@ -39,7 +48,7 @@
 type Instance struct {
 	ID, Offer, Addr, Domain string
 	Model                   string
-	// Weights is the revision of the model's weights; kept parts serve only the same one.
+	// Weights is the revision of the model's weights; cached parts serve only the same one.
 	Weights string
 	Room    int
 	Leaving bool
@@ -70,15 +79,19 @@
 	Tokens  int
 }
 
+// Usage is a replica's state as a probe showed it.
 type Usage struct {
-	Replica    string        `json:"replica"`
-	InstanceID string        `json:"instanceId"`
-	Running    int           `json:"running"`
-	Leaving    bool          `json:"leaving"`
-	Down       bool          `json:"down"`
-	Own        bool          `json:"own"`
-	Lag        time.Duration `json:"lag"`
-	Age        time.Duration `json:"age"`
+	Replica    string `json:"replica"`
+	InstanceID string `json:"instanceId"`
+	// Running is how many requests it had, from all routers.
+	Running int  `json:"running"`
+	Leaving bool `json:"leaving"`
+	Down    bool `json:"down"`
+	// Own: this node probed it by itself.
+	Own bool `json:"own"`
+	// Lag is how old the report is, Age how long the instance has been known.
+	Lag time.Duration `json:"lag"`
+	Age time.Duration `json:"age"`
 }
 
 // Doubt says that a connection to the replica was shut: it may have restarted, and counts as cold until it is seen again.
@@ -86,20 +99,24 @@
 	Replica string `json:"replica"`
 }
 
+// Routers are the fleet's routers and their zones, by which room and budgets are divided.
 type Routers struct {
 	Names   []string `json:"names"`
 	Domains []string `json:"domains"`
 }
 
+// Feed says that the control side is in touch; Why is a reason not to serve, or "".
 type Feed struct {
 	Why string `json:"why"`
 }
 
+// Leave asks whether an attempt's bytes may be sent now; the answer is Send or Recall.
 type Leave struct {
 	Request string `json:"request"`
 	Go      string `json:"go"`
 }
 
+// Head says that the head of an answer came.
 type Head struct {
 	Request    string `json:"request"`
 	Go         string `json:"go"`
@@ -114,24 +131,27 @@
 	Rows []Failure
 }
 
-// Failure counts a silent request for half. Gone says that another life of the replica answered in its place.
+// Failure counts a silent request for half. Gone says that another instance of the replica answered in its place.
 type Failure struct {
 	Replica string
 	N       float64
 	Gone    bool
 }
 
+// Piece says that the first part of an answer was passed on to the client.
 type Piece struct {
 	Request string `json:"request"`
 	Go      string `json:"go"`
 }
 
+// End says how an attempt ended.
 type End struct {
 	Request string `json:"request"`
 	Go      string `json:"go"`
 	How     How    `json:"how"`
 }
 
+// Hangup says that the client is gone.
 type Hangup struct {
 	Request string `json:"request"`
 }
@@ -141,16 +161,25 @@
 	Request string `json:"request"`
 }
 
+// Tick brings nothing but the time.
 type Tick struct{}
 
+// How is how an attempt ended.
 type How string
 
+// The ends of attempts.
 const (
-	Whole     How = "whole"
-	Refused   How = "refused"
-	Broken    How = "broken"
+	// Whole: the answer came to its end.
+	Whole How = "whole"
+	// Refused: the replica said that it did not run the request.
+	Refused How = "refused"
+	// Broken: the connection or the answer failed after bytes may have left.
+	Broken How = "broken"
+	// Unreached: no byte left.
 	Unreached How = "unreached"
-	Withheld  How = "withheld"
+	// Withheld: a witness knows that another router was asked before.
+	Withheld How = "withheld"
+	// Unvouched: too few witnesses answered in time.
 	Unvouched How = "unvouched"
 )
 
@@ -174,50 +203,3 @@
 func (Prefill) event()   {}
 func (Misplaced) event() {}
 func (Failures) event()  {}
-
-type Verdict string
-
-const (
-	Place   Verdict = "place"
-	Send    Verdict = "send"
-	Recall  Verdict = "recall"
-	Deny    Verdict = "deny"
-	Cancel  Verdict = "cancel"
-	Unknown Verdict = "unknown"
-	Partial Verdict = "partial"
-	Done    Verdict = "done"
-	Peek    Verdict = "peek"
-)
-
-type Decision struct {
-	Verdict   Verdict       `json:"verdict"`
-	Request   string        `json:"request"`
-	Go        string        `json:"go,omitempty"`
-	Replica   string        `json:"replica,omitempty"`
-	Addr      string        `json:"addr,omitempty"`
-	Prefill   string        `json:"prefill,omitempty"`
-	Why       string        `json:"why,omitempty"`
-	After     time.Duration `json:"after,omitempty"`
-	Late      bool          `json:"late,omitempty"`
-	Confirmed int           `json:"confirmed,omitempty"`
-	Predicted int           `json:"predicted,omitempty"`
-	Repeat    bool          `json:"repeat,omitempty"`
-	Bad       bool          `json:"bad,omitempty"`
-	Once      bool          `json:"once,omitempty"`
-	Spare     time.Duration `json:"spare,omitempty"`
-
-	// Instance is the life of the replica that was chosen, where the platform lists it.
-	Instance string `json:"instance,omitempty"`
-	// Route is the route taken, nil for a request to /v1/offers. It is immutable.
-	Route *config.Route `json:"-"`
-	// Unread is how many tokens the replica is expected to read, where it batches and other routers should know.
-	Unread int `json:"unread,omitempty"`
-	// Rank tells the replica how urgent the request is, 0 first.
-	Rank int `json:"rank,omitempty"`
-	// Conns is the most connections that this node may keep to the replica; 0: no bound.
-	Conns int `json:"conns,omitempty"`
-	// Until is when the request is given up, on the router's clock; 0: not bounded.
-	Until time.Duration `json:"until,omitempty"`
-	// Resumes tells that the replica is to go on after the last event passed on.
-	Resumes bool `json:"resumes,omitempty"`
-}
--- a/follow.go
+++ b/follow.go
@@ -12,6 +12,8 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
+// init registers the events that a daemon sends its followers. The registered names and the names of fields are part of the format
+// between builds and stay, whatever the types are called.
 func init() {
 	for name, v := range map[string]any{
 		"ew": Welcome{}, "en": Numbered{}, "eo": Order{}, "er": Routers{}, "eu": Usage{}, "el": Listing{}, "ef": Feed{}, "ed": Doubt{}, "eR": Roster{}, "eF": Failures{},
@@ -21,30 +23,38 @@
 	gob.RegisterName("hello", transport.Hello{})
 }
 
+// Welcome is a daemon's first event on a connection: its name, its zone and what is new at each of its starts.
 type Welcome struct{ Self, Domain, Boot string }
 
+// Numbered is an event with its place in the order, from 0 on each connection.
 type Numbered struct {
 	N     uint64
 	Event Event
 }
 
+// GapError says that events of a daemon were lost on the way.
 type GapError struct{ Got, Want uint64 }
 
 func (e *GapError) Error() (text string) {
 	return fmt.Sprintf("change %d came where %d was due", e.Got, e.Want)
 }
 
-const refollow = 300 * time.Millisecond
+const (
+	// followRetry is the longest wait for a connection to the daemon, and the pause before the next attempt.
+	followRetry = 300 * time.Millisecond
+	// followSilence is how long a daemon may send nothing.
+	followSilence = 5 * time.Second
+)
 
-// Follow keeps one connection to the daemon at addr and hands on its picture, then its changes.
-// A lost connection or a gap starts over with a new picture; start is called for each.
+// Follow keeps one connection to the daemon at addr until the tomb dies, and passes on its snapshot, then its changes, to feed. A lost
+// connection or a gap starts over with a new snapshot; start is called for each.
 func Follow(t *tomb.Tomb, addr, name string, start func(w Welcome), feed func(ev Event)) {
 	t.Go(func() error {
 		for t.Alive() {
 			_ = followOnce(t, addr, name, start, feed)
 			select {
 			case <-t.Dying():
-			case <-time.After(refollow):
+			case <-time.After(followRetry):
 			}
 		}
 		return nil
@@ -52,7 +62,7 @@
 }
 
 func followOnce(t *tomb.Tomb, addr, name string, start func(w Welcome), feed func(ev Event)) (err error) {
-	conn, err := net.DialTimeout("tcp", addr, refollow)
+	conn, err := net.DialTimeout("tcp", addr, followRetry)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
@@ -66,12 +76,17 @@
 		_ = conn.Close()
 	}()
 	r := transport.NewReader(conn)
-	if _, err = transport.Greet(conn, transport.NewWriter(), r, transport.Hello{Build: transport.Build, Name: name, Role: "follower"}); err != nil {
+	hello := transport.Hello{Build: transport.Build, Name: name, Role: "follower"}
+	if _, err = transport.Greet(conn, transport.NewWriter(), r, hello); err != nil {
 		return err
 	}
-	want := uint64(0)
-	for {
-		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	return readEvents(conn, r, start, feed)
+}
+
+// readEvents passes on what comes until the connection ends or an event is missing.
+func readEvents(conn net.Conn, r *transport.Reader, start func(w Welcome), feed func(ev Event)) (err error) {
+	for due := uint64(0); ; {
+		_ = conn.SetReadDeadline(time.Now().Add(followSilence))
 		msg, err := r.Next()
 		if err != nil {
 			return err
@@ -80,10 +95,10 @@
 		case Welcome:
 			start(m)
 		case Numbered:
-			if m.N != want {
-				return trace.Wrap(&GapError{Got: m.N, Want: want})
+			if m.N != due {
+				return trace.Wrap(&GapError{Got: m.N, Want: due})
 			}
-			want++
+			due++
 			feed(m.Event)
 		}
 	}
--- a/httpapi/chain.go
+++ b/httpapi/chain.go
@@ -131,7 +131,7 @@
 // away denies at the door, unless this node gave the request its one go before.
 func (g *Gate) away(x *Exchange, why string) (answered bool) {
 	had := ""
-	g.desk.Look(func(r *mallowbridge.Router) { had = r.Had(x.r.Param("offer"), x.r.Param("kind"), x.request) })
+	g.desk.Look(func(r *mallowbridge.Router) { had = r.AlreadyRan(x.r.Param("offer"), x.r.Param("kind"), x.request) })
 	if had != "" {
 		return g.repeat(x, had)
 	}
--- a/passage.go
+++ b/passage.go
@@ -2,137 +2,86 @@
 
 import "net/http"
 
-type MoveKind uint8
-
-const (
-	Dial MoveKind = iota + 1
-	Vouch
-	Write
-	Drop
-	Tell
-	Pass
-	Close
-	Glance
-)
-
-type Move struct {
-	Kind    MoveKind
-	Place   Decision
-	Event   Event
-	Line    Line
-	Outcome string
-}
-
-const (
-	OutDone    = "done"
-	OutPartial = "partial"
-	OutDenied  = "denied"
-	OutUnknown = "unknown"
-	OutRepeat  = "repeat"
-	OutBad     = "bad"
-)
-
-type Wire interface{ wire() }
-
-type Dialed struct {
-	Go string
-	OK bool
-}
-
-type Vouched struct {
-	Go  string
-	How How
-}
-
-type Replied struct {
-	Go, Attempt string
-	Status      int
-}
-
-type Read struct {
-	Go   string
-	Line Line
-}
-
-type Lost struct{ Go string }
-
-type HungUp struct{}
-
-func (Dialed) wire()  {}
-func (Vouched) wire() {}
-func (Replied) wire() {}
-func (Read) wire()    {}
-func (Lost) wire()    {}
-func (HungUp) wire()  {}
-
-// Passage takes one request through a node: decisions and what the connections do go in, moves come out.
+// Passage is the state machine of one request of the product's own interface: the router's decisions and what happens on the
+// connections go in, moves come out. The HTTP interface and the simulator do the I/O around it.
 type Passage struct {
 	Request string
-	place   Decision
-	open    bool
-	headed  bool
-	began   bool
-	vouched bool
-	over    bool
-	strand  Strand
-	moves   []Move
+
+	placement Decision
+	connected bool
+	answered  bool
+	// answerBegan: a piece was passed on to the client.
+	answerBegan     bool
+	witnessesAgreed bool
+	over            bool
+	pieces          PieceSequence
+	moves           []Move
 }
 
-func (p *Passage) do(m Move) { p.moves = append(p.moves, m) }
+func (p *Passage) emit(m Move) { p.moves = append(p.moves, m) }
 
-func (p *Passage) take() (moves []Move) {
+func (p *Passage) takeMoves() (moves []Move) {
 	moves, p.moves = p.moves, nil
 	return moves
 }
 
-func (p *Passage) drop() {
-	if p.open {
-		p.open = false
-		p.do(Move{Kind: Drop, Place: p.place})
+// disconnect closes the connection, if one is open.
+func (p *Passage) disconnect() {
+	if p.connected {
+		p.connected = false
+		p.emit(Move{Kind: Drop, Place: p.placement})
 	}
 }
 
-func (p *Passage) close(d Decision, outcome string) {
-	p.drop()
+func (p *Passage) finish(d Decision, outcome string) {
+	p.disconnect()
 	p.over = true
-	p.do(Move{Kind: Close, Place: d, Outcome: outcome})
+	p.emit(Move{Kind: Close, Place: d, Outcome: outcome})
 }
 
-func (p *Passage) end(how How) {
-	p.drop()
-	p.do(Move{Kind: Tell, Event: End{Request: p.Request, Go: p.place.Go, How: how}})
+func (p *Passage) endAttempt(how How) {
+	p.disconnect()
+	p.emit(Move{Kind: Tell, Event: End{Request: p.Request, Go: p.placement.Go, How: how}})
 }
 
+// Decided takes a decision of the router on this request.
 func (p *Passage) Decided(d Decision) (moves []Move) {
-	if p.over || (p.open && d.Go != "" && d.Go != p.place.Go && d.Verdict != Place) {
+	if p.over || (p.connected && d.Go != "" && d.Go != p.placement.Go && d.Verdict != Place) {
 		return nil
 	}
 	switch d.Verdict {
 	case Place:
-		p.drop()
-		p.place, p.open, p.headed, p.vouched, p.strand = d, true, false, false, Strand{Go: d.Go}
-		p.do(Move{Kind: Dial, Place: d})
+		p.disconnect()
+		p.begin(d)
+		p.emit(Move{Kind: Dial, Place: d})
 	case Send:
-		if p.open && p.place.Once && !p.vouched {
-			p.do(Move{Kind: Vouch, Place: p.place})
-		} else if p.open {
-			p.do(Move{Kind: Write, Place: p.place})
+		if p.connected && p.placement.Once && !p.witnessesAgreed {
+			p.emit(Move{Kind: Vouch, Place: p.placement})
+		} else if p.connected {
+			p.emit(Move{Kind: Write, Place: p.placement})
 		}
 	case Recall, Cancel:
-		p.drop()
+		p.disconnect()
 	case Peek:
-		p.do(Move{Kind: Glance})
+		p.emit(Move{Kind: Glance})
 	case Done:
-		p.close(d, OutDone)
+		p.finish(d, OutDone)
 	default:
-		p.close(d, p.outcome(d))
+		p.finish(d, p.outcome(d))
 	}
-	return p.take()
+	return p.takeMoves()
+}
+
+// begin starts over with another placement.
+func (p *Passage) begin(d Decision) {
+	p.placement, p.connected = d, true
+	p.answered, p.witnessesAgreed = false, false
+	p.pieces = PieceSequence{Go: d.Go}
 }
 
 func (p *Passage) outcome(d Decision) (name string) {
 	switch {
-	case d.Verdict == Partial || p.began:
+	case d.Verdict == Partial || p.answerBegan:
 		return OutPartial
 	case d.Verdict == Unknown:
 		return OutUnknown
@@ -144,92 +93,95 @@
 	return OutDenied
 }
 
+// Happened takes what happened on a connection; what concerns an earlier attempt is dropped.
 func (p *Passage) Happened(w Wire) (moves []Move) {
 	if p.over {
 		return nil
 	}
 	switch e := w.(type) {
 	case HungUp:
-		p.drop()
+		p.disconnect()
 		p.over = true
-		p.do(Move{Kind: Tell, Event: Hangup{Request: p.Request}})
+		p.emit(Move{Kind: Tell, Event: Hangup{Request: p.Request}})
 	case Dialed:
-		p.dialed(e)
+		p.connectionOpened(e)
 	case Vouched:
-		p.witnessed(e)
+		p.witnessesAnswered(e)
 	case Replied:
-		p.replied(e)
+		p.answerHead(e)
 	case Read:
-		p.read(e)
+		p.answerLine(e)
 	case Lost:
-		if p.is(e.Go) {
-			p.end(Broken)
+		if p.isCurrent(e.Go) {
+			p.endAttempt(Broken)
 		}
 	}
-	return p.take()
+	return p.takeMoves()
 }
 
-func (p *Passage) is(goID string) (current bool) { return p.open && p.place.Go == goID }
+func (p *Passage) isCurrent(attempt string) (current bool) {
+	return p.connected && p.placement.Go == attempt
+}
 
-func (p *Passage) dialed(e Dialed) {
+func (p *Passage) connectionOpened(e Dialed) {
 	switch {
-	case !p.is(e.Go):
+	case !p.isCurrent(e.Go):
 	case e.OK:
-		p.do(Move{Kind: Tell, Event: Leave{Request: p.Request, Go: e.Go}})
+		p.emit(Move{Kind: Tell, Event: Leave{Request: p.Request, Go: e.Go}})
 	default:
-		p.end(Unreached)
+		p.endAttempt(Unreached)
 	}
 }
 
-// witnessed asks for leave once more: the witnesses took their time, and the machine may have been frozen meanwhile.
-func (p *Passage) witnessed(e Vouched) {
+// witnessesAnswered asks for permission to send once more: the witnesses took their time, and the machine may have been frozen meanwhile.
+func (p *Passage) witnessesAnswered(e Vouched) {
 	switch {
 	case e.Go == "" && e.How == Withheld:
-		p.do(Move{Kind: Tell, Event: Withhold{Request: p.Request}})
-	case !p.is(e.Go) || p.vouched:
+		p.emit(Move{Kind: Tell, Event: Withhold{Request: p.Request}})
+	case !p.isCurrent(e.Go) || p.witnessesAgreed:
 	case e.How == "":
-		p.vouched = true
-		p.do(Move{Kind: Tell, Event: Leave{Request: p.Request, Go: e.Go}})
+		p.witnessesAgreed = true
+		p.emit(Move{Kind: Tell, Event: Leave{Request: p.Request, Go: e.Go}})
 	default:
-		p.end(e.How)
+		p.endAttempt(e.How)
 	}
 }
 
-func (p *Passage) replied(e Replied) {
+func (p *Passage) answerHead(e Replied) {
 	switch {
-	case !p.is(e.Go):
+	case !p.isCurrent(e.Go):
 	case e.Attempt != e.Go:
-		p.end(Broken)
+		p.endAttempt(Broken)
 	case e.Status == http.StatusTooManyRequests:
-		p.end(Refused)
+		p.endAttempt(Refused)
 	case e.Status != http.StatusOK:
-		p.end(Broken)
+		p.endAttempt(Broken)
 	}
 }
 
-func (p *Passage) read(e Read) {
-	if !p.is(e.Go) {
+func (p *Passage) answerLine(e Read) {
+	if !p.isCurrent(e.Go) {
 		return
 	}
-	if p.strand.Take(e.Line) != nil {
-		p.end(Broken)
+	if p.pieces.Check(e.Line) != nil {
+		p.endAttempt(Broken)
 		return
 	}
-	if !p.headed {
-		p.headed = true
-		p.do(Move{Kind: Tell, Event: Head{Request: p.Request, Go: e.Go, InstanceID: e.Line.InstanceID}})
+	if !p.answered {
+		p.answered = true
+		p.emit(Move{Kind: Tell, Event: Head{Request: p.Request, Go: e.Go, InstanceID: e.Line.InstanceID}})
 	}
 	if e.Line.Piece == nil && !e.Line.End {
 		return
 	}
-	if !p.began {
-		p.began = true
-		p.do(Move{Kind: Tell, Event: Piece{Request: p.Request, Go: e.Go}})
+	if !p.answerBegan {
+		p.answerBegan = true
+		p.emit(Move{Kind: Tell, Event: Piece{Request: p.Request, Go: e.Go}})
 	}
 	l := e.Line
 	l.Request = p.Request
-	p.do(Move{Kind: Pass, Place: p.place, Line: l})
-	if p.strand.Ended() {
-		p.end(Whole)
+	p.emit(Move{Kind: Pass, Place: p.placement, Line: l})
+	if p.pieces.Ended() {
+		p.endAttempt(Whole)
 	}
 }
--- /dev/null
+++ b/replicalist.go
@@ -0,0 +1,159 @@
+package mallowbridge
+
+import (
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/scheduler"
+)
+
+// reuseRowAfter is how long an instance has been gone when its row may go to another.
+const reuseRowAfter = 10 * time.Second
+
+// takeList takes in the platform's list, unless a newer one is known.
+func (r *Router) takeList(now time.Duration, e Roster) {
+	if r.listKnown && now-e.Age < r.listReadAt {
+		return
+	}
+	r.replicaList, r.listReadAt, r.listKnown = e, now-e.Age, true
+	if r.snapshot == nil {
+		return
+	}
+	r.applyList(now)
+	r.scheduler.Recompute(now)
+}
+
+// applyList applies the last list to the services whose replicas are discovered.
+func (r *Router) applyList(now time.Duration) {
+	if !r.listKnown {
+		return
+	}
+	discovered := r.unlistDiscovered()
+	for _, row := range r.replicaList.Rows {
+		if o := discovered[row.Offer]; o != nil {
+			r.applyInstance(now, row, o)
+		}
+	}
+	for id := range r.replicas {
+		r.noteGone(now, id)
+	}
+}
+
+// unlistDiscovered empties the services that have their replicas from the list, and gives them by name.
+func (r *Router) unlistDiscovered() (discovered map[string]*config.Offer) {
+	discovered = map[string]*config.Offer{}
+	for i := range r.snapshot.Charter.Offers {
+		o := &r.snapshot.Charter.Offers[i]
+		if !o.Discovered {
+			continue
+		}
+		discovered[o.Name] = o
+		row := &r.scheduler.Services[r.services[o.Name]]
+		row.Replicas = row.Replicas[:0]
+	}
+	for id := range r.replicas {
+		if r.replicas[id].discovered {
+			r.scheduler.Replicas[id].Listed = false
+		}
+	}
+	return discovered
+}
+
+// noteGone forgets what an instance has cached that the list leaves out.
+func (r *Router) noteGone(now time.Duration, id int) {
+	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
+	if !entry.discovered || row.Listed || entry.goneSince > 0 {
+		return
+	}
+	entry.goneSince, row.Up = max(now, 1), false
+	r.scheduler.Index.Reset(id, 0)
+}
+
+// applyInstance lists an instance. One that is new, back, or listed otherwise than before counts as up until it is found not to be.
+func (r *Router) applyInstance(now time.Duration, listed Instance, o *config.Offer) {
+	id, known := r.replicaIDs[listed.ID]
+	if known && !r.replicas[id].discovered {
+		return
+	}
+	if !known {
+		id = r.replicaRow(now, listed.ID, o.KeepTokens)
+	}
+	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
+	cold, before := listed.Cold, entry.listedAs
+	listed.Cold = 0
+	if !known || entry.goneSince > 0 || before != listed {
+		row.Up = true
+	}
+	if known && (before.Model != listed.Model || before.Weights != listed.Weights) {
+		r.scheduler.Index.Reset(id, 0)
+	}
+	entry.listedAs, entry.goneSince, entry.addr, entry.instance = listed, 0, listed.Addr, listed.ID
+	row.Service, row.Role, row.Room = r.services[listed.Offer], "both", max(listed.Room, 1)
+	row.Listed, row.Leaving = true, listed.Leaving
+	row.Zone, row.SameZone = listed.Domain, listed.Domain == r.cfg.Domain
+	r.scheduler.Index.SetKeep(id, o.KeepTokens)
+	service := &r.scheduler.Services[row.Service]
+	service.Replicas = append(service.Replicas, id)
+	if cold > 0 {
+		r.scheduler.KeepCold(id, r.listReadAt+cold)
+	}
+	r.applyEvacuation(now, id, listed.Domain)
+}
+
+// replicaRow gives a new instance a row, that of one long gone where there is one.
+func (r *Router) replicaRow(now time.Duration, name string, keepTokens int) (id int) {
+	fresh, entry := scheduler.Replica{Name: name, Warm: true}, replicaEntry{name: name, discovered: true}
+	id, ok := r.freeRow(now)
+	if ok {
+		delete(r.replicaIDs, r.replicas[id].name)
+		r.replicas[id] = entry
+		r.scheduler.Renew(id, fresh, keepTokens)
+	} else {
+		id = r.scheduler.AddReplica(fresh, keepTokens)
+		r.replicas = append(r.replicas, entry)
+	}
+	r.replicaIDs[name] = id
+	return id
+}
+
+func (r *Router) freeRow(now time.Duration) (id int, ok bool) {
+	for id := range r.replicas {
+		entry := &r.replicas[id]
+		gone := entry.discovered && entry.goneSince > 0 && now-entry.goneSince >= reuseRowAfter
+		if gone && r.scheduler.Replicas[id].OwnRunning <= 0 {
+			return id, true
+		}
+	}
+	return 0, false
+}
+
+// applyEvacuation closes the replicas of an evacuated zone; taken back, they may have turned cold.
+func (r *Router) applyEvacuation(now time.Duration, id int, zone string) {
+	row, evacuated := &r.scheduler.Replicas[id], r.snapshot.Evacuated(zone)
+	if row.Evacuated && !evacuated {
+		r.scheduler.KeepCold(id, now+r.coldTime(row.Service))
+	}
+	row.Evacuated = evacuated
+}
+
+// coldTime is how long a service's replicas stay cold.
+func (r *Router) coldTime(service int) (t time.Duration) {
+	for i := range r.snapshot.Charter.Offers {
+		if o := &r.snapshot.Charter.Offers[i]; o.Name == r.scheduler.Services[service].Name {
+			return o.ColdFor
+		}
+	}
+	return 0
+}
+
+// reportInstance takes in what a probe of a listed instance showed.
+func (r *Router) reportInstance(now time.Duration, id int, e Usage) {
+	row := &r.scheduler.Replicas[id]
+	row.Up = !e.Down && (e.InstanceID == "" || e.InstanceID == r.replicas[id].instance)
+	if !row.Up {
+		return
+	}
+	row.Leaving = e.Leaving || r.replicas[id].listedAs.Leaving
+	r.scheduler.ConfirmInstance(now-e.Lag, now-e.Age, id)
+	r.scheduler.Report(now-e.Lag, id, e.Running)
+}
--- a/route.go
+++ b/route.go
@@ -9,35 +9,34 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/mallowbridge/mallowbridge/config"
-	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// route makes each route a kind of every offer that it may go to.
-func (r *Router) route(p *config.Snapshot, used map[scheduler.ClassID]bool) {
-	r.hosts = map[string][]*config.Route{}
+// applyRoutes makes each route a class of every service that it may go to.
+func (r *Router) applyRoutes(p *config.Snapshot, used map[scheduler.ClassID]bool) {
+	r.routesByHost = map[string][]*config.Route{}
 	for i := range p.Charter.Routes {
-		rt := &p.Charter.Routes[i]
-		host := hostOnly(rt.Host)
-		r.hosts[host] = append(r.hosts[host], rt)
-		for _, s := range rt.Split {
-			offer, ok := r.offers[s.Offer]
+		route := &p.Charter.Routes[i]
+		host := hostOnly(route.Host)
+		r.routesByHost[host] = append(r.routesByHost[host], route)
+		for _, part := range route.Split {
+			service, ok := r.services[part.Offer]
 			if !ok {
 				continue
 			}
-			at := r.kind(offer, kindKey{name: rt.Name, route: true}, used)
-			r.m.Services[offer].Classes[at] = routeKind(rt)
+			at := r.classRow(service, classKey{name: route.Name, route: true}, used)
+			r.scheduler.Services[service].Classes[at] = routeClass(route)
 		}
 	}
-	for _, rs := range r.hosts {
-		sort.SliceStable(rs, func(i, j int) bool { return len(rs[i].Prefix) > len(rs[j].Prefix) })
+	for _, routes := range r.routesByHost {
+		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 }
 
-func routeKind(rt *config.Route) (k scheduler.Class) {
+func routeClass(route *config.Route) (c scheduler.Class) {
 	return scheduler.Class{
-		Value: 1, Urgency: math.Pow(2, -float64(rt.Rank)), FirstTokenBound: orElse(rt.FirstToken, rt.Timeout),
-		Repeatable: rt.Repeatable || rt.Resumable, Resumable: rt.Resumable, Attempts: max(rt.Attempts, 1), Timeout: rt.Timeout,
+		Value: 1, Urgency: math.Pow(2, -float64(route.Rank)), FirstTokenBound: orElse(route.FirstToken, route.Timeout),
+		Repeatable: route.Repeatable || route.Resumable, Resumable: route.Resumable, Attempts: max(route.Attempts, 1), Timeout: route.Timeout,
 	}
 }
 
@@ -48,15 +47,15 @@
 	return other
 }
 
-// kind finds the row of a kind, or takes one that nothing refers to any more.
-func (r *Router) kind(offer int, key kindKey, used map[scheduler.ClassID]bool) (at int) {
-	known, row := r.kinds[offer], &r.m.Services[offer]
+// classRow finds the row of a class, or takes one that nothing refers to any more.
+func (r *Router) classRow(service int, key classKey, used map[scheduler.ClassID]bool) (at int) {
+	known, row := r.classes[service], &r.scheduler.Services[service]
 	at, ok := known[key]
 	if ok {
 		return at
 	}
 	for old, i := range known {
-		if row.Classes[i].Gone && !used[scheduler.ClassID{Service: offer, Class: i}] {
+		if row.Classes[i].Gone && !used[scheduler.ClassID{Service: service, Class: i}] {
 			delete(known, old)
 			known[key] = i
 			return i
@@ -67,6 +66,7 @@
 	return known[key]
 }
 
+// hostOnly cuts off the port.
 func hostOnly(host string) (name string) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -74,64 +74,31 @@
 	return strings.ToLower(host)
 }
 
-func (r *Router) match(host, path string) (rt *config.Route) {
-	for _, rt := range r.hosts[hostOnly(host)] {
-		if strings.HasPrefix(path, rt.Prefix) {
-			return rt
+// matchRoute gives the host's route with the longest prefix of the path, or nil.
+func (r *Router) matchRoute(host, path string) (route *config.Route) {
+	for _, route := range r.routesByHost[hostOnly(host)] {
+		if strings.HasPrefix(path, route.Prefix) {
+			return route
 		}
 	}
 	return nil
 }
 
-// pick splits requests over offers by weight and the hash of their ids.
-func pick(rt *config.Route, request string) (offer string) {
+// pickService splits requests over services by weight and the hash of their ids.
+func pickService(route *config.Route, request string) (service string) {
 	total := 0.0
-	for _, s := range rt.Split {
-		total += s.Weight
+	for _, part := range route.Split {
+		total += part.Weight
 	}
-	point := float64(xxhash.Sum64String(rt.Name+"\x00"+request)>>11) / (1 << 53) * total
-	for _, s := range rt.Split {
-		if s.Weight <= 0 {
+	point := float64(xxhash.Sum64String(route.Name+"\x00"+request)>>11) / (1 << 53) * total
+	for _, part := range route.Split {
+		if part.Weight <= 0 {
 			continue
 		}
-		offer = s.Offer
-		if point -= s.Weight; point < 0 {
+		service = part.Offer
+		if point -= part.Weight; point < 0 {
 			break
 		}
 	}
-	return offer
-}
-
-func (r *Router) arriveRouted(now time.Duration, e Arrive) (d Decision, answered bool) {
-	bad := func(why string) (Decision, bool) {
-		return Decision{Verdict: Deny, Request: e.Request, Why: why, Bad: true}, true
-	}
-	rt := r.match(e.Host, e.Path)
-	if rt == nil {
-		return bad("no such route")
-	}
-	name := pick(rt, e.Request)
-	offer, ok := r.offers[name]
-	if !ok {
-		return bad("no such offer")
-	}
-	model := e.Model
-	if model == "" {
-		model = r.model(name)
-	}
-	parts, err := prefixindex.Parse(model, e.Prefix)
-	if err != nil {
-		parts = nil
-	}
-	kind := r.kinds[offer][kindKey{name: rt.Name, route: true}]
-	id := r.m.Arrive(now, scheduler.Request{Service: offer, Class: kind, Parts: parts, Tail: e.tail(parts), Patience: e.Patience})
-	r.asks[e.Request], r.names[id] = id, asked{request: e.Request, route: rt}
-	return d, false
-}
-
-func (e Arrive) tail(parts []prefixindex.Part) (tokens int) {
-	if e.Tokens == 0 {
-		return e.Tail
-	}
-	return max(e.Tokens-prefixindex.Tokens(parts), 0)
+	return service
 }
--- a/router.go
+++ b/router.go
@@ -1,7 +1,6 @@
 package mallowbridge
 
 import (
-	"strconv"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/config"
@@ -9,234 +8,135 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
+// Config holds what a router is told at its start.
 type Config struct {
-	Self    string
-	Boot    string
-	Domain  string
-	Market  scheduler.Config
+	// Self is the router's name, unique in the fleet; Boot is new at each start, so that attempt ids never return; Domain is its zone.
+	Self   string
+	Boot   string
+	Domain string
+	Market scheduler.Config
+	// OnceFor and OnceMax bound the memory of requests that were sent, in time and number.
 	OnceFor time.Duration
 	OnceMax int
 }
 
+// Defaults are the constants that production nodes use. Domain is the router's zone.
 func Defaults(self, boot, domain string) (c Config) {
-	return Config{Self: self, Boot: boot, Domain: domain, Market: scheduler.Defaults(self, domain), OnceFor: 10 * time.Minute, OnceMax: 100000}
+	return Config{
+		Self: self, Boot: boot, Domain: domain, Market: scheduler.Defaults(self, domain), OnceFor: 10 * time.Minute, OnceMax: 100000,
+	}
 }
 
-type seat struct {
+// replicaEntry is what the router knows of a replica beside the scheduler's row of the same index.
+type replicaEntry struct {
 	name, addr, instance string
-	listing              string
+	// platformState is what operators said of it: "present", "leaving" or "gone".
+	platformState string
 
+	// discovered: it came from the platform's list, where it was listedAs; goneSince is when the list left it out, else 0.
 	discovered bool
-	row        Instance
-	gone       time.Duration
+	listedAs   Instance
+	goneSince  time.Duration
 }
 
-type asked struct {
+// liveRequest is a request that the scheduler has not ended; route is nil for the product's own interface.
+type liveRequest struct {
 	request string
 	route   *config.Route
 }
 
-type kindKey struct {
+// classKey names a class of a service: a kind of the document, or a route.
+type classKey struct {
 	name  string
 	route bool
 }
 
+// Router is the routing state machine of one node or embedding program. It turns events into calls of the scheduler and the
+// scheduler's actions into decisions, by name instead of index. It does no I/O and is not safe for concurrent use; a Desk owns it. All
+// times are on the caller's clock, since its start.
 type Router struct {
-	cfg    Config
-	m      *scheduler.Scheduler
-	pic    *config.Snapshot
-	offers map[string]int
-	kinds  []map[kindKey]int
-	reps   map[string]int
-	seats  []seat
-	asks   map[string]int
-	names  map[int]asked
-	hosts  map[string][]*config.Route
-	roster Roster
-	read   time.Duration
-	listed bool
-	once   *once
-	front  string
-}
-
+	cfg       Config
+	scheduler *scheduler.Scheduler
+	snapshot  *config.Snapshot
+
+	// services and replicaIDs give the scheduler's index by name, classes that of a class within a service.
+	services   map[string]int
+	classes    []map[classKey]int
+	replicaIDs map[string]int
+	replicas   []replicaEntry
+	// requestIDs gives the scheduler's id by the client's, requests the other way.
+	requestIDs map[string]int
+	requests   map[int]liveRequest
+	// routesByHost has the longest path prefix first.
+	routesByHost map[string][]*config.Route
+
+	replicaList Roster
+	listReadAt  time.Duration
+	listKnown   bool
+
+	alreadyRan    *requestMemory
+	attemptPrefix string
+}
+
+// New gives a router that rejects all requests until it has a snapshot and a Feed.
 func New(cfg Config) (r *Router) {
 	return &Router{
-		cfg: cfg, m: scheduler.New(cfg.Market), offers: map[string]int{}, reps: map[string]int{},
-		asks: map[string]int{}, names: map[int]asked{}, once: newOnce(cfg.OnceFor, cfg.OnceMax),
-		front: cfg.Self + "." + cfg.Boot + ".",
+		cfg: cfg, scheduler: scheduler.New(cfg.Market), services: map[string]int{}, replicaIDs: map[string]int{},
+		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newRequestMemory(cfg.OnceFor, cfg.OnceMax),
+		attemptPrefix: cfg.Self + "." + cfg.Boot + ".",
 	}
 }
 
-func (r *Router) Mark() (mark uint64) {
-	if r.pic == nil {
+// Mark is the version of the snapshot in force, 0 before the first.
+func (r *Router) Mark() (version uint64) {
+	if r.snapshot == nil {
 		return 0
 	}
-	return r.pic.Mark
+	return r.snapshot.Mark
 }
 
-func (r *Router) Counters() (c scheduler.Counters) { return r.m.Counters }
+// Counters are the scheduler's.
+func (r *Router) Counters() (c scheduler.Counters) { return r.scheduler.Counters }
 
-func (r *Router) Hints() (c prefixindex.Counters, t time.Duration) {
-	return r.m.Index.Counters, r.m.Index.TTL()
+// Hints gives the prefix index's counters and how long a prediction is trusted now.
+func (r *Router) Hints() (c prefixindex.Counters, ttl time.Duration) {
+	return r.scheduler.Index.Counters, r.scheduler.Index.TTL()
 }
 
-func (r *Router) Alerts() (early, stale bool) { return r.m.Index.Alerts() }
+// Alerts tells whether too many predictions expired early or stale lately.
+func (r *Router) Alerts() (early, stale bool) { return r.scheduler.Index.Alerts() }
 
-func (r *Router) Stalled(now time.Duration) (why string) { return r.m.NotServing(now) }
+// Stalled tells why nothing may be served now, or "".
+func (r *Router) Stalled(now time.Duration) (why string) { return r.scheduler.NotServing(now) }
 
-// Ready tells why requests should be sent elsewhere, or nothing.
+// Ready tells why requests should be sent elsewhere, or "".
 func (r *Router) Ready(now time.Duration) (why string) {
-	if why = r.m.NotServing(now); why != "" {
+	if why = r.scheduler.NotServing(now); why != "" {
 		return why
 	}
-	return r.m.NoCapacity(now)
+	return r.scheduler.NoCapacity(now)
 }
 
-// Trusts names the instance that the replica is held to be, or nothing while it is down or in doubt.
+// Trusts names the instance that the replica is held to be, or "" while it is down or may have restarted.
 func (r *Router) Trusts(replica string) (instance string) {
-	id, ok := r.reps[replica]
-	if !ok || !r.m.Replicas[id].Up || r.m.Replicas[id].SuspectSince > 0 {
+	id, ok := r.replicaIDs[replica]
+	if !ok || !r.scheduler.Replicas[id].Up || r.scheduler.Replicas[id].SuspectSince > 0 {
 		return ""
 	}
-	return r.seats[id].instance
+	return r.replicas[id].instance
 }
 
 // Next is when the router needs the time again without an event, if ever.
-func (r *Router) Next(now time.Duration) (at time.Duration, any bool) { return r.m.Next(now) }
+func (r *Router) Next(now time.Duration) (at time.Duration, any bool) { return r.scheduler.Next(now) }
 
-func (r *Router) Running() (n int) { return len(r.asks) }
+// Running counts requests that are not ended.
+func (r *Router) Running() (n int) { return len(r.requestIDs) }
 
-func (r *Router) Unsent() (n int) { return r.m.Unsent() }
+// Unsent counts requests whose current attempt has not been sent; a node that stops waits for these.
+func (r *Router) Unsent() (n int) { return r.scheduler.Unsent() }
 
-func (r *Router) IndexOff() { r.m.Index.Off = true }
+// IndexOff has the prefix index find nothing from now on, for comparisons.
+func (r *Router) IndexOff() { r.scheduler.Index.Off = true }
 
 // RoundRobin places requests in turn wherever there is room, for comparisons.
-func (r *Router) RoundRobin() { r.m.RoundRobin() }
-
-func (r *Router) Step(now time.Duration, ev Event) (out []Decision) {
-	switch e := ev.(type) {
-	case Arrive:
-		if d, answered := r.arrive(now, e); answered {
-			return []Decision{d}
-		}
-	case Order:
-		r.order(now, e.Picture)
-	case Listing:
-		r.listing(now, e)
-	case Usage:
-		r.usage(now, e)
-	case Roster:
-		r.roll(now, e)
-	case Load:
-		if id, ok := r.reps[e.Replica]; ok {
-			r.m.ReportOwnLoad(now, id, e.Running+e.Waiting)
-		}
-	case Prefill:
-		if id, ok := r.reps[e.Replica]; ok && e.Tokens > 0 {
-			r.m.ReportPrefill(now, id, float64(e.Tokens))
-		}
-	case Misplaced:
-		if id, ok := r.reps[e.Replica]; ok {
-			r.m.MarkReplaced(now, id)
-		}
-	case Failures:
-		r.failures(now, e)
-	case Doubt:
-		if id, ok := r.reps[e.Replica]; ok {
-			r.m.Replicas[id].SuspectSince = now
-		}
-	case Routers:
-		r.m.SetRouters(now, e.rows(r.cfg.Domain))
-	case Welcome:
-		r.cfg.Self, r.cfg.Domain = e.Self, e.Domain
-		for i := range r.m.Replicas {
-			r.m.Replicas[i].SameZone = r.m.Replicas[i].Zone == e.Domain
-		}
-		r.m.SetSelf(now, e.Self, e.Domain)
-	case Feed:
-		r.m.SetFeed(now, e.Why)
-	case Leave:
-		if !r.with(e.Request, e.Go, func(id int, g uint64) { r.m.AuthorizeSend(now, id, g) }) {
-			return []Decision{{Verdict: Recall, Request: e.Request, Go: e.Go}}
-		}
-	case Head:
-		r.head(now, e)
-	case Piece:
-		r.with(e.Request, e.Go, func(id int, g uint64) { r.m.StreamBegan(id, g) })
-	case End:
-		r.with(e.Request, e.Go, func(id int, g uint64) { r.m.EndAttempt(now, id, g, ends[e.How]) })
-	case Withhold:
-		if id, ok := r.asks[e.Request]; ok {
-			r.m.RejectRepeated(now, id)
-		}
-	case Hangup:
-		if id, ok := r.asks[e.Request]; ok {
-			r.m.ClientGone(now, id)
-			defer r.forget(id)
-		}
-	}
-	return r.render(now, r.m.Tick(now))
-}
-
-var ends = map[How]scheduler.End{Whole: scheduler.Whole, Refused: scheduler.Refused, Broken: scheduler.Broken, Unreached: scheduler.Unreached, Withheld: scheduler.Withheld, Unvouched: scheduler.NoQuorumOfWitnesses}
-
-func (r *Router) with(req, goName string, act func(id int, g uint64)) (ok bool) {
-	id, ok := r.asks[req]
-	if !ok {
-		return false
-	}
-	g, ok := r.goSeq(goName)
-	if !ok {
-		return false
-	}
-	act(id, g)
-	return true
-}
-
-func (r *Router) goName(seq uint64) (name string) {
-	return r.front + strconv.FormatUint(seq, 36)
-}
-
-func (r *Router) goSeq(name string) (seq uint64, ok bool) {
-	front := r.front
-	if len(name) <= len(front) || name[:len(front)] != front {
-		return 0, false
-	}
-	seq, err := strconv.ParseUint(name[len(front):], 36, 64)
-	return seq, err == nil
-}
-
-func (r *Router) head(now time.Duration, e Head) {
-	id, ok := r.asks[e.Request]
-	if !ok {
-		return
-	}
-	if rep := r.m.ReplicaOf(id); rep >= 0 && e.InstanceID != "" && !r.seats[rep].discovered {
-		g, _ := r.goSeq(e.Go)
-		r.instance(now, rep, e.InstanceID, 0, g)
-	}
-	if e.Failed {
-		r.with(e.Request, e.Go, func(id int, g uint64) { r.m.AnswerFailed(now, id, g) })
-		return
-	}
-	r.with(e.Request, e.Go, func(id int, g uint64) { r.m.FirstAnswer(now, id, g) })
-}
-
-// Failures gives what this router is to tell the others of failing replicas, if anything.
-func (r *Router) Failures(now time.Duration) (f Failures, any bool) {
-	for _, row := range r.m.FailureReport(now) {
-		f.Rows = append(f.Rows, Failure{Replica: r.seats[row.Replica].name, N: row.Count, Gone: row.Replaced})
-	}
-	f.By = r.cfg.Self
-	return f, len(f.Rows) > 0
-}
-
-func (r *Router) failures(now time.Duration, e Failures) {
-	var rows []scheduler.FailureCount
-	for _, f := range e.Rows {
-		if id, ok := r.reps[f.Replica]; ok {
-			rows = append(rows, scheduler.FailureCount{Replica: id, Count: f.N, Replaced: f.Gone})
-		}
-	}
-	r.m.TakeFailureReport(now, e.By, rows)
-}
+func (r *Router) RoundRobin() { r.scheduler.RoundRobin() }
--- a/router_test.go
+++ b/router_test.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf(`{"name":%q,"role":%q,"domain":%q,"addr":"127.0.0.1:%d"}`, name, role, domain, port)
 }
 
-func ask(t *testing.T, r *mallowbridge.Router, now time.Duration, id string) (d mallowbridge.Decision) {
+func deskMessage(t *testing.T, r *mallowbridge.Router, now time.Duration, id string) (d mallowbridge.Decision) {
 	t.Helper()
 	ds := r.Step(now, mallowbridge.Arrive{Request: id, Offer: "o", Kind: "k", Prefix: "sys/4000", Tail: 5})
 	if len(ds) != 1 || ds[0].Verdict != mallowbridge.Place {
@@ -53,16 +53,16 @@
 
 func TestSplitRolesKeepHoldingsAtThePrefillReplica(t *testing.T) {
 	r := router(t, replica("p1", "prefill", "a", 1)+","+replica("p2", "prefill", "a", 2)+","+replica("d1", "decode", "a", 3)+","+replica("d2", "decode", "a", 4))
-	one := ask(t, r, settled, "q1")
+	one := deskMessage(t, r, settled, "q1")
 	if one.Prefill == "" || one.Replica[0] != 'd' || one.Confirmed+one.Predicted != 0 {
 		t.Fatalf("%+v", one)
 	}
-	two := ask(t, r, settled+50*time.Millisecond, "q2")
+	two := deskMessage(t, r, settled+50*time.Millisecond, "q2")
 	if two.Prefill != one.Prefill || two.Predicted != 4000 || two.Confirmed != 0 {
 		t.Errorf("in the gap: %+v", two)
 	}
 	answer(r, settled+100*time.Millisecond, one)
-	if three := ask(t, r, settled+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
+	if three := deskMessage(t, r, settled+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
 		t.Errorf("after the answer: %+v", three)
 	}
 }
@@ -76,7 +76,7 @@
 		t.Errorf("mark %d", r.Mark())
 	}
 	r.Step(settled+3*time.Second, mallowbridge.Feed{})
-	if d := ask(t, r, settled+3*time.Second, "q1"); d.Replica != "d1" {
+	if d := deskMessage(t, r, settled+3*time.Second, "q1"); d.Replica != "d1" {
 		t.Errorf("placed in an emptied domain: %+v", d)
 	}
 }
@@ -91,12 +91,12 @@
 
 func TestANewInstanceHoldsNothing(t *testing.T) {
 	r := router(t, replica("p1", "both", "a", 1))
-	answer(r, settled+100*time.Millisecond, ask(t, r, settled, "q1"))
-	if d := ask(t, r, settled+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
+	answer(r, settled+100*time.Millisecond, deskMessage(t, r, settled, "q1"))
+	if d := deskMessage(t, r, settled+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
 		t.Fatalf("%+v", d)
 	}
 	r.Step(settled+300*time.Millisecond, mallowbridge.Usage{Replica: "p1", InstanceID: "p1.2"})
-	if d := ask(t, r, settled+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
+	if d := deskMessage(t, r, settled+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- /dev/null
+++ b/snapshot.go
@@ -0,0 +1,107 @@
+package mallowbridge
+
+import (
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/scheduler"
+)
+
+const (
+	// maxStaleCap is the longest that a predicted holding may be trusted, whatever the services say.
+	maxStaleCap = 2 * time.Second
+	// routedBase and routedPerToken estimate the time to the first token where the document does not.
+	routedBase     = 30 * time.Millisecond
+	routedPerToken = 10 * time.Microsecond
+)
+
+// applySnapshot puts a configuration into force, unless the one in force is as new. Rows of services and replicas that it leaves out
+// stay, unlisted, for the requests that run there.
+func (r *Router) applySnapshot(now time.Duration, p *config.Snapshot) {
+	if p == nil || (r.snapshot != nil && p.Mark <= r.snapshot.Mark) {
+		return
+	}
+	r.snapshot = p
+	r.unlistAll()
+	r.services = map[string]int{}
+	staleCap := maxStaleCap
+	used := r.scheduler.ClassesInUse()
+	for _, o := range p.Charter.Offers {
+		r.services[o.Name] = r.applyService(now, o, used)
+		if o.StaleCap > 0 {
+			staleCap = min(staleCap, o.StaleCap)
+		}
+	}
+	r.applyRoutes(p, used)
+	r.applyList(now)
+	r.scheduler.Index.SetCap(staleCap)
+	r.scheduler.Recompute(now)
+}
+
+func (r *Router) unlistAll() {
+	for i := range r.scheduler.Replicas {
+		r.scheduler.Replicas[i].Listed = false
+	}
+	for i := range r.scheduler.Services {
+		row := &r.scheduler.Services[i]
+		row.Replicas = row.Replicas[:0]
+		for k := range row.Classes {
+			row.Classes[k].Gone = true
+		}
+	}
+}
+
+// serviceRow finds the row of a service, or adds one.
+func (r *Router) serviceRow(name string) (id int) {
+	for i := range r.scheduler.Services {
+		if r.scheduler.Services[i].Name == name {
+			return i
+		}
+	}
+	r.classes = append(r.classes, map[classKey]int{})
+	return r.scheduler.AddService(scheduler.Service{Name: name})
+}
+
+func (r *Router) applyService(now time.Duration, o config.Offer, used map[scheduler.ClassID]bool) (id int) {
+	id = r.serviceRow(o.Name)
+	row := &r.scheduler.Services[id]
+	row.ColdRoom, row.ColdRamp, row.ColdRate = o.ColdRoom, o.ColdRamp, o.ColdRate
+	row.Base, row.PerToken = o.Base, o.PerToken
+	row.CrossZoneCost, row.RetryShare, row.RetryAllowance = o.CrossCost, o.SecondShare, o.SecondPlus
+	row.Queues, row.MaxConns = o.Queues, o.MaxConns
+	if o.Stride > 0 || o.Discovered {
+		row.Base, row.PerToken = orElse(o.Base, routedBase), orElse(o.PerToken, routedPerToken)
+	}
+	row.Batch(o.Stride > 0)
+	row.SplitRoles = false
+	for _, k := range o.Kinds {
+		at := r.classRow(id, classKey{name: k.Name}, used)
+		row.Classes[at] = scheduler.Class{Value: k.Value, Urgency: k.Urgency, FirstTokenBound: k.FirstToken, Repeatable: k.Repeatable}
+	}
+	for _, c := range o.Replicas {
+		row.SplitRoles = row.SplitRoles || c.Role == "prefill"
+		row.Replicas = append(row.Replicas, r.applyReplica(now, id, o.KeepTokens, c))
+	}
+	return id
+}
+
+// applyReplica lists a replica of the document. Another address means another replica, of which nothing is known.
+func (r *Router) applyReplica(now time.Duration, service, keepTokens int, c config.Replica) (id int) {
+	id, ok := r.replicaIDs[c.Name]
+	if !ok {
+		id = r.scheduler.AddReplica(scheduler.Replica{Name: c.Name}, keepTokens)
+		r.replicaIDs[c.Name] = id
+		r.replicas = append(r.replicas, replicaEntry{name: c.Name})
+	}
+	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
+	if entry.addr != "" && entry.addr != c.Addr {
+		entry.instance, row.Up = "", false
+		r.scheduler.Index.Reset(id, 0)
+	}
+	entry.addr = c.Addr
+	row.Service, row.Role, row.Room, row.Listed = service, c.Role, c.Room, true
+	row.Zone, row.SameZone = c.Domain, c.Domain == r.cfg.Domain
+	r.applyEvacuation(now, id, c.Domain)
+	r.scheduler.Index.SetKeep(id, keepTokens)
+	return id
+}
--- /dev/null
+++ b/step.go
@@ -0,0 +1,137 @@
+package mallowbridge
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/scheduler"
+)
+
+// Step takes the time and one event and gives the decisions that follow from both, in order.
+func (r *Router) Step(now time.Duration, ev Event) (out []Decision) {
+	switch e := ev.(type) {
+	case Arrive:
+		if d, answered := r.arrive(now, e); answered {
+			return []Decision{d}
+		}
+	case Leave:
+		if !r.withAttempt(e.Request, e.Go, func(id int, attempt uint64) { r.scheduler.AuthorizeSend(now, id, attempt) }) {
+			return []Decision{{Verdict: Recall, Request: e.Request, Go: e.Go}}
+		}
+	case Hangup:
+		if id, ok := r.requestIDs[e.Request]; ok {
+			r.scheduler.ClientGone(now, id)
+			defer r.forget(id)
+		}
+	default:
+		r.takeRequestEvent(now, ev)
+		r.takeFleetEvent(now, ev)
+	}
+	return r.decisions(now, r.scheduler.Tick(now))
+}
+
+// takeRequestEvent passes on what became of an attempt.
+func (r *Router) takeRequestEvent(now time.Duration, ev Event) {
+	switch e := ev.(type) {
+	case Head:
+		r.answerHead(now, e)
+	case Piece:
+		r.withAttempt(e.Request, e.Go, func(id int, attempt uint64) { r.scheduler.StreamBegan(id, attempt) })
+	case End:
+		r.withAttempt(e.Request, e.Go, func(id int, attempt uint64) { r.scheduler.EndAttempt(now, id, attempt, ends[e.How]) })
+	case Withhold:
+		if id, ok := r.requestIDs[e.Request]; ok {
+			r.scheduler.RejectRepeated(now, id)
+		}
+	}
+}
+
+// takeFleetEvent follows the configuration, the control side and the replicas.
+func (r *Router) takeFleetEvent(now time.Duration, ev Event) {
+	switch e := ev.(type) {
+	case Order:
+		r.applySnapshot(now, e.Picture)
+	case Welcome:
+		r.setSelf(now, e)
+	case Routers:
+		r.scheduler.SetRouters(now, e.byZone(r.cfg.Domain))
+	case Feed:
+		r.scheduler.SetFeed(now, e.Why)
+	case Listing:
+		r.applyListing(now, e)
+	case Roster:
+		r.takeList(now, e)
+	default:
+		r.takeReplicaReport(now, ev)
+	}
+}
+
+var ends = map[How]scheduler.End{
+	Whole: scheduler.Whole, Refused: scheduler.Refused, Broken: scheduler.Broken, Unreached: scheduler.Unreached,
+	Withheld: scheduler.Withheld, Unvouched: scheduler.NoQuorumOfWitnesses,
+}
+
+// setSelf takes the daemon's name and zone. The prefix of attempt ids stays this program's own.
+func (r *Router) setSelf(now time.Duration, e Welcome) {
+	r.cfg.Self, r.cfg.Domain = e.Self, e.Domain
+	for i := range r.scheduler.Replicas {
+		r.scheduler.Replicas[i].SameZone = r.scheduler.Replicas[i].Zone == e.Domain
+	}
+	r.scheduler.SetSelf(now, e.Self, e.Domain)
+}
+
+func (e Routers) byZone(zone string) (routers []scheduler.RouterZone) {
+	for i, name := range e.Names {
+		router := scheduler.RouterZone{Name: name, Zone: zone}
+		if i < len(e.Domains) {
+			router.Zone = e.Domains[i]
+		}
+		routers = append(routers, router)
+	}
+	return routers
+}
+
+// withAttempt calls act with the scheduler's ids of a request and an attempt, unless they are not this router's.
+func (r *Router) withAttempt(request, attemptID string, act func(id int, attempt uint64)) (ok bool) {
+	id, ok := r.requestIDs[request]
+	if !ok {
+		return false
+	}
+	attempt, ok := r.attemptNumber(attemptID)
+	if !ok {
+		return false
+	}
+	act(id, attempt)
+	return true
+}
+
+func (r *Router) attemptID(attempt uint64) (id string) {
+	return r.attemptPrefix + strconv.FormatUint(attempt, 36)
+}
+
+func (r *Router) attemptNumber(id string) (attempt uint64, ok bool) {
+	prefix := r.attemptPrefix
+	if len(id) <= len(prefix) || id[:len(prefix)] != prefix {
+		return 0, false
+	}
+	attempt, err := strconv.ParseUint(id[len(prefix):], 36, 64)
+	return attempt, err == nil
+}
+
+func (r *Router) answerHead(now time.Duration, e Head) {
+	id, ok := r.requestIDs[e.Request]
+	if !ok {
+		return
+	}
+	if replica := r.scheduler.ReplicaOf(id); replica >= 0 && e.InstanceID != "" && !r.replicas[replica].discovered {
+		attempt, _ := r.attemptNumber(e.Go)
+		r.setInstance(now, replica, e.InstanceID, 0, attempt)
+	}
+	r.withAttempt(e.Request, e.Go, func(id int, attempt uint64) {
+		if e.Failed {
+			r.scheduler.AnswerFailed(now, id, attempt)
+			return
+		}
+		r.scheduler.FirstAnswer(now, id, attempt)
+	})
+}
