--- /dev/null
+++ b/membership/config.go
@@ -0,0 +1,31 @@
+package membership
+
+import "time"
+
+// Config holds the times of failure detection.
+type Config struct {
+	// PingEvery is how often a member pings those it watches; members held dead are pinged deadPingFactor times more seldom.
+	PingEvery time.Duration
+	// DirectTimeout is how long a ping may stay unanswered until helpers are asked to ping too, IndirectTimeout how long from there
+	// until the member is suspected, and SuspectFor how long a suspicion may stand until the member is declared dead.
+	DirectTimeout, IndirectTimeout, SuspectFor time.Duration
+	// PauseGap is the time between two ticks that means that this machine stood still: what is under way is then void.
+	PauseGap time.Duration
+	// IsolatedAfter is how long nobody may answer until this member holds itself cut off and declares nobody dead.
+	IsolatedAfter time.Duration
+	// Helpers is how many members are asked to ping one that does not answer.
+	Helpers int
+}
+
+// Defaults are the times that production nodes use.
+func Defaults() (c Config) {
+	return Config{
+		PingEvery: 400 * time.Millisecond, DirectTimeout: 350 * time.Millisecond, IndirectTimeout: 350 * time.Millisecond,
+		SuspectFor: 900 * time.Millisecond, PauseGap: time.Second, IsolatedAfter: 1500 * time.Millisecond, Helpers: 2,
+	}
+}
+
+const (
+	deadPingFactor = 5
+	relayFor       = 5 * time.Second
+)
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -5,63 +5,6 @@
 	"time"
 )
 
-// Config holds the times of failure detection.
-type Config struct {
-	// PingEvery is how often a member pings those it watches; members held dead are pinged deadPingFactor times more seldom.
-	PingEvery time.Duration
-	// DirectTimeout is how long a ping may stay unanswered until helpers are asked to ping too, IndirectTimeout how long from there
-	// until the member is suspected, and SuspectFor how long a suspicion may stand until the member is declared dead.
-	DirectTimeout, IndirectTimeout, SuspectFor time.Duration
-	// PauseGap is the time between two ticks that means that this machine stood still: what is under way is then void.
-	PauseGap time.Duration
-	// IsolatedAfter is how long nobody may answer until this member holds itself cut off and declares nobody dead.
-	IsolatedAfter time.Duration
-	// Helpers is how many members are asked to ping one that does not answer.
-	Helpers int
-}
-
-// Defaults are the times that production nodes use.
-func Defaults() (c Config) {
-	return Config{
-		PingEvery: 400 * time.Millisecond, DirectTimeout: 350 * time.Millisecond, IndirectTimeout: 350 * time.Millisecond,
-		SuspectFor: 900 * time.Millisecond, PauseGap: time.Second, IsolatedAfter: 1500 * time.Millisecond, Helpers: 2,
-	}
-}
-
-const (
-	deadPingFactor = 5
-	relayFor       = 5 * time.Second
-)
-
-// Message is what failure detectors send each other. The names of its types and fields are part of the format between nodes.
-type Message interface{ membershipMessage() }
-
-// Ping asks the member of that name for an Ack of the same number.
-type Ping struct {
-	Seq  uint64
-	Name string
-}
-
-// Ack answers a Ping.
-type Ack struct{ Seq uint64 }
-
-// PingFor asks a helper to ping the member of that name and address, and to pass on its Ack.
-type PingFor struct {
-	Seq  uint64
-	Addr string
-	Name string
-}
-
-func (Ping) membershipMessage()    {}
-func (Ack) membershipMessage()     {}
-func (PingFor) membershipMessage() {}
-
-// Send is a message for the node at an address, host:port.
-type Send struct {
-	To  string
-	Msg Message
-}
-
 // probe is a ping that waits for its answer; indirect: helpers were asked, or are not to be.
 type probe struct {
 	target   string
