--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -96,9 +96,9 @@
 	}
 	g := httpapi.New(h.Desk, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
 		return control.Vouch(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
-	}, httpapi.Bounds(s.MaxBody, s.MaxStreams))
-	g.Front = h.Front
-	ops := &httpapi.Ops{C: h, G: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
+	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
+	g.NodeID = h.Front
+	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
 	routes := bunrouter.New()
 	ops.Routes(routes)
 	srv := &http.Server{
@@ -143,7 +143,7 @@
 
 // drain has agents sent elsewhere first, then lets no more in, sends what was let in, gives up claims and room, and waits
 // for the streams.
-func drain(h *daemon.Daemon, g *httpapi.Gate, again chan os.Signal, most time.Duration) {
+func drain(h *daemon.Daemon, g *httpapi.Frontend, again chan os.Signal, most time.Duration) {
 	g.Retire()
 	h.Call(control.Retire{})
 	end := time.After(most)
@@ -155,7 +155,7 @@
 		select {
 		case <-tick.C:
 		case <-shut:
-			g.Shut()
+			g.StopAdmitting()
 			from = time.Now()
 			shut = nil
 		case <-again:
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -119,7 +119,7 @@
 	if lis := listeners["control"]; lis != nil {
 		routes := bunrouter.New()
 		platform.Routes(routes, daemon.Documents{Daemon: h})
-		ops := &httpapi.Ops{C: h, Desk: h.Desk, Clock: daemon.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
+		ops := &httpapi.Operations{Control: h, Router: h.Desk, Clock: daemon.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
 		ops.Watch(routes)
 		serveOps(t, lis, routes, h.Gate.ConnContext)
 	}
--- a/httpapi/bounds_test.go
+++ b/httpapi/bounds_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%+v gave %d", c, got)
 		}
 	}
-	r.gate.Shut()
+	r.gate.StopAdmitting()
 	if got := post("/v1/offers/o/again", "z", "", "{}"); got != 503 {
 		t.Errorf("a draining gate gave %d", got)
 	}
--- a/httpapi/gate_test.go
+++ b/httpapi/frontend_test.go
@@ -29,7 +29,7 @@
 	addrs []string
 	logs  [2]bytes.Buffer
 	desk  *mallowbridge.Desk
-	gate  *httpapi.Gate
+	gate  *httpapi.Frontend
 	srv   *httptest.Server
 	tomb  *tomb.Tomb
 	now   atomic.Int64
@@ -71,8 +71,8 @@
 	r.later(3 * time.Second)
 	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) mallowbridge.How {
 		return map[bool]mallowbridge.How{true: "", false: mallowbridge.Withheld}[first]
-	}, httpapi.Bounds(4096, 2))
-	r.gate.Front = "n1.b"
+	}, httpapi.DefaultLimits(4096, 2))
+	r.gate.NodeID = "n1.b"
 	mux := bunrouter.New()
 	mux.POST("/v1/offers/:offer/:kind", r.gate.Handler())
 	r.srv = httptest.NewServer(mux)
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -9,34 +9,43 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-func (o *Ops) health(w http.ResponseWriter, r bunrouter.Request) error {
-	return reply(w, http.StatusOK, map[string]string{"health": "ok"})
+type healthAnswer struct {
+	Health string `json:"health"`
 }
 
-func (o *Ops) readiness(w http.ResponseWriter, r bunrouter.Request) error {
+type readyAnswer struct {
+	Ready string `json:"ready"`
+	Why   string `json:"why,omitempty"`
+}
+
+func (o *Operations) health(w http.ResponseWriter, r bunrouter.Request) error {
+	return reply(w, http.StatusOK, healthAnswer{Health: "ok"})
+}
+
+func (o *Operations) readiness(w http.ResponseWriter, r bunrouter.Request) error {
 	why := "draining"
-	if o.G.Open() {
-		o.G.desk.Look(func(r *mallowbridge.Router) { why = r.Ready(o.Clock()) })
+	if o.Frontend.Open() {
+		o.Frontend.router.Look(func(r *mallowbridge.Router) { why = r.Ready(o.Clock()) })
 	}
 	if why != "" {
 		w.Header().Set("Retry-After", "1")
-		return reply(w, http.StatusServiceUnavailable, map[string]string{"ready": "no", "why": why})
+		return reply(w, http.StatusServiceUnavailable, readyAnswer{Ready: "no", Why: why})
 	}
-	return reply(w, http.StatusOK, map[string]string{"ready": "yes"})
+	return reply(w, http.StatusOK, readyAnswer{Ready: "yes"})
 }
 
-func (o *Ops) status(w http.ResponseWriter, r bunrouter.Request) error {
+func (o *Operations) status(w http.ResponseWriter, r bunrouter.Request) error {
 	var s control.Status
-	o.C.Look(func(n *control.Node) { s = n.Status(o.Clock()) })
+	o.Control.Look(func(n *control.Node) { s = n.Status(o.Clock()) })
 	return reply(w, http.StatusOK, s)
 }
 
-func (o *Ops) counters(w http.ResponseWriter, r bunrouter.Request) error {
+func (o *Operations) counters(w http.ResponseWriter, r bunrouter.Request) error {
 	c := map[string]uint64{}
-	desk := o.Desk
-	if o.G != nil {
-		o.G.count(c)
-		desk = o.G.desk
+	desk := o.Router
+	if o.Frontend != nil {
+		o.Frontend.count(c)
+		desk = o.Frontend.router
 	}
 	desk.Look(func(r *mallowbridge.Router) { count(c, r) })
 	if o.Extra != nil {
@@ -47,9 +56,10 @@
 	return reply(w, http.StatusOK, c)
 }
 
-func (g *Gate) count(c map[string]uint64) {
-	n := &g.N
-	c["gate.requests"], c["gate.denied"], c["gate.repeats"] = n.Requests.Load(), n.Denied.Load(), n.Repeats.Load()
+// count adds the published counters. Their prefixes gate, bid and hint are those that operators know.
+func (f *Frontend) count(c map[string]uint64) {
+	n := &f.Counters
+	c["gate.requests"], c["gate.denied"], c["gate.repeats"] = n.Requests.Load(), n.Rejected.Load(), n.RejectedRepeated.Load()
 	c["gate.done"], c["gate.partial"], c["gate.unknown"] = n.Done.Load(), n.Partial.Load(), n.Unknown.Load()
 	c["gate.bad"], c["gate.hangups"], c["gate.breaks"] = n.Bad.Load(), n.Hangups.Load(), n.Breaks.Load()
 }
--- a/httpapi/ops.go
+++ b/httpapi/operations.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -17,36 +16,44 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// Control is the node's control side: the daemon. Call gives an operation and waits for its answer; Look calls look in the goroutine that
+// owns the control state.
 type Control interface {
 	Call(op control.Op) (a control.Answer)
 	Look(look func(n *control.Node))
 }
 
-type Ops struct {
-	C     Control
-	G     *Gate
-	Desk  *mallowbridge.Desk
-	Clock func() time.Duration
-	Extra func() (counters map[string]uint64)
+// Operations serves operators' calls, health, status and counters. Frontend is nil, and Router set, where this node serves another
+// interface; Extra adds counters to the published ones.
+type Operations struct {
+	Control  Control
+	Frontend *Frontend
+	Router   *mallowbridge.Desk
+	Clock    func() time.Duration
+	Extra    func() (counters map[string]uint64)
 }
 
-type Accepted struct {
-	Mark    uint64           `json:"mark"`
-	Now     uint64           `json:"now"`
-	Emptied []string         `json:"emptied"`
-	Voters  []register.Voter `json:"voters"`
-	Config  json.RawMessage  `json:"config,omitempty"`
+// Configuration is the answer to operators' calls that succeed: the version of this change, the newest one, and what holds there. The
+// JSON names are published: mark is a version, emptied the evacuated zones.
+type Configuration struct {
+	Mark      uint64           `json:"mark"`
+	Now       uint64           `json:"now"`
+	Evacuated []string         `json:"emptied"`
+	Voters    []register.Voter `json:"voters"`
+	Config    json.RawMessage  `json:"config,omitempty"`
 }
 
-type Trouble struct {
-	Error string        `json:"error"`
-	Fate  string        `json:"fate"`
-	Mark  *uint64       `json:"mark,omitempty"`
-	Flaws []config.Flaw `json:"flaws,omitempty"`
+// Failure is the answer to operators' calls that fail. Its JSON name fate says "unchanged", or "unknown" where the change may yet hold.
+type Failure struct {
+	Error  string        `json:"error"`
+	Effect string        `json:"fate"`
+	Mark   *uint64       `json:"mark,omitempty"`
+	Flaws  []config.Flaw `json:"flaws,omitempty"`
 }
 
-func (o *Ops) Routes(r *bunrouter.Router) {
-	r.POST("/v1/offers/:offer/:kind", o.G.Handler())
+// Routes adds all paths of the product's own interface.
+func (o *Operations) Routes(r *bunrouter.Router) {
+	r.POST("/v1/offers/:offer/:kind", o.Frontend.Handler())
 	r.GET("/healthz", o.health)
 	r.GET("/readyz", o.readiness)
 	o.Watch(r)
@@ -60,7 +67,7 @@
 }
 
 // Watch adds what an operator looks at: the node's status and its counters.
-func (o *Ops) Watch(r *bunrouter.Router) {
+func (o *Operations) Watch(r *bunrouter.Router) {
 	r.GET("/v1/status", o.status)
 	r.GET("/v1/counters", o.counters)
 }
@@ -72,7 +79,8 @@
 	return nil
 }
 
-func refuse(w http.ResponseWriter, err error) error {
+// fail answers with the status that belongs to an error's type.
+func fail(w http.ResponseWriter, err error) error {
 	var bad *config.InvalidError
 	var conflict *register.ConflictError
 	var unknown *register.OutcomeUnknownError
@@ -82,7 +90,7 @@
 	var unfounded *register.NotBootstrappedError
 	var name *control.NameError
 	var long *http.MaxBytesError
-	t := Trouble{Error: err.Error(), Fate: "unchanged"}
+	t := Failure{Error: err.Error(), Effect: "unchanged"}
 	status := http.StatusInternalServerError
 	switch {
 	case errors.As(err, &bad):
@@ -90,7 +98,7 @@
 	case errors.As(err, &conflict):
 		status, t.Mark = http.StatusConflict, &conflict.Mark
 	case errors.As(err, &unknown), errors.As(err, &forgotten):
-		status, t.Fate = http.StatusGatewayTimeout, "unknown"
+		status, t.Effect = http.StatusGatewayTimeout, "unknown"
 	case errors.As(err, &unreached), errors.As(err, &unfounded), errors.As(err, &fenced):
 		status = http.StatusServiceUnavailable
 		w.Header().Set("Retry-After", "2")
@@ -106,7 +114,8 @@
 	return &config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}}
 }
 
-func (o *Ops) changeID(r bunrouter.Request) (id string, err error) {
+// changeID is the id by which a change that is sent again is known.
+func (o *Operations) changeID(r bunrouter.Request) (id string, err error) {
 	id = r.Header.Get("X-Change-Id")
 	if !clean(id, 128) {
 		return "", flaw("X-Change-Id", strconv.Quote(id), "1 to 128 printable bytes, the same when a change is repeated")
@@ -126,62 +135,62 @@
 	return config.Open(raw)
 }
 
-func (o *Ops) answer(w http.ResponseWriter, a control.Answer) error {
+func (o *Operations) answer(w http.ResponseWriter, a control.Answer) error {
 	if a.Err != nil {
-		return refuse(w, a.Err)
+		return fail(w, a.Err)
 	}
 	v := a.Value
-	return reply(w, http.StatusOK, Accepted{Mark: a.Mark, Now: v.Mark, Emptied: append([]string{}, v.Emptied...), Voters: v.Voters, Config: v.Body})
+	return reply(w, http.StatusOK, Configuration{Mark: a.Mark, Now: v.Mark, Evacuated: append([]string{}, v.Emptied...), Voters: v.Voters, Config: v.Body})
 }
 
-func (o *Ops) get(w http.ResponseWriter, r bunrouter.Request) error {
-	return o.answer(w, o.C.Call(control.Get{}))
+func (o *Operations) get(w http.ResponseWriter, r bunrouter.Request) error {
+	return o.answer(w, o.Control.Call(control.Get{}))
 }
 
-func (o *Ops) put(w http.ResponseWriter, r bunrouter.Request) error {
+func (o *Operations) put(w http.ResponseWriter, r bunrouter.Request) error {
 	id, err := o.changeID(r)
 	if err != nil {
-		return refuse(w, err)
+		return fail(w, err)
 	}
 	expect, err := strconv.ParseUint(r.URL.Query().Get("expect"), 10, 64)
 	if err != nil {
-		return refuse(w, flaw("?expect", strconv.Quote(r.URL.Query().Get("expect")), "the mark this change expects"))
+		return fail(w, flaw("?expect", strconv.Quote(r.URL.Query().Get("expect")), "the mark this change expects"))
 	}
 	raw, err := body(w, r)
 	if err != nil {
-		return refuse(w, err)
+		return fail(w, err)
 	}
 	if _, err = config.Read(raw); err != nil {
-		return refuse(w, err)
+		return fail(w, err)
 	}
-	return o.answer(w, o.C.Call(control.Put{ID: id, Expect: expect, Body: raw}))
+	return o.answer(w, o.Control.Call(control.Put{ID: id, Expect: expect, Body: raw}))
 }
 
-func (o *Ops) domain(restore bool) (h bunrouter.HandlerFunc) {
+func (o *Operations) domain(restore bool) (h bunrouter.HandlerFunc) {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
-			return refuse(w, err)
+			return fail(w, err)
 		}
 		name := r.Param("domain")
 		known := false
-		o.C.Look(func(n *control.Node) { known = n.Knows(name) })
+		o.Control.Look(func(n *control.Node) { known = n.Knows(name) })
 		if !known {
-			return refuse(w, &control.NameError{Name: name, Why: "no such domain"})
+			return fail(w, &control.NameError{Name: name, Why: "no such domain"})
 		}
-		return o.answer(w, o.C.Call(control.Evacuate{ID: id, Domain: name, Restore: restore}))
+		return o.answer(w, o.Control.Call(control.Evacuate{ID: id, Domain: name, Restore: restore}))
 	}
 }
 
-func (o *Ops) voters(op func(id string, names []string) control.Op) (h bunrouter.HandlerFunc) {
+func (o *Operations) voters(op func(id string, names []string) control.Op) (h bunrouter.HandlerFunc) {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
-			return refuse(w, err)
+			return fail(w, err)
 		}
 		d, err := open(w, r)
 		if err != nil {
-			return refuse(w, err)
+			return fail(w, err)
 		}
 		var names []string
 		for _, e := range d.List("voters", 1, 15) {
@@ -189,16 +198,21 @@
 		}
 		d.Close()
 		if err = d.Err(); err != nil {
-			return refuse(w, err)
+			return fail(w, err)
 		}
-		return o.answer(w, o.C.Call(op(id, names)))
+		return o.answer(w, o.Control.Call(op(id, names)))
 	}
 }
 
-func (o *Ops) replicas(w http.ResponseWriter, r bunrouter.Request) error {
+type takenAnswer struct {
+	Taken string `json:"taken"`
+}
+
+// replicas takes what operators say of replicas of the document.
+func (o *Operations) replicas(w http.ResponseWriter, r bunrouter.Request) error {
 	d, err := open(w, r)
 	if err != nil {
-		return refuse(w, err)
+		return fail(w, err)
 	}
 	op := control.SetListings{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
@@ -211,10 +225,10 @@
 	}
 	d.Close()
 	if err = d.Err(); err != nil {
-		return refuse(w, err)
+		return fail(w, err)
 	}
-	if a := o.C.Call(op); a.Err != nil {
-		return refuse(w, a.Err)
+	if a := o.Control.Call(op); a.Err != nil {
+		return fail(w, a.Err)
 	}
-	return reply(w, http.StatusOK, map[string]string{"taken": fmt.Sprint(len(op.Rows))})
+	return reply(w, http.StatusOK, takenAnswer{Taken: strconv.Itoa(len(op.Rows))})
 }
--- /dev/null
+++ b/httpapi/replicaconn.go
@@ -0,0 +1,161 @@
+package httpapi
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"net/url"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge"
+)
+
+// headBytes bounds the head of a replica's answer.
+const headBytes = 64 << 10
+
+// replicaConn is one attempt at a replica: a connection of its own, whose goroutine reports to the session what happens on it.
+type replicaConn struct {
+	frontend  *Frontend
+	placement mallowbridge.Decision
+	exchange  *Exchange
+	events    chan mallowbridge.Wire
+	orders    chan mallowbridge.MoveKind
+	quit      chan struct{}
+}
+
+// connect starts an attempt; stop ends it at once.
+func (f *Frontend) connect(x *Exchange, place mallowbridge.Decision) (c *replicaConn) {
+	c = &replicaConn{
+		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.Wire), orders: make(chan mallowbridge.MoveKind, 2), quit: make(chan struct{}),
+	}
+	go c.run()
+	return c
+}
+
+func (c *replicaConn) stop() { close(c.quit) }
+
+// report gives the session an event; it is not ok once the attempt was stopped.
+func (c *replicaConn) report(s mallowbridge.Wire) (ok bool) {
+	select {
+	case c.events <- s:
+		return true
+	case <-c.quit:
+		return false
+	}
+}
+
+func (c *replicaConn) run() {
+	conn, err := net.DialTimeout("tcp", c.placement.Addr, c.frontend.limits.Dial)
+	if err != nil {
+		c.report(mallowbridge.Dialed{Go: c.placement.Go})
+		return
+	}
+	done := make(chan struct{})
+	defer close(done)
+	go func() {
+		select {
+		case <-c.quit:
+		case <-done:
+		}
+		_ = conn.Close()
+	}()
+	if !c.report(mallowbridge.Dialed{Go: c.placement.Go, OK: true}) {
+		return
+	}
+	c.obey(conn)
+}
+
+// obey asks the witnesses and sends the request as the session orders, and ends with the answer.
+func (c *replicaConn) obey(conn net.Conn) {
+	for {
+		select {
+		case order := <-c.orders:
+			if order == mallowbridge.Write {
+				_ = c.sendAndRead(conn)
+				c.report(mallowbridge.Lost{Go: c.placement.Go})
+				return
+			}
+			how := c.frontend.witness(c.exchange.request, c.placement.Spare, false)
+			if !c.report(mallowbridge.Vouched{Go: c.placement.Go, How: how}) {
+				return
+			}
+		case <-c.quit:
+			return
+		}
+	}
+}
+
+// sendAndRead sends the request and reports the answer's head and lines until it ends or fails.
+func (c *replicaConn) sendAndRead(conn net.Conn) (err error) {
+	_ = conn.SetWriteDeadline(time.Now().Add(c.frontend.limits.Write))
+	req := c.request()
+	if err = req.Write(conn); err != nil {
+		return err
+	}
+	_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.Head))
+	resp, err := readHead(conn, req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	replied := mallowbridge.Replied{Go: c.placement.Go, Attempt: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
+	if !c.report(replied) {
+		return nil
+	}
+	return c.readLines(conn, resp.Body)
+}
+
+// readHead reads the head of an answer, of bounded length, and passes over interim ones.
+func readHead(conn net.Conn, req *http.Request) (resp *http.Response, err error) {
+	src := &io.LimitedReader{R: conn, N: headBytes}
+	r := bufio.NewReader(src)
+	resp, err = http.ReadResponse(r, req)
+	for err == nil && resp.StatusCode/100 == 1 {
+		resp, err = http.ReadResponse(r, req)
+	}
+	src.N = math.MaxInt64
+	return resp, err
+}
+
+func (c *replicaConn) readLines(conn net.Conn, body io.Reader) (err error) {
+	lines := bufio.NewScanner(body)
+	lines.Buffer(make([]byte, 0, 4096), c.frontend.limits.LineBytes)
+	for {
+		_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.Line))
+		if !lines.Scan() {
+			return lines.Err()
+		}
+		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
+			continue
+		}
+		var l mallowbridge.Line
+		if err = json.Unmarshal(lines.Bytes(), &l); err != nil {
+			return err
+		}
+		if !c.report(mallowbridge.Read{Go: c.placement.Go, Line: l}) {
+			return nil
+		}
+	}
+}
+
+func (c *replicaConn) request() (req *http.Request) {
+	req = &http.Request{
+		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.placement.Addr, Path: "/v1/run"}, Host: c.placement.Addr,
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: true,
+		Body: io.NopCloser(bytes.NewReader(c.exchange.body)), ContentLength: int64(len(c.exchange.body)),
+	}
+	req.Header.Set("Content-Type", "application/json")
+	req.Header.Set("X-Request-Id", c.exchange.request)
+	req.Header.Set("X-Request-Attempt-Id", c.placement.Go)
+	if c.exchange.prefix != "" {
+		req.Header.Set("X-Prompt-Prefix", c.exchange.prefix)
+	}
+	if c.placement.Prefill != "" {
+		req.Header.Set("X-Prefill-Replica", c.placement.Prefill)
+	}
+	return req
+}
--- /dev/null
+++ b/httpapi/session.go
@@ -0,0 +1,134 @@
+package httpapi
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge"
+)
+
+// bytesPerToken reckons the tokens of a body.
+const bytesPerToken = 4
+
+// session drives one request: the router's decisions, the client and the attempt's connection feed its state machine, and it performs
+// the moves that come out.
+type session struct {
+	frontend *Frontend
+	exchange *Exchange
+	request  mallowbridge.Passage
+	conn     *replicaConn
+	began    bool
+	polled   chan mallowbridge.How
+	enc      *json.Encoder
+	ctl      *http.ResponseController
+}
+
+// route is the last filter: it runs the request to its end.
+func (f *Frontend) route(x *Exchange) (answered bool) {
+	s := &session{
+		frontend: f, exchange: x, request: mallowbridge.Passage{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
+		polled: make(chan mallowbridge.How, 1),
+	}
+	defer s.drop()
+	defer func() { _ = s.ctl.SetWriteDeadline(time.Time{}) }()
+	s.run(f.router.Submit(mallowbridge.Arrive{
+		Request: x.request, Offer: x.r.Param("offer"), Kind: x.r.Param("kind"), Prefix: x.prefix, Tail: len(x.body) / bytesPerToken,
+	}))
+	return true
+}
+
+func (s *session) run(decisions <-chan mallowbridge.Decision) {
+	for final := false; !final; {
+		var events chan mallowbridge.Wire
+		if s.conn != nil {
+			events = s.conn.events
+		}
+		select {
+		case <-s.exchange.r.Context().Done():
+			s.frontend.Counters.Hangups.Add(1)
+			s.perform(s.request.Happened(mallowbridge.HungUp{}))
+			return
+		case d, ok := <-decisions:
+			if !ok {
+				d = mallowbridge.Decision{Verdict: mallowbridge.Unknown, Why: "node is stopping"}
+			}
+			final = s.perform(s.request.Decided(d))
+		case how := <-s.polled:
+			final = s.perform(s.request.Happened(mallowbridge.Vouched{How: how}))
+		case event := <-events:
+			final = s.perform(s.request.Happened(event))
+		}
+	}
+}
+
+func (s *session) drop() {
+	if s.conn != nil {
+		s.conn.stop()
+		s.conn = nil
+	}
+}
+
+// perform does the moves in order and tells whether the request has ended.
+func (s *session) perform(moves []mallowbridge.Move) (final bool) {
+	for _, m := range moves {
+		switch m.Kind {
+		case mallowbridge.Dial:
+			s.conn = s.frontend.connect(s.exchange, m.Place)
+		case mallowbridge.Vouch, mallowbridge.Write:
+			s.conn.orders <- m.Kind
+		case mallowbridge.Glance:
+			go func() { s.polled <- s.frontend.witness(s.exchange.request, 0, true) }()
+		case mallowbridge.Drop:
+			s.drop()
+		case mallowbridge.Tell:
+			if e, ok := m.Event.(mallowbridge.End); ok && e.How == mallowbridge.Broken {
+				s.frontend.Counters.Breaks.Add(1)
+			}
+			s.frontend.router.Tell(m.Event)
+		case mallowbridge.Pass:
+			s.pass(m)
+		case mallowbridge.Close:
+			s.close(m.Place, m.Outcome)
+			return true
+		}
+	}
+	return false
+}
+
+func (s *session) close(d mallowbridge.Decision, outcome string) {
+	f, x := s.frontend, s.exchange
+	switch outcome {
+	case mallowbridge.OutBad:
+		f.bad(x, http.StatusNotFound, d.Why)
+	case mallowbridge.OutRepeat:
+		f.rejectRepeated(x, d.Why)
+	case mallowbridge.OutDenied:
+		f.reject(x, d.Why, d.After)
+	case mallowbridge.OutUnknown:
+		f.Counters.Unknown.Add(1)
+		f.answer(x, http.StatusBadGateway, Answer{Outcome: outcome, Attempt: d.Go, Why: d.Why}, d.After)
+	case mallowbridge.OutPartial:
+		f.Counters.Partial.Add(1)
+		panic(http.ErrAbortHandler)
+	case mallowbridge.OutDone:
+		f.Counters.Done.Add(1)
+	}
+}
+
+// pass sends a line to the client. A client that does not take it is gone.
+func (s *session) pass(m mallowbridge.Move) {
+	if !s.began {
+		s.began = true
+		h := s.exchange.w.Header()
+		h.Set("Content-Type", "application/x-ndjson")
+		h.Set("X-Request-Id", s.exchange.request)
+		h.Set("X-Request-Attempt-Id", m.Place.Go)
+		s.exchange.w.WriteHeader(http.StatusOK)
+	}
+	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.Write))
+	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
+		s.perform(s.request.Happened(mallowbridge.HungUp{}))
+		panic(http.ErrAbortHandler)
+	}
+}
