--- a/cmd/mallowbridge/muse.go
+++ b/cmd/mallowbridge/muse.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	p.Asks = asks
+	p.Requests = asks
 	fmt.Fprintf(out, "%s: %d entries used, %d not\n", file, len(asks), len(unused))
 	for _, u := range unused {
 		fmt.Fprintln(out, "  "+u)
--- a/whatif/har.go
+++ b/whatif/har.go
@@ -17,8 +17,11 @@
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
+// bytesPerToken reckons the tokens of a body.
 const bytesPerToken = 4
 
+// ReadHAR reads the requests of a recorded HAR file that were made of these kinds, at their own times from the first. unused names the
+// entries that cannot be used and why; the error is a *FileError.
 func ReadHAR(path string, kinds []sim.KindLoad) (asks []sim.Ask, unused []string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -49,6 +52,7 @@
 	return asks, unused, nil
 }
 
+// entry reads one request, or says why it cannot be used.
 func entry(e *har.Entry, kinds []sim.KindLoad) (at time.Time, a sim.Ask, why string) {
 	if e == nil || e.Request == nil {
 		return at, a, "has no request"
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -14,33 +14,42 @@
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
+// Plan is one what-if experiment: a fleet, its load, what breaks, and how many seeds it is run with.
 type Plan struct {
-	Name     string
-	Shape    string
-	Config   []byte
-	Times    int
-	Seconds  int
-	Seeds    int
-	First    int
+	Name string
+	// Shape names a fleet of the simulator, Times how many times as large it is.
+	Shape string
+	Times int
+	// Config takes the place of the fleet's own configuration; nil: it does not.
+	Config []byte
+	// Seconds is how long each run lasts; there are Seeds runs from FirstSeed on.
+	Seconds   int
+	Seeds     int
+	FirstSeed int
+	// Rate is requests a second, HotShare the part of them with one common prefix, Prefixes how many others there are.
 	Rate     float64
-	Hot      float64
+	HotShare float64
 	Prefixes int
 	Crowds   []sim.Crowd
-	Index    bool
-	Robin    bool
-	Faults   []sim.Fault
-	Asks     []sim.Ask
+	// Index is false where the prefix index finds nothing; RoundRobin places in turn.
+	Index      bool
+	RoundRobin bool
+	Faults     []sim.Fault
+	// Requests are sent instead of generated ones, where there are any.
+	Requests []sim.Ask
 }
 
+// FileError is a file that cannot be used.
 type FileError struct{ Path, Why string }
 
 func (e *FileError) Error() (text string) { return e.Path + ": " + e.Why }
 
+// Default is a calm fleet under usual load.
 func Default(name string) (p Plan) {
-	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, First: 1, Rate: 60, Hot: 0.1, Prefixes: 24, Index: true}
+	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotShare: 0.1, Prefixes: 24, Index: true}
 }
 
-func kinds() (names []string) {
+func faultKinds() (names []string) {
 	return []string{
 		sim.Kill, sim.Power, sim.Freeze, sim.CutNode, sim.CutOneWay, sim.CutDomain, sim.SplitCore, sim.Wipe, sim.Move,
 		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.RepCrash, sim.RepDark, sim.Release, sim.Empty,
@@ -49,6 +58,7 @@
 	}
 }
 
+// Load reads a plan from a file; the error is a *FileError or a *config.InvalidError.
 func Load(path string) (p Plan, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -60,6 +70,7 @@
 	return p, nil
 }
 
+// Read reads a plan; the error is a *config.InvalidError. What the JSON calls breakdowns are faults.
 func Read(name string, raw []byte) (p Plan, err error) {
 	d, err := config.Open(raw)
 	if err != nil {
@@ -74,43 +85,59 @@
 	spec, site := sim.SiteOf(p.Shape, 0)
 	switch {
 	case site:
-		shape, p.Rate, p.Hot = spec.Shape, 0, 0
+		shape, p.Rate, p.HotShare = spec.Shape, 0, 0
 	case !ok:
 		d.Flaw(d.At("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
 	}
-	p.Seconds, p.Seeds, p.First = d.Int("seconds", p.Seconds, 20, 3600), d.Int("seeds", p.Seeds, 1, 1000), d.Int("firstSeed", 1, 1, 1<<30)
-	p.Index, p.Robin = d.Bool("index", true), d.Bool("roundRobin", false)
-	l := d.Sub("load")
-	p.Rate, p.Hot, p.Prefixes = l.Num("rate", p.Rate, 0.1, 10000), l.Num("hot", p.Hot, 0, 1), l.Int("prefixes", p.Prefixes, 1, 10000)
-	for _, c := range l.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, sim.Crowd{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
-		c.Close()
-	}
-	l.Close()
+	p.Seconds, p.Seeds, p.FirstSeed = d.Int("seconds", p.Seconds, 20, 3600), d.Int("seeds", p.Seeds, 1, 1000), d.Int("firstSeed", 1, 1, 1<<30)
+	p.Index, p.RoundRobin = d.Bool("index", true), d.Bool("roundRobin", false)
+	p.readLoad(d.Sub("load"))
 	for _, f := range d.List("breakdowns", 0, 1024) {
-		p.Faults = append(p.Faults, breakdown(f, shape, site))
+		p.Faults = append(p.Faults, readFault(f, shape, site))
 	}
 	if site && p.Times > 1 {
 		d.Flaw(d.At("times"), fmt.Sprint(p.Times), "1 for a site")
 	}
-	if path := d.Str("config", false, 4096); path != "" && site {
-		d.Flaw(d.At("config"), path, "absent for a site")
-	} else if path != "" {
-		if p.Config, err = os.ReadFile(path); err != nil {
-			d.Flaw(d.At("config"), path, "a file that can be read")
-		}
-	}
+	p.readConfig(d, site)
 	d.Close()
 	return p, d.Err()
 }
 
+func (p *Plan) readLoad(d *config.Decoder) {
+	p.Rate = d.Num("rate", p.Rate, 0.1, 10000)
+	p.HotShare = d.Num("hot", p.HotShare, 0, 1)
+	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
+	for _, c := range d.List("crowds", 0, 64) {
+		p.Crowds = append(p.Crowds, sim.Crowd{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		c.Close()
+	}
+	d.Close()
+}
+
+// readConfig reads the file that takes the place of the fleet's own configuration.
+func (p *Plan) readConfig(d *config.Decoder, site bool) {
+	path := d.Str("config", false, 4096)
+	if path == "" {
+		return
+	}
+	if site {
+		d.Flaw(d.At("config"), path, "absent for a site")
+		return
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		d.Flaw(d.At("config"), path, "a file that can be read")
+	}
+	p.Config = raw
+}
+
 func ms(d *config.Decoder, key string) (t time.Duration) {
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
-func breakdown(d *config.Decoder, shape sim.Shape, site bool) (f sim.Fault) {
+func readFault(d *config.Decoder, shape sim.Shape, site bool) (f sim.Fault) {
 	f = sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
-	all := kinds()
+	all := faultKinds()
 	if site {
 		all = sim.SiteTroubles()
 	}
@@ -119,7 +146,7 @@
 	}
 	for i, e := range d.List("on", 0, 4096) {
 		name := e.Text(64)
-		if !known(shape, name) {
+		if !inFleet(shape, name) {
 			d.Flaw(fmt.Sprintf("%s[%d]", d.At("on"), i), name, "a node, domain or replica of the fleet")
 		}
 		f.On = append(f.On, name)
@@ -132,7 +159,7 @@
 	return f
 }
 
-func known(s sim.Shape, name string) (yes bool) {
+func inFleet(s sim.Shape, name string) (yes bool) {
 	return slices.Contains(s.Domains, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
 		slices.ContainsFunc(s.Nodes, func(n sim.NodeShape) bool { return n.Name == name })
 }
