--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -12,7 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func usual() (msgs []any) {
+func usualMessages() (msgs []any) {
 	return []any{
 		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Checksum{Hash: 1, N: 1},
 		gossip.Digest{Marks: []gossip.KeyVersion{{Key: "k", Mark: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
@@ -32,7 +32,7 @@
 func open() (c *conn, frames int) {
 	c = &conn{w: transport.NewWriter()}
 	c.r = transport.NewReader(&c.buf)
-	for _, m := range usual() {
+	for _, m := range usualMessages() {
 		frame, err := c.w.Frame(m)
 		if err != nil {
 			panic(err)
@@ -50,7 +50,7 @@
 func Opening() (bytes int) {
 	c, first := open()
 	later := 0
-	for _, m := range usual() {
+	for _, m := range usualMessages() {
 		frame, err := c.w.Frame(m)
 		if err != nil {
 			panic(err)
--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -14,7 +14,7 @@
 func TestCountsOfThreeNodes(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{
-		Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Lasts: 18 * time.Second, Seed: 1,
+		Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 18 * time.Second, Seed: 1,
 		Clock: func() (t time.Duration) {
 			ticks += time.Microsecond
 			return ticks
@@ -26,19 +26,19 @@
 	}
 	type count struct{ sent, received, asks uint64 }
 	want := map[Mechanism][]count{
-		Watching: {{160, 160, 0}, {160, 160, 0}, {160, 160, 0}},
-		Usage:    {{36, 0, 0}, {0, 18, 0}, {0, 18, 0}},
-		Claims:   {{36, 36, 0}, {18, 18, 0}, {18, 18, 0}},
-		Probes:   {{0, 0, 72}, {0, 0, 0}, {0, 0, 0}},
-		Register: {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
-		Config:   {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
-		Members:  {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
+		FailureDetector: {{160, 160, 0}, {160, 160, 0}, {160, 160, 0}},
+		LoadGossip:      {{36, 0, 0}, {0, 18, 0}, {0, 18, 0}},
+		Leases:          {{36, 36, 0}, {18, 18, 0}, {18, 18, 0}},
+		Probes:          {{0, 0, 72}, {0, 0, 0}, {0, 0, 0}},
+		Register:        {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
+		Config:          {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
+		MemberGossip:    {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
 	}
 	for m, counts := range want {
 		for i, c := range counts {
 			got := r.Costs.Of(r.Nodes[i], m)
-			if (count{got.Sent, got.Received, got.Asks}) != c {
-				t.Errorf("%s of %s: got sent %d, received %d, asks %d, want %+v", m, r.Nodes[i].Name, got.Sent, got.Received, got.Asks, c)
+			if (count{got.Sent, got.Received, got.Probes}) != c {
+				t.Errorf("%s of %s: got sent %d, received %d, asks %d, want %+v", m, r.Nodes[i].Name, got.Sent, got.Received, got.Probes, c)
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 // answer is one Feed to the router.
 func TestTimeOfTicks(t *testing.T) {
 	ticks := time.Duration(0)
-	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Lasts: 10 * time.Second, Seed: 1,
+	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
 		Clock: func() (t time.Duration) {
 			ticks += time.Microsecond
 			return ticks
@@ -66,7 +66,7 @@
 }
 
 func TestBytesAddUp(t *testing.T) {
-	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, Changes: 1, Warm: 12 * time.Second, Lasts: 5 * time.Second, Seed: 1,
+	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, Changes: 1, Warm: 12 * time.Second, Measured: 5 * time.Second, Seed: 1,
 		Clock: func() (t time.Duration) { return 0 }}
 	r := p.Run()
 	var sent, zones, regions uint64
@@ -96,7 +96,7 @@
 }
 
 func TestStateGrowsWithWhatIsHeld(t *testing.T) {
-	l := newLone(func() (t time.Duration) { return 0 }, unbounded)
+	l := newSoloRouter(func() (t time.Duration) { return 0 }, unbounded)
 	before := State(l.node)
 	for i := range 1000 {
 		l.request(i, prefixes(i))
@@ -109,7 +109,7 @@
 	if each := float64(after[Index]-before[Index]) / parts; each < 100 || each > 400 {
 		t.Errorf("a part that is held takes %.0f bytes, want 100 to 400", each)
 	}
-	if after[Watching] != before[Watching] || after[Config] != before[Config] {
+	if after[FailureDetector] != before[FailureDetector] || after[Config] != before[Config] {
 		t.Errorf("requests changed state of other mechanisms: %v, then %v", before, after)
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 func TestPaddedConfigurationsAreTaken(t *testing.T) {
-	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, Changes: 1, Warm: 12 * time.Second, Lasts: 4 * time.Second, Seed: 1,
+	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, Changes: 1, Warm: 12 * time.Second, Measured: 4 * time.Second, Seed: 1,
 		Clock: func() (t time.Duration) { return 0 }}
 	r := p.Run()
 	if len(r.Puts) != 4 || r.Body < 100000 || r.Body > 104000 {
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -53,8 +53,8 @@
 func TestFitsKeepSeriesApart(t *testing.T) {
 	var ps []Point
 	for _, x := range []float64{1, 2, 3} {
-		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: Usage, Measure: Sent, Mean: x, Worst: 2 * x})
-		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: Claims, Measure: Sent, Mean: 5, Worst: 5})
+		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: LoadGossip, Measure: Sent, Mean: x, Worst: 2 * x})
+		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: Leases, Measure: Sent, Mean: 5, Worst: 5})
 	}
 	fs := Fits(ps)
 	if len(fs) != 4 || !near(fs[0].Slope, 1) || !near(fs[1].Slope, 2) || fs[1].Of != "worst" || !near(fs[2].Slope, 0) || !near(fs[2].Base, 5) {
@@ -124,7 +124,7 @@
 	dir, s := t.TempDir(), Sweep{Name: "s", Axis: "x"}
 	var ps []Point
 	for _, x := range []float64{1, 2, 3} {
-		ps = append(ps, Point{Sweep: "s", X: x, Nodes: 3, Replicas: 1, Rate: 0.5, Role: Any, Mechanism: Usage, Measure: Sent, Mean: x, Worst: 2 * x})
+		ps = append(ps, Point{Sweep: "s", X: x, Nodes: 3, Replicas: 1, Rate: 0.5, Role: Any, Mechanism: LoadGossip, Measure: Sent, Mean: x, Worst: 2 * x})
 		ps = append(ps, Point{Sweep: "s", X: x, Nodes: 3, Replicas: 1, Rate: 0.5, Role: Any, Mechanism: All, Measure: Sent, Mean: x, Worst: 2 * x})
 	}
 	if err := Save(dir, s, ps); err != nil {
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -17,25 +17,26 @@
 // Mechanism is what a cost is for.
 type Mechanism string
 
+// The mechanisms; they are written into the tables of points as they stand.
 const (
-	Watching   Mechanism = "failure detector"
-	Members    Mechanism = "membership gossip"
-	Usage      Mechanism = "load gossip"
-	Listings   Mechanism = "replica listings"
-	Config     Mechanism = "configuration"
-	Register   Mechanism = "register"
-	Claims     Mechanism = "leases"
-	Digests    Mechanism = "anti-entropy"
-	Witnesses  Mechanism = "witnesses"
-	Probes     Mechanism = "replica probes"
-	Ticks      Mechanism = "control tick"
-	Division   Mechanism = "capacity shares"
-	RouterTick Mechanism = "router tick"
-	Requests   Mechanism = "requests"
-	Prefills   Mechanism = "prefill broadcast"
-	Index      Mechanism = "prefix index"
-	Conns      Mechanism = "connections"
-	Other      Mechanism = "other"
+	FailureDetector Mechanism = "failure detector"
+	MemberGossip    Mechanism = "membership gossip"
+	LoadGossip      Mechanism = "load gossip"
+	ReplicaListings Mechanism = "replica listings"
+	Config          Mechanism = "configuration"
+	Register        Mechanism = "register"
+	Leases          Mechanism = "leases"
+	AntiEntropy     Mechanism = "anti-entropy"
+	Witnesses       Mechanism = "witnesses"
+	Probes          Mechanism = "replica probes"
+	Ticks           Mechanism = "control tick"
+	CapacityShares  Mechanism = "capacity shares"
+	RouterTick      Mechanism = "router tick"
+	Requests        Mechanism = "requests"
+	Prefills        Mechanism = "prefill broadcast"
+	Index           Mechanism = "prefix index"
+	Connections     Mechanism = "connections"
+	Other           Mechanism = "other"
 )
 
 // Control tells whether a mechanism runs without requests and so counts against the budget for control.
@@ -43,20 +44,21 @@
 	return m != Requests && m != Index && m != Witnesses && m != Prefills
 }
 
+// ofMessage tells which mechanism a message between nodes belongs to.
 func ofMessage(msg any) (m Mechanism) {
 	switch v := msg.(type) {
 	case membership.Ping, membership.Ack, membership.PingFor:
-		return Watching
+		return FailureDetector
 	case gossip.Checksum, gossip.Digest, gossip.Pull:
-		return Digests
+		return AntiEntropy
 	case gossip.Announcement:
 		return Config
 	case gossip.Update:
-		return ofNews(v)
+		return ofUpdate(v)
 	case register.Prepare, register.Promise, register.Accept, register.Accepted:
 		return Register
 	case lease.Request, lease.Grant, lease.Release:
-		return Claims
+		return Leases
 	case control.WitnessAsk, control.WitnessSay, control.WitnessForget:
 		return Witnesses
 	case control.Prefills:
@@ -65,11 +67,11 @@
 	return Other
 }
 
-// ofNews takes news for what weighs most in it; an empty answer belongs to the digest that asked for it.
-func ofNews(n gossip.Update) (m Mechanism) {
+// ofUpdate takes an update for what weighs most in it; an empty answer belongs to the digest that asked for it.
+func ofUpdate(n gossip.Update) (m Mechanism) {
 	most := 0
-	m = Digests
-	for _, kind := range []Mechanism{Members, Usage, Config, Listings, Other} {
+	m = AntiEntropy
+	for _, kind := range []Mechanism{MemberGossip, LoadGossip, Config, ReplicaListings, Other} {
 		weight := 0
 		for _, it := range n.Items {
 			if ofItem(it) == kind {
@@ -86,17 +88,18 @@
 func ofItem(it gossip.Item) (m Mechanism) {
 	switch it.Data.(type) {
 	case membership.Member:
-		return Members
+		return MemberGossip
 	case control.LoadReports:
-		return Usage
+		return LoadGossip
 	case *register.Value:
 		return Config
 	case control.Listing, control.Roster, control.Reading:
-		return Listings
+		return ReplicaListings
 	}
 	return Other
 }
 
+// itemWeight reckons the bytes of an item.
 func itemWeight(it gossip.Item) (w int) {
 	switch d := it.Data.(type) {
 	case control.LoadReports:
@@ -109,6 +112,7 @@
 	return 80
 }
 
+// ofInput tells which mechanism an input of a state machine belongs to.
 func ofInput(in any) (m Mechanism) {
 	switch v := in.(type) {
 	case control.Received:
@@ -122,15 +126,15 @@
 	case control.Prefills, mallowbridge.Prefill:
 		return Prefills
 	case control.ListRead, mallowbridge.Listing, mallowbridge.Roster:
-		return Listings
+		return ReplicaListings
 	case control.Command:
 		return ofCommand(v.Op)
 	case mallowbridge.Tick, mallowbridge.Feed:
 		return RouterTick
 	case mallowbridge.Usage, mallowbridge.Doubt:
-		return Usage
+		return LoadGossip
 	case mallowbridge.Routers:
-		return Division
+		return CapacityShares
 	case mallowbridge.Order:
 		return Config
 	case mallowbridge.Arrive, mallowbridge.Leave, mallowbridge.Head, mallowbridge.Piece, mallowbridge.End, mallowbridge.Hangup, mallowbridge.Withhold,
@@ -145,7 +149,7 @@
 	case control.Witness:
 		return Witnesses
 	case control.SetListings:
-		return Listings
+		return ReplicaListings
 	case control.Put, control.Edit, control.Get, control.Bootstrap, control.ReplaceVoters, control.Evacuate:
 		return Register
 	}
@@ -156,24 +160,24 @@
 // named by the compiler and TestStateFieldsExist checks the fields, so that a rename cannot move state to Other unseen.
 var stateFields = map[reflect.Type]map[string]Mechanism{
 	reflect.TypeFor[control.Node](): {
-		"Members": Watching, "Gossip": Digests, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config,
-		"where": Config, "grantor": Claims, "leases": Claims, "tasks": Usage, "sights": Probes, "platformStates": Listings,
-		"replicaList": Listings, "witness": Witnesses, "routers": Division,
+		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config,
+		"where": Config, "grantor": Leases, "leases": Leases, "tasks": LoadGossip, "sights": Probes, "platformStates": ReplicaListings,
+		"replicaList": ReplicaListings, "witness": Witnesses, "routers": CapacityShares,
 	},
 	reflect.TypeFor[mallowbridge.Router](): {
 		"snapshot": Config, "services": Config, "classes": Config, "replicaIDs": Config, "replicas": Config,
 		"requestIDs": Requests, "requests": Requests, "alreadyRan": Requests,
 	},
 	reflect.TypeFor[scheduler.Scheduler](): {
-		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": Usage, "routers": Division, "routerZones": Division,
-		"divisions": Division, "waiting": Requests,
+		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": LoadGossip, "routers": CapacityShares, "routerZones": CapacityShares,
+		"divisions": CapacityShares, "waiting": Requests,
 	},
 }
 
 // State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
 func State(n *sim.HollowNode) (bytes map[Mechanism]uint64) {
 	bytes = map[Mechanism]uint64{}
-	w := newWalk()
+	w := newSizer()
 	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
 		w.addState(bytes, machine)
 	}
@@ -181,7 +185,7 @@
 }
 
 // addState adds the state that a pointer to a state machine holds; a machine inside it is divided by its own fields.
-func (w *walk) addState(bytes map[Mechanism]uint64, machine reflect.Value) {
+func (w *sizer) addState(bytes map[Mechanism]uint64, machine reflect.Value) {
 	if machine.IsNil() {
 		return
 	}
@@ -197,6 +201,6 @@
 		if !known {
 			m = Other
 		}
-		bytes[m] += uint64(f.Type.Size()) + w.beyond(v.Field(i))
+		bytes[m] += uint64(f.Type.Size()) + w.heldBy(v.Field(i))
 	}
 }
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -13,8 +13,8 @@
 	// AcrossZones and AcrossRegions are the parts of BytesSent that left the sender's.
 	AcrossZones, AcrossRegions uint64
 	// Step is the machines' own time, Frames is that for encoding and decoding.
-	Step, Frames time.Duration
-	Asks, Writes uint64
+	Step, Frames   time.Duration
+	Probes, Writes uint64
 }
 
 func (c *Cost) add(o Cost) {
@@ -22,7 +22,7 @@
 	c.BytesSent, c.BytesReceived = c.BytesSent+o.BytesSent, c.BytesReceived+o.BytesReceived
 	c.AcrossZones, c.AcrossRegions = c.AcrossZones+o.AcrossZones, c.AcrossRegions+o.AcrossRegions
 	c.Step, c.Frames = c.Step+o.Step, c.Frames+o.Frames
-	c.Asks, c.Writes = c.Asks+o.Asks, c.Writes+o.Writes
+	c.Probes, c.Writes = c.Probes+o.Probes, c.Writes+o.Writes
 }
 
 // Costs are a fleet's, by node and mechanism.
@@ -31,6 +31,7 @@
 	peers map[[2]*sim.HollowNode]bool
 }
 
+// NewCosts gives empty costs; it is the meter of a simulated fleet.
 func NewCosts() (c *Costs) {
 	return &Costs{by: map[*sim.HollowNode]map[Mechanism]*Cost{}, peers: map[[2]*sim.HollowNode]bool{}}
 }
@@ -51,6 +52,7 @@
 // Region of a zone is its first letter.
 func Region(zone string) (region string) { return zone[:1] }
 
+// Sent counts a message of frame bytes, and what its encoding and decoding took.
 func (c *Costs) Sent(from, to *sim.HollowNode, msg any, frame int, encode, decode time.Duration) {
 	m := ofMessage(msg)
 	s, r := c.of(from, m), c.of(to, m)
@@ -66,12 +68,15 @@
 	c.peers[[2]*sim.HollowNode{from, to}] = true
 }
 
+// Stepped counts the time that a machine took for an input.
 func (c *Costs) Stepped(n *sim.HollowNode, in any, took time.Duration) {
 	c.of(n, ofInput(in)).Step += took
 }
 
-func (c *Costs) Asked(n *sim.HollowNode) { c.of(n, Probes).Asks++ }
+// Asked counts a probe of a replica.
+func (c *Costs) Asked(n *sim.HollowNode) { c.of(n, Probes).Probes++ }
 
+// Wrote counts an entry that was synced to disk.
 func (c *Costs) Wrote(n *sim.HollowNode) { c.of(n, Register).Writes++ }
 
 // Total of a node, over the mechanisms that want is true for.
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -13,19 +13,20 @@
 	"gonum.org/v1/plot/vg"
 )
 
-const drawn = 6
+// maxSeries is how many mechanisms a plot shows.
+const maxSeries = 6
 
-// plots are the measures that are drawn, and under which name.
-var plots = []struct {
+// drawnMeasures are the measures that are drawn, and under which name.
+var drawnMeasures = []struct {
 	measure Measure
 	name    string
 }{
 	{BytesSent, "bytes"}, {Sent, "messages"}, {CPU, "cpu"}, {StateBytes, "state"}, {AcrossRegions, "regions"},
 }
 
-// Draw writes a picture of each measure of a sweep: the mean node by mechanism, the worst node's sum, and their lines.
+// Draw writes an SVG plot of each measure of a sweep: the mean node by mechanism, the worst node's sum, and their lines.
 func Draw(dir string, s Sweep, ps []Point, fs []Fit) (err error) {
-	for _, what := range plots {
+	for _, what := range drawnMeasures {
 		p := plot.New()
 		p.Title.Text = s.Name + ": " + string(what.measure)
 		p.X.Label.Text, p.Y.Label.Text = s.Axis, string(what.measure)
@@ -72,7 +73,7 @@
 		}
 		return strings.Compare(string(a), string(b))
 	})
-	return ms[:min(drawn, len(ms))]
+	return ms[:min(maxSeries, len(ms))]
 }
 
 func draw(p *plot.Plot, ps []Point, fs []Fit, m Mechanism, what Measure, of string, c color.Color) (err error) {
--- a/capacity/point.go
+++ b/capacity/point.go
@@ -11,6 +11,7 @@
 // Role is a kind of node.
 type Role string
 
+// The roles: all nodes, those that vote on the register and those without a disk.
 const (
 	Any      Role = "any"
 	Disk     Role = "disk"
@@ -26,6 +27,7 @@
 // Measure is what is counted of a mechanism, for one node.
 type Measure string
 
+// The measures, each with its unit; they are written into the tables of points as they stand.
 const (
 	StateBytes    Measure = "state, bytes"
 	Sent          Measure = "messages sent a second"
@@ -36,12 +38,13 @@
 	AcrossRegions Measure = "bytes sent to the other region a second"
 	CPU           Measure = "CPU, microseconds a second"
 	Frames        Measure = "of it frames, microseconds a second"
-	Asks          Measure = "replicas asked a second"
+	ProbeRate     Measure = "replicas asked a second"
 	Writes        Measure = "entries synced a second"
 )
 
+// Measures are all measures in the order of the tables.
 func Measures() (ms []Measure) {
-	return []Measure{StateBytes, Sent, Received, BytesSent, BytesReceived, AcrossZones, AcrossRegions, CPU, Frames, Asks, Writes}
+	return []Measure{StateBytes, Sent, Received, BytesSent, BytesReceived, AcrossZones, AcrossRegions, CPU, Frames, ProbeRate, Writes}
 }
 
 // Point is one measure of one mechanism at one x of a sweep: the mean node's and the worst node's.
@@ -58,15 +61,17 @@
 	Worst     float64
 }
 
+// reads are a cost's measures over the time measured.
 func (c Cost) reads(lasts time.Duration) (vs map[Measure]float64) {
 	per := func(n uint64) (v float64) { return float64(n) / lasts.Seconds() }
 	return map[Measure]float64{
 		Sent: per(c.Sent), Received: per(c.Received), BytesSent: per(c.BytesSent), BytesReceived: per(c.BytesReceived),
 		AcrossZones: per(c.AcrossZones), AcrossRegions: per(c.AcrossRegions), CPU: per(uint64((c.Step + c.Frames).Nanoseconds())) / 1000,
-		Frames: per(uint64(c.Frames.Nanoseconds())) / 1000, Asks: per(c.Asks), Writes: per(c.Writes),
+		Frames: per(uint64(c.Frames.Nanoseconds())) / 1000, ProbeRate: per(c.Probes), Writes: per(c.Writes),
 	}
 }
 
+// reads are one node's measures by mechanism, with their sums.
 type reads map[Mechanism]map[Measure]float64
 
 func (v reads) add(m Mechanism, what map[Measure]float64) {
@@ -86,16 +91,16 @@
 func (r *Result) reads(n *sim.HollowNode) (v reads) {
 	v = reads{}
 	for m, c := range r.Costs.by[n] {
-		v.add(m, c.reads(r.Plan.Lasts))
+		v.add(m, c.reads(r.Plan.Measured))
 	}
 	for m, b := range State(n) {
 		v.add(m, map[Measure]float64{StateBytes: float64(b)})
 	}
-	v.add(Conns, map[Measure]float64{StateBytes: float64(r.Costs.Peers(n)) * float64(connBytes())})
+	v.add(Connections, map[Measure]float64{StateBytes: float64(r.Costs.Peers(n)) * float64(connBytes())})
 	return v
 }
 
-// Points are the result's, for each role, mechanism and measure that is not naught.
+// Points are the result's, for each role, mechanism and measure that is not zero.
 func (r *Result) Points(sweep string, x float64) (ps []Point) {
 	roles := map[Role][]reads{}
 	for _, n := range r.Nodes {
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -16,10 +16,13 @@
 	// ConfigBytes pads the configuration; 0: as large as its replicas make it. Changes are puts a second.
 	ConfigBytes int
 	Changes     float64
-	Far         time.Duration
-	Warm, Lasts time.Duration
-	Seed        uint64
-	Clock       func() (t time.Duration)
+	// ZoneDelay is the delay between zones, one way; 0: the simulator's.
+	ZoneDelay time.Duration
+	// Warm is how long the fleet settles, Measured how long costs are counted after that, in virtual time.
+	Warm, Measured time.Duration
+	Seed           uint64
+	// Clock times the machines' steps.
+	Clock func() (t time.Duration)
 }
 
 // Zones are eight in two regions, as the users will have them.
@@ -28,7 +31,7 @@
 // Target is the size that the users need.
 func Target() (p Plan) {
 	return Plan{
-		Nodes: 370, Replicas: 600, Disks: 4, Models: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, Warm: 15 * time.Second, Lasts: 10 * time.Second, Seed: 1,
+		Nodes: 370, Replicas: 600, Disks: 4, Models: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
 	}
 }
 
@@ -55,44 +58,29 @@
 	Body int
 }
 
-// roll keeps the memory of large fleets' starts down: each replica that is first seen has a node divide all room anew, and keep
+// bootSpread keeps the memory of large fleets' starts down: each replica that is first seen has a node divide all room anew, and keep
 // the old division for two seconds.
-func (p Plan) roll() (d time.Duration) {
+func (p Plan) bootSpread() (d time.Duration) {
 	return max(0, time.Duration(p.Nodes-100)) * 70 * time.Millisecond
 }
 
-// Run boots the fleet, lets it settle for Warm and counts for Lasts.
+// Run boots the fleet, lets it settle for Warm and counts for Measured.
 func (p Plan) Run() (r Result) {
 	shape := sim.HollowShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
-	plain := shape
-	if p.ConfigBytes > 0 {
-		shape.Charter = sim.HollowBody(shape, 0, p.ConfigBytes)
-	}
-	m := sim.DefaultModel()
-	m.Room = sim.HollowRoom
-	plan := sim.HollowPlan{
-		Seed: p.Seed, Shape: shape, Model: m, Far: p.Far, Roll: p.roll(), Clock: p.Clock, Body: func(n int) (raw []byte) { return sim.HollowBody(plain, n, p.ConfigBytes) },
-	}
-	if p.Changes > 0 {
-		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
-	}
-	if p.Rate > 0 {
-		src := sim.NewSource(sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
-		plan.Next = src.Next
-	}
+	plan := p.hollow(&shape)
 	r = Result{Plan: p, Costs: NewCosts(), Body: len(shape.Charter)}
-	plan.Meter = r.Costs
+	plan.Shape, plan.Meter = shape, r.Costs
 	h := sim.NewHollow(plan)
 	h.Boot()
-	warm := p.Warm + p.roll()
-	h.Run(p.roll() + min(8*time.Second, p.Warm/2))
-	h.Load(warm + p.Lasts)
+	warm := p.Warm + p.bootSpread()
+	h.Run(p.bootSpread() + min(8*time.Second, p.Warm/2))
+	h.Load(warm + p.Measured)
 	h.Run(warm)
 	r.Costs.Reset()
 	h.Puts, h.Firsts = nil, nil
 	clear(h.Ends)
 	h.Change()
-	h.Run(warm + p.Lasts)
+	h.Run(warm + p.Measured)
 	for _, n := range h.Nodes {
 		if n.Router.Ready(h.Now()) == "" {
 			r.Ready++
@@ -101,3 +89,25 @@
 	r.Nodes, r.Puts, r.Firsts, r.Ends = h.Nodes, h.Puts, h.Firsts, h.Ends
 	return r
 }
+
+// hollow is the simulator's plan for a shape, whose configuration it pads.
+func (p Plan) hollow(shape *sim.Shape) (plan sim.HollowPlan) {
+	plain := *shape
+	if p.ConfigBytes > 0 {
+		shape.Charter = sim.HollowBody(plain, 0, p.ConfigBytes)
+	}
+	m := sim.DefaultModel()
+	m.Room = sim.HollowRoom
+	plan = sim.HollowPlan{
+		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
+		Body: func(n int) (raw []byte) { return sim.HollowBody(plain, n, p.ConfigBytes) },
+	}
+	if p.Changes > 0 {
+		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
+	}
+	if p.Rate > 0 {
+		src := sim.NewSource(sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
+		plan.Next = src.Next
+	}
+	return plan
+}
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -2,18 +2,18 @@
 
 import "reflect"
 
-// A walk adds up what values hold on the heap, each block once.
-type walk struct{ seen map[uintptr]bool }
+// A sizer adds up what values hold on the heap, each block once.
+type sizer struct{ seen map[uintptr]bool }
 
-func newWalk() (w *walk) { return &walk{seen: map[uintptr]bool{}} }
+func newSizer() (w *sizer) { return &sizer{seen: map[uintptr]bool{}} }
 
 // Size is what a value and all it holds take, as reckoned by its types: maps are taken at seven eighths of their slots.
 func Size(v any) (bytes uint64) {
 	r := reflect.ValueOf(v)
-	return uint64(r.Type().Size()) + newWalk().beyond(r)
+	return uint64(r.Type().Size()) + newSizer().heldBy(r)
 }
 
-func (w *walk) first(p uintptr) (yes bool) {
+func (w *sizer) firstSeen(p uintptr) (yes bool) {
 	if p == 0 || w.seen[p] {
 		return false
 	}
@@ -21,6 +21,7 @@
 	return true
 }
 
+// flat tells that a type holds nothing beyond itself.
 func flat(t reflect.Type) (yes bool) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map, reflect.Slice, reflect.String, reflect.Interface, reflect.Chan, reflect.Func, reflect.UnsafePointer:
@@ -37,8 +38,8 @@
 	return true
 }
 
-// class is the size that the allocator gives: a sixteenth more at most, beyond the smallest.
-func class(n uintptr) (bytes uint64) {
+// allocated is the size that the allocator gives: a sixteenth more at most, beyond the smallest.
+func allocated(n uintptr) (bytes uint64) {
 	switch {
 	case n == 0:
 		return 0
@@ -50,67 +51,69 @@
 	return uint64(n) + uint64(n)/16
 }
 
+// mapHead is the bytes of an empty map, mapGroup its slots.
 const (
 	mapHead  = 48
 	mapGroup = 8
 )
 
-func (w *walk) beyond(v reflect.Value) (bytes uint64) {
+// heldBy is what a value holds beyond itself.
+func (w *sizer) heldBy(v reflect.Value) (bytes uint64) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		if v.IsNil() || !w.first(v.Pointer()) {
+		if v.IsNil() || !w.firstSeen(v.Pointer()) {
 			return 0
 		}
-		return class(v.Type().Elem().Size()) + w.beyond(v.Elem())
+		return allocated(v.Type().Elem().Size()) + w.heldBy(v.Elem())
 	case reflect.Interface:
 		if v.IsNil() {
 			return 0
 		}
 		e := v.Elem()
 		if e.Kind() == reflect.Pointer || e.Kind() == reflect.Map {
-			return w.beyond(e)
+			return w.heldBy(e)
 		}
-		return class(e.Type().Size()) + w.beyond(e)
+		return allocated(e.Type().Size()) + w.heldBy(e)
 	case reflect.String:
-		return class(uintptr(v.Len()))
+		return allocated(uintptr(v.Len()))
 	case reflect.Slice:
-		return w.slice(v)
+		return w.sliceBytes(v)
 	case reflect.Map:
-		return w.table(v)
+		return w.mapBytes(v)
 	case reflect.Struct:
 		if flat(v.Type()) {
 			return 0
 		}
 		for i := range v.NumField() {
-			bytes += w.beyond(v.Field(i))
+			bytes += w.heldBy(v.Field(i))
 		}
 	case reflect.Array:
 		if flat(v.Type()) {
 			return 0
 		}
 		for i := range v.Len() {
-			bytes += w.beyond(v.Index(i))
+			bytes += w.heldBy(v.Index(i))
 		}
 	}
 	return bytes
 }
 
-func (w *walk) slice(v reflect.Value) (bytes uint64) {
-	if v.IsNil() || v.Cap() == 0 || !w.first(v.Pointer()) {
+func (w *sizer) sliceBytes(v reflect.Value) (bytes uint64) {
+	if v.IsNil() || v.Cap() == 0 || !w.firstSeen(v.Pointer()) {
 		return 0
 	}
-	bytes = class(uintptr(v.Cap()) * v.Type().Elem().Size())
+	bytes = allocated(uintptr(v.Cap()) * v.Type().Elem().Size())
 	if flat(v.Type().Elem()) {
 		return bytes
 	}
 	for i := range v.Len() {
-		bytes += w.beyond(v.Index(i))
+		bytes += w.heldBy(v.Index(i))
 	}
 	return bytes
 }
 
-func (w *walk) table(v reflect.Value) (bytes uint64) {
-	if v.IsNil() || !w.first(v.Pointer()) {
+func (w *sizer) mapBytes(v reflect.Value) (bytes uint64) {
+	if v.IsNil() || !w.firstSeen(v.Pointer()) {
 		return 0
 	}
 	slots := uint64(mapGroup)
@@ -122,10 +125,10 @@
 	keys, vals := !flat(v.Type().Key()), !flat(v.Type().Elem())
 	for it := v.MapRange(); (keys || vals) && it.Next(); {
 		if keys {
-			bytes += w.beyond(it.Key())
+			bytes += w.heldBy(it.Key())
 		}
 		if vals {
-			bytes += w.beyond(it.Value())
+			bytes += w.heldBy(it.Value())
 		}
 	}
 	return bytes
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -37,11 +37,11 @@
 		keep = 65536
 	}
 	return Sweep{Name: name, Axis: axis, Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
-		l := newLone(clock, keep)
+		l := newSoloRouter(clock, keep)
 		for i := range int(x) {
 			l.request(i, of(i))
 		}
-		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Lasts: time.Second}, Costs: l.costs, Nodes: []*sim.HollowNode{l.node}}
+		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Measured: time.Second}, Costs: l.costs, Nodes: []*sim.HollowNode{l.node}}
 		each := l.costs.Of(l.node, Requests).Step / time.Duration(max(l.done, 1))
 		l.costs.Reset()
 		l.costs.of(l.node, Requests).Step = each
@@ -49,8 +49,8 @@
 	}}
 }
 
-// A lone router is given what its daemon and its connections would tell it.
-type lone struct {
+// A soloRouter is given what its daemon and its connections would tell it.
+type soloRouter struct {
 	node  *sim.HollowNode
 	costs *Costs
 	clock func() (t time.Duration)
@@ -58,7 +58,7 @@
 	done  int
 }
 
-func newLone(clock func() (t time.Duration), keep int) (l *lone) {
+func newSoloRouter(clock func() (t time.Duration), keep int) (l *soloRouter) {
 	shape := sim.HollowShape(1, soloReplicas, 0, 1, []string{"a1"})
 	c, err := config.Read(shape.Charter)
 	if err != nil {
@@ -67,7 +67,7 @@
 	for i := range c.Offers {
 		c.Offers[i].KeepTokens = keep
 	}
-	l = &lone{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
+	l = &soloRouter{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
 	l.step(mallowbridge.Order{Picture: &config.Snapshot{Mark: 1, Charter: c}})
@@ -80,14 +80,14 @@
 	return l
 }
 
-func (l *lone) step(ev mallowbridge.Event) (ds []mallowbridge.Decision) {
+func (l *soloRouter) step(ev mallowbridge.Event) (ds []mallowbridge.Decision) {
 	from := l.clock()
 	ds = l.node.Router.Step(l.now, ev)
 	l.costs.Stepped(l.node, ev, l.clock()-from)
 	return ds
 }
 
-func (l *lone) request(i int, prefix string) {
+func (l *soloRouter) request(i int, prefix string) {
 	l.now += soloEvery
 	l.step(mallowbridge.Feed{})
 	req := fmt.Sprintf("q-%08d", i)
@@ -117,7 +117,7 @@
 		}
 		c := costs.of(n, Witnesses)
 		c.Step /= time.Duration(x)
-		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Lasts: time.Second}, Costs: costs, Nodes: []*sim.HollowNode{n}}
+		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Measured: time.Second}, Costs: costs, Nodes: []*sim.HollowNode{n}}
 		return r.Points("remembered", x), fmt.Sprintf("%s of CPU for each", c.Step)
 	}}
 }
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -16,6 +16,7 @@
 	run  func(clock func() (t time.Duration), x float64) (ps []Point, note string)
 }
 
+// SweepError names a sweep that there is not.
 type SweepError struct{ Name string }
 
 func (e *SweepError) Error() (text string) { return "no sweep is called " + e.Name }
@@ -23,6 +24,7 @@
 // Base is the fleet that one thing of is changed.
 const Base = 48
 
+// fleet is a sweep that runs fleets which differ in one thing.
 func fleet(name, axis string, xs []float64, change func(p *Plan, x float64)) (s Sweep) {
 	return Sweep{Name: name, Axis: axis, Xs: xs, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
 		p := Part(Base)
@@ -46,12 +48,12 @@
 		fleet("nodes", "nodes", []float64{16, 24, 48, 96, 185}, func(p *Plan, x float64) { p.Nodes = int(x) }),
 		fleet("replicas", "replicas", []float64{39, 78, 156, 300, 600}, func(p *Plan, x float64) { p.Replicas = int(x) }),
 		fleet("requests", "requests a second", []float64{60, 120, 250, 500, 1000}, func(p *Plan, x float64) { p.Rate = x }),
-		fleet("changes", "changes of configuration a second", []float64{0.25, 0.5, 1, 2, 4}, func(p *Plan, x float64) { p.Changes, p.Lasts = x, 12*time.Second }),
+		fleet("changes", "changes of configuration a second", []float64{0.25, 0.5, 1, 2, 4}, func(p *Plan, x float64) { p.Changes, p.Measured = x, 12*time.Second }),
 		fleet("config", "bytes of configuration, changed once a second", []float64{16 << 10, 32 << 10, 64 << 10, 128 << 10, 256 << 10, 512 << 10}, func(p *Plan, x float64) {
 			p.ConfigBytes, p.Changes = int(x), 1
 		}),
 		fleet("distance", "milliseconds between zones, a change a second", []float64{3, 10, 20, 40, 80}, func(p *Plan, x float64) {
-			p.Far, p.Changes = time.Duration(x*float64(time.Millisecond)), 1
+			p.ZoneDelay, p.Changes = time.Duration(x*float64(time.Millisecond)), 1
 		}),
 		solo("prefixes", "shared prefixes seen", prefixes),
 		solo("sessions", "sessions seen, over 100 shared prefixes", sessions),
