--- a/cmd/mallowbridge/slopes.go
+++ b/cmd/mallowbridge/capacity.go
@@ -11,14 +11,14 @@
 	"github.com/mallowbridge/mallowbridge/capacity"
 )
 
-func slopes(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("slopes", "Run fleets of several sizes in one process and fit lines through their state, messages, bytes and CPU time.")
+func measureCapacity(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("capacity", "Run fleets of several sizes in one process and fit lines through their state, messages, bytes and CPU time.").Alias("slopes")
 	dir := c.Flag("out", "Directory for points and fits (CSV) and plots (SVG).").Default("docs/capacity").String()
 	sizes := c.Flag("nodes", "Sizes of the sweep called fleet.").Default("16", "24", "48", "96", "185", "370").Float64List()
 	names := c.Flag("sweep", "Sweep, instead of all: fleet, nodes, replicas, requests, changes, config, distance, prefixes, sessions, tenants, evicting, remembered.").Strings()
 	cores := c.Flag("cores", "Cores to be used at once.").Default("3").Int()
 	again := c.Flag("again", "Run nothing; fit and draw the points that are in the directory.").Bool()
-	cmds["slopes"] = func(_ io.Reader, out io.Writer) error {
+	cmds["capacity"] = func(_ io.Reader, out io.Writer) error {
 		runtime.GOMAXPROCS(*cores)
 		some, err := capacity.Choose(capacity.Sweeps(*sizes), *names)
 		if err != nil {
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -22,25 +22,25 @@
 )
 
 func daemons(app *kingpin.Application, cmds map[string]command) {
-	for _, r := range [][2]string{
+	for _, r := range []struct{ role, help string }{
 		{"core", "Run a node with a disk: it may vote on the configuration, and routes too."},
 		{"edge", "Run a node without a disk: it routes."},
 	} {
-		role := r[0]
-		c := app.Command(role, r[1])
+		role := r.role
+		c := app.Command(role, r.help)
 		var s daemon.Settings
 		file := c.Flag("settings", "Settings file (JSON); flags go on top of it.").Short('s').String()
 		c.Flag("name", "Name of this node, unique in the fleet.").StringVar(&s.Name)
 		c.Flag("listen", "IP:port for the other nodes.").StringVar(&s.Listen)
-		c.Flag("http", "IP:port for user agents and operators.").StringVar(&s.HTTP)
-		c.Flag("domain", "Domain this node is in.").StringVar(&s.Domain)
+		c.Flag("http", "IP:port for clients and operators.").StringVar(&s.HTTP)
+		c.Flag("domain", "Zone this node is in.").StringVar(&s.Domain)
 		c.Flag("seed", "IP:port of another node; give up to three.").StringsVar(&s.Seeds)
 		if role == "core" {
 			c.Flag("data", "Data folder.").StringVar(&s.Data)
 		}
 		c.Flag("max-body", "Longest request body in bytes (1048576).").IntVar(&s.MaxBody)
 		c.Flag("max-streams", "Most requests at once (1024).").IntVar(&s.MaxStreams)
-		c.Flag("backlog", "Most requests that wait for room (256).").IntVar(&s.Backlog)
+		c.Flag("backlog", "Most requests that wait for a replica (256).").IntVar(&s.Backlog)
 		c.Flag("drain-ms", "Longest wait for running streams at a stop (10000).").IntVar(&s.DrainMs)
 		cmds[role] = func(_ io.Reader, out io.Writer) error {
 			s.Role = role
@@ -53,6 +53,7 @@
 	}
 }
 
+// merge puts flags on top of the settings file and checks the whole.
 func merge(file string, flags daemon.Settings) (s daemon.Settings, err error) {
 	if file != "" {
 		if s, err = daemon.ReadSettings(file); err != nil {
@@ -80,6 +81,7 @@
 	return daemon.Check(s)
 }
 
+// serve runs a core or edge until a signal, then drains it.
 func serve(s daemon.Settings) (err error) {
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 	lg.Context = log.NewContext(nil).Str("node", s.Name).Value()
@@ -98,7 +100,7 @@
 		return control.Vouch(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.Front
-	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return wireCounters(h) }}
+	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return transportCounters(h) }}
 	routes := bunrouter.New()
 	ops.Routes(routes)
 	srv := &http.Server{
@@ -121,7 +123,8 @@
 	return err
 }
 
-func wireCounters(h *daemon.Daemon) (c map[string]uint64) {
+// transportCounters are published as "wire.*", as operators know them.
+func transportCounters(h *daemon.Daemon) (c map[string]uint64) {
 	n := &h.Net.N
 	return map[string]uint64{
 		"wire.sent": n.Sent.Load(), "wire.bytes": n.Bytes.Load(), "wire.dropped": n.Dropped.Load(),
@@ -129,6 +132,7 @@
 	}
 }
 
+// served takes a closed server for no error.
 func served(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
@@ -137,19 +141,21 @@
 }
 
 const (
-	retire = 1500 * time.Millisecond
-	letGo  = 3 * time.Second
+	// retireFor is how long clients are still admitted after /readyz says no, at most a quarter of the drain.
+	retireFor = 1500 * time.Millisecond
+	// unsentFor is how long admitted requests may wait to be sent after that.
+	unsentFor = 3 * time.Second
 )
 
-// drain has agents sent elsewhere first, then lets no more in, sends what was let in, gives up claims and room, and waits
-// for the streams.
+// drain has clients sent elsewhere first, then admits no more, sends what was admitted, gives up leases and room, and waits for the
+// streams.
 func drain(h *daemon.Daemon, g *httpapi.Frontend, again chan os.Signal, most time.Duration) {
 	g.Retire()
 	h.Call(control.Retire{})
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	shut := time.After(min(retire, most/4))
+	shut := time.After(min(retireFor, most/4))
 	departed := false
 	for from := time.Now(); ; {
 		select {
@@ -168,7 +174,7 @@
 		}
 		unsent := 0
 		h.Desk.Look(func(r *mallowbridge.Router) { unsent = r.Unsent() })
-		if !departed && (unsent == 0 || time.Since(from) > letGo) {
+		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
 			departed = true
 			h.Call(control.Leave{})
 		}
--- a/cmd/mallowbridge/tools.go
+++ b/cmd/mallowbridge/decide.go
@@ -15,6 +15,7 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
+// LineError is a line of input that cannot be used.
 type LineError struct {
 	Line int
 	Why  string
@@ -25,10 +26,11 @@
 func tools(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("decide", "Read events as JSON lines and write decisions as JSON lines.")
 	self := c.Flag("self", "Name of this router.").Default("r1").String()
-	domain := c.Flag("domain", "Domain of this router.").Default("a").String()
+	domain := c.Flag("domain", "Zone of this router.").Default("a").String()
 	cmds["decide"] = func(in io.Reader, out io.Writer) error { return decide(in, out, *self, *domain) }
 }
 
+// The names in JSON below are published; order is a snapshot, mark its version, emptied the evacuated zones.
 type eventLine struct {
 	AtMs  *int64          `json:"atMs"`
 	Event string          `json:"event"`
@@ -46,29 +48,23 @@
 	mallowbridge.Decision
 }
 
+// longestLine is in bytes.
 const longestLine = 2 << 20
 
-func decide(in io.Reader, out io.Writer, self, domain string) (err error) {
-	r := mallowbridge.New(mallowbridge.Defaults(self, "0", domain))
+// decide drives a router by the events of in and writes its decisions to out.
+func decide(in io.Reader, out io.Writer, self, zone string) (err error) {
+	r := mallowbridge.New(mallowbridge.Defaults(self, "0", zone))
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, longestLine)
 	enc := json.NewEncoder(out)
-	last := int64(0)
-	n := 0
+	n, last := 0, int64(0)
 	for sc.Scan() {
 		n++
-		var l eventLine
-		if err = strict(sc.Bytes(), &l); err != nil {
-			return trace.Wrap(&LineError{Line: n, Why: err.Error()})
-		}
-		if l.AtMs == nil || *l.AtMs < last {
-			return trace.Wrap(&LineError{Line: n, Why: fmt.Sprintf("atMs: must be a number, at least %d", last)})
-		}
-		last = *l.AtMs
-		ev, err := event(l)
+		atMs, ev, err := readEventLine(sc.Bytes(), last)
 		if err != nil {
 			return trace.Wrap(&LineError{Line: n, Why: err.Error()})
 		}
+		last = atMs
 		for _, d := range r.Step(time.Duration(last)*time.Millisecond, ev) {
 			if err = enc.Encode(decisionLine{AtMs: last, Decision: d}); err != nil {
 				return trace.Wrap(err)
@@ -81,6 +77,27 @@
 	return nil
 }
 
+// TimeError is an event without a time, or with one before Least, in milliseconds.
+type TimeError struct{ Least int64 }
+
+func (e *TimeError) Error() (text string) {
+	return fmt.Sprintf("atMs: must be a number, at least %d", e.Least)
+}
+
+// readEventLine reads an event and its time, which is not before the last one's.
+func readEventLine(raw []byte, last int64) (atMs int64, ev mallowbridge.Event, err error) {
+	var l eventLine
+	if err = strict(raw, &l); err != nil {
+		return 0, nil, err
+	}
+	if l.AtMs == nil || *l.AtMs < last {
+		return 0, nil, &TimeError{Least: last}
+	}
+	ev, err = event(l)
+	return *l.AtMs, ev, err
+}
+
+// strict reads JSON without unknown fields; nothing reads as an empty object.
 func strict(raw []byte, v any) (err error) {
 	if len(raw) == 0 {
 		raw = []byte("{}")
@@ -90,6 +107,7 @@
 	return d.Decode(v)
 }
 
+// EventError names an event that there is not.
 type EventError struct{ Name string }
 
 func (e *EventError) Error() (text string) { return "unknown event " + fmt.Sprintf("%q", e.Name) }
--- a/cmd/mallowbridge/main.go
+++ b/cmd/mallowbridge/main.go
@@ -16,6 +16,7 @@
 
 const version = "0.1.0"
 
+// command runs one command of the line; an error ends the program with status 1.
 type command func(in io.Reader, out io.Writer) (err error)
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
@@ -33,8 +34,8 @@
 	standIns(app, cmds)
 	tools(app, cmds)
 	whatIf(app, cmds)
-	gauge(app, cmds)
-	slopes(app, cmds)
+	recovery(app, cmds)
+	measureCapacity(app, cmds)
 	name, err := app.Parse(args)
 	if err != nil {
 		fmt.Fprintln(errs, "mallowbridge:", err)
@@ -47,6 +48,7 @@
 	return 0
 }
 
+// complain prints each flaw of a document on a line of its own.
 func complain(errs io.Writer, err error) {
 	var bad *config.InvalidError
 	if errors.As(err, &bad) {
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -48,6 +48,7 @@
 // spareAllowance keeps a part of the allowed second attempts back for the moments in which nodes hold different members.
 const spareAllowance = 0.25
 
+// reader reads the platform's document and adds what the settings bound.
 func reader(b platform.Bounds) (read config.Reader) {
 	return func(raw []byte) (c config.Config, err error) {
 		if c, err = platform.Read(raw); err != nil {
@@ -61,6 +62,7 @@
 	}
 }
 
+// nodeSettings puts the platform's settings into the daemon's.
 func nodeSettings(s platform.Settings) (h daemon.Settings) {
 	h = daemon.Settings{
 		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Domain: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
@@ -74,6 +76,7 @@
 	return h
 }
 
+// headers names the platform's headers to the proxy.
 func headers() (h proxy.Headers) {
 	return proxy.Headers{
 		Attempt: platform.HeaderAttempt, Target: platform.HeaderTarget, NotRun: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
@@ -83,49 +86,69 @@
 	}
 }
 
+// platformNode is a node on the users' platform with what its listeners serve.
+type platformNode struct {
+	tomb     *tomb.Tomb
+	settings platform.Settings
+	daemon   *daemon.Daemon
+	proxy    *proxy.Proxy
+	// limits are those of the configuration in force.
+	limits  atomic.Pointer[config.Limits]
+	retired atomic.Bool
+}
+
 func runNode(file string, s platform.Settings, way string) (err error) {
 	if mb := s.Machine.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * 7 / 10)
 	}
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 	lg.Context = log.NewContext(nil).Str("node", s.Name).Value()
-	t := &tomb.Tomb{}
+	n := &platformNode{tomb: &tomb.Tomb{}, settings: s}
+	n.limits.Store(&config.Limits{})
 	listeners, err := listenAll(s)
 	if err != nil {
 		return err
 	}
-	h, err := daemon.Start(t, nodeSettings(s), lg)
-	if err != nil {
-		t.Kill(nil)
+	if n.daemon, err = daemon.Start(n.tomb, nodeSettings(s), lg); err != nil {
+		n.tomb.Kill(nil)
 		return err
 	}
-	h.Desk.Look(func(r *mallowbridge.Router) { placement(r, way) })
-	limits := &atomic.Pointer[config.Limits]{}
-	limits.Store(&config.Limits{})
-	h.OnSnapshot(func(p *config.Snapshot) { limits.Store(&p.Charter.Limits) })
-	p := proxy.New(h.Desk, headers(), proxySettings(s), func() config.Limits { return *limits.Load() }, h.Front)
-	retired := &atomic.Bool{}
-	if lis := listeners["front"]; lis != nil {
-		t.Go(func() error {
-			awaitReady(t, h)
-			proxy.Serve(t, lis, p, func() config.Limits { return *limits.Load() })
+	n.daemon.Desk.Look(func(r *mallowbridge.Router) { placement(r, way) })
+	n.daemon.OnSnapshot(func(p *config.Snapshot) { n.limits.Store(&p.Charter.Limits) })
+	n.proxy = proxy.New(n.daemon.Desk, headers(), proxySettings(s), n.limitsNow, n.daemon.Front)
+	n.serve(listeners)
+	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
+	return superviseNode(n.tomb, n.daemon, n.proxy, file, s, &n.retired, lg)
+}
+
+func (n *platformNode) limitsNow() (l config.Limits) { return *n.limits.Load() }
+
+// serve serves each interface that the settings give the node.
+func (n *platformNode) serve(listeners map[string]net.Listener) {
+	if lis := listeners[frontInterface]; lis != nil {
+		n.tomb.Go(func() error {
+			awaitReady(n.tomb, n.daemon)
+			proxy.Serve(n.tomb, lis, n.proxy, n.limitsNow)
 			return nil
 		})
 	}
-	if lis := listeners["readiness"]; lis != nil {
-		ready := func() (why string) { return readiness(h, retired) }
-		serveOps(t, lis, platform.Readiness(ready), nil)
+	if lis := listeners[readinessInterface]; lis != nil {
+		serveOps(n.tomb, lis, platform.Readiness(func() (why string) { return readiness(n.daemon, &n.retired) }), nil)
 	}
-	if lis := listeners["control"]; lis != nil {
-		routes := bunrouter.New()
-		platform.Routes(routes, daemon.Documents{Daemon: h})
-		ops := &httpapi.Operations{Control: h, Router: h.Desk, Clock: daemon.Clock, Extra: func() map[string]uint64 { return merged(wireCounters(h), p.N.Map()) }}
-		ops.Watch(routes)
-		serveOps(t, lis, routes, h.Gate.ConnContext)
+	if lis := listeners[controlInterface]; lis != nil {
+		serveOps(n.tomb, lis, n.controlRoutes(), n.daemon.Gate.ConnContext)
 	}
-	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
-	err = superviseNode(t, h, p, file, s, retired, lg)
-	return err
+}
+
+func (n *platformNode) controlRoutes() (routes *bunrouter.Router) {
+	routes = bunrouter.New()
+	platform.Routes(routes, daemon.Documents{Daemon: n.daemon})
+	operations := &httpapi.Operations{
+		Control: n.daemon, Router: n.daemon.Desk, Clock: daemon.Clock,
+		Extra: func() map[string]uint64 { return merged(transportCounters(n.daemon), n.proxy.N.Map()) },
+	}
+	operations.Watch(routes)
+	return routes
 }
 
 // proxySettings lets requests and answers hold a quarter of the memory at most.
@@ -137,6 +160,7 @@
 	return set
 }
 
+// merged joins counters of different names.
 func merged(all ...map[string]uint64) (one map[string]uint64) {
 	one = map[string]uint64{}
 	for _, c := range all {
@@ -145,9 +169,17 @@
 	return one
 }
 
+// The interfaces of a node on the platform.
+const (
+	frontInterface     = "front"
+	readinessInterface = "readiness"
+	controlInterface   = "control"
+)
+
+// listenAll opens the addresses that the settings give, by interface.
 func listenAll(s platform.Settings) (listeners map[string]net.Listener, err error) {
 	listeners = map[string]net.Listener{}
-	for name, addr := range map[string]string{"front": s.Front, "readiness": s.Readiness, "control": s.Control} {
+	for name, addr := range map[string]string{frontInterface: s.Front, readinessInterface: s.Readiness, controlInterface: s.Control} {
 		if addr == "" {
 			continue
 		}
@@ -158,6 +190,7 @@
 	return listeners, nil
 }
 
+// serveOps serves probes and operators until the tomb dies; opened, where there is one, sees each new connection.
 func serveOps(t *tomb.Tomb, lis net.Listener, h http.Handler, opened func(context.Context, net.Conn) context.Context) {
 	srv := &http.Server{Handler: h, ConnContext: opened, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 	t.Go(func() error { return served(srv.Serve(lis)) })
@@ -167,6 +200,7 @@
 	})
 }
 
+// readyWithin bounds how long awaitReady waits, readyPoll is how often it looks.
 const (
 	readyWithin = 700 * time.Millisecond
 	readyPoll   = 20 * time.Millisecond
@@ -188,6 +222,7 @@
 	}
 }
 
+// readiness tells why requests should be sent elsewhere, or "".
 func readiness(h *daemon.Daemon, retired *atomic.Bool) (why string) {
 	if retired.Load() {
 		return "draining"
--- a/cmd/mallowbridge/operate.go
+++ b/cmd/mallowbridge/operate.go
@@ -15,15 +15,17 @@
 	"github.com/gravitational/trace"
 )
 
-type DeniedError struct {
+// RejectedError is a node's answer to an operator's call that is no success: its HTTP status and body.
+type RejectedError struct {
 	Status int
 	Body   string
 }
 
-func (e *DeniedError) Error() (text string) { return fmt.Sprintf("%d: %s", e.Status, e.Body) }
+func (e *RejectedError) Error() (text string) { return fmt.Sprintf("%d: %s", e.Status, e.Body) }
 
 var client = &http.Client{Timeout: 10 * time.Second}
 
+// call sends one operator's call and prints the answer.
 func call(out io.Writer, method, at, path, change string, body []byte) (err error) {
 	req, err := http.NewRequest(method, "http://"+at+path, bytes.NewReader(body))
 	if err != nil {
@@ -44,7 +46,7 @@
 	}
 	raw = bytes.TrimSpace(raw)
 	if resp.StatusCode != http.StatusOK {
-		return trace.Wrap(&DeniedError{Status: resp.StatusCode, Body: string(raw)})
+		return trace.Wrap(&RejectedError{Status: resp.StatusCode, Body: string(raw)})
 	}
 	var pretty bytes.Buffer
 	if json.Indent(&pretty, raw, "", "  ") == nil {
@@ -54,69 +56,106 @@
 	return err
 }
 
+// operatorCall sends an operator's call to a node, with the id of the change.
+type operatorCall func(out io.Writer, at, change string) error
+
+type operatorCommands struct {
+	app  *kingpin.Application
+	cmds map[string]command
+}
+
+// add gives a command the flags that all operators' commands have; the call is filled in by the caller.
+func (o operatorCommands) add(name, help string, do operatorCall) (c *kingpin.CmdClause) {
+	c = o.app.Command(name, help)
+	at := c.Flag("at", "HTTP IP:port of any node.").Default("127.0.0.1:8001").String()
+	change := c.Flag("change", "Id of this change; the same id again does nothing twice.").String()
+	o.cmds[name] = func(_ io.Reader, out io.Writer) error { return do(out, *at, *change) }
+	return c
+}
+
 func operators(app *kingpin.Application, cmds map[string]command) {
-	add := func(name, help string, more func(c *kingpin.CmdClause) func(out io.Writer, at, change string) error) {
-		c := app.Command(name, help)
-		at := c.Flag("at", "HTTP IP:port of any node.").Default("127.0.0.1:8001").String()
-		change := c.Flag("change", "Id of this change; the same id again does nothing twice.").String()
-		do := more(c)
-		cmds[name] = func(_ io.Reader, out io.Writer) error { return do(out, *at, *change) }
-	}
-	get := func(path string) func(c *kingpin.CmdClause) func(out io.Writer, at, change string) error {
-		return func(*kingpin.CmdClause) func(out io.Writer, at, change string) error {
-			return func(out io.Writer, at, _ string) error { return call(out, http.MethodGet, at, path, "", nil) }
+	o := operatorCommands{app: app, cmds: cmds}
+	o.add("get", "Read the configuration at a majority.", getPath("/v1/config"))
+	o.add("status", "Show what a node knows: members, voters, leases, versions.", getPath("/v1/status"))
+	o.add("counters", "Show a node's counters.", getPath("/v1/counters"))
+	o.add("ready", "Ask whether a node admits requests.", getPath("/readyz"))
+	o.put()
+	o.evacuation("evacuate", "Keep all work away from a zone's replicas.", "empty").Alias("empty")
+	o.evacuation("restore", "Give an evacuated zone work again.", "restore")
+	o.voters("bootstrap", "Found the register, once, on these nodes' disks.", "found").Alias("found")
+	o.voters("voters", "Move the register to these nodes' disks.", "voters")
+	o.listings()
+}
+
+func getPath(path string) (do operatorCall) {
+	return func(out io.Writer, at, _ string) error { return call(out, http.MethodGet, at, path, "", nil) }
+}
+
+func (o operatorCommands) put() {
+	var expect uint64
+	var file string
+	c := o.add("put", "Put a whole configuration over the version it expects.", func(out io.Writer, at, change string) error {
+		raw, err := os.ReadFile(file)
+		if err != nil {
+			return trace.ConvertSystemError(err)
 		}
-	}
-	add("get", "Read the configuration at a majority.", get("/v1/config"))
-	add("status", "Show what a node knows: members, voters, claims, marks.", get("/v1/status"))
-	add("counters", "Show a node's counters.", get("/v1/counters"))
-	add("ready", "Ask whether a node lets requests in.", get("/readyz"))
-	add("put", "Put a whole configuration over the mark it expects.", func(c *kingpin.CmdClause) func(out io.Writer, at, change string) error {
-		expect := c.Flag("expect", "Mark that the configuration has now.").Required().Uint64()
-		file := c.Arg("file", "Configuration (JSON).").Required().ExistingFile()
-		return func(out io.Writer, at, change string) error {
-			raw, err := os.ReadFile(*file)
-			if err != nil {
-				return trace.ConvertSystemError(err)
-			}
-			return call(out, http.MethodPut, at, "/v1/config?expect="+strconv.FormatUint(*expect, 10), change, raw)
+		return call(out, http.MethodPut, at, "/v1/config?expect="+strconv.FormatUint(expect, 10), change, raw)
+	})
+	c.Flag("expect", "Version that the configuration has now.").Required().Uint64Var(&expect)
+	c.Arg("file", "Configuration (JSON).").Required().ExistingFileVar(&file)
+}
+
+// evacuation adds a command on a zone; verb is the last part of the call's path.
+func (o operatorCommands) evacuation(name, help, verb string) (c *kingpin.CmdClause) {
+	var zone string
+	c = o.add(name, help, func(out io.Writer, at, change string) error {
+		return call(out, http.MethodPost, at, "/v1/domains/"+url.PathEscape(zone)+"/"+verb, change, nil)
+	})
+	c.Arg("domain", "Name of the zone.").Required().StringVar(&zone)
+	return c
+}
+
+type votersBody struct {
+	Voters []string `json:"voters"`
+}
+
+// voters adds a command on the set of voters; verb is the call's path.
+func (o operatorCommands) voters(name, help, verb string) (c *kingpin.CmdClause) {
+	var names []string
+	c = o.add(name, help, func(out io.Writer, at, change string) error {
+		raw, err := json.Marshal(votersBody{Voters: names})
+		if err != nil {
+			return trace.Wrap(err)
 		}
+		return call(out, http.MethodPost, at, "/v1/"+verb, change, raw)
 	})
-	for _, v := range [][2]string{{"empty", "Keep all work away from a domain's replicas."}, {"restore", "Give an emptied domain work again."}} {
-		verb := v[0]
-		add(verb, v[1], func(c *kingpin.CmdClause) func(out io.Writer, at, change string) error {
-			domain := c.Arg("domain", "Name of the domain.").Required().String()
-			return func(out io.Writer, at, change string) error {
-				return call(out, http.MethodPost, at, "/v1/domains/"+url.PathEscape(*domain)+"/"+verb, change, nil)
-			}
-		})
-	}
-	for _, v := range [][2]string{{"found", "Found the register, once, on these nodes' disks."}, {"voters", "Move the register to these nodes' disks."}} {
-		verb := v[0]
-		add(verb, v[1], func(c *kingpin.CmdClause) func(out io.Writer, at, change string) error {
-			names := c.Arg("node", "Names of nodes with a disk.").Required().Strings()
-			return func(out io.Writer, at, change string) error {
-				raw, err := json.Marshal(map[string][]string{"voters": *names})
-				if err != nil {
-					return trace.Wrap(err)
-				}
-				return call(out, http.MethodPost, at, "/v1/"+verb, change, raw)
-			}
-		})
-	}
-	add("list", "Tell what the platform says of replicas.", func(c *kingpin.CmdClause) func(out io.Writer, at, change string) error {
-		state := c.Arg("state", "present, leaving or gone.").Required().Enum("present", "leaving", "gone")
-		names := c.Arg("replica", "Names of replicas.").Required().Strings()
-		return func(out io.Writer, at, change string) error {
-			var rows []map[string]string
-			for _, n := range *names {
-				rows = append(rows, map[string]string{"replica": n, "state": *state})
-			}
-			raw, err := json.Marshal(map[string]any{"replicas": rows})
-			if err != nil {
-				return trace.Wrap(err)
-			}
-			return call(out, http.MethodPost, at, "/v1/replicas", change, raw)
+	c.Arg("node", "Names of nodes with a disk.").Required().StringsVar(&names)
+	return c
+}
+
+type listingsBody struct {
+	Replicas []listingRow `json:"replicas"`
+}
+
+type listingRow struct {
+	Replica string `json:"replica"`
+	State   string `json:"state"`
+}
+
+func (o operatorCommands) listings() {
+	var state string
+	var names []string
+	c := o.add("list", "Tell what the platform says of replicas.", func(out io.Writer, at, change string) error {
+		body := listingsBody{}
+		for _, name := range names {
+			body.Replicas = append(body.Replicas, listingRow{Replica: name, State: state})
+		}
+		raw, err := json.Marshal(body)
+		if err != nil {
+			return trace.Wrap(err)
 		}
+		return call(out, http.MethodPost, at, "/v1/replicas", change, raw)
 	})
+	c.Arg("state", "present, leaving or gone.").Required().EnumVar(&state, "present", "leaving", "gone")
+	c.Arg("replica", "Names of replicas.").Required().StringsVar(&names)
 }
--- a/cmd/mallowbridge/placement.go
+++ b/cmd/mallowbridge/placement.go
@@ -2,12 +2,14 @@
 
 import "github.com/mallowbridge/mallowbridge"
 
+// How replicas are chosen.
 const (
 	byIndex    = "index"
 	blind      = "blind"
 	roundRobin = "round-robin"
 )
 
+// placement turns off what a comparison goes without.
 func placement(r *mallowbridge.Router, way string) {
 	switch way {
 	case blind:
--- a/cmd/mallowbridge/stands.go
+++ b/cmd/mallowbridge/standins.go
@@ -27,7 +27,7 @@
 
 func standIns(app *kingpin.Application, cmds map[string]command) {
 	replica(app, cmds)
-	agent(app, cmds)
+	clients(app, cmds)
 	check(app, cmds)
 }
 
@@ -62,30 +62,24 @@
 	}
 }
 
-func agent(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("agent", "Run stand-in user agents, for rehearsals.")
+func clients(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("client", "Run stand-in clients, for rehearsals.").Alias("agent")
 	nodes := c.Flag("node", "HTTP IP:port of a node; repeat it.").Required().Strings()
-	offer := c.Flag("offer", "Service offer to ask.").Default("zoning").String()
-	kinds := c.Flag("kind", "Kind that may be repeated.").Default("counter", "checklist").Strings()
-	once := c.Flag("once", "Kind that may not be repeated.").Default("dossier").Strings()
+	offer := c.Flag("offer", "Service to ask.").Default("zoning").String()
+	kinds := c.Flag("kind", "Class of requests that may be repeated.").Default("counter", "checklist").Strings()
+	once := c.Flag("once", "Class of requests that may not be repeated.").Default("dossier").Strings()
 	rate := c.Flag("rate", "Requests per second.").Default("20").Float64()
 	n := c.Flag("count", "Requests in all.").Default("200").Int()
 	hot := c.Flag("hot", "Share of requests with one hot prefix.").Default("0.1").Float64()
 	seed := c.Flag("seed", "Seed of the load.").Default("1").Uint64()
 	tag := c.Flag("tag", "Front of the request ids; new for each run.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
 	path := c.Flag("ledger", "File that gets a line for each request.").String()
-	cmds["agent"] = func(_ io.Reader, out io.Writer) error {
+	cmds["client"] = func(_ io.Reader, out io.Writer) error {
 		w, err := standin.Ledger(*path)
 		if err != nil {
 			return err
 		}
-		load := sim.Load{Rate: *rate, Prefixes: 24, HotShare: *hot}
-		for _, k := range *kinds {
-			load.Kinds = append(load.Kinds, sim.KindLoad{Offer: *offer, Name: k, Repeatable: true})
-		}
-		for _, k := range *once {
-			load.Kinds = append(load.Kinds, sim.KindLoad{Offer: *offer, Name: k})
-		}
+		load := clientLoad(*rate, *hot, *offer, *kinds, *once)
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
@@ -101,6 +95,17 @@
 	}
 }
 
+func clientLoad(rate, hotShare float64, service string, repeatable, once []string) (load sim.Load) {
+	load = sim.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
+	for _, k := range repeatable {
+		load.Kinds = append(load.Kinds, sim.KindLoad{Offer: service, Name: k, Repeatable: true})
+	}
+	for _, k := range once {
+		load.Kinds = append(load.Kinds, sim.KindLoad{Offer: service, Name: k})
+	}
+	return load
+}
+
 func report(out io.Writer, sums map[string]int, firsts []int64) (err error) {
 	for _, k := range []string{"done", "denied", "partial", "unknown", "repeat", "bad", "lost"} {
 		fmt.Fprintf(out, "%-8s %d\n", k, sums[k])
@@ -111,14 +116,15 @@
 	return nil
 }
 
+// BreachError says how many breaches the ledgers show.
 type BreachError struct{ N int }
 
 func (e *BreachError) Error() (text string) { return fmt.Sprintf("%d breaches", e.N) }
 
 func check(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("check", "Compare the ledgers of stand-in replicas and agents.")
+	c := app.Command("check", "Compare the ledgers of stand-in replicas and clients.")
 	ran := c.Flag("ran", "Pattern of the replicas' ledgers.").Required().String()
-	got := c.Flag("got", "Pattern of the agents' ledgers.").Required().String()
+	got := c.Flag("got", "Pattern of the clients' ledgers.").Required().String()
 	cmds["check"] = func(_ io.Reader, out io.Writer) error {
 		gots, err := lines[ledger.Got](*got)
 		if err != nil {
@@ -140,27 +146,36 @@
 	}
 }
 
+// lines reads the JSON lines of all files that match a pattern.
 func lines[T any](pattern string) (rows []T, err error) {
 	names, err := filepath.Glob(pattern)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	for _, name := range names {
-		f, err := os.Open(name)
+		some, err := linesOf[T](name)
 		if err != nil {
-			return nil, trace.ConvertSystemError(err)
+			return nil, err
 		}
-		sc := bufio.NewScanner(f)
-		sc.Buffer(nil, 1<<20)
-		for n := 1; sc.Scan(); n++ {
-			var row T
-			if err := json.Unmarshal(sc.Bytes(), &row); err != nil {
-				f.Close()
-				return nil, trace.Wrap(&LineError{Line: n, Why: name + ": " + err.Error()})
-			}
-			rows = append(rows, row)
+		rows = append(rows, some...)
+	}
+	return rows, nil
+}
+
+func linesOf[T any](name string) (rows []T, err error) {
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, trace.ConvertSystemError(err)
+	}
+	defer f.Close()
+	sc := bufio.NewScanner(f)
+	sc.Buffer(nil, 1<<20)
+	for n := 1; sc.Scan(); n++ {
+		var row T
+		if err := json.Unmarshal(sc.Bytes(), &row); err != nil {
+			return nil, trace.Wrap(&LineError{Line: n, Why: name + ": " + err.Error()})
 		}
-		f.Close()
+		rows = append(rows, row)
 	}
 	return rows, nil
 }
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -16,6 +16,7 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
+// superviseNode takes signals until the node ends: SIGHUP reads the settings again, others drain it.
 func superviseNode(t *tomb.Tomb, h *daemon.Daemon, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
@@ -53,7 +54,7 @@
 	return s
 }
 
-// drainNode lets user agents go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
+// drainNode lets clients go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
 func drainNode(h *daemon.Daemon, p *proxy.Proxy, grace time.Duration) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
--- a/cmd/mallowbridge/muse.go
+++ b/cmd/mallowbridge/whatif.go
@@ -11,25 +11,17 @@
 )
 
 func whatIf(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("muse", "Answer what-if questions: run a fleet in virtual time, by one plan or two side by side.")
+	c := app.Command("whatif", "Answer what-if questions: run a fleet in virtual time, by one plan or two side by side.").Alias("muse")
 	files := c.Arg("plan", "Plan (JSON), or two to compare; none is the calm fleet.").Strings()
 	seeds := c.Flag("seeds", "Seeds, instead of the plans' own.").Int()
 	shape := c.Flag("shape", "Fleet when no plan is given: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	harFile := c.Flag("har", "Take the load from this HAR file.").String()
-	cmds["muse"] = func(_ io.Reader, out io.Writer) error {
-		plans := []whatif.Plan{whatif.Default("calm")}
-		plans[0].Shape = *shape
-		if len(*files) > 0 {
-			plans = nil
+	cmds["whatif"] = func(_ io.Reader, out io.Writer) error {
+		plans, err := loadPlans(*files, *shape)
+		if err != nil {
+			return err
 		}
-		for _, f := range *files {
-			p, err := whatif.Load(f)
-			if err != nil {
-				return err
-			}
-			plans = append(plans, p)
-		}
-		var rs []whatif.Result
+		var results []whatif.Result
 		for _, p := range plans {
 			if *seeds > 0 {
 				p.Seeds = *seeds
@@ -41,19 +33,36 @@
 			if err != nil {
 				return err
 			}
-			rs = append(rs, r)
+			results = append(results, r)
 		}
-		whatif.Write(out, rs...)
+		whatif.Write(out, results...)
 		return nil
 	}
 }
 
-func gauge(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("gauge", "Break one thing at a time in a simulated fleet and time how long the fleet takes to notice, hand over, obey, return.")
+// loadPlans reads the plans, or gives the calm one where there are none.
+func loadPlans(files []string, shape string) (plans []whatif.Plan, err error) {
+	if len(files) == 0 {
+		calm := whatif.Default("calm")
+		calm.Shape = shape
+		return []whatif.Plan{calm}, nil
+	}
+	for _, file := range files {
+		p, err := whatif.Load(file)
+		if err != nil {
+			return nil, err
+		}
+		plans = append(plans, p)
+	}
+	return plans, nil
+}
+
+func recovery(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("recovery", "Break one thing at a time in a simulated fleet and time how long the fleet takes to notice, hand over, obey, return.").Alias("gauge")
 	seeds := c.Flag("seeds", "Seeds.").Default("50").Uint64()
 	first := c.Flag("seed", "First seed.").Default("1").Uint64()
 	shape := c.Flag("shape", "Fleet: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
-	cmds["gauge"] = func(_ io.Reader, out io.Writer) error {
+	cmds["recovery"] = func(_ io.Reader, out io.Writer) error {
 		sh, _ := sim.ShapeOf(*shape)
 		fmt.Fprintf(out, "%-36s %8s %8s %8s\n", fmt.Sprintf("%s, ms over %d seeds from %d", *shape, *seeds, *first), "p50", "p95", "max")
 		for _, r := range sim.Gauge(sh, *first, *seeds) {
@@ -63,6 +72,7 @@
 	}
 }
 
+// replay has a plan take its requests from a HAR file, if one is given, and names the entries that it cannot use.
 func replay(out io.Writer, p *whatif.Plan, file string) (err error) {
 	if file == "" {
 		return nil
