--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -18,7 +18,7 @@
 		gossip.Digest{Marks: []gossip.KeyVersion{{Key: "k", Mark: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
 		gossip.Update{Items: []gossip.Item{
 			{Key: "k", Mark: gossip.Version{Hi: 1}, Data: membership.Member{Name: "n"}},
-			{Key: "u", Mark: gossip.Version{Hi: 1}, Data: control.LoadReports{Domain: "a", Rows: []mallowbridge.Usage{{Replica: "r", Running: 1}}}},
+			{Key: "u", Mark: gossip.Version{Hi: 1}, Data: control.LoadReports{Domain: "a", Rows: []mallowbridge.LoadReport{{Replica: "r", Running: 1}}}},
 		}},
 	}
 }
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -125,17 +125,17 @@
 		return Probes
 	case control.Prefills, mallowbridge.Prefill:
 		return Prefills
-	case control.ListRead, mallowbridge.Listing, mallowbridge.Roster:
+	case control.ListRead, mallowbridge.Listing, mallowbridge.ReplicaList:
 		return ReplicaListings
 	case control.Command:
 		return ofCommand(v.Op)
 	case mallowbridge.Tick, mallowbridge.Feed:
 		return RouterTick
-	case mallowbridge.Usage, mallowbridge.Doubt:
+	case mallowbridge.LoadReport, mallowbridge.ReplicaSuspect:
 		return LoadGossip
 	case mallowbridge.Routers:
 		return CapacityShares
-	case mallowbridge.Order:
+	case mallowbridge.SnapshotUpdate:
 		return Config
 	case mallowbridge.Arrive, mallowbridge.Leave, mallowbridge.Head, mallowbridge.Piece, mallowbridge.End, mallowbridge.Hangup, mallowbridge.Withhold,
 		mallowbridge.Load, mallowbridge.Misplaced:
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -70,9 +70,9 @@
 	l = &soloRouter{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
-	l.step(mallowbridge.Order{Picture: &config.Snapshot{Mark: 1, Charter: c}})
+	l.step(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 1, Charter: c}})
 	for i := range soloReplicas {
-		l.step(mallowbridge.Usage{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
+		l.step(mallowbridge.LoadReport{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
 	}
 	l.now += 5 * time.Second
 	l.step(mallowbridge.Tick{})
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -123,13 +123,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return mallowbridge.Order{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
+		return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
 	case "arrive":
 		return read[mallowbridge.Arrive](l.Data)
 	case "listing":
 		return read[mallowbridge.Listing](l.Data)
 	case "usage":
-		return read[mallowbridge.Usage](l.Data)
+		return read[mallowbridge.LoadReport](l.Data)
 	case "routers":
 		return read[mallowbridge.Routers](l.Data)
 	case "feed":
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -37,7 +37,7 @@
 func (l *lone) step(in In) (out Out) {
 	out = l.n.Step(l.now, in)
 	for _, ev := range out.Events {
-		if o, ok := ev.(mallowbridge.Order); ok {
+		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
 			l.orders = append(l.orders, o.Picture.Mark)
 		}
 	}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -108,7 +108,7 @@
 		l.mail = append(l.mail, parcel{at: l.now + 2*time.Millisecond, to: name, msg: r})
 	}
 	for _, ev := range out.Events {
-		if r, ok := ev.(mallowbridge.Roster); ok {
+		if r, ok := ev.(mallowbridge.ReplicaList); ok {
 			l.rosters[name] = r.Rows
 		}
 		if f, ok := ev.(mallowbridge.Failures); ok && l.failures != nil {
--- a/control/list.go
+++ b/control/list.go
@@ -112,7 +112,7 @@
 	if !ok || !sameRoster(it.Data.(Roster).Rows, r.Rows) {
 		version.Hi++
 		n.Gossip.Put(gossip.Item{Key: rosterKey, Mark: version, Data: Roster{Rows: r.Rows}})
-		n.event(mallowbridge.Roster{Rows: r.Rows})
+		n.event(mallowbridge.ReplicaList{Rows: r.Rows})
 	} else {
 		version = it.Mark
 	}
@@ -130,6 +130,6 @@
 	})
 }
 
-func (n *Node) onRoster(r Roster) { n.event(mallowbridge.Roster{Rows: r.Rows}) }
+func (n *Node) onRoster(r Roster) { n.event(mallowbridge.ReplicaList{Rows: r.Rows}) }
 
 func (n *Node) onReading(now time.Duration, r Reading) { n.replicaList.heard = now }
--- a/control/msg.go
+++ b/control/msg.go
@@ -28,7 +28,7 @@
 	Domain string
 	By     string
 	Urgent bool
-	Rows   []mallowbridge.Usage
+	Rows   []mallowbridge.LoadReport
 }
 
 func (u LoadReports) SentOnce() (yes bool) { return !u.Urgent }
--- a/control/news.go
+++ b/control/news.go
@@ -124,7 +124,7 @@
 	}
 	n.applied = n.snapshot.Mark
 	n.change("obeys", fmt.Sprintf("mark %d", n.applied))
-	n.event(mallowbridge.Order{Picture: n.snapshot})
+	n.event(mallowbridge.SnapshotUpdate{Picture: n.snapshot})
 	n.replay(now)
 }
 
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -20,7 +20,7 @@
 )
 
 type watched struct {
-	row    mallowbridge.Usage
+	row    mallowbridge.LoadReport
 	since  time.Duration
 	at     time.Duration
 	misses int
@@ -116,7 +116,7 @@
 		n.tasks.probed[domain] = now
 		n.eachReplica(domain, func(name, addr string) {
 			if n.tasks.replicas[name] == nil {
-				n.tasks.replicas[name] = &watched{since: now, row: mallowbridge.Usage{Replica: name, Down: true}}
+				n.tasks.replicas[name] = &watched{since: now, row: mallowbridge.LoadReport{Replica: name, Down: true}}
 			}
 			n.out.Probes = append(n.out.Probes, Probe{Replica: name, Addr: addr})
 		})
@@ -201,7 +201,7 @@
 			w.since = now
 		}
 		w.misses, w.at = 0, now
-		w.row = mallowbridge.Usage{Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Leaving, Lag: p.Lag}
+		w.row = mallowbridge.LoadReport{Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Leaving, Lag: p.Lag}
 	}
 	if was.InstanceID != w.row.InstanceID || was.Down != w.row.Down || was.Leaving != w.row.Leaving || (w.row.Down && w.misses == missesDown) {
 		n.tasks.urgent[domain] = true
--- a/control/watch.go
+++ b/control/watch.go
@@ -45,10 +45,10 @@
 	s.state, s.at = i.State, now
 	switch i.State {
 	case Shut:
-		n.event(mallowbridge.Doubt{Replica: i.Replica})
+		n.event(mallowbridge.ReplicaSuspect{Replica: i.Replica})
 	case Down:
 		if was != Down {
-			n.event(mallowbridge.Usage{Replica: i.Replica, Down: true})
+			n.event(mallowbridge.LoadReport{Replica: i.Replica, Down: true})
 		}
 	case Up:
 		n.firsthand(now, s, i.Probed)
@@ -62,13 +62,13 @@
 			s.since = w.since
 		}
 	}
-	n.event(mallowbridge.Usage{
+	n.event(mallowbridge.LoadReport{
 		Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Leaving, Own: true, Lag: p.Lag, Age: now - s.since,
 	})
 }
 
 // believes sets what was heard of a replica against what this node sees itself, and looks again where they differ.
-func (n *Node) believes(now time.Duration, r mallowbridge.Usage) (yes bool) {
+func (n *Node) believes(now time.Duration, r mallowbridge.LoadReport) (yes bool) {
 	s := n.sights[r.Replica]
 	if s == nil || s.state == 0 {
 		return true
--- a/control/witness.go
+++ b/control/witness.go
@@ -62,7 +62,7 @@
 func Vouch(a Answer) (how mallowbridge.How) {
 	switch {
 	case a.Err != nil || a.Verdict == TooFew:
-		return mallowbridge.Unvouched
+		return mallowbridge.NoQuorumOfWitnesses
 	case a.Verdict == AskedBefore:
 		return mallowbridge.Withheld
 	}
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -108,7 +108,7 @@
 	if how, took := f.ask(set[3].Name, "q3"); how != "" && took < witnessWait {
 		t.Errorf("gave up after %s", took)
 	}
-	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != mallowbridge.Unvouched || took < witnessWait || took > 2*witnessWait {
+	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != mallowbridge.NoQuorumOfWitnesses || took < witnessWait || took > 2*witnessWait {
 		t.Errorf("three of six are silent: %q after %s", how, took)
 	}
 	f.mute = map[string]bool{}
--- a/daemon/coalesce.go
+++ b/daemon/coalesce.go
@@ -66,19 +66,19 @@
 // keyOf names what a later event of the same key makes void; its order is the order for a newcomer.
 func keyOf(ev mallowbridge.Event) (key string) {
 	switch e := ev.(type) {
-	case mallowbridge.Order:
+	case mallowbridge.SnapshotUpdate:
 		return "0"
 	case mallowbridge.Routers:
 		return "1"
-	case mallowbridge.Usage:
+	case mallowbridge.LoadReport:
 		return "2" + e.Replica
 	case mallowbridge.Listing:
 		return "3" + e.Replica
-	case mallowbridge.Roster:
+	case mallowbridge.ReplicaList:
 		return "1r"
 	case mallowbridge.Feed:
 		return "4"
-	case mallowbridge.Doubt:
+	case mallowbridge.ReplicaSuspect:
 		return "5" + e.Replica
 	case mallowbridge.Failures:
 		return "6" + e.By
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -20,15 +20,15 @@
 		took <- ev
 	})
 	for i := range 20000 {
-		v.in <- mallowbridge.Usage{Replica: fmt.Sprint(i % 50), Running: i}
-		v.in <- mallowbridge.Doubt{Replica: "7"}
+		v.in <- mallowbridge.LoadReport{Replica: fmt.Sprint(i % 50), Running: i}
+		v.in <- mallowbridge.ReplicaSuspect{Replica: "7"}
 	}
 	close(busy)
 	last := map[string]int{}
 	n := 0
 	for last["49"] != 19999 {
 		n++
-		if u, ok := (<-took).(mallowbridge.Usage); ok {
+		if u, ok := (<-took).(mallowbridge.LoadReport); ok {
 			last[u.Replica] = u.Running
 		}
 	}
@@ -44,7 +44,7 @@
 func TestAFollowerOfManyReplicasStartsWhole(t *testing.T) {
 	fs := newFollowers(&Daemon{})
 	for i := range 3000 {
-		fs.tell(mallowbridge.Usage{Replica: fmt.Sprint(i)})
+		fs.tell(mallowbridge.LoadReport{Replica: fmt.Sprint(i)})
 	}
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	fs.join(f, nil)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -30,7 +30,7 @@
 	S          Settings
 	T          *tomb.Tomb
 	Log        *log.Logger
-	Desk       *mallowbridge.Desk
+	Desk       *mallowbridge.RouterLoop
 	Net        *transport.Net
 	in         chan control.In
 	calls      chan call
@@ -95,11 +95,11 @@
 		cfg.Disk = &kept
 	}
 	rc := mallowbridge.Defaults(s.Name, h.boot, s.Domain)
-	rc.Market.QueueLimit = s.Backlog
+	rc.Scheduler.QueueLimit = s.Backlog
 	if s.Host.ServesCutOff {
-		rc.Market.FeedTimeout = cutOffFeed
+		rc.Scheduler.FeedTimeout = cutOffFeed
 	}
-	h.Desk = mallowbridge.NewDesk(t, mallowbridge.New(rc), Clock, deskTicks)
+	h.Desk = mallowbridge.NewRouterLoop(t, mallowbridge.New(rc), Clock, deskTicks)
 	h.Desk.OnPrefill(h.placed)
 	h.coalescer = newCoalescer(t, h.Desk.Tell)
 	h.node = control.New(Clock(), cfg)
@@ -176,12 +176,12 @@
 	}
 	for _, ev := range out.Events {
 		if p, is := ev.(mallowbridge.Prefill); is {
-			h.Desk.Hint(p)
+			h.Desk.TellIfIdle(p)
 			continue
 		}
 		h.tell(ev)
 		fs.tell(ev)
-		if o, ok := ev.(mallowbridge.Order); ok {
+		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
 			h.watchSnapshot(o.Picture)
 			if h.onSnapshot != nil {
 				h.onSnapshot(o.Picture)
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -33,8 +33,8 @@
 func (fs *followers) tell(ev mallowbridge.Event) {
 	switch e := ev.(type) {
 	case mallowbridge.Failures:
-	case mallowbridge.Doubt:
-		delete(fs.last, keyOf(mallowbridge.Usage{Replica: e.Replica}))
+	case mallowbridge.ReplicaSuspect:
+		delete(fs.last, keyOf(mallowbridge.LoadReport{Replica: e.Replica}))
 	default:
 		fs.last[keyOf(ev)] = ev
 	}
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -52,7 +52,7 @@
 	tb := &tomb.Tomb{}
 	marks, names := make(chan uint64, 64), make(chan string, 64)
 	mallowbridge.Follow(tb, addr, "program", func(w mallowbridge.Welcome) { names <- w.Self }, func(ev mallowbridge.Event) {
-		if o, ok := ev.(mallowbridge.Order); ok {
+		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
 			marks <- o.Picture.Mark
 		}
 	})
--- a/decision.go
+++ b/decision.go
@@ -27,8 +27,8 @@
 	Partial Verdict = "partial"
 	// Done ends a request that was answered whole.
 	Done Verdict = "done"
-	// Peek asks the witnesses of a waiting request early.
-	Peek Verdict = "peek"
+	// PollWitnesses asks the witnesses of a waiting request early.
+	PollWitnesses Verdict = "peek"
 )
 
 func (v Verdict) final() (yes bool) {
--- a/decisions.go
+++ b/decisions.go
@@ -73,7 +73,7 @@
 
 var verdicts = map[scheduler.ActionKind]Verdict{
 	scheduler.Place: Place, scheduler.Send: Send, scheduler.Recall: Recall, scheduler.Reject: Deny, scheduler.Cancel: Cancel,
-	scheduler.Unknown: Unknown, scheduler.Partial: Partial, scheduler.Done: Done, scheduler.PollWitnesses: Peek,
+	scheduler.Unknown: Unknown, scheduler.Partial: Partial, scheduler.Done: Done, scheduler.PollWitnesses: PollWitnesses,
 }
 
 func (r *Router) forget(id int) {
--- a/events.go
+++ b/events.go
@@ -33,8 +33,8 @@
 	Patience time.Duration `json:"patience,omitempty"`
 }
 
-// Order brings a configuration; an older one than that in force is dropped.
-type Order struct {
+// SnapshotUpdate brings a configuration; an older one than that in force is dropped.
+type SnapshotUpdate struct {
 	Picture *config.Snapshot
 }
 
@@ -56,8 +56,8 @@
 	Cold time.Duration
 }
 
-// Roster is the platform's list of replicas, whole, as read Age ago. Instances that it leaves out are gone.
-type Roster struct {
+// ReplicaList is the platform's list of replicas, whole, as read Age ago. Instances that it leaves out are gone.
+type ReplicaList struct {
 	Rows []Instance
 	Age  time.Duration
 }
@@ -79,8 +79,8 @@
 	Tokens  int
 }
 
-// Usage is a replica's state as a probe showed it.
-type Usage struct {
+// LoadReport is a replica's state as a probe showed it.
+type LoadReport struct {
 	Replica    string `json:"replica"`
 	InstanceID string `json:"instanceId"`
 	// Running is how many requests it had, from all routers.
@@ -94,8 +94,8 @@
 	Age time.Duration `json:"age"`
 }
 
-// Doubt says that a connection to the replica was shut: it may have restarted, and counts as cold until it is seen again.
-type Doubt struct {
+// ReplicaSuspect says that a connection to the replica was shut: it may have restarted, and counts as cold until it is seen again.
+type ReplicaSuspect struct {
 	Replica string `json:"replica"`
 }
 
@@ -179,27 +179,27 @@
 	Unreached How = "unreached"
 	// Withheld: a witness knows that another router was asked before.
 	Withheld How = "withheld"
-	// Unvouched: too few witnesses answered in time.
-	Unvouched How = "unvouched"
+	// NoQuorumOfWitnesses: too few witnesses answered in time.
+	NoQuorumOfWitnesses How = "unvouched"
 )
 
-func (Arrive) event()    {}
-func (Order) event()     {}
-func (Listing) event()   {}
-func (Usage) event()     {}
-func (Routers) event()   {}
-func (Doubt) event()     {}
-func (Welcome) event()   {}
-func (Feed) event()      {}
-func (Leave) event()     {}
-func (Head) event()      {}
-func (Piece) event()     {}
-func (End) event()       {}
-func (Hangup) event()    {}
-func (Withhold) event()  {}
-func (Tick) event()      {}
-func (Roster) event()    {}
-func (Load) event()      {}
-func (Prefill) event()   {}
-func (Misplaced) event() {}
-func (Failures) event()  {}
+func (Arrive) event()         {}
+func (SnapshotUpdate) event() {}
+func (Listing) event()        {}
+func (LoadReport) event()     {}
+func (Routers) event()        {}
+func (ReplicaSuspect) event() {}
+func (Welcome) event()        {}
+func (Feed) event()           {}
+func (Leave) event()          {}
+func (Head) event()           {}
+func (Piece) event()          {}
+func (End) event()            {}
+func (Hangup) event()         {}
+func (Withhold) event()       {}
+func (Tick) event()           {}
+func (ReplicaList) event()    {}
+func (Load) event()           {}
+func (Prefill) event()        {}
+func (Misplaced) event()      {}
+func (Failures) event()       {}
--- a/follow.go
+++ b/follow.go
@@ -16,7 +16,7 @@
 // between builds and stay, whatever the types are called.
 func init() {
 	for name, v := range map[string]any{
-		"ew": Welcome{}, "en": Numbered{}, "eo": Order{}, "er": Routers{}, "eu": Usage{}, "el": Listing{}, "ef": Feed{}, "ed": Doubt{}, "eR": Roster{}, "eF": Failures{},
+		"ew": Welcome{}, "en": Numbered{}, "eo": SnapshotUpdate{}, "er": Routers{}, "eu": LoadReport{}, "el": Listing{}, "ef": Feed{}, "ed": ReplicaSuspect{}, "eR": ReplicaList{}, "eF": Failures{},
 	} {
 		gob.RegisterName(name, v)
 	}
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -48,9 +48,9 @@
 }
 
 // Frontend serves requests to offers: POST /v1/offers/:offer/:kind. Each request runs in its own goroutine and asks the node's router
-// through the desk.
+// through its RouterLoop.
 type Frontend struct {
-	router  *mallowbridge.Desk
+	router  *mallowbridge.RouterLoop
 	witness AskWitnesses
 	limits  Limits
 	// NodeID is the node's name and boot, which answers carry in X-Node.
@@ -62,7 +62,7 @@
 }
 
 // New gives a frontend that is open.
-func New(router *mallowbridge.Desk, witness AskWitnesses, limits Limits) (f *Frontend) {
+func New(router *mallowbridge.RouterLoop, witness AskWitnesses, limits Limits) (f *Frontend) {
 	return &Frontend{router: router, witness: witness, limits: limits, slots: make(chan struct{}, limits.MaxStreams)}
 }
 
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -28,7 +28,7 @@
 	t     *testing.T
 	addrs []string
 	logs  [2]bytes.Buffer
-	desk  *mallowbridge.Desk
+	desk  *mallowbridge.RouterLoop
 	gate  *httpapi.Frontend
 	srv   *httptest.Server
 	tomb  *tomb.Tomb
@@ -61,10 +61,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk = mallowbridge.NewDesk(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
+	r.desk = mallowbridge.NewRouterLoop(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
 	for _, ev := range []mallowbridge.Event{
-		mallowbridge.Order{Picture: &config.Snapshot{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
-		mallowbridge.Usage{Replica: "r1", InstanceID: "i1"}, mallowbridge.Usage{Replica: "r2", InstanceID: "i2"},
+		mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
+		mallowbridge.LoadReport{Replica: "r1", InstanceID: "i1"}, mallowbridge.LoadReport{Replica: "r2", InstanceID: "i2"},
 	} {
 		r.desk.Tell(ev)
 	}
@@ -178,8 +178,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Tell(mallowbridge.Order{Picture: &config.Snapshot{Mark: 2, Charter: c}})
-	r.desk.Tell(mallowbridge.Usage{Replica: "r9", InstanceID: "i9"})
+	r.desk.Tell(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 2, Charter: c}})
+	r.desk.Tell(mallowbridge.LoadReport{Replica: "r9", InstanceID: "i9"})
 	r.later(3 * time.Second)
 	if g := r.ask("once", "q1"); g.Outcome != "done" {
 		t.Errorf("%s, though nothing had left for the dead replica", g.Outcome)
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -66,7 +66,7 @@
 
 func count(c map[string]uint64, r *mallowbridge.Router) {
 	m := r.Counters()
-	h, t := r.Hints()
+	h, t := r.IndexStats()
 	early, stale := r.Alerts()
 	for k, v := range map[string]uint64{
 		"bid.arrived": m.Arrived, "bid.placed": m.Placed, "bid.firstGoes": m.FirstAttempts, "bid.secondGoes": m.Retries,
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -28,7 +28,7 @@
 type Operations struct {
 	Control  Control
 	Frontend *Frontend
-	Router   *mallowbridge.Desk
+	Router   *mallowbridge.RouterLoop
 	Clock    func() time.Duration
 	Extra    func() (counters map[string]uint64)
 }
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -22,7 +22,7 @@
 	frontend  *Frontend
 	placement mallowbridge.Decision
 	exchange  *Exchange
-	events    chan mallowbridge.Wire
+	events    chan mallowbridge.ConnectionEvent
 	orders    chan mallowbridge.MoveKind
 	quit      chan struct{}
 }
@@ -30,7 +30,7 @@
 // connect starts an attempt; stop ends it at once.
 func (f *Frontend) connect(x *Exchange, place mallowbridge.Decision) (c *replicaConn) {
 	c = &replicaConn{
-		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.Wire), orders: make(chan mallowbridge.MoveKind, 2), quit: make(chan struct{}),
+		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.ConnectionEvent), orders: make(chan mallowbridge.MoveKind, 2), quit: make(chan struct{}),
 	}
 	go c.run()
 	return c
@@ -39,7 +39,7 @@
 func (c *replicaConn) stop() { close(c.quit) }
 
 // report gives the session an event; it is not ok once the attempt was stopped.
-func (c *replicaConn) report(s mallowbridge.Wire) (ok bool) {
+func (c *replicaConn) report(s mallowbridge.ConnectionEvent) (ok bool) {
 	select {
 	case c.events <- s:
 		return true
@@ -80,7 +80,7 @@
 				return
 			}
 			how := c.frontend.witness(c.exchange.request, c.placement.Spare, false)
-			if !c.report(mallowbridge.Vouched{Go: c.placement.Go, How: how}) {
+			if !c.report(mallowbridge.WitnessesAnswered{Go: c.placement.Go, How: how}) {
 				return
 			}
 		case <-c.quit:
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -16,7 +16,7 @@
 type session struct {
 	frontend *Frontend
 	exchange *Exchange
-	request  mallowbridge.Passage
+	request  mallowbridge.RequestFlow
 	conn     *replicaConn
 	began    bool
 	polled   chan mallowbridge.How
@@ -27,7 +27,7 @@
 // route is the last filter: it runs the request to its end.
 func (f *Frontend) route(x *Exchange) (answered bool) {
 	s := &session{
-		frontend: f, exchange: x, request: mallowbridge.Passage{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
+		frontend: f, exchange: x, request: mallowbridge.RequestFlow{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
 		polled: make(chan mallowbridge.How, 1),
 	}
 	defer s.drop()
@@ -40,14 +40,14 @@
 
 func (s *session) run(decisions <-chan mallowbridge.Decision) {
 	for final := false; !final; {
-		var events chan mallowbridge.Wire
+		var events chan mallowbridge.ConnectionEvent
 		if s.conn != nil {
 			events = s.conn.events
 		}
 		select {
 		case <-s.exchange.r.Context().Done():
 			s.frontend.Counters.Hangups.Add(1)
-			s.perform(s.request.Happened(mallowbridge.HungUp{}))
+			s.perform(s.request.Happened(mallowbridge.ClientHungUp{}))
 			return
 		case d, ok := <-decisions:
 			if !ok {
@@ -55,7 +55,7 @@
 			}
 			final = s.perform(s.request.Decided(d))
 		case how := <-s.polled:
-			final = s.perform(s.request.Happened(mallowbridge.Vouched{How: how}))
+			final = s.perform(s.request.Happened(mallowbridge.WitnessesAnswered{How: how}))
 		case event := <-events:
 			final = s.perform(s.request.Happened(event))
 		}
@@ -75,9 +75,9 @@
 		switch m.Kind {
 		case mallowbridge.Dial:
 			s.conn = s.frontend.connect(s.exchange, m.Place)
-		case mallowbridge.Vouch, mallowbridge.Write:
+		case mallowbridge.AskWitnesses, mallowbridge.Write:
 			s.conn.orders <- m.Kind
-		case mallowbridge.Glance:
+		case mallowbridge.AskWitnessesEarly:
 			go func() { s.polled <- s.frontend.witness(s.exchange.request, 0, true) }()
 		case mallowbridge.Drop:
 			s.drop()
@@ -128,7 +128,7 @@
 	}
 	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.Write))
 	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
-		s.perform(s.request.Happened(mallowbridge.HungUp{}))
+		s.perform(s.request.Happened(mallowbridge.ClientHungUp{}))
 		panic(http.ErrAbortHandler)
 	}
 }
--- /dev/null
+++ b/loop.go
@@ -0,0 +1,195 @@
+package mallowbridge
+
+import (
+	"time"
+
+	"gopkg.in/tomb.v2"
+)
+
+// deskMessage is an event, with a channel for its decisions if it is an arrival; or a look at the router.
+type loopMessage struct {
+	event     Event
+	decisions chan Decision
+	look      func(r *Router)
+	done      chan struct{}
+}
+
+// RouterLoop owns one Router in one goroutine; events go in by Tell, a request's decisions come back on its own channel.
+type RouterLoop struct {
+	tomb        *tomb.Tomb
+	clock       func() time.Duration
+	inbox       chan loopMessage
+	router      *Router
+	subscribers map[string]chan Decision
+	every       time.Duration
+	// announce is told of prompts that other routers should know of; it must not wait.
+	announce func(p Prefill)
+	// Failures carries what the router would tell others of failing replicas; what nobody takes in time is dropped.
+	Failures chan Failures
+}
+
+// Idle is how long a router loop sleeps at most.
+const Idle = 250 * time.Millisecond
+
+// loopQueue is how many events may wait for the loop.
+const loopQueue = 1024
+
+// NewRouterLoop starts the goroutine, which ends with the tomb; it sleeps until the router needs the time, and never longer than every.
+func NewRouterLoop(t *tomb.Tomb, r *Router, clock func() time.Duration, every time.Duration) (l *RouterLoop) {
+	l = &RouterLoop{
+		tomb: t, clock: clock, inbox: make(chan loopMessage, loopQueue), router: r, subscribers: map[string]chan Decision{}, every: every,
+		Failures: make(chan Failures, 1),
+	}
+	t.Go(l.run)
+	return l
+}
+
+func (l *RouterLoop) run() (err error) {
+	wake := time.NewTimer(l.every)
+	defer wake.Stop()
+	for {
+		select {
+		case <-l.tomb.Dying():
+			for req := range l.subscribers {
+				l.endRequest(req)
+			}
+			return nil
+		case <-wake.C:
+			l.deliver(l.router.Step(l.clock(), Tick{}))
+		case a := <-l.inbox:
+			l.handle(a)
+		}
+		l.reportFailures()
+		wake.Reset(l.pause())
+	}
+}
+
+func (l *RouterLoop) reportFailures() {
+	f, any := l.router.Failures(l.clock())
+	if !any {
+		return
+	}
+	select {
+	case l.Failures <- f:
+	default:
+	}
+}
+
+const shortestPause = time.Millisecond
+
+// pause is how long the loop may sleep.
+func (l *RouterLoop) pause() (t time.Duration) {
+	now := l.clock()
+	at, any := l.router.Next(now)
+	if !any {
+		return l.every
+	}
+	return min(max(at-now, shortestPause), l.every)
+}
+
+func (l *RouterLoop) handle(m loopMessage) {
+	if m.look != nil {
+		m.look(l.router)
+		close(m.done)
+		return
+	}
+	if e, ok := m.event.(Arrive); ok && !l.subscribe(e, m.decisions) {
+		return
+	}
+	l.deliver(l.router.Step(l.clock(), m.event))
+	if e, ok := m.event.(Hangup); ok {
+		l.endRequest(e.Request)
+	}
+}
+
+// subscribe gives a request its channel, or rejects it where its id runs already.
+func (l *RouterLoop) subscribe(e Arrive, decisions chan Decision) (ok bool) {
+	if l.subscribers[e.Request] != nil {
+		decisions <- e.denied(runningHere, true)
+		close(decisions)
+		return false
+	}
+	l.subscribers[e.Request] = decisions
+	return true
+}
+
+func (l *RouterLoop) endRequest(request string) {
+	if decisions := l.subscribers[request]; decisions != nil {
+		delete(l.subscribers, request)
+		close(decisions)
+	}
+}
+
+func (l *RouterLoop) deliver(decisions []Decision) {
+	for _, one := range decisions {
+		if one.Unread > 0 && l.announce != nil {
+			l.announce(Prefill{Replica: one.Replica, Tokens: one.Unread})
+		}
+		if l.subscribers[one.Request] != nil {
+			l.deliverTo(l.subscribers[one.Request], one)
+		}
+	}
+}
+
+// deliverTo ends a request whose decisions nobody reads.
+func (l *RouterLoop) deliverTo(subscriber chan Decision, one Decision) {
+	select {
+	case subscriber <- one:
+	default:
+		l.endRequest(one.Request)
+		l.deliver(l.router.Step(l.clock(), Hangup{Request: one.Request}))
+		return
+	}
+	if one.Verdict.final() {
+		l.endRequest(one.Request)
+	}
+}
+
+func (l *RouterLoop) post(a loopMessage) (ok bool) {
+	select {
+	case l.inbox <- a:
+		return true
+	case <-l.tomb.Dying():
+		return false
+	}
+}
+
+// OnPrefill has tell called for each prompt that other routers should know of; it must not wait.
+func (l *RouterLoop) OnPrefill(tell func(p Prefill)) {
+	l.Look(func(*Router) { l.announce = tell })
+}
+
+// TellIfIdle gives an event that is worth nothing later: a loop that is busy doesn't get it.
+func (l *RouterLoop) TellIfIdle(ev Event) {
+	select {
+	case l.inbox <- loopMessage{event: ev}:
+	default:
+	}
+}
+
+// Tell gives an event; it waits while the loop is behind, and drops the event once the loop has ended.
+func (l *RouterLoop) Tell(ev Event) { l.post(loopMessage{event: ev}) }
+
+// decisionRoom is how many decisions of a request may wait to be read.
+const decisionRoom = 64
+
+// Submit gives the channel of a request's decisions; it is closed after the last, and early when nobody reads it.
+func (l *RouterLoop) Submit(a Arrive) (decisions <-chan Decision) {
+	sub := make(chan Decision, decisionRoom)
+	if !l.post(loopMessage{event: a, decisions: sub}) {
+		close(sub)
+	}
+	return sub
+}
+
+// Look calls look in the loop's goroutine and waits for it; look must not wait for the loop. It is not called once the loop has ended.
+func (l *RouterLoop) Look(look func(r *Router)) {
+	done := make(chan struct{})
+	if !l.post(loopMessage{look: look, done: done}) {
+		return
+	}
+	select {
+	case <-done:
+	case <-l.tomb.Dying():
+	}
+}
--- a/desk_test.go
+++ b/loop_test.go
@@ -13,7 +13,7 @@
 func TestDecisionsThatNobodyReadsEndInAClosedChannel(t *testing.T) {
 	r := router(t, replica("d1", "both", "a", 1))
 	tb := &tomb.Tomb{}
-	d := mallowbridge.NewDesk(tb, r, func() time.Duration { return settled }, time.Hour)
+	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled }, time.Hour)
 	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Offer: "o", Kind: "k", Prefix: "sys/10", Tail: 5})
 	first := <-decisions
 	for i := range 200 {
@@ -40,7 +40,7 @@
 func TestADeskSleepsUntilTheRouterNeedsTheTime(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a")))), &tomb.Tomb{}
 	start := time.Now()
-	d := mallowbridge.NewDesk(tb, r, func() time.Duration { return settled + time.Since(start) }, time.Hour)
+	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled + time.Since(start) }, time.Hour)
 	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Host: "h.example", Path: "/x"})
 	select {
 	case x := <-decisions:
@@ -58,7 +58,7 @@
 
 func TestOthersAreToldOfLongPromptsAndHeardOfTheirs(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a")), &tomb.Tomb{}
-	d := mallowbridge.NewDesk(tb, r, func() time.Duration { return settled }, time.Hour)
+	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled }, time.Hour)
 	told := make(chan mallowbridge.Prefill, 8)
 	d.OnPrefill(func(p mallowbridge.Prefill) { told <- p })
 	ask := func(id string, tokens int) (replica string) {
@@ -74,8 +74,8 @@
 		t.Errorf("told %+v of a prompt at %s", p, first)
 	}
 	other := map[string]string{"i1": "i2", "i2": "i1"}[first]
-	d.Hint(mallowbridge.Prefill{Replica: other, Tokens: 60000})
-	d.Hint(mallowbridge.Prefill{Replica: "unknown", Tokens: 60000})
+	d.TellIfIdle(mallowbridge.Prefill{Replica: other, Tokens: 60000})
+	d.TellIfIdle(mallowbridge.Prefill{Replica: "unknown", Tokens: 60000})
 	if at := ask("after", 15000); at != first {
 		t.Errorf("placed at %s, where another router has sent a long prompt", at)
 	}
--- a/moves.go
+++ b/moves.go
@@ -1,14 +1,14 @@
 package mallowbridge
 
-// MoveKind says what the I/O around a Passage has to do.
+// MoveKind says what the I/O around a RequestFlow has to do.
 type MoveKind uint8
 
 // The kinds of moves.
 const (
 	// Dial opens a connection to the placement's replica.
 	Dial MoveKind = iota + 1
-	// Vouch asks the request's witnesses whether it may be sent.
-	Vouch
+	// AskWitnesses asks the request's witnesses whether it may be sent.
+	AskWitnesses
 	// Write sends the request on the open connection.
 	Write
 	// Drop closes the connection.
@@ -19,8 +19,8 @@
 	Pass
 	// Close ends the request with an outcome.
 	Close
-	// Glance asks the witnesses early, without a placement.
-	Glance
+	// AskWitnessesEarly asks the witnesses early, without a placement.
+	AskWitnessesEarly
 )
 
 // Move is one thing to do; which fields count depends on its kind.
@@ -42,8 +42,8 @@
 	OutBad     = "bad"
 )
 
-// Wire is what happened on a request's connections. Go names the attempt.
-type Wire interface{ wire() }
+// ConnectionEvent is what happened on a request's connections. Go names the attempt.
+type ConnectionEvent interface{ wire() }
 
 // Dialed says whether the connection to the replica is open.
 type Dialed struct {
@@ -51,9 +51,9 @@
 	OK bool
 }
 
-// Vouched is the witnesses' answer: How is empty where the request may be sent, else how the attempt ends. Without an attempt it
-// answers Glance.
-type Vouched struct {
+// WitnessesAnswered is the witnesses' answer: How is empty where the request may be sent, else how the attempt ends. Without an attempt it
+// answers AskWitnessesEarly.
+type WitnessesAnswered struct {
 	Go  string
 	How How
 }
@@ -73,12 +73,12 @@
 // Lost says that the connection to the replica ended.
 type Lost struct{ Go string }
 
-// HungUp says that the client is gone.
-type HungUp struct{}
+// ClientHungUp says that the client is gone.
+type ClientHungUp struct{}
 
-func (Dialed) wire()  {}
-func (Vouched) wire() {}
-func (Replied) wire() {}
-func (Read) wire()    {}
-func (Lost) wire()    {}
-func (HungUp) wire()  {}
+func (Dialed) wire()            {}
+func (WitnessesAnswered) wire() {}
+func (Replied) wire()           {}
+func (Read) wire()              {}
+func (Lost) wire()              {}
+func (ClientHungUp) wire()      {}
--- a/replicalist.go
+++ b/replicalist.go
@@ -11,7 +11,7 @@
 const reuseRowAfter = 10 * time.Second
 
 // takeList takes in the platform's list, unless a newer one is known.
-func (r *Router) takeList(now time.Duration, e Roster) {
+func (r *Router) takeList(now time.Duration, e ReplicaList) {
 	if r.listKnown && now-e.Age < r.listReadAt {
 		return
 	}
@@ -90,7 +90,7 @@
 	entry.listedAs, entry.goneSince, entry.addr, entry.instance = listed, 0, listed.Addr, listed.ID
 	row.Service, row.Role, row.Room = r.services[listed.Offer], "both", max(listed.Room, 1)
 	row.Listed, row.Leaving = true, listed.Leaving
-	row.Zone, row.SameZone = listed.Domain, listed.Domain == r.cfg.Domain
+	row.Zone, row.SameZone = listed.Domain, listed.Domain == r.cfg.Zone
 	r.scheduler.Index.SetKeep(id, o.KeepTokens)
 	service := &r.scheduler.Services[row.Service]
 	service.Replicas = append(service.Replicas, id)
@@ -147,7 +147,7 @@
 }
 
 // reportInstance takes in what a probe of a listed instance showed.
-func (r *Router) reportInstance(now time.Duration, id int, e Usage) {
+func (r *Router) reportInstance(now time.Duration, id int, e LoadReport) {
 	row := &r.scheduler.Replicas[id]
 	row.Up = !e.Down && (e.InstanceID == "" || e.InstanceID == r.replicas[id].instance)
 	if !row.Up {
--- a/reports.go
+++ b/reports.go
@@ -14,7 +14,7 @@
 // takeReplicaReport takes in what is heard of a replica that the router knows.
 func (r *Router) takeReplicaReport(now time.Duration, ev Event) {
 	switch e := ev.(type) {
-	case Usage:
+	case LoadReport:
 		r.withReplica(e.Replica, func(id int) { r.reportLoad(now, id, e) })
 	case Load:
 		r.withReplica(e.Replica, func(id int) { r.scheduler.ReportOwnLoad(now, id, e.Running+e.Waiting) })
@@ -24,7 +24,7 @@
 		}
 	case Misplaced:
 		r.withReplica(e.Replica, func(id int) { r.scheduler.MarkReplaced(now, id) })
-	case Doubt:
+	case ReplicaSuspect:
 		r.withReplica(e.Replica, func(id int) { r.scheduler.Replicas[id].SuspectSince = now })
 	case Failures:
 		r.takeFailures(now, e)
@@ -55,7 +55,7 @@
 }
 
 // reportLoad takes in the state that a probe showed.
-func (r *Router) reportLoad(now time.Duration, id int, e Usage) {
+func (r *Router) reportLoad(now time.Duration, id int, e LoadReport) {
 	if r.replicas[id].discovered {
 		r.reportInstance(now, id, e)
 		return
@@ -69,7 +69,7 @@
 }
 
 // reportDocumented is reportLoad for a replica that the document names.
-func (r *Router) reportDocumented(now time.Duration, id int, e Usage) {
+func (r *Router) reportDocumented(now time.Duration, id int, e LoadReport) {
 	row, entry := &r.scheduler.Replicas[id], &r.replicas[id]
 	if e.Down {
 		row.Up = false
--- a/passage.go
+++ b/requestflow.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// Passage is the state machine of one request of the product's own interface: the router's decisions and what happens on the
+// RequestFlow is the state machine of one request of the product's own interface: the router's decisions and what happens on the
 // connections go in, moves come out. The HTTP interface and the simulator do the I/O around it.
-type Passage struct {
+type RequestFlow struct {
 	Request string
 
 	placement Decision
@@ -18,34 +18,34 @@
 	moves           []Move
 }
 
-func (p *Passage) emit(m Move) { p.moves = append(p.moves, m) }
+func (p *RequestFlow) emit(m Move) { p.moves = append(p.moves, m) }
 
-func (p *Passage) takeMoves() (moves []Move) {
+func (p *RequestFlow) takeMoves() (moves []Move) {
 	moves, p.moves = p.moves, nil
 	return moves
 }
 
 // disconnect closes the connection, if one is open.
-func (p *Passage) disconnect() {
+func (p *RequestFlow) disconnect() {
 	if p.connected {
 		p.connected = false
 		p.emit(Move{Kind: Drop, Place: p.placement})
 	}
 }
 
-func (p *Passage) finish(d Decision, outcome string) {
+func (p *RequestFlow) finish(d Decision, outcome string) {
 	p.disconnect()
 	p.over = true
 	p.emit(Move{Kind: Close, Place: d, Outcome: outcome})
 }
 
-func (p *Passage) endAttempt(how How) {
+func (p *RequestFlow) endAttempt(how How) {
 	p.disconnect()
 	p.emit(Move{Kind: Tell, Event: End{Request: p.Request, Go: p.placement.Go, How: how}})
 }
 
 // Decided takes a decision of the router on this request.
-func (p *Passage) Decided(d Decision) (moves []Move) {
+func (p *RequestFlow) Decided(d Decision) (moves []Move) {
 	if p.over || (p.connected && d.Go != "" && d.Go != p.placement.Go && d.Verdict != Place) {
 		return nil
 	}
@@ -56,14 +56,14 @@
 		p.emit(Move{Kind: Dial, Place: d})
 	case Send:
 		if p.connected && p.placement.Once && !p.witnessesAgreed {
-			p.emit(Move{Kind: Vouch, Place: p.placement})
+			p.emit(Move{Kind: AskWitnesses, Place: p.placement})
 		} else if p.connected {
 			p.emit(Move{Kind: Write, Place: p.placement})
 		}
 	case Recall, Cancel:
 		p.disconnect()
-	case Peek:
-		p.emit(Move{Kind: Glance})
+	case PollWitnesses:
+		p.emit(Move{Kind: AskWitnessesEarly})
 	case Done:
 		p.finish(d, OutDone)
 	default:
@@ -73,13 +73,13 @@
 }
 
 // begin starts over with another placement.
-func (p *Passage) begin(d Decision) {
+func (p *RequestFlow) begin(d Decision) {
 	p.placement, p.connected = d, true
 	p.answered, p.witnessesAgreed = false, false
 	p.pieces = PieceSequence{Go: d.Go}
 }
 
-func (p *Passage) outcome(d Decision) (name string) {
+func (p *RequestFlow) outcome(d Decision) (name string) {
 	switch {
 	case d.Verdict == Partial || p.answerBegan:
 		return OutPartial
@@ -94,18 +94,18 @@
 }
 
 // Happened takes what happened on a connection; what concerns an earlier attempt is dropped.
-func (p *Passage) Happened(w Wire) (moves []Move) {
+func (p *RequestFlow) Happened(w ConnectionEvent) (moves []Move) {
 	if p.over {
 		return nil
 	}
 	switch e := w.(type) {
-	case HungUp:
+	case ClientHungUp:
 		p.disconnect()
 		p.over = true
 		p.emit(Move{Kind: Tell, Event: Hangup{Request: p.Request}})
 	case Dialed:
 		p.connectionOpened(e)
-	case Vouched:
+	case WitnessesAnswered:
 		p.witnessesAnswered(e)
 	case Replied:
 		p.answerHead(e)
@@ -119,11 +119,11 @@
 	return p.takeMoves()
 }
 
-func (p *Passage) isCurrent(attempt string) (current bool) {
+func (p *RequestFlow) isCurrent(attempt string) (current bool) {
 	return p.connected && p.placement.Go == attempt
 }
 
-func (p *Passage) connectionOpened(e Dialed) {
+func (p *RequestFlow) connectionOpened(e Dialed) {
 	switch {
 	case !p.isCurrent(e.Go):
 	case e.OK:
@@ -134,7 +134,7 @@
 }
 
 // witnessesAnswered asks for permission to send once more: the witnesses took their time, and the machine may have been frozen meanwhile.
-func (p *Passage) witnessesAnswered(e Vouched) {
+func (p *RequestFlow) witnessesAnswered(e WitnessesAnswered) {
 	switch {
 	case e.Go == "" && e.How == Withheld:
 		p.emit(Move{Kind: Tell, Event: Withhold{Request: p.Request}})
@@ -147,7 +147,7 @@
 	}
 }
 
-func (p *Passage) answerHead(e Replied) {
+func (p *RequestFlow) answerHead(e Replied) {
 	switch {
 	case !p.isCurrent(e.Go):
 	case e.Attempt != e.Go:
@@ -159,7 +159,7 @@
 	}
 }
 
-func (p *Passage) answerLine(e Read) {
+func (p *RequestFlow) answerLine(e Read) {
 	if !p.isCurrent(e.Go) {
 		return
 	}
--- a/route_test.go
+++ b/route_test.go
@@ -35,8 +35,8 @@
 
 func routed(p *config.Snapshot, rows ...mallowbridge.Instance) (r *mallowbridge.Router) {
 	r = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a"))
-	r.Step(0, mallowbridge.Roster{Rows: rows})
-	r.Step(0, mallowbridge.Order{Picture: p})
+	r.Step(0, mallowbridge.ReplicaList{Rows: rows})
+	r.Step(0, mallowbridge.SnapshotUpdate{Picture: p})
 	r.Step(0, mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a"}})
 	r.Step(settled, mallowbridge.Feed{})
 	return r
@@ -91,7 +91,7 @@
 	if ds := get(r, settled, "q", "/x"); len(ds) > 0 {
 		t.Fatalf("%+v", ds)
 	}
-	d := one(t, r.Step(settled+time.Millisecond, mallowbridge.Order{Picture: routes(2, route("other", "/o/", all("a")))}), mallowbridge.Deny)
+	d := one(t, r.Step(settled+time.Millisecond, mallowbridge.SnapshotUpdate{Picture: routes(2, route("other", "/o/", all("a")))}), mallowbridge.Deny)
 	if d.Bad || d.Late {
 		t.Errorf("%+v", d)
 	}
@@ -109,28 +109,28 @@
 	}
 	newer := row("i1", "a")
 	newer.Weights = "2"
-	r.Step(at, mallowbridge.Roster{Rows: []mallowbridge.Instance{newer}})
+	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{newer}})
 	if d = one(t, get(r, at, "q3", "/x"), mallowbridge.Place); d.Confirmed+d.Predicted != 0 {
 		t.Errorf("kept parts of other weights: %+v", d)
 	}
-	r.Step(at, mallowbridge.Roster{Rows: []mallowbridge.Instance{row("i0", "a")}, Age: time.Second})
+	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{row("i0", "a")}, Age: time.Second})
 	if d = one(t, get(r, at, "q4", "/x"), mallowbridge.Place); d.Instance != "i1" {
 		t.Errorf("an older roster came into force: %+v", d)
 	}
 	leaving := newer
 	leaving.Leaving = true
-	r.Step(at, mallowbridge.Roster{Rows: []mallowbridge.Instance{leaving, row("i2", "a")}})
+	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{leaving, row("i2", "a")}})
 	for i := range 4 {
 		if d = one(t, get(r, at, fmt.Sprint("l", i), "/x"), mallowbridge.Place); d.Instance != "i2" {
 			t.Errorf("placed on one that is leaving: %+v", d)
 		}
 	}
 	r.Step(at, mallowbridge.Misplaced{Replica: "i2"})
-	r.Step(at, mallowbridge.Roster{Rows: []mallowbridge.Instance{leaving, row("i2", "a")}})
+	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{leaving, row("i2", "a")}})
 	if ds := get(r, at, "q5", "/x"); len(ds) != 0 {
 		t.Errorf("placed where another instance answers: %+v", ds)
 	}
-	d = one(t, r.Step(at, mallowbridge.Roster{Rows: []mallowbridge.Instance{row("i3", "a")}}), mallowbridge.Place)
+	d = one(t, r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{row("i3", "a")}}), mallowbridge.Place)
 	if d.Instance != "i3" || d.Request != "q5" {
 		t.Errorf("%+v", d)
 	}
@@ -140,7 +140,7 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i0", "a"))
 	for i := range 50 {
 		at := settled + time.Duration(i)*20*time.Second
-		r.Step(at, mallowbridge.Roster{Rows: []mallowbridge.Instance{row(fmt.Sprint("i", i), "a")}})
+		r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{row(fmt.Sprint("i", i), "a")}})
 		if d := one(t, get(r, at, fmt.Sprint("q", i), "/x"), mallowbridge.Place); d.Instance != fmt.Sprint("i", i) {
 			t.Fatalf("%d: %+v", i, d)
 		}
@@ -155,7 +155,7 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i", "a"))
 	for i := range 50 {
 		name := fmt.Sprint("k", i)
-		r.Step(settled, mallowbridge.Order{Picture: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
+		r.Step(settled, mallowbridge.SnapshotUpdate{Picture: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
 		d := one(t, get(r, settled, name, "/"+name+"/"), mallowbridge.Place)
 		r.Step(settled, mallowbridge.Leave{Request: name, Go: d.Go})
 		r.Step(settled, mallowbridge.End{Request: name, Go: d.Go, How: mallowbridge.Whole})
@@ -173,7 +173,7 @@
 		t.Fatalf("placed in an emptied domain: %+v", ds)
 	}
 	n := 0
-	for i, d := range r.Step(settled, mallowbridge.Order{Picture: routes(2, route("k", "/", all("a")))}) {
+	for i, d := range r.Step(settled, mallowbridge.SnapshotUpdate{Picture: routes(2, route("k", "/", all("a")))}) {
 		n += i + 1
 		one(t, []mallowbridge.Decision{d}, mallowbridge.Place)
 	}
--- a/router.go
+++ b/router.go
@@ -10,20 +10,20 @@
 
 // Config holds what a router is told at its start.
 type Config struct {
-	// Self is the router's name, unique in the fleet; Boot is new at each start, so that attempt ids never return; Domain is its zone.
-	Self   string
-	Boot   string
-	Domain string
-	Market scheduler.Config
-	// OnceFor and OnceMax bound the memory of requests that were sent, in time and number.
-	OnceFor time.Duration
-	OnceMax int
+	// Self is the router's name, unique in the fleet; Boot is new at each start, so that attempt ids never return; Zone is where it runs.
+	Self      string
+	Boot      string
+	Zone      string
+	Scheduler scheduler.Config
+	// RememberSentFor and RememberSentMax bound the memory of requests that were sent, in time and number.
+	RememberSentFor time.Duration
+	RememberSentMax int
 }
 
 // Defaults are the constants that production nodes use. Domain is the router's zone.
 func Defaults(self, boot, domain string) (c Config) {
 	return Config{
-		Self: self, Boot: boot, Domain: domain, Market: scheduler.Defaults(self, domain), OnceFor: 10 * time.Minute, OnceMax: 100000,
+		Self: self, Boot: boot, Zone: domain, Scheduler: scheduler.Defaults(self, domain), RememberSentFor: 10 * time.Minute, RememberSentMax: 100000,
 	}
 }
 
@@ -52,7 +52,7 @@
 }
 
 // Router is the routing state machine of one node or embedding program. It turns events into calls of the scheduler and the
-// scheduler's actions into decisions, by name instead of index. It does no I/O and is not safe for concurrent use; a Desk owns it. All
+// scheduler's actions into decisions, by name instead of index. It does no I/O and is not safe for concurrent use; a RouterLoop owns it. All
 // times are on the caller's clock, since its start.
 type Router struct {
 	cfg       Config
@@ -70,7 +70,7 @@
 	// routesByHost has the longest path prefix first.
 	routesByHost map[string][]*config.Route
 
-	replicaList Roster
+	replicaList ReplicaList
 	listReadAt  time.Duration
 	listKnown   bool
 
@@ -81,14 +81,14 @@
 // New gives a router that rejects all requests until it has a snapshot and a Feed.
 func New(cfg Config) (r *Router) {
 	return &Router{
-		cfg: cfg, scheduler: scheduler.New(cfg.Market), services: map[string]int{}, replicaIDs: map[string]int{},
-		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newRequestMemory(cfg.OnceFor, cfg.OnceMax),
+		cfg: cfg, scheduler: scheduler.New(cfg.Scheduler), services: map[string]int{}, replicaIDs: map[string]int{},
+		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newRequestMemory(cfg.RememberSentFor, cfg.RememberSentMax),
 		attemptPrefix: cfg.Self + "." + cfg.Boot + ".",
 	}
 }
 
-// Mark is the version of the snapshot in force, 0 before the first.
-func (r *Router) Mark() (version uint64) {
+// Version is the version of the snapshot in force, 0 before the first.
+func (r *Router) Version() (version uint64) {
 	if r.snapshot == nil {
 		return 0
 	}
@@ -98,16 +98,16 @@
 // Counters are the scheduler's.
 func (r *Router) Counters() (c scheduler.Counters) { return r.scheduler.Counters }
 
-// Hints gives the prefix index's counters and how long a prediction is trusted now.
-func (r *Router) Hints() (c prefixindex.Counters, ttl time.Duration) {
+// IndexStats gives the prefix index's counters and how long a prediction is trusted now.
+func (r *Router) IndexStats() (c prefixindex.Counters, ttl time.Duration) {
 	return r.scheduler.Index.Counters, r.scheduler.Index.TTL()
 }
 
 // Alerts tells whether too many predictions expired early or stale lately.
 func (r *Router) Alerts() (early, stale bool) { return r.scheduler.Index.Alerts() }
 
-// Stalled tells why nothing may be served now, or "".
-func (r *Router) Stalled(now time.Duration) (why string) { return r.scheduler.NotServing(now) }
+// NotServing tells why nothing may be served now, or "".
+func (r *Router) NotServing(now time.Duration) (why string) { return r.scheduler.NotServing(now) }
 
 // Ready tells why requests should be sent elsewhere, or "".
 func (r *Router) Ready(now time.Duration) (why string) {
--- a/router_test.go
+++ b/router_test.go
@@ -17,7 +17,7 @@
 	order(t, r, 1, replicas)
 	r.Step(0, mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a"}})
 	for _, name := range []string{"p1", "p2", "d1", "d2"} {
-		r.Step(0, mallowbridge.Usage{Replica: name, InstanceID: name + ".1"})
+		r.Step(0, mallowbridge.LoadReport{Replica: name, InstanceID: name + ".1"})
 	}
 	r.Step(settled, mallowbridge.Feed{})
 	return r
@@ -29,14 +29,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, mallowbridge.Order{Picture: &config.Snapshot{Mark: mark, Charter: c, Emptied: emptied}})
+	r.Step(0, mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: mark, Charter: c, Emptied: emptied}})
 }
 
 func replica(name, role, domain string, port int) (text string) {
 	return fmt.Sprintf(`{"name":%q,"role":%q,"domain":%q,"addr":"127.0.0.1:%d"}`, name, role, domain, port)
 }
 
-func deskMessage(t *testing.T, r *mallowbridge.Router, now time.Duration, id string) (d mallowbridge.Decision) {
+func loopMessage(t *testing.T, r *mallowbridge.Router, now time.Duration, id string) (d mallowbridge.Decision) {
 	t.Helper()
 	ds := r.Step(now, mallowbridge.Arrive{Request: id, Offer: "o", Kind: "k", Prefix: "sys/4000", Tail: 5})
 	if len(ds) != 1 || ds[0].Verdict != mallowbridge.Place {
@@ -53,16 +53,16 @@
 
 func TestSplitRolesKeepHoldingsAtThePrefillReplica(t *testing.T) {
 	r := router(t, replica("p1", "prefill", "a", 1)+","+replica("p2", "prefill", "a", 2)+","+replica("d1", "decode", "a", 3)+","+replica("d2", "decode", "a", 4))
-	one := deskMessage(t, r, settled, "q1")
+	one := loopMessage(t, r, settled, "q1")
 	if one.Prefill == "" || one.Replica[0] != 'd' || one.Confirmed+one.Predicted != 0 {
 		t.Fatalf("%+v", one)
 	}
-	two := deskMessage(t, r, settled+50*time.Millisecond, "q2")
+	two := loopMessage(t, r, settled+50*time.Millisecond, "q2")
 	if two.Prefill != one.Prefill || two.Predicted != 4000 || two.Confirmed != 0 {
 		t.Errorf("in the gap: %+v", two)
 	}
 	answer(r, settled+100*time.Millisecond, one)
-	if three := deskMessage(t, r, settled+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
+	if three := loopMessage(t, r, settled+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
 		t.Errorf("after the answer: %+v", three)
 	}
 }
@@ -72,11 +72,11 @@
 	r := router(t, a+","+b)
 	order(t, r, 5, a+","+b, "a")
 	order(t, r, 4, a+","+b)
-	if r.Mark() != 5 {
-		t.Errorf("mark %d", r.Mark())
+	if r.Version() != 5 {
+		t.Errorf("mark %d", r.Version())
 	}
 	r.Step(settled+3*time.Second, mallowbridge.Feed{})
-	if d := deskMessage(t, r, settled+3*time.Second, "q1"); d.Replica != "d1" {
+	if d := loopMessage(t, r, settled+3*time.Second, "q1"); d.Replica != "d1" {
 		t.Errorf("placed in an emptied domain: %+v", d)
 	}
 }
@@ -91,12 +91,12 @@
 
 func TestANewInstanceHoldsNothing(t *testing.T) {
 	r := router(t, replica("p1", "both", "a", 1))
-	answer(r, settled+100*time.Millisecond, deskMessage(t, r, settled, "q1"))
-	if d := deskMessage(t, r, settled+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
+	answer(r, settled+100*time.Millisecond, loopMessage(t, r, settled, "q1"))
+	if d := loopMessage(t, r, settled+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
 		t.Fatalf("%+v", d)
 	}
-	r.Step(settled+300*time.Millisecond, mallowbridge.Usage{Replica: "p1", InstanceID: "p1.2"})
-	if d := deskMessage(t, r, settled+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
+	r.Step(settled+300*time.Millisecond, mallowbridge.LoadReport{Replica: "p1", InstanceID: "p1.2"})
+	if d := loopMessage(t, r, settled+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -160,7 +160,7 @@
 
 func (a *Audit) sent(f *flight, c *conn) {
 	now, n := a.w.now, f.n
-	mark, due := n.router.Mark(), a.due(n)
+	mark, due := n.router.Version(), a.due(n)
 	if mark < due {
 		a.breach(OldPicture, n.Name, fmt.Sprintf("mark %d, due %d", mark, due))
 	}
@@ -220,7 +220,7 @@
 }
 
 func (a *Audit) obeys(n *Node) {
-	a.orders[n.Name] = append(a.orders[n.Name], stamp{at: a.w.now, mark: n.router.Mark()})
+	a.orders[n.Name] = append(a.orders[n.Name], stamp{at: a.w.now, mark: n.router.Version()})
 }
 
 // Obeyed tells for each accepted mark how long the slowest node took to obey it or a later one.
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -79,7 +79,7 @@
 		for _, x := range a.inForce(due) {
 			marks = append(marks, x.mark)
 		}
-		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Kind.Name, c.rep.Name, f.n.router.Mark(), due, marks))
+		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Kind.Name, c.rep.Name, f.n.router.Version(), due, marks))
 	case !kept:
 		a.breach(ToEmptied, c.rep.Name, f.n.Name)
 	}
--- a/sim/gate.go
+++ b/sim/gate.go
@@ -16,7 +16,7 @@
 	try     int
 	at      time.Duration
 	got     ledger.Got
-	passage mallowbridge.Passage
+	passage mallowbridge.RequestFlow
 	conn    *conn
 	gos     int
 	over    bool
@@ -39,7 +39,7 @@
 
 func (w *World) submit(a Ask, domain string, try int) {
 	n := w.pick(domain)
-	f := &flight{w: w, n: n, ask: a, domain: domain, try: try, at: w.now, passage: mallowbridge.Passage{Request: a.Request}}
+	f := &flight{w: w, n: n, ask: a, domain: domain, try: try, at: w.now, passage: mallowbridge.RequestFlow{Request: a.Request}}
 	f.got = ledger.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Kind.Name, Repeatable: a.Kind.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
@@ -132,9 +132,9 @@
 		switch m.Kind {
 		case mallowbridge.Dial:
 			f.dial(m.Place)
-		case mallowbridge.Vouch:
+		case mallowbridge.AskWitnesses:
 			f.vouch(f.conn)
-		case mallowbridge.Glance:
+		case mallowbridge.AskWitnessesEarly:
 			f.glance()
 		case mallowbridge.Write:
 			f.gos++
@@ -168,7 +168,7 @@
 	f.got.Pieces = append(f.got.Pieces, l.Text)
 }
 
-func (c *conn) happened(in mallowbridge.Wire) {
+func (c *conn) happened(in mallowbridge.ConnectionEvent) {
 	f := c.f
 	f.n.live(func() {
 		if f.conn == c && !f.over {
@@ -201,7 +201,7 @@
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
 			if !f.over && f.n.asks[f.ask.Request] == f {
-				f.do(f.passage.Happened(mallowbridge.Vouched{How: control.Vouch(a)}))
+				f.do(f.passage.Happened(mallowbridge.WitnessesAnswered{How: control.Vouch(a)}))
 			}
 		})
 	})
@@ -209,6 +209,6 @@
 
 func (f *flight) vouch(c *conn) {
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Spare: c.place.Spare}, func(a control.Answer) {
-		c.happened(mallowbridge.Vouched{Go: c.place.Go, How: control.Vouch(a)})
+		c.happened(mallowbridge.WitnessesAnswered{Go: c.place.Go, How: control.Vouch(a)})
 	})
 }
--- a/sim/gauge.go
+++ b/sim/gauge.go
@@ -108,13 +108,13 @@
 	w := g.world()
 	mark := uint64(0)
 	from := w.now
-	w.Put(w.someNode(), w.Nodes[0].router.Mark(), w.varied(false), func(a control.Answer) {
+	w.Put(w.someNode(), w.Nodes[0].router.Version(), w.varied(false), func(a control.Answer) {
 		if a.Err == nil {
 			mark = a.Value.Mark
 		}
 	})
 	g.read("put: accepted", w, from, func() bool { return mark > 0 })
-	g.read("put: all nodes obey, after yes", w, w.now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Mark() >= mark }) })
+	g.read("put: all nodes obey, after yes", w, w.now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Version() >= mark }) })
 }
 
 func (g *gauge) handover() {
--- a/sim/gaugettl.go
+++ b/sim/gaugettl.go
@@ -9,7 +9,7 @@
 
 func (w *World) ttl() (ms int64, early, stale, recorded uint64) {
 	for _, n := range w.Nodes {
-		h, t := n.router.Hints()
+		h, t := n.router.IndexStats()
 		ms += t.Milliseconds() / int64(len(w.Nodes))
 		early, stale, recorded = early+h.EarlyExpiry, stale+h.StaleExpiry, recorded+h.Recorded
 	}
--- a/sim/guesses.go
+++ b/sim/guesses.go
@@ -55,7 +55,7 @@
 	if counted := place.Confirmed + place.Predicted; counted > all {
 		a.breach(StaleGuess, who, fmt.Sprintf("%s counted on %d of %d tokens at %s", n.Name, counted, all, place.Replica))
 	}
-	_, t := n.router.Hints()
+	_, t := n.router.IndexStats()
 	for _, key := range keys {
 		a.guesses[key] = max(a.guesses[key], a.w.now+min(t, guessMost))
 	}
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -155,7 +155,7 @@
 	var next func()
 	next = func() {
 		n := h.Nodes[h.puts%len(h.Nodes)]
-		h.put(n, n.Router.Mark(), h.S.Body(h.puts))
+		h.put(n, n.Router.Version(), h.S.Body(h.puts))
 		h.after(h.S.PutEvery, next)
 	}
 	h.after(h.S.PutEvery/2, next)
@@ -211,7 +211,7 @@
 	h.after(h.net.delay(from.Domain == to.Domain), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
-func (n *HollowNode) obeys(o mallowbridge.Order) {
+func (n *HollowNode) obeys(o mallowbridge.SnapshotUpdate) {
 	for mark := n.mark + 1; mark <= o.Picture.Mark; mark++ {
 		n.h.obeyed[mark]++
 		n.h.inForce(mark)
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -36,7 +36,7 @@
 type hollowGo struct {
 	ask     Ask
 	at      time.Duration
-	passage mallowbridge.Passage
+	passage mallowbridge.RequestFlow
 	due     time.Duration
 	on      string
 }
@@ -99,7 +99,7 @@
 	n.save()
 	for _, ev := range out.Events {
 		n.event(ev)
-		if o, ok := ev.(mallowbridge.Order); ok {
+		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
 			n.watch(o.Picture)
 			n.obeys(o)
 		}
@@ -162,7 +162,7 @@
 }
 
 func (n *HollowNode) submit(a Ask) {
-	g := &hollowGo{ask: a, at: n.h.now, passage: mallowbridge.Passage{Request: a.Request}}
+	g := &hollowGo{ask: a, at: n.h.now, passage: mallowbridge.RequestFlow{Request: a.Request}}
 	n.asks[a.Request] = g
 	n.event(mallowbridge.Arrive{Request: a.Request, Offer: a.Kind.Offer, Kind: a.Kind.Name, Prefix: a.Prefix, Tail: a.TailTokens})
 }
@@ -173,13 +173,13 @@
 		case mallowbridge.Dial:
 			g.on, g.due = m.Place.Replica, 0
 			n.h.after(2*n.trip(g.on), func() { n.happened(g, mallowbridge.Dialed{Go: m.Place.Go, OK: true}) })
-		case mallowbridge.Vouch:
+		case mallowbridge.AskWitnesses:
 			n.h.call(n, control.Witness{Request: g.ask.Request, Spare: m.Place.Spare}, func(a control.Answer) {
-				n.happened(g, mallowbridge.Vouched{Go: m.Place.Go, How: control.Vouch(a)})
+				n.happened(g, mallowbridge.WitnessesAnswered{Go: m.Place.Go, How: control.Vouch(a)})
 			})
-		case mallowbridge.Glance:
+		case mallowbridge.AskWitnessesEarly:
 			n.h.call(n, control.Witness{Request: g.ask.Request, Peek: true}, func(a control.Answer) {
-				n.happened(g, mallowbridge.Vouched{How: control.Vouch(a)})
+				n.happened(g, mallowbridge.WitnessesAnswered{How: control.Vouch(a)})
 			})
 		case mallowbridge.Write:
 			n.h.after(n.trip(g.on), func() { n.admitted(g, m.Place.Go) })
@@ -192,9 +192,11 @@
 	}
 }
 
-func (n *HollowNode) happened(g *hollowGo, w mallowbridge.Wire) { n.move(g, g.passage.Happened(w)) }
+func (n *HollowNode) happened(g *hollowGo, w mallowbridge.ConnectionEvent) {
+	n.move(g, g.passage.Happened(w))
+}
 
-func (n *HollowNode) back(g *hollowGo, at time.Duration, w mallowbridge.Wire) {
+func (n *HollowNode) back(g *hollowGo, at time.Duration, w mallowbridge.ConnectionEvent) {
 	g.due = max(g.due, at+n.trip(g.on))
 	n.h.at(g.due, func() { n.happened(g, w) })
 }
--- a/sim/node.go
+++ b/sim/node.go
@@ -112,7 +112,7 @@
 	}
 	n.node = control.New(n.local(), cfg)
 	n.front = n.Name + "." + boot
-	rc.Market.RoundRobin = w.S.RoundRob
+	rc.Scheduler.RoundRobin = w.S.RoundRob
 	n.router = mallowbridge.New(rc)
 	if w.S.IndexOff || w.S.RoundRob {
 		n.router.IndexOff()
--- a/sim/nodeout.go
+++ b/sim/nodeout.go
@@ -33,7 +33,7 @@
 	}
 	for _, ev := range out.Events {
 		n.decide(n.turn(ev))
-		if o, ok := ev.(mallowbridge.Order); ok {
+		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
 			w.Audit.obeys(n)
 			n.watch(o.Picture)
 		}
--- a/sim/site.go
+++ b/sim/site.go
@@ -69,7 +69,7 @@
 func (s *site) configure(c *control.Config, r *mallowbridge.Config) {
 	c.Read, c.ListEvery, c.Tolerate, c.Founds, c.ServesCutOff = readDocument, time.Second, s.spec.Tolerate, s.first, true
 	c.Seeds = slices.Clone(s.seeds)
-	r.Market.QueueLimit, r.Market.FeedTimeout = 1024, time.Minute
+	r.Scheduler.QueueLimit, r.Scheduler.FeedTimeout = 1024, time.Minute
 	if s.w.tune != nil {
 		s.w.tune(c, r)
 	}
--- a/snapshot.go
+++ b/snapshot.go
@@ -100,7 +100,7 @@
 	}
 	entry.addr = c.Addr
 	row.Service, row.Role, row.Room, row.Listed = service, c.Role, c.Room, true
-	row.Zone, row.SameZone = c.Domain, c.Domain == r.cfg.Domain
+	row.Zone, row.SameZone = c.Domain, c.Domain == r.cfg.Zone
 	r.applyEvacuation(now, id, c.Domain)
 	r.scheduler.Index.SetKeep(id, keepTokens)
 	return id
--- a/step.go
+++ b/step.go
@@ -49,17 +49,17 @@
 // takeFleetEvent follows the configuration, the control side and the replicas.
 func (r *Router) takeFleetEvent(now time.Duration, ev Event) {
 	switch e := ev.(type) {
-	case Order:
+	case SnapshotUpdate:
 		r.applySnapshot(now, e.Picture)
 	case Welcome:
 		r.setSelf(now, e)
 	case Routers:
-		r.scheduler.SetRouters(now, e.byZone(r.cfg.Domain))
+		r.scheduler.SetRouters(now, e.byZone(r.cfg.Zone))
 	case Feed:
 		r.scheduler.SetFeed(now, e.Why)
 	case Listing:
 		r.applyListing(now, e)
-	case Roster:
+	case ReplicaList:
 		r.takeList(now, e)
 	default:
 		r.takeReplicaReport(now, ev)
@@ -68,12 +68,12 @@
 
 var ends = map[How]scheduler.End{
 	Whole: scheduler.Whole, Refused: scheduler.Refused, Broken: scheduler.Broken, Unreached: scheduler.Unreached,
-	Withheld: scheduler.Withheld, Unvouched: scheduler.NoQuorumOfWitnesses,
+	Withheld: scheduler.Withheld, NoQuorumOfWitnesses: scheduler.NoQuorumOfWitnesses,
 }
 
 // setSelf takes the daemon's name and zone. The prefix of attempt ids stays this program's own.
 func (r *Router) setSelf(now time.Duration, e Welcome) {
-	r.cfg.Self, r.cfg.Domain = e.Self, e.Domain
+	r.cfg.Self, r.cfg.Zone = e.Self, e.Domain
 	for i := range r.scheduler.Replicas {
 		r.scheduler.Replicas[i].SameZone = r.scheduler.Replicas[i].Zone == e.Domain
 	}
