--- a/arrive.go
+++ b/arrive.go
@@ -13,10 +13,10 @@
 // arrive gives a new request to the scheduler, or answers it at once.
 func (r *Router) arrive(now time.Duration, e Arrive) (d Decision, answered bool) {
 	if r.snapshot == nil {
-		return e.denied("no configuration yet", false), true
+		return e.rejected("no configuration yet", false), true
 	}
 	if _, twice := r.requestIDs[e.Request]; twice {
-		return e.denied(runningHere, true), true
+		return e.rejected(runningHere, true), true
 	}
 	if e.Offer == "" {
 		return r.arriveRouted(now, e)
@@ -36,7 +36,7 @@
 		return e.bad("no such kind"), true
 	}
 	if !row.Classes[class].Repeatable && r.alreadyRan.has(now, e.Request) {
-		return e.denied(scheduler.AlreadyRan, true), true
+		return e.rejected(scheduler.AlreadyRan, true), true
 	}
 	parts, err := prefixindex.Parse(r.model(e.Offer), e.Prefix)
 	if err != nil {
@@ -77,7 +77,7 @@
 	r.requests[id] = liveRequest{request: e.Request, route: route}
 }
 
-func (e Arrive) denied(why string, repeat bool) (d Decision) {
+func (e Arrive) rejected(why string, repeat bool) (d Decision) {
 	return Decision{Verdict: Deny, Request: e.Request, Why: why, After: time.Second, Repeat: repeat}
 }
 
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -112,42 +112,37 @@
 
 func (e *EventError) Error() (text string) { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
+var eventReaders = map[string]func(raw []byte) (mallowbridge.Event, error){
+	"arrive": read[mallowbridge.Arrive], "listing": read[mallowbridge.Listing], "usage": read[mallowbridge.LoadReport],
+	"routers": read[mallowbridge.Routers], "feed": read[mallowbridge.Feed], "leave": read[mallowbridge.Leave],
+	"head": read[mallowbridge.Head], "piece": read[mallowbridge.Piece], "end": read[mallowbridge.End], "hangup": read[mallowbridge.Hangup],
+}
+
+// event reads an event by its published name.
 func event(l eventLine) (ev mallowbridge.Event, err error) {
 	switch l.Event {
 	case "order":
-		var o orderLine
-		if err = strict(l.Data, &o); err != nil {
-			return nil, err
-		}
-		c, err := config.Read(o.Config)
-		if err != nil {
-			return nil, err
-		}
-		return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
-	case "arrive":
-		return read[mallowbridge.Arrive](l.Data)
-	case "listing":
-		return read[mallowbridge.Listing](l.Data)
-	case "usage":
-		return read[mallowbridge.LoadReport](l.Data)
-	case "routers":
-		return read[mallowbridge.Routers](l.Data)
-	case "feed":
-		return read[mallowbridge.Feed](l.Data)
-	case "leave":
-		return read[mallowbridge.Leave](l.Data)
-	case "head":
-		return read[mallowbridge.Head](l.Data)
-	case "piece":
-		return read[mallowbridge.Piece](l.Data)
-	case "end":
-		return read[mallowbridge.End](l.Data)
-	case "hangup":
-		return read[mallowbridge.Hangup](l.Data)
+		return readSnapshot(l.Data)
 	case "tick":
 		return mallowbridge.Tick{}, nil
 	}
-	return nil, &EventError{Name: l.Event}
+	readEvent, known := eventReaders[l.Event]
+	if !known {
+		return nil, &EventError{Name: l.Event}
+	}
+	return readEvent(l.Data)
+}
+
+func readSnapshot(raw []byte) (ev mallowbridge.Event, err error) {
+	var o orderLine
+	if err = strict(raw, &o); err != nil {
+		return nil, err
+	}
+	c, err := config.Read(o.Config)
+	if err != nil {
+		return nil, err
+	}
+	return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
 }
 
 func read[T mallowbridge.Event](raw []byte) (ev mallowbridge.Event, err error) {
--- a/config/config.go
+++ b/config/config.go
@@ -123,9 +123,9 @@
 }
 
 // Evacuated tells whether a zone is to get no requests.
-func (p *Snapshot) Evacuated(domain string) (yes bool) {
-	for _, d := range p.Emptied {
-		if d == domain {
+func (p *Snapshot) Evacuated(zone string) (yes bool) {
+	for _, evacuated := range p.Emptied {
+		if evacuated == zone {
 			return true
 		}
 	}
--- a/embed.go
+++ b/embed.go
@@ -9,13 +9,13 @@
 )
 
 // Embed gives a caller's program its own router, which follows the daemon at addr (host:port) until the tomb dies. name is unique among
-// the daemon's followers; domain is the zone until the daemon has told its own.
-func Embed(t *tomb.Tomb, addr, name, domain string, clock func() time.Duration) (d *RouterLoop) {
+// the daemon's followers; zone is used until the daemon has told its own.
+func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) (l *RouterLoop) {
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
 		panic(err)
 	}
-	d = NewRouterLoop(t, New(Defaults(name, hex.EncodeToString(boot[:]), domain)), clock, Idle)
-	Follow(t, addr, name, func(w Welcome) { d.Tell(w) }, d.Tell)
-	return d
+	l = NewRouterLoop(t, New(Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, Idle)
+	Follow(t, addr, name, func(w Welcome) { l.Tell(w) }, l.Tell)
+	return l
 }
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -42,12 +42,12 @@
 
 func (o *Operations) counters(w http.ResponseWriter, r bunrouter.Request) error {
 	c := map[string]uint64{}
-	desk := o.Router
+	router := o.Router
 	if o.Frontend != nil {
 		o.Frontend.count(c)
-		desk = o.Frontend.router
+		router = o.Frontend.router
 	}
-	desk.Look(func(r *mallowbridge.Router) { count(c, r) })
+	router.Look(func(r *mallowbridge.Router) { count(c, r) })
 	if o.Extra != nil {
 		for k, v := range o.Extra() {
 			c[k] = v
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -59,8 +59,8 @@
 	o.Watch(r)
 	r.GET("/v1/config", o.get)
 	r.PUT("/v1/config", o.put)
-	r.POST("/v1/domains/:domain/empty", o.domain(false))
-	r.POST("/v1/domains/:domain/restore", o.domain(true))
+	r.POST("/v1/domains/:domain/empty", o.zone(false))
+	r.POST("/v1/domains/:domain/restore", o.zone(true))
 	r.POST("/v1/found", o.voters(func(id string, names []string) control.Op { return control.Bootstrap{Names: names} }))
 	r.POST("/v1/voters", o.voters(func(id string, names []string) control.Op { return control.ReplaceVoters{ID: id, Names: names} }))
 	r.POST("/v1/replicas", o.replicas)
@@ -166,7 +166,7 @@
 	return o.answer(w, o.Control.Call(control.Put{ID: id, Expect: expect, Body: raw}))
 }
 
-func (o *Operations) domain(restore bool) (h bunrouter.HandlerFunc) {
+func (o *Operations) zone(restore bool) (h bunrouter.HandlerFunc) {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
--- a/loop.go
+++ b/loop.go
@@ -105,7 +105,7 @@
 // subscribe gives a request its channel, or rejects it where its id runs already.
 func (l *RouterLoop) subscribe(e Arrive, decisions chan Decision) (ok bool) {
 	if l.subscribers[e.Request] != nil {
-		decisions <- e.denied(runningHere, true)
+		decisions <- e.rejected(runningHere, true)
 		close(decisions)
 		return false
 	}
--- a/router.go
+++ b/router.go
@@ -20,10 +20,10 @@
 	RememberSentMax int
 }
 
-// Defaults are the constants that production nodes use. Domain is the router's zone.
-func Defaults(self, boot, domain string) (c Config) {
+// Defaults are the constants that production nodes use.
+func Defaults(self, boot, zone string) (c Config) {
 	return Config{
-		Self: self, Boot: boot, Zone: domain, Scheduler: scheduler.Defaults(self, domain), RememberSentFor: 10 * time.Minute, RememberSentMax: 100000,
+		Self: self, Boot: boot, Zone: zone, Scheduler: scheduler.Defaults(self, zone), RememberSentFor: 10 * time.Minute, RememberSentMax: 100000,
 	}
 }
 
