--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -14,7 +14,7 @@
 	h, place := &x.p.headers, &x.ex.Place
 	s.Status = resp.StatusCode
 	s.Open = resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
-	if id := x.attempt(); id != "" && first(resp.Header, h.Attempt) != id {
+	if first(resp.Header, h.Attempt) != x.attempt() {
 		x.p.N.Surplus.Add(1)
 		s.Foreign = true
 		return s
@@ -46,7 +46,7 @@
 		x.p.N.Surplus.Add(1)
 		sound = false
 	}
-	if !sound || x.resp.Close {
+	if !sound || x.resp.Close || x.nameless() {
 		x.drop()
 		return
 	}
@@ -94,6 +94,13 @@
 	x.w.WriteHeader(x.resp.StatusCode)
 }
 
+// resetOldClient has the connection end in a reset where its end is the end of the answer: a cut answer must not look whole.
+func (x *transfer) resetOldClient() {
+	if x.client != nil && !x.r.ProtoAtLeast(1, 1) {
+		_ = x.client.SetLinger(0)
+	}
+}
+
 var outcomes = map[Outcome]struct {
 	name   string
 	status int
@@ -113,6 +120,7 @@
 		panic(http.ErrAbortHandler)
 	case Aborted:
 		n.Aborted.Add(1)
+		x.resetOldClient()
 		panic(http.ErrAbortHandler)
 	case Denied:
 		n.Denied.Add(1)
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -34,6 +34,8 @@
 	r       *bufio.Reader
 	attempt string
 	used    bool
+	// hadHEAD tells that a HEAD request was written: a late answer to it has a length, but no body.
+	hadHEAD bool
 	// until is when the connection is too old to be used, sure when it is for requests that may not be repeated.
 	until, sure time.Time
 	unacked     time.Duration
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -24,14 +24,17 @@
 	Request string
 	Place   mallowbridge.Decision
 	// Stuck tells that what was passed on cannot be taken up at another replica.
-	Stuck  bool
-	phase  phase
-	began  bool
-	mayRun bool
-	over   bool
-	moves  []Move
+	Stuck bool
+	phase phase
+	// stream tells that the answer being passed on is a stream, flat that bytes of one that is none were passed on.
+	stream, flat bool
+	began        bool
+	mayRun       bool
+	over         bool
+	moves        []Move
 }
 
+// Over tells that the exchange has ended: it makes no more moves.
 func (e *Exchange) Over() (yes bool) { return e.over }
 
 const usualMoves = 4
@@ -100,7 +103,7 @@
 	}
 	switch d.Verdict {
 	case mallowbridge.Place:
-		if (e.began && (e.Stuck || !d.Resumes)) || (e.ran() && !repeats(d)) {
+		if (e.began && (e.Stuck || e.flat || !d.Resumes)) || (e.ran() && !repeats(d)) {
 			e.tell(mallowbridge.Hangup{Request: e.Request})
 			e.finish(Unknown, "", 0)
 			break
@@ -175,7 +178,7 @@
 	case Begun:
 		if e.phase == passing {
 			e.tell(mallowbridge.Piece{Request: e.Request, Go: e.Place.Go})
-			e.began = true
+			e.began, e.flat = true, !e.stream
 		}
 	case Ended:
 		e.ended()
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -94,60 +94,66 @@
 	}
 }
 
+// passStream passes each event on as it comes.
 func (x *transfer) passStream() {
 	if x.headed {
 		x.p.N.Resumed.Add(1)
 		x.events.Resume()
+	} else {
+		x.events.Restart()
 	}
 	x.bound()
-	ctl := http.NewResponseController(x.w)
 	buf := x.buf.b[:cap(x.buf.b)]
 	for begun := false; ; {
 		n, readErr := x.resp.Body.Read(buf)
-		whole, err := x.feed(buf[:n])
-		if err != nil {
-			x.lost(err)
-			return
-		}
-		ended := readErr == io.EOF
+		whole, feedErr := x.feed(buf[:n])
+		ended := feedErr == nil && readErr == io.EOF
 		if ended {
 			whole = append(whole[:len(whole):len(whole)], x.events.Rest()...)
 		}
-		if len(whole) > 0 {
-			if !begun {
-				begun = true
-				x.happened(Begun{})
-			}
-			x.head()
-			x.ex.Stuck = x.events.Plain || x.w.Header().Get("Content-Length") != ""
-			_, err = x.w.Write(whole)
-			if err == nil && !ended {
-				err = ctl.Flush()
-			}
-			if err != nil {
-				x.happened(HungUp{})
-				return
-			}
+		if len(whole) > 0 && !begun {
+			begun = true
+			x.happened(Begun{})
 		}
-		if ended {
+		if err := x.passEvents(whole, ended); err != nil {
+			x.happened(HungUp{})
+			return
+		}
+		switch {
+		case ended:
 			x.head()
 			x.settle()
 			x.happened(Ended{})
 			return
-		}
-		if readErr != nil {
+		case feedErr != nil:
+			x.lost(feedErr)
+			return
+		case readErr != nil:
 			x.lost(readErr)
 			return
 		}
 	}
 }
 
+// passEvents writes events to the client at once, the last ones with the end of the answer.
+func (x *transfer) passEvents(whole []byte, last bool) (err error) {
+	if len(whole) == 0 {
+		return nil
+	}
+	x.head()
+	x.ex.Stuck = x.events.Plain || x.w.Header().Get("Content-Length") != ""
+	if _, err = x.w.Write(whole); err != nil || last {
+		return err
+	}
+	return http.NewResponseController(x.w).Flush()
+}
+
 // feed counts the room that a long event takes.
 func (x *transfer) feed(p []byte) (whole []byte, err error) {
 	before := cap(x.events.buf)
 	whole, err = x.events.Feed(p)
 	if grown := cap(x.events.buf) - before; err == nil && grown > 0 && cap(x.events.buf) > pooled && !x.share.take(grown) {
-		return nil, &EventError{Bytes: len(x.events.buf)}
+		return whole, &EventError{Bytes: len(x.events.buf)}
 	}
 	return whole, err
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -74,6 +74,8 @@
 	attempt string
 	// repeatable tells that the request may be repeated; where not, whoever writes it looks at the connection then.
 	repeatable bool
+	// fresh tells that only a new connection will do.
+	fresh bool
 }
 
 // take gives a kept connection that is still good, or a new one. One that last carried the same attempt is not taken:
@@ -131,7 +133,7 @@
 		all[w.key] = s
 	}
 	n := len(s.idle)
-	if n > 0 && (w.repeatable || now.Before(s.idle[n-1].sure)) {
+	if n > 0 && !w.fresh && (w.repeatable || now.Before(s.idle[n-1].sure)) {
 		c, s.idle[n-1] = s.idle[n-1], nil
 		s.idle = s.idle[:n-1]
 		return c, nil
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -62,7 +62,7 @@
 	case s.Open, s.Bare && s.Status/100 == 2, e.began && !s.Stream, promises(s.Status):
 		e.end(mallowbridge.Broken)
 	default:
-		e.phase = passing
+		e.phase, e.stream = passing, s.Stream
 		e.tell(mallowbridge.Head{Request: e.Request, Go: e.Place.Go, InstanceID: cmp.Or(s.Instance, e.Place.Instance), Failed: failure(s.Status)})
 		e.do(Move{Kind: Pass})
 	}
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -3,22 +3,15 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"os"
 	"strconv"
 	"time"
 )
 
+// exchange writes the request once and reads its answer.
 func (x *transfer) exchange() {
-	expiry, now, limit := x.expiry(), time.Now(), time.Time{}
-	left := expiry.Sub(now).Milliseconds()
-	if !expiry.IsZero() {
-		if left <= 0 {
-			x.happened(Overdue{Unwritten: true})
-			return
-		}
-		limit = expiry.Add(x.p.set.Grace)
-	}
-	if s := x.send(left, limit); s != nil {
+	if s := x.send(); s != nil {
 		x.happened(s)
 		return
 	}
@@ -30,7 +23,7 @@
 		}
 		x.resp = resp
 		s := x.replied(resp)
-		if !s.Foreign || x.repeatable() || s.Open || !x.discard() {
+		if !s.Foreign || s.Open || x.repeatable() || x.conn.hadHEAD || !x.discard() {
 			x.happened(s)
 			return
 		}
@@ -42,26 +35,18 @@
 // maxSurplus is how many answers are read at most in search of the one that is due.
 const maxSurplus = 4
 
-// send writes the request once; where that failed it gives the signal of it.
-func (x *transfer) send(left int64, limit time.Time) (failed Signal) {
-	if x.reused && !x.repeatable() && !x.conn.alive() && !x.renew() {
+// send writes the request once; where that failed it gives the signal of it. The time is read before each write, as this machine may have
+// stood still since the request was let go, or while a connection was opened.
+func (x *transfer) send() (failed Signal) {
+	if x.reused && !x.fit(time.Now()) && !x.renew() {
 		return Unwritten{}
 	}
-	set := x.anew(left)
 	for {
-		c := x.conn
-		x.release = context.AfterFunc(x.r.Context(), func() { _ = c.nc.Close() })
-		_ = c.nc.SetDeadline(limit)
-		c.attempt = x.attempt()
-		unacked := x.p.set.UserTimeout
-		if len(x.body) > x.p.set.Window && !limit.IsZero() {
-			unacked = max(unacked, time.Until(limit))
+		now, expiry := time.Now(), x.expiry()
+		if !expiry.IsZero() && expiry.Sub(now) < time.Millisecond {
+			return Overdue{Unwritten: true}
 		}
-		c.setUserTimeout(unacked)
-		head := getBuffer()
-		head.b = requestHead(head.b, x.r, len(x.body), &set)
-		n, err := c.write(head, x.body)
-		putBuffer(head)
+		n, err := x.write(now, expiry)
 		switch {
 		case err == nil:
 			return nil
@@ -78,6 +63,34 @@
 	}
 }
 
+// fit tells whether a kept connection is still to be used: it was taken before the leave to send came.
+func (x *transfer) fit(now time.Time) (yes bool) {
+	if x.repeatable() {
+		return now.Before(x.conn.until)
+	}
+	return now.Before(x.conn.sure) && x.conn.alive()
+}
+
+// write gives the request to the kernel; n is how many bytes of it the kernel took. The connection's deadline outlasts the request's.
+func (x *transfer) write(now, expiry time.Time) (n int, err error) {
+	c, limit, unacked := x.conn, time.Time{}, x.p.set.UserTimeout
+	if !expiry.IsZero() {
+		limit = expiry.Add(x.p.set.Grace)
+		if len(x.body) > x.p.set.Window {
+			unacked = max(unacked, limit.Sub(now))
+		}
+	}
+	x.release = context.AfterFunc(x.r.Context(), func() { _ = c.nc.Close() })
+	_ = c.nc.SetDeadline(limit)
+	c.attempt, c.hadHEAD = x.attempt(), c.hadHEAD || x.r.Method == http.MethodHead
+	c.setUserTimeout(unacked)
+	set := x.anew(expiry.Sub(now).Milliseconds())
+	head := getBuffer()
+	defer putBuffer(head)
+	head.b = requestHead(head.b, x.r, len(x.body), &set)
+	return c.write(head, x.body)
+}
+
 // renew puts a new connection in the place of a kept one to which nothing could be written.
 func (x *transfer) renew() (ok bool) {
 	if x.release != nil {
@@ -95,6 +108,7 @@
 	return true
 }
 
+// anew gives the headers that are written anew; left is how many milliseconds the request has.
 func (x *transfer) anew(left int64) (set fields) {
 	h, d := &x.p.headers, &x.ex.Place
 	if d.Instance != "" && h.Target != "" {
--- a/proxy/sse.go
+++ b/proxy/sse.go
@@ -12,6 +12,16 @@
 	return "event of over " + strconv.Itoa(e.Bytes) + " bytes"
 }
 
+// UnplacedError says that a stream that was taken up began with an event without an id: nobody knows whether the client has it.
+type UnplacedError struct {
+	// After is the id of the newest event that the client has.
+	After string
+}
+
+func (e *UnplacedError) Error() (text string) {
+	return "event without id where the one after " + strconv.Quote(e.After) + " is due"
+}
+
 // Events cuts a stream into whole events; lines may end in CR LF, LF or CR.
 type Events struct {
 	// Last is the id of the newest event given out, or that the client had seen before.
@@ -19,8 +29,9 @@
 	Bound int
 	// Plain tells that an event without an id was given out after the last that has one: nobody can go on from there.
 	Plain bool
-	// last becomes Last; events up to skip are left out.
+	// last becomes Last; events up to skip are left out, until onward tells that one after it was given out.
 	last, skip []byte
+	onward     bool
 	buf        []byte
 	seen       int
 	start      int
@@ -31,7 +42,8 @@
 	plain    bool
 }
 
-// Feed takes bytes of the stream and gives the whole events among them that are new; the result is valid until the next call.
+// Feed takes bytes of the stream and gives the whole events among them that are new; the result is valid until the next call. What it gives
+// along with an error is to be passed on all the same: Last counts it.
 func (e *Events) Feed(p []byte) (whole []byte, err error) {
 	e.buf = append(e.buf[:copy(e.buf, e.buf[e.start:])], p...)
 	e.seen, e.start = e.seen-e.start, 0
@@ -52,23 +64,36 @@
 			e.field(line)
 			continue
 		}
-		if !e.hasID || len(e.skip) == 0 || after(e.id, e.skip) {
+		if e.plain && !e.hasID && !e.onward && len(e.skip) > 0 {
+			err = &UnplacedError{After: string(e.skip)}
+			break
+		}
+		if e.isNew() {
 			out = append(out, e.buf[e.start:e.seen]...)
-			if e.hasID {
-				e.last, e.Plain = append(e.last[:0], e.id...), false
-			} else if e.plain {
-				e.Plain = true
-			}
+			e.gave()
 		}
 		e.start, e.hasID, e.plain = e.seen, false, false
 	}
 	if len(e.last) > 0 {
 		e.Last = string(e.last)
 	}
-	if len(e.buf)-e.start > e.Bound {
-		return nil, &EventError{Bytes: e.Bound}
+	if err == nil && len(e.buf)-e.start > e.Bound {
+		err = &EventError{Bytes: e.Bound}
+	}
+	return out, err
+}
+
+// isNew tells whether the event just read comes after those that the client has.
+func (e *Events) isNew() (yes bool) { return !e.hasID || len(e.skip) == 0 || after(e.id, e.skip) }
+
+// gave notes that the event just read is given out.
+func (e *Events) gave() {
+	switch {
+	case e.hasID:
+		e.last, e.Plain, e.onward = append(e.last[:0], e.id...), false, true
+	case e.plain:
+		e.Plain = true
 	}
-	return out, nil
 }
 
 // line gives the next whole line without its end. A CR that is the last byte so far ends a line only where the line before it ended in
@@ -105,8 +130,14 @@
 
 // Resume drops the rest and goes on with another replica's stream after the last event.
 func (e *Events) Resume() {
-	e.buf, e.seen, e.start, e.cr, e.lone, e.hasID, e.plain = e.buf[:0], 0, 0, false, false, false, false
-	e.skip = append(e.skip[:0], e.Last...)
+	e.Restart()
+	e.skip, e.onward = append(e.skip[:0], e.Last...), false
+}
+
+// Restart drops the rest of a stream of which nothing was given out; another one begins.
+func (e *Events) Restart() {
+	e.buf, e.seen, e.start = e.buf[:0], 0, 0
+	e.cr, e.lone, e.hasID, e.plain = false, false, false, false
 }
 
 func (e *Events) field(line []byte) {
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -90,11 +90,14 @@
 
 func (x *transfer) attempt() (id string) { return first(x.r.Header, x.p.headers.Attempt) }
 
+// nameless tells that answers to this request cannot be told from others': replicas answer with an id, but it has none.
+func (x *transfer) nameless() (yes bool) { return x.p.headers.Attempt != "" && x.attempt() == "" }
+
 func (x *transfer) repeatable() (yes bool) { return mayRepeat(x.ex.Place.Route) }
 
 func (x *transfer) connect() {
 	d := &x.ex.Place
-	w := want{key: key{addr: d.Addr, instance: d.Instance}, conns: d.Conns, attempt: x.attempt(), repeatable: x.repeatable()}
+	w := want{key: key{addr: d.Addr, instance: d.Instance}, conns: d.Conns, attempt: x.attempt(), repeatable: x.repeatable(), fresh: x.nameless()}
 	c, err := x.p.pool.take(x.r.Context(), w)
 	var capped *CappedError
 	switch {
--- a/sim/trip.go
+++ b/sim/trip.go
@@ -227,6 +227,8 @@
 		if t.headed {
 			t.n.w.site.report.Resumed++
 			t.events.Resume()
+		} else {
+			t.events.Restart()
 		}
 	}
 }
--- a/sim/tripend.go
+++ b/sim/tripend.go
@@ -28,11 +28,8 @@
 
 func (t *trip) flow(p packet) {
 	whole, err := t.events.Feed(p.data)
-	if err != nil {
-		t.lost()
-		return
-	}
-	if p.end {
+	ended := err == nil && p.end
+	if ended {
 		whole = append(whole[:len(whole):len(whole)], t.events.Rest()...)
 	}
 	if len(whole) > 0 {
@@ -45,7 +42,10 @@
 		t.ex.Stuck = t.events.Plain
 		t.answer(whole)
 	}
-	if p.end {
+	switch {
+	case err != nil:
+		t.lost()
+	case ended:
 		t.answer(nil)
 		t.settle()
 		t.happened(proxy.Ended{})
