--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"os"
 	"strconv"
+	"time"
 
 	"github.com/mallowbridge/mallowbridge"
 )
@@ -94,6 +95,11 @@
 	x.w.WriteHeader(x.resp.StatusCode)
 }
 
+// retryAfter tells the client when to come back.
+func (x *transfer) retryAfter(d time.Duration) {
+	x.w.Header().Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', -1, 64))
+}
+
 // resetOldClient has the connection end in a reset where its end is the end of the answer: a cut answer must not look whole.
 func (x *transfer) resetOldClient() {
 	if x.client != nil && !x.r.ProtoAtLeast(1, 1) {
@@ -132,7 +138,7 @@
 		n.Expired.Add(1)
 	}
 	if m.After > 0 {
-		x.w.Header().Set("Retry-After", strconv.FormatFloat(m.After.Seconds(), 'f', -1, 64))
+		x.retryAfter(m.After)
 	}
 	o := outcomes[m.Outcome]
 	x.say(o.status, o.name, m.Why)
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -122,13 +122,14 @@
 	switch {
 	case errors.As(err, &full):
 		x.p.N.Full.Add(1)
-		x.w.Header().Set("Retry-After", fullAfter)
+		x.retryAfter(comeBack)
 		x.say(http.StatusServiceUnavailable, "denied", err.Error())
 		return
 	case errors.As(err, &long):
 		status = http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = http.StatusRequestTimeout
+		x.retryAfter(comeBack)
 	}
 	x.p.N.Bad.Add(1)
 	x.say(status, "bad", err.Error())
@@ -137,7 +138,6 @@
 const (
 	// requestBytes is counted for each request besides its body: connections, goroutines, headers.
 	requestBytes = 8 << 10
-	fullAfter    = "0.25"
 	// afterRefusal is how long the rest of a refused body is read, so that a reset does not overtake the answer.
 	afterRefusal = time.Second
 )
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"cmp"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
@@ -137,10 +138,13 @@
 	case d.Bad:
 		e.finish(NotFound, d.Why, 0)
 	default:
-		e.finish(Denied, d.Why, d.After)
+		e.finish(Denied, d.Why, cmp.Or(d.After, comeBack))
 	}
 }
 
+// comeBack is when a client whose request did not run may ask again where the market does not say.
+const comeBack = 250 * time.Millisecond
+
 // Closed is called when no more decisions will come.
 func (e *Exchange) Closed() (moves []Move) {
 	if !e.over {
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -150,11 +150,12 @@
 		name string
 		last mallowbridge.Decision
 		want string
+		back string
 	}{
-		{"closed", mallowbridge.Decision{}, "503 denied"},
-		{"denied", deny, "503 denied"},
-		{"unknown", mallowbridge.Decision{Verdict: mallowbridge.Unknown, After: time.Second}, "502 unknown"},
-		{"bad", mallowbridge.Decision{Verdict: mallowbridge.Deny, Bad: true}, "404 not found"},
+		{"closed", mallowbridge.Decision{}, "503 denied", "0.25"},
+		{"denied", deny, "503 denied", "1"},
+		{"unknown", mallowbridge.Decision{Verdict: mallowbridge.Unknown, After: time.Second}, "502 unknown", "1"},
+		{"bad", mallowbridge.Decision{Verdict: mallowbridge.Deny, Bad: true}, "404 not found", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, addr := usual(t, ends{c.last})
@@ -162,7 +163,7 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := u.answer(t, "GET")
 			want(t, "answer", strconv.Itoa(r.status)+" "+strings.Split(r.body, `"`)[3], c.want)
-			want(t, "retry", r.header.Get("Retry-After") != "", c.last.After > 0)
+			want(t, "retry", r.header.Get("Retry-After"), c.back)
 		})
 	}
 }
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -15,7 +15,7 @@
 	if e.ran() {
 		e.finish(Expired, "out of time", 0)
 	} else {
-		e.finish(Denied, "out of time", 0)
+		e.finish(Denied, "out of time", comeBack)
 	}
 }
 
