--- a/proxy/client.go
+++ b/proxy/client.go
@@ -32,6 +32,11 @@
 	// until is the deadline for reads that net/http asked for, since boot; 0: none.
 	until atomic.Int64
 	ended atomic.Bool
+	// came is when the request's first bytes reached this machine, until its handler has asked.
+	came time.Time
+	look func(fd uintptr)
+	// rested is for how long the newest bytes have lain in the socket.
+	rested time.Duration
 	// limit is the deadline in force for writes, hard one that holds even while bytes move.
 	limit, hard time.Time
 }
@@ -41,11 +46,41 @@
 func (c *client) Read(b []byte) (n int, err error) {
 	n, err = c.TCPConn.Read(b)
 	if n > 0 && c.state.Load() != stateActive {
+		c.came = time.Now().Add(-c.age())
 		c.activate()
 	}
 	return n, err
 }
 
+// age is for how long the newest bytes have lain in the socket: long, where this process or its machine stood still.
+func (c *client) age() (d time.Duration) {
+	raw, err := c.TCPConn.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	if c.look == nil {
+		c.look = func(fd uintptr) {
+			c.rested = 0
+			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+				c.rested = time.Duration(info.Last_data_recv) * time.Millisecond
+			}
+		}
+	}
+	if raw.Control(c.look) != nil {
+		return 0
+	}
+	return c.rested
+}
+
+// arrival gives when the request that is being served reached this machine, once; now where its bytes came along with earlier ones.
+func (c *client) arrival() (at time.Time) {
+	at, c.came = c.came, time.Time{}
+	if at.IsZero() {
+		return time.Now()
+	}
+	return at
+}
+
 // activate notes that a byte of a request was read: from now on the request is served, also when the connection was just being shut.
 func (c *client) activate() {
 	for {
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -18,6 +18,7 @@
 	x := &transfer{p: p, w: w, r: r, arrived: time.Now(), share: share{of: &p.budget}, client: clientOf(r)}
 	if x.client != nil {
 		x.client.activate()
+		x.arrived = x.client.arrival()
 	}
 	x.ex.Request = p.name()
 	x.events = Events{Bound: p.set.Event, Last: first(r.Header, lastEvent)}
@@ -30,6 +31,10 @@
 	if took := time.Since(x.arrived); a.Patience > 0 && took > slowUpload {
 		a.Patience = max(a.Patience-took, time.Millisecond)
 	}
+	if !x.deadline.IsZero() && !time.Now().Before(x.deadline) {
+		x.happened(Overdue{})
+		return
+	}
 	x.run(a)
 }
 
