--- /dev/null
+++ b/proxy/states_test.go
@@ -0,0 +1,238 @@
+package proxy
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/config"
+)
+
+var (
+	statesDepth    = flag.Int("states-depth", 60, "most events of an order that TestExchangeStates looks at")
+	statesAttempts = flag.Int("states-attempts", 8, "most attempts in such an order")
+)
+
+// replicaTruth is what became of one attempt at its replica.
+type replicaTruth uint8
+
+const (
+	truthUntouched replicaTruth = iota
+	truthMayRun
+	truthRefused
+)
+
+// world is the exchange with all that is known of replicas, client and clock. It is compared whole, so that equal worlds are visited once.
+type world struct {
+	exchange      exchangeKey
+	attempts      uint8
+	open          bool
+	mayRun        bool
+	current       replicaTruth
+	passingStream bool
+	clientHas     content
+	finishes      uint8
+	late          bool
+	sends         uint8
+}
+
+// content is what the client holds of the answer.
+type content uint8
+
+const (
+	contentNone content = iota
+	contentStream
+	contentFlat
+)
+
+// exchangeKey is the state of an Exchange without its buffers.
+type exchangeKey struct {
+	place                                    placeKey
+	stuck, stream, flat, began, mayRun, over bool
+	phase                                    phase
+}
+
+type placeKey struct {
+	attempt string
+	resumes bool
+}
+
+// node is a world, and how it was reached.
+type node struct {
+	w      world
+	parent int
+	event  string
+}
+
+// event is one thing that may happen in a world; apply gives the moves, or false where it cannot happen there.
+type event struct {
+	name  string
+	apply func(e *Exchange, w *world) (moves []Move, happens bool)
+}
+
+func (w *world) restore(route *config.Route) (e Exchange) {
+	k := w.exchange
+	e = Exchange{Request: "q", Stuck: k.stuck, stream: k.stream, flat: k.flat, began: k.began, mayRun: k.mayRun, over: k.over, phase: k.phase}
+	e.Place = mallowbridge.Decision{Go: k.place.attempt, Resumes: k.place.resumes, Route: route}
+	return e
+}
+
+func (w *world) keep(e *Exchange) {
+	w.exchange = exchangeKey{
+		place: placeKey{attempt: e.Place.Go, resumes: e.Place.Resumes}, stuck: e.Stuck, stream: e.stream, flat: e.flat, began: e.began,
+		mayRun: e.mayRun, over: e.over, phase: e.phase,
+	}
+}
+
+func signal(name string, s Signal) (v event) {
+	return event{name, func(e *Exchange, w *world) ([]Move, bool) {
+		if !possible(w, s) {
+			return nil, false
+		}
+		return e.Happened(s), true
+	}}
+}
+
+// possible keeps deadlines to the clock. Everything else may come at any moment, also where the transfer would not let it.
+func possible(w *world, s Signal) (yes bool) {
+	_, overdue := s.(Overdue)
+	return w.late || !overdue
+}
+
+// routerEvents are decisions: placed, placed again, from the start or after the last event, let go, called back, refused, given up.
+func routerEvents() (all []event) {
+	decided := func(name string, d mallowbridge.Decision) event {
+		return event{name, func(e *Exchange, w *world) ([]Move, bool) {
+			d := d
+			switch d.Verdict {
+			case mallowbridge.Place:
+				if int(w.attempts) == *statesAttempts || (d.Resumes && !e.Place.Route.Resumable) {
+					return nil, false
+				}
+				w.attempts++
+				d.Go, d.Route = fmt.Sprint("go", w.attempts), e.Place.Route
+			case mallowbridge.Send:
+				if d.Go == "" {
+					d.Go = e.Place.Go
+				}
+				if d.Go == e.Place.Go {
+					w.sends = 1
+				}
+			case mallowbridge.Recall:
+				d.Go = e.Place.Go
+			}
+			return e.Decided(d), true
+		}}
+	}
+	return []event{
+		decided("placed", mallowbridge.Decision{Verdict: mallowbridge.Place}),
+		decided("placed to go on", mallowbridge.Decision{Verdict: mallowbridge.Place, Resumes: true}),
+		decided("let go", mallowbridge.Decision{Verdict: mallowbridge.Send}),
+		decided("another let go", mallowbridge.Decision{Verdict: mallowbridge.Send, Go: "go0"}),
+		decided("called back", mallowbridge.Decision{Verdict: mallowbridge.Recall}),
+		decided("denied", mallowbridge.Decision{Verdict: mallowbridge.Deny}),
+		decided("no route", mallowbridge.Decision{Verdict: mallowbridge.Deny, Bad: true}),
+		decided("denied as a repeat", mallowbridge.Decision{Verdict: mallowbridge.Deny, Repeat: true}),
+		decided("given up", mallowbridge.Decision{Verdict: mallowbridge.Unknown}),
+		{"router ends", func(e *Exchange, _ *world) ([]Move, bool) { return e.Closed(), true }},
+	}
+}
+
+func connectionEvents() (all []event) {
+	for _, v := range []struct {
+		name string
+		s    Signal
+	}{
+		{"connected", Connected{}}, {"unreached", Unconnected{}}, {"no connection free", Unconnected{Capped: true}}, {"reset before the write", Unwritten{}},
+		{"answer", Replied{Status: 200}}, {"stream", Replied{Status: 200, Stream: true}}, {"failure", Replied{Status: 500}},
+		{"503 with proof", Replied{Status: 503, NotRun: true}}, {"503 without proof", Replied{Status: 503}}, {"421", Replied{Status: 421}},
+		{"408 without proof", Replied{Status: 408}}, {"429 without proof", Replied{Status: 429}}, {"another's answer", Replied{Status: 200, Foreign: true}},
+		{"another's refusal", Replied{Status: 503, Foreign: true, NotRun: true}}, {"another's 421", Replied{Status: 421, Foreign: true}},
+		{"answer without length", Replied{Status: 200, Open: true}}, {"answer without seal", Replied{Status: 200, Bare: true}},
+		{"first bytes", Begun{}}, {"end", Ended{}}, {"reset", Lost{}}, {"client closes", HungUp{}},
+		{"time over", Overdue{}}, {"time over before the write", Overdue{Unwritten: true}},
+	} {
+		all = append(all, signal(v.name, v.s))
+	}
+	return append(all,
+		event{"clock passes the deadline", func(_ *Exchange, w *world) ([]Move, bool) {
+			if w.late {
+				return nil, false
+			}
+			w.late = true
+			return nil, true
+		}},
+		event{"event without an id is passed on", func(e *Exchange, w *world) ([]Move, bool) {
+			if e.phase != passing || !e.began || e.Stuck {
+				return nil, false
+			}
+			e.Stuck = true
+			return nil, true
+		}},
+	)
+}
+
+// wayTo tells how a world was reached.
+func wayTo(nodes []node, at int) (text string) {
+	var steps []string
+	for ; at > 0; at = nodes[at].parent {
+		steps = append([]string{nodes[at].event}, steps...)
+	}
+	return strings.Join(steps, " > ")
+}
+
+var statesRoutes = map[string]*config.Route{
+	"once": {}, "repeatable": {Repeatable: true}, "stream": {Streaming: true}, "stream to be taken up": {Streaming: true, Resumable: true},
+	"repeatable stream": {Streaming: true, Repeatable: true},
+}
+
+// explore looks at every order of events to the depth, and gives the first breach with the shortest order that leads to it. It ends
+// sooner, all told, where no world is new.
+func explore(route *config.Route, depth int) (states, steps, deepest int, breach string) {
+	events := append(routerEvents(), connectionEvents()...)
+	nodes, seen := []node{{}}, map[world]bool{{}: true}
+	for from := 0; deepest < depth && from < len(nodes); deepest++ {
+		until := len(nodes)
+		for at := from; at < until; at++ {
+			for _, v := range events {
+				w := nodes[at].w
+				e := w.restore(route)
+				before := e.phase
+				moves, happens := v.apply(&e, &w)
+				if !happens {
+					continue
+				}
+				steps++
+				why := w.judge(&e, route, before, v.name, moves)
+				w.keep(&e)
+				if why != "" {
+					return len(nodes), steps, deepest, why + ": " + wayTo(append(nodes, node{w, at, v.name}), len(nodes))
+				}
+				if !seen[w] {
+					seen[w] = true
+					nodes = append(nodes, node{w, at, v.name})
+				}
+			}
+		}
+		from = until
+	}
+	return len(nodes), steps, deepest, ""
+}
+
+// TestExchangeStates looks at every order of events to a depth, for each kind of route.
+func TestExchangeStates(t *testing.T) {
+	for name, route := range statesRoutes {
+		t.Run(name, func(t *testing.T) {
+			states, steps, deepest, breach := explore(route, *statesDepth)
+			if breach != "" {
+				t.Fatal(breach)
+			}
+			t.Logf("%d states, %d steps, none new after %d events", states, steps, deepest)
+			if deepest == *statesDepth {
+				t.Errorf("not all: %d events were not enough", deepest)
+			}
+		})
+	}
+}
