--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -21,8 +21,10 @@
 	return true
 }
 
+// Give returns n reserved bytes.
 func (b *Budget) Give(n int) { b.held.Add(-int64(n)) }
 
+// Held is how many bytes are reserved.
 func (b *Budget) Held() (n int64) { return b.held.Load() }
 
 // share is what one request holds of the budget.
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -98,6 +98,7 @@
 
 func mayRepeat(r *config.Route) (yes bool) { return r != nil && (r.Repeatable || r.Resumable) }
 
+// Decided takes a decision of the market and gives the moves to carry out, in order.
 func (e *Exchange) Decided(d mallowbridge.Decision) (moves []Move) {
 	if e.over || (e.phase != none && d.Go != "" && d.Go != e.Place.Go && d.Verdict != mallowbridge.Place) {
 		return nil
@@ -153,6 +154,7 @@
 	return e.take()
 }
 
+// Happened takes what a connection or the clock did and gives the moves to carry out, in order.
 func (e *Exchange) Happened(s Signal) (moves []Move) {
 	if e.over {
 		return nil
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -21,6 +21,7 @@
 	return fmt.Sprintf("%s: all %d connections are in use", e.Addr, e.Conns)
 }
 
+// DialError says that no connection to a replica could be opened.
 type DialError struct {
 	Addr  string
 	Cause error
@@ -48,6 +49,7 @@
 	sweeps bool
 }
 
+// NewPool makes an empty pool that counts in n.
 func NewPool(set Settings, n *Counters) (p *Pool) {
 	p = &Pool{set: set, n: n, owner: make(chan shelves, 1)}
 	p.dialer = net.Dialer{Timeout: set.Dial, KeepAlive: -1, Control: p.control}
--- a/proxy/ferry.go
+++ b/proxy/proxy.go
@@ -50,7 +50,9 @@
 	return h
 }
 
+// Settings are the bounds of the data path.
 type Settings struct {
+	// Dial bounds how long opening a connection to a replica may take.
 	Dial time.Duration
 	// Idle is how long a kept connection may rest where the replica does not say.
 	Idle time.Duration
@@ -80,6 +82,7 @@
 	Budget int
 }
 
+// Defaults gives the settings that the daemon uses.
 func Defaults() (s Settings) {
 	return Settings{
 		Dial: 400 * time.Millisecond, Idle: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleNonRepeatable: 500 * time.Millisecond,
@@ -88,6 +91,7 @@
 	}
 }
 
+// Counters count requests by their outcome, and what connections and replicas did, since the start.
 type Counters struct {
 	Requests, Done, Denied, NotFound, Unknown, Bad, Full, Hangups, Aborted, Expired atomic.Uint64
 	Dials, DialFails, Capped, Reused, Stale, Unwritten                              atomic.Uint64
