--- a/proxy/client.go
+++ b/proxy/client.go
@@ -52,35 +52,6 @@
 	return n, err
 }
 
-// age is for how long the newest bytes have lain in the socket: long, where this process or its machine stood still.
-func (c *client) age() (d time.Duration) {
-	raw, err := c.TCPConn.SyscallConn()
-	if err != nil {
-		return 0
-	}
-	if c.look == nil {
-		c.look = func(fd uintptr) {
-			c.rested = 0
-			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-				c.rested = time.Duration(info.Last_data_recv) * time.Millisecond
-			}
-		}
-	}
-	if raw.Control(c.look) != nil {
-		return 0
-	}
-	return c.rested
-}
-
-// arrival gives when the request that is being served reached this machine, once; now where its bytes came along with earlier ones.
-func (c *client) arrival() (at time.Time) {
-	at, c.came = c.came, time.Time{}
-	if at.IsZero() {
-		return time.Now()
-	}
-	return at
-}
-
 // activate notes that a byte of a request was read: from now on the request is served, also when the connection was just being shut.
 func (c *client) activate() {
 	for {
