--- a/sim/trip.go
+++ b/sim/trip.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// A trip takes one try through a node: it carries out the moves of ferry's exchange, one after the other, as ferry's transfer does.
+// A trip takes one try through a node: it carries out the moves of proxy's exchange, one after the other, as proxy's transfer does.
 type trip struct {
 	n        *Node
 	life     uint64
