--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -151,7 +151,7 @@
 // streams.
 func drain(h *daemon.Daemon, g *httpapi.Frontend, again chan os.Signal, most time.Duration) {
 	g.Retire()
-	h.Call(control.Retire{})
+	h.CallBy(daemon.Clock()+retireWithin, control.Retire{})
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -32,7 +32,7 @@
 			lg.Info().Msg("draining")
 			retired.Store(true)
 			p.Retire()
-			h.Call(control.Retire{})
+			h.CallBy(daemon.Clock()+retireWithin, control.Retire{})
 			drainNode(h, p, s.Bounds.GracePeriod)
 			t.Kill(nil)
 			err = t.Wait()
@@ -54,6 +54,9 @@
 	return s
 }
 
+// retireWithin bounds the wait for the owner of control state, which a hanging disk may hold up, before a stop goes on.
+const retireWithin = 200 * time.Millisecond
+
 // drainNode lets clients go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
 func drainNode(h *daemon.Daemon, p *proxy.Proxy, grace time.Duration) {
 	tick := time.NewTicker(50 * time.Millisecond)
