--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -79,6 +79,9 @@
 	Journal bool
 	// Planned lets a voter be replaced that is not lost.
 	Planned bool
+	// Guesses lets callers order on a revision before anybody was told of it. Such an order may rightly be refused and then, sent again,
+	// be taken: so a plan that guesses sends nothing again.
+	Guesses bool
 	Rules   Rules
 }
 
@@ -100,6 +103,14 @@
 	return append(slices.Clone(body), o.ID...), nil
 }
 
+// knownIn tells whether a value has the revision that the order builds on.
+func (o Order) knownIn(v *register.Value) (yes bool) {
+	if o.Kind == Edit {
+		return uint64(len(v.Body)) >= o.Expect
+	}
+	return v.Mark >= o.Expect
+}
+
 // recorded tells whether a value remembers that the order was taken.
 func (o Order) recorded(v *register.Value) (yes bool) {
 	if o.Kind == Edit {
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -49,6 +49,7 @@
 func (c *Cluster) orderEvents(events []Event) (more []Event) {
 	for at, p := range c.orders {
 		switch {
+		case !c.plan.Guesses && !c.plan.Orders[at].knownIn(c.newest):
 		case p.sent == 0:
 			events = append(events, Event{Kind: submit, What: uint8(at)})
 		case p.sent == 1 && c.left.Resends > 0 && !c.plan.Orders[at].reads():
