--- a/loop.go
+++ b/loop.go
@@ -6,7 +6,7 @@
 	"gopkg.in/tomb.v2"
 )
 
-// deskMessage is an event, with a channel for its decisions if it is an arrival; or a look at the router.
+// loopMessage is an event, with a channel for its decisions if it is an arrival; or a look at the router.
 type loopMessage struct {
 	event     Event
 	decisions chan Decision
@@ -53,6 +53,7 @@
 			for req := range l.subscribers {
 				l.endRequest(req)
 			}
+			l.discardInbox()
 			return nil
 		case <-wake.C:
 			l.deliver(l.router.Step(l.clock(), Tick{}))
@@ -145,13 +146,38 @@
 	}
 }
 
-func (l *RouterLoop) post(a loopMessage) (ok bool) {
+// post hands a message to the loop. One that was queued after the loop had ended is discarded by its sender.
+func (l *RouterLoop) post(m loopMessage) (ok bool) {
 	select {
-	case l.inbox <- a:
-		return true
+	case l.inbox <- m:
 	case <-l.tomb.Dying():
 		return false
 	}
+	if !l.tomb.Alive() {
+		l.discardInbox()
+	}
+	return true
+}
+
+// discardInbox ends the requests and looks that still wait once the tomb is dying.
+func (l *RouterLoop) discardInbox() {
+	for {
+		select {
+		case m := <-l.inbox:
+			m.discard()
+		default:
+			return
+		}
+	}
+}
+
+func (m loopMessage) discard() {
+	if m.decisions != nil {
+		close(m.decisions)
+	}
+	if m.done != nil {
+		close(m.done)
+	}
 }
 
 // OnPrefill has tell called for each prompt that other routers should know of; it must not wait.
--- a/loop_test.go
+++ b/loop_test.go
@@ -84,3 +84,18 @@
 		t.Error(err)
 	}
 }
+
+// A request that comes while the loop ends, or after, must not wait for ever for decisions that nobody makes.
+func TestEachSubmissionEndsThoughTheLoopHasEnded(t *testing.T) {
+	for range 50 {
+		tb := &tomb.Tomb{}
+		loop := mallowbridge.NewRouterLoop(tb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), func() time.Duration { return 0 }, time.Hour)
+		tb.Kill(nil)
+		_ = tb.Wait()
+		select {
+		case <-loop.Submit(mallowbridge.Arrive{Request: "q"}):
+		case <-time.After(time.Second):
+			t.Fatal("a request waits though the loop has ended")
+		}
+	}
+}
