--- /dev/null
+++ b/control/contention_test.go
@@ -0,0 +1,58 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// tick is how often the lab's nodes get a Tick, all at once.
+const tick = 50 * time.Millisecond
+
+// untilTick runs the lab until a Tick has just passed.
+func (l *lab) untilTick() {
+	for l.now%tick != time.Millisecond {
+		l.run(time.Millisecond)
+	}
+}
+
+// TestAnOrderThatWasOutbidWaitsForNoTick: an idle node's ballot is old, so that its first round is refused.
+func TestAnOrderThatWasOutbidWaitsForNoTick(t *testing.T) {
+	l := newLab(t, 8)
+	l.run(1500 * time.Millisecond)
+	for i := range 5 {
+		l.write("n1", fmt.Sprint("first ", i))
+	}
+	l.untilTick()
+	begun := l.now
+	if a := l.write("n6", "second"); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	if took := l.now - begun; took >= tick-2*time.Millisecond {
+		t.Errorf("an order took %v", took)
+	}
+}
+
+// TestAChangeOfVotersGoesBeforeQueuedOrders at the same node.
+func TestAChangeOfVotersGoesBeforeQueuedOrders(t *testing.T) {
+	l := newLab(t, 8)
+	l.run(1500 * time.Millisecond)
+	const orders = 20
+	var last uint64
+	for i := range orders {
+		l.ids++
+		last = l.ids
+		text := fmt.Sprint("order ", i)
+		l.step("n1", Command{ID: last, Op: Edit{ID: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}})
+	}
+	if a := l.call("n1", ReplaceVoters{ID: "voters", Names: []string{"n1", "n2", "n3"}}); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	if _, over := l.answers[last]; over {
+		t.Error("the change of voters came after the orders that waited")
+	}
+	l.run(2 * time.Second)
+	if a, over := l.answers[last]; !over || a.Err != nil {
+		t.Errorf("the last order: %v, %v", over, a.Err)
+	}
+}
