--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -95,6 +95,16 @@
 	return false
 }
 
+// overtaken tells that another change on top of the same version was acknowledged, so that the order's own can't be any more.
+func (o *operators) overtaken(d *order) bool {
+	for _, x := range o.s.rules.versions {
+		if x != d.v && x.acked > 0 && x.base == d.base {
+			return true
+		}
+	}
+	return false
+}
+
 // learn reads the configuration at the node that refused a change, so that the next builds on what is in force.
 func (o *operators) learn(n *Node) {
 	if n.Alive {
