--- /dev/null
+++ b/chunk/chunk_test.go
@@ -0,0 +1,266 @@
+package chunk
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+func routes(count, changed int) (document []byte) {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, `{"revision":%d,"routes":[`, changed+2)
+	for i := range count {
+		timeout := 1000
+		if i == changed {
+			timeout = 2000
+		}
+		fmt.Fprintf(&b, `{"name":"route-%06d","hostname":"site.example","pathPrefix":"/area/%d/part/%d/","routeType":"safe","timeoutMs":%d,"targetService":"service-%d"},`,
+			i, i%37, i*7919, timeout, i%5)
+	}
+	b.WriteString(`{}]}`)
+	return b.Bytes()
+}
+
+func noise(seed uint64, size int) (document []byte) {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	document = make([]byte, size)
+	for i := range document {
+		document[i] = byte(rng.Uint32())
+	}
+	return document
+}
+
+// fetched brings the missing pieces from one store to another, in the wrong order, until the document is there.
+func fetched(t *testing.T, from, to *Store, m *Manifest, document []byte) (bytesNew, pieces int) {
+	t.Helper()
+	for {
+		body, err := to.Body(m)
+		var missing *MissingError
+		if !errors.As(err, &missing) {
+			if err != nil || !bytes.Equal(body, document) {
+				t.Fatalf("%d bytes of %d, %v", len(body), len(document), err)
+			}
+			return bytesNew, pieces
+		}
+		for _, name := range slices.Backward(missing.Names) {
+			if !to.Put(from.Get(name)) {
+				t.Fatal("a missing piece isn't taken")
+			}
+			bytesNew, pieces = bytesNew+len(from.Get(name)), pieces+1
+		}
+	}
+}
+
+func TestChunksJoinToTheDocument(t *testing.T) {
+	for _, size := range []int{0, 1, minimum, minimum + 1, Largest, Largest + 1, 300000} {
+		for _, document := range [][]byte{noise(1, size), make([]byte, size)} {
+			pieces := Cut(document)
+			if !bytes.Equal(bytes.Join(pieces, nil), document) {
+				t.Fatalf("%d bytes don't come back", size)
+			}
+			for i, piece := range pieces {
+				if len(piece) > Largest || (len(piece) < minimum && i < len(pieces)-1) {
+					t.Errorf("%d bytes: chunk %d has %d", size, i, len(piece))
+				}
+			}
+		}
+	}
+}
+
+func TestOneChangedRouteMakesFewNewChunks(t *testing.T) {
+	base := routes(2500, -1)
+	s := NewStore(4, 4, 8<<20)
+	old := s.Manifest(base)
+	for _, changed := range []int{0, 1250, 2499} {
+		next := routes(2500, changed)
+		from := NewStore(4, 4, 8<<20)
+		m := from.Manifest(next)
+		bytes, pieces := fetched(t, from, s, m, next)
+		if bytes > old.Size/50 || pieces > 10 {
+			t.Errorf("route %d makes %d pieces and %d of %d bytes new", changed, pieces, bytes, old.Size)
+		}
+	}
+	if mean := old.Size / len(Cut(base)); mean < 2<<10 || mean > 4<<10 {
+		t.Errorf("chunks have %d bytes on average", mean)
+	}
+	if len(old.Segments) > 512 {
+		t.Errorf("a manifest has %d bytes", len(old.Segments))
+	}
+}
+
+func TestFetchedDocumentIsTheSame(t *testing.T) {
+	from, to := NewStore(4, 4, 8<<20), NewStore(4, 4, 8<<20)
+	document := routes(300, -1)
+	m := from.Manifest(document)
+	if _, pieces := fetched(t, from, to, m, document); pieces != len(Cut(document))+len(m.Segments)/NameBytes {
+		t.Errorf("%d pieces came", pieces)
+	}
+	if to.Put([]byte("nobody asked for this")) {
+		t.Error("a chunk of no document is taken")
+	}
+}
+
+func TestBadManifestsHaveTypedErrors(t *testing.T) {
+	s := NewStore(8, 4, 8<<20)
+	good := s.Manifest(routes(1000, -1))
+	var manifest *ManifestError
+	var missing *MissingError
+	var size *SizeError
+	for _, c := range []struct {
+		what  string
+		m     Manifest
+		wants any
+	}{
+		{"nothing", Manifest{}, &manifest},
+		{"a name that is cut", Manifest{Size: good.Size, Segments: good.Segments[:len(good.Segments)-1]}, &manifest},
+		{"too large", Manifest{Size: MaxDocument + 1, Segments: good.Segments}, &manifest},
+		{"more than chunks can hold", Manifest{Size: segmentMost*Largest + 1, Segments: good.Segments[:NameBytes]}, &manifest},
+		{"a negative size", Manifest{Size: -1, Segments: good.Segments}, &manifest},
+		{"an unknown chunk", Manifest{Size: good.Size, Segments: append(bytes.Repeat([]byte{7}, NameBytes), good.Segments[NameBytes:]...)}, &missing},
+		{"another size", Manifest{Size: good.Size - 1, Segments: good.Segments}, &size},
+	} {
+		if body, err := s.Body(&c.m); body != nil || !errors.As(err, c.wants) {
+			t.Errorf("%s: %d bytes, %v", c.what, len(body), err)
+		}
+	}
+}
+
+// What is used last stays, whatever else comes; what nothing uses goes.
+func TestStoreKeepsWhatWasUsedLast(t *testing.T) {
+	s := NewStore(3, 1, 1<<20)
+	mine := routes(500, -1)
+	m := s.Manifest(mine)
+	for i := range 50 {
+		s.Manifest(noise(uint64(i), 200000))
+		if body, err := s.Body(m); err != nil || !bytes.Equal(body, mine) {
+			t.Fatalf("after %d others: %v", i, err)
+		}
+		if s.Held() > 1<<20 {
+			t.Fatalf("%d bytes are held", s.Held())
+		}
+	}
+	for i := range 3 {
+		s.Manifest(noise(uint64(100+i), 1000))
+	}
+	sum := 0
+	for _, entry := range s.pieces {
+		sum += len(entry.piece)
+	}
+	if _, err := s.Body(m); err == nil || sum != 3000+3*NameBytes {
+		t.Errorf("%d bytes are left, %v", sum, err)
+	}
+}
+
+func TestDeltaMakesTheDocument(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 3))
+	body := routes(2500, -1)
+	index := NewIndex(nil)
+	for range 40 {
+		d, then := index.Difference(body)
+		next, err := d.Apply(index.body)
+		if err != nil || !bytes.Equal(next, body) {
+			t.Fatal(err)
+		}
+		index = then
+		body = slices.Clone(body)
+		for range 1 + rng.IntN(3) {
+			at, n := rng.IntN(len(body)), rng.IntN(2000)
+			switch rng.IntN(3) {
+			case 0:
+				body = slices.Insert(body, at, noise(rng.Uint64(), n)...)
+			case 1:
+				body = slices.Delete(body, at, min(at+n, len(body)))
+			case 2:
+				body = append(slices.Clone(body[at:]), body[:at]...)
+			}
+		}
+	}
+}
+
+func TestDeltaOfOneRouteIsSmall(t *testing.T) {
+	base := routes(2500, -1)
+	d, _ := NewIndex(base).Difference(routes(2500, 1250))
+	fresh := 0
+	for _, p := range d.Parts {
+		fresh += len(p.New)
+	}
+	if fresh > len(base)/20 {
+		t.Errorf("%d of %d bytes are new", fresh, len(base))
+	}
+}
+
+func TestDeltaOfAnotherBaseIsRefused(t *testing.T) {
+	base := routes(50, -1)
+	d, _ := NewIndex(base).Difference(routes(50, 7))
+	var bad *DeltaError
+	if _, err := d.Apply(routes(50, 8)); !errors.As(err, &bad) {
+		t.Errorf("another base: %v", err)
+	}
+	d.Parts = append(d.Parts, Part{From: len(base), Length: 1})
+	if _, err := d.Apply(base); !errors.As(err, &bad) {
+		t.Errorf("a part outside: %v", err)
+	}
+}
+
+// FuzzBody puts manifests of any bytes to a store that holds one document: the error is typed, and a body has the manifest's chunks.
+func FuzzBody(f *testing.F) {
+	document := routes(60, -1)
+	names := NewStore(2, 2, 1<<20).Manifest(document).Segments
+	f.Add(len(document), names)
+	f.Add(len(document), append(slices.Clone(names[NameBytes:]), names[:NameBytes]...))
+	f.Add(1, names[:3])
+	f.Add(len(document)*2, append(slices.Clone(names), names...))
+	f.Fuzz(func(t *testing.T, size int, names []byte) {
+		s := NewStore(4, 4, 1<<20)
+		s.Manifest(document)
+		m := &Manifest{Size: size, Segments: names}
+		body, err := s.Body(m)
+		var manifest *ManifestError
+		var missing *MissingError
+		var wrong *SizeError
+		switch {
+		case err == nil:
+		case errors.As(err, &manifest), errors.As(err, &missing), errors.As(err, &wrong):
+			return
+		default:
+			t.Fatalf("%T %v", err, err)
+		}
+		if len(body) != size {
+			t.Fatalf("%d bytes, not %d", len(body), size)
+		}
+		at := 0
+		for _, segment := range split(names) {
+			for _, name := range split(s.Get(segment)) {
+				piece := s.Get(name)
+				if !bytes.HasPrefix(body[at:], piece) {
+					t.Fatalf("a chunk isn't in its place, %d", at)
+				}
+				at += len(piece)
+			}
+		}
+	})
+}
+
+// FuzzDelta applies deltas of any parts: a typed error, or what the sum says.
+func FuzzDelta(f *testing.F) {
+	base := routes(60, -1)
+	f.Add(0, 100, 50, 20, []byte("new"), true)
+	f.Add(-1, 1<<40, 0, 0, []byte{}, false)
+	f.Fuzz(func(t *testing.T, from, length, second, most int, fresh []byte, right bool) {
+		d := Delta{Base: sum(base), Sum: sum(fresh), Parts: []Part{{From: from, Length: length}, {New: fresh}, {From: second, Length: most}}}
+		if right {
+			d.Parts = []Part{{New: fresh}}
+		}
+		next, err := d.Apply(base)
+		var bad *DeltaError
+		if err != nil && !errors.As(err, &bad) {
+			t.Fatalf("%T %v", err, err)
+		}
+		if err == nil && !bytes.Equal(sum(next), d.Sum) {
+			t.Fatal("another document")
+		}
+	})
+}
--- /dev/null
+++ b/chunk/manifest.go
@@ -0,0 +1,92 @@
+package chunk
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+
+	"github.com/gravitational/trace"
+)
+
+// NameBytes is the length of a chunk's name.
+const NameBytes = 16
+
+// MaxDocument bounds the size in bytes of a document that a manifest may describe.
+const MaxDocument = 4 << 20
+
+// Name is the first 128 bits of the SHA-256 of a chunk.
+type Name [NameBytes]byte
+
+// NameOf names a chunk.
+func NameOf(piece []byte) (name Name) {
+	sum := sha256.Sum256(piece)
+	return Name(sum[:NameBytes])
+}
+
+// segmentMost is the most chunks that a segment names; it ends early after a name whose first byte has the low bits clear, on average
+// after 32.
+const (
+	segmentMost = 64
+	segmentMask = 1<<5 - 1
+)
+
+// Manifest stands for a document: its size in bytes, and the names of its segments, joined in order. A segment is the joined names of
+// consecutive chunks; it is fetched by its name as chunks are, so that a manifest is small and a change costs one or two segments. Its
+// fields are part of the format between nodes.
+type Manifest struct {
+	Size     int
+	Segments []byte
+}
+
+// ManifestError says that a manifest describes no document.
+type ManifestError struct{ Why string }
+
+func (e *ManifestError) Error() (text string) { return "bad manifest: " + e.Why }
+
+// Check returns a *ManifestError where the manifest can't describe a document.
+func (m *Manifest) Check() (err error) {
+	count := len(m.Segments) / NameBytes
+	switch {
+	case len(m.Segments)%NameBytes != 0:
+		return trace.Wrap(&ManifestError{Why: fmt.Sprintf("%d bytes of names", len(m.Segments))})
+	case m.Size < 1 || m.Size > MaxDocument:
+		return trace.Wrap(&ManifestError{Why: fmt.Sprintf("%d bytes in all", m.Size)})
+	case m.Size < count || m.Size > count*segmentMost*Largest:
+		return trace.Wrap(&ManifestError{Why: fmt.Sprintf("%d bytes in %d segments", m.Size, count)})
+	}
+	return nil
+}
+
+// Key is the same for manifests that are the same.
+func (m *Manifest) Key() (key Name) {
+	size := binary.BigEndian.AppendUint64(nil, uint64(m.Size))
+	return NameOf(append(size, m.Segments...))
+}
+
+// split divides joined names.
+func split(joined []byte) (names []Name) {
+	names = make([]Name, 0, len(joined)/NameBytes)
+	for ; len(joined) >= NameBytes; joined = joined[NameBytes:] {
+		names = append(names, Name(joined))
+	}
+	return names
+}
+
+// segments divides the joined names of chunks.
+func segments(joined []byte) (parts [][]byte) {
+	from := 0
+	for at := 0; at < len(joined); at += NameBytes {
+		end := at + NameBytes
+		if joined[at]&segmentMask == 0 || end-from == segmentMost*NameBytes || end == len(joined) {
+			parts = append(parts, joined[from:end])
+			from = end
+		}
+	}
+	return parts
+}
+
+// Same tells whether two manifests are the same.
+func (m *Manifest) Same(other *Manifest) (yes bool) {
+	return m.Size == other.Size && bytes.Equal(m.Segments, other.Segments)
+}
