--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -51,7 +51,7 @@
 		return FailureDetector
 	case gossip.Checksum, gossip.Digest, gossip.Pull:
 		return AntiEntropy
-	case gossip.Announcement:
+	case gossip.Announcement, control.ChunkPull, control.ChunkData:
 		return Config
 	case gossip.Update:
 		return ofUpdate(v)
--- /dev/null
+++ b/control/chunks_test.go
@@ -0,0 +1,261 @@
+package control
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// applyWithin is how long after its acknowledgement a change may not be in force somewhere.
+const applyWithin = 2500 * time.Millisecond
+
+func TestChangeOfOneRouteCostsWhatItChanges(t *testing.T) {
+	l := newLab(t, 30)
+	l.run(6 * time.Second)
+	whole := document(1, -1)
+	if a := l.put("n3", whole); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.obeyed(whole, applyWithin)
+	l.run(5 * time.Second)
+	m := l.meter()
+	const changes = 10
+	for i := range changes {
+		next := document(2+i, 250*i)
+		if a := l.put(fmt.Sprint("n", i%7), next); a.Err != nil {
+			t.Fatal(a.Err)
+		}
+		l.obeyed(next, applyWithin)
+		l.run(3 * time.Second)
+	}
+	for _, zone := range []string{"0", "1", "2"} {
+		share := float64(m.into(zone)) / changes / float64(len(whole))
+		t.Logf("zone %s: %d bytes a change, %.2f %% of the document; %v", zone, m.into(zone)/changes, 100*share, m.kinds)
+		if share > 0.05 {
+			t.Errorf("a change sends %.2f %% of the document into zone %s", 100*share, zone)
+		}
+	}
+}
+
+func TestZoneGetsADocumentAboutOnce(t *testing.T) {
+	l := newLab(t, 30)
+	l.run(6 * time.Second)
+	m := l.meter()
+	whole := document(1, -1)
+	if a := l.put("n3", whole); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	t.Logf("in force after %v", l.obeyed(whole, applyWithin))
+	l.run(3 * time.Second)
+	for _, zone := range []string{"0", "1", "2"} {
+		t.Logf("zone %s: %d bytes of %d", zone, m.into(zone), len(whole))
+		if m.into(zone) > len(whole)*3/2 {
+			t.Errorf("%d bytes came into zone %s for a document of %d", m.into(zone), zone, len(whole))
+		}
+	}
+}
+
+func TestVoterWithoutTheChunksNeverVotesYes(t *testing.T) {
+	l := newLab(t, 8)
+	l.run(6 * time.Second)
+	base := document(1, -1)
+	if a := l.put("n0", base); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.run(3 * time.Second)
+	accepts, votes := 0, 0
+	asked := map[string]register.Ballot{}
+	l.sent = func(from, to string, msg any) (lost bool) {
+		switch x := msg.(type) {
+		case register.Accept:
+			accepts++
+			asked[to] = x.Ballot
+			if x.Value.Parts == nil || x.Value.Body != nil {
+				t.Errorf("%s sends %d bytes and a manifest: %v", from, len(x.Value.Body), x.Value.Parts != nil)
+			}
+		case register.Accepted:
+			if x.OK && x.Promised == asked[from] {
+				votes++
+			}
+		case ChunkData:
+			return true
+		}
+		return false
+	}
+	next := document(2, 1250)
+	if a := l.put("n0", next); a.Err == nil {
+		t.Error("a change was acknowledged whose chunks no other voter has")
+	}
+	if accepts == 0 || votes > 0 {
+		t.Errorf("%d votes for a document that isn't there, of %d asked", votes, accepts)
+	}
+	l.sent = nil
+	a := l.put("n1", document(3, 7))
+	if a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.obeyed(document(3, 7), applyWithin)
+}
+
+// The nodes that are left are two voters of three, with what their disks say.
+func TestMajorityThatIsLeftHasTheWholeDocument(t *testing.T) {
+	for seed := range 6 {
+		l := newDiskLab(t, 9)
+		l.run(time.Duration(6000+37*seed) * time.Millisecond)
+		at := fmt.Sprint("n", 3+seed)
+		for i := range 4 {
+			if a := l.put(at, document(1+i, 300*i)); a.Err != nil {
+				t.Fatal(a.Err)
+			}
+		}
+		last := document(9, 77*seed)
+		if a := l.put(at, last); a.Err != nil {
+			t.Fatal(a.Err)
+		}
+		for _, name := range l.order {
+			l.down[name] = true
+		}
+		l.mail = nil
+		l.run(time.Second)
+		for i := range 3 {
+			if name := fmt.Sprint("n", i); i != seed%3 {
+				l.boot(name, false)
+			}
+		}
+		l.run(8 * time.Second)
+		for i := range 3 {
+			if name := fmt.Sprint("n", i); i != seed%3 && l.read(name) != string(last) {
+				t.Fatalf("seed %d: %s doesn't have the document that was acknowledged", seed, name)
+			}
+		}
+	}
+}
+
+func TestNodeThatWasAwayForManyChanges(t *testing.T) {
+	l := newDiskLab(t, 12)
+	l.run(6 * time.Second)
+	if a := l.put("n3", document(1, -1)); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.run(2 * time.Second)
+	l.down["n7"], l.down["n2"] = true, true
+	for i := range 300 {
+		if a := l.put(fmt.Sprint("n", 3+i%3), document(2+i, i*8)); a.Err != nil {
+			t.Fatal(a.Err)
+		}
+	}
+	l.run(2 * time.Second)
+	m := l.meter()
+	last := l.nodes["n0"].value.Body
+	for _, name := range []string{"n7", "n2"} {
+		l.boot(name, false)
+		t.Logf("%s obeys after %v", name, l.obeyed(last, applyWithin))
+	}
+	t.Log(m.kinds)
+	for name, folder := range l.folders {
+		if folder.size() > 8<<20 {
+			t.Errorf("%s has %d bytes on disk", name, folder.size())
+		}
+	}
+	for name, n := range l.nodes {
+		if held := n.documents.store.Held(); held > keptBytes {
+			t.Errorf("%s holds %d bytes of chunks", name, held)
+		}
+	}
+}
+
+func TestOlderBuildGetsWholeDocuments(t *testing.T) {
+	l := newLab(t, 0)
+	for i := range 9 {
+		name := fmt.Sprint("n", i)
+		l.order = append(l.order, name)
+		if i < 4 {
+			l.disks[name] = "disk-" + name
+		}
+		if i%2 == 1 {
+			l.builds[name] = chunksBuild - 1
+		}
+	}
+	for _, name := range l.order {
+		l.boot(name, true)
+	}
+	thin, whole := 0, 0
+	l.sent = func(from, to string, msg any) (lost bool) {
+		old := l.builds[to] != 0 || l.builds[from] != 0
+		switch x := msg.(type) {
+		case ChunkPull, ChunkData:
+			if old {
+				t.Errorf("%T from %s to %s", msg, from, to)
+			}
+		case register.Accept:
+			thin, whole = count(t, old, x.Value, thin, whole)
+		case register.Promise:
+			thin, whole = count(t, old, x.Value, thin, whole)
+		case gossip.Update:
+			for _, it := range x.Items {
+				if v, is := it.Data.(*register.Value); is {
+					thin, whole = count(t, old, v, thin, whole)
+				}
+			}
+		}
+		return false
+	}
+	l.run(6 * time.Second)
+	for i := range 8 {
+		next := document(1+i, 100*i)
+		if a := l.put(fmt.Sprint("n", i), next); a.Err != nil {
+			t.Fatal(a.Err)
+		}
+		l.obeyed(next, applyWithin)
+	}
+	if thin == 0 || whole == 0 {
+		t.Errorf("%d values went as manifests and %d whole: the test proves little", thin, whole)
+	}
+}
+
+func count(t *testing.T, old bool, v *register.Value, thin, whole int) (newThin, newWhole int) {
+	switch {
+	case v == nil:
+	case v.Parts != nil && (old || len(v.Body) > 0):
+		t.Error("a manifest to or from an older build, or beside a document")
+	case v.Parts != nil:
+		return thin + 1, whole
+	case len(v.Body) > register.WholeBytes:
+		if !old {
+			t.Error("a whole document between builds that know manifests")
+		}
+		return thin, whole + 1
+	}
+	return thin, whole
+}
+
+// Pieces that nobody asked for, or that were changed on the way, take no room and make no document.
+func TestChangedChunkIsNotTaken(t *testing.T) {
+	l := newLab(t, 8)
+	l.run(6 * time.Second)
+	spoil := true
+	l.sent = func(from, to string, msg any) (lost bool) {
+		if data, is := msg.(ChunkData); is && spoil {
+			for _, piece := range data.Pieces {
+				bad := bytes.Clone(piece)
+				bad[len(bad)/2] ^= 1
+				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: from, to: to, msg: ChunkData{Pieces: [][]byte{bad}}})
+			}
+			return true
+		}
+		return false
+	}
+	if a := l.put("n4", document(1, -1)); a.Err == nil {
+		t.Error("a document of spoiled chunks was acknowledged")
+	}
+	spoil = false
+	next := document(2, 5)
+	if a := l.put("n4", next); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.obeyed(next, applyWithin)
+}
--- a/control/journal.go
+++ b/control/journal.go
@@ -8,6 +8,7 @@
 
 	"github.com/gravitational/trace"
 
+	"github.com/mallowbridge/mallowbridge/chunk"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/storage"
@@ -21,16 +22,20 @@
 	Grants map[string]lease.Record
 }
 
+// entry is what one write adds to the log. An accepted value with a large document has the document as a delta to that of the value
+// accepted before it.
 type entry struct {
 	Promised *Promised
 	Accepted *AcceptedEntry
 	Granted  *Granted
+	Document *chunk.Delta
 }
 
 // Journal keeps a DiskState on disk. It is owned by one goroutine.
 type Journal struct {
 	store *storage.Store
 	state DiskState
+	index *chunk.Index
 }
 
 func encode(v any) (raw []byte, err error) {
@@ -68,6 +73,9 @@
 		if err = decode("log", raw, &e); err != nil {
 			return nil, err
 		}
+		if err = k.restore(&e); err != nil {
+			return nil, err
+		}
 		k.apply(e)
 	}
 	return k, nil
@@ -123,6 +131,42 @@
 	}
 }
 
+// body is the document of the value accepted last.
+func (k *Journal) body() (body []byte) {
+	if v := k.state.Pact.Value; v != nil {
+		return v.Body
+	}
+	return nil
+}
+
+// restore puts the document into an entry that was written with a delta.
+func (k *Journal) restore(e *entry) (err error) {
+	if e.Document == nil || e.Accepted == nil {
+		return nil
+	}
+	e.Accepted.Value.Body, err = e.Document.Apply(k.body())
+	if err != nil {
+		return trace.Wrap(&storage.UnreadableError{File: "log", Why: err.Error()})
+	}
+	return nil
+}
+
+// shorten makes of an entry what is written: only what differs from the document accepted before.
+func (k *Journal) shorten(e entry) (short entry) {
+	if e.Accepted == nil || len(e.Accepted.Value.Body) <= register.WholeBytes {
+		return e
+	}
+	base, next := k.body(), e.Accepted.Value.Body
+	if k.index == nil || !k.index.Of(base) {
+		k.index = chunk.NewIndex(base)
+	}
+	delta, index := k.index.Difference(next)
+	k.index = index
+	bare := e.Accepted.Value.Clone()
+	bare.Body = nil
+	return entry{Accepted: &AcceptedEntry{Ballot: e.Accepted.Ballot, Value: bare}, Document: &delta}
+}
+
 func wrap(w LogWrite) (e entry) {
 	switch x := w.Entry.(type) {
 	case Promised:
@@ -140,8 +184,9 @@
 	var raws [][]byte
 	for _, w := range ws {
 		e := wrap(w)
+		short := k.shorten(e)
 		k.apply(e)
-		raw, err := encode(e)
+		raw, err := encode(short)
 		if err != nil {
 			return err
 		}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -45,13 +45,19 @@
 	// domains and tolerate are those of every node.
 	domains  int
 	tolerate int
+	// sent sees each message, and tells whether it is lost; builds are those of nodes that run another one.
+	sent   func(from, to string, msg any) (lost bool)
+	builds map[string]uint32
+	// journals keep the disks' state as the daemon does, where a test wants it.
+	journals map[string]*Journal
+	folders  map[string]*memory
 }
 
 func newLab(t *testing.T, size int) (l *lab) { return newSizedLab(t, size, 4, 3, 1, 0) }
 
 // newSizedLab has so many nodes, the first of them with a disk, over domains in turn; another seed draws everything else anew.
 func newSizedLab(t *testing.T, size, disks, domains, tolerate int, seed uint64) (l *lab) {
-	l = &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}}
+	l = &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}, builds: map[string]uint32{}}
 	for i := range size {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
@@ -72,6 +78,7 @@
 	cfg := Config{
 		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % l.domains), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: l.tolerate, Founds: first, ServesCutOff: true,
+		Build: l.builds[name],
 	}
 	if id := l.disks[name]; id != "" {
 		cfg.Disk = &DiskState{}
@@ -79,6 +86,7 @@
 			cfg.Disk.Pact, cfg.Disk.Grants = old.acceptor.State, old.grantor.Records()
 		}
 		cfg.Disk.Pact.Disk = id
+		l.open(name, &cfg)
 	}
 	l.nodes[name] = New(l.now, cfg)
 	delete(l.down, name)
@@ -94,9 +102,13 @@
 		if _, ok := s.Msg.(gossip.Digest); ok {
 			l.marks++
 		}
+		if l.sent != nil && l.sent(name, s.To, s.Msg) {
+			continue
+		}
 		l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: name, to: s.To, msg: s.Msg})
 	}
 	if n := len(out.Writes); n > 0 {
+		l.save(name, out.Writes)
 		l.mail = append(l.mail, parcel{at: l.now + 3*time.Millisecond, to: name, msg: Persisted{Ticket: out.Writes[n-1].Ticket}})
 	}
 	if out.List {
--- a/control/msg.go
+++ b/control/msg.go
@@ -18,6 +18,7 @@
 		"kp": membership.Ping{}, "ka": membership.Ack{}, "kf": membership.PingFor{}, "km": membership.Member{},
 		"rn": gossip.Update{}, "rs": gossip.Checksum{}, "rm": gossip.Digest{}, "rw": gossip.Pull{}, "rt": gossip.Announcement{},
 		"cu": LoadReports{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
+		"xp": ChunkPull{}, "xd": ChunkData{},
 		"ws": WitnessAsk{}, "wy": WitnessSay{}, "wf": WitnessForget{},
 	} {
 		gob.RegisterName(name, v)
@@ -55,9 +56,11 @@
 
 type In interface{ in() }
 
+// Received is a message of another node. Build is the sender's as its connection said it, 0 where that isn't known.
 type Received struct {
-	From string
-	Msg  any
+	From  string
+	Build uint32
+	Msg   any
 }
 
 type Tick struct{}
--- a/control/news.go
+++ b/control/news.go
@@ -14,14 +14,18 @@
 )
 
 func (n *Node) onUpdate(now time.Duration, from string, m gossip.Update) {
+	n.mergeItems(now, from, m.Items)
+	n.neighboursRead[from] = true
+}
+
+func (n *Node) mergeItems(now time.Duration, from string, items []gossip.Item) {
 	near := n.near(from)
-	for _, it := range m.Items {
+	for _, it := range items {
 		if !n.Gossip.Merge(it, near) {
 			continue
 		}
 		n.applyItem(now, it)
 	}
-	n.neighboursRead[from] = true
 }
 
 func (n *Node) near(addr string) (yes bool) {
--- a/control/node.go
+++ b/control/node.go
@@ -96,19 +96,24 @@
 	sights         map[string]*sight
 	platformStates map[string]told
 	witness        witness
+	documents      documents
 }
 
 func New(now time.Duration, cfg Config) (n *Node) {
 	if cfg.Read == nil {
 		cfg.Read = config.Read
 	}
-	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: max(cfg.Build, transport.Build)}
+	if cfg.Build == 0 {
+		cfg.Build = transport.Build
+	}
+	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: cfg.Build}
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
 		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, since: now, asked: -time.Hour, feedAt: -time.Hour,
 		startedAt: now, foundAt: -time.Hour, replicaList: listing{heard: now, asked: -time.Hour},
 		tasks: newTasks(), witness: newWitness(now), sights: map[string]*sight{}, platformStates: map[string]told{},
+		documents: newDocuments(),
 	}
 	if cfg.Disk != nil {
 		self.Disk = cfg.Disk.Pact.Disk
@@ -189,56 +194,10 @@
 	n.checkDisk(now)
 	n.runTasks(now)
 	n.witness.tick(now, n)
+	n.tickFetches(now)
 	n.feed(now)
 }
 
 func (n *Node) change(what, detail string) {
 	n.out.Changes = append(n.out.Changes, Change{What: what, Detail: detail})
 }
-
-func (n *Node) recv(now time.Duration, r Received) {
-	if r.From != n.config.Addr {
-		n.greetReturned(r)
-	}
-	switch m := r.Msg.(type) {
-	case membership.Ping:
-		n.kinSends(n.Members.OnPing(r.From, m))
-	case membership.PingFor:
-		n.kinSends(n.Members.OnPingFor(now, r.From, m))
-	case membership.Ack:
-		n.kinSends(n.Members.OnAck(now, m))
-	case gossip.Update:
-		n.onUpdate(now, r.From, m)
-	case gossip.Checksum:
-		n.rumorSends(n.Gossip.OnChecksum(r.From, m))
-	case gossip.Digest:
-		n.rumorSends(n.Gossip.OnDigest(r.From, m))
-	case gossip.Announcement:
-		n.rumorSends(n.Gossip.OnAnnouncement(now, r.From, m))
-	case gossip.Pull:
-		n.rumorSends(n.Gossip.OnPull(r.From, m))
-	case Prefills:
-		n.onPrefills(m)
-	case WitnessAsk:
-		n.send(r.From, n.witness.see(now, m))
-	case WitnessForget:
-		n.witness.forget(m)
-	case WitnessSay:
-		n.witness.said(r.From, m, n)
-	default:
-		n.handleRegister(now, r)
-	}
-}
-
-func (n *Node) greetReturned(r Received) {
-	switch r.Msg.(type) {
-	case membership.Ping, membership.Ack:
-	default:
-		return
-	}
-	for _, m := range n.Members.Table.All() {
-		if m.Addr == r.From && m.State == membership.Dead {
-			n.send(r.From, n.Gossip.Digest(true))
-		}
-	}
-}
--- a/control/send.go
+++ b/control/send.go
@@ -66,15 +66,13 @@
 
 // readable leaves out what the peer's build cannot read: one unknown kind would cost it the whole frame and the connection.
 func (n *Node) readable(to string, msg any) (fit any, ok bool) {
-	build := uint32(1)
-	for _, m := range n.Members.Table.All() {
-		if m.Addr == to {
-			build = m.Build
-		}
-	}
+	build := n.buildOf(to)
 	if k, is := msg.(newer); is && k.Since() > build {
 		return nil, false
 	}
+	if min(build, n.config.Build) >= chunksBuild {
+		msg = n.thinned(msg)
+	}
 	news, is := msg.(gossip.Update)
 	if !is {
 		return msg, true
@@ -87,3 +85,18 @@
 	}
 	return fitting, true
 }
+
+// buildOf is what a peer said last, else what its member says, bounded by what this node's own build knows of.
+func (n *Node) buildOf(addr string) (build uint32) {
+	build, told := n.documents.builds[addr]
+	if told {
+		return build
+	}
+	build = 1
+	for _, m := range n.Members.Table.All() {
+		if m.Addr == addr {
+			build = m.Build
+		}
+	}
+	return build
+}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -138,7 +138,7 @@
 		case <-tick.C:
 			in = control.Tick{}
 		case m := <-h.Net.In:
-			in = control.Received{From: m.Hello.Addr, Msg: m.Msg}
+			in = control.Received{From: m.Hello.Addr, Build: m.Hello.Build, Msg: m.Msg}
 		case in = <-h.in:
 		case p := <-h.prefills:
 			in = h.gather(p)
--- a/register/value.go
+++ b/register/value.go
@@ -1,6 +1,10 @@
 package register
 
-import "slices"
+import (
+	"slices"
+
+	"github.com/mallowbridge/mallowbridge/chunk"
+)
 
 // Ballot orders the rounds of all proposers: by number, then by the proposer's name.
 type Ballot struct {
@@ -45,8 +49,13 @@
 	Recent Recent
 	// Taken counts the entries ever made in Recent.
 	Taken uint64
+	// Parts stands for Body in messages where that is large: one of the two is there. No state machine sees it.
+	Parts *chunk.Manifest
 }
 
+// WholeBytes is the size up to which a document travels whole.
+const WholeBytes = 4 << 10
+
 // Clone copies a value so that a Change may alter it. Body, Edits and Recent are shared: they are replaced, never written to.
 func (v *Value) Clone() (c *Value) {
 	c = &Value{}
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	Build    = 2
+	Build    = 3
 	MaxFrame = 4 << 20
 )
 
