--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -49,9 +49,9 @@
 const spareAllowance = 0.25
 
 // reader reads the platform's document and adds what the settings bound.
-func reader(b platform.Bounds) (read config.Reader) {
+func reader(documents *platform.Reader, b platform.Bounds) (read config.Reader) {
 	return func(raw []byte) (c config.Config, err error) {
-		if c, err = platform.Read(raw); err != nil {
+		if c, err = documents.Read(raw); err != nil {
 			return c, err
 		}
 		for i := range c.Offers {
@@ -63,12 +63,12 @@
 }
 
 // nodeSettings puts the platform's settings into the daemon's.
-func nodeSettings(s platform.Settings) (h daemon.Settings) {
+func nodeSettings(s platform.Settings, documents *platform.Reader) (h daemon.Settings) {
 	h = daemon.Settings{
 		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Domain: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
 		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
 		Host: daemon.Host{
-			Read: reader(s.Bounds), ListEvery: listEvery, Tolerate: s.Tolerate.Machines, Founds: s.FirstStart, ServesCutOff: true,
+			Read: reader(documents, s.Bounds), ListEvery: listEvery, Tolerate: s.Tolerate.Machines, Founds: s.FirstStart, ServesCutOff: true,
 		},
 	}
 	get := platform.Getter(s.Cloud.Address)
@@ -92,6 +92,8 @@
 	settings platform.Settings
 	daemon   *daemon.Daemon
 	proxy    *proxy.Proxy
+	// documents belongs to the owner of control state.
+	documents platform.Reader
 	// limits are those of the configuration in force.
 	limits  atomic.Pointer[config.Limits]
 	retired atomic.Bool
@@ -109,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if n.daemon, err = daemon.Start(n.tomb, nodeSettings(s), lg); err != nil {
+	if n.daemon, err = daemon.Start(n.tomb, nodeSettings(s, &n.documents), lg); err != nil {
 		n.tomb.Kill(nil)
 		return err
 	}
@@ -142,7 +144,7 @@
 
 func (n *platformNode) controlRoutes() (routes *bunrouter.Router) {
 	routes = bunrouter.New()
-	platform.Routes(routes, daemon.Documents{Daemon: n.daemon})
+	platform.Routes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
 		Control: n.daemon, Router: n.daemon.Desk, Clock: daemon.Clock,
 		Extra: func() map[string]uint64 { return merged(transportCounters(n.daemon), n.proxy.N.Map()) },
--- /dev/null
+++ b/config/memo.go
@@ -0,0 +1,96 @@
+package config
+
+// place is what no two routes may share.
+type place struct{ host, prefix string }
+
+// remembered are the routes that were read last, by what must not occur twice.
+type remembered struct {
+	round  uint64
+	items  []*Item
+	names  map[string]int
+	places map[place]int
+	twice  int
+}
+
+// Forget has all items read anew.
+func (m *Memo) Forget() {
+	m.routes = remembered{round: m.routes.round}
+	if m.last == nil {
+		return
+	}
+	for _, f := range m.last.Fields {
+		for _, it := range f.Items {
+			it.Route = nil
+		}
+	}
+}
+
+// Routes are those of a list's items; read is called for items that weren't read before. It gives up where one can't be read, or two
+// have the same name, or host and prefix.
+func (m *Memo) Routes(items []*Item, read func(raw []byte) (r Route, ok bool)) (routes []Route, ok bool) {
+	r := &m.routes
+	if r.names == nil {
+		r.names, r.places = map[string]int{}, map[place]int{}
+	}
+	old, round := r.items, r.round+1
+	r.round, r.items = round, nil
+	routes = make([]Route, 0, len(items))
+	var added []*Item
+	for _, it := range items {
+		if it.round == round {
+			return nil, m.giveUp()
+		}
+		if it.round != round-1 || it.Route == nil || old == nil {
+			added = append(added, it)
+		}
+		it.round = round
+		if it.Route == nil {
+			to, good := read(it.Raw)
+			if !good {
+				return nil, m.giveUp()
+			}
+			it.Route = &to
+		}
+		routes = append(routes, *it.Route)
+	}
+	for _, it := range old {
+		if it.round != round {
+			r.count(it, -1)
+		}
+	}
+	for _, it := range added {
+		r.count(it, 1)
+	}
+	if r.twice > 0 {
+		return nil, m.giveUp()
+	}
+	r.items = items
+	return routes, true
+}
+
+func (m *Memo) giveUp() (ok bool) {
+	m.routes = remembered{round: m.routes.round}
+	return false
+}
+
+func (r *remembered) count(it *Item, by int) {
+	r.twice += step(r.names, it.Route.Name, by) + step(r.places, place{host: it.Route.Host, prefix: it.Route.Prefix}, by)
+}
+
+// step counts a key up or down, and tells by how many keys more occur twice or oftener.
+func step[K comparable](counts map[K]int, key K, by int) (twice int) {
+	was := counts[key]
+	now := was + by
+	if now == 0 {
+		delete(counts, key)
+	} else {
+		counts[key] = now
+	}
+	switch {
+	case was < 2 && now >= 2:
+		return 1
+	case was >= 2 && now < 2:
+		return -1
+	}
+	return 0
+}
--- /dev/null
+++ b/order_test.go
@@ -0,0 +1,44 @@
+package mallowbridge
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/config"
+)
+
+// manyRoutes are 2,500, of which one differs by the mark.
+func manyRoutes(mark uint64) (p *config.Snapshot) {
+	p = &config.Snapshot{Mark: mark}
+	for i := range 20 {
+		p.Charter.Offers = append(p.Charter.Offers, config.Offer{Name: fmt.Sprint("o", i), Discovered: true, Queues: true})
+	}
+	for i := range 2500 {
+		r := config.Route{
+			Name: fmt.Sprintf("route-%06d", i), Host: fmt.Sprintf("host%d.example", i%40), Prefix: fmt.Sprintf("/area/%d/part/%d/", i%37, i*7919),
+			Split: []config.WeightedOffer{{Offer: fmt.Sprint("o", i%20), Weight: 1}}, Timeout: time.Second, Attempts: 2,
+		}
+		if i == 1250 {
+			r.Timeout += time.Duration(mark) * time.Millisecond
+		}
+		p.Charter.Routes = append(p.Charter.Routes, r)
+	}
+	return p
+}
+
+// A change of one route among 2,500, as the router takes it.
+func BenchmarkOrderManyRoutes(b *testing.B) {
+	r := New(Defaults("n", "b", "z"))
+	a, c := manyRoutes(1), manyRoutes(2)
+	mark := uint64(0)
+	for b.Loop() {
+		mark++
+		p := *a
+		if mark%2 == 0 {
+			p = *c
+		}
+		p.Mark = mark
+		r.Step(time.Duration(mark)*time.Millisecond, Order{Picture: &p})
+	}
+}
