--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -142,8 +142,17 @@
 			t.Fatalf("%d bytes are held", s.Held())
 		}
 	}
+	if s.Manifest(routes(500, 7)); s.Get(s.recent[0].names[0]) == nil {
+		t.Error("a chunk that two documents share is gone")
+	}
 	for i := range 3 {
 		s.Manifest(noise(uint64(100+i), 1000))
+		if body, err := s.Body(s.recent[0].manifest); err != nil || s.recent[len(s.recent)-1].manifest.Size != len(body) {
+			t.Errorf("a document in the store has lost chunks: %v", err)
+		}
+	}
+	for i := range 3 {
+		s.Manifest(noise(uint64(200+i), 1000))
 	}
 	sum := 0
 	for _, entry := range s.pieces {
@@ -154,57 +163,6 @@
 	}
 }
 
-func TestDeltaMakesTheDocument(t *testing.T) {
-	rng := rand.New(rand.NewPCG(3, 3))
-	body := routes(2500, -1)
-	index := NewIndex(nil)
-	for range 40 {
-		d, then := index.Difference(body)
-		next, err := d.Apply(index.body)
-		if err != nil || !bytes.Equal(next, body) {
-			t.Fatal(err)
-		}
-		index = then
-		body = slices.Clone(body)
-		for range 1 + rng.IntN(3) {
-			at, n := rng.IntN(len(body)), rng.IntN(2000)
-			switch rng.IntN(3) {
-			case 0:
-				body = slices.Insert(body, at, noise(rng.Uint64(), n)...)
-			case 1:
-				body = slices.Delete(body, at, min(at+n, len(body)))
-			case 2:
-				body = append(slices.Clone(body[at:]), body[:at]...)
-			}
-		}
-	}
-}
-
-func TestDeltaOfOneRouteIsSmall(t *testing.T) {
-	base := routes(2500, -1)
-	d, _ := NewIndex(base).Difference(routes(2500, 1250))
-	fresh := 0
-	for _, p := range d.Parts {
-		fresh += len(p.New)
-	}
-	if fresh > len(base)/20 {
-		t.Errorf("%d of %d bytes are new", fresh, len(base))
-	}
-}
-
-func TestDeltaOfAnotherBaseIsRefused(t *testing.T) {
-	base := routes(50, -1)
-	d, _ := NewIndex(base).Difference(routes(50, 7))
-	var bad *DeltaError
-	if _, err := d.Apply(routes(50, 8)); !errors.As(err, &bad) {
-		t.Errorf("another base: %v", err)
-	}
-	d.Parts = append(d.Parts, Part{From: len(base), Length: 1})
-	if _, err := d.Apply(base); !errors.As(err, &bad) {
-		t.Errorf("a part outside: %v", err)
-	}
-}
-
 // FuzzBody puts manifests of any bytes to a store that holds one document: the error is typed, and a body has the manifest's chunks.
 func FuzzBody(f *testing.F) {
 	document := routes(60, -1)
@@ -243,24 +201,3 @@
 		}
 	})
 }
-
-// FuzzDelta applies deltas of any parts: a typed error, or what the sum says.
-func FuzzDelta(f *testing.F) {
-	base := routes(60, -1)
-	f.Add(0, 100, 50, 20, []byte("new"), true)
-	f.Add(-1, 1<<40, 0, 0, []byte{}, false)
-	f.Fuzz(func(t *testing.T, from, length, second, most int, fresh []byte, right bool) {
-		d := Delta{Base: sum(base), Sum: sum(fresh), Parts: []Part{{From: from, Length: length}, {New: fresh}, {From: second, Length: most}}}
-		if right {
-			d.Parts = []Part{{New: fresh}}
-		}
-		next, err := d.Apply(base)
-		var bad *DeltaError
-		if err != nil && !errors.As(err, &bad) {
-			t.Fatalf("%T %v", err, err)
-		}
-		if err == nil && !bytes.Equal(sum(next), d.Sum) {
-			t.Fatal("another document")
-		}
-	})
-}
--- /dev/null
+++ b/chunk/delta_test.go
@@ -0,0 +1,81 @@
+package chunk
+
+import (
+	"bytes"
+	"errors"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+func TestDeltaMakesTheDocument(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 3))
+	body := routes(2500, -1)
+	index := NewIndex(nil)
+	for range 40 {
+		d, then := index.Difference(body)
+		next, err := d.Apply(index.body)
+		if err != nil || !bytes.Equal(next, body) {
+			t.Fatal(err)
+		}
+		index = then
+		body = slices.Clone(body)
+		for range 1 + rng.IntN(3) {
+			at, n := rng.IntN(len(body)), rng.IntN(2000)
+			switch rng.IntN(3) {
+			case 0:
+				body = slices.Insert(body, at, noise(rng.Uint64(), n)...)
+			case 1:
+				body = slices.Delete(body, at, min(at+n, len(body)))
+			case 2:
+				body = append(slices.Clone(body[at:]), body[:at]...)
+			}
+		}
+	}
+}
+
+func TestDeltaOfOneRouteIsSmall(t *testing.T) {
+	base := routes(2500, -1)
+	d, _ := NewIndex(base).Difference(routes(2500, 1250))
+	fresh := 0
+	for _, p := range d.Parts {
+		fresh += len(p.New)
+	}
+	if fresh > len(base)/20 {
+		t.Errorf("%d of %d bytes are new", fresh, len(base))
+	}
+}
+
+func TestDeltaOfAnotherBaseIsRefused(t *testing.T) {
+	base := routes(50, -1)
+	d, _ := NewIndex(base).Difference(routes(50, 7))
+	var bad *DeltaError
+	if _, err := d.Apply(routes(50, 8)); !errors.As(err, &bad) {
+		t.Errorf("another base: %v", err)
+	}
+	d.Parts = append(d.Parts, Part{From: len(base), Length: 1})
+	if _, err := d.Apply(base); !errors.As(err, &bad) {
+		t.Errorf("a part outside: %v", err)
+	}
+}
+
+// FuzzDelta applies deltas of any parts: a typed error, or what the sum says.
+func FuzzDelta(f *testing.F) {
+	base := routes(60, -1)
+	f.Add(0, 100, 50, 20, []byte("new"), true)
+	f.Add(-1, 1<<40, 0, 0, []byte{}, false)
+	f.Fuzz(func(t *testing.T, from, length, second, most int, fresh []byte, right bool) {
+		d := Delta{Base: sum(base), Sum: sum(fresh), Parts: []Part{{From: from, Length: length}, {New: fresh}, {From: second, Length: most}}}
+		if right {
+			d.Parts = []Part{{New: fresh}}
+		}
+		next, err := d.Apply(base)
+		var bad *DeltaError
+		if err != nil && !errors.As(err, &bad) {
+			t.Fatalf("%T %v", err, err)
+		}
+		if err == nil && !bytes.Equal(sum(next), d.Sum) {
+			t.Fatal("another document")
+		}
+	})
+}
--- /dev/null
+++ b/control/fetch.go
@@ -0,0 +1,183 @@
+package control
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/chunk"
+	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+const (
+	// pullMost is how many chunks are asked for at once, and pieceBytes how many bytes of them one message carries, so that pings
+	// wait behind no more.
+	pullMost   = 96
+	pieceBytes = 64 << 10
+	// pullFew segments are asked of who announced them if it is near; more are asked of the nearest machine with a disk first.
+	pullFew = 2
+	// pullAgain is how long an answer may stay away before the next holder is asked.
+	pullAgain = 400 * time.Millisecond
+	// fetchFor and fetchMost bound how long messages wait for chunks, and for how many documents.
+	fetchFor    = 4 * time.Second
+	fetchMost   = 16
+	waitingMost = 32
+)
+
+// fetch is a document whose chunks are being fetched, and the messages that wait for it.
+type fetch struct {
+	manifest *chunk.Manifest
+	waiting  []Received
+	sources  []string
+	at       int
+	left     int
+	born     time.Duration
+	moved    time.Duration
+}
+
+func (n *Node) fetch(now time.Duration, r Received, parts *chunk.Manifest, missing []chunk.Name) {
+	d := &n.documents
+	at := slices.IndexFunc(d.fetches, func(f *fetch) bool { return f.manifest.Same(parts) })
+	if at < 0 {
+		if len(d.fetches) >= fetchMost {
+			d.fetches = d.fetches[1:]
+		}
+		d.fetches = append(d.fetches, &fetch{manifest: parts, left: len(missing), born: now, moved: now})
+		at = len(d.fetches) - 1
+	}
+	f := d.fetches[at]
+	if len(f.waiting) < waitingMost {
+		f.waiting = append(f.waiting, r)
+	}
+	for _, source := range n.sources(r, len(missing)) {
+		if !slices.Contains(f.sources, source) {
+			f.sources = append(f.sources, source)
+		}
+	}
+	n.pull(now, f, missing)
+}
+
+// sources are who may have the chunks of a message, in the order in which they are asked. The sender has them; where it is far, or
+// they are many, a near machine with a disk may have them by its vote.
+func (n *Node) sources(r Received, missing int) (addrs []string) {
+	_, told := r.Msg.(gossip.Update)
+	if !told || (missing <= pullFew && n.near(r.From)) {
+		return []string{r.From}
+	}
+	for _, m := range n.Members.Table.All() {
+		if m.Disk != "" && m.Name != n.config.Name && m.Domain == n.config.Domain && m.State == membership.Alive && n.buildOf(m.Addr) >= chunksBuild {
+			addrs = append(addrs, m.Addr)
+		}
+	}
+	return append(addrs, r.From)
+}
+
+// pull asks the fetch's current source for what is missing and not on its way.
+func (n *Node) pull(now time.Duration, f *fetch, missing []chunk.Name) {
+	var names []byte
+	for _, name := range missing {
+		since, flying := n.documents.flying[name]
+		if flying && now-since < pullAgain {
+			continue
+		}
+		n.documents.flying[name] = now
+		names = append(names, name[:]...)
+		if len(names) >= pullMost*chunk.NameBytes {
+			break
+		}
+	}
+	if len(names) > 0 {
+		n.send(f.sources[f.at], ChunkPull{Names: names})
+	}
+}
+
+func (n *Node) onChunkPull(from string, m ChunkPull) {
+	for _, v := range []*register.Value{n.value, n.acceptedValue()} {
+		if v != nil {
+			n.documents.store.Manifest(v.Body)
+		}
+	}
+	var answer ChunkData
+	bytes := 0
+	for names := m.Names; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
+		piece := n.documents.store.Get(chunk.Name(names))
+		if piece == nil {
+			answer.Lacks = append(answer.Lacks, names[:chunk.NameBytes]...)
+			continue
+		}
+		answer.Pieces = append(answer.Pieces, piece)
+		if bytes += len(piece); bytes >= pieceBytes {
+			n.send(from, answer)
+			answer, bytes = ChunkData{}, 0
+		}
+	}
+	if len(answer.Pieces)+len(answer.Lacks) > 0 {
+		n.send(from, answer)
+	}
+}
+
+func (n *Node) acceptedValue() (v *register.Value) {
+	if n.acceptor == nil {
+		return nil
+	}
+	return n.acceptor.Value
+}
+
+func (n *Node) onChunkData(now time.Duration, from string, m ChunkData) {
+	for _, piece := range m.Pieces {
+		delete(n.documents.flying, chunk.NameOf(piece))
+		n.documents.store.Put(piece)
+	}
+	lacks := map[chunk.Name]bool{}
+	for names := m.Lacks; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
+		lacks[chunk.Name(names)] = true
+		delete(n.documents.flying, chunk.Name(names))
+	}
+	n.advance(now, func(f *fetch, missing []chunk.Name) (more bool) {
+		if len(missing) < f.left {
+			f.left, f.moved = len(missing), now
+		}
+		if f.sources[f.at] == from && slices.ContainsFunc(missing, func(name chunk.Name) bool { return lacks[name] }) {
+			f.at++
+		}
+		return f.at < len(f.sources)
+	})
+}
+
+// tickFetches turns to the next holder where an answer stays away, and gives up what nobody brought in time.
+func (n *Node) tickFetches(now time.Duration) {
+	n.advance(now, func(f *fetch, _ []chunk.Name) (more bool) {
+		if now-f.moved >= pullAgain {
+			f.at, f.moved = (f.at+1)%len(f.sources), now
+		}
+		return now-f.born < fetchFor
+	})
+	for name, since := range n.documents.flying {
+		if now-since >= fetchFor {
+			delete(n.documents.flying, name)
+		}
+	}
+}
+
+// advance hands on the messages whose documents are whole, and asks for more of the others where go on says so.
+func (n *Node) advance(now time.Duration, goOn func(f *fetch, missing []chunk.Name) (more bool)) {
+	fetches := n.documents.fetches
+	n.documents.fetches = nil
+	var ready []Received
+	for _, f := range fetches {
+		_, err := n.documents.store.Body(f.manifest)
+		var missing *chunk.MissingError
+		switch {
+		case err == nil:
+			ready = append(ready, f.waiting...)
+		case errors.As(err, &missing) && goOn(f, missing.Names):
+			n.documents.fetches = append(n.documents.fetches, f)
+			n.pull(now, f, missing.Names)
+		}
+	}
+	for _, r := range ready {
+		n.recv(now, r)
+	}
+}
--- /dev/null
+++ b/control/journalparts_test.go
@@ -0,0 +1,197 @@
+package control_test
+
+import (
+	"bytes"
+	"encoding/gob"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/storage"
+)
+
+var texts = map[int][]byte{}
+
+// text is a document of 60 KB, of which one line differs by the number; each eighth has nothing of the others.
+func text(number int) (raw []byte) {
+	if raw = texts[number]; raw != nil {
+		return raw
+	}
+	defer func() { texts[number] = raw }()
+	if number%8 == 0 {
+		raw = make([]byte, 600<<10)
+		_, _ = rand.NewChaCha8([32]byte{byte(number)}).Read(raw)
+		return raw
+	}
+	var b bytes.Buffer
+	for i := range 1000 {
+		if i == number*61%1000 {
+			fmt.Fprintf(&b, "changed by %d,", number)
+		}
+		fmt.Fprintf(&b, `{"line":%d,"part":"of the document %d"},`, i, i*i)
+	}
+	return b.Bytes()
+}
+
+func accepted(number int) (ws []control.LogWrite) {
+	ballot := register.Ballot{N: uint64(number), By: "p"}
+	v := &register.Value{Mark: uint64(number), Body: text(number)}
+	return []control.LogWrite{{Ticket: 1, Entry: control.Promised{Ballot: ballot}}, {Ticket: 2, Entry: control.AcceptedEntry{Ballot: ballot, Value: v}}}
+}
+
+// opened reads the disk and returns the number of the document that was accepted last.
+func opened(t *testing.T, d *sim.Disk) (k *control.Journal, number int) {
+	t.Helper()
+	k, err := control.OpenJournal(d, "disk")
+	if err != nil {
+		t.Fatal(err)
+	}
+	v := k.State().Pact.Value
+	if v == nil {
+		return k, 0
+	}
+	if !bytes.Equal(v.Body, text(int(v.Mark))) {
+		t.Fatalf("document %d is another after a restart", v.Mark)
+	}
+	if v.Parts != nil {
+		t.Error("a manifest comes from the disk")
+	}
+	return k, int(v.Mark)
+}
+
+// Power goes at each write in turn: what was written whole before is there, chunks and vote together.
+func TestPowerIsLostAtEachWrite(t *testing.T) {
+	const changes = 20
+	turned := false
+	for cut := 1; cut < 2*changes+20; cut++ {
+		d := sim.NewDisk(uint64(cut))
+		k, _ := opened(t, d)
+		d.CutAt = d.Writes + cut
+		kept := 0
+		for i := 1; i <= changes; i++ {
+			if k.Append(accepted(i)) != nil {
+				break
+			}
+			kept = i
+		}
+		d.PowerCut()
+		k, number := opened(t, d)
+		if number < kept || number > kept+1 {
+			t.Fatalf("cut at write %d: document %d is there, %d was acknowledged", cut, number, kept)
+		}
+		if err := k.Append(accepted(changes + 1)); err != nil {
+			t.Fatal(err)
+		}
+		if _, number = opened(t, d); number != changes+1 {
+			t.Fatalf("cut at write %d: document %d after another change", cut, number)
+		}
+		turned = turned || d.Size("slot0") > 0 && d.Size("slot1") > 0
+	}
+	if !turned {
+		t.Error("the log never turned: the test proves little")
+	}
+}
+
+func TestFullDiskLosesNothingThatWasAcknowledged(t *testing.T) {
+	d := sim.NewDisk(1)
+	k, _ := opened(t, d)
+	for i := 1; i <= 5; i++ {
+		if err := k.Append(accepted(i)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	d.Full = true
+	var broken *storage.BrokenError
+	if err := k.Append(accepted(6)); !errors.As(err, &broken) {
+		t.Fatalf("a full disk says %v", err)
+	}
+	if err := k.Append(accepted(7)); !errors.As(err, &broken) {
+		t.Fatalf("a disk that broke down says %v", err)
+	}
+	d.Full = false
+	if err := k.Recover(); err != nil {
+		t.Fatal(err)
+	}
+	if err := k.Append(accepted(8)); err != nil {
+		t.Fatal(err)
+	}
+	if _, number := opened(t, d); number != 8 {
+		t.Errorf("document %d is there", number)
+	}
+}
+
+// The log grows by what changes, and the disk stays within a few times the document.
+func TestDiskHoldsWhatChanges(t *testing.T) {
+	d := sim.NewDisk(1)
+	k, _ := opened(t, d)
+	size := func() (bytes int) {
+		for _, name := range []string{"slot0", "slot1", "log0", "log1"} {
+			bytes += d.Size(name)
+		}
+		return bytes
+	}
+	if err := k.Append(accepted(1)); err != nil {
+		t.Fatal(err)
+	}
+	before := size()
+	if err := k.Append(accepted(2)); err != nil {
+		t.Fatal(err)
+	}
+	if grown := size() - before; grown > len(text(1))/4 {
+		t.Errorf("a change of one line writes %d bytes", grown)
+	}
+	most := 0
+	for i := 3; i < 1000; i++ {
+		if err := k.Append(accepted(i)); err != nil {
+			t.Fatal(err)
+		}
+		most = max(most, size())
+	}
+	if most > 3<<20 {
+		t.Errorf("%d bytes on disk", most)
+	}
+	if _, number := opened(t, d); number != 999 {
+		t.Errorf("document %d is there", number)
+	}
+}
+
+// The entries that the build before wrote hold whole documents.
+func TestDiskOfTheBuildBeforeIsRead(t *testing.T) {
+	type oldEntry struct {
+		Promised *control.Promised
+		Accepted *control.AcceptedEntry
+		Granted  *control.Granted
+	}
+	d := sim.NewDisk(1)
+	if _, number := opened(t, d); number != 0 {
+		t.Fatal("not empty")
+	}
+	s, _, _, err := storage.Open(d, 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := 1; i <= 3; i++ {
+		var b bytes.Buffer
+		e := oldEntry{Accepted: &control.AcceptedEntry{Ballot: register.Ballot{N: uint64(i)}, Value: &register.Value{Mark: uint64(i), Body: text(i)}}}
+		if err = gob.NewEncoder(&b).Encode(e); err != nil {
+			t.Fatal(err)
+		}
+		if err = s.Append([][]byte{b.Bytes()}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	k, number := opened(t, d)
+	if number != 3 {
+		t.Fatalf("document %d is there", number)
+	}
+	if err = k.Append(accepted(4)); err != nil {
+		t.Fatal(err)
+	}
+	if _, number = opened(t, d); number != 4 {
+		t.Errorf("document %d is there", number)
+	}
+}
