--- /dev/null
+++ b/gossip/digest.go
@@ -0,0 +1,39 @@
+package gossip
+
+// OnChecksum answers a checksum that differs with this store's digest.
+func (s *Store) OnChecksum(from string, m Checksum) (sends []Send) {
+	if m.Hash == s.hash && m.N == s.durable {
+		return nil
+	}
+	return []Send{{To: from, Msg: s.Digest(true)}}
+}
+
+// OnDigest sends what is newer here and asks for what is newer there.
+func (s *Store) OnDigest(from string, m Digest) (sends []Send) {
+	theirs := map[string]Version{}
+	var want []string
+	for _, km := range m.Marks {
+		theirs[km.Key] = km.Mark
+		if it, ok := s.items[km.Key]; !ok || it.Mark.Less(km.Mark) {
+			want = append(want, km.Key)
+		}
+	}
+	var ahead []string
+	for _, k := range s.keys() {
+		if t, ok := theirs[k]; !ok || t.Less(s.items[k].Mark) {
+			ahead = append(ahead, k)
+		}
+	}
+	if len(ahead) > 0 || m.Reply {
+		sends = append(sends, Send{To: from, Msg: s.Update(ahead)})
+	}
+	if len(want) > 0 {
+		sends = append(sends, Send{To: from, Msg: Pull{Keys: want}})
+	}
+	return sends
+}
+
+// OnPull sends what was asked for.
+func (s *Store) OnPull(from string, m Pull) (sends []Send) {
+	return []Send{{To: from, Msg: s.Update(m.Keys)}}
+}
--- a/gossip/push.go
+++ b/gossip/push.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Tell names news that is too large to be sent unasked.
+// Announcement names items that are too large to be sent unasked; who lacks one pulls it.
 type Announcement struct{ Marks []KeyVersion }
 
 type sized interface{ Size() (bytes int) }
@@ -82,6 +82,7 @@
 	return sends
 }
 
+// OnAnnouncement pulls what is newer than here, unless it was asked for a moment ago.
 func (s *Store) OnAnnouncement(now time.Duration, from string, m Announcement) (sends []Send) {
 	var want []string
 	for _, km := range m.Marks {
@@ -100,6 +101,7 @@
 	return []Send{{To: from, Msg: Pull{Keys: want}}}
 }
 
+// Tick pushes new items and compares checksums, when it is time for either.
 func (s *Store) Tick(now time.Duration, peers []Peer) (sends []Send) {
 	if len(s.pending) > 0 && now-s.pushed >= s.cfg.Push {
 		s.pushed = now
@@ -117,6 +119,7 @@
 	return sends
 }
 
+// PushNow pushes new items without waiting for the next round.
 func (s *Store) PushNow(peers []Peer) (sends []Send) {
 	if len(s.pending) == 0 {
 		return nil
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -9,47 +9,59 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// Version orders the versions of an item, by Hi and then Lo.
 type Version struct{ Hi, Lo uint64 }
 
+// Less tells whether m comes before o.
 func (m Version) Less(o Version) (yes bool) {
 	return m.Hi < o.Hi || (m.Hi == o.Hi && m.Lo < o.Lo)
 }
 
+// Item is one version of the data under a key.
 type Item struct {
 	Key  string
 	Mark Version
 	Data any
 }
 
+// KeyVersion names one version of an item.
 type KeyVersion struct {
 	Key  string
 	Mark Version
 }
 
+// Update brings items.
 type Update struct{ Items []Item }
 
+// Checksum is a hash over all durable items and their number; equal ones mean equal stores.
 type Checksum struct {
 	Hash uint64
 	N    int
 }
 
+// Digest lists the versions of all durable items. Reply asks for an Update even where it would be empty.
 type Digest struct {
 	Marks []KeyVersion
 	Reply bool
 }
 
+// Pull asks for items by key.
 type Pull struct{ Keys []string }
 
+// Peer is a node to talk to; Near ones are of the same failure domain.
 type Peer struct {
 	Name, Addr, Domain string
 	Near               bool
 }
 
+// Send is a message for the address To.
 type Send struct {
 	To  string
 	Msg any
 }
 
+// Config sets the pace: a push every Push to Near peers of the same domain and Far others, so many Rounds for each item; a checksum to
+// one near peer every DigestNear and to one far peer every DigestFar.
 type Config struct {
 	Push       time.Duration
 	Near       int
@@ -59,6 +71,7 @@
 	DigestFar  time.Duration
 }
 
+// Defaults is the configuration that nodes run with.
 func Defaults() (c Config) {
 	return Config{Push: 100 * time.Millisecond, Near: 2, Far: 1, Rounds: 2, DigestNear: time.Second, DigestFar: 2 * time.Second}
 }
@@ -77,7 +90,7 @@
 	far   reach
 }
 
-// fleeting news is soon replaced and of no use when old: it is pushed, and digests leave it out, which otherwise never agreed.
+// ephemeral items are soon replaced and of no use when old: they are pushed, and digests leave them out, which otherwise never agreed.
 type ephemeral interface{ Ephemeral() (yes bool) }
 
 func (it Item) ephemeral() (yes bool) {
@@ -85,9 +98,11 @@
 	return ok && f.Ephemeral()
 }
 
-// passing news is soon replaced and told once.
+// sentOnce items are soon replaced and pushed in one round only.
 type sentOnce interface{ SentOnce() (yes bool) }
 
+// Store holds the newest version of each item, and what is still to be pushed. Fresh and Stale count items that were taken, and that
+// were no newer. It is a pure state machine.
 type Store struct {
 	cfg      Config
 	rng      *rand.Rand
@@ -102,6 +117,7 @@
 	Stale    uint64
 }
 
+// New makes an empty store; the seed is for the choice of peers.
 func New(cfg Config, seed uint64) (s *Store) {
 	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, asked: map[string]asked{}}
 }
@@ -116,8 +132,10 @@
 	return d.Sum64()
 }
 
+// Put takes an item of this node, and tells whether it is newer; it goes to one peer of every other domain.
 func (s *Store) Put(it Item) (fresh bool) { return s.hold(it, eachDomain) }
 
+// Merge takes an item of a peer, and tells whether it is newer. What a near peer sent goes to one far peer too.
 func (s *Store) Merge(it Item, near bool) (fresh bool) {
 	if near {
 		return s.hold(it, oneFar)
@@ -149,11 +167,13 @@
 	return true
 }
 
+// Get returns the item under a key.
 func (s *Store) Get(key string) (it Item, ok bool) {
 	it, ok = s.items[key]
 	return it, ok
 }
 
+// Len is the number of items.
 func (s *Store) Len() (n int) { return len(s.items) }
 
 func (s *Store) keys() (keys []string) {
@@ -166,6 +186,7 @@
 	return keys
 }
 
+// Digest is that of this store.
 func (s *Store) Digest(reply bool) (m Digest) {
 	m.Reply = reply
 	for _, k := range s.keys() {
@@ -174,6 +195,7 @@
 	return m
 }
 
+// Update brings the items under the keys, as far as they are here.
 func (s *Store) Update(keys []string) (n Update) {
 	for _, k := range keys {
 		if it, ok := s.items[k]; ok {
@@ -183,41 +205,6 @@
 	return n
 }
 
-func (s *Store) OnChecksum(from string, m Checksum) (sends []Send) {
-	if m.Hash == s.hash && m.N == s.durable {
-		return nil
-	}
-	return []Send{{To: from, Msg: s.Digest(true)}}
-}
-
-func (s *Store) OnDigest(from string, m Digest) (sends []Send) {
-	theirs := map[string]Version{}
-	var want []string
-	for _, km := range m.Marks {
-		theirs[km.Key] = km.Mark
-		if it, ok := s.items[km.Key]; !ok || it.Mark.Less(km.Mark) {
-			want = append(want, km.Key)
-		}
-	}
-	var ahead []string
-	for _, k := range s.keys() {
-		if t, ok := theirs[k]; !ok || t.Less(s.items[k].Mark) {
-			ahead = append(ahead, k)
-		}
-	}
-	if len(ahead) > 0 || m.Reply {
-		sends = append(sends, Send{To: from, Msg: s.Update(ahead)})
-	}
-	if len(want) > 0 {
-		sends = append(sends, Send{To: from, Msg: Pull{Keys: want}})
-	}
-	return sends
-}
-
-func (s *Store) OnPull(from string, m Pull) (sends []Send) {
-	return []Send{{To: from, Msg: s.Update(m.Keys)}}
-}
-
 func (s *Store) pick(peers []Peer, near bool, n int) (to []Peer) {
 	for _, p := range peers {
 		if p.Near == near {
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -22,20 +23,40 @@
 	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Mark: gossip.Version{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
 }
 
-// foreign tells whether this node's build would fail to read the message, and lose its connection by it.
+// foreign tells whether this node's build would fail to read the message, or to make sense of it.
 func (n *Node) foreign(msg any) (yes bool) {
-	if n.build > transport.Build {
+	build := n.speaks()
+	switch m := msg.(type) {
+	case register.Promise:
+		return manifest(m.Value) && build < manifestsBuild
+	case register.Accept:
+		return manifest(m.Value) && build < manifestsBuild
+	case gossip.Update:
+		for _, it := range m.Items {
+			v, _ := it.Data.(*register.Value)
+			if unknown(it.Data, build) || manifest(v) && build < manifestsBuild {
+				return true
+			}
+		}
 		return false
 	}
-	news, ok := msg.(gossip.Update)
-	if !ok {
-		_, yes = msg.(Novelty)
-		return yes
-	}
-	for _, it := range news.Items {
-		if _, ok := it.Data.(Novelty); ok {
-			return true
-		}
+	return unknown(msg, build)
+}
+
+// speaks is the build that the node says it is.
+func (n *Node) speaks() (build uint32) {
+	if n.build == 0 {
+		return transport.Build
 	}
-	return false
+	return n.build
+}
+
+// manifestsBuild is the first build that reads manifests of documents.
+const manifestsBuild = 3
+
+func manifest(v *register.Value) (yes bool) { return v != nil && v.Parts != nil }
+
+func unknown(kind any, build uint32) (yes bool) {
+	later, is := kind.(interface{ Since() (build uint32) })
+	return is && later.Since() > build
 }
--- a/sim/days.go
+++ b/sim/days.go
@@ -18,6 +18,8 @@
 	Loss  float64
 	// Traffic is the share of the site's traffic, all of it for 0.
 	Traffic float64
+	// Older has every other node be of the build before.
+	Older bool
 }
 
 const dayLasts = 32 * sec
@@ -27,7 +29,7 @@
 	if d.Traffic > 0 {
 		spec = spec.scaled(d.Traffic)
 	}
-	s = Scenario{Seed: seed, Site: &spec, Lasts: dayLasts, Loss: d.Loss}
+	s = Scenario{Seed: seed, Site: &spec, Lasts: dayLasts, Loss: d.Loss, Older: d.Older}
 	if d.Lasts > 0 {
 		s.Lasts = d.Lasts
 	}
--- a/sim/node.go
+++ b/sim/node.go
@@ -59,6 +59,9 @@
 	if w.S.Builds && i%2 == 0 {
 		n.build = transport.Build + 1
 	}
+	if w.S.Older && i%2 == 1 {
+		n.build = transport.Build - 1
+	}
 	if s.Disk {
 		n.Disk = NewDisk(w.S.Seed*100 + uint64(i))
 	}
--- a/sim/nodedays.go
+++ b/sim/nodedays.go
@@ -88,6 +88,10 @@
 		{Name: "configurations in quick succession", Least: 0.98, Faults: fixedDay(one(PutStorm, 12*sec, 8*sec))},
 		{Name: "operators race", Least: 0.98, Faults: fixedDay(one(Race, 12*sec, 0))},
 		{Name: "flawed configurations", Least: 0.98, Faults: fixedDay(one(BadPuts, 12*sec, 0), one(Change, 14*sec, 0), one(BadPuts, 15*sec, 0))},
+		{Name: "configuration grows between builds", Lasts: 36 * sec, Older: true, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			return []Fault{one(LargePuts, 12*sec, 0), one(PutStorm, 14*sec, 12*sec), one(Power, 16*sec, 2*sec, disks(s)[rng.IntN(3)]),
+				one(FullDisk, 21*sec, 3*sec, some(rng, disks(s), 1)...), one(Kill, 24*sec, 2*sec, some(rng, nodeNames(s.Shape), 3)...), one(Race, 27*sec, 0)}
+		}},
 		{Name: "configuration grows", Least: 0.95, Faults: fixedDay(one(LargePuts, 12*sec, 0), one(PutStorm, 15*sec, 4*sec))},
 		{Name: "evacuation and back", Least: 0.9, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return []Fault{one(Empty, 12*sec, 8*sec, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))])}
--- a/sim/nodeout.go
+++ b/sim/nodeout.go
@@ -21,7 +21,7 @@
 		}
 		msgs, delays := w.Net.carry(n.Addr, s.To, n.Domain == to.Domain, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
-			w.after(delays[i], func() { to.step(control.Received{From: n.Addr, Msg: m}) })
+			w.after(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.speaks(), Msg: m}) })
 		}
 	}
 	if len(out.Writes) > 0 {
--- a/sim/world.go
+++ b/sim/world.go
@@ -24,9 +24,11 @@
 	RoundRob bool
 	Resend   bool
 	Builds   bool
-	Asks     []Ask
-	From     time.Duration
-	Tune     func(w *World)
+	// Older has every other node be of the build before.
+	Older bool
+	Asks  []Ask
+	From  time.Duration
+	Tune  func(w *World)
 	// Site is the platform that the nodes run on, if any; it takes the place of Shape, Charter, Load and Model.
 	Site *SiteSpec
 }
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -10,11 +10,13 @@
 	"github.com/gravitational/trace"
 )
 
+// Build is raised with the messages between nodes; neighbouring builds speak with each other. MaxFrame bounds a message in bytes.
 const (
 	Build    = 3
 	MaxFrame = 4 << 20
 )
 
+// Hello is the first message on each connection, of both sides. Role is "follower" for one that embeds a router.
 type Hello struct {
 	Build uint32
 	Name  string
@@ -22,22 +24,26 @@
 	Role  string
 }
 
+// TooLongError says that a frame is longer than MaxFrame, or empty.
 type TooLongError struct{ Bytes, Bound int }
 
 func (e *TooLongError) Error() (text string) {
 	return fmt.Sprintf("frame of %d bytes: must be 1 to %d", e.Bytes, e.Bound)
 }
 
+// UnreadableError says that a frame holds no message of a known kind.
 type UnreadableError struct{ Cause string }
 
 func (e *UnreadableError) Error() (text string) { return "frame cannot be read: " + e.Cause }
 
+// BuildError says that the builds of two nodes are too far apart.
 type BuildError struct{ Ours, Theirs uint32 }
 
 func (e *BuildError) Error() (text string) {
 	return fmt.Sprintf("build %d does not speak with build %d", e.Ours, e.Theirs)
 }
 
+// Speak returns a *BuildError unless the builds are the same or neighbours.
 func Speak(ours, theirs uint32) (err error) {
 	if theirs+1 < ours || theirs > ours+1 {
 		return trace.Wrap(&BuildError{Ours: ours, Theirs: theirs})
@@ -45,17 +51,20 @@
 	return nil
 }
 
+// Writer frames messages for one connection: types are described once.
 type Writer struct {
 	buf bytes.Buffer
 	enc *gob.Encoder
 }
 
+// NewWriter makes a writer for a new connection.
 func NewWriter() (w *Writer) {
 	w = &Writer{}
 	w.enc = gob.NewEncoder(&w.buf)
 	return w
 }
 
+// Frame encodes a message behind its length. Errors: *UnreadableError, *TooLongError.
 func (w *Writer) Frame(msg any) (frame []byte, err error) {
 	w.buf.Reset()
 	w.buf.Write([]byte{0, 0, 0, 0})
@@ -71,18 +80,21 @@
 	return frame, nil
 }
 
+// Reader reads the frames of one connection.
 type Reader struct {
 	src  io.Reader
 	body bytes.Buffer
 	dec  *gob.Decoder
 }
 
+// NewReader reads a new connection.
 func NewReader(src io.Reader) (r *Reader) {
 	r = &Reader{src: src}
 	r.dec = gob.NewDecoder(&r.body)
 	return r
 }
 
+// Next reads one message. Errors: *UnreadableError, *TooLongError, or the source's; after any of them nothing more can be read.
 func (r *Reader) Next() (msg any, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(r.src, head[:]); err != nil {
--- a/transport/net.go
+++ b/transport/net.go
@@ -21,10 +21,12 @@
 	maxInbound          = 1024
 )
 
+// Counters count messages sent, their bytes, messages dropped, connections closed over unreadable frames, and connection attempts.
 type Counters struct {
 	Sent, Bytes, Dropped, Unreadable, Dials atomic.Uint64
 }
 
+// Inbound is a message and who sent it.
 type Inbound struct {
 	Hello Hello
 	Msg   any
@@ -35,6 +37,8 @@
 	msg any
 }
 
+// Net sends messages to other nodes over one connection each way, and takes theirs in In. Nothing is kept for a peer that can't be
+// reached.
 type Net struct {
 	t       *tomb.Tomb
 	self    Hello
@@ -46,6 +50,8 @@
 	follow  func(c net.Conn, h Hello, r *Reader)
 }
 
+// Listen opens the port of self and serves until t dies. Connections of followers are handed to follow; fault hears of connections that
+// were closed over an error. Errors are those of the listener.
 func Listen(t *tomb.Tomb, self Hello, follow func(c net.Conn, h Hello, r *Reader), fault func(peer string, err error)) (n *Net, err error) {
 	lis, err := net.Listen("tcp", self.Addr)
 	if err != nil {
@@ -62,6 +68,7 @@
 	return n, nil
 }
 
+// Send queues a message, or drops it where the queue is full.
 func (n *Net) Send(to string, msg any) {
 	select {
 	case n.out <- envelope{to: to, msg: msg}:
@@ -149,7 +156,7 @@
 	return conn, w, nil
 }
 
-// unacknowledged bounds how long sent bytes may stay unacknowledged. A connection to a machine that lost power, or is cut off, would
+// setUserTimeout bounds how long sent bytes may stay unacknowledged. A connection to a machine that lost power, or is cut off, would
 // else live on, and when the machine is back take messages until TCP sends anew, which may be seconds later.
 func setUserTimeout(_, _ string, raw syscall.RawConn) (err error) {
 	ctlErr := raw.Control(func(fd uintptr) {
@@ -167,6 +174,7 @@
 	_ = conn.Close()
 }
 
+// Greet exchanges hellos on a new connection. Errors: *UnreadableError, *BuildError, or the connection's.
 func Greet(conn net.Conn, w *Writer, r *Reader, self Hello) (theirs Hello, err error) {
 	_ = conn.SetDeadline(time.Now().Add(writeFor))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
