--- a/control/chunks.go
+++ b/control/chunks.go
@@ -89,33 +89,23 @@
 		r.Msg = m
 	case gossip.Update:
 		r.Msg, ok = n.wholeItems(now, r.From, m)
-		if !ok {
-			n.mergeItems(now, r.From, r.Msg.(gossip.Update).Items)
-		}
 	default:
 		ok = true
 	}
 	return r, ok
 }
 
+// wholeItems takes the other items first: they may tell of nearer machines that have the chunks.
 func (n *Node) wholeItems(now time.Duration, from string, m gossip.Update) (whole gossip.Update, ok bool) {
-	ok = true
-	for _, it := range m.Items {
-		v, is := it.Data.(*register.Value)
-		if !is {
-			whole.Items = append(whole.Items, it)
-			continue
-		}
-		alone := Received{From: from, Msg: gossip.Update{Items: []gossip.Item{it}}}
-		v, here := n.whole(now, alone, v)
-		if !here {
-			ok = false
-			continue
-		}
-		it.Data = v
-		whole.Items = append(whole.Items, it)
+	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && v.Parts != nil })
+	if at < 0 {
+		return m, true
 	}
-	return whole, ok
+	it := m.Items[at]
+	n.mergeItems(now, from, slices.Concat(m.Items[:at], m.Items[at+1:]))
+	alone := Received{From: from, Msg: gossip.Update{Items: []gossip.Item{it}}}
+	it.Data, ok = n.whole(now, alone, it.Data.(*register.Value))
+	return gossip.Update{Items: []gossip.Item{it}}, ok
 }
 
 func (n *Node) whole(now time.Duration, r Received, v *register.Value) (same *register.Value, ok bool) {
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -165,3 +165,30 @@
 		}
 	}
 }
+
+// Machines without a disk start with nothing, and get the document from the machine with a disk in their zone.
+func TestRestartedNodesFetchInTheirZone(t *testing.T) {
+	l := newDiskLab(t, 36)
+	l.run(6 * time.Second)
+	whole := document(1, -1)
+	if a := l.put("n3", whole); a.Err != nil {
+		t.Fatal(a.Err)
+	}
+	l.obeyed(whole, applyWithin)
+	l.run(2 * time.Second)
+	m := l.meter()
+	for i := 4; i < 36; i++ {
+		l.down[fmt.Sprint("n", i)] = true
+	}
+	l.run(time.Second)
+	for i := 4; i < 36; i++ {
+		l.boot(fmt.Sprint("n", i), false)
+	}
+	l.run(time.Second)
+	l.obeyed(whole, 3*time.Second)
+	for _, zone := range []string{"0", "1", "2"} {
+		if m.into(zone) > len(whole)/4 {
+			t.Errorf("%d bytes came into zone %s for a document that a machine there has", m.into(zone), zone)
+		}
+	}
+}
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -71,6 +71,14 @@
 	}
 }
 
+// speaks is the build that a node says it is when it connects.
+func (l *lab) speaks(name string) (build uint32) {
+	if build = l.builds[name]; build > 0 {
+		return build
+	}
+	return transport.Build
+}
+
 // newDiskLab is a lab whose disks are journals.
 func newDiskLab(t *testing.T, size int) (l *lab) {
 	l = newLab(t, 0)
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -51,12 +51,25 @@
 	if len(f.waiting) < waitingMost {
 		f.waiting = append(f.waiting, r)
 	}
-	for _, source := range n.sources(r, len(missing)) {
-		if !slices.Contains(f.sources, source) {
-			f.sources = append(f.sources, source)
+	f.offer(n.sources(r, len(missing)))
+	n.pull(now, f, missing)
+}
+
+// offer puts holders that a later message names before those known, where it names another first.
+func (f *fetch) offer(sources []string) {
+	first, rest := sources, f.sources
+	if len(rest) > 0 && rest[0] == first[0] {
+		first, rest = rest, first
+	}
+	for _, source := range rest {
+		if !slices.Contains(first, source) {
+			first = append(first, source)
 		}
 	}
-	n.pull(now, f, missing)
+	if len(f.sources) == 0 || f.sources[0] != first[0] {
+		f.at = 0
+	}
+	f.sources = first
 }
 
 // sources are who may have the chunks of a message, in the order in which they are asked. The sender has them; where it is far, or
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -150,7 +150,7 @@
 					l.step(p.to, in)
 					continue
 				}
-				l.step(p.to, Received{From: p.from, Msg: p.msg})
+				l.step(p.to, Received{From: p.from, Build: l.speaks(p.from), Msg: p.msg})
 			}
 		}
 		if l.now%(50*time.Millisecond) == 0 {
--- a/control/news.go
+++ b/control/news.go
@@ -43,7 +43,9 @@
 		d.State = membership.State(it.Mark.Lo)
 		n.Members.Merge(now, d)
 	case *register.Value:
-		n.learnValue(now, d)
+		if d.Parts == nil {
+			n.learnValue(now, d)
+		}
 	case LoadReports:
 		n.onUsages(now, it.Mark, d)
 	case Listing:
