--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -160,7 +160,7 @@
 // named by the compiler and TestStateFieldsExist checks the fields, so that a rename cannot move state to Other unseen.
 var stateFields = map[reflect.Type]map[string]Mechanism{
 	reflect.TypeFor[control.Node](): {
-		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config,
+		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config, "documents": Config,
 		"where": Config, "grantor": Leases, "leases": Leases, "tasks": LoadGossip, "sights": Probes, "platformStates": ReplicaListings,
 		"replicaList": ReplicaListings, "witness": Witnesses, "routers": CapacityShares,
 	},
