--- a/config/config.go
+++ b/config/config.go
@@ -146,9 +146,9 @@
 	if err != nil {
 		return c, err
 	}
-	c.ReplaceVoter = ms(d, "replaceLostVoterMs", 0, 0, 86400000)
+	c.ReplaceVoter = readReplaceVoter(d)
 	offers, reps := map[string]bool{}, map[string]bool{}
-	for _, o := range d.List("offers", 1, maxOffers) {
+	for _, o := range d.List(offersField, 1, maxOffers) {
 		c.Offers = append(c.Offers, readOffer(o, offers, reps))
 	}
 	d.Close()
@@ -158,6 +158,10 @@
 	return c, nil
 }
 
+func readReplaceVoter(d *Decoder) (patience time.Duration) {
+	return ms(d, replaceField, 0, 0, 86400000)
+}
+
 func readOffer(d *Decoder, offers, reps map[string]bool) (o Offer) {
 	o.Name = unique(d, "name", offers)
 	o.Model = d.Str("model", true, maxName)
--- a/config/split.go
+++ b/config/split.go
@@ -7,10 +7,11 @@
 )
 
 // Item is one object of a list of a document. Documents that were split one after the other share items whose bytes are the same, so
-// what was read of an item need not be read again: Route is for whoever reads routes, and nil until then.
+// what was read of an item need not be read again: Route and Offer are for whoever reads such, and nil until then.
 type Item struct {
 	Raw   []byte
 	Route *Route
+	Offer *Offer
 	round uint64
 }
 
--- a/control/node.go
+++ b/control/node.go
@@ -23,7 +23,7 @@
 	Membership               membership.Config
 	Gossip                   gossip.Config
 
-	// Read reads and checks the operators' document; nil: charter.Read.
+	// Read reads and checks the operators' document; nil: that of the product's own documents.
 	Read config.Reader
 	// ListEvery is how often the platform's list of replicas is read; 0: there is none.
 	ListEvery time.Duration
@@ -101,7 +101,7 @@
 
 func New(now time.Duration, cfg Config) (n *Node) {
 	if cfg.Read == nil {
-		cfg.Read = config.Read
+		cfg.Read = (&config.Documents{}).Read
 	}
 	if cfg.Build == 0 {
 		cfg.Build = transport.Build
