--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -1,7 +1,9 @@
 package control_test
 
 import (
+	"bytes"
 	"fmt"
+	"math/rand/v2"
 	"testing"
 
 	"github.com/mallowbridge/mallowbridge/control"
@@ -35,7 +37,14 @@
 	}
 }
 
-// TestAJournalOverHundredsOfChangesKeepsThem writes values of some weight through many rotations, with a restart after each hundred.
+func noise(seed uint64) (raw []byte) {
+	raw = make([]byte, 64<<10)
+	_, _ = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)}).Read(raw)
+	return raw
+}
+
+// TestAJournalOverHundredsOfChangesKeepsThem writes values that have nothing in common through many rotations, with a restart after each
+// hundred.
 func TestAJournalOverHundredsOfChangesKeepsThem(t *testing.T) {
 	d := sim.NewDisk(2)
 	for life := range 5 {
@@ -43,12 +52,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if kept := k.State().Pact; life > 0 && (kept.Value == nil || kept.Value.Mark != uint64(100*life)) {
+		if kept := k.State().Pact; life > 0 && (kept.Value == nil || kept.Value.Mark != uint64(100*life) || !bytes.Equal(kept.Value.Body, noise(uint64(100*life)))) {
 			t.Fatalf("life %d: kept %+v", life, kept)
 		}
 		for i := range 100 {
 			mark := uint64(100*life + i + 1)
-			v := &register.Value{Mark: mark, Body: make([]byte, 64<<10)}
+			v := &register.Value{Mark: mark, Body: noise(mark)}
 			at := register.Ballot{N: mark, By: fmt.Sprint(life)}
 			if err = k.Append([]control.LogWrite{{Entry: control.Promised{Ballot: at}}, {Entry: control.AcceptedEntry{Ballot: at, Value: v}}}); err != nil {
 				t.Fatal(err)
--- a/daemon/frozen_test.go
+++ b/daemon/frozen_test.go
@@ -39,7 +39,7 @@
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
 	f := &gated{g: g}
 	routes := bunrouter.New()
-	platform.Routes(routes, f)
+	platform.Routes(routes, f, &platform.Reader{})
 	server := httptest.NewUnstartedServer(routes)
 	server.Config.ConnContext = g.ConnContext
 	server.Start()
