--- /dev/null
+++ b/chunk/fresh.go
@@ -0,0 +1,48 @@
+package chunk
+
+import "slices"
+
+// Fresh are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
+// aren't all in the store.
+func (s *Store) Fresh(m, base *Manifest, bytes int) (pieces [][]byte) {
+	if _, err := s.Body(base); err != nil {
+		return nil
+	}
+	had := map[Name]bool{}
+	for _, name := range s.open(base).all() {
+		had[name] = true
+	}
+	if _, err := s.Body(m); err != nil {
+		return nil
+	}
+	for _, name := range s.open(m).all() {
+		if had[name] {
+			continue
+		}
+		had[name] = true
+		piece := s.pieces[name].piece
+		if bytes -= len(piece); bytes < 0 {
+			return nil
+		}
+		pieces = append(pieces, piece)
+	}
+	return pieces
+}
+
+// all are the names of a document's segments and chunks.
+func (d *document) all() (names []Name) { return slices.Concat(d.segments, d.names) }
+
+// With takes pieces in as far as the document lacks them, and returns it as Body does.
+func (s *Store) With(m *Manifest, pieces [][]byte) (body []byte, err error) {
+	body, err = s.Body(m)
+	for range 2 {
+		if err == nil || len(pieces) == 0 {
+			return body, err
+		}
+		for _, piece := range pieces {
+			s.Put(piece)
+		}
+		body, err = s.Body(m)
+	}
+	return body, err
+}
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -17,6 +17,8 @@
 	keptDocuments = 32
 	keptBodies    = 3
 	keptBytes     = 8 << 20
+	// offeredBytes is the most that a proposal carries of a document besides its manifest.
+	offeredBytes = 64 << 10
 )
 
 // ChunkPull asks for chunks by name.
@@ -37,6 +39,7 @@
 // documents holds chunks, what is being fetched, and the builds of neighbours as they said themselves.
 type documents struct {
 	store   *chunk.Store
+	offered *register.Value
 	fetches []*fetch
 	flying  map[chunk.Name]time.Duration
 	builds  map[string]uint32
@@ -56,6 +59,24 @@
 	return same
 }
 
+// offered is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node obeys and that
+// isn't much.
+func (n *Node) offered(v *register.Value) (same *register.Value) {
+	same = n.thin(v)
+	if same == v {
+		return v
+	}
+	n.documents.offered = v
+	if n.value == nil || len(n.value.Body) == 0 {
+		return same
+	}
+	store := n.documents.store
+	parts := *same.Parts
+	parts.Fresh = store.Fresh(&parts, store.Manifest(n.value.Body), offeredBytes)
+	same.Parts = &parts
+	return same
+}
+
 // thinned is the message as a neighbour that reads manifests gets it.
 func (n *Node) thinned(msg any) (same any) {
 	switch m := msg.(type) {
@@ -63,7 +84,7 @@
 		m.Value = n.thin(m.Value)
 		return m
 	case register.Accept:
-		m.Value = n.thin(m.Value)
+		m.Value = n.offered(m.Value)
 		return m
 	case gossip.Update:
 		items := slices.Clone(m.Items)
@@ -112,7 +133,10 @@
 	if v == nil || v.Parts == nil {
 		return v, true
 	}
-	body, err := n.documents.store.Body(v.Parts)
+	parts := *v.Parts
+	fresh := parts.Fresh
+	parts.Fresh = nil
+	body, err := n.documents.store.With(&parts, fresh)
 	var missing *chunk.MissingError
 	switch {
 	case err == nil:
@@ -120,7 +144,7 @@
 		same.Body, same.Parts = body, nil
 		return same, true
 	case errors.As(err, &missing):
-		n.fetch(now, r, v.Parts, missing.Names)
+		n.fetch(now, r, &parts, missing.Names)
 	default:
 		n.change("document denied", err.Error())
 	}
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -101,3 +101,31 @@
 	}
 	l.obeyed(next, applyWithin)
 }
+
+// The machines with a disk are asked first; where they don't answer, or lack the pieces, the one that told of the document is.
+func TestNextHolderIsAskedInTurn(t *testing.T) {
+	for _, how := range []string{"silent", "lacking"} {
+		l := newLab(t, 18)
+		l.run(6 * time.Second)
+		asked := 0
+		l.sent = func(from, to string, msg any) (lost bool) {
+			pull, is := msg.(ChunkPull)
+			if !is || l.disks[to] == "" {
+				return false
+			}
+			asked++
+			if how == "lacking" {
+				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: to, to: from, msg: ChunkData{Lacks: pull.Names}})
+			}
+			return true
+		}
+		next := document(1, -1)
+		if a := l.put("n4", next); a.Err != nil {
+			t.Fatal(how, a.Err)
+		}
+		t.Logf("%s: in force after %v, disks asked %d times", how, l.obeyed(next, applyWithin), asked)
+		if asked == 0 {
+			t.Errorf("%s: the test proves nothing", how)
+		}
+	}
+}
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -107,7 +107,7 @@
 }
 
 func (n *Node) onChunkPull(from string, m ChunkPull) {
-	for _, v := range []*register.Value{n.value, n.acceptedValue()} {
+	for _, v := range []*register.Value{n.value, n.acceptedValue(), n.documents.offered} {
 		if v != nil {
 			n.documents.store.Manifest(v.Body)
 		}
