--- a/chunk/cut.go
+++ b/chunk/cut.go
@@ -9,6 +9,13 @@
 	mask    = uint64(1<<11-1) << (64 - 11)
 )
 
+// Sizes of fine chunks, for short lists that lose entries at the front and gain others at the end: 190 bytes on average.
+const (
+	fineMinimum = window
+	fineLargest = 512
+	fineMask    = uint64(1<<7-1) << (64 - 7)
+)
+
 // gear holds a pseudo-random number for each byte value (splitmix64). A change of it makes new boundaries, so that documents no longer
 // share chunks with those cut before; it makes nothing unreadable.
 var gear = func() (table [256]uint64) {
@@ -24,28 +31,33 @@
 
 // Cut divides a document at boundaries that depend on the bytes around them alone, so that a change moves only boundaries near it. The
 // chunks are parts of document, not copies.
-func Cut(document []byte) (chunks [][]byte) {
+func Cut(document []byte) (chunks [][]byte) { return cut(document, minimum, Largest, mask) }
+
+// CutFine is Cut with chunks of 512 bytes at most.
+func CutFine(list []byte) (chunks [][]byte) { return cut(list, fineMinimum, fineLargest, fineMask) }
+
+func cut(document []byte, least, most int, mask uint64) (chunks [][]byte) {
 	for len(document) > 0 {
-		end := boundary(document)
+		end := boundary(document, least, most, mask)
 		chunks = append(chunks, document[:end:end])
 		document = document[end:]
 	}
 	return chunks
 }
 
-func boundary(rest []byte) (end int) {
-	if len(rest) <= minimum {
+func boundary(rest []byte, least, most int, mask uint64) (end int) {
+	if len(rest) <= least {
 		return len(rest)
 	}
-	most := min(len(rest), Largest)
+	most = min(len(rest), most)
 	hash := uint64(0)
-	for _, b := range rest[minimum-window : minimum] {
+	for _, b := range rest[least-window : least] {
 		hash = hash<<1 + gear[b]
 	}
-	for at, b := range rest[minimum:most] {
+	for at, b := range rest[least:most] {
 		hash = hash<<1 + gear[b]
 		if hash&mask == 0 {
-			return minimum + at + 1
+			return least + at + 1
 		}
 	}
 	return most
--- a/chunk/store.go
+++ b/chunk/store.go
@@ -52,7 +52,12 @@
 }
 
 // Manifest takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
-func (s *Store) Manifest(body []byte) (m *Manifest) {
+func (s *Store) Manifest(body []byte) (m *Manifest) { return s.manifest(body, Cut) }
+
+// FineManifest is Manifest for a short list, in fine chunks.
+func (s *Store) FineManifest(list []byte) (m *Manifest) { return s.manifest(list, CutFine) }
+
+func (s *Store) manifest(body []byte, cut func(document []byte) (chunks [][]byte)) (m *Manifest) {
 	if len(body) == 0 {
 		return &Manifest{}
 	}
@@ -62,7 +67,7 @@
 			return d.manifest
 		}
 	}
-	chunks := Cut(body)
+	chunks := cut(body)
 	joined := make([]byte, 0, len(chunks)*NameBytes)
 	for _, piece := range chunks {
 		name := NameOf(piece)
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -14,8 +14,8 @@
 	// chunksBuild is the first build that reads manifests.
 	chunksBuild = 3
 	// keptDocuments, keptBodies and keptBytes bound the documents, whole documents and bytes of chunks that a node holds for others.
-	keptDocuments = 32
-	keptBodies    = 3
+	keptDocuments = 64
+	keptBodies    = 6
 	keptBytes     = 8 << 20
 	// offeredBytes is the most that a proposal carries of a document besides its manifest.
 	offeredBytes = 64 << 10
@@ -49,16 +49,33 @@
 	return documents{store: chunk.NewStore(keptDocuments, keptBodies, keptBytes), flying: map[chunk.Name]time.Duration{}, builds: map[string]uint32{}}
 }
 
-// thin puts the manifest in place of a large document.
+// thin puts manifests in place of a large document and a large memory of orders.
 func (n *Node) thin(v *register.Value) (same *register.Value) {
-	if v == nil || len(v.Body) <= register.WholeBytes {
+	if v == nil {
+		return nil
+	}
+	body, memory := len(v.Body) > register.WholeBytes, len(v.Edits)+len(v.Recent) > register.WholeMemory
+	if !body && !memory {
 		return v
 	}
 	same = v.Clone()
-	same.Body, same.Parts = nil, n.documents.store.Manifest(v.Body)
+	if body {
+		same.Body, same.Parts = nil, n.documents.store.Manifest(v.Body)
+	}
+	if memory {
+		same.Edits, same.Recent, same.Orders = nil, nil, n.documents.store.FineManifest(v.Memory())
+	}
 	return same
 }
 
+// own takes the documents of a value into the store, unless they are there.
+func (n *Node) own(v *register.Value) {
+	if v != nil {
+		n.documents.store.Manifest(v.Body)
+		n.documents.store.FineManifest(v.Memory())
+	}
+}
+
 // offered is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node obeys and that
 // isn't much.
 func (n *Node) offered(v *register.Value) (same *register.Value) {
@@ -67,16 +84,23 @@
 		return v
 	}
 	n.documents.offered = v
-	if n.value == nil || len(n.value.Body) == 0 {
+	if n.value == nil {
 		return same
 	}
 	store := n.documents.store
-	parts := *same.Parts
-	parts.Fresh = store.Fresh(&parts, store.Manifest(n.value.Body), offeredBytes)
-	same.Parts = &parts
+	if same.Parts != nil && len(n.value.Body) > 0 {
+		same.Parts = n.withFresh(same.Parts, store.Manifest(n.value.Body))
+	}
+	if same.Orders != nil {
+		same.Orders = n.withFresh(same.Orders, store.FineManifest(n.value.Memory()))
+	}
 	return same
 }
 
+func (n *Node) withFresh(m, base *chunk.Manifest) (same *chunk.Manifest) {
+	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.Fresh(m, base, offeredBytes)}
+}
+
 // thinned is the message as a neighbour that reads manifests gets it.
 func (n *Node) thinned(msg any) (same any) {
 	switch m := msg.(type) {
@@ -118,7 +142,7 @@
 
 // wholeItems takes the other items first: they may tell of nearer machines that have the chunks.
 func (n *Node) wholeItems(now time.Duration, from string, m gossip.Update) (whole gossip.Update, ok bool) {
-	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && v.Parts != nil })
+	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && !v.Whole() })
 	if at < 0 {
 		return m, true
 	}
@@ -130,21 +154,39 @@
 }
 
 func (n *Node) whole(now time.Duration, r Received, v *register.Value) (same *register.Value, ok bool) {
-	if v == nil || v.Parts == nil {
+	if v == nil || v.Whole() {
 		return v, true
 	}
-	parts := *v.Parts
-	fresh := parts.Fresh
-	parts.Fresh = nil
-	body, err := n.documents.store.With(&parts, fresh)
+	same = v.Clone()
+	if v.Parts != nil {
+		same.Body, ok = n.part(now, r, v.Parts, true)
+		same.Parts = nil
+	}
+	if v.Orders == nil {
+		return same, ok
+	}
+	memory, here := n.part(now, r, v.Orders, v.Parts == nil || ok)
+	if !here || (v.Parts != nil && !ok) {
+		return nil, false
+	}
+	same.Orders = nil
+	if err := same.SetMemory(memory); err != nil {
+		n.change("memory of orders denied", err.Error())
+		return nil, false
+	}
+	return same, true
+}
+
+// part is what a manifest stands for. Where it isn't here it is fetched, and the message waits for it, unless it waits already.
+func (n *Node) part(now time.Duration, r Received, m *chunk.Manifest, waits bool) (body []byte, ok bool) {
+	parts := &chunk.Manifest{Size: m.Size, Segments: m.Segments}
+	body, err := n.documents.store.With(parts, m.Fresh)
 	var missing *chunk.MissingError
 	switch {
 	case err == nil:
-		same = v.Clone()
-		same.Body, same.Parts = body, nil
-		return same, true
+		return body, true
 	case errors.As(err, &missing):
-		n.fetch(now, r, &parts, missing.Names)
+		n.fetch(now, r, parts, missing.Names, waits)
 	default:
 		n.change("document denied", err.Error())
 	}
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -16,12 +16,18 @@
 func TestChangeOfOneRouteCostsWhatItChanges(t *testing.T) {
 	l := newLab(t, 30)
 	l.run(6 * time.Second)
+	for i := range register.KeptOrders {
+		l.put("n3", []byte(fmt.Sprint("the memory of orders is full, ", i)))
+	}
 	whole := document(1, -1)
 	if a := l.put("n3", whole); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	l.obeyed(whole, applyWithin)
 	l.run(5 * time.Second)
+	if kept := len(l.nodes["n3"].value.Edits); kept < 6*register.KeptOrders {
+		t.Errorf("the memory of orders has %d bytes: the test proves little", kept)
+	}
 	m := l.meter()
 	const changes = 10
 	for i := range changes {
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -114,7 +114,7 @@
 
 func (l *lab) put(at string, raw []byte) (a Answer) {
 	l.ids++
-	return l.call(at, Edit{ID: fmt.Sprint("put", l.ids), Apply: func([]byte) ([]byte, error) { return raw, nil }})
+	return l.call(at, Edit{ID: fmt.Sprint("put", l.ids), Base: l.ids, Apply: func([]byte) ([]byte, error) { return raw, nil }})
 }
 
 // meter counts bytes of messages that carry configuration by the zones they go between, as the transport frames them.
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -62,7 +62,7 @@
 func count(t *testing.T, old bool, v *register.Value, thin, whole int) (newThin, newWhole int) {
 	switch {
 	case v == nil:
-	case v.Parts != nil && (old || len(v.Body) > 0):
+	case !v.Whole() && old, v.Parts != nil && len(v.Body) > 0, v.Orders != nil && len(v.Edits)+len(v.Recent) > 0:
 		t.Error("a manifest to or from an older build, or beside a document")
 	case v.Parts != nil:
 		return thin + 1, whole
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -37,7 +37,7 @@
 	moved    time.Duration
 }
 
-func (n *Node) fetch(now time.Duration, r Received, parts *chunk.Manifest, missing []chunk.Name) {
+func (n *Node) fetch(now time.Duration, r Received, parts *chunk.Manifest, missing []chunk.Name, waits bool) {
 	d := &n.documents
 	at := slices.IndexFunc(d.fetches, func(f *fetch) bool { return f.manifest.Same(parts) })
 	if at < 0 {
@@ -48,7 +48,7 @@
 		at = len(d.fetches) - 1
 	}
 	f := d.fetches[at]
-	if len(f.waiting) < waitingMost {
+	if waits && len(f.waiting) < waitingMost {
 		f.waiting = append(f.waiting, r)
 	}
 	f.offer(n.sources(r, len(missing)))
@@ -108,9 +108,7 @@
 
 func (n *Node) onChunkPull(from string, m ChunkPull) {
 	for _, v := range []*register.Value{n.value, n.acceptedValue(), n.documents.offered} {
-		if v != nil {
-			n.documents.store.Manifest(v.Body)
-		}
+		n.own(v)
 	}
 	var answer ChunkData
 	bytes := 0
--- a/control/news.go
+++ b/control/news.go
@@ -43,7 +43,7 @@
 		d.State = membership.State(it.Mark.Lo)
 		n.Members.Merge(now, d)
 	case *register.Value:
-		if d.Parts == nil {
+		if d.Whole() {
 			n.learnValue(now, d)
 		}
 	case LoadReports:
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -71,7 +71,7 @@
 // Accept answers an Accept; write tells that the answer may leave only after the value is on disk. It never votes for a value whose
 // document isn't here: what was acknowledged is whole on the disks of a majority.
 func (a *Acceptor) Accept(m Accept) (r Accepted, write bool) {
-	if m.Disk != a.Disk || m.Value == nil || m.Value.Parts != nil {
+	if m.Disk != a.Disk || m.Value == nil || !m.Value.Whole() {
 		return Accepted{}, false
 	}
 	r = Accepted{Rid: m.Rid, Disk: a.Disk, Promised: a.Promised}
--- a/register/clone.go
+++ b/register/clone.go
@@ -6,6 +6,8 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"github.com/mallowbridge/mallowbridge/chunk"
 )
 
 // still is a source without state: a copy's backoff is always the longest, for whoever copies a proposer fires its timers.
@@ -182,9 +184,18 @@
 	}
 	b = append(appendNumbers(b, uint64(len(v.Edits))), v.Edits...)
 	b = append(appendNumbers(b, uint64(len(v.Recent))), v.Recent...)
+	b = appendManifest(appendManifest(b, v.Parts), v.Orders)
 	return appendNumbers(b, v.Taken)
 }
 
+func appendManifest(b []byte, m *chunk.Manifest) (out []byte) {
+	if m == nil {
+		return append(b, 0)
+	}
+	key := m.Key()
+	return append(append(b, 1), key[:]...)
+}
+
 func appendVoters(b []byte, vs []Voter) (out []byte) {
 	b = append(b, byte(len(vs)))
 	for _, v := range vs {
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -12,7 +12,7 @@
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Proposer]():  22,
 		reflect.TypeFor[operation](): 9,
-		reflect.TypeFor[Value]():     11,
+		reflect.TypeFor[Value]():     13,
 		reflect.TypeFor[Op]():        2,
 		reflect.TypeFor[Voter]():     2,
 		reflect.TypeFor[State]():     4,
--- a/register/value.go
+++ b/register/value.go
@@ -51,11 +51,10 @@
 	Taken uint64
 	// Parts stands for Body in messages where that is large: one of the two is there. No state machine sees it.
 	Parts *chunk.Manifest
+	// Orders stands for Edits and Recent in the same way.
+	Orders *chunk.Manifest
 }
 
-// WholeBytes is the size up to which a document travels whole.
-const WholeBytes = 4 << 10
-
 // Clone copies a value so that a Change may alter it. Body, Edits and Recent are shared: they are replaced, never written to.
 func (v *Value) Clone() (c *Value) {
 	c = &Value{}
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -54,7 +54,7 @@
 // manifestsBuild is the first build that reads manifests of documents.
 const manifestsBuild = 3
 
-func manifest(v *register.Value) (yes bool) { return v != nil && v.Parts != nil }
+func manifest(v *register.Value) (yes bool) { return v != nil && !v.Whole() }
 
 func unknown(kind any, build uint32) (yes bool) {
 	later, is := kind.(interface{ Since() (build uint32) })
