--- a/control/chunks.go
+++ b/control/chunks.go
@@ -15,7 +15,7 @@
 	chunksBuild = 3
 	// keptDocuments, keptBodies and keptBytes bound the documents, whole documents and bytes of chunks that a node holds for others.
 	keptDocuments = 64
-	keptBodies    = 6
+	keptBodies    = 8
 	keptBytes     = 8 << 20
 	// offeredBytes is the most that a proposal carries of a document besides its manifest.
 	offeredBytes = 64 << 10
