--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"testing"
 	"time"
 
+	"github.com/mallowbridge/mallowbridge/chunk"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/register"
 )
@@ -129,3 +131,44 @@
 		}
 	}
 }
+
+// News that waited for chunks through a pause catch nobody up: they were told before it.
+func TestWhatWaitedThroughAPauseIsDropped(t *testing.T) {
+	for _, paused := range []bool{false, true} {
+		l := newLone()
+		l.run(500 * time.Millisecond)
+		v, store := value(7), chunk.NewStore(4, 4, 8<<20)
+		v.Body = append(bytes.Repeat([]byte(" "), 2*register.WholeBytes), v.Body...)
+		thin := v.Clone()
+		thin.Body, thin.Parts = nil, store.Manifest(v.Body)
+		for _, from := range []string{"a2", "a4"} {
+			item := gossip.Item{Key: "c", Mark: gossip.Version{Hi: 7, Lo: 1}, Data: thin}
+			l.step(Received{From: from, Build: chunksBuild, Msg: gossip.Update{Items: []gossip.Item{item}}})
+		}
+		if paused {
+			l.now += 5 * time.Second
+		}
+		for range 4 {
+			l.step(Received{From: "a2", Build: chunksBuild, Msg: data(store, thin.Parts)})
+		}
+		if known := l.n.value != nil; known == paused || len(l.n.neighboursRead) != map[bool]int{false: 2, true: 0}[paused] {
+			t.Errorf("paused %v: value known %v, neighbours read %v", paused, known, l.n.neighboursRead)
+		}
+	}
+}
+
+// data are all pieces of a document, segments first.
+func data(from *chunk.Store, m *chunk.Manifest) (msg ChunkData) {
+	empty := chunk.NewStore(2, 2, 8<<20)
+	for {
+		_, err := empty.Body(m)
+		var missing *chunk.MissingError
+		if !errors.As(err, &missing) {
+			return msg
+		}
+		for _, name := range missing.Names {
+			empty.Put(from.Get(name))
+			msg.Pieces = append(msg.Pieces, from.Get(name))
+		}
+	}
+}
--- a/control/join.go
+++ b/control/join.go
@@ -91,12 +91,14 @@
 }
 
 // rejoin starts over as after a start: what this node knows may be old, and others may have taken its share of room.
+// Messages that wait for chunks were sent before.
 func (n *Node) rejoin(now time.Duration, why string) {
 	if n.joined {
 		n.change("starts over", why)
 	}
 	n.joined, n.since, n.settled = false, now, 0
 	n.neighboursRead = map[string]bool{}
+	n.documents.fetches = nil
 }
 
 func (n *Node) finishJoin(now time.Duration, how string) {
