--- a/order_test.go
+++ b/snapshot_test.go
@@ -28,7 +28,7 @@
 }
 
 // A change of one route among 2,500, as the router takes it.
-func BenchmarkOrderManyRoutes(b *testing.B) {
+func BenchmarkSnapshotOfManyRoutes(b *testing.B) {
 	r := New(Defaults("n", "b", "z"))
 	a, c := manyRoutes(1), manyRoutes(2)
 	mark := uint64(0)
@@ -39,6 +39,6 @@
 			p = *c
 		}
 		p.Mark = mark
-		r.Step(time.Duration(mark)*time.Millisecond, Order{Picture: &p})
+		r.Step(time.Duration(mark)*time.Millisecond, SnapshotUpdate{Picture: &p})
 	}
 }
