--- a/control/changes.go
+++ b/control/changes.go
@@ -15,3 +15,6 @@
 
 // FinishVoterChange lets the old voters of that epoch go.
 func FinishVoterChange(epoch uint64) (change register.Change) { return finishVoterChangeAt(epoch) }
+
+// EvacuateChange is the change of the register that an Evacuate asks for. Its fence is the operation's.
+func EvacuateChange(op Evacuate) (change register.FencedChange) { return evacuateChange(op) }
--- a/control/command.go
+++ b/control/command.go
@@ -32,7 +32,7 @@
 	case Get:
 		n.order(now, c, nil, n.replyTo(c.ID, ""))
 	case Evacuate:
-		n.order(now, c, evacuateChange(op), n.replyTo(c.ID, op.ID))
+		n.fencedOrder(now, c, evacuateChange(op), n.replyTo(c.ID, op.ID))
 	case Bootstrap:
 		n.bootstrap(now, c.ID, op)
 	case ReplaceVoters:
--- a/control/cut_test.go
+++ b/control/cut_test.go
@@ -194,33 +194,35 @@
 }
 
 func TestAnEvacuationOfAnotherZoneIsNoFence(t *testing.T) {
+	var fence register.Fence
 	change := evacuateChange(Evacuate{ID: "a", Domain: "z"})
 	first := &register.Value{}
-	if _, err := change(first.Clone()); err != nil {
+	if _, err := change(first.Clone(), &fence); err != nil {
 		t.Fatal(err)
 	}
 	first.TakeScoped("y", "b", true)
-	if next, err := change(first.Clone()); err != nil || next == nil {
+	if next, err := change(first.Clone(), &fence); err != nil || next == nil {
 		t.Errorf("%v", err)
 	}
 	for i := range register.KeptOrders {
 		first.TakeScoped("y", string(rune('c'+i)), true)
 	}
 	var fenced *register.FencedError
-	if _, err := change(first.Clone()); !errors.As(err, &fenced) {
+	if _, err := change(first.Clone(), &fence); !errors.As(err, &fenced) {
 		t.Errorf("the memory has turned over, and the order is taken: %v", err)
 	}
 }
 
 // An order that took effect in an earlier round is acknowledged though another was taken on top of it.
 func TestAnEvacuationThatWasTakenIsAcknowledgedBehindItsFence(t *testing.T) {
+	var fence register.Fence
 	change := evacuateChange(Evacuate{ID: "a", Domain: "z"})
-	next, err := change(&register.Value{})
+	next, err := change(&register.Value{}, &fence)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.TakeScoped("z", "b", true)
-	if again, err := change(next.Clone()); err != nil || again != nil {
+	if again, err := change(next.Clone(), &fence); err != nil || again != nil {
 		t.Errorf("%v %v", again, err)
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -24,11 +24,19 @@
 
 // order proposes an operator's order, to be offered before its deadline or not at all; the proposer ends what comes too late.
 func (n *Node) order(now time.Duration, c Command, change register.Change, done completion) {
-	until := c.Deadline
-	if until == 0 {
-		until = Deadline(now, 0)
+	n.propose(now, orderUntil(now, c)-now, change, false, done)
+}
+
+// fencedOrder is order for a change that keeps a fence.
+func (n *Node) fencedOrder(now time.Duration, c Command, change register.FencedChange, done completion) {
+	n.proposer.SubmitFenced(now, orderUntil(now, c), n.await(now, done), change)
+}
+
+func orderUntil(now time.Duration, c Command) (at time.Duration) {
+	if c.Deadline != 0 {
+		return c.Deadline
 	}
-	n.propose(now, until-now, change, false, done)
+	return Deadline(now, 0)
 }
 
 func putChange(op Put) (change register.Change) {
@@ -69,34 +77,15 @@
 	}
 }
 
-// A fence tells whether an order on a zone was taken since it was set.
-type fence struct {
-	newest register.Stamp
-	taken  uint64
-}
-
-func fenceOf(cur *register.Value, zone string) (f fence) {
-	return fence{newest: cur.Newest(zone), taken: cur.Taken}
-}
-
-// stands tells whether nothing was taken on the zone. Where so much was taken that an order may be forgotten, it falls.
-func (f fence) stands(cur *register.Value, zone string) (yes bool) {
-	return cur.Newest(zone) == f.newest && cur.Taken-f.taken < register.KeptOrders
-}
-
 // evacuateChange sets a fence at its first reading of a majority, and is refused once another order on the zone was taken. An order that
 // changes nothing is remembered all the same: whoever heard that it was confirmed must not be overtaken by an older one.
-func evacuateChange(op Evacuate) (change register.Change) {
-	var set *fence
-	return func(cur *register.Value) (next *register.Value, err error) {
+func evacuateChange(op Evacuate) (change register.FencedChange) {
+	return func(cur *register.Value, fence *register.Fence) (next *register.Value, err error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
 		}
-		if set == nil {
-			first := fenceOf(cur, op.Domain)
-			set = &first
-		}
-		if !set.stands(cur, op.Domain) {
+		fence.Set(cur, op.Domain)
+		if !fence.Stands(cur, op.Domain) {
 			return nil, &register.FencedError{Scope: op.Domain}
 		}
 		at := slices.Index(cur.Emptied, op.Domain)
--- a/register/backoff.go
+++ b/register/backoff.go
@@ -22,7 +22,7 @@
 	for at < len(p.queue) && p.queue[at].urgent {
 		at++
 	}
-	p.queue = slices.Insert(p.queue, at, &operation{id: id, change: change, deadline: deadline, urgent: true})
+	p.queue = slices.Insert(p.queue, at, &operation{id: id, change: unfenced(change), deadline: deadline, urgent: true})
 	p.next(now)
 }
 
--- a/register/clone.go
+++ b/register/clone.go
@@ -64,6 +64,15 @@
 	p.Tick(0)
 }
 
+// PassDeadline has an operation's time run out, at time zero, while its node stands still: it ends once the node goes on with it.
+func (p *Proposer) PassDeadline(id uint64) {
+	for _, o := range append(slices.Clone(p.queue), p.cur) {
+		if o != nil && o.id == id {
+			o.deadline = 0
+		}
+	}
+}
+
 // Expects tells whether an answer with that round id and promised ballot can still change anything here.
 func (p *Proposer) Expects(rid uint64, promised Ballot) (yes bool) {
 	return (rid == p.rid && (p.phase == preparing || p.phase == accepting)) || promised.N > p.top
@@ -110,6 +119,7 @@
 		return append(b, 0)
 	}
 	b = o.offered.appendFingerprint(appendNumbers(append(b, 1), o.id))
+	b = append(o.fence.appendFingerprint(b), bit(o.deadline <= 0))
 	return append(o.first.AppendFingerprint(b), bit(o.exposed), bit(o.full), bit(o.urgent), bit(o.readFailed))
 }
 
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -11,7 +11,9 @@
 func TestFingerprintsKnowEveryField(t *testing.T) {
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Proposer]():  22,
-		reflect.TypeFor[operation](): 9,
+		reflect.TypeFor[operation](): 10,
+		reflect.TypeFor[Fence]():     3,
+		reflect.TypeFor[Stamp]():     3,
 		reflect.TypeFor[Value]():     13,
 		reflect.TypeFor[Op]():        2,
 		reflect.TypeFor[Voter]():     2,
--- /dev/null
+++ b/register/fence_test.go
@@ -0,0 +1,56 @@
+package register
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+	"time"
+)
+
+// promiseTo answers the prepare that the proposer has just sent to a disk.
+func promiseTo(p *Proposer, rid uint64, v *Value) {
+	for _, disk := range []string{"a", "b", "c"} {
+		p.OnPromise(0, Promise{Rid: rid, Disk: disk, OK: true, Accepted: Ballot{N: uint64(v.Taken), By: "x"}, Value: v})
+	}
+}
+
+func fencedOn(scope string) (change FencedChange) {
+	return func(cur *Value, fence *Fence) (next *Value, err error) {
+		fence.Set(cur, scope)
+		if !fence.Stands(cur, scope) {
+			return nil, &FencedError{Scope: scope}
+		}
+		cur.TakeScoped(scope, "mine", false)
+		return cur, nil
+	}
+}
+
+// What one copy read sets its own fence only: the first read one value and the copy another, and each goes by its own.
+func TestCopiesOfAProposerHaveTheirOwnFences(t *testing.T) {
+	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
+	later := first.Clone()
+	later.TakeScoped("z", "theirs", false)
+	p := NewProposer("p", 1).Clone()
+	p.Learn(first)
+	p.SubmitFenced(0, time.Hour, 1, fencedOn("z"))
+	sends, _ := p.TakeOutput()
+	rid := sends[0].Msg.(Prepare).Rid
+	early, late := p.Clone(), p.Clone()
+	promiseTo(early, rid, first)
+	if bytes.Equal(early.cur.appendFingerprint(nil), p.cur.appendFingerprint(nil)) {
+		t.Error("a fence doesn't show in the fingerprint")
+	}
+	promiseTo(late, rid, later)
+	if late.phase != accepting {
+		t.Error("a copy regards the fence of another")
+	}
+	early.FireTimer()
+	early.FireTimer()
+	sends, _ = early.TakeOutput()
+	promiseTo(early, sends[len(sends)-1].Msg.(Prepare).Rid, later)
+	_, results := early.TakeOutput()
+	var fenced *FencedError
+	if len(results) != 1 || !errors.As(results[0].Err, &fenced) {
+		t.Errorf("an order was taken behind the fence: %+v", results)
+	}
+}
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -54,7 +54,8 @@
 
 type operation struct {
 	id       uint64
-	change   Change
+	change   FencedChange
+	fence    Fence
 	deadline time.Duration
 	exposed  bool
 	// offered is the ballot under which a value with the change was last offered.
@@ -136,14 +137,20 @@
 // Submit queues an operation: a read where change is nil. It is answered soon after deadline at the latest; a change that wasn't offered to
 // voters before its deadline never is. A full operation asks all voters and brings those that lag to the newest value.
 func (p *Proposer) Submit(now, deadline time.Duration, id uint64, change Change, full bool) {
-	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, full: full})
+	p.queue = append(p.queue, &operation{id: id, change: unfenced(change), deadline: deadline, full: full})
+	p.next(now)
+}
+
+// SubmitFenced queues a change that keeps a fence; otherwise like Submit.
+func (p *Proposer) SubmitFenced(now, deadline time.Duration, id uint64, change FencedChange) {
+	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline})
 	p.next(now)
 }
 
 // Bootstrap queues the founding of the register with its first value; all voters named there must answer.
 func (p *Proposer) Bootstrap(now, deadline time.Duration, id uint64, first *Value) {
 	change := func(cur *Value) (*Value, error) { return first, nil }
-	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline, first: first})
+	p.queue = append(p.queue, &operation{id: id, change: unfenced(change), deadline: deadline, first: first})
 	p.voters = first
 	p.next(now)
 }
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -86,7 +86,7 @@
 	if first == nil || p.voters == first {
 		return
 	}
-	p.cur.first, p.cur.change = nil, founded(first.Fleet)
+	p.cur.first, p.cur.change = nil, unfenced(founded(first.Fleet))
 }
 
 // founded is a founding that finds a register: done where it is its own.
@@ -113,7 +113,7 @@
 	}
 	next := base
 	if p.cur.change != nil {
-		changed, err := p.cur.change(base.Clone())
+		changed, err := p.cur.change(base.Clone(), &p.cur.fence)
 		if err != nil && p.settled() {
 			p.end(now, base, err)
 			return
@@ -217,7 +217,7 @@
 	if p.cur.change == nil {
 		return nil
 	}
-	_, err = p.cur.change(p.proposed.Clone())
+	_, err = p.cur.change(p.proposed.Clone(), &p.cur.fence)
 	return err
 }
 
