--- a/modelcheck/apply.go
+++ b/modelcheck/apply.go
@@ -27,6 +27,9 @@
 		n.left.Deadlines--
 		n.touch(what).FireDeadline()
 		n.collect(what)
+	case leave:
+		n.left.Leaves--
+		n.leave(uint64(e.What))
 	case crashDisk:
 		n.left.Crashes--
 		n.crash(what)
@@ -48,6 +51,7 @@
 		n.learn(what)
 	}
 	n.fail(n.majorityHolds())
+	n.chosenHold()
 	return n
 }
 
@@ -111,6 +115,10 @@
 	id := uint64(attempts*order) + uint64(c.orders[order].sent)
 	c.orders[order].sent++
 	c.touch(at)
+	if o.evacuates() {
+		c.evacuate(order, at, id)
+		return
+	}
 	c.submit(operation{id: id, proposer: at, order: order}, c.plan.change(o), o.Kind == FullRead)
 	c.collect(at)
 }
@@ -119,6 +127,7 @@
 // than the founding voters.
 func (c *Cluster) restart(at int) {
 	c.boots[at]++
+	c.abandon(at)
 	c.open = slices.DeleteFunc(c.open, func(o operation) bool { return o.proposer == at })
 	c.known[at] = c.first
 	c.proposers[at] = c.boot(at, c.first)
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -60,6 +60,7 @@
 	mail      []mail
 	open      []operation
 	orders    []progress
+	calls     []call
 	changes   uint64
 	told      []told
 	newest    *register.Value
@@ -75,8 +76,8 @@
 	for _, id := range plan.Disks[:plan.Voters] {
 		first.Voters = append(first.Voters, register.Voter{Disk: id, Name: id})
 	}
-	c = &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), newest: first, first: first}
-	c.told = []told{tell(first)}
+	c = &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), calls: make([]call, attempts*len(plan.Orders)), newest: first, first: first}
+	c.told = []told{plan.tell(first)}
 	for at, id := range plan.Disks {
 		d := disk{name: id, kept: register.State{Disk: id}}
 		if at < plan.Voters {
@@ -106,6 +107,7 @@
 	n.mail = slices.Clone(c.mail)
 	n.open = slices.Clone(c.open)
 	n.orders = slices.Clone(c.orders)
+	n.calls = slices.Clone(c.calls)
 	n.told = slices.Clone(c.told)
 	return n
 }
@@ -125,9 +127,7 @@
 
 // submit hands an operation to a proposer, changes of voters as urgent ones; the caller collects.
 func (c *Cluster) submit(o operation, change register.Change, full bool) {
-	o.floor = versionOf(c.newest)
-	c.open = append(c.open, o)
-	slices.SortFunc(c.open, func(a, b operation) int { return int(a.id) - int(b.id) })
+	c.enter(o)
 	if o.order < 0 {
 		c.proposers[o.proposer].SubmitUrgent(0, noDeadline, o.id, change)
 		return
@@ -135,6 +135,13 @@
 	c.proposers[o.proposer].Submit(0, noDeadline, o.id, change, full)
 }
 
+// enter notes an operation that begins.
+func (c *Cluster) enter(o operation) {
+	o.floor = c.plan.versionOf(c.newest)
+	c.open = append(c.open, o)
+	slices.SortFunc(c.open, func(a, b operation) int { return int(a.id) - int(b.id) })
+}
+
 // collect posts what the proposer sends and tells callers what it answers, until it does neither.
 func (c *Cluster) collect(at int) {
 	for {
--- a/modelcheck/fingerprint.go
+++ b/modelcheck/fingerprint.go
@@ -14,13 +14,13 @@
 	var space [1024]byte
 	b := space[:0]
 	l := c.left
-	b = append(b, l.Timers, l.Deadlines, l.Resends, l.Doubles, l.Mutes, l.Crashes, l.Restarts, l.Wipes, l.Replacements, l.Finishes, l.Learns)
+	b = append(b, l.Timers, l.Deadlines, l.Resends, l.Doubles, l.Mutes, l.Crashes, l.Restarts, l.Wipes, l.Replacements, l.Finishes, l.Learns, l.Leaves)
 	for at, p := range c.proposers {
 		b = p.AppendFingerprint(append(b, c.boots[at]))
 		b = c.known[at].AppendFingerprint(b)
 	}
 	for _, o := range c.open {
-		b = append(b, byte(o.id), byte(o.proposer), byte(o.order), byte(o.floor.mark), byte(o.floor.epoch))
+		b = append(b, byte(o.id), byte(o.proposer), byte(o.order), byte(o.floor.mark), byte(o.floor.epoch), byte(o.floor.taken))
 		for _, v := range o.begins {
 			b = append(b, v.Disk...)
 		}
@@ -28,8 +28,11 @@
 	for _, o := range c.orders {
 		b = append(b, o.sent, truth(o.confirmed), truth(o.refused))
 	}
+	for _, call := range c.calls {
+		b = append(b, byte(call.state), truth(call.barred), byte(call.after), byte(call.after>>8))
+	}
 	for _, t := range c.told {
-		b = append(b, byte(t.mark), byte(t.epoch), byte(t.hash), byte(t.hash>>8), byte(t.hash>>16), byte(t.hash>>24))
+		b = append(b, byte(t.mark), byte(t.epoch), byte(t.taken), byte(t.hash), byte(t.hash>>8), byte(t.hash>>16), byte(t.hash>>24))
 	}
 	for _, id := range c.replaced {
 		b = append(b, id...)
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -17,12 +17,20 @@
 func (e *InvariantError) Error() (text string) { return e.Invariant + ": " + e.How }
 
 // version orders values: by revision, then by the epoch of the voters.
-type version struct{ mark, epoch uint64 }
+type version struct{ mark, epoch, taken uint64 }
 
-func versionOf(v *register.Value) (at version) { return version{mark: v.Mark, epoch: v.Seat} }
+func (p *Plan) versionOf(v *register.Value) (at version) {
+	if p.evacuations() {
+		return version{mark: v.Mark, epoch: v.Seat, taken: v.Taken}
+	}
+	return version{mark: v.Mark, epoch: v.Seat}
+}
 
 func (v version) older(o version) (yes bool) {
-	return v.mark < o.mark || (v.mark == o.mark && v.epoch < o.epoch)
+	if v.mark != o.mark {
+		return v.mark < o.mark
+	}
+	return v.epoch < o.epoch || (v.epoch == o.epoch && v.taken < o.taken)
 }
 
 // told is a version that a caller was told of, and a hash of all that the value holds.
@@ -31,8 +39,8 @@
 	hash uint64
 }
 
-func tell(v *register.Value) (t told) {
-	return told{version: versionOf(v), hash: xxhash.Sum64(v.AppendFingerprint(nil))}
+func (p *Plan) tell(v *register.Value) (t told) {
+	return told{version: p.versionOf(v), hash: xxhash.Sum64(v.AppendFingerprint(nil))}
 }
 
 // check judges an answer against all that was told before.
@@ -46,7 +54,11 @@
 		c.fail(c.lostVoterStaysOut(r.Value))
 		c.learnTold(r.Value)
 	}
-	if o.order >= 0 {
+	switch {
+	case o.order < 0:
+	case c.plan.Orders[o.order].evacuates():
+		c.evacuationAnswered(o.id, r)
+	default:
 		c.fail(c.orderAnswered(o, r))
 	}
 }
@@ -58,12 +70,12 @@
 }
 
 func (c *Cluster) learnTold(v *register.Value) {
-	t := tell(v)
+	t := c.plan.tell(v)
 	if !slices.Contains(c.told, t) {
 		c.told = append(c.told, t)
 		slices.SortFunc(c.told, func(a, b told) int { return sign(a.older(b.version)) })
 	}
-	if v.Newer(c.newest) {
+	if c.plan.versionOf(c.newest).older(c.plan.versionOf(v)) {
 		c.noteReplaced(v)
 		c.newest = v
 	}
@@ -78,7 +90,7 @@
 
 // oneValueAVersion: two different values are never told under one revision and epoch.
 func (c *Cluster) oneValueAVersion(v *register.Value) (err error) {
-	now := tell(v)
+	now := c.plan.tell(v)
 	for _, before := range c.told {
 		if before.version == now.version && before.hash != now.hash {
 			return &InvariantError{Invariant: "one value a version", How: fmt.Sprintf("revision %d epoch %d stands for two values", v.Mark, v.Seat)}
@@ -89,7 +101,7 @@
 
 // readNotOlder: an operation never brings a value older than what was told before it began.
 func (c *Cluster) readNotOlder(o operation, v *register.Value) (err error) {
-	if versionOf(v).older(o.floor) {
+	if c.plan.versionOf(v).older(o.floor) {
 		return &InvariantError{Invariant: "a read is never old", How: fmt.Sprintf("revision %d epoch %d was read, %d epoch %d was told before it began", v.Mark, v.Seat, o.floor.mark, o.floor.epoch)}
 	}
 	return nil
@@ -99,7 +111,7 @@
 func (c *Cluster) confirmedSurvives(v *register.Value) (err error) {
 	for at, p := range c.orders {
 		o := c.plan.Orders[at]
-		if p.confirmed && !o.reads() && !o.recorded(v) && !versionOf(v).older(versionOf(c.newest)) {
+		if p.confirmed && !o.reads() && !o.recorded(v) && !c.plan.versionOf(v).older(c.plan.versionOf(c.newest)) {
 			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("order %s is not in revision %d", o.ID, v.Mark)}
 		}
 	}
@@ -129,7 +141,7 @@
 // lostVoterStaysOut: no change of voters brings back a disk that was lost and replaced.
 func (c *Cluster) lostVoterStaysOut(v *register.Value) (err error) {
 	for _, w := range v.All() {
-		if slices.Contains(c.replaced, w.Disk) && !versionOf(v).older(versionOf(c.newest)) {
+		if slices.Contains(c.replaced, w.Disk) && !c.plan.versionOf(v).older(c.plan.versionOf(c.newest)) {
 			return &InvariantError{Invariant: "a replaced voter stays out", How: fmt.Sprintf("disk %s is lost, was replaced, and is to vote again", w.Disk)}
 		}
 	}
@@ -193,7 +205,7 @@
 func (c *Cluster) majorityHolds() (err error) {
 	without := register.Quorum(c.newest, func(id string) bool {
 		at := c.diskOf(id)
-		return at >= 0 && c.newest.Newer(c.disks[at].kept.Value)
+		return at >= 0 && c.olderThanNewest(c.disks[at].kept.Value)
 	})
 	if without {
 		return &InvariantError{Invariant: "every majority left holds the newest value", How: fmt.Sprintf("revision %d epoch %d is held by none of a quorum", c.newest.Mark, c.newest.Seat)}
@@ -201,6 +213,10 @@
 	return nil
 }
 
+func (c *Cluster) olderThanNewest(v *register.Value) (yes bool) {
+	return v == nil || c.plan.versionOf(v).older(c.plan.versionOf(c.newest))
+}
+
 // majorityLeft: as many voters are left as the tolerance promises.
 func (c *Cluster) majorityLeft() (err error) {
 	if !register.Quorum(c.newest, func(id string) bool { return c.diskOf(id) >= 0 }) {
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -10,13 +10,15 @@
 // OrderKind is what a caller asks of the register.
 type OrderKind uint8
 
-// The kinds of orders: Put on a mark, Edit on a revision of the document, and reads. A document is the list of the edits' ids, each of
+// The kinds of orders: Put on a mark, Edit on a revision of the document, reads, Evacuate and Restore of the one zone. A document is the list of the edits' ids, each of
 // one letter, and their number its revision.
 const (
 	Put OrderKind = iota
 	Edit
 	Read
 	FullRead
+	Evacuate
+	Restore
 )
 
 // Order is one call of an operator. Home is the proposer that is asked first; a repeat goes to the other one.
@@ -25,6 +27,8 @@
 	Kind   OrderKind
 	Expect uint64
 	Home   int
+	// Behind is the order, if any, that the same operator must have given up or had answered before.
+	Behind string
 }
 
 func (o Order) reads() (yes bool) { return o.Kind == Read || o.Kind == FullRead }
@@ -36,6 +40,8 @@
 	Timers, Deadlines, Resends, Doubles, Mutes uint8
 	Crashes, Restarts, Wipes                   uint8
 	Replacements, Finishes, Learns             uint8
+	// Leaves are callers of evacuations that give up; what they ordered is then out of time.
+	Leaves uint8
 }
 
 // Rules are the functions of the control side that a world is made of. Tests put one that misbehaves in place of a real one.
@@ -47,6 +53,9 @@
 	Edit      func(op control.Edit) (change register.Change)
 	Begin     func(epoch uint64, voters []register.Voter) (change register.Change)
 	Finish    func(epoch uint64) (change register.Change)
+	Evacuate  func(op control.Evacuate) (change register.FencedChange)
+	// PassDeadline is what the deadline of a call whose caller has left does to its operation.
+	PassDeadline func(p *register.Proposer, id uint64)
 	// Wiped is what a disk holds that came back empty.
 	Wiped func(old register.State, fresh string) (state register.State)
 	// AnswersFirst lets answers leave before what they tell is written.
@@ -56,14 +65,16 @@
 // RealRules are the rules as they run.
 func RealRules() (r Rules) {
 	return Rules{
-		Prepare:   (*register.Acceptor).Prepare,
-		Accept:    (*register.Acceptor).Accept,
-		OnPromise: func(p *register.Proposer, r register.Promise) { p.OnPromise(0, r) },
-		Put:       control.PutChange,
-		Edit:      control.EditChange,
-		Begin:     control.BeginVoterChange,
-		Finish:    control.FinishVoterChange,
-		Wiped:     func(_ register.State, fresh string) (state register.State) { return register.State{Disk: fresh} },
+		Prepare:      (*register.Acceptor).Prepare,
+		Accept:       (*register.Acceptor).Accept,
+		OnPromise:    func(p *register.Proposer, r register.Promise) { p.OnPromise(0, r) },
+		Put:          control.PutChange,
+		Edit:         control.EditChange,
+		Begin:        control.BeginVoterChange,
+		Finish:       control.FinishVoterChange,
+		Evacuate:     control.EvacuateChange,
+		PassDeadline: (*register.Proposer).PassDeadline,
+		Wiped:        func(_ register.State, fresh string) (state register.State) { return register.State{Disk: fresh} },
 	}
 }
 
@@ -82,7 +93,9 @@
 	// Guesses lets callers order on a revision before anybody was told of it. Such an order may rightly be refused and then, sent again,
 	// be taken: so a plan that guesses sends nothing again.
 	Guesses bool
-	Rules   Rules
+	// Early has callers of evacuations leave before their deadline, once their order has read a quorum: the fence alone stops it then.
+	Early bool
+	Rules Rules
 }
 
 func (p *Plan) change(o Order) (change register.Change) {
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -23,12 +23,16 @@
 	replace
 	finish
 	learn
+	leave
 )
 
 // Events are the steps that are possible now.
 func (c *Cluster) Events() (events []Event) {
 	events = c.networkEvents(events)
 	events = c.orderEvents(events)
+	if c.left.Leaves > 0 {
+		events = c.leaves(events)
+	}
 	events = c.proposerEvents(events)
 	return c.diskEvents(events)
 }
@@ -50,15 +54,31 @@
 	for at, p := range c.orders {
 		switch {
 		case !c.plan.Guesses && !c.plan.Orders[at].knownIn(c.newest):
+		case !c.behind(c.plan.Orders[at]):
 		case p.sent == 0:
 			events = append(events, Event{Kind: submit, What: uint8(at)})
-		case p.sent == 1 && c.left.Resends > 0 && !c.plan.Orders[at].reads():
+		case p.sent == 1 && c.left.Resends > 0 && c.mayResend(at):
 			events = append(events, Event{Kind: resend, What: uint8(at)})
 		}
 	}
 	return events
 }
 
+// behind tells whether the order that its operator gave before is over.
+func (c *Cluster) behind(o Order) (yes bool) {
+	if o.Behind == "" {
+		return true
+	}
+	before := slices.IndexFunc(c.plan.Orders, func(b Order) bool { return b.ID == o.Behind })
+	sent := c.orders[before].sent
+	return sent > 0 && c.calls[attempts*before+int(sent)-1].state > waits
+}
+
+func (c *Cluster) mayResend(order int) (yes bool) {
+	o := c.plan.Orders[order]
+	return !o.reads() && (!o.evacuates() || c.mayRepeat(order))
+}
+
 func (c *Cluster) proposerEvents(events []Event) (more []Event) {
 	for at, p := range c.proposers {
 		what := uint8(at)
@@ -153,6 +173,8 @@
 		return "timer of " + name()
 	case deadline:
 		return "deadline at " + name()
+	case leave:
+		return "the caller of " + c.plan.callID(int(e.What)) + " leaves"
 	case crashDisk:
 		return "disk " + c.disks[e.What].acceptor.Disk + " crashes and restarts"
 	case restart:
@@ -174,6 +196,10 @@
 		return fmt.Sprintf("%s (put on revision %d)", o.ID, o.Expect)
 	case Edit:
 		return fmt.Sprintf("%s (edit of revision %d)", o.ID, o.Expect)
+	case Evacuate:
+		return o.ID + " (evacuate)"
+	case Restore:
+		return o.ID + " (restore)"
 	case FullRead:
 		return o.ID + " (read of all)"
 	}
--- a/register/clone.go
+++ b/register/clone.go
@@ -73,6 +73,11 @@
 	}
 }
 
+// FenceSet tells whether an operation has read a quorum and set its fence.
+func (p *Proposer) FenceSet(id uint64) (yes bool) {
+	return p.cur != nil && p.cur.id == id && p.cur.fence.set
+}
+
 // Expects tells whether an answer with that round id and promised ballot can still change anything here.
 func (p *Proposer) Expects(rid uint64, promised Ballot) (yes bool) {
 	return (rid == p.rid && (p.phase == preparing || p.phase == accepting)) || promised.N > p.top
