--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -93,7 +93,7 @@
 		return LoadGossip
 	case *register.Value:
 		return Config
-	case control.Listing, control.Roster, control.Reading:
+	case control.ReplicaState, control.ReplicaListItem, control.ListConfirmation:
 		return ReplicaListings
 	}
 	return Other
@@ -106,7 +106,7 @@
 		return 40 * (1 + len(d.Rows))
 	case *register.Value:
 		return 200 + d.Size()
-	case control.Roster:
+	case control.ReplicaListItem:
 		return d.Size()
 	}
 	return 80
@@ -121,7 +121,7 @@
 		return Ticks
 	case control.Persisted:
 		return Register
-	case control.Probed, control.Sighted:
+	case control.Probed, control.Observation:
 		return Probes
 	case control.Prefills, mallowbridge.Prefill:
 		return Prefills
@@ -148,7 +148,7 @@
 	switch op.(type) {
 	case control.Witness:
 		return Witnesses
-	case control.SetListings:
+	case control.SetReplicaStates:
 		return ReplicaListings
 	case control.Put, control.Edit, control.Get, control.Bootstrap, control.ReplaceVoters, control.Evacuate:
 		return Register
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -97,7 +97,7 @@
 		return err
 	}
 	g := httpapi.New(h.Desk, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
-		return control.Vouch(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
+		return control.WitnessOutcome(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.Front
 	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return transportCounters(h) }}
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -33,7 +33,7 @@
 		}
 	}
 	n.founding, n.foundAt = true, now
-	n.change("founds", fmt.Sprint(vs))
+	n.logChange("founds", fmt.Sprint(vs))
 	id := n.await(now, func(time.Duration, register.Result) { n.founding = false })
 	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
 	n.proposer.Bootstrap(now, now+bootstrapStagger, id, &register.Value{Fleet: fleet, Voters: vs})
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -52,7 +52,7 @@
 func (r *refill) obeys(name string, most time.Duration) {
 	want := fmt.Sprint("w", r.writes)
 	for from := r.now; r.now-from < most; r.run(time.Millisecond) {
-		if p := r.nodes[name].Picture(); p != nil && string(r.nodes[name].Value().Body) == want && r.nodes[name].joined && r.nodes[name].applied == p.Mark {
+		if p := r.nodes[name].Snapshot(); p != nil && string(r.nodes[name].Value().Body) == want && r.nodes[name].joined && r.nodes[name].applied == p.Mark {
 			return
 		}
 	}
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -38,19 +38,19 @@
 
 // documents holds chunks, what is being fetched, and the builds of neighbours as they said themselves.
 type documents struct {
-	store   *chunk.Store
-	offered *register.Value
-	fetches []*fetch
-	flying  map[chunk.Name]time.Duration
-	builds  map[string]uint32
+	store       *chunk.Store
+	offered     *register.Value
+	fetches     []*fetch
+	requestedAt map[chunk.Name]time.Duration
+	builds      map[string]uint32
 }
 
 func newDocuments() (d documents) {
-	return documents{store: chunk.NewStore(keptDocuments, keptBodies, keptBytes), flying: map[chunk.Name]time.Duration{}, builds: map[string]uint32{}}
+	return documents{store: chunk.NewStore(keptDocuments, keptBodies, keptBytes), requestedAt: map[chunk.Name]time.Duration{}, builds: map[string]uint32{}}
 }
 
-// thin puts manifests in place of a large document and a large memory of orders.
-func (n *Node) thin(v *register.Value) (same *register.Value) {
+// stripDocuments puts manifests in place of a large document and a large memory of orders.
+func (n *Node) stripDocuments(v *register.Value) (same *register.Value) {
 	if v == nil {
 		return nil
 	}
@@ -68,18 +68,18 @@
 	return same
 }
 
-// own takes the documents of a value into the store, unless they are there.
-func (n *Node) own(v *register.Value) {
+// storeDocuments takes the documents of a value into the store, unless they are there.
+func (n *Node) storeDocuments(v *register.Value) {
 	if v != nil {
 		n.documents.store.Manifest(v.Body)
 		n.documents.store.FineManifest(v.Memory())
 	}
 }
 
-// offered is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node obeys and that
-// isn't much.
-func (n *Node) offered(v *register.Value) (same *register.Value) {
-	same = n.thin(v)
+// withFreshParts is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node applied
+// and that isn't much.
+func (n *Node) withFreshParts(v *register.Value) (same *register.Value) {
+	same = n.stripDocuments(v)
 	if same == v {
 		return v
 	}
@@ -101,20 +101,20 @@
 	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.Fresh(m, base, offeredBytes)}
 }
 
-// thinned is the message as a neighbour that reads manifests gets it.
-func (n *Node) thinned(msg any) (same any) {
+// stripMessage is the message as a neighbour that reads manifests gets it.
+func (n *Node) stripMessage(msg any) (same any) {
 	switch m := msg.(type) {
 	case register.Promise:
-		m.Value = n.thin(m.Value)
+		m.Value = n.stripDocuments(m.Value)
 		return m
 	case register.Accept:
-		m.Value = n.offered(m.Value)
+		m.Value = n.withFreshParts(m.Value)
 		return m
 	case gossip.Update:
 		items := slices.Clone(m.Items)
 		for i := range items {
 			if v, is := items[i].Data.(*register.Value); is {
-				items[i].Data = n.thin(v)
+				items[i].Data = n.stripDocuments(v)
 			}
 		}
 		return gossip.Update{Items: items}
@@ -122,26 +122,26 @@
 	return msg
 }
 
-// thicken puts documents in the place of manifests. A message whose chunks aren't all here waits for them, and comes in again then:
+// restoreDocuments puts documents in the place of manifests. A message whose chunks aren't all here waits for them, and comes in again then:
 // no acceptor, proposer or gossip store sees a value without its document.
-func (n *Node) thicken(now time.Duration, r Received) (whole Received, ok bool) {
+func (n *Node) restoreDocuments(now time.Duration, r Received) (whole Received, ok bool) {
 	switch m := r.Msg.(type) {
 	case register.Promise:
-		m.Value, ok = n.whole(now, r, m.Value)
+		m.Value, ok = n.restoreValue(now, r, m.Value)
 		r.Msg = m
 	case register.Accept:
-		m.Value, ok = n.whole(now, r, m.Value)
+		m.Value, ok = n.restoreValue(now, r, m.Value)
 		r.Msg = m
 	case gossip.Update:
-		r.Msg, ok = n.wholeItems(now, r.From, m)
+		r.Msg, ok = n.restoreItems(now, r.From, m)
 	default:
 		ok = true
 	}
 	return r, ok
 }
 
-// wholeItems takes the other items first: they may tell of nearer machines that have the chunks.
-func (n *Node) wholeItems(now time.Duration, from string, m gossip.Update) (whole gossip.Update, ok bool) {
+// restoreItems takes the other items first: they may name nearer machines that have the chunks.
+func (n *Node) restoreItems(now time.Duration, from string, m gossip.Update) (whole gossip.Update, ok bool) {
 	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && !v.Whole() })
 	if at < 0 {
 		return m, true
@@ -149,36 +149,36 @@
 	it := m.Items[at]
 	n.mergeItems(now, from, slices.Concat(m.Items[:at], m.Items[at+1:]))
 	alone := Received{From: from, Msg: gossip.Update{Items: []gossip.Item{it}}}
-	it.Data, ok = n.whole(now, alone, it.Data.(*register.Value))
+	it.Data, ok = n.restoreValue(now, alone, it.Data.(*register.Value))
 	return gossip.Update{Items: []gossip.Item{it}}, ok
 }
 
-func (n *Node) whole(now time.Duration, r Received, v *register.Value) (same *register.Value, ok bool) {
+func (n *Node) restoreValue(now time.Duration, r Received, v *register.Value) (same *register.Value, ok bool) {
 	if v == nil || v.Whole() {
 		return v, true
 	}
 	same = v.Clone()
 	if v.Parts != nil {
-		same.Body, ok = n.part(now, r, v.Parts, true)
+		same.Body, ok = n.restorePart(now, r, v.Parts, true)
 		same.Parts = nil
 	}
 	if v.Orders == nil {
 		return same, ok
 	}
-	memory, here := n.part(now, r, v.Orders, v.Parts == nil || ok)
+	memory, here := n.restorePart(now, r, v.Orders, v.Parts == nil || ok)
 	if !here || (v.Parts != nil && !ok) {
 		return nil, false
 	}
 	same.Orders = nil
 	if err := same.SetMemory(memory); err != nil {
-		n.change("memory of orders denied", err.Error())
+		n.logChange("memory of orders rejected", err.Error())
 		return nil, false
 	}
 	return same, true
 }
 
-// part is what a manifest stands for. Where it isn't here it is fetched, and the message waits for it, unless it waits already.
-func (n *Node) part(now time.Duration, r Received, m *chunk.Manifest, waits bool) (body []byte, ok bool) {
+// restorePart is what a manifest stands for. Where it isn't here it is fetched, and the message waits for it, unless it waits already.
+func (n *Node) restorePart(now time.Duration, r Received, m *chunk.Manifest, waits bool) (body []byte, ok bool) {
 	parts := &chunk.Manifest{Size: m.Size, Segments: m.Segments}
 	body, err := n.documents.store.With(parts, m.Fresh)
 	var missing *chunk.MissingError
@@ -188,7 +188,7 @@
 	case errors.As(err, &missing):
 		n.fetch(now, r, parts, missing.Names, waits)
 	default:
-		n.change("document denied", err.Error())
+		n.logChange("document rejected", err.Error())
 	}
 	return nil, false
 }
--- a/control/command.go
+++ b/control/command.go
@@ -37,8 +37,8 @@
 		n.bootstrap(now, c.ID, op)
 	case ReplaceVoters:
 		n.replaceVoters(now, c.ID, op)
-	case SetListings:
-		n.listed(now, op)
+	case SetReplicaStates:
+		n.setReplicaStates(now, op)
 		n.answer(c.ID, nil)
 	case Witness:
 		n.witness.ask(now, n, c.ID, op)
@@ -149,7 +149,7 @@
 	n.leaving = true
 	if n.value != nil {
 		for _, d := range n.leases.Held() {
-			n.toDisks(n.leases.Release(d, n.value))
+			n.sendToDisks(n.leases.Release(d, n.value))
 		}
 	}
 	n.Members.Update(now, func(m *membership.Member) { m.State = membership.Left })
@@ -157,5 +157,5 @@
 	for _, p := range n.peers() {
 		n.send(p.Addr, n.Gossip.Update([]string{"m/" + n.config.Name}))
 	}
-	n.feed(now)
+	n.publishServing(now)
 }
--- a/control/failures.go
+++ b/control/failures.go
@@ -5,10 +5,13 @@
 	"github.com/mallowbridge/mallowbridge/gossip"
 )
 
-// Failures is one router's news of replicas that failed its requests.
+// Failures is the gossip item with the failed requests that one router reports of replicas.
 type Failures struct{ mallowbridge.Failures }
 
+// Ephemeral says that the item is worth nothing to a node that starts later.
 func (f Failures) Ephemeral() (yes bool) { return true }
+
+// Since is the first build that reads the item.
 func (f Failures) Since() (build uint32) { return 2 }
 
 // Failed has the other nodes told of failures that this node's router met.
@@ -26,4 +29,4 @@
 	return gossip.Version{Hi: n.Members.Self.Inc, Lo: seq}
 }
 
-func (n *Node) onFailures(f Failures) { n.event(f.Failures) }
+func (n *Node) onFailures(f Failures) { n.emit(f.Failures) }
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -28,13 +28,13 @@
 
 // fetch is a document whose chunks are being fetched, and the messages that wait for it.
 type fetch struct {
-	manifest *chunk.Manifest
-	waiting  []Received
-	sources  []string
-	at       int
-	left     int
-	born     time.Duration
-	moved    time.Duration
+	manifest   *chunk.Manifest
+	waiting    []Received
+	sources    []string
+	current    int
+	missing    int
+	startedAt  time.Duration
+	progressAt time.Duration
 }
 
 func (n *Node) fetch(now time.Duration, r Received, parts *chunk.Manifest, missing []chunk.Name, waits bool) {
@@ -44,7 +44,7 @@
 		if len(d.fetches) >= fetchMost {
 			d.fetches = d.fetches[1:]
 		}
-		d.fetches = append(d.fetches, &fetch{manifest: parts, left: len(missing), born: now, moved: now})
+		d.fetches = append(d.fetches, &fetch{manifest: parts, missing: len(missing), startedAt: now, progressAt: now})
 		at = len(d.fetches) - 1
 	}
 	f := d.fetches[at]
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(f.sources) == 0 || f.sources[0] != first[0] {
-		f.at = 0
+		f.current = 0
 	}
 	f.sources = first
 }
@@ -91,24 +91,24 @@
 func (n *Node) pull(now time.Duration, f *fetch, missing []chunk.Name) {
 	var names []byte
 	for _, name := range missing {
-		since, flying := n.documents.flying[name]
+		since, flying := n.documents.requestedAt[name]
 		if flying && now-since < pullAgain {
 			continue
 		}
-		n.documents.flying[name] = now
+		n.documents.requestedAt[name] = now
 		names = append(names, name[:]...)
 		if len(names) >= pullMost*chunk.NameBytes {
 			break
 		}
 	}
 	if len(names) > 0 {
-		n.send(f.sources[f.at], ChunkPull{Names: names})
+		n.send(f.sources[f.current], ChunkPull{Names: names})
 	}
 }
 
 func (n *Node) onChunkPull(from string, m ChunkPull) {
 	for _, v := range []*register.Value{n.value, n.acceptedValue(), n.documents.offered} {
-		n.own(v)
+		n.storeDocuments(v)
 	}
 	var answer ChunkData
 	bytes := 0
@@ -138,36 +138,36 @@
 
 func (n *Node) onChunkData(now time.Duration, from string, m ChunkData) {
 	for _, piece := range m.Pieces {
-		delete(n.documents.flying, chunk.NameOf(piece))
+		delete(n.documents.requestedAt, chunk.NameOf(piece))
 		n.documents.store.Put(piece)
 	}
 	lacks := map[chunk.Name]bool{}
 	for names := m.Lacks; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
 		lacks[chunk.Name(names)] = true
-		delete(n.documents.flying, chunk.Name(names))
+		delete(n.documents.requestedAt, chunk.Name(names))
 	}
 	n.advance(now, func(f *fetch, missing []chunk.Name) (more bool) {
-		if len(missing) < f.left {
-			f.left, f.moved = len(missing), now
+		if len(missing) < f.missing {
+			f.missing, f.progressAt = len(missing), now
 		}
-		if f.sources[f.at] == from && slices.ContainsFunc(missing, func(name chunk.Name) bool { return lacks[name] }) {
-			f.at++
+		if f.sources[f.current] == from && slices.ContainsFunc(missing, func(name chunk.Name) bool { return lacks[name] }) {
+			f.current++
 		}
-		return f.at < len(f.sources)
+		return f.current < len(f.sources)
 	})
 }
 
 // tickFetches turns to the next holder where an answer stays away, and gives up what nobody brought in time.
 func (n *Node) tickFetches(now time.Duration) {
 	n.advance(now, func(f *fetch, _ []chunk.Name) (more bool) {
-		if now-f.moved >= pullAgain {
-			f.at, f.moved = (f.at+1)%len(f.sources), now
+		if now-f.progressAt >= pullAgain {
+			f.current, f.progressAt = (f.current+1)%len(f.sources), now
 		}
-		return now-f.born < fetchFor
+		return now-f.startedAt < fetchFor
 	})
-	for name, since := range n.documents.flying {
+	for name, since := range n.documents.requestedAt {
 		if now-since >= fetchFor {
-			delete(n.documents.flying, name)
+			delete(n.documents.requestedAt, name)
 		}
 	}
 }
--- a/control/incident_test.go
+++ b/control/incident_test.go
@@ -18,7 +18,7 @@
 }
 
 func (l *lab) serves(name string) (yes bool) {
-	return l.nodes[name].Picture() != nil && l.nodes[name].notServing == ""
+	return l.nodes[name].Snapshot() != nil && l.nodes[name].notServing == ""
 }
 
 // docs/incidents/inc-3a1a.md: right after a yes all three voters lose power, and one of them its disk; no other disk is there.
--- a/control/join.go
+++ b/control/join.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	settle     = 2200 * time.Millisecond
-	askEvery   = 300 * time.Millisecond
-	askFirst   = 80 * time.Millisecond
-	readWithin = time.Second
-	neighbours = 1500 * time.Millisecond
+	settleTime      = 2200 * time.Millisecond
+	askEvery        = 300 * time.Millisecond
+	askFirst        = 80 * time.Millisecond
+	readWithin      = time.Second
+	neighboursAfter = 1500 * time.Millisecond
 )
 
-// Inc is where a node's incarnations start. The clock only saves asking: a node that was set back, or drew a lower number
-// than it had, hears of itself and goes above.
+// Inc is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
+// number than before, receives its own older member from others and goes above.
 func Inc(now time.Time, chance uint64) (inc uint64) {
 	return uint64(now.UnixMilli())<<16 | chance&0xffff
 }
@@ -26,14 +26,14 @@
 	if n.joined {
 		return
 	}
-	if now-n.asked >= min(askEvery, askFirst+(now-n.since)/4) {
-		n.asked = now
+	if now-n.askedAt >= min(askEvery, askFirst+(now-n.startedOverAt)/4) {
+		n.askedAt = now
 		n.greet()
 	}
 	if n.knownValue() != nil && !n.reading {
 		n.read(now, readWithin, false)
 	}
-	if now-n.since < neighbours {
+	if now-n.startedOverAt < neighboursAfter {
 		return
 	}
 	others := 0
@@ -94,9 +94,9 @@
 // Messages that wait for chunks were sent before.
 func (n *Node) rejoin(now time.Duration, why string) {
 	if n.joined {
-		n.change("starts over", why)
+		n.logChange("starts over", why)
 	}
-	n.joined, n.since, n.settled = false, now, 0
+	n.joined, n.startedOverAt, n.settled = false, now, 0
 	n.neighboursRead = map[string]bool{}
 	n.documents.fetches = nil
 }
@@ -106,23 +106,23 @@
 		return
 	}
 	n.joined = true
-	n.change("caught up", how)
+	n.logChange("caught up", how)
 	n.applySnapshot(now)
 }
 
-func (n *Node) feed(now time.Duration) {
-	n.feedAt = now
-	n.tell(now)
+func (n *Node) publishServing(now time.Duration) {
+	n.servingReportedAt = now
+	n.reportServing(now)
 }
 
-// tell says at once when serving becomes possible or impossible.
-func (n *Node) tell(now time.Duration) {
+// reportServing reports at once when serving becomes possible or impossible.
+func (n *Node) reportServing(now time.Duration) {
 	why := n.notServingReason(now)
 	if why != n.notServing {
 		n.notServing = why
-		n.change("serving", map[bool]string{true: "yes", false: why}[why == ""])
+		n.logChange("serving", map[bool]string{true: "yes", false: why}[why == ""])
 	}
-	n.event(mallowbridge.Feed{Why: why})
+	n.emit(mallowbridge.Feed{Why: why})
 }
 
 func (n *Node) notServingReason(now time.Duration) (why string) {
@@ -132,7 +132,7 @@
 	case n.config.ServesCutOff && n.applied > 0:
 		return ""
 	case n.Members.Isolated(now):
-		return "heard by nobody"
+		return "isolated"
 	case !n.joined:
 		return "catching up"
 	case n.snapshot == nil:
--- a/control/list.go
+++ b/control/list.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	rosterKey = "l"
-	readKey   = "lt/"
-	listDuty  = "list"
-	// listPatience is how long news of a reading may stay away until a node reads for itself; each next in rank waits one step more.
+	replicaListKey      = "l"
+	listConfirmationKey = "lt/"
+	listDuty            = "list"
+	// listPatience is how long confirmations may stay away until a node reads for itself; each next in rank waits one step more.
 	listPatience = 1300 * time.Millisecond
 	listStep     = 200 * time.Millisecond
 	listStride   = 8
@@ -25,17 +25,23 @@
 	firstListSpread = 400
 )
 
-// Roster is the platform's list as one node read it. It is told anew only when it changes.
-type Roster struct{ Rows []mallowbridge.Instance }
+// ReplicaListItem is the gossip item with the platform's list of replicas as one node read it. It is published only when it changes.
+type ReplicaListItem struct{ Rows []mallowbridge.Instance }
 
-func (r Roster) Size() (bytes int)     { return 96 * len(r.Rows) }
-func (r Roster) Since() (build uint32) { return 2 }
+// Size is about the bytes that the item takes in a message.
+func (r ReplicaListItem) Size() (bytes int) { return 96 * len(r.Rows) }
 
-// Reading tells that the list was read and that the roster of that version is what it says.
-type Reading struct{ Version gossip.Version }
+// Since is the first build that reads the item.
+func (r ReplicaListItem) Since() (build uint32) { return 2 }
 
-func (r Reading) Ephemeral() (yes bool) { return true }
-func (r Reading) Since() (build uint32) { return 2 }
+// ListConfirmation is the gossip item which says that the list was read and that the ReplicaListItem of that version still holds.
+type ListConfirmation struct{ Version gossip.Version }
+
+// Ephemeral says that the item is worth nothing to a node that starts later.
+func (r ListConfirmation) Ephemeral() (yes bool) { return true }
+
+// Since is the first build that reads the item.
+func (r ListConfirmation) Since() (build uint32) { return 2 }
 
 // ListRead is what a reading of the platform's list brought.
 type ListRead struct {
@@ -45,50 +51,52 @@
 
 func (ListRead) in() {}
 
-type listing struct {
-	heard  time.Duration
-	asked  time.Duration
-	asking bool
-	fails  uint64
-	reads  uint64
+// listReader is when the list was last confirmed by any node and read by this one, and counts failed and successful readings.
+type listReader struct {
+	confirmedAt time.Duration
+	askedAt     time.Duration
+	reading     bool
+	fails       uint64
+	reads       uint64
 }
 
-// list has the platform's list read: by who holds the duty, and by each for itself who hears of no reading.
-func (n *Node) listWork(now time.Duration) {
+// readList has the platform's list read: by the holder of the lease, and by each node that receives no confirmation.
+func (n *Node) readList(now time.Duration) {
 	if n.config.ListEvery == 0 || n.leaving {
 		return
 	}
 	l := &n.replicaList
-	if _, known := n.Gossip.Get(rosterKey); !known {
-		n.firstList(now)
+	if _, known := n.Gossip.Get(replicaListKey); !known {
+		n.readFirstList(now)
 		return
 	}
-	if l.asking || now-l.asked < n.config.ListEvery {
+	if l.reading || now-l.askedAt < n.config.ListEvery {
 		return
 	}
 	held := false
 	if n.value != nil && n.joined && !n.Members.Isolated(now) {
 		if _, held = n.leases.Holds(now, listDuty); held || n.ranksFirst(listDuty, "") {
-			n.toDisks(n.leases.Acquire(now, listDuty, n.value))
+			n.sendToDisks(n.leases.Acquire(now, listDuty, n.value))
 		}
 	}
-	if !held && now-l.heard < listPatience+time.Duration(n.rank(listDuty))*listStep {
+	if !held && now-l.confirmedAt < listPatience+time.Duration(n.rank(listDuty))*listStep {
 		return
 	}
-	l.asking, l.asked = true, now
+	l.reading, l.askedAt = true, now
 	n.out.List = true
 }
 
-// firstList reads the list soon after a start: until somebody has, nothing can be served. Seeds begin, and most others hear of it.
-func (n *Node) firstList(now time.Duration) {
+// readFirstList reads the list soon after a start: until some node has, nothing can be served. Seeds begin, and most others receive their
+// result.
+func (n *Node) readFirstList(now time.Duration) {
 	l := &n.replicaList
 	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+time.Duration(scheduler.Rank(listDuty, n.config.Name)%firstListSpread)*time.Millisecond {
 		return
 	}
-	if l.asking || now-l.asked < firstListAgain+time.Duration(n.rank(listDuty))*listStep {
+	if l.reading || now-l.askedAt < firstListAgain+time.Duration(n.rank(listDuty))*listStep {
 		return
 	}
-	l.asking, l.asked = true, now
+	l.reading, l.askedAt = true, now
 	n.out.List = true
 }
 
@@ -96,31 +104,31 @@
 	return min(n.place("live/", duty, membership.Member.Live), listStride)
 }
 
-func (n *Node) listRead(now time.Duration, r ListRead) {
+func (n *Node) onListRead(now time.Duration, r ListRead) {
 	l := &n.replicaList
-	l.asking = false
+	l.reading = false
 	if r.Err != nil {
 		l.fails++
 		return
 	}
-	l.reads, l.heard = l.reads+1, now
+	l.reads, l.confirmedAt = l.reads+1, now
 	version := gossip.Version{Lo: n.config.Seed}
-	it, ok := n.Gossip.Get(rosterKey)
+	it, ok := n.Gossip.Get(replicaListKey)
 	if ok {
 		version.Hi = it.Mark.Hi
 	}
-	if !ok || !sameRoster(it.Data.(Roster).Rows, r.Rows) {
+	if !ok || !sameInstances(it.Data.(ReplicaListItem).Rows, r.Rows) {
 		version.Hi++
-		n.Gossip.Put(gossip.Item{Key: rosterKey, Mark: version, Data: Roster{Rows: r.Rows}})
-		n.event(mallowbridge.ReplicaList{Rows: r.Rows})
+		n.Gossip.Put(gossip.Item{Key: replicaListKey, Mark: version, Data: ReplicaListItem{Rows: r.Rows}})
+		n.emit(mallowbridge.ReplicaList{Rows: r.Rows})
 	} else {
 		version = it.Mark
 	}
-	n.Gossip.Put(gossip.Item{Key: readKey + n.config.Name, Mark: n.mark(l.reads), Data: Reading{Version: version}})
+	n.Gossip.Put(gossip.Item{Key: listConfirmationKey + n.config.Name, Mark: n.mark(l.reads), Data: ListConfirmation{Version: version}})
 }
 
-// sameRoster leaves out how long a replica stays cold, but not whether it is.
-func sameRoster(a, b []mallowbridge.Instance) (yes bool) {
+// sameInstances ignores how long a replica stays cold, but not whether it is.
+func sameInstances(a, b []mallowbridge.Instance) (yes bool) {
 	return slices.EqualFunc(a, b, func(x, y mallowbridge.Instance) bool {
 		if (x.Cold > 0) != (y.Cold > 0) {
 			return false
@@ -130,6 +138,8 @@
 	})
 }
 
-func (n *Node) onRoster(r Roster) { n.event(mallowbridge.ReplicaList{Rows: r.Rows}) }
+func (n *Node) onReplicaListItem(r ReplicaListItem) { n.emit(mallowbridge.ReplicaList{Rows: r.Rows}) }
 
-func (n *Node) onReading(now time.Duration, r Reading) { n.replicaList.heard = now }
+func (n *Node) onListConfirmation(now time.Duration, r ListConfirmation) {
+	n.replicaList.confirmedAt = now
+}
--- a/control/listing.go
+++ b/control/listing.go
@@ -7,42 +7,42 @@
 	"github.com/mallowbridge/mallowbridge/gossip"
 )
 
-const contradicts = time.Second
+const conflictWindow = time.Second
 
-type told struct {
-	row Listing
+type platformState struct {
+	row ReplicaState
 	at  time.Duration
 }
 
-func (l Listing) away() (yes bool) { return l.State == "leaving" || l.State == "gone" }
+func (l ReplicaState) leaves() (yes bool) { return l.State == "leaving" || l.State == "gone" }
 
-func (n *Node) listed(now time.Duration, op SetListings) {
+func (n *Node) setReplicaStates(now time.Duration, op SetReplicaStates) {
 	for _, l := range op.Rows {
-		n.platformStates[l.Replica] = told{row: l, at: now}
+		n.platformStates[l.Replica] = platformState{row: l, at: now}
 		mark := gossip.Version{Hi: op.At, Lo: n.config.Seed}
 		if old, ok := n.Gossip.Get("p/" + l.Replica); ok {
-			if was, same := old.Data.(Listing); same && was == l {
+			if was, same := old.Data.(ReplicaState); same && was == l {
 				continue
 			}
 			mark.Hi = max(op.At, old.Mark.Hi+1)
 		}
-		n.list(mark, l)
+		n.publishReplicaState(mark, l)
 	}
 }
 
-func (n *Node) list(mark gossip.Version, l Listing) {
+func (n *Node) publishReplicaState(mark gossip.Version, l ReplicaState) {
 	if n.Gossip.Put(gossip.Item{Key: "p/" + l.Replica, Mark: mark, Data: l}) {
-		n.event(mallowbridge.Listing{Replica: l.Replica, State: l.State})
+		n.emit(mallowbridge.Listing{Replica: l.Replica, State: l.State})
 	}
 }
 
-// onListing takes the platform's word from another node. Where it told this node within a second that the replica goes,
-// nobody knows which was last, and going wins until the platform says otherwise again.
-func (n *Node) onListing(now time.Duration, mark gossip.Version, l Listing) {
-	if t, ok := n.platformStates[l.Replica]; ok && now-t.at < contradicts && t.row.away() && !l.away() {
+// onReplicaState takes a state of a replica from another node. Where this node was told within conflictWindow that the replica leaves, the
+// order of the two is unknown, and leaving wins until the operators say otherwise again.
+func (n *Node) onReplicaState(now time.Duration, mark gossip.Version, l ReplicaState) {
+	if t, ok := n.platformStates[l.Replica]; ok && now-t.at < conflictWindow && t.row.leaves() && !l.leaves() {
 		mark.Hi++
-		n.list(mark, t.row)
+		n.publishReplicaState(mark, t.row)
 		return
 	}
-	n.event(mallowbridge.Listing{Replica: l.Replica, State: l.State})
+	n.emit(mallowbridge.Listing{Replica: l.Replica, State: l.State})
 }
--- a/control/msg.go
+++ b/control/msg.go
@@ -11,13 +11,15 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// The fields of messages, gossip items and log entries are written by gob between nodes and on disk: their names, and the names registered
+// here, are part of the format and stay as they are.
 func init() {
 	for name, v := range map[string]any{
 		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
 		"ta": lease.Request{}, "tg": lease.Grant{}, "td": lease.Release{},
 		"kp": membership.Ping{}, "ka": membership.Ack{}, "kf": membership.PingFor{}, "km": membership.Member{},
 		"rn": gossip.Update{}, "rs": gossip.Checksum{}, "rm": gossip.Digest{}, "rw": gossip.Pull{}, "rt": gossip.Announcement{},
-		"cu": LoadReports{}, "cl": Listing{}, "cr": Roster{}, "ch": Reading{}, "cp": Prefills{}, "cf": Failures{},
+		"cu": LoadReports{}, "cl": ReplicaState{}, "cr": ReplicaListItem{}, "ch": ListConfirmation{}, "cp": Prefills{}, "cf": Failures{},
 		"xp": ChunkPull{}, "xd": ChunkData{},
 		"ws": WitnessAsk{}, "wy": WitnessSay{}, "wf": WitnessForget{},
 	} {
@@ -25,6 +27,8 @@
 	}
 }
 
+// LoadReports is the gossip item with the load of the replicas of one zone (Domain), as the node named By probed them. Urgent says that a
+// replica went up, down or began to drain since the item before.
 type LoadReports struct {
 	Domain string
 	By     string
@@ -32,13 +36,17 @@
 	Rows   []mallowbridge.LoadReport
 }
 
+// SentOnce says whether the item is pushed to each peer once only; urgent ones are repeated.
 func (u LoadReports) SentOnce() (yes bool) { return !u.Urgent }
 
-type Listing struct {
+// ReplicaState is the gossip item with what operators say of a replica: State is "present", "leaving" or "gone".
+type ReplicaState struct {
 	Replica string `json:"replica"`
 	State   string `json:"state"`
 }
 
+// WitnessAsk asks a witness to remember that the router By is about to send the request. Rid numbers the inquiry; with Peek nothing is
+// remembered.
 type WitnessAsk struct {
 	Rid     uint64
 	Request string
@@ -46,14 +54,18 @@
 	Peek    bool
 }
 
+// WitnessSay answers the WitnessAsk numbered Rid. First: no other router has asked about the request. Young: the witness started so recently
+// that it may have forgotten an earlier inquiry.
 type WitnessSay struct {
 	Rid   uint64
 	First bool
 	Young bool
 }
 
+// WitnessForget takes back a WitnessAsk that ended without enough answers.
 type WitnessForget WitnessAsk
 
+// In is an input of Node.Step.
 type In interface{ in() }
 
 // Received is a message of another node. Build is the sender's as its connection said it, 0 where that isn't known.
@@ -63,8 +75,10 @@
 	Msg   any
 }
 
+// Tick has the node do what is due by its clock. It is expected several times within membership.Config.PauseGap.
 type Tick struct{}
 
+// Persisted reports that the log writes up to Ticket are durable, or that writing failed with Err.
 type Persisted struct {
 	Ticket uint64
 	Err    error
@@ -72,6 +86,8 @@
 	Mended bool
 }
 
+// Probed is the outcome of a Probe. Own repeats that of the Probe; OK says whether the replica answered, and only then do the other fields
+// hold: the instance, its running requests, whether it drains, and by how much its figures lag behind.
 type Probed struct {
 	Replica    string
 	Own        bool
@@ -96,8 +112,10 @@
 func (Probed) in()    {}
 func (Command) in()   {}
 
+// Op is the operation that a Command asks for.
 type Op interface{ op() }
 
+// Put replaces the document if its revision is Expect, else it fails with a register.ConflictError. ID makes repetitions harmless.
 type Put struct {
 	ID     string
 	Expect uint64
@@ -112,65 +130,79 @@
 	Apply func(body []byte) (next []byte, err error)
 }
 
+// Get reads the register from a majority of voters.
 type Get struct{}
 
+// Evacuate takes all traffic from a zone, or with Restore gives it back. It fails with a register.FencedError if another order on the zone
+// was taken meanwhile.
 type Evacuate struct {
 	ID      string
 	Domain  string
 	Restore bool
 }
 
+// Bootstrap founds the register with the nodes named as its voters. It fails with a NameError or, where a register exists, a
+// register.ConflictError.
 type Bootstrap struct{ Names []string }
 
+// ReplaceVoters makes the nodes named the voters. It fails with a NameError, or a register.ConflictError while another change is under way.
 type ReplaceVoters struct {
 	ID    string
 	Names []string
 }
 
-type SetListings struct {
-	Rows []Listing
+// SetReplicaStates publishes what operators say of replicas. At is when they said it, in milliseconds of Unix time.
+type SetReplicaStates struct {
+	Rows []ReplicaState
 	At   uint64
 }
 
+// Witness asks the witnesses of a request whether another router has sent it. Spare is the time that they may take; Peek only looks.
 type Witness struct {
 	Request string
 	Spare   time.Duration
 	Peek    bool
 }
 
-// Seeds replaces the addresses that a node turns to when it knows nobody.
+// SetSeeds replaces the addresses that a node contacts when it knows no other node.
 type SetSeeds struct{ Addrs []string }
 
+// SetFollowers tells how many routers in other programs follow this node; they count as routers of the fleet.
 type SetFollowers struct{ N int }
 
 // Retire says that the process was told to end and will soon leave: until then it votes on, and its seat goes to a spare disk.
 type Retire struct{}
 
+// Leave releases the node's leases and tells its peers that it leaves the fleet.
 type Leave struct{}
 
-func (Put) op()           {}
-func (Edit) op()          {}
-func (Get) op()           {}
-func (Evacuate) op()      {}
-func (Bootstrap) op()     {}
-func (ReplaceVoters) op() {}
-func (SetListings) op()   {}
-func (Witness) op()       {}
-func (SetFollowers) op()  {}
-func (SetSeeds) op()      {}
-func (Retire) op()        {}
-func (Leave) op()         {}
-
+func (Put) op()              {}
+func (Edit) op()             {}
+func (Get) op()              {}
+func (Evacuate) op()         {}
+func (Bootstrap) op()        {}
+func (ReplaceVoters) op()    {}
+func (SetReplicaStates) op() {}
+func (Witness) op()          {}
+func (SetFollowers) op()     {}
+func (SetSeeds) op()         {}
+func (Retire) op()           {}
+func (Leave) op()            {}
+
+// Send is a message to the node at the address To.
 type Send struct {
 	To  string
 	Msg any
 }
 
+// LogWrite is an entry to append to the journal. Tickets rise; Persisted names the last one that is durable.
 type LogWrite struct {
 	Ticket uint64
 	Entry  any
 }
 
+// Answer ends the Command with this ID. Value and Mark are the register's value and the revision that the operation made or found; Verdict
+// answers a Witness. Err is nil on success.
 type Answer struct {
 	ID      uint64
 	Value   *register.Value
@@ -179,11 +211,15 @@
 	Err     error
 }
 
+// Probe is a request for a replica's load. Own: it checks this node's own observation and is not shared with other nodes.
 type Probe struct {
 	Replica, Addr string
 	Own           bool
 }
 
+// Out is what a Step wants done: messages to send, entries to write in order, answers to commands, events for the router, replicas to
+// probe, replicas whose idle connection is to be opened again now (Looks), whether the platform's list of replicas is to be read (List),
+// and changes to log.
 type Out struct {
 	Sends   []Send
 	Writes  []LogWrite
@@ -195,8 +231,10 @@
 	Changes []Change
 }
 
+// Change is a line for the operators' log.
 type Change struct{ What, Detail string }
 
+// NameError says why a node that an operator named cannot do what was asked.
 type NameError struct{ Name, Why string }
 
 func (e *NameError) Error() (text string) { return e.Name + ": " + e.Why }
--- a/control/news.go
+++ b/control/news.go
@@ -47,25 +47,25 @@
 			n.learnValue(now, d)
 		}
 	case LoadReports:
-		n.onUsages(now, it.Mark, d)
-	case Listing:
-		n.onListing(now, it.Mark, d)
-	case Roster:
-		n.onRoster(d)
-	case Reading:
-		n.onReading(now, d)
+		n.onLoadReports(now, it.Mark, d)
+	case ReplicaState:
+		n.onReplicaState(now, it.Mark, d)
+	case ReplicaListItem:
+		n.onReplicaListItem(d)
+	case ListConfirmation:
+		n.onListConfirmation(now, d)
 	case Failures:
 		n.onFailures(d)
 	}
 }
 
-func (n *Node) event(ev mallowbridge.Event) { n.out.Events = append(n.out.Events, ev) }
+func (n *Node) emit(ev mallowbridge.Event) { n.out.Events = append(n.out.Events, ev) }
 
 func (n *Node) publishMembers(now time.Duration) {
 	for _, m := range n.Members.TakeChanges() {
 		n.Gossip.Put(gossip.Item{Key: "m/" + m.Name, Mark: gossip.Version{Hi: m.Inc, Lo: uint64(m.State)}, Data: m})
 		if m.Name != n.config.Name {
-			n.change("member "+m.State.String(), m.Name)
+			n.logChange("member "+m.State.String(), m.Name)
 		}
 	}
 	n.publishRouters(now)
@@ -73,7 +73,7 @@
 
 func (n *Node) publishRouters(now time.Duration) {
 	if n.settled == 0 && n.joined {
-		n.settled = now + settle
+		n.settled = now + settleTime
 	}
 	d := n.derive()
 	if d.shared && d.joined == n.joined {
@@ -92,7 +92,7 @@
 	}
 	if key := strings.Join(names, ","); key != n.routers {
 		n.routers = key
-		n.event(mallowbridge.Routers{Names: names, Domains: domains})
+		n.emit(mallowbridge.Routers{Names: names, Domains: domains})
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	c, err := n.config.Read(v.Body)
 	if err != nil && len(v.Body) > 0 {
-		n.change("picture denied", err.Error())
+		n.logChange("snapshot rejected", err.Error())
 		return
 	}
 	old := n.value
@@ -110,14 +110,14 @@
 	n.proposer.LearnChosen(v)
 	n.Gossip.Put(gossip.Item{Key: "c", Mark: gossip.Version{Hi: v.Mark, Lo: v.Seat}, Data: v})
 	if old == nil || !register.SameVoters(old, v) {
-		n.change("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
+		n.logChange("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
 	if len(v.Body) > 0 {
 		n.snapshot = &config.Snapshot{Mark: v.Mark, Charter: c, Emptied: v.Emptied}
-		n.where = map[string]config.Replica{}
+		n.replicasByName = map[string]config.Replica{}
 		for _, o := range c.Offers {
 			for _, r := range o.Replicas {
-				n.where[r.Name] = r
+				n.replicasByName[r.Name] = r
 			}
 		}
 	}
@@ -129,8 +129,8 @@
 		return
 	}
 	n.applied = n.snapshot.Mark
-	n.change("obeys", fmt.Sprintf("mark %d", n.applied))
-	n.event(mallowbridge.SnapshotUpdate{Picture: n.snapshot})
+	n.logChange("obeys", fmt.Sprintf("mark %d", n.applied))
+	n.emit(mallowbridge.SnapshotUpdate{Picture: n.snapshot})
 	n.replay(now)
 }
 
@@ -138,8 +138,8 @@
 	for _, o := range n.snapshot.Charter.Offers {
 		for _, r := range o.Replicas {
 			if it, ok := n.Gossip.Get("p/" + r.Name); ok {
-				if l, ok := it.Data.(Listing); ok {
-					n.event(mallowbridge.Listing{Replica: l.Replica, State: l.State})
+				if l, ok := it.Data.(ReplicaState); ok {
+					n.emit(mallowbridge.Listing{Replica: l.Replica, State: l.State})
 				}
 			}
 		}
@@ -147,7 +147,7 @@
 	for _, d := range n.zones() {
 		if it, ok := n.Gossip.Get("u/" + d); ok {
 			if u, ok := it.Data.(LoadReports); ok {
-				n.usageEvents(now, u)
+				n.forwardLoadReports(now, u)
 			}
 		}
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -12,6 +12,9 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
+// Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public side) and Domain (its zone) are told to
+// the other nodes. Boot tells one process of a name from the next, Build is the build of its messages (0: transport.Build), Inc the first
+// incarnation of its member (see Inc), Seed feeds its random choices. Disk is what its disk kept; nil: the node has none.
 type Config struct {
 	Name, Addr, HTTP, Domain string
 	Seeds                    []string
@@ -31,7 +34,7 @@
 	Tolerate int
 	// Founds has the seeds found the register by themselves.
 	Founds bool
-	// ServesCutOff keeps a node serving by what it knows while it hears nobody.
+	// ServesCutOff keeps a node serving by its last snapshot while it is isolated.
 	ServesCutOff bool
 }
 
@@ -48,6 +51,7 @@
 	done  completion
 }
 
+// Node is the control state machine of one node. It is owned by one goroutine; only Step changes it.
 type Node struct {
 	config   Config
 	out      *Out
@@ -67,38 +71,39 @@
 	pendingOps  map[uint64]pendingOp
 	reading     bool
 
-	value          *register.Value
-	snapshot       *config.Snapshot
-	where          map[string]config.Replica
-	applied        uint64
-	joined         bool
-	since          time.Duration
-	asked          time.Duration
-	neighboursRead map[string]bool
-	settled        time.Duration
-	leaving        bool
-	notServing     string
-	routers        string
-	feedAt         time.Duration
-	inputAt        time.Duration
-	behindSince    time.Duration
-	aheadSince     time.Duration
-	rereadAt       time.Duration
+	value             *register.Value
+	snapshot          *config.Snapshot
+	replicasByName    map[string]config.Replica
+	applied           uint64
+	joined            bool
+	startedOverAt     time.Duration
+	askedAt           time.Duration
+	neighboursRead    map[string]bool
+	settled           time.Duration
+	leaving           bool
+	notServing        string
+	routers           string
+	servingReportedAt time.Duration
+	inputAt           time.Duration
+	behindSince       time.Duration
+	aheadSince        time.Duration
+	rereadAt          time.Duration
 
 	startedAt   time.Duration
 	founding    bool
 	foundAt     time.Duration
-	replicaList listing
+	replicaList listReader
 	failures    uint64
 	derived     derived
 
 	tasks          tasks
-	sights         map[string]*sight
-	platformStates map[string]told
-	witness        witness
+	observations   map[string]*observed
+	platformStates map[string]platformState
+	witness        witnessState
 	documents      documents
 }
 
+// New makes a node that starts at now, on the clock of all further steps.
 func New(now time.Duration, cfg Config) (n *Node) {
 	if cfg.Read == nil {
 		cfg.Read = (&config.Documents{}).Read
@@ -110,9 +115,9 @@
 	by := cfg.Name + "/" + cfg.Boot
 	n = &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
-		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, since: now, asked: -time.Hour, feedAt: -time.Hour,
-		startedAt: now, foundAt: -time.Hour, replicaList: listing{heard: now, asked: -time.Hour},
-		tasks: newTasks(), witness: newWitness(now), sights: map[string]*sight{}, platformStates: map[string]told{},
+		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, startedOverAt: now, askedAt: -time.Hour, servingReportedAt: -time.Hour,
+		startedAt: now, foundAt: -time.Hour, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
+		tasks: newTasks(), witness: newWitness(now), observations: map[string]*observed{}, platformStates: map[string]platformState{},
 		documents: newDocuments(),
 	}
 	if cfg.Disk != nil {
@@ -128,6 +133,7 @@
 	return n
 }
 
+// Step takes one input at the time now, which never falls, and returns what is to be done.
 func (n *Node) Step(now time.Duration, in In) (out Out) {
 	n.out = &out
 	n.noticeFreeze(now)
@@ -135,15 +141,15 @@
 	case Received:
 		n.recv(now, i)
 	case Persisted:
-		n.saved(now, i)
+		n.onPersisted(now, i)
 	case Probed:
-		n.probed(now, i)
-	case Sighted:
-		n.sighted(now, i)
+		n.onProbed(now, i)
+	case Observation:
+		n.observe(now, i)
 	case Failed:
 		n.failed(i)
 	case ListRead:
-		n.listRead(now, i)
+		n.onListRead(now, i)
 	case Command:
 		n.command(now, i)
 	case Prefills:
@@ -152,8 +158,8 @@
 		n.tick(now)
 	}
 	n.flush(now)
-	if n.feedAt > 0 && now-n.feedAt <= n.config.Membership.PauseGap && n.notServingReason(now) != n.notServing {
-		n.tell(now)
+	if n.servingReportedAt > 0 && now-n.servingReportedAt <= n.config.Membership.PauseGap && n.notServingReason(now) != n.notServing {
+		n.reportServing(now)
 	}
 	return out
 }
@@ -174,8 +180,8 @@
 }
 
 func (n *Node) tick(now time.Duration) {
-	if now-n.feedAt > n.config.Membership.PauseGap && n.feedAt > 0 && n.joined {
-		n.rejoin(now, fmt.Sprintf("%s without a tick", now-n.feedAt))
+	if now-n.servingReportedAt > n.config.Membership.PauseGap && n.servingReportedAt > 0 && n.joined {
+		n.rejoin(now, fmt.Sprintf("%s without a tick", now-n.servingReportedAt))
 	}
 	n.proposer.Tick(now)
 	for _, s := range n.Members.Tick(now) {
@@ -185,19 +191,19 @@
 		n.send(s.To, s.Msg)
 	}
 	if n.Members.Isolated(now) {
-		n.rejoin(now, "heard by nobody")
+		n.rejoin(now, "isolated")
 	}
 	n.bootstrapFromSeeds(now)
 	n.join(now)
-	n.listWork(now)
+	n.readList(now)
 	n.reconcileAcceptor(now)
 	n.checkDisk(now)
 	n.runTasks(now)
 	n.witness.tick(now, n)
 	n.tickFetches(now)
-	n.feed(now)
+	n.publishServing(now)
 }
 
-func (n *Node) change(what, detail string) {
+func (n *Node) logChange(what, detail string) {
 	n.out.Changes = append(n.out.Changes, Change{What: what, Detail: detail})
 }
--- a/control/prefill.go
+++ b/control/prefill.go
@@ -2,9 +2,10 @@
 
 import "github.com/mallowbridge/mallowbridge"
 
-// Prefills tells other nodes of long prompts that replicas were sent.
+// Prefills tells other nodes which long prompts were sent to which replicas.
 type Prefills struct{ Rows []mallowbridge.Prefill }
 
+// Since is the first build that reads the message.
 func (Prefills) Since() (build uint32) { return 2 }
 
 func (Prefills) in() {}
@@ -17,6 +18,6 @@
 
 func (n *Node) onPrefills(p Prefills) {
 	for _, row := range p.Rows {
-		n.event(row)
+		n.emit(row)
 	}
 }
--- a/control/receive.go
+++ b/control/receive.go
@@ -14,27 +14,27 @@
 	if r.Build > 0 {
 		n.documents.builds[r.From] = r.Build
 	}
-	r, ok := n.thicken(now, r)
+	r, ok := n.restoreDocuments(now, r)
 	if !ok {
 		return
 	}
 	switch m := r.Msg.(type) {
 	case membership.Ping:
-		n.kinSends(n.Members.OnPing(r.From, m))
+		n.sendMembership(n.Members.OnPing(r.From, m))
 	case membership.PingFor:
-		n.kinSends(n.Members.OnPingFor(now, r.From, m))
+		n.sendMembership(n.Members.OnPingFor(now, r.From, m))
 	case membership.Ack:
-		n.kinSends(n.Members.OnAck(now, m))
+		n.sendMembership(n.Members.OnAck(now, m))
 	case gossip.Update:
 		n.onUpdate(now, r.From, m)
 	case gossip.Checksum:
-		n.rumorSends(n.Gossip.OnChecksum(r.From, m))
+		n.sendGossip(n.Gossip.OnChecksum(r.From, m))
 	case gossip.Digest:
-		n.rumorSends(n.Gossip.OnDigest(r.From, m))
+		n.sendGossip(n.Gossip.OnDigest(r.From, m))
 	case gossip.Announcement:
-		n.rumorSends(n.Gossip.OnAnnouncement(now, r.From, m))
+		n.sendGossip(n.Gossip.OnAnnouncement(now, r.From, m))
 	case gossip.Pull:
-		n.rumorSends(n.Gossip.OnPull(r.From, m))
+		n.sendGossip(n.Gossip.OnPull(r.From, m))
 	case ChunkPull:
 		n.onChunkPull(r.From, m)
 	case ChunkData:
@@ -42,11 +42,11 @@
 	case Prefills:
 		n.onPrefills(m)
 	case WitnessAsk:
-		n.send(r.From, n.witness.see(now, m))
+		n.send(r.From, n.witness.remember(now, m))
 	case WitnessForget:
 		n.witness.forget(m)
 	case WitnessSay:
-		n.witness.said(r.From, m, n)
+		n.witness.onReply(r.From, m, n)
 	default:
 		n.handleRegister(now, r)
 	}
--- a/control/register.go
+++ b/control/register.go
@@ -8,25 +8,30 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// Promised is the log entry of a promise to a ballot.
 type Promised struct{ Ballot register.Ballot }
 
+// AcceptedEntry is the log entry of an accepted value.
 type AcceptedEntry struct {
 	Ballot register.Ballot
 	Value  *register.Value
 }
 
+// Granted is the log entry of a lease that was granted.
 type Granted struct {
 	Duty   string
 	Record lease.Record
 }
 
-// Opened changes nothing: it is written before the first answer of a life, for what the node read from its disk may have been written
+// Opened is a log entry that changes nothing. It is written before the first answer of a life, for what the node read from its disk may have been written
 // by a process that was killed before its sync, and a loss of power may yet take it back.
 type Opened struct{}
 
 const (
+	// stalledAfter is how long a write may take until the disk counts as unfit.
 	stalledAfter = time.Second
-	MaxHeld      = 256
+	// MaxHeld is the most replies that wait for the disk; requests beyond it are dropped.
+	MaxHeld = 256
 )
 
 func (n *Node) handleRegister(now time.Duration, r Received) {
@@ -85,17 +90,17 @@
 	n.heldReplies = append(n.heldReplies, heldReply{ticket: n.ticket, send: Send{To: to, Msg: msg}})
 }
 
-func (n *Node) saved(now time.Duration, s Persisted) {
+func (n *Node) onPersisted(now time.Duration, s Persisted) {
 	if s.Err != nil {
 		n.diskErr = s.Err
 		n.heldReplies = nil
-		n.change("disk broke down", s.Err.Error())
+		n.logChange("disk broke down", s.Err.Error())
 		n.setDegraded(now, true)
 		return
 	}
 	if n.diskErr != nil && s.Mended {
 		n.diskErr = nil
-		n.change("disk works again", "")
+		n.logChange("disk works again", "")
 	}
 	for len(n.heldReplies) > 0 && n.heldReplies[0].ticket <= s.Ticket {
 		n.send(n.heldReplies[0].send.To, n.heldReplies[0].send.Msg)
@@ -115,7 +120,7 @@
 	if n.Members.Self.Unfit == yes {
 		return
 	}
-	n.change("disk fitness", map[bool]string{true: "unfit", false: "fit"}[yes])
+	n.logChange("disk fitness", map[bool]string{true: "unfit", false: "fit"}[yes])
 	n.Members.Update(now, func(m *membership.Member) { m.Unfit = yes })
 }
 
@@ -157,7 +162,7 @@
 func (n *Node) drainProposer(now time.Duration) {
 	n.proposer.Tick(now)
 	sends, results := n.proposer.TakeOutput()
-	n.toDisks(sends)
+	n.sendToDisks(sends)
 	for _, r := range results {
 		op := n.pendingOps[r.ID]
 		delete(n.pendingOps, r.ID)
@@ -165,9 +170,9 @@
 			fresh := r.Value.Newer(n.value)
 			n.learnValue(now, r.Value)
 			if fresh {
-				n.rumorSends(n.Gossip.PushNow(n.peers()))
+				n.sendGossip(n.Gossip.PushNow(n.peers()))
 			}
-			if op.since >= n.since {
+			if op.since >= n.startedOverAt {
 				n.finishJoin(now, "a majority was read")
 			}
 		}
--- a/control/send.go
+++ b/control/send.go
@@ -28,7 +28,7 @@
 	return ""
 }
 
-func (n *Node) toDisks(sends []register.Send) {
+func (n *Node) sendToDisks(sends []register.Send) {
 	for _, s := range sends {
 		if n.acceptor != nil && s.Disk == n.acceptor.Disk {
 			n.send(n.config.Addr, s.Msg)
@@ -52,13 +52,13 @@
 	return ps
 }
 
-func (n *Node) kinSends(ss []membership.Send) {
+func (n *Node) sendMembership(ss []membership.Send) {
 	for _, s := range ss {
 		n.send(s.To, s.Msg)
 	}
 }
 
-func (n *Node) rumorSends(ss []gossip.Send) {
+func (n *Node) sendGossip(ss []gossip.Send) {
 	for _, s := range ss {
 		n.send(s.To, s.Msg)
 	}
@@ -71,7 +71,7 @@
 		return nil, false
 	}
 	if min(build, n.config.Build) >= chunksBuild {
-		msg = n.thinned(msg)
+		msg = n.stripMessage(msg)
 	}
 	news, is := msg.(gossip.Update)
 	if !is {
--- a/control/status.go
+++ b/control/status.go
@@ -9,11 +9,15 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// MemberStatus is a member with its state in words.
 type MemberStatus struct {
 	membership.Member
 	State string `json:"state"`
 }
 
+// Status is what a node tells operators of itself. Serving and Why say whether its router serves and if not why; Mark is the newest revision
+// that it knows, Obeyed the one its router goes by. Emptied are the evacuated zones, Claims the leases held here, Deaths and Refutes count
+// members that were declared dead and took that back, News the gossip items held.
 type Status struct {
 	Name    string           `json:"name"`
 	Domain  string           `json:"domain"`
@@ -34,9 +38,10 @@
 	Config  json.RawMessage  `json:"config,omitempty"`
 }
 
+// Status is the node's state at the time now.
 func (n *Node) Status(now time.Duration) (s Status) {
 	s = Status{
-		Name: n.config.Name, Domain: n.config.Domain, Serving: n.notServing == "" && n.feedAt > 0, Why: n.notServing, Obeyed: n.applied, Unfit: n.Members.Self.Unfit,
+		Name: n.config.Name, Domain: n.config.Domain, Serving: n.notServing == "" && n.servingReportedAt > 0, Why: n.notServing, Obeyed: n.applied, Unfit: n.Members.Self.Unfit,
 		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, News: n.Gossip.Len(), Emptied: []string{}, Claims: []string{},
 	}
 	for _, m := range n.Members.Table.All() {
@@ -55,6 +60,7 @@
 	return s
 }
 
+// Holding names the duties whose lease the node holds at the time now.
 func (n *Node) Holding(now time.Duration) (duties []string) {
 	for _, d := range n.leases.Held() {
 		if _, ok := n.leases.Holds(now, d); ok {
@@ -64,12 +70,13 @@
 	return duties
 }
 
-// Picture is what this node obeys, or nil.
-func (n *Node) Picture() (p *config.Snapshot) {
+// Snapshot is the configuration that this node's router goes by, or nil.
+func (n *Node) Snapshot() (s *config.Snapshot) {
 	if n.applied == 0 {
 		return nil
 	}
 	return n.snapshot
 }
 
+// Value is the newest value of the register that the node knows, or nil.
 func (n *Node) Value() (v *register.Value) { return n.value }
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -12,28 +12,35 @@
 )
 
 const (
+	// probeEvery is the time between two probes of a replica, shareEvery that between two publications of a zone's reports.
 	probeEvery = 250 * time.Millisecond
 	shareEvery = time.Second
-	deserted   = 2500 * time.Millisecond
-	coreAway   = 4 * time.Second
+	// takeoverAfter is how long a zone may be without reports until another node asks for its lease.
+	takeoverAfter = 2500 * time.Millisecond
+	// probeWithoutLeaseAfter is how long it may be without them until the first by rank probes without a lease.
+	probeWithoutLeaseAfter = 4 * time.Second
+	// missesDown is how many probes in a row a replica misses until it counts as down.
 	missesDown = 2
 )
 
-type watched struct {
+// replicaRecord is the last load report of a replica, and how many probes in a row it missed.
+type replicaRecord struct {
 	row    mallowbridge.LoadReport
 	since  time.Duration
 	at     time.Duration
 	misses int
 }
 
+// tasks is the state of the duties that nodes share out by lease: per zone when load reports were received, probed and published, and the
+// token of the lease that they were made under.
 type tasks struct {
-	heardAt         map[string]time.Duration
+	receivedAt      map[string]time.Duration
 	token           map[string]uint64
 	seq             map[string]uint64
 	probed          map[string]time.Duration
 	shared          map[string]time.Duration
 	urgent          map[string]bool
-	replicas        map[string]*watched
+	replicas        map[string]*replicaRecord
 	lostSince       map[string]time.Duration
 	started         time.Duration
 	votersChangedAt time.Duration
@@ -41,8 +48,8 @@
 
 func newTasks() (d tasks) {
 	return tasks{
-		heardAt: map[string]time.Duration{}, token: map[string]uint64{}, seq: map[string]uint64{}, probed: map[string]time.Duration{},
-		shared: map[string]time.Duration{}, urgent: map[string]bool{}, replicas: map[string]*watched{}, lostSince: map[string]time.Duration{},
+		receivedAt: map[string]time.Duration{}, token: map[string]uint64{}, seq: map[string]uint64{}, probed: map[string]time.Duration{},
+		shared: map[string]time.Duration{}, urgent: map[string]bool{}, replicas: map[string]*replicaRecord{}, lostSince: map[string]time.Duration{},
 	}
 }
 
@@ -91,12 +98,12 @@
 func (n *Node) probeDuty(now time.Duration, domain string) {
 	duty := "probe/" + domain
 	mark, ok := n.leases.Holds(now, duty)
-	silent := now - max(n.tasks.heardAt[domain], n.tasks.started)
-	fresh := n.tasks.heardAt[domain] == 0
-	if ok || ((fresh || silent > deserted) && n.ranksFirst(duty, domain)) {
-		n.toDisks(n.leases.Acquire(now, duty, n.value))
+	silent := now - max(n.tasks.receivedAt[domain], n.tasks.started)
+	fresh := n.tasks.receivedAt[domain] == 0
+	if ok || ((fresh || silent > takeoverAfter) && n.ranksFirst(duty, domain)) {
+		n.sendToDisks(n.leases.Acquire(now, duty, n.value))
 	}
-	if !ok && silent > coreAway && n.ranksFirst(duty, domain) {
+	if !ok && silent > probeWithoutLeaseAfter && n.ranksFirst(duty, domain) {
 		n.probe(now, domain, n.tasks.token[domain])
 		return
 	}
@@ -116,7 +123,7 @@
 		n.tasks.probed[domain] = now
 		n.eachReplica(domain, func(name, addr string) {
 			if n.tasks.replicas[name] == nil {
-				n.tasks.replicas[name] = &watched{since: now, row: mallowbridge.LoadReport{Replica: name, Down: true}}
+				n.tasks.replicas[name] = &replicaRecord{since: now, row: mallowbridge.LoadReport{Replica: name, Down: true}}
 			}
 			n.out.Probes = append(n.out.Probes, Probe{Replica: name, Addr: addr})
 		})
@@ -156,40 +163,40 @@
 	n.tasks.seq[domain]++
 	it := gossip.Item{Key: "u/" + domain, Mark: gossip.Version{Hi: hi, Lo: n.tasks.seq[domain]}, Data: u}
 	if n.Gossip.Put(it) {
-		n.onUsages(now, it.Mark, u)
+		n.onLoadReports(now, it.Mark, u)
 	}
 }
 
-func (n *Node) onUsages(now time.Duration, m gossip.Version, u LoadReports) {
-	n.tasks.heardAt[u.Domain] = now
+func (n *Node) onLoadReports(now time.Duration, m gossip.Version, u LoadReports) {
+	n.tasks.receivedAt[u.Domain] = now
 	n.tasks.token[u.Domain] = max(n.tasks.token[u.Domain], m.Hi)
 	n.tasks.seq[u.Domain] = m.Lo
 	if u.By != n.config.Name {
 		for _, r := range u.Rows {
-			n.tasks.replicas[r.Replica] = &watched{row: r, since: now - r.Age, at: now}
+			n.tasks.replicas[r.Replica] = &replicaRecord{row: r, since: now - r.Age, at: now}
 		}
 	}
-	n.usageEvents(now, u)
+	n.forwardLoadReports(now, u)
 }
 
-func (n *Node) usageEvents(now time.Duration, u LoadReports) {
+func (n *Node) forwardLoadReports(now time.Duration, u LoadReports) {
 	for _, r := range u.Rows {
-		if n.believes(now, r) {
-			n.event(r)
+		if n.acceptsReport(now, r) {
+			n.emit(r)
 		}
 	}
 }
 
-func (n *Node) probed(now time.Duration, p Probed) {
+func (n *Node) onProbed(now time.Duration, p Probed) {
 	if p.Own {
-		n.sighted(now, Sighted{State: map[bool]SightState{true: Up, false: Shut}[p.OK], Probed: p})
+		n.observe(now, Observation{State: map[bool]ConnectionState{true: Up, false: Closed}[p.OK], Probed: p})
 		return
 	}
 	w := n.tasks.replicas[p.Replica]
 	if w == nil || n.snapshot == nil {
 		return
 	}
-	domain := n.where[p.Replica].Domain
+	domain := n.replicasByName[p.Replica].Domain
 	was := w.row
 	if !p.OK {
 		w.misses++
@@ -208,6 +215,7 @@
 	}
 }
 
+// Knows says whether a zone is known: by the document, by a member in it, or as evacuated.
 func (n *Node) Knows(domain string) (yes bool) {
 	if n.value != nil && slices.Contains(n.value.Emptied, domain) || slices.Contains(n.zones(), domain) {
 		return true
--- a/control/voters.go
+++ b/control/voters.go
@@ -44,7 +44,7 @@
 		return
 	}
 	n.tasks.votersChangedAt = now
-	n.change("voters change", why)
+	n.logChange("voters change", why)
 	n.proposeUrgent(now, beginVoterChangeAt(n.value.Seat, next), func(now time.Duration, r register.Result) {
 		if r.Err == nil {
 			n.finishVoters(now, r.Value.Seat)
--- a/control/watch.go
+++ b/control/watch.go
@@ -6,88 +6,96 @@
 	"github.com/mallowbridge/mallowbridge"
 )
 
-type SightState uint8
+// ConnectionState is what became of a node's own idle connection to a replica.
+type ConnectionState uint8
 
 const (
-	Shut SightState = iota + 1
+	// Closed says that the replica closed the connection.
+	Closed ConnectionState = iota + 1
+	// Down says that nobody listens at the replica's address.
 	Down
+	// Up says that the replica answered.
 	Up
 )
 
-// Sighted tells what this node's own idle connection to a replica saw: that it was shut, that nobody listens, or who answers.
-type Sighted struct {
-	State SightState
+// Observation reports a change of this node's own idle connection to a replica.
+type Observation struct {
+	State ConnectionState
 	Probed
 }
 
-func (Sighted) in() {}
+func (Observation) in() {}
 
 const (
-	askAnew = 500 * time.Millisecond
-	hearsay = time.Second
+	// probeAgainAfter is the least time between two checks of one replica that other nodes report on differently.
+	probeAgainAfter = 500 * time.Millisecond
+	// ownObservationHolds is how long an own observation that a replica is down outweighs what other nodes report.
+	ownObservationHolds = time.Second
 )
 
-type sight struct {
-	state    SightState
+// observed is the last own observation of a replica.
+type observed struct {
+	state    ConnectionState
 	instance string
 	since    time.Duration
 	at       time.Duration
 	asked    time.Duration
 }
 
-func (n *Node) sighted(now time.Duration, i Sighted) {
-	s := n.sights[i.Replica]
+func (n *Node) observe(now time.Duration, i Observation) {
+	s := n.observations[i.Replica]
 	if s == nil {
-		s = &sight{}
-		n.sights[i.Replica] = s
+		s = &observed{}
+		n.observations[i.Replica] = s
 	}
 	was := s.state
 	s.state, s.at = i.State, now
 	switch i.State {
-	case Shut:
-		n.event(mallowbridge.ReplicaSuspect{Replica: i.Replica})
+	case Closed:
+		n.emit(mallowbridge.ReplicaSuspect{Replica: i.Replica})
 	case Down:
 		if was != Down {
-			n.event(mallowbridge.LoadReport{Replica: i.Replica, Down: true})
+			n.emit(mallowbridge.LoadReport{Replica: i.Replica, Down: true})
 		}
 	case Up:
-		n.firsthand(now, s, i.Probed)
+		n.observeInstance(now, s, i.Probed)
 	}
 }
 
-func (n *Node) firsthand(now time.Duration, s *sight, p Probed) {
+func (n *Node) observeInstance(now time.Duration, s *observed, p Probed) {
 	if s.instance != p.InstanceID {
 		s.instance, s.since = p.InstanceID, now
 		if w := n.tasks.replicas[p.Replica]; w != nil && w.row.InstanceID == p.InstanceID {
 			s.since = w.since
 		}
 	}
-	n.event(mallowbridge.LoadReport{
+	n.emit(mallowbridge.LoadReport{
 		Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Leaving, Own: true, Lag: p.Lag, Age: now - s.since,
 	})
 }
 
-// believes sets what was heard of a replica against what this node sees itself, and looks again where they differ.
-func (n *Node) believes(now time.Duration, r mallowbridge.LoadReport) (yes bool) {
-	s := n.sights[r.Replica]
+// acceptsReport compares another node's report on a replica with this node's own observation, and checks the replica again where they
+// differ.
+func (n *Node) acceptsReport(now time.Duration, r mallowbridge.LoadReport) (yes bool) {
+	s := n.observations[r.Replica]
 	if s == nil || s.state == 0 {
 		return true
 	}
 	same := !r.Down && s.instance == r.InstanceID
 	if s.state != Up {
-		if !r.Down && now-s.asked > askAnew {
+		if !r.Down && now-s.asked > probeAgainAfter {
 			s.asked = now
 			n.out.Looks = append(n.out.Looks, r.Replica)
 		}
-		return !same || now-s.at > hearsay
+		return !same || now-s.at > ownObservationHolds
 	}
 	if same {
 		s.since = min(s.since, now-r.Age)
 		return true
 	}
-	if now-s.asked > askAnew {
+	if now-s.asked > probeAgainAfter {
 		s.asked = now
-		if addr := n.where[r.Replica].Addr; addr != "" {
+		if addr := n.replicasByName[r.Replica].Addr; addr != "" {
 			n.out.Probes = append(n.out.Probes, Probe{Replica: r.Replica, Addr: addr, Own: true})
 		}
 	}
--- a/control/witness.go
+++ b/control/witness.go
@@ -11,55 +11,61 @@
 )
 
 const (
-	witnesses    = 6
-	perDomain    = 2
-	vouchers     = 4
-	witnessAgain = 60 * time.Millisecond
-	witnessFor   = 10 * time.Minute
-	witnessWait  = 200 * time.Millisecond
-	witnessLast  = 2500 * time.Millisecond
-	witnessMost  = 200000
+	witnessCount       = 6
+	witnessesPerDomain = 2
+	witnessQuorum      = 4
+	witnessResend      = 60 * time.Millisecond
+	witnessMemory      = 10 * time.Minute
+	witnessTimeout     = 200 * time.Millisecond
+	witnessTimeoutMax  = 2500 * time.Millisecond
+	rememberedMost     = 200000
 )
 
+// Verdict is the outcome of a Witness operation.
 type Verdict uint8
 
 const (
+	// FirstAsked says that no witness knows of another router that asked.
 	FirstAsked Verdict = iota
+	// AskedBefore says that a witness knows of another router that asked.
 	AskedBefore
+	// TooFew says that fewer witnesses than needed answered in time.
 	TooFew
 )
 
-type asking struct {
-	answer uint64
-	born   time.Duration
-	sent   time.Duration
-	msg    WitnessAsk
-	all    []string
-	open   []string
-	wait   time.Duration
-	yes    int
-	need   int
-	old    int
+// inquiry is a Witness operation under way. complete counts the replies of witnesses that have been up for all of witnessMemory.
+type inquiry struct {
+	answer    uint64
+	startedAt time.Duration
+	sentAt    time.Duration
+	msg       WitnessAsk
+	addrs     []string
+	pending   []string
+	timeout   time.Duration
+	replies   int
+	needed    int
+	complete  int
 }
 
-type seen struct {
+// rememberedRequest is the router that asked first about a request, and the number of its newest inquiry.
+type rememberedRequest struct {
 	by  string
 	rid uint64
 	at  time.Duration
 }
 
-type witness struct {
-	born time.Duration
-	seen map[string]seen
-	line []string
-	asks map[uint64]*asking
-	dead map[string]time.Duration
-	gone map[string]bool
-	rid  uint64
+type witnessState struct {
+	born      time.Duration
+	seen      map[string]rememberedRequest
+	order     []string
+	inquiries map[uint64]*inquiry
+	deadSince map[string]time.Duration
+	forgotten map[string]bool
+	rid       uint64
 }
 
-// Vouch tells how a go ends by the witnesses' answer before it began, or nothing when it may leave.
-func Vouch(a Answer) (how mallowbridge.How) {
+// WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
+func WitnessOutcome(a Answer) (how mallowbridge.How) {
 	switch {
 	case a.Err != nil || a.Verdict == TooFew:
 		return mallowbridge.NoQuorumOfWitnesses
@@ -69,56 +75,56 @@
 	return ""
 }
 
-func newWitness(now time.Duration) (w witness) {
-	return witness{born: now, seen: map[string]seen{}, asks: map[uint64]*asking{}, dead: map[string]time.Duration{}, gone: map[string]bool{}}
+func newWitness(now time.Duration) (w witnessState) {
+	return witnessState{born: now, seen: map[string]rememberedRequest{}, inquiries: map[uint64]*inquiry{}, deadSince: map[string]time.Duration{}, forgotten: map[string]bool{}}
 }
 
-func (w *witness) see(now time.Duration, m WitnessAsk) (say WitnessSay) {
-	for len(w.line) > 0 && (len(w.line) > witnessMost || now-w.seen[w.line[0]].at > witnessFor) {
-		delete(w.seen, w.line[0])
-		w.line = w.line[1:]
+func (w *witnessState) remember(now time.Duration, m WitnessAsk) (say WitnessSay) {
+	for len(w.order) > 0 && (len(w.order) > rememberedMost || now-w.seen[w.order[0]].at > witnessMemory) {
+		delete(w.seen, w.order[0])
+		w.order = w.order[1:]
 	}
 	s, ok := w.seen[m.Request]
 	if m.Peek {
-		return WitnessSay{Rid: m.Rid, First: !ok || s.by == m.By, Young: now-w.born < witnessFor}
+		return WitnessSay{Rid: m.Rid, First: !ok || s.by == m.By, Young: now-w.born < witnessMemory}
 	}
 	if !ok {
-		w.line = append(w.line, m.Request)
-		s = seen{by: m.By, at: now}
+		w.order = append(w.order, m.Request)
+		s = rememberedRequest{by: m.By, at: now}
 	}
 	if s.by == m.By {
 		s.rid = max(s.rid, m.Rid)
 		w.seen[m.Request] = s
 	}
-	return WitnessSay{Rid: m.Rid, First: s.by == m.By, Young: now-w.born < witnessFor}
+	return WitnessSay{Rid: m.Rid, First: s.by == m.By, Young: now-w.born < witnessMemory}
 }
 
-func (w *witness) forget(m WitnessForget) {
+func (w *witnessState) forget(m WitnessForget) {
 	s, ok := w.seen[m.Request]
 	if !ok || s.by != m.By || s.rid != m.Rid {
 		return
 	}
 	delete(w.seen, m.Request)
-	w.line = slices.DeleteFunc(w.line, func(r string) bool { return r == m.Request })
+	w.order = slices.DeleteFunc(w.order, func(r string) bool { return r == m.Request })
 }
 
-func (w *witness) ask(now time.Duration, n *Node, id uint64, op Witness) {
+func (w *witnessState) ask(now time.Duration, n *Node, id uint64, op Witness) {
 	w.rid++
-	a := &asking{answer: id, born: now, msg: WitnessAsk{Rid: w.rid, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, wait: min(max(op.Spare, witnessWait), witnessLast)}
+	a := &inquiry{answer: id, startedAt: now, msg: WitnessAsk{Rid: w.rid, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, timeout: min(max(op.Spare, witnessTimeout), witnessTimeoutMax)}
 	for _, m := range n.witnesses(op.Request) {
-		a.all = append(a.all, m.Addr)
+		a.addrs = append(a.addrs, m.Addr)
 		if m.Live() {
-			a.open = append(a.open, m.Addr)
+			a.pending = append(a.pending, m.Addr)
 		}
 	}
-	a.need = min(vouchers, len(a.open))
-	w.asks[w.rid] = a
+	a.needed = min(witnessQuorum, len(a.pending))
+	w.inquiries[w.rid] = a
 	a.send(now, n)
 }
 
-func (a *asking) send(now time.Duration, n *Node) {
-	a.sent = now
-	for _, addr := range a.open {
+func (a *inquiry) send(now time.Duration, n *Node) {
+	a.sentAt = now
+	for _, addr := range a.pending {
 		n.send(addr, a.msg)
 	}
 }
@@ -128,14 +134,14 @@
 func (n *Node) witnesses(request string) (ms []membership.Member) {
 	var names []string
 	for _, m := range n.Members.Table.All() {
-		if m.State != membership.Left && !n.witness.gone[m.Name] {
+		if m.State != membership.Left && !n.witness.forgotten[m.Name] {
 			names = append(names, m.Name)
 		}
 	}
 	taken := map[string]int{}
 	for _, name := range scheduler.Nearest("once/"+request, names) {
 		m, _ := n.Members.Table.Get(name)
-		if len(ms) < witnesses && taken[m.Domain] < perDomain {
+		if len(ms) < witnessCount && taken[m.Domain] < witnessesPerDomain {
 			taken[m.Domain]++
 			ms = append(ms, m)
 		}
@@ -143,74 +149,74 @@
 	return ms
 }
 
-func (w *witness) said(from string, m WitnessSay, n *Node) {
-	a := w.asks[m.Rid]
-	if a == nil || !slices.Contains(a.open, from) {
+func (w *witnessState) onReply(from string, m WitnessSay, n *Node) {
+	a := w.inquiries[m.Rid]
+	if a == nil || !slices.Contains(a.pending, from) {
 		return
 	}
-	a.open = slices.DeleteFunc(a.open, func(addr string) bool { return addr == from })
-	a.yes++
+	a.pending = slices.DeleteFunc(a.pending, func(addr string) bool { return addr == from })
+	a.replies++
 	if !m.Young {
-		a.old++
+		a.complete++
 	}
 	switch {
 	case !m.First:
 		w.close(n, a, AskedBefore)
-	case a.old >= a.need || len(a.open) == 0:
+	case a.complete >= a.needed || len(a.pending) == 0:
 		w.close(n, a, FirstAsked)
 	}
 }
 
-func (w *witness) close(n *Node, a *asking, v Verdict) {
-	delete(w.asks, a.msg.Rid)
+func (w *witnessState) close(n *Node, a *inquiry, v Verdict) {
+	delete(w.inquiries, a.msg.Rid)
 	n.out.Answers = append(n.out.Answers, Answer{ID: a.answer, Verdict: v})
 	if v != TooFew || a.msg.Peek {
 		return
 	}
-	for _, addr := range a.all {
+	for _, addr := range a.addrs {
 		n.send(addr, WitnessForget(a.msg))
 	}
 }
 
-func (w *witness) tick(now time.Duration, n *Node) {
-	w.bury(now, n)
-	for _, rid := range slices.Sorted(maps.Keys(w.asks)) {
-		a := w.asks[rid]
-		waited := now - a.born
-		if waited >= witnessWait {
-			a.lose(n)
+func (w *witnessState) tick(now time.Duration, n *Node) {
+	w.trackDead(now, n)
+	for _, rid := range slices.Sorted(maps.Keys(w.inquiries)) {
+		a := w.inquiries[rid]
+		waited := now - a.startedAt
+		if waited >= witnessTimeout {
+			a.dropDead(n)
 		}
 		switch {
-		case waited >= witnessWait && a.yes >= a.need:
+		case waited >= witnessTimeout && a.replies >= a.needed:
 			w.close(n, a, FirstAsked)
-		case waited >= a.wait:
+		case waited >= a.timeout:
 			w.close(n, a, TooFew)
-		case now-a.sent >= witnessAgain:
+		case now-a.sentAt >= witnessResend:
 			a.send(now, n)
 		}
 	}
 }
 
-// lose gives up on witnesses that were found dead meanwhile.
-func (a *asking) lose(n *Node) {
-	a.open = slices.DeleteFunc(a.open, func(addr string) bool {
+// dropDead no longer waits for witnesses that were found dead meanwhile.
+func (a *inquiry) dropDead(n *Node) {
+	a.pending = slices.DeleteFunc(a.pending, func(addr string) bool {
 		return slices.ContainsFunc(n.Members.Table.All(), func(m membership.Member) bool { return m.Addr == addr && !m.Live() })
 	})
-	a.need = min(vouchers, a.yes+len(a.open))
+	a.needed = min(witnessQuorum, a.replies+len(a.pending))
 }
 
-func (w *witness) bury(now time.Duration, n *Node) {
+func (w *witnessState) trackDead(now time.Duration, n *Node) {
 	for _, m := range n.Members.Table.All() {
 		if m.State != membership.Dead {
-			delete(w.dead, m.Name)
-			delete(w.gone, m.Name)
+			delete(w.deadSince, m.Name)
+			delete(w.forgotten, m.Name)
 			continue
 		}
-		if _, known := w.dead[m.Name]; !known {
-			w.dead[m.Name] = now
+		if _, known := w.deadSince[m.Name]; !known {
+			w.deadSince[m.Name] = now
 		}
-		if now-w.dead[m.Name] >= witnessFor {
-			w.gone[m.Name] = true
+		if now-w.deadSince[m.Name] >= witnessMemory {
+			w.forgotten[m.Name] = true
 		}
 	}
 }
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -65,7 +65,7 @@
 	f.carry(at, f.nodes[at].Step(f.now, Command{ID: id, Op: op}))
 	for ; f.now-from < 3*time.Second; f.now += 10 * time.Millisecond {
 		if a, ok := f.said[id]; ok {
-			return Vouch(a), f.now - from
+			return WitnessOutcome(a), f.now - from
 		}
 		n := f.nodes[at]
 		n.out = &Out{}
@@ -105,10 +105,10 @@
 		t.Errorf("two of six are silent: %q after %s", how, took)
 	}
 	f.mute[set[2].Name] = true
-	if how, took := f.ask(set[3].Name, "q3"); how != "" && took < witnessWait {
+	if how, took := f.ask(set[3].Name, "q3"); how != "" && took < witnessTimeout {
 		t.Errorf("gave up after %s", took)
 	}
-	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != mallowbridge.NoQuorumOfWitnesses || took < witnessWait || took > 2*witnessWait {
+	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != mallowbridge.NoQuorumOfWitnesses || took < witnessTimeout || took > 2*witnessTimeout {
 		t.Errorf("three of six are silent: %q after %s", how, took)
 	}
 	f.mute = map[string]bool{}
--- a/daemon/document.go
+++ b/daemon/document.go
@@ -46,7 +46,7 @@
 func (h *Daemon) OnSnapshot(see func(p *config.Snapshot)) {
 	h.Look(func(n *control.Node) {
 		h.onSnapshot = see
-		if p := n.Picture(); p != nil {
+		if p := n.Snapshot(); p != nil {
 			see(p)
 		}
 	})
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -115,10 +115,10 @@
 	}
 }
 
-func (e *replicaWatcher) tell(state control.SightState, p control.Probed) {
+func (e *replicaWatcher) tell(state control.ConnectionState, p control.Probed) {
 	p.Replica, p.Own = e.name, true
 	select {
-	case e.h.in <- control.Sighted{State: state, Probed: p}:
+	case e.h.in <- control.Observation{State: state, Probed: p}:
 	case <-e.stop:
 	case <-e.h.T.Dying():
 	}
@@ -163,7 +163,7 @@
 		e.ends = 0
 	}
 	if e.ends < hasty {
-		e.tell(control.Shut, control.Probed{})
+		e.tell(control.Closed, control.Probed{})
 	}
 }
 
--- a/daemon/watch_test.go
+++ b/daemon/watch_test.go
@@ -34,9 +34,9 @@
 	return srv
 }
 
-func next(t *testing.T, in chan control.In, want control.SightState, instance string) {
+func next(t *testing.T, in chan control.In, want control.ConnectionState, instance string) {
 	t.Helper()
-	s := (<-in).(control.Sighted)
+	s := (<-in).(control.Observation)
 	if s.State != want || s.InstanceID != instance || s.Replica != "r" {
 		t.Fatalf("saw %+v, not state %d of %q", s, want, instance)
 	}
@@ -53,16 +53,16 @@
 	next(t, in, control.Up, "i1")
 	srv.CloseClientConnections()
 	srv.Listener.Close()
-	next(t, in, control.Shut, "")
+	next(t, in, control.Closed, "")
 	next(t, in, control.Down, "")
 	if lis, err = net.Listen("tcp", addr); err != nil {
 		t.Fatal(err)
 	}
 	second := serveUsage(t, lis, "i2", true)
 	defer second.Close()
-	s := (<-in).(control.Sighted)
+	s := (<-in).(control.Observation)
 	for s.State == control.Down {
-		s = (<-in).(control.Sighted)
+		s = (<-in).(control.Observation)
 	}
 	if s.State != control.Up || s.InstanceID != "i2" {
 		t.Errorf("saw %+v after the restart", s)
@@ -79,7 +79,7 @@
 	in := watched(t, lis.Addr().String())
 	for range hasty - 1 {
 		next(t, in, control.Up, "i1")
-		next(t, in, control.Shut, "")
+		next(t, in, control.Closed, "")
 	}
 	next(t, in, control.Up, "i1")
 	next(t, in, control.Up, "i1")
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -214,9 +214,9 @@
 	if err != nil {
 		return fail(w, err)
 	}
-	op := control.SetListings{At: uint64(time.Now().UnixMilli())}
+	op := control.SetReplicaStates{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
-		l := control.Listing{Replica: e.Str("replica", true, 64), State: e.Str("state", true, 16)}
+		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: e.Str("state", true, 16)}
 		if l.State != "present" && l.State != "leaving" && l.State != "gone" && l.State != "" {
 			e.Flaw(e.At("state"), l.State, "present, leaving or gone")
 		}
--- a/sim/eyes.go
+++ b/sim/eyes.go
@@ -59,9 +59,9 @@
 		e.after(dialFor+nap, again)
 		return
 	}
-	sight := control.Sighted{State: control.Down, Probed: control.Probed{Replica: r.Name}}
+	sight := control.Observation{State: control.Down, Probed: control.Probed{Replica: r.Name}}
 	if r.Up {
-		sight = control.Sighted{State: control.Up, Probed: r.report()}
+		sight = control.Observation{State: control.Up, Probed: r.report()}
 		e.open = true
 		e.stare(r.lives)
 	} else {
@@ -91,7 +91,7 @@
 	}
 	e.open = false
 	n.later(n.w.Net.delay(n.Domain == r.Domain), func() {
-		n.step(control.Sighted{State: control.Shut, Probed: control.Probed{Replica: r.Name}})
+		n.step(control.Observation{State: control.Closed, Probed: control.Probed{Replica: r.Name}})
 		e.look(lookAgain)
 	})
 }
--- a/sim/gate.go
+++ b/sim/gate.go
@@ -201,7 +201,7 @@
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
 			if !f.over && f.n.asks[f.ask.Request] == f {
-				f.do(f.passage.Happened(mallowbridge.WitnessesAnswered{How: control.Vouch(a)}))
+				f.do(f.passage.Happened(mallowbridge.WitnessesAnswered{How: control.WitnessOutcome(a)}))
 			}
 		})
 	})
@@ -209,6 +209,6 @@
 
 func (f *flight) vouch(c *conn) {
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Spare: c.place.Spare}, func(a control.Answer) {
-		c.happened(mallowbridge.WitnessesAnswered{Go: c.place.Go, How: control.Vouch(a)})
+		c.happened(mallowbridge.WitnessesAnswered{Go: c.place.Go, How: control.WitnessOutcome(a)})
 	})
 }
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -156,7 +156,7 @@
 			}
 			n.eyes[r.Name] = true
 			n.h.S.Meter.Asked(n)
-			n.h.at(max(n.h.now, n.rolled)+2*n.trip(r.Name), func() { n.step(control.Sighted{State: control.Up, Probed: n.report(r.Name, true)}) })
+			n.h.at(max(n.h.now, n.rolled)+2*n.trip(r.Name), func() { n.step(control.Observation{State: control.Up, Probed: n.report(r.Name, true)}) })
 		}
 	}
 }
@@ -175,11 +175,11 @@
 			n.h.after(2*n.trip(g.on), func() { n.happened(g, mallowbridge.Dialed{Go: m.Place.Go, OK: true}) })
 		case mallowbridge.AskWitnesses:
 			n.h.call(n, control.Witness{Request: g.ask.Request, Spare: m.Place.Spare}, func(a control.Answer) {
-				n.happened(g, mallowbridge.WitnessesAnswered{Go: m.Place.Go, How: control.Vouch(a)})
+				n.happened(g, mallowbridge.WitnessesAnswered{Go: m.Place.Go, How: control.WitnessOutcome(a)})
 			})
 		case mallowbridge.AskWitnessesEarly:
 			n.h.call(n, control.Witness{Request: g.ask.Request, Peek: true}, func(a control.Answer) {
-				n.happened(g, mallowbridge.WitnessesAnswered{How: control.Vouch(a)})
+				n.happened(g, mallowbridge.WitnessesAnswered{How: control.WitnessOutcome(a)})
 			})
 		case mallowbridge.Write:
 			n.h.after(n.trip(g.on), func() { n.admitted(g, m.Place.Go) })
--- a/sim/rep.go
+++ b/sim/rep.go
@@ -126,7 +126,7 @@
 	} else {
 		w.Audit.leaves(n, name)
 	}
-	w.Call(n, control.SetListings{At: n.unixMs(), Rows: []control.Listing{{Replica: name, State: state}}}, func(control.Answer) {})
+	w.Call(n, control.SetReplicaStates{At: n.unixMs(), Rows: []control.ReplicaState{{Replica: name, State: state}}}, func(control.Answer) {})
 }
 
 func (w *World) release(names []string, each time.Duration) {
