--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -96,10 +96,10 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Desk, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
+	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
 		return control.WitnessOutcome(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
-	g.NodeID = h.Front
+	g.NodeID = h.FrontendID
 	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return transportCounters(h) }}
 	routes := bunrouter.New()
 	ops.Routes(routes)
@@ -173,7 +173,7 @@
 			continue
 		}
 		unsent := 0
-		h.Desk.Look(func(r *mallowbridge.Router) { unsent = r.Unsent() })
+		h.Loop.Look(func(r *mallowbridge.Router) { unsent = r.Unsent() })
 		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
 			departed = true
 			h.Call(control.Leave{})
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -115,9 +115,9 @@
 		n.tomb.Kill(nil)
 		return err
 	}
-	n.daemon.Desk.Look(func(r *mallowbridge.Router) { placement(r, way) })
+	n.daemon.Loop.Look(func(r *mallowbridge.Router) { placement(r, way) })
 	n.daemon.OnSnapshot(func(p *config.Snapshot) { n.limits.Store(&p.Charter.Limits) })
-	n.proxy = proxy.New(n.daemon.Desk, headers(), proxySettings(s), n.limitsNow, n.daemon.Front)
+	n.proxy = proxy.New(n.daemon.Loop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
 	n.serve(listeners)
 	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
 	return superviseNode(n.tomb, n.daemon, n.proxy, file, s, &n.retired, lg)
@@ -146,7 +146,7 @@
 	routes = bunrouter.New()
 	platform.Routes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
-		Control: n.daemon, Router: n.daemon.Desk, Clock: daemon.Clock,
+		Control: n.daemon, Router: n.daemon.Loop, Clock: daemon.Clock,
 		Extra: func() map[string]uint64 { return merged(transportCounters(n.daemon), n.proxy.N.Map()) },
 	}
 	operations.Watch(routes)
@@ -229,6 +229,6 @@
 	if retired.Load() {
 		return "draining"
 	}
-	h.Desk.Look(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
+	h.Loop.Look(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
 	return why
 }
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -26,7 +26,7 @@
 func (h *Daemon) submit(in control.In) {
 	select {
 	case h.in <- in:
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 	}
 }
 
@@ -53,7 +53,7 @@
 	case h.calls <- c:
 	case <-late:
 		return control.Answer{Err: &register.NoQuorumError{}}
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 		return control.Answer{Err: &StoppingError{}}
 	}
 	select {
@@ -61,7 +61,7 @@
 		return a
 	case <-late:
 		return control.Answer{Err: &register.OutcomeUnknownError{}}
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 		return control.Answer{Err: &StoppingError{}}
 	}
 }
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestACallIsAnsweredThoughTheControlLoopIsStuck(t *testing.T) {
-	h := &Daemon{T: &tomb.Tomb{}, calls: make(chan call)}
+	h := &Daemon{Tomb: &tomb.Tomb{}, calls: make(chan call)}
 	late := make(chan time.Time, 1)
 	late <- time.Time{}
 	var none *register.NoQuorumError
--- a/daemon/clock.go
+++ b/daemon/clock.go
@@ -6,6 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// Clock is the time since the machine's start, which runs on while the machine sleeps and is never set.
 func Clock() (now time.Duration) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/daemon/coalesce.go
+++ b/daemon/coalesce.go
@@ -6,7 +6,8 @@
 	"github.com/mallowbridge/mallowbridge"
 )
 
-// A valve takes what the control owner tells the market and never makes it wait: what a later word replaces is dropped.
+// A coalescer passes events from the owner of control state to the router and never makes the former wait: an event that a later one
+// replaces is dropped.
 type coalescer struct {
 	in  chan mallowbridge.Event
 	out chan mallowbridge.Event
@@ -45,14 +46,14 @@
 		case <-t.Dying():
 			return nil
 		case ev := <-v.in:
-			q = put(q, ev)
+			q = enqueue(q, ev)
 		case out <- first:
 			q = q[1:]
 		}
 	}
 }
 
-func put(q []queued, ev mallowbridge.Event) (longer []queued) {
+func enqueue(q []queued, ev mallowbridge.Event) (longer []queued) {
 	key := keyOf(ev)
 	for i := range q {
 		if q[i].key == key {
@@ -86,9 +87,9 @@
 	return ""
 }
 
-func (h *Daemon) tell(ev mallowbridge.Event) {
+func (h *Daemon) notify(ev mallowbridge.Event) {
 	select {
 	case h.coalescer.in <- ev:
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 	}
 }
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -21,13 +21,13 @@
 }
 
 type followers struct {
-	h    *Daemon
-	all  []*follower
-	last map[string]mallowbridge.Event
+	daemon *Daemon
+	all    []*follower
+	last   map[string]mallowbridge.Event
 }
 
 func newFollowers(h *Daemon) (fs *followers) {
-	return &followers{h: h, last: map[string]mallowbridge.Event{}}
+	return &followers{daemon: h, last: map[string]mallowbridge.Event{}}
 }
 
 func (fs *followers) tell(ev mallowbridge.Event) {
@@ -58,8 +58,8 @@
 	}
 	for f.id = 1; taken[f.id]; f.id++ {
 	}
-	f.first = append(f.first, mallowbridge.Welcome{Self: fs.h.S.Name + "#" + strconv.Itoa(f.id), Domain: fs.h.S.Domain, Boot: fs.h.boot})
-	for _, key := range sorted(fs.last) {
+	f.first = append(f.first, mallowbridge.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Domain: fs.daemon.Settings.Domain, Boot: fs.daemon.boot})
+	for _, key := range sortedKeys(fs.last) {
 		f.first = append(f.first, mallowbridge.Numbered{N: f.n, Event: fs.last[key]})
 		f.n++
 	}
@@ -90,7 +90,7 @@
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	select {
 	case h.joins <- f:
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 		return
 	}
 	gone := make(chan struct{})
@@ -103,14 +103,14 @@
 	_ = conn.Close()
 	select {
 	case h.leaves <- f:
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 	}
 }
 
 func (h *Daemon) pump(conn net.Conn, w *transport.Writer, f *follower, gone chan struct{}) {
 	select {
 	case <-f.ready:
-	case <-h.T.Dying():
+	case <-h.Tomb.Dying():
 		return
 	}
 	for _, msg := range f.first {
@@ -120,7 +120,7 @@
 	}
 	for {
 		select {
-		case <-h.T.Dying():
+		case <-h.Tomb.Dying():
 			return
 		case <-gone:
 			return
@@ -135,7 +135,7 @@
 func (h *Daemon) put(conn net.Conn, w *transport.Writer, msg any) (ok bool) {
 	frame, err := w.Frame(msg)
 	if err != nil {
-		h.fault("follower", err)
+		h.logFault("follower", err)
 		return false
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
--- a/daemon/gate.go
+++ b/daemon/gate.go
@@ -50,11 +50,11 @@
 	return now
 }
 
-type openedAt struct{}
+type acceptedAtKey struct{}
 
 // ConnContext notes when a connection was accepted, for http.Server.
 func (g *Gate) ConnContext(ctx context.Context, _ net.Conn) (noted context.Context) {
-	return context.WithValue(ctx, openedAt{}, g.look())
+	return context.WithValue(ctx, acceptedAtKey{}, g.look())
 }
 
 // Read is the deadline of a read that comes now.
@@ -64,7 +64,7 @@
 // or waiting to be accepted, while the process stood still is denied: when it was sent can't be known.
 func (g *Gate) Admit(ctx context.Context, size int) (deadline time.Duration, err error) {
 	now := g.look()
-	opened, known := ctx.Value(openedAt{}).(time.Duration)
+	opened, known := ctx.Value(acceptedAtKey{}).(time.Duration)
 	woke := time.Duration(g.woke.Load())
 	if known && woke > 0 && opened < woke+gateQuiet {
 		return 0, &control.StaleCallError{Gap: time.Duration(g.gap.Load())}
@@ -77,7 +77,7 @@
 	defer tick.Stop()
 	for {
 		select {
-		case <-h.T.Dying():
+		case <-h.Tomb.Dying():
 			return nil
 		case <-tick.C:
 			h.Gate.Tick()
--- a/daemon/persist.go
+++ b/daemon/persist.go
@@ -6,21 +6,21 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-const mendEvery = 500 * time.Millisecond
+const recoverEvery = 500 * time.Millisecond
 
-func (h *Daemon) list() (err error) {
-	rows, err := h.S.Host.List()
+func (h *Daemon) readList() (err error) {
+	rows, err := h.Settings.Host.List()
 	h.submit(control.ListRead{Rows: rows, Err: err})
 	return nil
 }
 
-// failures hands what the market says of failing replicas to control, which tells the other nodes.
-func (h *Daemon) failures() (err error) {
+// forwardFailures hands the scheduler's reports of failing replicas to control, which publishes them to the other nodes.
+func (h *Daemon) forwardFailures() (err error) {
 	for {
 		select {
-		case <-h.T.Dying():
+		case <-h.Tomb.Dying():
 			return nil
-		case f := <-h.Desk.Failures:
+		case f := <-h.Loop.Failures:
 			h.submit(control.Failed{Failures: f})
 		}
 	}
@@ -30,7 +30,7 @@
 	var mend <-chan time.Time
 	for {
 		select {
-		case <-h.T.Dying():
+		case <-h.Tomb.Dying():
 			return nil
 		case ws := <-h.writes:
 			for more := true; more; {
@@ -44,10 +44,10 @@
 			err := h.journal.Append(ws)
 			h.submit(control.Persisted{Ticket: ws[len(ws)-1].Ticket, Err: err})
 			if err != nil {
-				mend = time.After(mendEvery)
+				mend = time.After(recoverEvery)
 			}
 		case <-mend:
-			mend = time.After(mendEvery)
+			mend = time.After(recoverEvery)
 			if h.journal.Recover() == nil {
 				mend = nil
 				h.submit(control.Persisted{Mended: true})
--- a/daemon/prefill.go
+++ b/daemon/prefill.go
@@ -7,16 +7,16 @@
 
 const prefillQueue = 64
 
-// placed passes a long prompt on to the owner of control state, unless that is busy: the news are worth nothing later.
-func (h *Daemon) placed(p mallowbridge.Prefill) {
+// forwardPrefill passes a long prompt on to the owner of control state, unless that is busy: the message is worth nothing later.
+func (h *Daemon) forwardPrefill(p mallowbridge.Prefill) {
 	select {
 	case h.prefills <- p:
 	default:
 	}
 }
 
-// gather takes all that wait into one message.
-func (h *Daemon) gather(first mallowbridge.Prefill) (ps control.Prefills) {
+// collectPrefills takes all that wait into one message.
+func (h *Daemon) collectPrefills(first mallowbridge.Prefill) (ps control.Prefills) {
 	ps.Rows = []mallowbridge.Prefill{first}
 	for range len(h.prefills) {
 		ps.Rows = append(ps.Rows, <-h.prefills)
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	probeFor   = 400 * time.Millisecond
-	probeBytes = 64 << 10
+	probeTimeout = 400 * time.Millisecond
+	probeBytes   = 64 << 10
 )
 
-func sorted(m map[string]mallowbridge.Event) (keys []string) {
+func sortedKeys(m map[string]mallowbridge.Event) (keys []string) {
 	return slices.Sorted(maps.Keys(m))
 }
 
@@ -27,7 +27,7 @@
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-type usage struct {
+type usageAnswer struct {
 	InstanceID string `json:"instanceId"`
 	Running    int    `json:"running"`
 	Leaving    bool   `json:"leaving"`
@@ -40,7 +40,7 @@
 
 func ask(p control.Probe) (res control.Probed) {
 	res = control.Probed{Replica: p.Replica, Own: p.Own}
-	ctx, stop := context.WithTimeout(context.Background(), probeFor)
+	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+"/v1/usage", nil)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return res
 	}
 	defer resp.Body.Close()
-	var u usage
+	var u usageAnswer
 	if resp.StatusCode != http.StatusOK || json.NewDecoder(io.LimitReader(resp.Body, probeBytes)).Decode(&u) != nil {
 		return res
 	}
@@ -63,7 +63,7 @@
 	return got
 }
 
-func (u usage) probed() (p control.Probed, ok bool) {
+func (u usageAnswer) probed() (p control.Probed, ok bool) {
 	if u.InstanceID == "" || u.Running < 0 || u.LagMs < 0 {
 		return p, false
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -12,6 +12,9 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
+// Settings are the daemon's settings file and command line: the role ("core" or "edge") and name of the node, the addresses of the node
+// protocol (Listen) and the public side (HTTP), its zone, the folder of its disk and its seeds' addresses. MaxBody is in bytes, Backlog the
+// most requests that wait, DrainMs how long streams may go on after SIGTERM, in milliseconds. 0 stands for a default.
 type Settings struct {
 	Role, Name, Listen, HTTP, Domain, Data string
 	Seeds                                  []string
@@ -20,14 +23,14 @@
 	Host                                   Host
 }
 
-// Host is what the platform that the daemon runs on brings or wants; its zero value is the product on its own.
+// Host is what the platform that the daemon runs on provides and asks for; its zero value is the product on its own.
 type Host struct {
-	// Read reads the operators' document; nil: charter.Read.
+	// Read reads the operators' document; nil: config.Documents.Read.
 	Read config.Reader
 	// List reads the platform's list of replicas every ListEvery; nil: there is none.
 	List      func() (rows []mallowbridge.Instance, err error)
 	ListEvery time.Duration
-	// Tolerate, Founds and ServesCutOff: see crux.Config.
+	// Tolerate, Founds and ServesCutOff: see control.Config.
 	Tolerate             int
 	Founds, ServesCutOff bool
 }
@@ -45,10 +48,12 @@
 	return full
 }
 
+// FileError says why the settings file cannot be read.
 type FileError struct{ Path, Why string }
 
 func (e *FileError) Error() (text string) { return "settings file " + e.Path + ": " + e.Why }
 
+// ReadSettings reads a settings file. It fails with a FileError or a config.InvalidError.
 func ReadSettings(path string) (s Settings, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -71,6 +76,7 @@
 	return s, d.Err()
 }
 
+// Check fills in defaults and checks the settings. It fails with a config.InvalidError that lists all flaws.
 func Check(in Settings) (s Settings, err error) {
 	s = in.withDefaults()
 	bad := &config.InvalidError{}
--- /dev/null
+++ b/daemon/start.go
@@ -0,0 +1,132 @@
+package daemon
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/hex"
+	"strconv"
+	"time"
+
+	"github.com/phuslu/log"
+	"gopkg.in/tomb.v2"
+
+	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/storage"
+	"github.com/mallowbridge/mallowbridge/transport"
+)
+
+func seed() (n uint64) {
+	var b [8]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		panic(err)
+	}
+	return binary.BigEndian.Uint64(b[:])
+}
+
+func diskID() (id string) {
+	var b [16]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		panic(err)
+	}
+	return hex.EncodeToString(b[:])
+}
+
+// Start opens the disk, listens for other nodes and runs the node in goroutines of t. The settings must have passed Check. It fails where
+// the disk can't be read or the address can't be bound.
+func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Daemon, err error) {
+	h = newDaemon(t, s, lg)
+	cfg := h.controlConfig()
+	if cfg.Disk, err = h.openDisk(); err != nil {
+		return nil, err
+	}
+	h.Loop = mallowbridge.NewRouterLoop(t, mallowbridge.New(h.routerConfig()), Clock, routerTicks)
+	h.Loop.OnPrefill(h.forwardPrefill)
+	h.coalescer = newCoalescer(t, h.Loop.Tell)
+	h.node = control.New(Clock(), cfg)
+	self := transport.Hello{Build: transport.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
+	if h.Net, err = transport.Listen(t, self, h.follow, h.logFault); err != nil {
+		return nil, err
+	}
+	if h.journal != nil {
+		t.Go(h.persist)
+	}
+	t.Go(h.watch)
+	t.Go(h.forwardFailures)
+	t.Go(h.control)
+	t.Go(h.tickGate)
+	return h, nil
+}
+
+func newDaemon(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Daemon) {
+	boot := strconv.FormatUint(seed(), 36)
+	return &Daemon{
+		Settings:   s,
+		Tomb:       t,
+		Log:        lg,
+		FrontendID: s.Name + "." + boot,
+		Gate:       NewGate(Clock),
+		in:         make(chan control.In, 1024),
+		calls:      make(chan call, 64),
+		writes:     make(chan []control.LogWrite, control.MaxHeld),
+		joins:      make(chan *follower),
+		leaves:     make(chan *follower),
+		snapshots:  make(chan *config.Snapshot, 1),
+		looks:      make(chan string, 64),
+		prefills:   make(chan mallowbridge.Prefill, prefillQueue),
+		boot:       boot,
+	}
+}
+
+func (h *Daemon) controlConfig() (cfg control.Config) {
+	s := h.Settings
+	return control.Config{
+		Name:         s.Name,
+		Addr:         s.Listen,
+		HTTP:         s.HTTP,
+		Domain:       s.Domain,
+		Seeds:        s.Seeds,
+		Boot:         h.boot,
+		Inc:          control.Inc(time.Now(), seed()),
+		Seed:         seed(),
+		Membership:   membership.Defaults(),
+		Gossip:       gossip.Defaults(),
+		Read:         s.Host.Read,
+		ListEvery:    s.Host.ListEvery,
+		Tolerate:     s.Host.Tolerate,
+		Founds:       s.Host.Founds,
+		ServesCutOff: s.Host.ServesCutOff,
+	}
+}
+
+func (h *Daemon) routerConfig() (cfg mallowbridge.Config) {
+	s := h.Settings
+	cfg = mallowbridge.Defaults(s.Name, h.boot, s.Domain)
+	cfg.Scheduler.QueueLimit = s.Backlog
+	if s.Host.ServesCutOff {
+		cfg.Scheduler.FeedTimeout = isolatedFeedTimeout
+	}
+	return cfg
+}
+
+// openDisk opens the journal and returns what it kept; nil where the node has no disk.
+func (h *Daemon) openDisk() (kept *control.DiskState, err error) {
+	if h.Settings.Data == "" {
+		return nil, nil
+	}
+	folder, err := storage.OpenFolder(h.Settings.Data)
+	if err != nil {
+		return nil, err
+	}
+	if h.journal, err = control.OpenJournal(folder, diskID()); err != nil {
+		return nil, err
+	}
+	if what := h.journal.Repair(); what != "" {
+		h.Log.Warn().Str("what", what).Msg("disk was repaired")
+	}
+	state := h.journal.State()
+	return &state, nil
+}
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -15,40 +15,43 @@
 )
 
 const (
-	lookAgain = 100 * time.Millisecond
-	lookFor   = 500 * time.Millisecond
-	kept      = time.Second
-	lookMost  = 5 * time.Second
-	hasty     = 3
+	// lookPauseMin and lookPauseMax bound the pause between two tries to connect, which doubles with each failure.
+	lookPauseMin = 100 * time.Millisecond
+	lookPauseMax = 5 * time.Second
+	// lookTimeout bounds the connecting, and the first answer on the connection.
+	lookTimeout = 500 * time.Millisecond
+	// A replica that closes shortConnectionsMost connections in a row within shortConnection keeps none: that says nothing of its health.
+	shortConnection      = time.Second
+	shortConnectionsMost = 3
 )
 
-// An eye keeps one idle connection to a replica: when the replica's process ends, the connection tells it at once.
+// A replicaWatcher keeps one idle connection to a replica: when the replica's process ends, the connection closes at once.
 type replicaWatcher struct {
-	h          *Daemon
-	name, addr string
-	stop       chan struct{}
-	poke       chan struct{}
-	ends       int
-	nap        time.Duration
-	most       time.Duration
+	daemon      *Daemon
+	name, addr  string
+	stop        chan struct{}
+	lookNow     chan struct{}
+	shortInARow int
+	pause       time.Duration
+	pauseMax    time.Duration
 }
 
-func (h *Daemon) eye(name, addr string, most time.Duration) (e *replicaWatcher) {
-	return &replicaWatcher{h: h, name: name, addr: addr, stop: make(chan struct{}), poke: make(chan struct{}, 1), nap: lookAgain, most: most}
+func (h *Daemon) newWatcher(name, addr string, most time.Duration) (e *replicaWatcher) {
+	return &replicaWatcher{daemon: h, name: name, addr: addr, stop: make(chan struct{}), lookNow: make(chan struct{}, 1), pause: lookPauseMin, pauseMax: most}
 }
 
 func (h *Daemon) watch() (err error) {
 	eyes := map[string]*replicaWatcher{}
 	for {
 		select {
-		case <-h.T.Dying():
+		case <-h.Tomb.Dying():
 			return nil
-		case p := <-h.pics:
+		case p := <-h.snapshots:
 			h.watchAll(eyes, p)
 		case name := <-h.looks:
 			if e := eyes[name]; e != nil {
 				select {
-				case e.poke <- struct{}{}:
+				case e.lookNow <- struct{}{}:
 				default:
 				}
 			}
@@ -56,16 +59,16 @@
 	}
 }
 
-// picture leaves the newest for the watchers and never waits for them.
-func (h *Daemon) watchSnapshot(p *config.Snapshot) {
+// offerSnapshot leaves the newest snapshot for the watchers and never waits for them.
+func (h *Daemon) offerSnapshot(p *config.Snapshot) {
 	select {
-	case <-h.pics:
+	case <-h.snapshots:
 	default:
 	}
-	h.pics <- p
+	h.snapshots <- p
 }
 
-func (h *Daemon) wake(names []string) {
+func (h *Daemon) lookNow(names []string) {
 	for _, name := range names {
 		select {
 		case h.looks <- name:
@@ -89,9 +92,9 @@
 	}
 	for name, addr := range wanted {
 		if eyes[name] == nil {
-			e := h.eye(name, addr, lookMost)
+			e := h.newWatcher(name, addr, lookPauseMax)
 			eyes[name] = e
-			h.T.Go(e.run)
+			h.Tomb.Go(e.run)
 		}
 	}
 }
@@ -101,34 +104,34 @@
 	defer wait.Stop()
 	for {
 		select {
-		case <-e.h.T.Dying():
+		case <-e.daemon.Tomb.Dying():
 			return nil
 		case <-e.stop:
 			return nil
-		case <-e.poke:
+		case <-e.lookNow:
 		case <-wait.C:
 		}
-		if e.nap = min(2*e.nap, e.most); e.look() {
-			e.nap = lookAgain
+		if e.pause = min(2*e.pause, e.pauseMax); e.look() {
+			e.pause = lookPauseMin
 		}
-		wait.Reset(map[bool]time.Duration{true: e.most, false: e.nap}[e.ends >= hasty])
+		wait.Reset(map[bool]time.Duration{true: e.pauseMax, false: e.pause}[e.shortInARow >= shortConnectionsMost])
 	}
 }
 
-func (e *replicaWatcher) tell(state control.ConnectionState, p control.Probed) {
+func (e *replicaWatcher) report(state control.ConnectionState, p control.Probed) {
 	p.Replica, p.Own = e.name, true
 	select {
-	case e.h.in <- control.Observation{State: state, Probed: p}:
+	case e.daemon.in <- control.Observation{State: state, Probed: p}:
 	case <-e.stop:
-	case <-e.h.T.Dying():
+	case <-e.daemon.Tomb.Dying():
 	}
 }
 
-// look looks once, and for as long as the replica keeps the connection. News that it is back wake who naps between looks.
+// look connects once, and watches for as long as the replica keeps the connection.
 func (e *replicaWatcher) look() (seen bool) {
-	conn, err := net.DialTimeout("tcp", e.addr, lookFor)
+	conn, err := net.DialTimeout("tcp", e.addr, lookTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		e.tell(control.Down, control.Probed{})
+		e.report(control.Down, control.Probed{})
 	}
 	if err != nil {
 		return false
@@ -137,7 +140,7 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-e.h.T.Dying():
+		case <-e.daemon.Tomb.Dying():
 		case <-e.stop:
 		case <-done:
 		}
@@ -148,27 +151,27 @@
 	if !seen {
 		return false
 	}
-	e.tell(control.Up, p)
+	e.report(control.Up, p)
 	_ = conn.SetDeadline(time.Time{})
 	from := time.Now()
 	_, _ = r.ReadByte()
-	e.ended(time.Since(from) < kept)
+	e.ended(time.Since(from) < shortConnection)
 	return true
 }
 
-// ended tells that the connection was shut, unless this replica keeps none and shuts each at once.
+// ended reports that the connection was closed, unless this replica keeps none and closes each at once.
 func (e *replicaWatcher) ended(soon bool) {
-	e.ends++
+	e.shortInARow++
 	if !soon {
-		e.ends = 0
+		e.shortInARow = 0
 	}
-	if e.ends < hasty {
-		e.tell(control.Closed, control.Probed{})
+	if e.shortInARow < shortConnectionsMost {
+		e.report(control.Closed, control.Probed{})
 	}
 }
 
 func (e *replicaWatcher) ask(conn net.Conn, r *bufio.Reader) (p control.Probed, ok bool) {
-	_ = conn.SetDeadline(time.Now().Add(lookFor))
+	_ = conn.SetDeadline(time.Now().Add(lookTimeout))
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.addr+"/v1/usage", nil)
 	if err != nil || req.Write(conn) != nil {
 		return p, false
@@ -179,7 +182,7 @@
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, probeBytes))
-	var u usage
+	var u usageAnswer
 	if err != nil || resp.StatusCode != http.StatusOK || json.Unmarshal(raw, &u) != nil {
 		return p, false
 	}
--- a/daemon/watch_test.go
+++ b/daemon/watch_test.go
@@ -13,8 +13,8 @@
 
 func watched(t *testing.T, addr string) (in chan control.In) {
 	tb := &tomb.Tomb{}
-	h := &Daemon{T: tb, in: make(chan control.In)}
-	e := h.eye("r", addr, lookAgain)
+	h := &Daemon{Tomb: tb, in: make(chan control.In)}
+	e := h.newWatcher("r", addr, lookPauseMin)
 	tb.Go(e.run)
 	t.Cleanup(func() {
 		tb.Kill(nil)
@@ -77,7 +77,7 @@
 	srv := serveUsage(t, lis, "i1", false)
 	defer srv.Close()
 	in := watched(t, lis.Addr().String())
-	for range hasty - 1 {
+	for range shortConnectionsMost - 1 {
 		next(t, in, control.Up, "i1")
 		next(t, in, control.Closed, "")
 	}
