--- a/sim/audit.go
+++ b/sim/audit.go
@@ -16,26 +16,27 @@
 	secondWindow  = 10 * time.Second
 	secondShare   = 0.2
 	secondPlus    = 24
-	newsTravel    = 500 * time.Millisecond
+	gossipTravel  = 500 * time.Millisecond
 	storyLines    = 90
 )
 
+// Kinds of breach of the rules.
 const (
-	OldPicture  = "old configuration obeyed"
-	BackPicture = "older configuration came back"
-	ToEmptied   = "work for an emptied domain"
-	ToLeaving   = "work for a leaving replica"
-	SecondGoes  = "too many second goes"
-	Flooded     = "cold replica flooded"
-	LostMark    = "accepted configuration was lost"
-	NoReturn    = "service did not return"
-	TwoValues   = "one mark, two configurations"
-	TwoHolders  = "two holders of one claim"
-	Unreadable  = "a frame that a neighbouring build cannot read"
-	Undue       = "contents of a configuration not obeyed"
-	AgainNot    = "second go of a kind that may not be repeated"
-	StaleGuess  = "warm guess outlived its time"
-	Unproved    = "counted as confirmed without proof"
+	OldSnapshot    = "old configuration obeyed"
+	OlderSnapshot  = "older configuration came back"
+	ToEvacuated    = "work for an emptied domain"
+	ToLeaving      = "work for a leaving replica"
+	TooManySeconds = "too many second goes"
+	Flooded        = "cold replica flooded"
+	LostMark       = "accepted configuration was lost"
+	NoReturn       = "service did not return"
+	TwoValues      = "one mark, two configurations"
+	TwoHolders     = "two holders of one claim"
+	Unreadable     = "a frame that a neighbouring build cannot read"
+	Undue          = "contents of a configuration not obeyed"
+	RepeatedUnsafe = "second go of a kind that may not be repeated"
+	StaleGuess     = "warm guess outlived its time"
+	Unproved       = "counted as confirmed without proof"
 )
 
 // A fact is known outside the nodes; domain is where it was told.
@@ -55,6 +56,8 @@
 	mark uint64
 }
 
+// Audit checks the rules of the fleet as the run goes, by what was told outside the nodes. Breaches holds the first 50 breaches, Story the
+// trace before the first, Exempt how many attempts only a network cut excuses.
 type Audit struct {
 	w        *World
 	Breaches []ledger.Breach
@@ -87,7 +90,7 @@
 func (a *Audit) known(n *Node, f fact) (at time.Duration) {
 	at = f.at
 	for _, s := range a.cuts {
-		if (n.Domain == s.domain) != (f.domain == s.domain) && at >= s.from-newsTravel && at < s.until {
+		if (n.Domain == s.domain) != (f.domain == s.domain) && at >= s.from-gossipTravel && at < s.until {
 			at = s.until
 		}
 	}
@@ -162,7 +165,7 @@
 	now, n := a.w.now, f.n
 	mark, due := n.router.Version(), a.due(n)
 	if mark < due {
-		a.breach(OldPicture, n.Name, fmt.Sprintf("mark %d, due %d", mark, due))
+		a.breach(OldSnapshot, n.Name, fmt.Sprintf("mark %d, due %d", mark, due))
 	}
 	for i := len(a.marks) - 1; i >= 0 && a.marks[i].mark > mark; i-- {
 		if a.marks[i].mark > due && now-a.marks[i].at > orderWithin {
@@ -171,7 +174,7 @@
 		}
 	}
 	if mark < a.obeyed[n.Name] {
-		a.breach(BackPicture, n.Name, fmt.Sprintf("mark %d after %d", mark, a.obeyed[n.Name]))
+		a.breach(OlderSnapshot, n.Name, fmt.Sprintf("mark %d after %d", mark, a.obeyed[n.Name]))
 	}
 	a.obeyed[n.Name] = max(a.obeyed[n.Name], mark)
 	if left, ok := a.leftAt[c.rep.Name]; ok && a.late(n, left, leavingWithin) {
@@ -191,7 +194,7 @@
 		return k
 	}
 	if s, fst := in(a.seconds), in(a.firsts); float64(s) > secondShare*float64(fst)+secondPlus {
-		a.breach(SecondGoes, n.Name, fmt.Sprintf("%d for %d", s, fst))
+		a.breach(TooManySeconds, n.Name, fmt.Sprintf("%d for %d", s, fst))
 	}
 }
 
@@ -203,7 +206,7 @@
 	}
 }
 
-func (a *Audit) claims() {
+func (a *Audit) checkLeases() {
 	by := map[string]string{}
 	for _, n := range a.w.Nodes {
 		if !n.Alive || n.frozen {
@@ -216,7 +219,7 @@
 			by[d] = n.Name
 		}
 	}
-	a.w.after(100*time.Millisecond, a.claims)
+	a.w.after(100*time.Millisecond, a.checkLeases)
 }
 
 func (a *Audit) obeys(n *Node) {
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -12,6 +12,7 @@
 // Novelty is news of a kind that the next build knows and this one does not.
 type Novelty struct{ Text string }
 
+// Since is the first build that reads the item.
 func (Novelty) Since() (build uint32) { return transport.Build + 1 }
 
 func init() { gob.RegisterName("xx", Novelty{}) }
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -81,9 +81,9 @@
 		}
 		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Kind.Name, c.rep.Name, f.n.router.Version(), due, marks))
 	case !kept:
-		a.breach(ToEmptied, c.rep.Name, f.n.Name)
+		a.breach(ToEvacuated, c.rep.Name, f.n.Name)
 	}
 	if f.gos > 1 && listed && !repeatable {
-		a.breach(AgainNot, f.ask.Request, f.n.Name)
+		a.breach(RepeatedUnsafe, f.ask.Request, f.n.Name)
 	}
 }
--- a/sim/days.go
+++ b/sim/days.go
@@ -24,6 +24,7 @@
 
 const dayLasts = 32 * sec
 
+// Scenario is the day played at a site with a seed.
 func (d Day) Scenario(spec SiteSpec, seed uint64) (s Scenario) {
 	rng := rand.New(rand.NewPCG(seed, 73))
 	if d.Traffic > 0 {
@@ -88,6 +89,7 @@
 	}
 }
 
+// Days are all days that the tests play.
 func Days() (all []Day) { return append(append(replicaDays(), nodeDays()...), orderDays()...) }
 
 func replicaDays() (all []Day) {
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// DiskError says why a simulated disk refused an operation.
 type DiskError struct{ What string }
 
 func (e *DiskError) Error() (text string) { return "disk: " + e.What }
@@ -14,6 +15,8 @@
 	named     bool
 }
 
+// Disk is a simulated storage.Disk that forgets or tears what was not synced at a power cut. Full and BadSync have writes and syncs fail;
+// CutAt is after how many writes the power goes (-1: never).
 type Disk struct {
 	rng     *rand.Rand
 	files   map[string]*file
@@ -23,6 +26,7 @@
 	CutAt   int
 }
 
+// NewDisk makes an empty disk.
 func NewDisk(seed uint64) (d *Disk) {
 	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, CutAt: -1}
 }
@@ -38,6 +42,7 @@
 	return nil
 }
 
+// Read reads a file; found is false where there is none.
 func (d *Disk) Read(name string) (data []byte, found bool, err error) {
 	f := d.files[name]
 	if f == nil {
@@ -53,6 +58,7 @@
 	return d.files[name]
 }
 
+// Write replaces a file. It fails with a DiskError, as the other operations that write do.
 func (d *Disk) Write(name string, data []byte) (err error) {
 	if err = d.spent(); err != nil {
 		return err
@@ -61,6 +67,7 @@
 	return nil
 }
 
+// Append adds to a file.
 func (d *Disk) Append(name string, data []byte) (err error) {
 	if err = d.spent(); err != nil {
 		return err
@@ -70,6 +77,7 @@
 	return nil
 }
 
+// Truncate shortens a file.
 func (d *Disk) Truncate(name string, size int) (err error) {
 	f := d.get(name)
 	if len(f.now) > size {
@@ -78,6 +86,7 @@
 	return nil
 }
 
+// Sync makes a file's contents durable.
 func (d *Disk) Sync(name string) (err error) {
 	if err = d.spent(); err != nil {
 		return err
@@ -90,6 +99,7 @@
 	return nil
 }
 
+// SyncFolder makes the files' names durable.
 func (d *Disk) SyncFolder() (err error) {
 	if err = d.spent(); err != nil {
 		return err
@@ -100,6 +110,7 @@
 	return nil
 }
 
+// PowerCut leaves of each file what a power cut may leave, and makes the disk sound again.
 func (d *Disk) PowerCut() {
 	for _, name := range sortedKeys(d.files) {
 		f := d.files[name]
@@ -150,8 +161,10 @@
 // Restore puts an earlier copy in place of what is there.
 func (d *Disk) Restore(files map[string]*file) { d.files = files }
 
+// Wipe loses all files.
 func (d *Disk) Wipe() { d.files = map[string]*file{} }
 
+// Rot flips a bit of a file; ok is false where the file is shorter.
 func (d *Disk) Rot(name string, at int) (ok bool) {
 	f := d.files[name]
 	if f == nil || at >= len(f.now) {
@@ -163,6 +176,7 @@
 	return true
 }
 
+// Size is the length of a file in bytes.
 func (d *Disk) Size(name string) (n int) {
 	if d.files[name] == nil {
 		return 0
--- a/sim/engine.go
+++ b/sim/engine.go
@@ -26,6 +26,7 @@
 	Stride int
 }
 
+// Engine runs the requests of one replica as an EngineSpec says. Prompted and Cached count tokens of prompts and those found in the cache.
 type Engine struct {
 	EngineSpec
 	q *queue
@@ -44,6 +45,7 @@
 	Prompted, Cached             uint64
 }
 
+// NewEngine makes an engine that lives by the clock of the queue.
 func NewEngine(q *queue, s EngineSpec) (e *Engine) {
 	return &Engine{EngineSpec: s, q: q, Slow: func() float64 { return 1 }, cache: newPrefixCache()}
 }
@@ -103,6 +105,7 @@
 	}
 }
 
+// Stop ends the engine; its requests get no more events.
 func (e *Engine) Stop() { e.dead = true }
 
 func (e *Engine) kick() {
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Fault is one thing that goes wrong at the time At, on the nodes, replicas or zones named, for that long; a negative For means for good.
 type Fault struct {
 	At   time.Duration `json:"at"`
 	Kind string        `json:"kind"`
@@ -13,6 +14,7 @@
 	Body []byte        `json:"-"`
 }
 
+// Kinds of fault.
 const (
 	Kill       = "kill"
 	Power      = "power"
@@ -64,6 +66,7 @@
 	return names
 }
 
+// Break lets a fault strike now.
 func (w *World) Break(f Fault) {
 	w.Say("fault %s %v for %s", f.Kind, f.On, f.For)
 	if w.site != nil {
--- a/sim/gauge.go
+++ b/sim/gauge.go
@@ -7,7 +7,8 @@
 	"github.com/mallowbridge/mallowbridge/membership"
 )
 
-type Reading struct {
+// Measurement is a name and the times measured under it, in milliseconds.
+type Measurement struct {
 	Name string
 	Ms   []int64
 }
@@ -15,11 +16,11 @@
 type gauge struct {
 	shape Shape
 	seed  uint64
-	rs    []Reading
+	rs    []Measurement
 }
 
 // Gauge breaks one thing at a time in a calm fleet under load and times how long the fleet takes, for each seed.
-func Gauge(shape Shape, from, seeds uint64) (rs []Reading) {
+func Gauge(shape Shape, from, seeds uint64) (rs []Measurement) {
 	g := &gauge{shape: shape}
 	for g.seed = from; g.seed < from+seeds; g.seed++ {
 		g.lost("killed", func(n *Node) { n.kill() })
@@ -59,7 +60,7 @@
 			return
 		}
 	}
-	g.rs = append(g.rs, Reading{Name: name, Ms: []int64{ms}})
+	g.rs = append(g.rs, Measurement{Name: name, Ms: []int64{ms}})
 }
 
 func (w *World) others(n *Node, all bool, test func(o *Node) (yes bool)) (yes bool) {
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -36,7 +36,7 @@
 type Meter interface {
 	// Sent is one message of one node to another: its frame on a connection that has carried its kind before.
 	Sent(from, to *HollowNode, msg any, frame int, encode, decode time.Duration)
-	// Stepped is one input (crux.In or mallowbridge.Event) and the real time that the machine took for it.
+	// Stepped is one input (control.In or mallowbridge.Event) and the real time that the machine took for it.
 	Stepped(n *HollowNode, in any, took time.Duration)
 	// Asked is one question to a replica for its usage.
 	Asked(n *HollowNode)
@@ -44,6 +44,7 @@
 	Wrote(n *HollowNode)
 }
 
+// Hollow is a fleet that runs a HollowPlan.
 type Hollow struct {
 	queue
 	S       HollowPlan
@@ -69,6 +70,7 @@
 	Firsts []time.Duration
 }
 
+// NewHollow makes the fleet; nothing runs yet.
 func NewHollow(p HollowPlan) (h *Hollow) {
 	h = &Hollow{
 		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*HollowNode{},
@@ -88,8 +90,10 @@
 	return h
 }
 
+// Now is the virtual time since the fleet was made.
 func (h *Hollow) Now() (t time.Duration) { return h.now }
 
+// Run runs the fleet until that time.
 func (h *Hollow) Run(until time.Duration) { h.run(until) }
 
 // Boot starts all nodes within a third of a second, founds the register and puts the first configuration.
--- a/sim/load.go
+++ b/sim/load.go
@@ -7,11 +7,14 @@
 	"time"
 )
 
+// KindLoad is a kind of request of an offer.
 type KindLoad struct {
 	Offer, Name string
 	Repeatable  bool
 }
 
+// Load describes random requests: Rate a second over all kinds, begun by one of Prefixes prefixes a kind, and a HotShare
+// (0 to 1) of them all of the first kind with its first prefix.
 type Load struct {
 	Kinds    []KindLoad
 	Rate     float64
@@ -20,11 +23,13 @@
 	Crowds   []Crowd
 }
 
+// Crowd multiplies the rate for a while.
 type Crowd struct {
 	From, Until time.Duration
 	Times       float64
 }
 
+// Ask is one request: when it comes, its prefix as a header, and the tokens that follow the prefix.
 type Ask struct {
 	At         time.Duration
 	Request    string
@@ -37,6 +42,7 @@
 	header string
 }
 
+// Source draws the requests of a Load in order of time.
 type Source struct {
 	load     Load
 	rng      *rand.Rand
@@ -46,6 +52,7 @@
 	tag      string
 }
 
+// NewSource makes a source; its request names begin with tag.
 func NewSource(l Load, seed uint64, tag string) (s *Source) {
 	s = &Source{load: l, rng: rand.New(rand.NewPCG(seed, 17)), tag: tag}
 	shape := rand.New(rand.NewPCG(1, 19))
@@ -73,6 +80,7 @@
 	return r
 }
 
+// Next is the next request; its time counts from the start of the load.
 func (s *Source) Next() (a Ask) {
 	s.next += time.Duration(s.rng.ExpFloat64() / s.rate(s.next) * float64(time.Second))
 	k := s.rng.IntN(len(s.load.Kinds))
--- a/sim/net.go
+++ b/sim/net.go
@@ -14,6 +14,8 @@
 	r   *transport.Reader
 }
 
+// Net is the simulated network: shares of messages that are lost and doubled, one-way delays within (Near) and between zones (Far) with a
+// random addition of up to Jitter, and counts of messages and bytes, between zones also by kind.
 type Net struct {
 	rng        *rand.Rand
 	links      map[[2]string]*link
--- a/sim/node.go
+++ b/sim/node.go
@@ -12,6 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
+// Node is a simulated machine of the fleet with its process: control state machine, router, disk and clock.
 type Node struct {
 	w      *World
 	Name   string
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -13,8 +13,8 @@
 	switch f.Kind {
 	case Empty:
 		n := w.someNode()
-		w.Empty(n, f.On[0], false, func(control.Answer) {})
-		w.after(f.For, func() { w.Empty(w.someNode(), f.On[0], true, func(control.Answer) {}) })
+		w.Evacuate(n, f.On[0], false, func(control.Answer) {})
+		w.after(f.For, func() { w.Evacuate(w.someNode(), f.On[0], true, func(control.Answer) {}) })
 	case Lists:
 		w.lists(w.now+f.For, map[string]string{}, 0)
 	case SwapVoters:
--- a/sim/rep.go
+++ b/sim/rep.go
@@ -11,6 +11,8 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
+// Rep is a simulated replica with its connections. Dark: it answers nothing; Sick: it breaks each answer; Twists: it spoils a line in one
+// of so many answers.
 type Rep struct {
 	w       *World
 	Name    string
--- a/sim/replica.go
+++ b/sim/replica.go
@@ -7,6 +7,9 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
+// Model is how a replica serves: Room requests at a time, Keep tokens of prefixes in its cache; the first token takes Base and PerToken for
+// each token not cached, more when it is full or cold (for ColdFor after its start), then Pieces come one Every so often. Its usage figures
+// lag behind by UsageLag.
 type Model struct {
 	Room     int
 	Keep     int
@@ -18,6 +21,7 @@
 	UsageLag time.Duration
 }
 
+// DefaultModel is a replica of usual size.
 func DefaultModel() (m Model) {
 	return Model{
 		Room: 8, Keep: 65536, Base: 60 * time.Millisecond, PerToken: 200 * time.Microsecond, Every: 15 * time.Millisecond,
@@ -25,6 +29,8 @@
 	}
 }
 
+// Plan is how a replica will serve an admitted request: the time to its first token, that between pieces, and how many of the prefix's
+// Tokens were cached.
 type Plan struct {
 	First  time.Duration
 	Every  time.Duration
@@ -33,7 +39,7 @@
 	Tokens int
 }
 
-type reading struct {
+type promptReading struct {
 	at    time.Duration
 	parts []prefixindex.Part
 }
@@ -43,6 +49,7 @@
 	n  int
 }
 
+// Replica is one instance of a simulated replica by a Model. Floods counts requests admitted above what a cold replica bears.
 type Replica struct {
 	Model
 	Instance string
@@ -50,7 +57,7 @@
 	kept     map[prefixindex.Key]*list.Element
 	order    *list.List
 	tokens   int
-	reading  []reading
+	prompts  []promptReading
 	running  map[string]bool
 	history  []sample
 
@@ -58,6 +65,7 @@
 	CachedTokens, PrefixTokens uint64
 }
 
+// NewReplica makes an instance that started at now.
 func NewReplica(m Model, instance string, now time.Duration) (r *Replica) {
 	return &Replica{
 		Model: m, Instance: instance, born: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
@@ -71,18 +79,19 @@
 	return 1 - float64(now-r.born)/float64(r.ColdFor)
 }
 
+// Bears is how many requests the replica may run at now, by how cold it is.
 func (r *Replica) Bears(now time.Duration) (n int) {
 	return max(1, int(float64(r.Room)*(1-r.coldness(now)))) + 1
 }
 
 func (r *Replica) settle(now time.Duration) {
 	i := 0
-	for ; i < len(r.reading) && r.reading[i].at <= now; i++ {
-		for j := len(r.reading[i].parts) - 1; j >= 0; j-- {
-			r.keep(r.reading[i].parts[j])
+	for ; i < len(r.prompts) && r.prompts[i].at <= now; i++ {
+		for j := len(r.prompts[i].parts) - 1; j >= 0; j-- {
+			r.keep(r.prompts[i].parts[j])
 		}
 	}
-	r.reading = r.reading[i:]
+	r.prompts = r.prompts[i:]
 	for r.tokens > r.Keep {
 		e := r.order.Back()
 		p := e.Value.(prefixindex.Part)
@@ -101,6 +110,7 @@
 	r.tokens += p.Tokens
 }
 
+// Admit takes an attempt with its prefix's parts and the tokens after them; ok is false where the replica is full.
 func (r *Replica) Admit(now time.Duration, goID string, parts []prefixindex.Part, tail int) (p Plan, ok bool) {
 	r.settle(now)
 	if len(r.running) >= r.Room {
@@ -129,11 +139,11 @@
 	work := r.Base + time.Duration(total+tail-cached)*r.PerToken
 	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + cold)), Every: r.Every, Pieces: r.Pieces, Cached: cached, Tokens: total}
 	at := now + p.First
-	i := len(r.reading)
-	for i > 0 && r.reading[i-1].at > at {
+	i := len(r.prompts)
+	for i > 0 && r.prompts[i-1].at > at {
 		i--
 	}
-	r.reading = append(r.reading[:i], append([]reading{{at: at, parts: parts}}, r.reading[i:]...)...)
+	r.prompts = append(r.prompts[:i], append([]promptReading{{at: at, parts: parts}}, r.prompts[i:]...)...)
 	return p, true
 }
 
@@ -144,6 +154,7 @@
 	}
 }
 
+// Release ends an attempt.
 func (r *Replica) Release(now time.Duration, goID string) {
 	if r.running[goID] {
 		delete(r.running, goID)
@@ -151,6 +162,7 @@
 	}
 }
 
+// Usage is the number of running requests as the replica reports it, and by how much that lags behind.
 func (r *Replica) Usage(now time.Duration) (running int, lag time.Duration) {
 	for i := len(r.history) - 1; i >= 0; i-- {
 		if r.history[i].at <= now-r.UsageLag {
--- a/sim/report.go
+++ b/sim/report.go
@@ -10,11 +10,14 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
+// KindReport counts how the requests of one kind ended. Firsts are times to the first token, in milliseconds.
 type KindReport struct {
 	Done, Denied, Partial, Unknown, Lost, Repeat, Late int
 	Firsts                                             []int64
 }
 
+// Report is what a run came to. Whys counts the reasons of denials, Seconds second attempts, Predicted and Confirmed the prefix tokens that
+// placements counted on. ReturnMs is how long the fleet took to serve after the full stop at the end.
 type Report struct {
 	Kinds                                              map[string]*KindReport
 	Whys                                               map[string]int
@@ -45,6 +48,7 @@
 	}
 }
 
+// Total sums up all kinds.
 func (r *Report) Total() (k KindReport) {
 	for _, name := range sortedKeys(r.Kinds) {
 		o := r.Kinds[name]
@@ -59,6 +63,7 @@
 	return k
 }
 
+// Quantile is the value below which the share q of the values lies; 0 for none.
 func Quantile(ms []int64, q float64) (v int64) {
 	if len(ms) == 0 {
 		return 0
@@ -68,10 +73,12 @@
 	return s[min(int(q*float64(len(s))), len(s)-1)]
 }
 
+// HitRate is the share of prefix tokens that replicas had cached.
 func (r *Report) HitRate() (share float64) {
 	return float64(r.CachedTokens) / float64(max(r.PrefixTokens, 1))
 }
 
+// Write prints the report as a table.
 func (r *Report) Write(out io.Writer) {
 	fmt.Fprintf(out, "%-10s %7s %7s %8s %8s %6s %9s %9s\n", "kind", "done", "denied", "partial", "unknown", "lost", "first p50", "first p95")
 	row := func(name string, k *KindReport) {
--- a/sim/run.go
+++ b/sim/run.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// Run plays a scenario from the start of the fleet to its end, with the checks that follow a full stop.
 func Run(s Scenario) (w *World) {
 	w = New(s)
 	w.Boot()
--- a/sim/scenes.go
+++ b/sim/scenes.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Scene is a named way to disturb a fleet. Whole: every request must be served all the same. Change, if any, alters the scenario.
 type Scene struct {
 	Name   string
 	Whole  bool
@@ -44,6 +45,7 @@
 	return func(Shape, *rand.Rand) []Fault { return fs }
 }
 
+// Scenes are all scenes that the tests play.
 func Scenes() (all []Scene) {
 	return append(append(trafficScenes(), controlScenes()...), mixedScenes()...)
 }
@@ -161,6 +163,7 @@
 	}
 }
 
+// Scenario is the scene played on a shape with a seed.
 func (sc Scene) Scenario(sh Shape, seed uint64) (s Scenario) {
 	s = Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: Load{Kinds: sh.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
 	s.Faults = sc.Faults(sh, rand.New(rand.NewPCG(seed, 37)))
--- a/sim/shape.go
+++ b/sim/shape.go
@@ -5,12 +5,14 @@
 	"fmt"
 )
 
+// NodeShape is one machine of a shape; Disk: it has one and can be a voter.
 type NodeShape struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	Disk   bool   `json:"disk"`
 }
 
+// Shape is a fleet: its machines, first voters, zones, the one offer with its kinds of request, and its first configuration (Charter).
 type Shape struct {
 	Name    string
 	Nodes   []NodeShape
@@ -23,11 +25,13 @@
 	Others []string
 }
 
+// Tramites is the shape of the first of the two users' fleets.
 func Tramites() (s Shape) {
 	s, _ = Times("tramites", 1)
 	return s
 }
 
+// Atlas is the shape of the second of them.
 func Atlas() (s Shape) {
 	s, _ = Times("atlas", 1)
 	return s
@@ -44,6 +48,7 @@
 	return s, false
 }
 
+// ShapeOf finds a shape by name.
 func ShapeOf(name string) (s Shape, ok bool) { return Times(name, 1) }
 
 func shape(k int, name, offer string, nodes, cores int, domains, kinds []string, cross float64) (s Shape) {
--- a/sim/site.go
+++ b/sim/site.go
@@ -62,7 +62,7 @@
 	w.after(2*time.Second, func() { s.first = false })
 	w.after(600*time.Millisecond, s.ops.open)
 	s.poll()
-	w.Audit.claims()
+	w.Audit.checkLeases()
 }
 
 // configure makes a node's settings those of the ordinary path.
--- a/sim/sitelist.go
+++ b/sim/sitelist.go
@@ -6,6 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
+// ListError says why the platform's list of replicas could not be read.
 type ListError struct{ Why string }
 
 func (e *ListError) Error() (text string) { return "list: " + e.Why }
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -10,6 +10,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
+// ClassReport counts the requests of one class. Firsts are times to the first event, in milliseconds.
 type ClassReport struct {
 	Asked, Served, InTime int
 	Firsts                []int64
@@ -73,6 +74,7 @@
 	}
 }
 
+// Served is the share of requests that were served.
 func (r *SiteReport) Served() (share float64) {
 	asked, served := 0, 0
 	for _, c := range r.Classes {
@@ -81,6 +83,7 @@
 	return float64(served) / float64(max(asked, 1))
 }
 
+// Write prints the report as a table.
 func (r *SiteReport) Write(out io.Writer) {
 	fmt.Fprintf(out, "%-10s %6s %6s %7s %9s %9s\n", "class", "asked", "served", "in time", "first p50", "first p95")
 	for _, name := range sortedKeys(r.Classes) {
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// TramitesSite and AtlasSite are the two small sites of the users' platform.
+// TramitesSite is one of the two small sites of the users' platform.
 func TramitesSite() (s SiteSpec) {
 	s = SiteSpec{
 		Shape: siteNodes("tramites site", 11, 3, 3), Far: 500 * time.Microsecond, Idle: 8, Bounds: smallBounds(), Tolerate: 1, ListRate: 44,
@@ -105,6 +105,7 @@
 	return s
 }
 
+// AtlasSite is the other small site of the users' platform.
 func AtlasSite() (s SiteSpec) {
 	s = SiteSpec{
 		Shape: siteNodes("atlas site", 12, 4, 4), Far: 900 * time.Microsecond, Idle: 8, Bounds: smallBounds(), Tolerate: 1, ListRate: 44,
--- a/sim/world.go
+++ b/sim/world.go
@@ -10,6 +10,9 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
+// Scenario is what is to be played. Lasts is its length, Loss and Dup the shares of messages between nodes that are lost and doubled.
+// IndexOff and RoundRob route without the prefix index, Resend has clients send lost requests once more, Builds has every other node be of
+// the next build. Asks, if any, take the place of Load; From is when the load begins. Tune is called after Boot.
 type Scenario struct {
 	Seed     uint64
 	Shape    Shape
@@ -33,6 +36,7 @@
 	Site *SiteSpec
 }
 
+// World is a fleet with its surroundings in virtual time. One goroutine runs it.
 type World struct {
 	queue
 	S       Scenario
@@ -61,13 +65,16 @@
 
 const (
 	traceLines = 800
-	Prompt     = "m1"
+	// Prompt is the model that all offers serve.
+	Prompt = "m1"
 )
 
+// Verbose keeps the whole trace instead of its newest lines.
 var Verbose bool
 
 const tickEvery = 50 * time.Millisecond
 
+// New makes the fleet of a scenario; nothing runs yet.
 func New(s Scenario) (w *World) {
 	if s.Site != nil {
 		s.Shape = s.Site.Shape
@@ -98,6 +105,7 @@
 	return w
 }
 
+// Say adds a line to the trace.
 func (w *World) Say(format string, args ...any) {
 	w.Trace = append(w.Trace, fmt.Sprintf("%8.3fs ", w.now.Seconds())+fmt.Sprintf(format, args...))
 	if len(w.Trace) > traceLines && !Verbose {
@@ -105,8 +113,10 @@
 	}
 }
 
+// Now is the virtual time since the world was made.
 func (w *World) Now() (t time.Duration) { return w.now }
 
+// Node is the node of that name, or nil.
 func (w *World) Node(name string) (n *Node) {
 	for _, n := range w.Nodes {
 		if n.Name == name {
@@ -116,8 +126,10 @@
 	return nil
 }
 
+// Rep is the replica of that name, or nil.
 func (w *World) Rep(name string) (r *Rep) { return w.byRep[name] }
 
+// Boot starts the nodes, founds the register and puts the first configuration.
 func (w *World) Boot() {
 	if w.site != nil {
 		w.site.boot()
@@ -128,7 +140,7 @@
 	}
 	w.after(time.Second, func() { w.found() })
 	w.platform()
-	w.Audit.claims()
+	w.Audit.checkLeases()
 }
 
 func (w *World) found() {
@@ -146,48 +158,6 @@
 	})
 }
 
-func (w *World) Call(n *Node, op control.Op, done func(a control.Answer)) {
-	w.asks++
-	id := w.asks
-	w.answers[id] = done
-	life := n.life
-	n.step(control.Command{ID: id, Op: op})
-	w.after(6*time.Second, func() {
-		if w.answers[id] != nil && (n.life != life || !n.Alive) {
-			delete(w.answers, id)
-			done(control.Answer{ID: id, Err: &GoneError{Node: n.Name}})
-		}
-	})
-}
-
-type GoneError struct{ Node string }
-
-func (e *GoneError) Error() (text string) { return e.Node + " went down with the answer" }
-
-func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
-	w.asks++
-	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), Expect: expect, Body: body}
-	c := w.Audit.offered(expect, body)
-	w.Call(n, op, func(a control.Answer) {
-		c.answered(a)
-		if a.Err == nil {
-			w.Audit.accepted(n, a.Value)
-		}
-		done(a)
-	})
-}
-
-func (w *World) Empty(n *Node, domain string, restore bool, done func(a control.Answer)) {
-	w.asks++
-	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Domain: domain, Restore: restore}, func(a control.Answer) {
-		if a.Err == nil {
-			w.Audit.accepted(n, a.Value)
-			w.Audit.emptied(n, domain, !restore)
-		}
-		done(a)
-	})
-}
-
 func (w *World) platform() {
 	w.ready = map[string][]*Node{}
 	for _, n := range w.Nodes {
@@ -211,6 +181,7 @@
 	return ns[w.rng.IntN(len(ns))]
 }
 
+// Load submits the scenario's requests between the two times.
 func (w *World) Load(from, until time.Duration) {
 	for _, a := range w.S.Asks {
 		w.at(from+a.At, func() { w.submit(a, w.S.Shape.Domains[w.rng.IntN(len(w.S.Shape.Domains))], 0) })
