--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -161,7 +161,7 @@
 var stateFields = map[reflect.Type]map[string]Mechanism{
 	reflect.TypeFor[control.Node](): {
 		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config, "documents": Config,
-		"where": Config, "grantor": Leases, "leases": Leases, "tasks": LoadGossip, "sights": Probes, "platformStates": ReplicaListings,
+		"replicasByName": Config, "grantor": Leases, "leases": Leases, "tasks": LoadGossip, "observations": Probes, "platformStates": ReplicaListings,
 		"replicaList": ReplicaListings, "witness": Witnesses, "routers": CapacityShares,
 	},
 	reflect.TypeFor[mallowbridge.Router](): {
