--- a/control/command.go
+++ b/control/command.go
@@ -149,7 +149,7 @@
 	n.leaving = true
 	if n.value != nil {
 		for _, d := range n.leases.Held() {
-			n.sendToDisks(n.leases.Release(d, n.value))
+			n.sendToGrantors(n.leases.Release(d, n.value))
 		}
 	}
 	n.Members.Update(now, func(m *membership.Member) { m.State = membership.Left })
--- a/control/list.go
+++ b/control/list.go
@@ -76,7 +76,7 @@
 	held := false
 	if n.value != nil && n.joined && !n.Members.Isolated(now) {
 		if _, held = n.leases.Holds(now, listDuty); held || n.ranksFirst(listDuty, "") {
-			n.sendToDisks(n.leases.Acquire(now, listDuty, n.value))
+			n.sendToGrantors(n.leases.Acquire(now, listDuty, n.value))
 		}
 	}
 	if !held && now-l.confirmedAt < listPatience+time.Duration(n.rank(listDuty))*listStep {
--- a/control/msg.go
+++ b/control/msg.go
@@ -68,7 +68,7 @@
 // In is an input of Node.Step.
 type In interface{ in() }
 
-// Received is a message of another node. Build is the sender's as its connection said it, 0 where that isn't known.
+// Received is a message of another node, of the types that Send may carry. Build is the sender's as its connection said it, 0 where that isn't known.
 type Received struct {
 	From  string
 	Build uint32
@@ -189,16 +189,25 @@
 func (Retire) op()           {}
 func (Leave) op()            {}
 
-// Send is a message to the node at the address To.
+// Send is a message to the node at the address To. Msg is a message of this package or a register.Message, lease.Message,
+// membership.Message or gossip.Message: an interface with an unexported method can't unite those of several packages.
 type Send struct {
 	To  string
 	Msg any
 }
 
+// LogEntry is what the journal can hold: Promised, AcceptedEntry, Granted or Opened.
+type LogEntry interface{ logEntry() }
+
+func (Promised) logEntry()      {}
+func (AcceptedEntry) logEntry() {}
+func (Granted) logEntry()       {}
+func (Opened) logEntry()        {}
+
 // LogWrite is an entry to append to the journal. Tickets rise; Persisted names the last one that is durable.
 type LogWrite struct {
 	Ticket uint64
-	Entry  any
+	Entry  LogEntry
 }
 
 // Answer ends the Command with this ID. Value and Mark are the register's value and the revision that the operation made or found; Verdict
--- a/control/register.go
+++ b/control/register.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func (n *Node) reply(now time.Duration, to string, msg any, ours, write bool, entry any) {
+func (n *Node) reply(now time.Duration, to string, msg any, ours, write bool, entry LogEntry) {
 	if !ours {
 		return
 	}
@@ -162,7 +162,7 @@
 func (n *Node) drainProposer(now time.Duration) {
 	n.proposer.Tick(now)
 	sends, results := n.proposer.TakeOutput()
-	n.sendToDisks(sends)
+	n.sendToVoters(sends)
 	for _, r := range results {
 		op := n.pendingOps[r.ID]
 		delete(n.pendingOps, r.ID)
--- a/control/send.go
+++ b/control/send.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
@@ -19,7 +20,11 @@
 	}
 }
 
+// addrOf is the address of the node with that disk, which may be this one; empty: none is known.
 func (n *Node) addrOf(disk string) (addr string) {
+	if n.acceptor != nil && disk == n.acceptor.Disk {
+		return n.config.Addr
+	}
 	for _, m := range n.Members.Table.All() {
 		if m.Disk == disk && m.State != membership.Left {
 			return m.Addr
@@ -28,12 +33,14 @@
 	return ""
 }
 
-func (n *Node) sendToDisks(sends []register.Send) {
+func (n *Node) sendToVoters(sends []register.Send) {
+	for _, s := range sends {
+		n.send(n.addrOf(s.Disk), s.Msg)
+	}
+}
+
+func (n *Node) sendToGrantors(sends []lease.Send) {
 	for _, s := range sends {
-		if n.acceptor != nil && s.Disk == n.acceptor.Disk {
-			n.send(n.config.Addr, s.Msg)
-			continue
-		}
 		n.send(n.addrOf(s.Disk), s.Msg)
 	}
 }
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -101,7 +101,7 @@
 	silent := now - max(n.tasks.receivedAt[domain], n.tasks.started)
 	fresh := n.tasks.receivedAt[domain] == 0
 	if ok || ((fresh || silent > takeoverAfter) && n.ranksFirst(duty, domain)) {
-		n.sendToDisks(n.leases.Acquire(now, duty, n.value))
+		n.sendToGrantors(n.leases.Acquire(now, duty, n.value))
 	}
 	if !ok && silent > probeWithoutLeaseAfter && n.ranksFirst(duty, domain) {
 		n.probe(now, domain, n.tasks.token[domain])
--- a/gossip/push.go
+++ b/gossip/push.go
@@ -20,7 +20,7 @@
 	at   time.Duration
 }
 
-func (s *Store) pack(keys []string) (msgs []any) {
+func (s *Store) pack(keys []string) (msgs []Message) {
 	var small []string
 	var t Announcement
 	sort.Strings(keys)
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -17,7 +17,7 @@
 	return m.Hi < o.Hi || (m.Hi == o.Hi && m.Lo < o.Lo)
 }
 
-// Item is one version of the data under a key.
+// Item is one version of the data under a key. Data is of any type that has a name in gob: the packages above this one bring theirs.
 type Item struct {
 	Key  string
 	Mark Version
@@ -30,6 +30,9 @@
 	Mark Version
 }
 
+// Message is what stores send each other. The names of its types and fields are part of the format between nodes.
+type Message interface{ gossipMessage() }
+
 // Update brings items.
 type Update struct{ Items []Item }
 
@@ -48,6 +51,12 @@
 // Pull asks for items by key.
 type Pull struct{ Keys []string }
 
+func (Update) gossipMessage()       {}
+func (Checksum) gossipMessage()     {}
+func (Digest) gossipMessage()       {}
+func (Pull) gossipMessage()         {}
+func (Announcement) gossipMessage() {}
+
 // Peer is a node to talk to; Near ones are of the same failure domain.
 type Peer struct {
 	Name, Addr, Domain string
@@ -57,7 +66,7 @@
 // Send is a message for the address To.
 type Send struct {
 	To  string
-	Msg any
+	Msg Message
 }
 
 // Config sets the pace: a push every Push to Near peers of the same domain and Far others, so many Rounds for each item; a checksum to
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -27,34 +27,6 @@
 	return m.Seat < o.Seat || (m.Seat == o.Seat && m.N < o.N)
 }
 
-// Request asks one grantor, named by its disk, for a duty under a token, in the epoch Seat. Rid returns in the answer.
-type Request struct {
-	Rid    uint64
-	Disk   string
-	Duty   string
-	Holder string
-	Mark   Token
-	Seat   uint64
-}
-
-// Grant answers a Request. If it is refused, Mark and Holder are those in force.
-type Grant struct {
-	Rid    uint64
-	Disk   string
-	Duty   string
-	OK     bool
-	Mark   Token
-	Holder string
-}
-
-// Release gives a token up before its time.
-type Release struct {
-	Disk   string
-	Duty   string
-	Holder string
-	Mark   Token
-}
-
 // Record is what a grantor keeps on disk of one duty.
 type Record struct {
 	Holder string
@@ -172,7 +144,7 @@
 }
 
 // Acquire asks for the duty, or for more time, when it is due; it is called again and again for as long as the duty is wanted.
-func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) (sends []register.Send) {
+func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) (sends []Send) {
 	c := h.leases[duty]
 	if c == nil {
 		c = &Lease{Duty: duty, Token: Token{Seat: seats.Seat, N: h.high[duty] + 1}}
@@ -191,7 +163,7 @@
 	h.rid++
 	c.rid, c.asked, c.yes, c.next, c.epoch = h.rid, now, map[string]bool{}, now+Renew, seats.Seat
 	for _, v := range seats.All() {
-		sends = append(sends, register.Send{Disk: v.Disk, Msg: Request{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Token, Seat: seats.Seat}})
+		sends = append(sends, Send{Disk: v.Disk, Msg: Request{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Token, Seat: seats.Seat}})
 	}
 	return sends
 }
@@ -216,7 +188,7 @@
 }
 
 // Release gives the duty up.
-func (h *Holder) Release(duty string, seats *register.Value) (sends []register.Send) {
+func (h *Holder) Release(duty string, seats *register.Value) (sends []Send) {
 	c := h.leases[duty]
 	if c == nil {
 		return nil
@@ -227,10 +199,10 @@
 
 // releases gives a token up. It is never asked for again: its release may arrive after a later request, and would end a lease that its
 // holder counts on.
-func (h *Holder) releases(c *Lease, seats *register.Value) (sends []register.Send) {
+func (h *Holder) releases(c *Lease, seats *register.Value) (sends []Send) {
 	h.high[c.Duty] = max(h.high[c.Duty], c.Token.N)
 	for _, v := range seats.All() {
-		sends = append(sends, register.Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Token}})
+		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Token}})
 	}
 	return sends
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -32,7 +32,7 @@
 
 func (r *rig) clock(i int) (local time.Duration) { return time.Duration(float64(r.now) * r.drift[i]) }
 
-func (r *rig) carry(i int, sends []register.Send) {
+func (r *rig) carry(i int, sends []Send) {
 	for _, s := range sends {
 		if r.rng.IntN(10) == 0 {
 			continue
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -36,7 +36,7 @@
 	return time.Duration(s.rng.IntN(60)) * ms
 }
 
-func (s *storm) carry(i int, sends []register.Send) {
+func (s *storm) carry(i int, sends []Send) {
 	for _, send := range sends {
 		copies := []int{1, 1, 1, 1, 1, 1, 1, 1, 2, 0}[s.rng.IntN(10)]
 		for range copies {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (s *storm) arrive(i int, send register.Send) {
+func (s *storm) arrive(i int, send Send) {
 	g := s.granters[send.Disk]
 	switch m := send.Msg.(type) {
 	case Request:
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -1,5 +1,8 @@
 package register
 
+// Message is what proposers and acceptors send each other. The names of its types and fields are part of the format between nodes.
+type Message interface{ registerMessage() }
+
 // Prepare asks a disk to promise a ballot and to tell what it accepted last. Rid ties the answer to the round.
 type Prepare struct {
 	Rid    uint64
@@ -35,6 +38,11 @@
 	Promised Ballot
 }
 
+func (Prepare) registerMessage()  {}
+func (Promise) registerMessage()  {}
+func (Accept) registerMessage()   {}
+func (Accepted) registerMessage() {}
+
 // State is what a disk keeps: nothing of it may be told before it is synced.
 type State struct {
 	Disk     string
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -49,7 +49,7 @@
 // Send is a message for a disk.
 type Send struct {
 	Disk string
-	Msg  any
+	Msg  Message
 }
 
 type operation struct {
