--- a/control/list.go
+++ b/control/list.go
@@ -62,42 +62,48 @@
 
 // readList has the platform's list read: by the holder of the lease, and by each node that receives no confirmation.
 func (n *Node) readList(now time.Duration) {
-	if n.config.ListEvery == 0 || n.leaving {
-		return
-	}
 	l := &n.replicaList
-	if _, known := n.Gossip.Get(replicaListKey); !known {
-		n.readFirstList(now)
-		return
-	}
-	if l.reading || now-l.askedAt < n.config.ListEvery {
+	if n.config.ListEvery == 0 || n.leaving || l.reading {
 		return
 	}
-	held := false
-	if n.value != nil && n.joined && !n.Members.Isolated(now) {
-		if _, held = n.leases.Holds(now, listDuty); held || n.ranksFirst(listDuty, "") {
-			n.sendToGrantors(n.leases.Acquire(now, listDuty, n.value))
-		}
+	due := n.listDue
+	if _, known := n.Gossip.Get(replicaListKey); !known {
+		due = n.firstListDue
 	}
-	if !held && now-l.confirmedAt < listPatience+time.Duration(n.rank(listDuty))*listStep {
+	if !due(now) {
 		return
 	}
 	l.reading, l.askedAt = true, now
 	n.out.List = true
 }
 
-// readFirstList reads the list soon after a start: until some node has, nothing can be served. Seeds begin, and most others receive their
-// result.
-func (n *Node) readFirstList(now time.Duration) {
-	l := &n.replicaList
-	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+time.Duration(scheduler.Rank(listDuty, n.config.Name)%firstListSpread)*time.Millisecond {
-		return
+func (n *Node) listDue(now time.Duration) (yes bool) {
+	if now-n.replicaList.askedAt < n.config.ListEvery {
+		return false
 	}
-	if l.reading || now-l.askedAt < firstListAgain+time.Duration(n.rank(listDuty))*listStep {
-		return
+	return n.holdsListDuty(now) || now-n.replicaList.confirmedAt >= listPatience+time.Duration(n.rank(listDuty))*listStep
+}
+
+// holdsListDuty renews or asks for the lease, where this node holds it or is the first by rank.
+func (n *Node) holdsListDuty(now time.Duration) (yes bool) {
+	if n.value == nil || !n.joined || n.Members.Isolated(now) {
+		return false
 	}
-	l.reading, l.askedAt = true, now
-	n.out.List = true
+	_, yes = n.leases.Holds(now, listDuty)
+	if yes || n.ranksFirst(listDuty, "") {
+		n.sendToGrantors(n.leases.Acquire(now, listDuty, n.value))
+	}
+	return yes
+}
+
+// firstListDue has the list read soon after a start: until some node has, nothing can be served. Seeds begin, and most others receive their
+// result.
+func (n *Node) firstListDue(now time.Duration) (yes bool) {
+	spread := time.Duration(scheduler.Rank(listDuty, n.config.Name)%firstListSpread) * time.Millisecond
+	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+spread {
+		return false
+	}
+	return now-n.replicaList.askedAt >= firstListAgain+time.Duration(n.rank(listDuty))*listStep
 }
 
 func (n *Node) rank(duty string) (place int) {
