--- a/control/voters.go
+++ b/control/voters.go
@@ -8,6 +8,9 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// VotersChange is the Change that a node tells of when it begins to replace voters; the simulator waits for it.
+const VotersChange = "voters change"
+
 const (
 	// voterLostAfter is how long a voter may be out of touch before its seat goes to another disk, where the fleet seats voters itself.
 	voterLostAfter = 2500 * time.Millisecond
@@ -44,7 +47,7 @@
 		return
 	}
 	n.tasks.votersChangedAt = now
-	n.logChange("voters change", why)
+	n.logChange(VotersChange, why)
 	n.proposeUrgent(now, beginVoterChangeAt(n.value.Seat, next), func(now time.Duration, r register.Result) {
 		if r.Err == nil {
 			n.finishVoters(now, r.Value.Seat)
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/mallowbridge/mallowbridge/control"
 )
 
 // Fault is one thing that goes wrong at the time At, on the nodes, replicas or zones named, for that long; a negative For means for good.
@@ -95,7 +97,7 @@
 		w.isolate(w.nodes(w.inDomain(f.On[0])), f.For, true, f.Kind == CutDomain, f.On[0])
 	case FreezeAct:
 		w.trap = func(n *Node, what string) {
-			if what == "replaces voter" {
+			if what == control.VotersChange {
 				w.trap = nil
 				w.Break(Fault{Kind: Freeze, On: []string{n.Name}, For: f.For})
 			}
--- a/sim/scenes_test.go
+++ b/sim/scenes_test.go
@@ -35,6 +35,9 @@
 
 func rehearse(t *testing.T, sc Scene, sh Shape, seed uint64) {
 	w := Run(sc.Scenario(sh, seed))
+	if w.trap != nil {
+		t.Error("the act in which a node was to freeze never came")
+	}
 	for _, b := range w.Audit.Breaches {
 		t.Error(b)
 	}
@@ -52,7 +55,7 @@
 	w.Report.Write(&out)
 	t.Log("\n" + out.String())
 	if t.Failed() {
-		t.Logf("go test ./stage -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.Story, "\n"))
+		t.Logf("go test ./sim -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.Story, "\n"))
 	}
 }
 
