--- /dev/null
+++ b/gossip/spread_test.go
@@ -0,0 +1,182 @@
+package gossip
+
+import (
+	"math/rand/v2"
+	"reflect"
+	"testing"
+	"time"
+)
+
+const (
+	seeds = 20
+	// spreadWithin is the bound on the spread of one item under 20 % loss; a node hears of all that a push missed by digests, about one
+	// a second.
+	spreadWithin = 5 * time.Second
+)
+
+func holds(key string, mark Version) (has func(s *Store) (yes bool)) {
+	return func(s *Store) (yes bool) {
+		it, ok := s.Get(key)
+		return ok && it.Mark == mark
+	}
+}
+
+func TestEveryItemReachesEveryNodeUnderLoss(t *testing.T) {
+	worst := time.Duration(0)
+	for seed := range uint64(seeds) {
+		m := newMesh(Defaults(), seed, 0.2)
+		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+		took, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
+		worst = max(worst, took)
+		if !all {
+			t.Errorf("seed %d: not everywhere after %s", seed, took)
+		}
+	}
+	t.Log("worst:", worst)
+}
+
+func TestDigestsRepairAfterACut(t *testing.T) {
+	worst := time.Duration(0)
+	for seed := range uint64(seeds) {
+		m := newMesh(Defaults(), seed, 0)
+		m.cut = func(from, to string) (yes bool) { return !m.near(from, to) }
+		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+		m.until(5*time.Second, func(*Store) (yes bool) { return false })
+		if _, ok := m.stores["n1"].Get("k"); ok {
+			t.Fatalf("seed %d: the cut lets items through", seed)
+		}
+		m.cut = nil
+		took, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
+		worst = max(worst, took)
+		if !all {
+			t.Errorf("seed %d: not everywhere after %s", seed, took)
+		}
+	}
+	t.Log("worst:", worst)
+}
+
+// Without digests a push that was lost is never made good: the two tests above rest on them.
+func TestWithoutDigestsAnItemStaysBehindACut(t *testing.T) {
+	cfg := Defaults()
+	cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
+	m := newMesh(cfg, 1, 0)
+	m.cut = func(from, to string) (yes bool) { return !m.near(from, to) }
+	m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+	m.until(5*time.Second, func(*Store) (yes bool) { return false })
+	m.cut = nil
+	if _, all := m.until(spreadWithin, holds("k", Version{Lo: 1})); all {
+		t.Error("something else than digests repairs")
+	}
+}
+
+func TestEphemeralItemsStayOutOfDigests(t *testing.T) {
+	a, b := New(Defaults(), 1), New(Defaults(), 2)
+	a.Put(Item{Key: "e", Mark: Version{Lo: 1}, Data: brief("v")})
+	if d := a.Digest(false); len(d.Marks) > 0 {
+		t.Errorf("digest: %v", d)
+	}
+	sum := Checksum{Hash: a.hash, N: a.durable}
+	if sends := b.OnChecksum("a", sum); len(sends) > 0 {
+		t.Errorf("an ephemeral item makes checksums differ: %v", sends)
+	}
+	a.Put(Item{Key: "d", Mark: Version{Lo: 1}, Data: text("v")})
+	if sum = (Checksum{Hash: a.hash, N: a.durable}); len(b.OnChecksum("a", sum)) == 0 {
+		t.Error("a durable item makes no difference")
+	}
+}
+
+func TestALargeItemIsPulledOncePerAnnouncer(t *testing.T) {
+	for seed := range uint64(seeds) {
+		cfg := Defaults()
+		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
+		m := newMesh(cfg, seed, 0)
+		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: bulky("v")})
+		m.until(2*time.Second, func(*Store) (yes bool) { return false })
+		for pair, n := range m.pulls {
+			if n > 1 {
+				t.Errorf("seed %d: %s pulled %d times", seed, pair, n)
+			}
+		}
+	}
+}
+
+// Whatever order and however often the same versions come, stores end alike and hold the newest of each key.
+func TestMergeIsIdempotentAndCommutativeAndNewestWins(t *testing.T) {
+	for seed := range uint64(seeds) {
+		rng := rand.New(rand.NewPCG(seed, 9))
+		var items []Item
+		newest := map[string]Version{}
+		for range 40 {
+			it := Item{Key: string(rune('a' + rng.IntN(5))), Mark: Version{Hi: rng.Uint64N(3), Lo: rng.Uint64N(4)}, Data: text("v")}
+			items = append(items, it)
+			if old, ok := newest[it.Key]; !ok || old.Less(it.Mark) {
+				newest[it.Key] = it.Mark
+			}
+		}
+		one, two := New(Defaults(), 1), New(Defaults(), 2)
+		for _, it := range items {
+			one.Merge(it, true)
+		}
+		for _, at := range append(rng.Perm(len(items)), rng.Perm(len(items))...) {
+			two.Merge(items[at], false)
+		}
+		if one.hash != two.hash || one.durable != two.durable || !reflect.DeepEqual(one.Digest(false), two.Digest(false)) {
+			t.Errorf("seed %d: stores differ: %v %v", seed, one.Digest(false), two.Digest(false))
+		}
+		for key, mark := range newest {
+			if !holds(key, mark)(one) {
+				t.Errorf("seed %d: %s is not at its newest", seed, key)
+			}
+		}
+	}
+}
+
+// With no digests at all, the first push brings an item to every zone.
+func TestAPushReachesEveryZone(t *testing.T) {
+	for seed := range uint64(seeds) {
+		cfg := Defaults()
+		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
+		m := newMesh(cfg, seed, 0)
+		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+		m.until(cfg.Push+meshTick+mostDelay+meshTick, func(*Store) (yes bool) { return false })
+		reached := map[string]bool{}
+		for name, s := range m.stores {
+			_, has := s.Get("k")
+			reached[m.zones[name]] = reached[m.zones[name]] || has
+		}
+		for at := range meshZones {
+			if !reached[zoneOf(at)] {
+				t.Errorf("seed %d: %s has heard nothing", seed, zoneOf(at))
+			}
+		}
+	}
+}
+
+// One digest repairs both sides.
+func TestADigestRepairsBothSides(t *testing.T) {
+	a, b := New(Defaults(), 1), New(Defaults(), 2)
+	a.Put(Item{Key: "old", Mark: Version{Lo: 2}, Data: text("v")})
+	a.Put(Item{Key: "a", Mark: Version{Lo: 1}, Data: text("v")})
+	b.Put(Item{Key: "old", Mark: Version{Lo: 1}, Data: text("v")})
+	b.Put(Item{Key: "b", Mark: Version{Lo: 1}, Data: text("v")})
+	brings, asks := 0, 0
+	for _, s := range b.OnDigest("a", a.Digest(false)) {
+		switch msg := s.Msg.(type) {
+		case Update:
+			for _, it := range msg.Items {
+				a.Merge(it, true)
+				brings++
+			}
+		case Pull:
+			asks += len(msg.Keys)
+			for _, answer := range a.OnPull("b", msg) {
+				for _, it := range answer.Msg.(Update).Items {
+					b.Merge(it, true)
+				}
+			}
+		}
+	}
+	if brings != 1 || asks != 2 || !reflect.DeepEqual(a.Digest(false), b.Digest(false)) {
+		t.Errorf("%d brought, %d asked for: %v %v", brings, asks, a.Digest(false), b.Digest(false))
+	}
+}
