--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -31,7 +31,7 @@
 			}
 			lg.Info().Msg("draining")
 			retired.Store(true)
-			p.Retire()
+			p.Shutdown(s.Bounds.GracePeriod)
 			h.CallBy(daemon.Clock()+retireWithin, control.Retire{})
 			drainNode(h, p, s.Bounds.GracePeriod)
 			t.Kill(nil)
@@ -61,7 +61,8 @@
 func drainNode(h *daemon.Daemon, p *proxy.Proxy, grace time.Duration) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
-	end, leave := time.After(grace-grace/10), time.After(grace*3/5)
+	schedule := proxy.ShutdownSchedule{Grace: grace}
+	end, leave := time.After(schedule.ExitAfter()), time.After(schedule.LeaveAfter())
 	left := false
 	for {
 		select {
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -118,6 +118,7 @@
 	x.readUntil(time.Now().Add(afterRefusal))
 	var long *http.MaxBytesError
 	var full *FullError
+	var ending *ShuttingDownError
 	status := http.StatusBadRequest
 	switch {
 	case errors.As(err, &full):
@@ -125,6 +126,11 @@
 		x.retryAfter(comeBack)
 		x.say(http.StatusServiceUnavailable, "denied", err.Error())
 		return
+	case errors.As(err, &ending):
+		x.p.N.ShuttingDown.Add(1)
+		x.retryAfter(elsewhere)
+		x.say(http.StatusServiceUnavailable, "denied", err.Error())
+		return
 	case errors.As(err, &long):
 		status = http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -204,19 +204,5 @@
 	}
 }
 
-// Retire lets clients take their next requests elsewhere; who comes all the same is still served. Connections on which nothing
-// comes are shut after the linger time, those in use as they fall idle.
-func (p *Proxy) Retire() {
-	p.retired.Store(true)
-	time.AfterFunc(p.set.Linger, func() {
-		p.closing.Store(true)
-		all := <-p.clients
-		for c := range all {
-			c.shut()
-		}
-		p.clients <- all
-	})
-}
-
 // Running is how many requests are being read, served or written.
 func (p *Proxy) Running() (n int) { return int(max(p.running.Load(), p.active.Load())) }
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -24,6 +24,10 @@
 	x.events = Events{Bound: p.set.Event, Last: first(r.Header, lastEvent)}
 	defer x.free()
 	a := p.arrive(x)
+	if err := p.shutdown.Load().admit(time.Now(), x.deadline); err != nil {
+		x.refuse(err)
+		return
+	}
 	if err := x.readBody(); err != nil {
 		x.refuse(err)
 		return
@@ -98,7 +102,7 @@
 func (x *transfer) connection() {
 	h := x.w.Header()
 	switch {
-	case x.p.retired.Load():
+	case x.p.shutdown.Load() != nil:
 		h["Connection"] = closes
 	case x.client != nil && x.client.keep != nil && !x.r.Close && h["Connection"] == nil:
 		h["Keep-Alive"] = x.client.keep
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -70,7 +70,7 @@
 	Stall time.Duration
 	// Upload bounds how long a request's body may take as a whole where the client's own deadline does not.
 	Upload time.Duration
-	// Linger is how long idle clients' connections outlive Retire.
+	// Linger is how long idle clients' connections outlive the call of Shutdown.
 	Linger time.Duration
 	// Hold is how much of an answer that is no stream is held back until it is whole.
 	Hold int
@@ -94,8 +94,10 @@
 // Counters count requests by their outcome, and what connections and replicas did, since the start.
 type Counters struct {
 	Requests, Done, Denied, NotFound, Unknown, Bad, Full, Hangups, Aborted, Expired atomic.Uint64
-	Dials, DialFails, Capped, Reused, Stale, Unwritten                              atomic.Uint64
-	Broken, Refused, Misplaced, Surplus, Resumed                                    atomic.Uint64
+	// ShuttingDown counts requests that were refused because the process was told to end.
+	ShuttingDown                                       atomic.Uint64
+	Dials, DialFails, Capped, Reused, Stale, Unwritten atomic.Uint64
+	Broken, Refused, Misplaced, Surplus, Resumed       atomic.Uint64
 }
 
 // Proxy passes requests of any host and path to the replicas that the market chooses.
@@ -110,10 +112,11 @@
 	seq     atomic.Uint64
 	running atomic.Int64
 	active  atomic.Int64
-	retired atomic.Bool
-	closing atomic.Bool
-	clients chan map[*client]struct{}
-	N       Counters
+	// shutdown is nil until the process is told to end.
+	shutdown atomic.Pointer[shutdown]
+	closing  atomic.Bool
+	clients  chan map[*client]struct{}
+	N        Counters
 }
 
 // New makes a proxy; boot tells this life of the process from others of the node.
--- a/sim/client.go
+++ b/sim/client.go
@@ -98,7 +98,7 @@
 			n.enter(func() {
 				if !c.over {
 					c.read, c.took = true, w.now
-					c.t = n.begin(c)
+					n.takeTry(c)
 				}
 			})
 		})
--- a/sim/node.go
+++ b/sim/node.go
@@ -22,23 +22,25 @@
 	frozen bool
 	shut   bool
 	retire bool
-	inbox  []func()
-	life   uint64
-	front  string
-	build  uint32
-	skew   time.Duration
-	wall   time.Duration
-	node   *control.Node
-	router *mallowbridge.Router
-	keeper *control.Journal
-	Disk   *Disk
-	slow   time.Duration
-	stall  bool
-	saving bool
-	unsent []control.LogWrite
-	asks   map[string]*flight
-	eyes   map[string]*eye
-	tick   func()
+	// retiredAt is when the process was told to end, where retire is set.
+	retiredAt time.Duration
+	inbox     []func()
+	life      uint64
+	front     string
+	build     uint32
+	skew      time.Duration
+	wall      time.Duration
+	node      *control.Node
+	router    *mallowbridge.Router
+	keeper    *control.Journal
+	Disk      *Disk
+	slow      time.Duration
+	stall     bool
+	saving    bool
+	unsent    []control.LogWrite
+	asks      map[string]*flight
+	eyes      map[string]*eye
+	tick      func()
 
 	trips   map[string]*trip
 	tripSeq int
--- a/sim/nodedays.go
+++ b/sim/nodedays.go
@@ -29,6 +29,12 @@
 		{Name: "machines are stopped in turn", Least: 0.95, Lasts: 46 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return []Fault{one(Upgrade, 12*sec, 0, some(rng, nodeNames(s.Shape), 5)...)}
 		}},
+		{Name: "a domain's machines are stopped together", Least: 0.9, Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
+			for i, name := range namesIn(s.Shape, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]) {
+				fs = append(fs, one(Upgrade, 12*sec+time.Duration(i)*1100*ms, 0, name))
+			}
+			return append(fs, one(Burst, 11*sec, 12*sec))
+		}},
 		{Name: "machines are cut off", Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
 			fs = append(each(CutNode, 2, 9*sec, 5500*ms, nodeNames(s.Shape), 2)(rng), each(CutControl, 2, 8*sec, 5*sec, nodeNames(s.Shape), 1)(rng)...)
 			return append(fs, one(PutStorm, 13*sec, 4*sec), one(Release, 14*sec, 0, s.Offers[0].Name))
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -1,10 +1,12 @@
 package sim
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
 const (
@@ -21,6 +23,23 @@
 	n.door = append(n.door, do)
 }
 
+// schedule is how processes at a site shut down.
+var schedule = proxy.ShutdownSchedule{Grace: grace}
+
+// takeTry begins a try's trip, or refuses it as a proxy does that shuts down.
+func (n *Node) takeTry(c *try) {
+	if !n.retire || schedule.Admits(n.w.now-n.retiredAt, c.patience) {
+		c.t = n.begin(c)
+		return
+	}
+	n.w.site.report.Whys["shutting down"]++
+	n.w.site.rules.refused(c, n)
+	c.send(n, func() { c.ended(http.StatusServiceUnavailable, refusedAfter) })
+}
+
+// refusedAfter is the Retry-After of a process that shuts down.
+const refusedAfter = 10 * time.Millisecond
+
 func (n *Node) unlock(from time.Duration) {
 	if n.router.Ready(n.local()) != "" && n.w.now-from < openWithin {
 		n.later(openPoll, func() { n.unlock(from) })
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -53,9 +53,11 @@
 
 // Times of the platform that are alike on all sites.
 const (
-	seedLag     = 3 * time.Second
-	reuseAfter  = 2 * time.Second
-	grace       = 8 * time.Second
+	seedLag    = 3 * time.Second
+	reuseAfter = 2 * time.Second
+	grace      = 8 * time.Second
+	// excusedFor is how long after SIGTERM a request may be sent for its end in the second half of the grace period to be excused.
+	excusedFor  = 3 * time.Second
 	backSlack   = 250 * time.Millisecond
 	retryShare  = 0.2
 	retryWindow = 10 * time.Second
