--- a/arrive.go
+++ b/arrive.go
@@ -11,7 +11,7 @@
 const runningHere = "request is already running here"
 
 // arrive gives a new request to the scheduler, or answers it at once.
-func (r *Router) arrive(now time.Duration, e Arrive) (d Decision, answered bool) {
+func (r *Router) arrive(now time.Duration, e Arrive) (Decision, bool) {
 	if r.snapshot == nil {
 		return e.rejected("no configuration yet", false), true
 	}
@@ -25,7 +25,7 @@
 }
 
 // arriveDirect is for requests of the product's own interface, which name a service and a class.
-func (r *Router) arriveDirect(now time.Duration, e Arrive) (d Decision, answered bool) {
+func (r *Router) arriveDirect(now time.Duration, e Arrive) (Decision, bool) {
 	service, ok := r.services[e.Offer]
 	if !ok {
 		return e.bad("no such offer"), true
@@ -43,11 +43,12 @@
 		return e.bad(err.Error()), true
 	}
 	r.schedule(now, e, scheduler.Request{Service: service, Class: class, Parts: parts}, nil)
+	var d Decision
 	return d, false
 }
 
 // arriveRouted is for requests of routes, which are chosen by host and path. A prefix that cannot be read counts as none.
-func (r *Router) arriveRouted(now time.Duration, e Arrive) (d Decision, answered bool) {
+func (r *Router) arriveRouted(now time.Duration, e Arrive) (Decision, bool) {
 	route := r.matchRoute(e.Host, e.Path)
 	if route == nil {
 		return e.bad("no such route"), true
@@ -67,6 +68,7 @@
 	}
 	class := r.classes[service][classKey{name: route.Name, route: true}]
 	r.schedule(now, e, scheduler.Request{Service: service, Class: class, Parts: parts}, route)
+	var d Decision
 	return d, false
 }
 
@@ -77,16 +79,16 @@
 	r.requests[id] = liveRequest{request: e.Request, route: route}
 }
 
-func (e Arrive) rejected(why string, repeat bool) (d Decision) {
+func (e Arrive) rejected(why string, repeat bool) Decision {
 	return Decision{Verdict: Deny, Request: e.Request, Why: why, After: time.Second, Repeat: repeat}
 }
 
-func (e Arrive) bad(why string) (d Decision) {
+func (e Arrive) bad(why string) Decision {
 	return Decision{Verdict: Deny, Request: e.Request, Why: why, Bad: true}
 }
 
 // tail is how many tokens follow the prefix.
-func (e Arrive) tail(parts []prefixindex.Part) (tokens int) {
+func (e Arrive) tail(parts []prefixindex.Part) int {
 	if e.Tokens == 0 {
 		return e.Tail
 	}
@@ -95,7 +97,7 @@
 
 // AlreadyRan tells why a request that is sent again must not be rejected as not run, or "". The HTTP interface asks before it rejects
 // a request without passing it to the router.
-func (r *Router) AlreadyRan(offer, kind, request string) (why string) {
+func (r *Router) AlreadyRan(offer, kind, request string) string {
 	if _, twice := r.requestIDs[request]; twice {
 		return runningHere
 	}
@@ -113,7 +115,7 @@
 	return scheduler.AlreadyRan
 }
 
-func (r *Router) model(service string) (model string) {
+func (r *Router) model(service string) string {
 	for i := range r.snapshot.Charter.Offers {
 		if r.snapshot.Charter.Offers[i].Name == service {
 			return r.snapshot.Charter.Offers[i].Model
--- a/capacity/clock.go
+++ b/capacity/clock.go
@@ -10,9 +10,9 @@
 // ThreadClock is the CPU time of the calling goroutine's thread, which it keeps from then on: what others on the machine
 // take does not count. Reading it twice costs that much itself, and so much is taken off; it
 // never goes back.
-func ThreadClock() (clock func() (t time.Duration)) {
+func ThreadClock() func() time.Duration {
 	runtime.LockOSThread()
-	read := func() (t time.Duration) {
+	read := func() time.Duration {
 		var ts unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts); err != nil {
 			panic(err)
@@ -26,7 +26,7 @@
 	}
 	each := (read() - from) / tries
 	taken, last := time.Duration(0), time.Duration(0)
-	return func() (t time.Duration) {
+	return func() time.Duration {
 		taken += each
 		last = max(last, read()-taken)
 		return last
--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -12,7 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func usualMessages() (msgs []any) {
+func usualMessages() []any {
 	return []any{
 		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Checksum{Hash: 1, N: 1},
 		gossip.Digest{Marks: []gossip.KeyVersion{{Key: "k", Mark: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
@@ -29,9 +29,10 @@
 	r   *transport.Reader
 }
 
-func open() (c *conn, frames int) {
-	c = &conn{w: transport.NewWriter()}
+func open() (*conn, int) {
+	c := &conn{w: transport.NewWriter()}
 	c.r = transport.NewReader(&c.buf)
+	var frames int
 	for _, m := range usualMessages() {
 		frame, err := c.w.Frame(m)
 		if err != nil {
@@ -47,7 +48,7 @@
 }
 
 // Opening is what the first frames of a connection cost beyond the same frames later: they describe their types.
-func Opening() (bytes int) {
+func Opening() int {
 	c, first := open()
 	later := 0
 	for _, m := range usualMessages() {
@@ -61,7 +62,7 @@
 }
 
 // connBytes is the heap that a connection's coders hold, both ways, once they have carried the usual kinds.
-var connBytes = sync.OnceValue(func() (bytes uint64) {
+var connBytes = sync.OnceValue(func() uint64 {
 	const many = 200
 	var before, after runtime.MemStats
 	cs := make([]*conn, many)
@@ -78,4 +79,4 @@
 })
 
 // ConnBytes is the heap that the coders of one connection hold.
-func ConnBytes() (bytes uint64) { return connBytes() }
+func ConnBytes() uint64 { return connBytes() }
--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -15,7 +15,7 @@
 	ticks := time.Duration(0)
 	p := Plan{
 		Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 18 * time.Second, Seed: 1,
-		Clock: func() (t time.Duration) {
+		Clock: func() time.Duration {
 			ticks += time.Microsecond
 			return ticks
 		},
@@ -49,7 +49,7 @@
 func TestTimeOfTicks(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
-		Clock: func() (t time.Duration) {
+		Clock: func() time.Duration {
 			ticks += time.Microsecond
 			return ticks
 		},
@@ -67,11 +67,11 @@
 
 func TestBytesAddUp(t *testing.T) {
 	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, Changes: 1, Warm: 12 * time.Second, Measured: 5 * time.Second, Seed: 1,
-		Clock: func() (t time.Duration) { return 0 }}
+		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
 	var sent, zones, regions uint64
 	for _, n := range r.Nodes {
-		all := r.Costs.Total(n, func(Mechanism) (yes bool) { return true })
+		all := r.Costs.Total(n, func(Mechanism) bool { return true })
 		sent, zones, regions = sent+all.BytesSent, zones+all.AcrossZones, regions+all.AcrossRegions
 		if other := r.Costs.Of(n, Other); other.Sent > 0 {
 			t.Errorf("%s sent %d messages of no mechanism", n.Name, other.Sent)
@@ -96,7 +96,7 @@
 }
 
 func TestStateGrowsWithWhatIsHeld(t *testing.T) {
-	l := newSoloRouter(func() (t time.Duration) { return 0 }, unbounded)
+	l := newSoloRouter(func() time.Duration { return 0 }, unbounded)
 	before := State(l.node)
 	for i := range 1000 {
 		l.request(i, prefixes(i))
@@ -129,7 +129,7 @@
 
 func TestPaddedConfigurationsAreTaken(t *testing.T) {
 	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, Changes: 1, Warm: 12 * time.Second, Measured: 4 * time.Second, Seed: 1,
-		Clock: func() (t time.Duration) { return 0 }}
+		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
 	if len(r.Puts) != 4 || r.Body < 100000 || r.Body > 104000 {
 		t.Errorf("%d changes of %d bytes in force, want 4 of 100000 to 104000", len(r.Puts), r.Body)
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -31,7 +31,7 @@
 }
 
 // At is the line's value at x, or the power's where that misses less than half as much.
-func (f Fit) At(x float64) (y float64) {
+func (f Fit) At(x float64) float64 {
 	if f.ByPower() {
 		return f.Factor * math.Pow(x, f.Power)
 	}
@@ -39,9 +39,9 @@
 }
 
 // ByPower tells whether the points go with a power of x rather than with a line.
-func (f Fit) ByPower() (yes bool) { return f.Power != 0 && f.PowerResidual < f.Residual/2 }
+func (f Fit) ByPower() bool { return f.Power != 0 && f.PowerResidual < f.Residual/2 }
 
-func misses(xs, ys []float64, at func(x float64) (y float64)) (rms, worst float64) {
+func misses(xs, ys []float64, at func(x float64) float64) (rms, worst float64) {
 	mean := stat.Mean(ys, nil)
 	for i := range xs {
 		miss := math.Abs(ys[i]-at(xs[i])) / mean
@@ -52,7 +52,8 @@
 }
 
 // Line fits one series; fewer than three points or no positive one give none.
-func Line(xs, ys []float64) (f Fit, ok bool) {
+func Line(xs, ys []float64) (Fit, bool) {
+	var f Fit
 	if len(xs) < 3 || stat.Mean(ys, nil) <= 0 {
 		return f, false
 	}
@@ -83,7 +84,7 @@
 }
 
 // Fits are lines through all series of a sweep's points, which come in order of x.
-func Fits(ps []Point) (fs []Fit) {
+func Fits(ps []Point) []Fit {
 	xs, mean, worst := map[series][]float64{}, map[series][]float64{}, map[series][]float64{}
 	var order []series
 	for _, p := range ps {
@@ -93,6 +94,7 @@
 		}
 		xs[s], mean[s], worst[s] = append(xs[s], p.X), append(mean[s], p.Mean), append(worst[s], p.Worst)
 	}
+	var fs []Fit
 	for _, s := range order {
 		for _, of := range []string{"mean", "worst"} {
 			ys := map[string][]float64{"mean": mean[s], "worst": worst[s]}[of]
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -15,7 +15,7 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func near(a, b float64) (yes bool) { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
+func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
 
 func TestLineThroughALine(t *testing.T) {
 	f, ok := Line([]float64{1, 2, 4, 8}, []float64{13, 16, 22, 34})
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -40,12 +40,12 @@
 )
 
 // Control tells whether a mechanism runs without requests and so counts against the budget for control.
-func (m Mechanism) Control() (yes bool) {
+func (m Mechanism) Control() bool {
 	return m != Requests && m != Index && m != Witnesses && m != Prefills
 }
 
 // ofMessage tells which mechanism a message between nodes belongs to.
-func ofMessage(msg any) (m Mechanism) {
+func ofMessage(msg any) Mechanism {
 	switch v := msg.(type) {
 	case membership.Ping, membership.Ack, membership.PingFor:
 		return FailureDetector
@@ -68,9 +68,9 @@
 }
 
 // ofUpdate takes an update for what weighs most in it; an empty answer belongs to the digest that asked for it.
-func ofUpdate(n gossip.Update) (m Mechanism) {
+func ofUpdate(n gossip.Update) Mechanism {
 	most := 0
-	m = AntiEntropy
+	m := AntiEntropy
 	for _, kind := range []Mechanism{MemberGossip, LoadGossip, Config, ReplicaListings, Other} {
 		weight := 0
 		for _, it := range n.Items {
@@ -85,7 +85,7 @@
 	return m
 }
 
-func ofItem(it gossip.Item) (m Mechanism) {
+func ofItem(it gossip.Item) Mechanism {
 	switch it.Data.(type) {
 	case membership.Member:
 		return MemberGossip
@@ -100,7 +100,7 @@
 }
 
 // itemWeight reckons the bytes of an item.
-func itemWeight(it gossip.Item) (w int) {
+func itemWeight(it gossip.Item) int {
 	switch d := it.Data.(type) {
 	case control.LoadReports:
 		return 40 * (1 + len(d.Rows))
@@ -113,7 +113,7 @@
 }
 
 // ofInput tells which mechanism an input of a state machine belongs to.
-func ofInput(in any) (m Mechanism) {
+func ofInput(in any) Mechanism {
 	switch v := in.(type) {
 	case control.Received:
 		return ofMessage(v.Msg)
@@ -144,7 +144,7 @@
 	return Other
 }
 
-func ofCommand(op control.Op) (m Mechanism) {
+func ofCommand(op control.Op) Mechanism {
 	switch op.(type) {
 	case control.Witness:
 		return Witnesses
@@ -175,8 +175,8 @@
 }
 
 // State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
-func State(n *sim.HollowNode) (bytes map[Mechanism]uint64) {
-	bytes = map[Mechanism]uint64{}
+func State(n *sim.HollowNode) map[Mechanism]uint64 {
+	bytes := map[Mechanism]uint64{}
 	w := newSizer()
 	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
 		w.addState(bytes, machine)
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -32,14 +32,14 @@
 }
 
 // NewCosts gives empty costs; it is the meter of a simulated fleet.
-func NewCosts() (c *Costs) {
+func NewCosts() *Costs {
 	return &Costs{by: map[*sim.HollowNode]map[Mechanism]*Cost{}, peers: map[[2]*sim.HollowNode]bool{}}
 }
 
 // Reset forgets what was counted, but not who spoke with whom.
 func (c *Costs) Reset() { c.by = map[*sim.HollowNode]map[Mechanism]*Cost{} }
 
-func (c *Costs) of(n *sim.HollowNode, m Mechanism) (cost *Cost) {
+func (c *Costs) of(n *sim.HollowNode, m Mechanism) *Cost {
 	if c.by[n] == nil {
 		c.by[n] = map[Mechanism]*Cost{}
 	}
@@ -50,7 +50,7 @@
 }
 
 // Region of a zone is its first letter.
-func Region(zone string) (region string) { return zone[:1] }
+func Region(zone string) string { return zone[:1] }
 
 // Sent counts a message of frame bytes, and what its encoding and decoding took.
 func (c *Costs) Sent(from, to *sim.HollowNode, msg any, frame int, encode, decode time.Duration) {
@@ -80,7 +80,8 @@
 func (c *Costs) Wrote(n *sim.HollowNode) { c.of(n, Register).Writes++ }
 
 // Total of a node, over the mechanisms that want is true for.
-func (c *Costs) Total(n *sim.HollowNode, want func(m Mechanism) (yes bool)) (t Cost) {
+func (c *Costs) Total(n *sim.HollowNode, want func(m Mechanism) bool) Cost {
+	var t Cost
 	for m, cost := range c.by[n] {
 		if want(m) {
 			t.add(*cost)
@@ -90,10 +91,11 @@
 }
 
 // Of is what one mechanism cost one node.
-func (c *Costs) Of(n *sim.HollowNode, m Mechanism) (cost Cost) { return *c.of(n, m) }
+func (c *Costs) Of(n *sim.HollowNode, m Mechanism) Cost { return *c.of(n, m) }
 
 // Peers are how many nodes this one sent to so far.
-func (c *Costs) Peers(n *sim.HollowNode) (count int) {
+func (c *Costs) Peers(n *sim.HollowNode) int {
+	var count int
 	for p := range c.peers {
 		if p[0] == n {
 			count++
--- a/capacity/note.go
+++ b/capacity/note.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func quantile(ts []time.Duration, q float64) (t time.Duration) {
+func quantile(ts []time.Duration, q float64) time.Duration {
 	if len(ts) == 0 {
 		return 0
 	}
@@ -16,8 +16,8 @@
 }
 
 // Note says in a line how the fleet did.
-func (r *Result) Note() (line string) {
-	line = fmt.Sprintf("%d of %d nodes serve, %d replicas, %.0f requests/s, configuration of %d bytes", r.Ready, r.Plan.Nodes, r.Plan.Replicas, r.Plan.Rate, r.Body)
+func (r *Result) Note() string {
+	line := fmt.Sprintf("%d of %d nodes serve, %d replicas, %.0f requests/s, configuration of %d bytes", r.Ready, r.Plan.Nodes, r.Plan.Replicas, r.Plan.Rate, r.Body)
 	for _, how := range slices.Sorted(maps.Keys(r.Ends)) {
 		line += fmt.Sprintf(", %s %d", how, r.Ends[how])
 	}
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -25,7 +25,7 @@
 }
 
 // Draw writes an SVG plot of each measure of a sweep: the mean node by mechanism, the worst node's sum, and their lines.
-func Draw(dir string, s Sweep, ps []Point, fs []Fit) (err error) {
+func Draw(dir string, s Sweep, ps []Point, fs []Fit) error {
 	for _, what := range drawnMeasures {
 		p := plot.New()
 		p.Title.Text = s.Name + ": " + string(what.measure)
@@ -36,35 +36,36 @@
 		any := false
 		for i, m := range heaviest(ps, what.measure) {
 			any = true
-			if err = draw(p, ps, fs, m, what.measure, "mean", plotutil.Color(i)); err != nil {
+			if err := draw(p, ps, fs, m, what.measure, "mean", plotutil.Color(i)); err != nil {
 				return err
 			}
 		}
 		if !any {
 			continue
 		}
-		if err = draw(p, ps, fs, All, what.measure, "worst", color.Black); err != nil {
+		if err := draw(p, ps, fs, All, what.measure, "worst", color.Black); err != nil {
 			return err
 		}
 		file := filepath.Join(dir, s.Name+"-"+what.name+".svg")
-		if err = p.Save(7*vg.Inch, 4*vg.Inch, file); err != nil {
+		if err := p.Save(7*vg.Inch, 4*vg.Inch, file); err != nil {
 			return trace.ConvertSystemError(err)
 		}
 	}
 	return nil
 }
 
-func heaviest(ps []Point, what Measure) (ms []Mechanism) {
+func heaviest(ps []Point, what Measure) []Mechanism {
 	most := map[Mechanism]float64{}
 	for _, p := range ps {
 		if p.Role == Any && p.Measure == what && p.Mechanism != All && p.Mechanism != AllControl {
 			most[p.Mechanism] = max(most[p.Mechanism], p.Mean)
 		}
 	}
+	var ms []Mechanism
 	for m := range most {
 		ms = append(ms, m)
 	}
-	slices.SortFunc(ms, func(a, b Mechanism) (order int) {
+	slices.SortFunc(ms, func(a, b Mechanism) int {
 		switch {
 		case most[a] > most[b]:
 			return -1
@@ -76,7 +77,7 @@
 	return ms[:min(maxSeries, len(ms))]
 }
 
-func draw(p *plot.Plot, ps []Point, fs []Fit, m Mechanism, what Measure, of string, c color.Color) (err error) {
+func draw(p *plot.Plot, ps []Point, fs []Fit, m Mechanism, what Measure, of string, c color.Color) error {
 	var xys plotter.XYs
 	for _, pt := range ps {
 		if pt.Role == Any && pt.Mechanism == m && pt.Measure == what {
--- a/capacity/point.go
+++ b/capacity/point.go
@@ -43,7 +43,7 @@
 )
 
 // Measures are all measures in the order of the tables.
-func Measures() (ms []Measure) {
+func Measures() []Measure {
 	return []Measure{StateBytes, Sent, Received, BytesSent, BytesReceived, AcrossZones, AcrossRegions, CPU, Frames, ProbeRate, Writes}
 }
 
@@ -62,8 +62,8 @@
 }
 
 // reads are a cost's measures over the time measured.
-func (c Cost) reads(lasts time.Duration) (vs map[Measure]float64) {
-	per := func(n uint64) (v float64) { return float64(n) / lasts.Seconds() }
+func (c Cost) reads(lasts time.Duration) map[Measure]float64 {
+	per := func(n uint64) float64 { return float64(n) / lasts.Seconds() }
 	return map[Measure]float64{
 		Sent: per(c.Sent), Received: per(c.Received), BytesSent: per(c.BytesSent), BytesReceived: per(c.BytesReceived),
 		AcrossZones: per(c.AcrossZones), AcrossRegions: per(c.AcrossRegions), CPU: per(uint64((c.Step + c.Frames).Nanoseconds())) / 1000,
@@ -88,8 +88,8 @@
 	}
 }
 
-func (r *Result) reads(n *sim.HollowNode) (v reads) {
-	v = reads{}
+func (r *Result) reads(n *sim.HollowNode) reads {
+	v := reads{}
 	for m, c := range r.Costs.by[n] {
 		v.add(m, c.reads(r.Plan.Measured))
 	}
@@ -101,7 +101,7 @@
 }
 
 // Points are the result's, for each role, mechanism and measure that is not zero.
-func (r *Result) Points(sweep string, x float64) (ps []Point) {
+func (r *Result) Points(sweep string, x float64) []Point {
 	roles := map[Role][]reads{}
 	for _, n := range r.Nodes {
 		v, role := r.reads(n), Diskless
@@ -110,6 +110,7 @@
 		}
 		roles[role], roles[Any] = append(roles[role], v), append(roles[Any], v)
 	}
+	var ps []Point
 	for _, role := range []Role{Any, Disk, Diskless} {
 		for _, m := range mechanisms(roles[role]) {
 			for _, what := range Measures() {
@@ -127,7 +128,7 @@
 	return ps
 }
 
-func mechanisms(vs []reads) (ms []Mechanism) {
+func mechanisms(vs []reads) []Mechanism {
 	all := map[Mechanism]bool{}
 	for _, v := range vs {
 		for m := range v {
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -22,22 +22,22 @@
 	Warm, Measured time.Duration
 	Seed           uint64
 	// Clock times the machines' steps.
-	Clock func() (t time.Duration)
+	Clock func() time.Duration
 }
 
 // Zones are eight in two regions, as the users will have them.
-func Zones() (zones []string) { return []string{"a1", "b1", "a2", "b2", "a3", "b3", "a4", "b4"} }
+func Zones() []string { return []string{"a1", "b1", "a2", "b2", "a3", "b3", "a4", "b4"} }
 
 // Target is the size that the users need.
-func Target() (p Plan) {
+func Target() Plan {
 	return Plan{
 		Nodes: 370, Replicas: 600, Disks: 4, Models: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
 	}
 }
 
 // Part is the target at another number of nodes, with replicas and requests to match.
-func Part(nodes int) (p Plan) {
-	p = Target()
+func Part(nodes int) Plan {
+	p := Target()
 	t := p
 	p.Nodes = nodes
 	p.Replicas = (t.Replicas*nodes + t.Nodes/2) / t.Nodes
@@ -60,15 +60,15 @@
 
 // bootSpread keeps the memory of large fleets' starts down: each replica that is first seen has a node divide all room anew, and keep
 // the old division for two seconds.
-func (p Plan) bootSpread() (d time.Duration) {
+func (p Plan) bootSpread() time.Duration {
 	return max(0, time.Duration(p.Nodes-100)) * 70 * time.Millisecond
 }
 
 // Run boots the fleet, lets it settle for Warm and counts for Measured.
-func (p Plan) Run() (r Result) {
+func (p Plan) Run() Result {
 	shape := sim.HollowShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
 	plan := p.hollow(&shape)
-	r = Result{Plan: p, Costs: NewCosts(), Body: len(shape.Charter)}
+	r := Result{Plan: p, Costs: NewCosts(), Body: len(shape.Charter)}
 	plan.Shape, plan.Meter = shape, r.Costs
 	h := sim.NewHollow(plan)
 	h.Boot()
@@ -91,16 +91,16 @@
 }
 
 // hollow is the simulator's plan for a shape, whose configuration it pads.
-func (p Plan) hollow(shape *sim.Shape) (plan sim.HollowPlan) {
+func (p Plan) hollow(shape *sim.Shape) sim.HollowPlan {
 	plain := *shape
 	if p.ConfigBytes > 0 {
 		shape.Charter = sim.HollowBody(plain, 0, p.ConfigBytes)
 	}
 	m := sim.DefaultModel()
 	m.Room = sim.HollowRoom
-	plan = sim.HollowPlan{
+	plan := sim.HollowPlan{
 		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
-		Body: func(n int) (raw []byte) { return sim.HollowBody(plain, n, p.ConfigBytes) },
+		Body: func(n int) []byte { return sim.HollowBody(plain, n, p.ConfigBytes) },
 	}
 	if p.Changes > 0 {
 		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -5,15 +5,15 @@
 // A sizer adds up what values hold on the heap, each block once.
 type sizer struct{ seen map[uintptr]bool }
 
-func newSizer() (w *sizer) { return &sizer{seen: map[uintptr]bool{}} }
+func newSizer() *sizer { return &sizer{seen: map[uintptr]bool{}} }
 
 // Size is what a value and all it holds take, as reckoned by its types: maps are taken at seven eighths of their slots.
-func Size(v any) (bytes uint64) {
+func Size(v any) uint64 {
 	r := reflect.ValueOf(v)
 	return uint64(r.Type().Size()) + newSizer().heldBy(r)
 }
 
-func (w *sizer) firstSeen(p uintptr) (yes bool) {
+func (w *sizer) firstSeen(p uintptr) bool {
 	if p == 0 || w.seen[p] {
 		return false
 	}
@@ -22,7 +22,7 @@
 }
 
 // flat tells that a type holds nothing beyond itself.
-func flat(t reflect.Type) (yes bool) {
+func flat(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map, reflect.Slice, reflect.String, reflect.Interface, reflect.Chan, reflect.Func, reflect.UnsafePointer:
 		return false
@@ -39,7 +39,7 @@
 }
 
 // allocated is the size that the allocator gives: a sixteenth more at most, beyond the smallest.
-func allocated(n uintptr) (bytes uint64) {
+func allocated(n uintptr) uint64 {
 	switch {
 	case n == 0:
 		return 0
@@ -58,7 +58,8 @@
 )
 
 // heldBy is what a value holds beyond itself.
-func (w *sizer) heldBy(v reflect.Value) (bytes uint64) {
+func (w *sizer) heldBy(v reflect.Value) uint64 {
+	var bytes uint64
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() || !w.firstSeen(v.Pointer()) {
@@ -98,11 +99,11 @@
 	return bytes
 }
 
-func (w *sizer) sliceBytes(v reflect.Value) (bytes uint64) {
+func (w *sizer) sliceBytes(v reflect.Value) uint64 {
 	if v.IsNil() || v.Cap() == 0 || !w.firstSeen(v.Pointer()) {
 		return 0
 	}
-	bytes = allocated(uintptr(v.Cap()) * v.Type().Elem().Size())
+	bytes := allocated(uintptr(v.Cap()) * v.Type().Elem().Size())
 	if flat(v.Type().Elem()) {
 		return bytes
 	}
@@ -112,7 +113,7 @@
 	return bytes
 }
 
-func (w *sizer) mapBytes(v reflect.Value) (bytes uint64) {
+func (w *sizer) mapBytes(v reflect.Value) uint64 {
 	if v.IsNil() || !w.firstSeen(v.Pointer()) {
 		return 0
 	}
@@ -121,7 +122,7 @@
 		slots *= 2
 	}
 	entry := uint64(v.Type().Key().Size() + v.Type().Elem().Size())
-	bytes = mapHead + slots*(entry+1)
+	bytes := mapHead + slots*(entry+1)
 	keys, vals := !flat(v.Type().Key()), !flat(v.Type().Elem())
 	for it := v.MapRange(); (keys || vals) && it.Next(); {
 		if keys {
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -18,25 +18,25 @@
 	unbounded    = 1 << 30
 )
 
-type headers func(i int) (prefix string)
+type headers func(i int) string
 
-func prefixes(i int) (prefix string) { return fmt.Sprintf("sys/256,shared%d/512", i) }
+func prefixes(i int) string { return fmt.Sprintf("sys/256,shared%d/512", i) }
 
-func sessions(i int) (prefix string) {
+func sessions(i int) string {
 	return fmt.Sprintf("sys/256,shared%d/512,session%d/512", i%100, i)
 }
 
-func tenants(i int) (prefix string) { return fmt.Sprintf("tenant%d/256,task/512", i) }
+func tenants(i int) string { return fmt.Sprintf("tenant%d/256,task/512", i) }
 
-func evicting(i int) (prefix string) { return sessions(i) }
+func evicting(i int) string { return sessions(i) }
 
 // solo takes x requests, each with a prefix of its own, one after another through one router.
-func solo(name, axis string, of headers) (s Sweep) {
+func solo(name, axis string, of headers) Sweep {
 	keep := unbounded
 	if name == "evicting" {
 		keep = 65536
 	}
-	return Sweep{Name: name, Axis: axis, Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
+	return Sweep{Name: name, Axis: axis, Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		l := newSoloRouter(clock, keep)
 		for i := range int(x) {
 			l.request(i, of(i))
@@ -53,12 +53,12 @@
 type soloRouter struct {
 	node  *sim.HollowNode
 	costs *Costs
-	clock func() (t time.Duration)
+	clock func() time.Duration
 	now   time.Duration
 	done  int
 }
 
-func newSoloRouter(clock func() (t time.Duration), keep int) (l *soloRouter) {
+func newSoloRouter(clock func() time.Duration, keep int) *soloRouter {
 	shape := sim.HollowShape(1, soloReplicas, 0, 1, []string{"a1"})
 	c, err := config.Read(shape.Charter)
 	if err != nil {
@@ -67,7 +67,7 @@
 	for i := range c.Offers {
 		c.Offers[i].KeepTokens = keep
 	}
-	l = &soloRouter{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
+	l := &soloRouter{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
 	l.step(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 1, Charter: c}})
@@ -80,9 +80,9 @@
 	return l
 }
 
-func (l *soloRouter) step(ev mallowbridge.Event) (ds []mallowbridge.Decision) {
+func (l *soloRouter) step(ev mallowbridge.Event) []mallowbridge.Decision {
 	from := l.clock()
-	ds = l.node.Router.Step(l.now, ev)
+	ds := l.node.Router.Step(l.now, ev)
 	l.costs.Stepped(l.node, ev, l.clock()-from)
 	return ds
 }
@@ -104,8 +104,8 @@
 }
 
 // remembered asks one node as a witness for x requests.
-func remembered() (s Sweep) {
-	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
+func remembered() Sweep {
+	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		n := &sim.HollowNode{Name: "n1", Domain: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
 		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -13,20 +13,20 @@
 	// Axis is what x is.
 	Axis string
 	Xs   []float64
-	run  func(clock func() (t time.Duration), x float64) (ps []Point, note string)
+	run  func(clock func() time.Duration, x float64) ([]Point, string)
 }
 
 // SweepError names a sweep that there is not.
 type SweepError struct{ Name string }
 
-func (e *SweepError) Error() (text string) { return "no sweep is called " + e.Name }
+func (e *SweepError) Error() string { return "no sweep is called " + e.Name }
 
 // Base is the fleet that one thing of is changed.
 const Base = 48
 
 // fleet is a sweep that runs fleets which differ in one thing.
-func fleet(name, axis string, xs []float64, change func(p *Plan, x float64)) (s Sweep) {
-	return Sweep{Name: name, Axis: axis, Xs: xs, run: func(clock func() (t time.Duration), x float64) (ps []Point, note string) {
+func fleet(name, axis string, xs []float64, change func(p *Plan, x float64)) Sweep {
+	return Sweep{Name: name, Axis: axis, Xs: xs, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		p := Part(Base)
 		p.Clock = clock
 		change(&p, x)
@@ -39,7 +39,7 @@
 }
 
 // Sweeps are all that there are, the shortest last.
-func Sweeps(sizes []float64) (ss []Sweep) {
+func Sweeps(sizes []float64) []Sweep {
 	return []Sweep{
 		fleet("fleet", "nodes, with replicas and requests to match", sizes, func(p *Plan, x float64) {
 			whole := Part(int(x))
@@ -64,10 +64,11 @@
 }
 
 // Choose names sweeps; no name chooses all.
-func Choose(all []Sweep, names []string) (some []Sweep, err error) {
+func Choose(all []Sweep, names []string) ([]Sweep, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
+	var some []Sweep
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(s Sweep) bool { return s.Name == name })
 		if i < 0 {
@@ -79,13 +80,13 @@
 }
 
 // Run measures the sweep's points; said hears of each run as it ends, with all points up to then.
-func (s Sweep) Run(said func(x float64, note string, ps []Point) (err error)) (err error) {
+func (s Sweep) Run(said func(x float64, note string, ps []Point) error) error {
 	clock := ThreadClock()
 	var ps []Point
 	for _, x := range s.Xs {
 		some, note := s.run(clock, x)
 		ps = append(ps, some...)
-		if err = said(x, note, ps); err != nil {
+		if err := said(x, note, ps); err != nil {
 			return err
 		}
 	}
--- a/capacity/write.go
+++ b/capacity/write.go
@@ -22,26 +22,27 @@
 	Row       int
 }
 
-func (e *RowError) Error() (text string) { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Why) }
+func (e *RowError) Error() string { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Why) }
 
 // Save writes a sweep's points and fits as CSV and its plots as SVG.
-func Save(dir string, s Sweep, ps []Point) (err error) {
-	if err = os.MkdirAll(dir, 0o755); err != nil {
+func Save(dir string, s Sweep, ps []Point) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if err = write(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
+	if err := write(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
 		return err
 	}
 	fs := Fits(ps)
-	if err = write(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
+	if err := write(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
 		return err
 	}
 	return Draw(dir, s, ps, fs)
 }
 
-func num(v float64) (text string) { return strconv.FormatFloat(v, 'g', 6, 64) }
+func num(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
-func pointRows(ps []Point) (rows [][]string) {
+func pointRows(ps []Point) [][]string {
+	var rows [][]string
 	rows = append(rows, pointColumns)
 	for _, p := range ps {
 		rows = append(rows, []string{
@@ -52,7 +53,8 @@
 	return rows
 }
 
-func fitRows(fs []Fit) (rows [][]string) {
+func fitRows(fs []Fit) [][]string {
+	var rows [][]string
 	rows = append(rows, fitColumns)
 	for _, f := range fs {
 		row := []string{f.Sweep, string(f.Role), string(f.Mechanism), string(f.Measure), f.Of, strconv.Itoa(f.Points)}
@@ -64,7 +66,7 @@
 	return rows
 }
 
-func write(file string, rows [][]string) (err error) {
+func write(file string, rows [][]string) error {
 	out, err := os.Create(file)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -74,7 +76,7 @@
 }
 
 // Load reads the points of a sweep that were saved.
-func Load(dir string, s Sweep) (ps []Point, err error) {
+func Load(dir string, s Sweep) ([]Point, error) {
 	file := filepath.Join(dir, s.Name+".csv")
 	in, err := os.Open(file)
 	if err != nil {
@@ -85,6 +87,7 @@
 	if err != nil {
 		return nil, trace.Wrap(&RowError{File: file, Why: err.Error()})
 	}
+	var ps []Point
 	for i, row := range rows[min(1, len(rows)):] {
 		p, err := point(row)
 		if err != nil {
@@ -95,11 +98,13 @@
 	return ps, nil
 }
 
-func point(row []string) (p Point, err error) {
+func point(row []string) (Point, error) {
+	var p Point
 	if len(row) != len(pointColumns) {
 		return p, &RowError{Why: fmt.Sprintf("%d columns, want %d", len(row), len(pointColumns))}
 	}
 	var vs [10]float64
+	var err error
 	for _, i := range []int{1, 2, 3, 4, 8, 9} {
 		if vs[i], err = strconv.ParseFloat(row[i], 64); err != nil {
 			return p, err
--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func routes(count, changed int) (document []byte) {
+func routes(count, changed int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":[`, changed+2)
 	for i := range count {
@@ -24,9 +24,9 @@
 	return b.Bytes()
 }
 
-func noise(seed uint64, size int) (document []byte) {
+func noise(seed uint64, size int) []byte {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	document = make([]byte, size)
+	document := make([]byte, size)
 	for i := range document {
 		document[i] = byte(rng.Uint32())
 	}
--- a/chunk/cut.go
+++ b/chunk/cut.go
@@ -18,8 +18,9 @@
 
 // gear holds a pseudo-random number for each byte value (splitmix64). A change of it makes new boundaries, so that documents no longer
 // share chunks with those cut before; it makes nothing unreadable.
-var gear = func() (table [256]uint64) {
+var gear = func() [256]uint64 {
 	state := uint64(0x6d616c6c6f77)
+	var table [256]uint64
 	for i := range table {
 		state += 0x9e3779b97f4a7c15
 		mixed := (state ^ state>>30) * 0xbf58476d1ce4e5b9
@@ -31,12 +32,13 @@
 
 // Cut divides a document at boundaries that depend on the bytes around them alone, so that a change moves only boundaries near it. The
 // chunks are parts of document, not copies.
-func Cut(document []byte) (chunks [][]byte) { return cut(document, minimum, Largest, mask) }
+func Cut(document []byte) [][]byte { return cut(document, minimum, Largest, mask) }
 
 // CutFine is Cut with chunks of 512 bytes at most.
-func CutFine(list []byte) (chunks [][]byte) { return cut(list, fineMinimum, fineLargest, fineMask) }
+func CutFine(list []byte) [][]byte { return cut(list, fineMinimum, fineLargest, fineMask) }
 
-func cut(document []byte, least, most int, mask uint64) (chunks [][]byte) {
+func cut(document []byte, least, most int, mask uint64) [][]byte {
+	var chunks [][]byte
 	for len(document) > 0 {
 		end := boundary(document, least, most, mask)
 		chunks = append(chunks, document[:end:end])
@@ -45,7 +47,7 @@
 	return chunks
 }
 
-func boundary(rest []byte, least, most int, mask uint64) (end int) {
+func boundary(rest []byte, least, most int, mask uint64) int {
 	if len(rest) <= least {
 		return len(rest)
 	}
--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -24,9 +24,9 @@
 // DeltaError says why a delta makes no document.
 type DeltaError struct{ Why string }
 
-func (e *DeltaError) Error() (text string) { return "bad delta: " + e.Why }
+func (e *DeltaError) Error() string { return "bad delta: " + e.Why }
 
-func sum(body []byte) (hash []byte) {
+func sum(body []byte) []byte {
 	name := NameOf(body)
 	return name[:]
 }
@@ -39,8 +39,8 @@
 }
 
 // NewIndex reads a document, which must not change afterwards.
-func NewIndex(body []byte) (x *Index) {
-	x = &Index{body: body, sum: sum(body), places: map[Name]int{}}
+func NewIndex(body []byte) *Index {
+	x := &Index{body: body, sum: sum(body), places: map[Name]int{}}
 	at := 0
 	for _, piece := range Cut(body) {
 		x.places[NameOf(piece)] = at
@@ -50,17 +50,17 @@
 }
 
 // Of tells whether the index is of this very document in memory.
-func (x *Index) Of(body []byte) (yes bool) {
+func (x *Index) Of(body []byte) bool {
 	return len(x.body) == len(body) && (len(body) == 0 || &x.body[0] == &body[0])
 }
 
 // Difference makes the delta that takes the index's document to next, and the index of that.
-func (x *Index) Difference(next []byte) (d Delta, then *Index) {
+func (x *Index) Difference(next []byte) (Delta, *Index) {
 	if x.Of(next) {
 		return Delta{Base: x.sum, Sum: x.sum, Parts: []Part{{Length: len(next)}}}, x
 	}
-	then = &Index{body: next, sum: sum(next), places: map[Name]int{}}
-	d = Delta{Base: x.sum, Sum: then.sum}
+	then := &Index{body: next, sum: sum(next), places: map[Name]int{}}
+	d := Delta{Base: x.sum, Sum: then.sum}
 	at := 0
 	for _, piece := range Cut(next) {
 		name := NameOf(piece)
@@ -96,7 +96,7 @@
 
 // Apply makes the document of its base. The error is a *DeltaError where it is another base, a part lies outside it, or the result
 // isn't what the delta was made of.
-func (d Delta) Apply(base []byte) (next []byte, err error) {
+func (d Delta) Apply(base []byte) ([]byte, error) {
 	if !bytes.Equal(d.Base, sum(base)) {
 		return nil, trace.Wrap(&DeltaError{Why: "made for another document"})
 	}
@@ -109,7 +109,7 @@
 			return nil, trace.Wrap(&DeltaError{Why: "too long"})
 		}
 	}
-	next = make([]byte, 0, size)
+	next := make([]byte, 0, size)
 	for _, p := range d.Parts {
 		if len(p.New) > 0 {
 			next = append(next, p.New...)
--- a/chunk/fresh.go
+++ b/chunk/fresh.go
@@ -4,7 +4,7 @@
 
 // Fresh are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
 // aren't all in the store.
-func (s *Store) Fresh(m, base *Manifest, bytes int) (pieces [][]byte) {
+func (s *Store) Fresh(m, base *Manifest, bytes int) [][]byte {
 	if _, err := s.Body(base); err != nil {
 		return nil
 	}
@@ -15,6 +15,7 @@
 	if _, err := s.Body(m); err != nil {
 		return nil
 	}
+	var pieces [][]byte
 	for _, name := range s.open(m).all() {
 		if had[name] {
 			continue
@@ -30,11 +31,11 @@
 }
 
 // all are the names of a document's segments and chunks.
-func (d *document) all() (names []Name) { return slices.Concat(d.segments, d.names) }
+func (d *document) all() []Name { return slices.Concat(d.segments, d.names) }
 
 // With takes pieces in as far as the document lacks them, and returns it as Body does.
-func (s *Store) With(m *Manifest, pieces [][]byte) (body []byte, err error) {
-	body, err = s.Body(m)
+func (s *Store) With(m *Manifest, pieces [][]byte) ([]byte, error) {
+	body, err := s.Body(m)
 	for range 2 {
 		if err == nil || len(pieces) == 0 {
 			return body, err
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -19,7 +19,7 @@
 type Name [NameBytes]byte
 
 // NameOf names a chunk.
-func NameOf(piece []byte) (name Name) {
+func NameOf(piece []byte) Name {
 	sum := sha256.Sum256(piece)
 	return Name(sum[:NameBytes])
 }
@@ -43,10 +43,10 @@
 // ManifestError says that a manifest describes no document.
 type ManifestError struct{ Why string }
 
-func (e *ManifestError) Error() (text string) { return "bad manifest: " + e.Why }
+func (e *ManifestError) Error() string { return "bad manifest: " + e.Why }
 
 // Check returns a *ManifestError where the manifest can't describe a document.
-func (m *Manifest) Check() (err error) {
+func (m *Manifest) Check() error {
 	count := len(m.Segments) / NameBytes
 	switch {
 	case len(m.Segments)%NameBytes != 0:
@@ -60,14 +60,14 @@
 }
 
 // Key is the same for manifests that are the same.
-func (m *Manifest) Key() (key Name) {
+func (m *Manifest) Key() Name {
 	size := binary.BigEndian.AppendUint64(nil, uint64(m.Size))
 	return NameOf(append(size, m.Segments...))
 }
 
 // split divides joined names.
-func split(joined []byte) (names []Name) {
-	names = make([]Name, 0, len(joined)/NameBytes)
+func split(joined []byte) []Name {
+	names := make([]Name, 0, len(joined)/NameBytes)
 	for ; len(joined) >= NameBytes; joined = joined[NameBytes:] {
 		names = append(names, Name(joined))
 	}
@@ -75,8 +75,9 @@
 }
 
 // segments divides the joined names of chunks.
-func segments(joined []byte) (parts [][]byte) {
+func segments(joined []byte) [][]byte {
 	from := 0
+	var parts [][]byte
 	for at := 0; at < len(joined); at += NameBytes {
 		end := at + NameBytes
 		if joined[at]&segmentMask == 0 || end-from == segmentMost*NameBytes || end == len(joined) {
@@ -88,6 +89,6 @@
 }
 
 // Same tells whether two manifests are the same.
-func (m *Manifest) Same(other *Manifest) (yes bool) {
+func (m *Manifest) Same(other *Manifest) bool {
 	return m.Size == other.Size && bytes.Equal(m.Segments, other.Segments)
 }
--- a/chunk/store.go
+++ b/chunk/store.go
@@ -9,14 +9,14 @@
 // MissingError names the chunks that a document still lacks.
 type MissingError struct{ Names []Name }
 
-func (e *MissingError) Error() (text string) {
+func (e *MissingError) Error() string {
 	return fmt.Sprintf("%d chunks are missing", len(e.Names))
 }
 
 // SizeError says that the chunks of a manifest don't add up to its size.
 type SizeError struct{ Bytes, Want int }
 
-func (e *SizeError) Error() (text string) {
+func (e *SizeError) Error() string {
 	return fmt.Sprintf("the chunks have %d bytes together, not %d", e.Bytes, e.Want)
 }
 
@@ -47,17 +47,17 @@
 
 // NewStore makes a store that keeps the chunks of the most recently used documents: that many, fewer where their chunks together
 // exceed the number of bytes, two in any case. Of as many as bodies it keeps the whole document too.
-func NewStore(documents, bodies, bytes int) (s *Store) {
+func NewStore(documents, bodies, bytes int) *Store {
 	return &Store{documents: max(documents, 2), bodies: bodies, bytes: bytes, pieces: map[Name]*kept{}}
 }
 
 // Manifest takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
-func (s *Store) Manifest(body []byte) (m *Manifest) { return s.manifest(body, Cut) }
+func (s *Store) Manifest(body []byte) *Manifest { return s.manifest(body, Cut) }
 
 // FineManifest is Manifest for a short list, in fine chunks.
-func (s *Store) FineManifest(list []byte) (m *Manifest) { return s.manifest(list, CutFine) }
+func (s *Store) FineManifest(list []byte) *Manifest { return s.manifest(list, CutFine) }
 
-func (s *Store) manifest(body []byte, cut func(document []byte) (chunks [][]byte)) (m *Manifest) {
+func (s *Store) manifest(body []byte, cut func(document []byte) [][]byte) *Manifest {
 	if len(body) == 0 {
 		return &Manifest{}
 	}
@@ -73,7 +73,7 @@
 		name := NameOf(piece)
 		joined = append(joined, name[:]...)
 	}
-	m = &Manifest{Size: len(body)}
+	m := &Manifest{Size: len(body)}
 	parts := segments(joined)
 	for _, part := range parts {
 		name := NameOf(part)
@@ -94,8 +94,8 @@
 
 // Body returns the document that a manifest stands for. Errors are *ManifestError, *SizeError, and *MissingError; after the last the
 // store takes in what is missing: segments first, and chunks once all segments are here.
-func (s *Store) Body(m *Manifest) (body []byte, err error) {
-	if err = m.Check(); err != nil {
+func (s *Store) Body(m *Manifest) ([]byte, error) {
+	if err := m.Check(); err != nil {
 		return nil, err
 	}
 	d := s.open(m)
@@ -117,7 +117,7 @@
 		s.drop(len(s.recent) - 1)
 		return nil, trace.Wrap(&SizeError{Bytes: size, Want: m.Size})
 	}
-	body = make([]byte, 0, size)
+	body := make([]byte, 0, size)
 	for _, name := range d.names {
 		body = append(body, s.pieces[name].piece...)
 	}
@@ -126,8 +126,9 @@
 	return body, nil
 }
 
-func (s *Store) missing(of []Name) (names []Name) {
+func (s *Store) missing(of []Name) []Name {
 	seen := map[Name]bool{}
+	var names []Name
 	for _, name := range of {
 		if s.pieces[name].piece == nil && !seen[name] {
 			seen[name] = true
@@ -138,14 +139,14 @@
 }
 
 // Put takes in a chunk or a segment that some document of the store lacks, and tells whether it was one.
-func (s *Store) Put(piece []byte) (wanted bool) {
+func (s *Store) Put(piece []byte) bool {
 	if len(piece) == 0 || len(piece) > Largest {
 		return false
 	}
 	return s.put(NameOf(piece), piece)
 }
 
-func (s *Store) put(name Name, piece []byte) (wanted bool) {
+func (s *Store) put(name Name, piece []byte) bool {
 	entry := s.pieces[name]
 	if entry == nil || entry.piece != nil {
 		return false
@@ -157,7 +158,7 @@
 }
 
 // Get returns a chunk or a segment, or nothing.
-func (s *Store) Get(name Name) (piece []byte) {
+func (s *Store) Get(name Name) []byte {
 	if entry := s.pieces[name]; entry != nil {
 		return entry.piece
 	}
@@ -165,10 +166,10 @@
 }
 
 // Held is how many bytes of chunks and segments the store holds.
-func (s *Store) Held() (bytes int) { return s.held }
+func (s *Store) Held() int { return s.held }
 
 // open makes a document the most recent one.
-func (s *Store) open(m *Manifest) (d *document) {
+func (s *Store) open(m *Manifest) *document {
 	key := m.Key()
 	for i, d := range s.recent {
 		if d.key == key {
@@ -176,7 +177,7 @@
 			return d
 		}
 	}
-	d = &document{key: key, manifest: m, segments: split(m.Segments)}
+	d := &document{key: key, manifest: m, segments: split(m.Segments)}
 	s.recent = append(s.recent, d)
 	s.use(d.segments)
 	s.shrink()
--- a/cmd/mallowbridge/capacity.go
+++ b/cmd/mallowbridge/capacity.go
@@ -37,17 +37,17 @@
 	}
 }
 
-func sweep(out io.Writer, dir string, s capacity.Sweep) (err error) {
+func sweep(out io.Writer, dir string, s capacity.Sweep) error {
 	fmt.Fprintf(out, "%s: %s\n", s.Name, s.Axis)
 	from := time.Now()
-	return s.Run(func(x float64, note string, ps []capacity.Point) (err error) {
+	return s.Run(func(x float64, note string, ps []capacity.Point) error {
 		fmt.Fprintf(out, "  %g: %s (%s)\n", x, note, time.Since(from).Round(time.Second))
 		from = time.Now()
 		return capacity.Save(dir, s, ps)
 	})
 }
 
-func redraw(dir string, some []capacity.Sweep) (err error) {
+func redraw(dir string, some []capacity.Sweep) error {
 	for _, s := range some {
 		ps, err := capacity.Load(dir, s)
 		if err != nil {
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -54,7 +54,9 @@
 }
 
 // merge puts flags on top of the settings file and checks the whole.
-func merge(file string, flags daemon.Settings) (s daemon.Settings, err error) {
+func merge(file string, flags daemon.Settings) (daemon.Settings, error) {
+	var err error
+	var s daemon.Settings
 	if file != "" {
 		if s, err = daemon.ReadSettings(file); err != nil {
 			return s, err
@@ -82,7 +84,7 @@
 }
 
 // serve runs a core or edge until a signal, then drains it.
-func serve(s daemon.Settings) (err error) {
+func serve(s daemon.Settings) error {
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 	lg.Context = log.NewContext(nil).Str("node", s.Name).Value()
 	lis, err := net.Listen("tcp", s.HTTP)
@@ -96,7 +98,7 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) (how mallowbridge.How) {
+	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) mallowbridge.How {
 		return control.WitnessOutcome(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
@@ -124,7 +126,7 @@
 }
 
 // transportCounters are published as "wire.*", as operators know them.
-func transportCounters(h *daemon.Daemon) (c map[string]uint64) {
+func transportCounters(h *daemon.Daemon) map[string]uint64 {
 	n := &h.Net.N
 	return map[string]uint64{
 		"wire.sent": n.Sent.Load(), "wire.bytes": n.Bytes.Load(), "wire.dropped": n.Dropped.Load(),
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -21,7 +21,7 @@
 	Why  string
 }
 
-func (e *LineError) Error() (text string) { return fmt.Sprintf("line %d: %s", e.Line, e.Why) }
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Why) }
 
 func tools(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("decide", "Read events as JSON lines and write decisions as JSON lines.")
@@ -52,7 +52,7 @@
 const longestLine = 2 << 20
 
 // decide drives a router by the events of in and writes its decisions to out.
-func decide(in io.Reader, out io.Writer, self, zone string) (err error) {
+func decide(in io.Reader, out io.Writer, self, zone string) error {
 	r := mallowbridge.New(mallowbridge.Defaults(self, "0", zone))
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, longestLine)
@@ -80,25 +80,26 @@
 // TimeError is an event without a time, or with one before Least, in milliseconds.
 type TimeError struct{ Least int64 }
 
-func (e *TimeError) Error() (text string) {
+func (e *TimeError) Error() string {
 	return fmt.Sprintf("atMs: must be a number, at least %d", e.Least)
 }
 
 // readEventLine reads an event and its time, which is not before the last one's.
-func readEventLine(raw []byte, last int64) (atMs int64, ev mallowbridge.Event, err error) {
+func readEventLine(raw []byte, last int64) (int64, mallowbridge.Event, error) {
 	var l eventLine
+	var err error
 	if err = strict(raw, &l); err != nil {
 		return 0, nil, err
 	}
 	if l.AtMs == nil || *l.AtMs < last {
 		return 0, nil, &TimeError{Least: last}
 	}
-	ev, err = event(l)
+	ev, err := event(l)
 	return *l.AtMs, ev, err
 }
 
 // strict reads JSON without unknown fields; nothing reads as an empty object.
-func strict(raw []byte, v any) (err error) {
+func strict(raw []byte, v any) error {
 	if len(raw) == 0 {
 		raw = []byte("{}")
 	}
@@ -110,7 +111,7 @@
 // EventError names an event that there is not.
 type EventError struct{ Name string }
 
-func (e *EventError) Error() (text string) { return "unknown event " + fmt.Sprintf("%q", e.Name) }
+func (e *EventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
 var eventReaders = map[string]func(raw []byte) (mallowbridge.Event, error){
 	"arrive": read[mallowbridge.Arrive], "listing": read[mallowbridge.Listing], "usage": read[mallowbridge.LoadReport],
@@ -119,7 +120,7 @@
 }
 
 // event reads an event by its published name.
-func event(l eventLine) (ev mallowbridge.Event, err error) {
+func event(l eventLine) (mallowbridge.Event, error) {
 	switch l.Event {
 	case "order":
 		return readSnapshot(l.Data)
@@ -133,8 +134,9 @@
 	return readEvent(l.Data)
 }
 
-func readSnapshot(raw []byte) (ev mallowbridge.Event, err error) {
+func readSnapshot(raw []byte) (mallowbridge.Event, error) {
 	var o orderLine
+	var err error
 	if err = strict(raw, &o); err != nil {
 		return nil, err
 	}
@@ -145,8 +147,8 @@
 	return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
 }
 
-func read[T mallowbridge.Event](raw []byte) (ev mallowbridge.Event, err error) {
+func read[T mallowbridge.Event](raw []byte) (mallowbridge.Event, error) {
 	var v T
-	err = strict(raw, &v)
+	err := strict(raw, &v)
 	return v, err
 }
--- a/cmd/mallowbridge/main.go
+++ b/cmd/mallowbridge/main.go
@@ -17,11 +17,11 @@
 const version = "0.1.0"
 
 // command runs one command of the line; an error ends the program with status 1.
-type command func(in io.Reader, out io.Writer) (err error)
+type command func(in io.Reader, out io.Writer) error
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
-func run(args []string, in io.Reader, out, errs io.Writer) (code int) {
+func run(args []string, in io.Reader, out, errs io.Writer) int {
 	app := kingpin.New("mallowbridge", "A router fleet for a language model: one daemon per machine, and the tools around it.")
 	app.Version(fmt.Sprintf("mallowbridge %s, build %d", version, transport.Build))
 	app.HelpFlag.Short('h')
--- a/cmd/mallowbridge/main_test.go
+++ b/cmd/mallowbridge/main_test.go
@@ -24,7 +24,7 @@
 	var next atomic.Int64
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
-		Setup: func(e *testscript.Env) (err error) {
+		Setup: func(e *testscript.Env) error {
 			for i := range 10 {
 				e.Setenv("P"+strconv.Itoa(i), own(int(next.Add(1))))
 			}
@@ -37,7 +37,7 @@
 }
 
 // own names a loopback address that no other process has reason to take: the process id is in it.
-func own(i int) (addr string) {
+func own(i int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+pid>>16&0x7f, pid>>8&0xff, pid&0xff, 17100+i)
 }
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -49,8 +49,10 @@
 const spareAllowance = 0.25
 
 // reader reads the platform's document and adds what the settings bound.
-func reader(documents *platform.Reader, b platform.Bounds) (read config.Reader) {
-	return func(raw []byte) (c config.Config, err error) {
+func reader(documents *platform.Reader, b platform.Bounds) config.Reader {
+	return func(raw []byte) (config.Config, error) {
+		var err error
+		var c config.Config
 		if c, err = documents.Read(raw); err != nil {
 			return c, err
 		}
@@ -63,8 +65,8 @@
 }
 
 // nodeSettings puts the platform's settings into the daemon's.
-func nodeSettings(s platform.Settings, documents *platform.Reader) (h daemon.Settings) {
-	h = daemon.Settings{
+func nodeSettings(s platform.Settings, documents *platform.Reader) daemon.Settings {
+	h := daemon.Settings{
 		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Domain: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
 		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
 		Host: daemon.Host{
@@ -77,7 +79,7 @@
 }
 
 // headers names the platform's headers to the proxy.
-func headers() (h proxy.Headers) {
+func headers() proxy.Headers {
 	return proxy.Headers{
 		Attempt: platform.HeaderAttempt, Target: platform.HeaderTarget, NotRun: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
 		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokens,
@@ -99,7 +101,7 @@
 	retired atomic.Bool
 }
 
-func runNode(file string, s platform.Settings, way string) (err error) {
+func runNode(file string, s platform.Settings, way string) error {
 	if mb := s.Machine.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * 7 / 10)
 	}
@@ -123,7 +125,7 @@
 	return superviseNode(n.tomb, n.daemon, n.proxy, file, s, &n.retired, lg)
 }
 
-func (n *platformNode) limitsNow() (l config.Limits) { return *n.limits.Load() }
+func (n *platformNode) limitsNow() config.Limits { return *n.limits.Load() }
 
 // serve serves each interface that the settings give the node.
 func (n *platformNode) serve(listeners map[string]net.Listener) {
@@ -135,15 +137,15 @@
 		})
 	}
 	if lis := listeners[readinessInterface]; lis != nil {
-		serveOps(n.tomb, lis, platform.Readiness(func() (why string) { return readiness(n.daemon, &n.retired) }), nil)
+		serveOps(n.tomb, lis, platform.Readiness(func() string { return readiness(n.daemon, &n.retired) }), nil)
 	}
 	if lis := listeners[controlInterface]; lis != nil {
 		serveOps(n.tomb, lis, n.controlRoutes(), n.daemon.Gate.ConnContext)
 	}
 }
 
-func (n *platformNode) controlRoutes() (routes *bunrouter.Router) {
-	routes = bunrouter.New()
+func (n *platformNode) controlRoutes() *bunrouter.Router {
+	routes := bunrouter.New()
 	platform.Routes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
 		Control: n.daemon, Router: n.daemon.Loop, Clock: daemon.Clock,
@@ -154,8 +156,8 @@
 }
 
 // proxySettings lets requests and answers hold a quarter of the memory at most.
-func proxySettings(s platform.Settings) (set proxy.Settings) {
-	set = proxy.Defaults()
+func proxySettings(s platform.Settings) proxy.Settings {
+	set := proxy.Defaults()
 	if mb := s.Machine.MemoryMB; mb > 0 {
 		set.Budget = min(set.Budget, mb<<20/4)
 	}
@@ -163,8 +165,8 @@
 }
 
 // merged joins counters of different names.
-func merged(all ...map[string]uint64) (one map[string]uint64) {
-	one = map[string]uint64{}
+func merged(all ...map[string]uint64) map[string]uint64 {
+	one := map[string]uint64{}
 	for _, c := range all {
 		maps.Copy(one, c)
 	}
@@ -179,8 +181,9 @@
 )
 
 // listenAll opens the addresses that the settings give, by interface.
-func listenAll(s platform.Settings) (listeners map[string]net.Listener, err error) {
-	listeners = map[string]net.Listener{}
+func listenAll(s platform.Settings) (map[string]net.Listener, error) {
+	listeners := map[string]net.Listener{}
+	var err error
 	for name, addr := range map[string]string{frontInterface: s.Front, readinessInterface: s.Readiness, controlInterface: s.Control} {
 		if addr == "" {
 			continue
@@ -225,10 +228,11 @@
 }
 
 // readiness tells why requests should be sent elsewhere, or "".
-func readiness(h *daemon.Daemon, retired *atomic.Bool) (why string) {
+func readiness(h *daemon.Daemon, retired *atomic.Bool) string {
 	if retired.Load() {
 		return "draining"
 	}
+	var why string
 	h.Loop.Look(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
 	return why
 }
--- a/cmd/mallowbridge/operate.go
+++ b/cmd/mallowbridge/operate.go
@@ -21,12 +21,12 @@
 	Body   string
 }
 
-func (e *RejectedError) Error() (text string) { return fmt.Sprintf("%d: %s", e.Status, e.Body) }
+func (e *RejectedError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Body) }
 
 var client = &http.Client{Timeout: 10 * time.Second}
 
 // call sends one operator's call and prints the answer.
-func call(out io.Writer, method, at, path, change string, body []byte) (err error) {
+func call(out io.Writer, method, at, path, change string, body []byte) error {
 	req, err := http.NewRequest(method, "http://"+at+path, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
@@ -65,8 +65,8 @@
 }
 
 // add gives a command the flags that all operators' commands have; the call is filled in by the caller.
-func (o operatorCommands) add(name, help string, do operatorCall) (c *kingpin.CmdClause) {
-	c = o.app.Command(name, help)
+func (o operatorCommands) add(name, help string, do operatorCall) *kingpin.CmdClause {
+	c := o.app.Command(name, help)
 	at := c.Flag("at", "HTTP IP:port of any node.").Default("127.0.0.1:8001").String()
 	change := c.Flag("change", "Id of this change; the same id again does nothing twice.").String()
 	o.cmds[name] = func(_ io.Reader, out io.Writer) error { return do(out, *at, *change) }
@@ -87,7 +87,7 @@
 	o.listings()
 }
 
-func getPath(path string) (do operatorCall) {
+func getPath(path string) operatorCall {
 	return func(out io.Writer, at, _ string) error { return call(out, http.MethodGet, at, path, "", nil) }
 }
 
@@ -106,9 +106,9 @@
 }
 
 // evacuation adds a command on a zone; verb is the last part of the call's path.
-func (o operatorCommands) evacuation(name, help, verb string) (c *kingpin.CmdClause) {
+func (o operatorCommands) evacuation(name, help, verb string) *kingpin.CmdClause {
 	var zone string
-	c = o.add(name, help, func(out io.Writer, at, change string) error {
+	c := o.add(name, help, func(out io.Writer, at, change string) error {
 		return call(out, http.MethodPost, at, "/v1/domains/"+url.PathEscape(zone)+"/"+verb, change, nil)
 	})
 	c.Arg("domain", "Name of the zone.").Required().StringVar(&zone)
@@ -120,9 +120,9 @@
 }
 
 // voters adds a command on the set of voters; verb is the call's path.
-func (o operatorCommands) voters(name, help, verb string) (c *kingpin.CmdClause) {
+func (o operatorCommands) voters(name, help, verb string) *kingpin.CmdClause {
 	var names []string
-	c = o.add(name, help, func(out io.Writer, at, change string) error {
+	c := o.add(name, help, func(out io.Writer, at, change string) error {
 		raw, err := json.Marshal(votersBody{Voters: names})
 		if err != nil {
 			return trace.Wrap(err)
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -95,8 +95,8 @@
 	}
 }
 
-func clientLoad(rate, hotShare float64, service string, repeatable, once []string) (load sim.Load) {
-	load = sim.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
+func clientLoad(rate, hotShare float64, service string, repeatable, once []string) sim.Load {
+	load := sim.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
 	for _, k := range repeatable {
 		load.Kinds = append(load.Kinds, sim.KindLoad{Offer: service, Name: k, Repeatable: true})
 	}
@@ -106,7 +106,7 @@
 	return load
 }
 
-func report(out io.Writer, sums map[string]int, firsts []int64) (err error) {
+func report(out io.Writer, sums map[string]int, firsts []int64) error {
 	for _, k := range []string{"done", "denied", "partial", "unknown", "repeat", "bad", "lost"} {
 		fmt.Fprintf(out, "%-8s %d\n", k, sums[k])
 	}
@@ -119,7 +119,7 @@
 // BreachError says how many breaches the ledgers show.
 type BreachError struct{ N int }
 
-func (e *BreachError) Error() (text string) { return fmt.Sprintf("%d breaches", e.N) }
+func (e *BreachError) Error() string { return fmt.Sprintf("%d breaches", e.N) }
 
 func check(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("check", "Compare the ledgers of stand-in replicas and clients.")
@@ -147,11 +147,12 @@
 }
 
 // lines reads the JSON lines of all files that match a pattern.
-func lines[T any](pattern string) (rows []T, err error) {
+func lines[T any](pattern string) ([]T, error) {
 	names, err := filepath.Glob(pattern)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
+	var rows []T
 	for _, name := range names {
 		some, err := linesOf[T](name)
 		if err != nil {
@@ -162,7 +163,7 @@
 	return rows, nil
 }
 
-func linesOf[T any](name string) (rows []T, err error) {
+func linesOf[T any](name string) ([]T, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -170,6 +171,7 @@
 	defer f.Close()
 	sc := bufio.NewScanner(f)
 	sc.Buffer(nil, 1<<20)
+	var rows []T
 	for n := 1; sc.Scan(); n++ {
 		var row T
 		if err := json.Unmarshal(sc.Bytes(), &row); err != nil {
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -17,9 +17,10 @@
 )
 
 // superviseNode takes signals until the node ends: SIGHUP reads the settings again, others drain it.
-func superviseNode(t *tomb.Tomb, h *daemon.Daemon, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) (err error) {
+func superviseNode(t *tomb.Tomb, h *daemon.Daemon, p *proxy.Proxy, file string, s platform.Settings, retired *atomic.Bool, lg *log.Logger) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
+	var err error
 	for {
 		select {
 		case <-t.Dying():
@@ -43,7 +44,7 @@
 }
 
 // reload takes the seeds of a settings file that changed; what it was started with stays as it is.
-func reload(h *daemon.Daemon, file string, old platform.Settings, lg *log.Logger) (s platform.Settings) {
+func reload(h *daemon.Daemon, file string, old platform.Settings, lg *log.Logger) platform.Settings {
 	s, err := platform.ReadSettings(file)
 	if err != nil {
 		lg.Warn().Err(err).Msg("settings are flawed, the old ones stay")
--- a/cmd/mallowbridge/whatif.go
+++ b/cmd/mallowbridge/whatif.go
@@ -41,12 +41,13 @@
 }
 
 // loadPlans reads the plans, or gives the calm one where there are none.
-func loadPlans(files []string, shape string) (plans []whatif.Plan, err error) {
+func loadPlans(files []string, shape string) ([]whatif.Plan, error) {
 	if len(files) == 0 {
 		calm := whatif.Default("calm")
 		calm.Shape = shape
 		return []whatif.Plan{calm}, nil
 	}
+	var plans []whatif.Plan
 	for _, file := range files {
 		p, err := whatif.Load(file)
 		if err != nil {
@@ -73,7 +74,7 @@
 }
 
 // replay has a plan take its requests from a HAR file, if one is given, and names the entries that it cannot use.
-func replay(out io.Writer, p *whatif.Plan, file string) (err error) {
+func replay(out io.Writer, p *whatif.Plan, file string) error {
 	if file == "" {
 		return nil
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -113,7 +113,7 @@
 }
 
 // A Reader reads and checks an operators' document; Read is the product's own. Flaws of the document are an *InvalidError.
-type Reader func(raw []byte) (c Config, err error)
+type Reader func(raw []byte) (Config, error)
 
 // Snapshot is a whole configuration at one version (Mark), as agreed upon. It is immutable; the control node gives it to routers.
 type Snapshot struct {
@@ -123,7 +123,7 @@
 }
 
 // Evacuated tells whether a zone is to get no requests.
-func (p *Snapshot) Evacuated(zone string) (yes bool) {
+func (p *Snapshot) Evacuated(zone string) bool {
 	for _, evacuated := range p.Emptied {
 		if evacuated == zone {
 			return true
@@ -133,12 +133,13 @@
 }
 
 // ms reads a number of milliseconds.
-func ms(d *Decoder, key string, def, min, max int) (t time.Duration) {
+func ms(d *Decoder, key string, def, min, max int) time.Duration {
 	return time.Duration(d.Int(key, def, min, max)) * time.Millisecond
 }
 
 // Read reads the product's own JSON document; the error is an *InvalidError with every flaw.
-func Read(raw []byte) (c Config, err error) {
+func Read(raw []byte) (Config, error) {
+	var c Config
 	if len(raw) > MaxBytes {
 		return c, flawed("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxBytes))
 	}
@@ -158,11 +159,12 @@
 	return c, nil
 }
 
-func readReplaceVoter(d *Decoder) (patience time.Duration) {
+func readReplaceVoter(d *Decoder) time.Duration {
 	return ms(d, replaceField, 0, 0, 86400000)
 }
 
-func readOffer(d *Decoder, offers, reps map[string]bool) (o Offer) {
+func readOffer(d *Decoder, offers, reps map[string]bool) Offer {
+	var o Offer
 	o.Name = unique(d, "name", offers)
 	o.Model = d.Str("model", true, maxName)
 	for _, r := range d.List("replicas", 1, maxReplicas) {
@@ -201,8 +203,8 @@
 }
 
 // unique reads a name that must not stand twice.
-func unique(d *Decoder, key string, seen map[string]bool) (s string) {
-	s = d.Str(key, true, maxName)
+func unique(d *Decoder, key string, seen map[string]bool) string {
+	s := d.Str(key, true, maxName)
 	if s != "" && seen[s] {
 		d.Flaw(d.At(key), s, "named once")
 	}
@@ -210,7 +212,8 @@
 	return s
 }
 
-func readReplica(d *Decoder, seen map[string]bool) (r Replica) {
+func readReplica(d *Decoder, seen map[string]bool) Replica {
+	var r Replica
 	r.Name = unique(d, "name", seen)
 	r.Addr = d.Str("addr", true, maxName)
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
@@ -230,7 +233,8 @@
 	return r
 }
 
-func readKind(d *Decoder, seen map[string]bool) (k Kind) {
+func readKind(d *Decoder, seen map[string]bool) Kind {
+	var k Kind
 	k.Name = unique(d, "name", seen)
 	k.Value = d.Num("value", 1, 0.001, 1e6)
 	k.Urgency = d.Num("urgency", 1, 0.001, 1e3)
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -17,7 +17,7 @@
 }
 
 // Open parses a JSON document; the error is an *InvalidError.
-func Open(raw []byte) (d *Decoder, err error) {
+func Open(raw []byte) (*Decoder, error) {
 	t, err := parse(raw)
 	if err != nil {
 		return nil, err
@@ -31,9 +31,9 @@
 }
 
 // At is the path of a field.
-func (d *Decoder) At(key string) (path string) { return d.path + "." + key }
+func (d *Decoder) At(key string) string { return d.path + "." + key }
 
-func (d *Decoder) find(key string) (t tree, ok bool) {
+func (d *Decoder) find(key string) (tree, bool) {
 	d.used[key] = true
 	for i, k := range d.t.keys {
 		if k == key {
@@ -44,7 +44,7 @@
 }
 
 // Str reads a string of at most max bytes, which must be there and not empty if needed.
-func (d *Decoder) Str(key string, need bool, max int) (s string) {
+func (d *Decoder) Str(key string, need bool, max int) string {
 	t, ok := d.find(key)
 	if !ok && !need {
 		return ""
@@ -57,7 +57,7 @@
 }
 
 // Num reads a number from min to max, or def where it is absent.
-func (d *Decoder) Num(key string, def, min, max float64) (n float64) {
+func (d *Decoder) Num(key string, def, min, max float64) float64 {
 	t, ok := d.find(key)
 	if !ok {
 		return def
@@ -71,7 +71,7 @@
 }
 
 // Int reads a whole number from min to max, or def where it is absent.
-func (d *Decoder) Int(key string, def, min, max int) (n int) {
+func (d *Decoder) Int(key string, def, min, max int) int {
 	f := d.Num(key, float64(def), float64(min), float64(max))
 	if f != float64(int(f)) {
 		d.Flaw(d.At(key), fmt.Sprint(f), "a whole number")
@@ -81,7 +81,7 @@
 }
 
 // Bool reads true or false, or def where it is absent.
-func (d *Decoder) Bool(key string, def bool) (b bool) {
+func (d *Decoder) Bool(key string, def bool) bool {
 	t, ok := d.find(key)
 	if !ok {
 		return def
@@ -93,7 +93,7 @@
 }
 
 // Sub reads an object; an absent one has no fields.
-func (d *Decoder) Sub(key string) (s *Decoder) {
+func (d *Decoder) Sub(key string) *Decoder {
 	t, ok := d.find(key)
 	if ok && t.kind != 'o' {
 		d.Flaw(d.At(key), t.show(), "an object")
@@ -102,12 +102,13 @@
 }
 
 // List reads a list of min to max elements; an absent one is empty.
-func (d *Decoder) List(key string, min, max int) (subs []*Decoder) {
+func (d *Decoder) List(key string, min, max int) []*Decoder {
 	t, _ := d.find(key)
 	if len(t.kids) < min || len(t.kids) > max || (t.kind != 'a' && t.kind != 0) {
 		d.Flaw(d.At(key), t.show(), fmt.Sprintf("a list of %d to %d", min, max))
 		return nil
 	}
+	var subs []*Decoder
 	for i, kid := range t.kids {
 		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.At(key), i), t: kid, used: map[string]bool{}, flaws: d.flaws})
 	}
@@ -115,7 +116,7 @@
 }
 
 // Text reads a list's element that is a string of 1 to max bytes.
-func (d *Decoder) Text(max int) (s string) {
+func (d *Decoder) Text(max int) string {
 	if d.t.kind != 's' || d.t.str == "" || len(d.t.str) > max {
 		d.Flaw(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
 	}
@@ -135,7 +136,7 @@
 }
 
 // Err is an *InvalidError with all flaws so far, or nil.
-func (d *Decoder) Err() (err error) {
+func (d *Decoder) Err() error {
 	if len(*d.flaws) == 0 {
 		return nil
 	}
--- a/config/documents.go
+++ b/config/documents.go
@@ -15,7 +15,7 @@
 )
 
 // Read is Read; what it finds is the same.
-func (d *Documents) Read(raw []byte) (c Config, err error) {
+func (d *Documents) Read(raw []byte) (Config, error) {
 	if len(raw) <= MaxBytes {
 		if c, ok := d.quick(raw); ok {
 			return c, nil
@@ -25,8 +25,9 @@
 }
 
 // quick reads a sound document, and gives up on any other.
-func (d *Documents) quick(raw []byte) (c Config, ok bool) {
+func (d *Documents) quick(raw []byte) (Config, bool) {
 	split, ok := d.memo.Split(raw)
+	var c Config
 	if !ok {
 		return c, false
 	}
@@ -46,22 +47,23 @@
 	return c, len(c.Offers) > 0
 }
 
-func replaceVoter(value []byte) (patience time.Duration, ok bool) {
+func replaceVoter(value []byte) (time.Duration, bool) {
 	small := bytes.Join([][]byte{[]byte(`{"` + replaceField + `":`), value, []byte(`}`)}, nil)
 	d, err := Open(small)
 	if err != nil {
 		return 0, false
 	}
-	patience = readReplaceVoter(d)
+	patience := readReplaceVoter(d)
 	return patience, d.Err() == nil
 }
 
 // offers reads those that are new, and looks for names that occur twice in all.
-func offers(items []*Item) (all []Offer, ok bool) {
+func offers(items []*Item) ([]Offer, bool) {
 	if len(items) > maxOffers {
 		return nil, false
 	}
 	names, replicas := map[string]bool{}, map[string]bool{}
+	var all []Offer
 	for _, it := range items {
 		if it.Offer == nil {
 			d, err := Open(it.Raw)
--- a/config/documents_test.go
+++ b/config/documents_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func same(t *testing.T, d *Documents, raw []byte) (good bool) {
+func same(t *testing.T, d *Documents, raw []byte) bool {
 	t.Helper()
 	want, wantErr := Read(raw)
 	got, err := d.Read(raw)
@@ -18,7 +18,7 @@
 	return err == nil
 }
 
-func offer1(rng *rand.Rand, n int) (raw string) {
+func offer1(rng *rand.Rand, n int) string {
 	replica := n
 	if rng.IntN(60) == 0 {
 		replica++
--- a/config/memo.go
+++ b/config/memo.go
@@ -27,14 +27,14 @@
 
 // Routes are those of a list's items; read is called for items that weren't read before. It gives up where one can't be read, or two
 // have the same name, or host and prefix.
-func (m *Memo) Routes(items []*Item, read func(raw []byte) (r Route, ok bool)) (routes []Route, ok bool) {
+func (m *Memo) Routes(items []*Item, read func(raw []byte) (Route, bool)) ([]Route, bool) {
 	r := &m.routes
 	if r.names == nil {
 		r.names, r.places = map[string]int{}, map[place]int{}
 	}
 	old, round := r.items, r.round+1
 	r.round, r.items = round, nil
-	routes = make([]Route, 0, len(items))
+	routes := make([]Route, 0, len(items))
 	var added []*Item
 	for _, it := range items {
 		if it.round == round {
@@ -68,7 +68,7 @@
 	return routes, true
 }
 
-func (m *Memo) giveUp() (ok bool) {
+func (m *Memo) giveUp() bool {
 	m.routes = remembered{round: m.routes.round}
 	return false
 }
@@ -78,7 +78,7 @@
 }
 
 // step counts a key up or down, and tells by how many keys more occur twice or oftener.
-func step[K comparable](counts map[K]int, key K, by int) (twice int) {
+func step[K comparable](counts map[K]int, key K, by int) int {
 	was := counts[key]
 	now := was + by
 	if now == 0 {
--- a/config/read.go
+++ b/config/read.go
@@ -19,7 +19,7 @@
 	Bound string `json:"bound"`
 }
 
-func (f Flaw) String() (line string) {
+func (f Flaw) String() string {
 	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Bound)
 }
 
@@ -28,7 +28,7 @@
 	Flaws []Flaw
 }
 
-func (e *InvalidError) Error() (text string) {
+func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Flaws))
 	for i, f := range e.Flaws {
 		lines[i] = f.String()
@@ -36,7 +36,7 @@
 	return strings.Join(lines, "; ")
 }
 
-func flawed(path, val, bound string) (err error) {
+func flawed(path, val, bound string) error {
 	return trace.Wrap(&InvalidError{Flaws: []Flaw{{Path: path, Value: val, Bound: bound}}})
 }
 
@@ -50,10 +50,10 @@
 
 const maxDepth = 16
 
-func parse(raw []byte) (t tree, err error) {
+func parse(raw []byte) (tree, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
-	t, err = grow(dec, "$", 0)
+	t, err := grow(dec, "$", 0)
 	if err != nil {
 		return tree{}, err
 	}
@@ -63,7 +63,8 @@
 	return t, nil
 }
 
-func grow(dec *json.Decoder, path string, depth int) (t tree, err error) {
+func grow(dec *json.Decoder, path string, depth int) (tree, error) {
+	var t tree
 	if depth > maxDepth {
 		return t, flawed(path, "nested", fmt.Sprintf("at most %d deep", maxDepth))
 	}
@@ -87,7 +88,8 @@
 	return tree{kind: '0', str: "null"}, nil
 }
 
-func growObject(dec *json.Decoder, path string, depth int) (t tree, err error) {
+func growObject(dec *json.Decoder, path string, depth int) (tree, error) {
+	var t tree
 	t.kind = 'o'
 	seen := map[string]bool{}
 	for dec.More() {
@@ -106,13 +108,14 @@
 		}
 		t.keys, t.kids = append(t.keys, key), append(t.kids, kid)
 	}
-	if _, err = dec.Token(); err != nil {
+	if _, err := dec.Token(); err != nil {
 		return t, flawed(path, err.Error(), "JSON")
 	}
 	return t, nil
 }
 
-func growList(dec *json.Decoder, path string, depth int) (t tree, err error) {
+func growList(dec *json.Decoder, path string, depth int) (tree, error) {
+	var t tree
 	t.kind = 'a'
 	for dec.More() {
 		kid, err := grow(dec, fmt.Sprintf("%s[%d]", path, len(t.kids)), depth+1)
@@ -121,13 +124,13 @@
 		}
 		t.kids = append(t.kids, kid)
 	}
-	if _, err = dec.Token(); err != nil {
+	if _, err := dec.Token(); err != nil {
 		return t, flawed(path, err.Error(), "JSON")
 	}
 	return t, nil
 }
 
-func (t tree) show() (s string) {
+func (t tree) show() string {
 	switch t.kind {
 	case 0:
 		return "missing"
--- a/config/split.go
+++ b/config/split.go
@@ -30,7 +30,7 @@
 }
 
 // Field finds a field by its name.
-func (s *Split) Field(name string) (f *Field) {
+func (s *Split) Field(name string) *Field {
 	for i := range s.Fields {
 		if s.Fields[i].Name == name {
 			return &s.Fields[i]
@@ -55,12 +55,12 @@
 }
 
 // Split divides a document, or tells that it can't: it is no JSON object, or names a field twice.
-func (m *Memo) Split(raw []byte) (s *Split, ok bool) {
+func (m *Memo) Split(raw []byte) (*Split, bool) {
 	if m.last != nil && len(raw) > 0 && len(m.last.raw) == len(raw) && &m.last.raw[0] == &raw[0] {
 		return m.last, true
 	}
 	scan := &scanner{memo: m, raw: raw, good: true}
-	s = &Split{raw: raw}
+	s := &Split{raw: raw}
 	scan.object(s)
 	if !scan.good {
 		return nil, false
@@ -81,7 +81,7 @@
 }
 
 // take reads one byte after any space.
-func (c *scanner) take(b byte) (yes bool) {
+func (c *scanner) take(b byte) bool {
 	c.space()
 	if c.at >= len(c.raw) || c.raw[c.at] != b {
 		return false
@@ -91,7 +91,7 @@
 }
 
 // value reads one whole JSON value.
-func (c *scanner) value() (raw []byte) {
+func (c *scanner) value() []byte {
 	c.space()
 	dec := jsontext.NewDecoder(bytes.NewBuffer(c.raw[c.at:]))
 	value, err := dec.ReadValue()
@@ -130,8 +130,9 @@
 	c.good = c.good && c.at == len(c.raw)
 }
 
-func (c *scanner) field() (f Field) {
+func (c *scanner) field() Field {
 	quoted := c.value()
+	var f Field
 	if !c.good || len(quoted) == 0 || quoted[0] != '"' {
 		c.good = false
 		return f
@@ -167,14 +168,14 @@
 const missesMost = 8
 
 // list reads the items; it gives up where something else than objects stands in the list.
-func (c *scanner) list(name string) (items []*Item, ok bool) {
+func (c *scanner) list(name string) ([]*Item, bool) {
 	l := &list{}
 	if c.memo.last != nil {
 		if f := c.memo.last.Field(name); f != nil {
 			l.before = f.Items
 		}
 	}
-	items = make([]*Item, 0, len(l.before)+1)
+	items := make([]*Item, 0, len(l.before)+1)
 	c.at++
 	if c.take(']') {
 		return items, true
@@ -195,7 +196,7 @@
 }
 
 // item reads the next object: the one that followed in the last document, the one after that, another of them, or a new one.
-func (c *scanner) item(l *list) (it *Item) {
+func (c *scanner) item(l *list) *Item {
 	c.space()
 	if c.at >= len(c.raw) || c.raw[c.at] != '{' {
 		return nil
@@ -212,13 +213,13 @@
 		c.good = true
 		return nil
 	}
-	if it = l.known(value); it != nil {
+	if it := l.known(value); it != nil {
 		return it
 	}
 	return &Item{Raw: bytes.Clone(value)}
 }
 
-func (l *list) known(raw []byte) (it *Item) {
+func (l *list) known(raw []byte) *Item {
 	if l.misses++; l.misses <= missesMost {
 		return nil
 	}
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -39,11 +39,12 @@
 	n.proposer.Bootstrap(now, now+bootstrapStagger, id, &register.Value{Fleet: fleet, Voters: vs})
 }
 
-func (n *Node) memberAt(addr string) (m membership.Member, ok bool) {
+func (n *Node) memberAt(addr string) (membership.Member, bool) {
 	for _, m := range n.Members.Table.All() {
 		if m.Addr == addr && m.Live() {
 			return m, true
 		}
 	}
+	var m membership.Member
 	return m, false
 }
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -88,8 +88,9 @@
 }
 
 // mender runs until someone begins a change of the voters, and names the one.
-func (r *refill) mender() (name string) {
+func (r *refill) mender() string {
 	seen := len(r.changes)
+	var name string
 	for range 3000 {
 		for _, c := range r.changes[seen:] {
 			var what string
@@ -122,7 +123,8 @@
 	}
 }
 
-func (r *refill) spare() (name string) {
+func (r *refill) spare() string {
+	var name string
 	for _, name = range r.order {
 		if r.disks[name] != "" && !isVoter(r.newest().Voters, r.disks[name]) {
 			return name
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -31,10 +31,10 @@
 }
 
 // Since is the first build that reads the message.
-func (ChunkPull) Since() (build uint32) { return chunksBuild }
+func (ChunkPull) Since() uint32 { return chunksBuild }
 
 // Since is the first build that reads the message.
-func (ChunkData) Since() (build uint32) { return chunksBuild }
+func (ChunkData) Since() uint32 { return chunksBuild }
 
 // documents holds chunks, what is being fetched, and the builds of neighbours as they said themselves.
 type documents struct {
@@ -45,12 +45,12 @@
 	builds      map[string]uint32
 }
 
-func newDocuments() (d documents) {
+func newDocuments() documents {
 	return documents{store: chunk.NewStore(keptDocuments, keptBodies, keptBytes), requestedAt: map[chunk.Name]time.Duration{}, builds: map[string]uint32{}}
 }
 
 // stripDocuments puts manifests in place of a large document and a large memory of orders.
-func (n *Node) stripDocuments(v *register.Value) (same *register.Value) {
+func (n *Node) stripDocuments(v *register.Value) *register.Value {
 	if v == nil {
 		return nil
 	}
@@ -58,7 +58,7 @@
 	if !body && !memory {
 		return v
 	}
-	same = v.Clone()
+	same := v.Clone()
 	if body {
 		same.Body, same.Parts = nil, n.documents.store.Manifest(v.Body)
 	}
@@ -78,8 +78,8 @@
 
 // withFreshParts is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node applied
 // and that isn't much.
-func (n *Node) withFreshParts(v *register.Value) (same *register.Value) {
-	same = n.stripDocuments(v)
+func (n *Node) withFreshParts(v *register.Value) *register.Value {
+	same := n.stripDocuments(v)
 	if same == v {
 		return v
 	}
@@ -97,12 +97,12 @@
 	return same
 }
 
-func (n *Node) withFresh(m, base *chunk.Manifest) (same *chunk.Manifest) {
+func (n *Node) withFresh(m, base *chunk.Manifest) *chunk.Manifest {
 	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.Fresh(m, base, offeredBytes)}
 }
 
 // stripMessage is the message as a neighbour that reads manifests gets it.
-func (n *Node) stripMessage(msg any) (same any) {
+func (n *Node) stripMessage(msg any) any {
 	switch m := msg.(type) {
 	case register.Promise:
 		m.Value = n.stripDocuments(m.Value)
@@ -124,7 +124,8 @@
 
 // restoreDocuments puts documents in the place of manifests. A message whose chunks aren't all here waits for them, and comes in again then:
 // no acceptor, proposer or gossip store sees a value without its document.
-func (n *Node) restoreDocuments(now time.Duration, r Received) (whole Received, ok bool) {
+func (n *Node) restoreDocuments(now time.Duration, r Received) (Received, bool) {
+	var ok bool
 	switch m := r.Msg.(type) {
 	case register.Promise:
 		m.Value, ok = n.restoreValue(now, r, m.Value)
@@ -141,7 +142,7 @@
 }
 
 // restoreItems takes the other items first: they may name nearer machines that have the chunks.
-func (n *Node) restoreItems(now time.Duration, from string, m gossip.Update) (whole gossip.Update, ok bool) {
+func (n *Node) restoreItems(now time.Duration, from string, m gossip.Update) (gossip.Update, bool) {
 	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && !v.Whole() })
 	if at < 0 {
 		return m, true
@@ -149,15 +150,17 @@
 	it := m.Items[at]
 	n.mergeItems(now, from, slices.Concat(m.Items[:at], m.Items[at+1:]))
 	alone := Received{From: from, Msg: gossip.Update{Items: []gossip.Item{it}}}
+	var ok bool
 	it.Data, ok = n.restoreValue(now, alone, it.Data.(*register.Value))
 	return gossip.Update{Items: []gossip.Item{it}}, ok
 }
 
-func (n *Node) restoreValue(now time.Duration, r Received, v *register.Value) (same *register.Value, ok bool) {
+func (n *Node) restoreValue(now time.Duration, r Received, v *register.Value) (*register.Value, bool) {
 	if v == nil || v.Whole() {
 		return v, true
 	}
-	same = v.Clone()
+	same := v.Clone()
+	var ok bool
 	if v.Parts != nil {
 		same.Body, ok = n.restorePart(now, r, v.Parts, true)
 		same.Parts = nil
@@ -178,7 +181,7 @@
 }
 
 // restorePart is what a manifest stands for. Where it isn't here it is fetched, and the message waits for it, unless it waits already.
-func (n *Node) restorePart(now time.Duration, r Received, m *chunk.Manifest, waits bool) (body []byte, ok bool) {
+func (n *Node) restorePart(now time.Duration, r Received, m *chunk.Manifest, waits bool) ([]byte, bool) {
 	parts := &chunk.Manifest{Size: m.Size, Segments: m.Segments}
 	body, err := n.documents.store.With(parts, m.Fresh)
 	var missing *chunk.MissingError
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -75,7 +75,7 @@
 	l.run(3 * time.Second)
 	accepts, votes := 0, 0
 	asked := map[string]register.Ballot{}
-	l.sent = func(from, to string, msg any) (lost bool) {
+	l.sent = func(from, to string, msg any) bool {
 		switch x := msg.(type) {
 		case register.Accept:
 			accepts++
@@ -210,8 +210,8 @@
 	}
 	l.obeyed(document(1, -1), applyWithin)
 	l.run(time.Second)
-	l.sent = func(from, to string, msg any) (lost bool) {
-		_, lost = msg.(ChunkPull)
+	l.sent = func(from, to string, msg any) bool {
+		_, lost := msg.(ChunkPull)
 		return lost
 	}
 	if a := l.put("n4", document(2, 1250)); a.Err != nil {
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -15,30 +15,31 @@
 // memory is a disk in memory.
 type memory struct{ files map[string][]byte }
 
-func (m *memory) Read(name string) (data []byte, found bool, err error) {
-	data, found = m.files[name]
+func (m *memory) Read(name string) ([]byte, bool, error) {
+	data, found := m.files[name]
 	return slices.Clone(data), found, nil
 }
 
-func (m *memory) Write(name string, data []byte) (err error) {
+func (m *memory) Write(name string, data []byte) error {
 	m.files[name] = slices.Clone(data)
 	return nil
 }
 
-func (m *memory) Append(name string, data []byte) (err error) {
+func (m *memory) Append(name string, data []byte) error {
 	m.files[name] = append(m.files[name], data...)
 	return nil
 }
 
-func (m *memory) Truncate(name string, size int) (err error) {
+func (m *memory) Truncate(name string, size int) error {
 	m.files[name] = m.files[name][:min(size, len(m.files[name]))]
 	return nil
 }
 
-func (m *memory) Sync(string) (err error) { return nil }
-func (m *memory) SyncFolder() (err error) { return nil }
+func (m *memory) Sync(string) error { return nil }
+func (m *memory) SyncFolder() error { return nil }
 
-func (m *memory) size() (bytes int) {
+func (m *memory) size() int {
+	var bytes int
 	for _, data := range m.files {
 		bytes += len(data)
 	}
@@ -72,16 +73,16 @@
 }
 
 // speaks is the build that a node says it is when it connects.
-func (l *lab) speaks(name string) (build uint32) {
-	if build = l.builds[name]; build > 0 {
+func (l *lab) speaks(name string) uint32 {
+	if build := l.builds[name]; build > 0 {
 		return build
 	}
 	return transport.Build
 }
 
 // newDiskLab is a lab whose disks are journals.
-func newDiskLab(t *testing.T, size int) (l *lab) {
-	l = newLab(t, 0)
+func newDiskLab(t *testing.T, size int) *lab {
+	l := newLab(t, 0)
 	l.journals, l.folders = map[string]*Journal{}, map[string]*memory{}
 	for i := range size {
 		name := fmt.Sprint("n", i)
@@ -97,7 +98,7 @@
 }
 
 // document is one of 2,500 routes of 240 bytes, the last changed route of which is marked.
-func document(revision, changed int) (raw []byte) {
+func document(revision, changed int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":[`, revision)
 	for i := range 2500 {
@@ -112,7 +113,7 @@
 	return b.Bytes()
 }
 
-func (l *lab) put(at string, raw []byte) (a Answer) {
+func (l *lab) put(at string, raw []byte) Answer {
 	l.ids++
 	return l.call(at, Edit{ID: fmt.Sprint("put", l.ids), Base: l.ids, Apply: func([]byte) ([]byte, error) { return raw, nil }})
 }
@@ -125,8 +126,8 @@
 	kinds   map[string]int
 }
 
-func (l *lab) meter() (m *meter) {
-	m = &meter{l: l, writers: map[[2]string]*transport.Writer{}}
+func (l *lab) meter() *meter {
+	m := &meter{l: l, writers: map[[2]string]*transport.Writer{}}
 	m.reset()
 	l.sent = m.sent
 	return m
@@ -134,7 +135,7 @@
 
 func (m *meter) reset() { m.zones, m.kinds = map[[2]string]int{}, map[string]int{} }
 
-func (m *meter) sent(from, to string, msg any) (lost bool) {
+func (m *meter) sent(from, to string, msg any) bool {
 	if !carries(msg) || m.l.nodes[to] == nil {
 		return false
 	}
@@ -152,7 +153,7 @@
 	return false
 }
 
-func carries(msg any) (yes bool) {
+func carries(msg any) bool {
 	switch m := msg.(type) {
 	case register.Prepare, register.Promise, register.Accept, register.Accepted, gossip.Announcement, gossip.Pull, ChunkPull, ChunkData:
 		return true
@@ -163,7 +164,8 @@
 }
 
 // into is how many bytes came into a zone from the others.
-func (m *meter) into(zone string) (bytes int) {
+func (m *meter) into(zone string) int {
+	var bytes int
 	for between, n := range m.zones {
 		if between[1] == zone && between[0] != zone {
 			bytes += n
@@ -173,7 +175,7 @@
 }
 
 // obeyed waits until all nodes that run have the document in force.
-func (l *lab) obeyed(raw []byte, within time.Duration) (took time.Duration) {
+func (l *lab) obeyed(raw []byte, within time.Duration) time.Duration {
 	l.t.Helper()
 	from := l.now
 	for l.now < from+within {
@@ -191,7 +193,7 @@
 	return within
 }
 
-func (l *lab) obeys(name string, raw []byte) (yes bool) {
+func (l *lab) obeys(name string, raw []byte) bool {
 	n := l.nodes[name]
 	return n.value != nil && bytes.Equal(n.value.Body, raw) && n.applied == n.value.Mark
 }
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -28,7 +28,7 @@
 		l.boot(name, true)
 	}
 	thin, whole := 0, 0
-	l.sent = func(from, to string, msg any) (lost bool) {
+	l.sent = func(from, to string, msg any) bool {
 		old := l.builds[to] != 0 || l.builds[from] != 0
 		switch x := msg.(type) {
 		case ChunkPull, ChunkData:
@@ -82,7 +82,7 @@
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
 	spoil := true
-	l.sent = func(from, to string, msg any) (lost bool) {
+	l.sent = func(from, to string, msg any) bool {
 		if data, is := msg.(ChunkData); is && spoil {
 			for _, piece := range data.Pieces {
 				bad := bytes.Clone(piece)
@@ -110,7 +110,7 @@
 		l := newLab(t, 18)
 		l.run(6 * time.Second)
 		asked := 0
-		l.sent = func(from, to string, msg any) (lost bool) {
+		l.sent = func(from, to string, msg any) bool {
 			pull, is := msg.(ChunkPull)
 			if !is || l.disks[to] == "" {
 				return false
@@ -158,8 +158,9 @@
 }
 
 // data are all pieces of a document, segments first.
-func data(from *chunk.Store, m *chunk.Manifest) (msg ChunkData) {
+func data(from *chunk.Store, m *chunk.Manifest) ChunkData {
 	empty := chunk.NewStore(2, 2, 8<<20)
+	var msg ChunkData
 	for {
 		_, err := empty.Body(m)
 		var missing *chunk.MissingError
--- a/control/command.go
+++ b/control/command.go
@@ -61,7 +61,8 @@
 	n.out.Answers = append(n.out.Answers, Answer{ID: id, Err: err})
 }
 
-func (n *Node) votersNamed(names []string) (vs []register.Voter, err error) {
+func (n *Node) votersNamed(names []string) ([]register.Voter, error) {
+	var vs []register.Voter
 	for _, name := range names {
 		m, ok := n.Members.Table.Get(name)
 		switch {
@@ -114,8 +115,8 @@
 	})
 }
 
-func beginVoterChange(id string, vs []register.Voter) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
+func beginVoterChange(id string, vs []register.Voter) register.Change {
+	return func(cur *register.Value) (*register.Value, error) {
 		if _, done := cur.Done(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.Next, vs) {
 			return nil, nil
 		}
@@ -131,8 +132,8 @@
 
 // finishVoterChangeAt seats the next voters of the epoch in which a change is known to have been chosen. A later one that was merely
 // accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
-func finishVoterChangeAt(seat uint64) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
+func finishVoterChangeAt(seat uint64) register.Change {
+	return func(cur *register.Value) (*register.Value, error) {
 		if len(cur.Next) == 0 || cur.Seat != seat {
 			return nil, nil
 		}
--- a/control/cut_test.go
+++ b/control/cut_test.go
@@ -28,8 +28,8 @@
 	l.mail = append(held, l.mail...)
 }
 
-func settled(t *testing.T, size int) (l *lab) {
-	l = newLab(t, size)
+func settled(t *testing.T, size int) *lab {
+	l := newLab(t, size)
 	l.run(2 * time.Second)
 	if a := l.call("n4", onBase(0, 1)); a.Err != nil {
 		t.Fatal(a.Err)
--- a/control/failures.go
+++ b/control/failures.go
@@ -9,10 +9,10 @@
 type Failures struct{ mallowbridge.Failures }
 
 // Ephemeral says that the item is worth nothing to a node that starts later.
-func (f Failures) Ephemeral() (yes bool) { return true }
+func (f Failures) Ephemeral() bool { return true }
 
 // Since is the first build that reads the item.
-func (f Failures) Since() (build uint32) { return 2 }
+func (f Failures) Since() uint32 { return 2 }
 
 // Failed has the other nodes told of failures that this node's router met.
 type Failed struct{ mallowbridge.Failures }
@@ -25,7 +25,7 @@
 }
 
 // mark orders the news that only this node gives, over its lives.
-func (n *Node) mark(seq uint64) (m gossip.Version) {
+func (n *Node) mark(seq uint64) gossip.Version {
 	return gossip.Version{Hi: n.Members.Self.Inc, Lo: seq}
 }
 
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -74,11 +74,12 @@
 
 // sources are who may have the chunks of a message, in the order in which they are asked. The sender has them; where it is far, or
 // they are many, a near machine with a disk may have them by its vote.
-func (n *Node) sources(r Received, missing int) (addrs []string) {
+func (n *Node) sources(r Received, missing int) []string {
 	_, told := r.Msg.(gossip.Update)
 	if !told || (missing <= pullFew && n.near(r.From)) {
 		return []string{r.From}
 	}
+	var addrs []string
 	for _, m := range n.Members.Table.All() {
 		if m.Disk != "" && m.Name != n.config.Name && m.Domain == n.config.Domain && m.State == membership.Alive && n.buildOf(m.Addr) >= chunksBuild {
 			addrs = append(addrs, m.Addr)
@@ -129,7 +130,7 @@
 	}
 }
 
-func (n *Node) acceptedValue() (v *register.Value) {
+func (n *Node) acceptedValue() *register.Value {
 	if n.acceptor == nil {
 		return nil
 	}
@@ -146,7 +147,7 @@
 		lacks[chunk.Name(names)] = true
 		delete(n.documents.requestedAt, chunk.Name(names))
 	}
-	n.advance(now, func(f *fetch, missing []chunk.Name) (more bool) {
+	n.advance(now, func(f *fetch, missing []chunk.Name) bool {
 		if len(missing) < f.missing {
 			f.missing, f.progressAt = len(missing), now
 		}
@@ -159,7 +160,7 @@
 
 // tickFetches turns to the next holder where an answer stays away, and gives up what nobody brought in time.
 func (n *Node) tickFetches(now time.Duration) {
-	n.advance(now, func(f *fetch, _ []chunk.Name) (more bool) {
+	n.advance(now, func(f *fetch, _ []chunk.Name) bool {
 		if now-f.progressAt >= pullAgain {
 			f.current, f.progressAt = (f.current+1)%len(f.sources), now
 		}
@@ -173,7 +174,7 @@
 }
 
 // advance hands on the messages whose documents are whole, and asks for more of the others where go on says so.
-func (n *Node) advance(now time.Duration, goOn func(f *fetch, missing []chunk.Name) (more bool)) {
+func (n *Node) advance(now time.Duration, goOn func(f *fetch, missing []chunk.Name) bool) {
 	fetches := n.documents.fetches
 	n.documents.fetches = nil
 	var ready []Received
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -17,15 +17,16 @@
 	ids   uint64
 }
 
-func votersOf(disks ...string) (vs []register.Voter) {
+func votersOf(disks ...string) []register.Voter {
+	var vs []register.Voter
 	for _, d := range disks {
 		vs = append(vs, register.Voter{Disk: d, Name: d})
 	}
 	return vs
 }
 
-func newHandRegister(t *testing.T) (h *handRegister) {
-	h = &handRegister{t: t, disks: map[string]*register.Acceptor{}, first: &register.Value{Fleet: "f", Voters: votersOf("a", "b", "c")}}
+func newHandRegister(t *testing.T) *handRegister {
+	h := &handRegister{t: t, disks: map[string]*register.Acceptor{}, first: &register.Value{Fleet: "f", Voters: votersOf("a", "b", "c")}}
 	for _, d := range []string{"a", "b", "c", "d", "e"} {
 		h.disks[d] = &register.Acceptor{State: register.State{Disk: d}}
 		if d < "d" {
@@ -35,8 +36,8 @@
 	return h
 }
 
-func (h *handRegister) proposer(by string, change register.Change) (p *register.Proposer) {
-	p = register.NewProposer(by, 1)
+func (h *handRegister) proposer(by string, change register.Change) *register.Proposer {
+	p := register.NewProposer(by, 1)
 	p.Learn(h.first)
 	h.ids++
 	p.Submit(h.now, time.Hour, h.ids, change, false)
@@ -44,7 +45,9 @@
 }
 
 // prepare runs a proposer, whose messages reach only some disks, until it asks to accept or rounds have gone by.
-func (h *handRegister) prepare(p *register.Proposer, rounds int, reach ...string) (accepts []register.Accept, results []register.Result) {
+func (h *handRegister) prepare(p *register.Proposer, rounds int, reach ...string) ([]register.Accept, []register.Result) {
+	var accepts []register.Accept
+	var results []register.Result
 	for range rounds * 60 {
 		sends, done := p.TakeOutput()
 		results = append(results, done...)
@@ -68,18 +71,18 @@
 	return nil, nil
 }
 
-func (h *handRegister) accept(p *register.Proposer, accepts []register.Accept, reach ...string) (results []register.Result) {
+func (h *handRegister) accept(p *register.Proposer, accepts []register.Accept, reach ...string) []register.Result {
 	for _, m := range accepts {
 		if slices.Contains(reach, m.Disk) {
 			said, _ := h.disks[m.Disk].Accept(m)
 			p.OnAccepted(h.now, said)
 		}
 	}
-	_, results = p.TakeOutput()
+	_, results := p.TakeOutput()
 	return results
 }
 
-func edit(base uint64, body string) (change register.Change) {
+func edit(base uint64, body string) register.Change {
 	return putChange(Put{ID: body, Expect: base, Body: []byte(body)})
 }
 
@@ -113,6 +116,6 @@
 	}
 }
 
-func confirmed(results []register.Result) (yes bool) {
+func confirmed(results []register.Result) bool {
 	return len(results) == 1 && results[0].Err == nil
 }
--- a/control/firstanswer_test.go
+++ b/control/firstanswer_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-func promises(out Out) (count int) {
+func promises(out Out) int {
+	var count int
 	for _, s := range out.Sends {
 		if _, ok := s.Msg.(register.Promise); ok {
 			count++
--- a/control/freeze_test.go
+++ b/control/freeze_test.go
@@ -40,7 +40,7 @@
 }
 
 // runToAnswer runs until answers to a read of a starting node are under way; false: it caught up before.
-func (l *lab) runToAnswer(name string) (ok bool) {
+func (l *lab) runToAnswer(name string) bool {
 	for range 1000 {
 		if l.nodes[name].applied > 0 {
 			return false
@@ -53,7 +53,8 @@
 	return false
 }
 
-func (l *lab) answersTo(name string) (yes bool) {
+func (l *lab) answersTo(name string) bool {
+	var yes bool
 	for _, p := range l.mail {
 		_, promise := p.msg.(register.Promise)
 		yes = yes || (promise && p.to == name)
--- a/control/incident_test.go
+++ b/control/incident_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge"
 )
 
-func (l *lab) await(what string, within time.Duration, ok func() (yes bool)) {
+func (l *lab) await(what string, within time.Duration, ok func() bool) {
 	l.t.Helper()
 	for from := l.now; !ok(); {
 		if l.run(10 * time.Millisecond); l.now-from > within {
@@ -17,7 +17,7 @@
 	}
 }
 
-func (l *lab) serves(name string) (yes bool) {
+func (l *lab) serves(name string) bool {
 	return l.nodes[name].Snapshot() != nil && l.nodes[name].notServing == ""
 }
 
--- a/control/join.go
+++ b/control/join.go
@@ -18,7 +18,7 @@
 
 // Inc is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
 // number than before, receives its own older member from others and goes above.
-func Inc(now time.Time, chance uint64) (inc uint64) {
+func Inc(now time.Time, chance uint64) uint64 {
 	return uint64(now.UnixMilli())<<16 | chance&0xffff
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-func (n *Node) knownValue() (v *register.Value) {
+func (n *Node) knownValue() *register.Value {
 	if n.value != nil {
 		return n.value
 	}
@@ -125,7 +125,7 @@
 	n.emit(mallowbridge.Feed{Why: why})
 }
 
-func (n *Node) notServingReason(now time.Duration) (why string) {
+func (n *Node) notServingReason(now time.Duration) string {
 	switch {
 	case n.leaving:
 		return "draining"
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -12,7 +12,7 @@
 
 const body = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
-func value(mark uint64) (v *register.Value) {
+func value(mark uint64) *register.Value {
 	return &register.Value{Fleet: "f", Mark: mark, Seat: 1, Body: []byte(body), Voters: []register.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
 }
 
@@ -23,8 +23,8 @@
 }
 
 // newLone is a core with an old picture on its disk and two neighbours that answer its pings; no voter answers.
-func newLone() (l *lone) {
-	l = &lone{n: New(0, Config{
+func newLone() *lone {
+	l := &lone{n: New(0, Config{
 		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Pact: register.State{Disk: "d1", Value: value(1)}},
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})}
@@ -34,8 +34,8 @@
 	return l
 }
 
-func (l *lone) step(in In) (out Out) {
-	out = l.n.Step(l.now, in)
+func (l *lone) step(in In) Out {
+	out := l.n.Step(l.now, in)
 	for _, ev := range out.Events {
 		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
 			l.orders = append(l.orders, o.Picture.Mark)
--- a/control/journal.go
+++ b/control/journal.go
@@ -38,16 +38,16 @@
 	index *chunk.Index
 }
 
-func encode(v any) (raw []byte, err error) {
+func encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
-	if err = gob.NewEncoder(&buf).Encode(v); err != nil {
+	if err := gob.NewEncoder(&buf).Encode(v); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return buf.Bytes(), nil
 }
 
-func decode(file string, raw []byte, v any) (err error) {
-	if err = gob.NewDecoder(bytes.NewReader(raw)).Decode(v); err != nil {
+func decode(file string, raw []byte, v any) error {
+	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(v); err != nil {
 		return trace.Wrap(&storage.UnreadableError{File: file, Why: err.Error()})
 	}
 	return nil
@@ -55,12 +55,12 @@
 
 // OpenJournal reads what the disk kept, or begins a new disk under freshID. A new disk that takes no bytes yet is opened as well: Append
 // fails until Recover has succeeded.
-func OpenJournal(disk storage.Disk, freshID string) (k *Journal, err error) {
+func OpenJournal(disk storage.Disk, freshID string) (*Journal, error) {
 	v, slot, entries, err := storage.Open(disk, logBytes)
 	if err != nil {
 		return nil, err
 	}
-	k = &Journal{store: v}
+	k := &Journal{store: v}
 	if v.Empty() {
 		k.state = DiskState{Pact: register.State{Disk: freshID}}
 		return k, k.found()
@@ -82,25 +82,26 @@
 }
 
 // State is a copy of what is kept.
-func (k *Journal) State() (kept DiskState) {
-	kept = k.state
+func (k *Journal) State() DiskState {
+	kept := k.state
 	kept.Grants = maps.Clone(k.state.Grants)
 	return kept
 }
 
 // Repair says what was damaged and made good at the opening; empty for a sound disk.
-func (k *Journal) Repair() (what string) { return k.store.Repair }
+func (k *Journal) Repair() string { return k.store.Repair }
 
 // found writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
-func (k *Journal) found() (err error) {
+func (k *Journal) found() error {
 	var broken *storage.BrokenError
+	var err error
 	if err = k.rotate(); errors.As(err, &broken) {
 		return nil
 	}
 	return err
 }
 
-func (k *Journal) rotate() (err error) {
+func (k *Journal) rotate() error {
 	raw, err := encode(k.state)
 	if err != nil {
 		return err
@@ -109,7 +110,7 @@
 }
 
 // Recover writes the whole state anew after a failure.
-func (k *Journal) Recover() (err error) {
+func (k *Journal) Recover() error {
 	raw, err := encode(k.state)
 	if err != nil {
 		return err
@@ -132,7 +133,7 @@
 }
 
 // body is the document of the value accepted last.
-func (k *Journal) body() (body []byte) {
+func (k *Journal) body() []byte {
 	if v := k.state.Pact.Value; v != nil {
 		return v.Body
 	}
@@ -140,10 +141,11 @@
 }
 
 // restore puts the document into an entry that was written with a delta.
-func (k *Journal) restore(e *entry) (err error) {
+func (k *Journal) restore(e *entry) error {
 	if e.Document == nil || e.Accepted == nil {
 		return nil
 	}
+	var err error
 	e.Accepted.Value.Body, err = e.Document.Apply(k.body())
 	if err != nil {
 		return trace.Wrap(&storage.UnreadableError{File: "log", Why: err.Error()})
@@ -152,7 +154,7 @@
 }
 
 // shorten makes of an entry what is written: only what differs from the document accepted before.
-func (k *Journal) shorten(e entry) (short entry) {
+func (k *Journal) shorten(e entry) entry {
 	if e.Accepted == nil || len(e.Accepted.Value.Body) <= register.WholeBytes {
 		return e
 	}
@@ -167,7 +169,8 @@
 	return entry{Accepted: &AcceptedEntry{Ballot: e.Accepted.Ballot, Value: bare}, Document: &delta}
 }
 
-func wrap(w LogWrite) (e entry) {
+func wrap(w LogWrite) entry {
+	var e entry
 	switch x := w.Entry.(type) {
 	case Promised:
 		e.Promised = &x
@@ -180,7 +183,7 @@
 }
 
 // Append writes entries and returns once they are durable. After an error nothing is written until Recover.
-func (k *Journal) Append(ws []LogWrite) (err error) {
+func (k *Journal) Append(ws []LogWrite) error {
 	var raws [][]byte
 	for _, w := range ws {
 		e := wrap(w)
@@ -192,7 +195,7 @@
 		}
 		raws = append(raws, raw)
 	}
-	if err = k.store.Append(raws); err != nil || !k.store.Full() {
+	if err := k.store.Append(raws); err != nil || !k.store.Full() {
 		return err
 	}
 	return k.rotate()
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-func noise(seed uint64) (raw []byte) {
-	raw = make([]byte, 64<<10)
+func noise(seed uint64) []byte {
+	raw := make([]byte, 64<<10)
 	_, _ = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)}).Read(raw)
 	return raw
 }
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -37,14 +37,14 @@
 	return b.Bytes()
 }
 
-func accepted(number int) (ws []control.LogWrite) {
+func accepted(number int) []control.LogWrite {
 	ballot := register.Ballot{N: uint64(number), By: "p"}
 	v := &register.Value{Mark: uint64(number), Body: text(number)}
 	return []control.LogWrite{{Ticket: 1, Entry: control.Promised{Ballot: ballot}}, {Ticket: 2, Entry: control.AcceptedEntry{Ballot: ballot, Value: v}}}
 }
 
 // opened reads the disk and returns the number of the document that was accepted last.
-func opened(t *testing.T, d *sim.Disk) (k *control.Journal, number int) {
+func opened(t *testing.T, d *sim.Disk) (*control.Journal, int) {
 	t.Helper()
 	k, err := control.OpenJournal(d, "disk")
 	if err != nil {
@@ -128,7 +128,8 @@
 func TestDiskHoldsWhatChanges(t *testing.T) {
 	d := sim.NewDisk(1)
 	k, _ := opened(t, d)
-	size := func() (bytes int) {
+	size := func() int {
+		var bytes int
 		for _, name := range []string{"slot0", "slot1", "log0", "log1"} {
 			bytes += d.Size(name)
 		}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -28,7 +28,7 @@
 	disks map[string]string
 	down  map[string]bool
 	// cut tells which ways carry nothing; nil: none is cut.
-	cut     func(from, to string) (yes bool)
+	cut     func(from, to string) bool
 	mail    []parcel
 	answers map[uint64]Answer
 	ids     uint64
@@ -46,18 +46,18 @@
 	domains  int
 	tolerate int
 	// sent sees each message, and tells whether it is lost; builds are those of nodes that run another one.
-	sent   func(from, to string, msg any) (lost bool)
+	sent   func(from, to string, msg any) bool
 	builds map[string]uint32
 	// journals keep the disks' state as the daemon does, where a test wants it.
 	journals map[string]*Journal
 	folders  map[string]*memory
 }
 
-func newLab(t *testing.T, size int) (l *lab) { return newSizedLab(t, size, 4, 3, 1, 0) }
+func newLab(t *testing.T, size int) *lab { return newSizedLab(t, size, 4, 3, 1, 0) }
 
 // newSizedLab has so many nodes, the first of them with a disk, over domains in turn; another seed draws everything else anew.
-func newSizedLab(t *testing.T, size, disks, domains, tolerate int, seed uint64) (l *lab) {
-	l = &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}, builds: map[string]uint32{}}
+func newSizedLab(t *testing.T, size, disks, domains, tolerate int, seed uint64) *lab {
+	l := &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}, builds: map[string]uint32{}}
 	for i := range size {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
@@ -92,7 +92,7 @@
 	delete(l.down, name)
 }
 
-func anyDocument(raw []byte) (c config.Config, err error) {
+func anyDocument(raw []byte) (config.Config, error) {
 	return config.Config{Offers: []config.Offer{{Name: "o", Discovered: true}}}, nil
 }
 
@@ -163,7 +163,7 @@
 	}
 }
 
-func (l *lab) call(at string, op Op) (a Answer) {
+func (l *lab) call(at string, op Op) Answer {
 	l.ids++
 	id := l.ids
 	l.step(at, Command{ID: id, Op: op})
@@ -174,14 +174,15 @@
 		}
 	}
 	l.t.Fatalf("%s never answered %T", at, op)
+	var a Answer
 	return a
 }
 
-func (l *lab) write(at, text string) (a Answer) {
+func (l *lab) write(at, text string) Answer {
 	return l.call(at, Edit{ID: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
 }
 
-func (l *lab) read(at string) (text string) {
+func (l *lab) read(at string) string {
 	a := l.call(at, Get{})
 	if a.Err != nil {
 		return a.Err.Error()
--- a/control/list.go
+++ b/control/list.go
@@ -29,19 +29,19 @@
 type ReplicaListItem struct{ Rows []mallowbridge.Instance }
 
 // Size is about the bytes that the item takes in a message.
-func (r ReplicaListItem) Size() (bytes int) { return 96 * len(r.Rows) }
+func (r ReplicaListItem) Size() int { return 96 * len(r.Rows) }
 
 // Since is the first build that reads the item.
-func (r ReplicaListItem) Since() (build uint32) { return 2 }
+func (r ReplicaListItem) Since() uint32 { return 2 }
 
 // ListConfirmation is the gossip item which says that the list was read and that the ReplicaListItem of that version still holds.
 type ListConfirmation struct{ Version gossip.Version }
 
 // Ephemeral says that the item is worth nothing to a node that starts later.
-func (r ListConfirmation) Ephemeral() (yes bool) { return true }
+func (r ListConfirmation) Ephemeral() bool { return true }
 
 // Since is the first build that reads the item.
-func (r ListConfirmation) Since() (build uint32) { return 2 }
+func (r ListConfirmation) Since() uint32 { return 2 }
 
 // ListRead is what a reading of the platform's list brought.
 type ListRead struct {
@@ -77,7 +77,7 @@
 	n.out.List = true
 }
 
-func (n *Node) listDue(now time.Duration) (yes bool) {
+func (n *Node) listDue(now time.Duration) bool {
 	if now-n.replicaList.askedAt < n.config.ListEvery {
 		return false
 	}
@@ -85,11 +85,11 @@
 }
 
 // holdsListDuty renews or asks for the lease, where this node holds it or is the first by rank.
-func (n *Node) holdsListDuty(now time.Duration) (yes bool) {
+func (n *Node) holdsListDuty(now time.Duration) bool {
 	if n.value == nil || !n.joined || n.Members.Isolated(now) {
 		return false
 	}
-	_, yes = n.leases.Holds(now, listDuty)
+	_, yes := n.leases.Holds(now, listDuty)
 	if yes || n.ranksFirst(listDuty, "") {
 		n.sendToGrantors(n.leases.Acquire(now, listDuty, n.value))
 	}
@@ -98,7 +98,7 @@
 
 // firstListDue has the list read soon after a start: until some node has, nothing can be served. Seeds begin, and most others receive their
 // result.
-func (n *Node) firstListDue(now time.Duration) (yes bool) {
+func (n *Node) firstListDue(now time.Duration) bool {
 	spread := time.Duration(scheduler.Rank(listDuty, n.config.Name)%firstListSpread) * time.Millisecond
 	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+spread {
 		return false
@@ -106,7 +106,7 @@
 	return now-n.replicaList.askedAt >= firstListAgain+time.Duration(n.rank(listDuty))*listStep
 }
 
-func (n *Node) rank(duty string) (place int) {
+func (n *Node) rank(duty string) int {
 	return min(n.place("live/", duty, membership.Member.Live), listStride)
 }
 
@@ -134,7 +134,7 @@
 }
 
 // sameInstances ignores how long a replica stays cold, but not whether it is.
-func sameInstances(a, b []mallowbridge.Instance) (yes bool) {
+func sameInstances(a, b []mallowbridge.Instance) bool {
 	return slices.EqualFunc(a, b, func(x, y mallowbridge.Instance) bool {
 		if (x.Cold > 0) != (y.Cold > 0) {
 			return false
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -56,7 +56,7 @@
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	const puts = 600
-	put := func(i uint64) (op Put) { return Put{ID: fmt.Sprint("put", i), Expect: i, Body: fmt.Append(nil, i)} }
+	put := func(i uint64) Put { return Put{ID: fmt.Sprint("put", i), Expect: i, Body: fmt.Append(nil, i)} }
 	for i := range uint64(puts) {
 		if a := l.call("n4", put(i)); a.Err != nil || a.Mark != i+1 {
 			t.Fatalf("put %d: %v, mark %d", i, a.Err, a.Mark)
--- a/control/menders_test.go
+++ b/control/menders_test.go
@@ -42,8 +42,8 @@
 
 var menderSeeds = flag.Int("menders", 150, "seeds of TestSeveralThatChangeTheVotersAtOnce")
 
-func newMendWorld(t *testing.T, seed uint64) (w *mendWorld) {
-	w = &mendWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
+func newMendWorld(t *testing.T, seed uint64) *mendWorld {
+	w := &mendWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
 	first := &register.Value{Fleet: "f", Voters: votersOf("d0", "d1", "d2")}
 	for i := range mendDisks {
 		name := fmt.Sprint("d", i)
@@ -72,7 +72,7 @@
 	a.proposer.Submit(w.now, within, w.ids, w.wish(a, body), false)
 }
 
-func (w *mendWorld) wish(a *mendActor, body string) (change register.Change) {
+func (w *mendWorld) wish(a *mendActor, body string) register.Change {
 	switch {
 	case a.operator:
 		return edit(a.known.Mark, body)
--- a/control/msg.go
+++ b/control/msg.go
@@ -37,7 +37,7 @@
 }
 
 // SentOnce says whether the item is pushed to each peer once only; urgent ones are repeated.
-func (u LoadReports) SentOnce() (yes bool) { return !u.Urgent }
+func (u LoadReports) SentOnce() bool { return !u.Urgent }
 
 // ReplicaState is the gossip item with what operators say of a replica: State is "present", "leaving" or "gone".
 type ReplicaState struct {
@@ -127,7 +127,7 @@
 type Edit struct {
 	ID    string
 	Base  uint64
-	Apply func(body []byte) (next []byte, err error)
+	Apply func(body []byte) ([]byte, error)
 }
 
 // Get reads the register from a majority of voters.
@@ -246,4 +246,4 @@
 // NameError says why a node that an operator named cannot do what was asked.
 type NameError struct{ Name, Why string }
 
-func (e *NameError) Error() (text string) { return e.Name + ": " + e.Why }
+func (e *NameError) Error() string { return e.Name + ": " + e.Why }
--- a/control/news.go
+++ b/control/news.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func (n *Node) near(addr string) (yes bool) {
+func (n *Node) near(addr string) bool {
 	for _, m := range n.Members.Table.All() {
 		if m.Addr == addr {
 			return m.Domain == n.config.Domain
--- a/control/node.go
+++ b/control/node.go
@@ -104,7 +104,7 @@
 }
 
 // New makes a node that starts at now, on the clock of all further steps.
-func New(now time.Duration, cfg Config) (n *Node) {
+func New(now time.Duration, cfg Config) *Node {
 	if cfg.Read == nil {
 		cfg.Read = (&config.Documents{}).Read
 	}
@@ -113,7 +113,7 @@
 	}
 	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: cfg.Build}
 	by := cfg.Name + "/" + cfg.Boot
-	n = &Node{
+	n := &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
 		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, startedOverAt: now, askedAt: -time.Hour, servingReportedAt: -time.Hour,
 		startedAt: now, foundAt: -time.Hour, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
@@ -134,7 +134,8 @@
 }
 
 // Step takes one input at the time now, which never falls, and returns what is to be done.
-func (n *Node) Step(now time.Duration, in In) (out Out) {
+func (n *Node) Step(now time.Duration, in In) Out {
+	var out Out
 	n.out = &out
 	n.noticeFreeze(now)
 	switch i := in.(type) {
--- a/control/orders.go
+++ b/control/orders.go
@@ -18,7 +18,7 @@
 )
 
 // Deadline is when a call that arrived at arrived, with a body of size bytes, may last take effect.
-func Deadline(arrived time.Duration, size int) (at time.Duration) {
+func Deadline(arrived time.Duration, size int) time.Duration {
 	return arrived + Patience + time.Duration(size>>10)*patiencePerKiB
 }
 
@@ -32,15 +32,15 @@
 	n.proposer.SubmitFenced(now, orderUntil(now, c), n.await(now, done), change)
 }
 
-func orderUntil(now time.Duration, c Command) (at time.Duration) {
+func orderUntil(now time.Duration, c Command) time.Duration {
 	if c.Deadline != 0 {
 		return c.Deadline
 	}
 	return Deadline(now, 0)
 }
 
-func putChange(op Put) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
+func putChange(op Put) register.Change {
+	return func(cur *register.Value) (*register.Value, error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
 		}
@@ -54,8 +54,8 @@
 	}
 }
 
-func editChange(op Edit) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
+func editChange(op Edit) register.Change {
+	return func(cur *register.Value) (*register.Value, error) {
 		if cur.TookEdit(op.Base, op.ID) {
 			return nil, nil
 		}
@@ -79,8 +79,8 @@
 
 // evacuateChange sets a fence at its first reading of a majority, and is refused once another order on the zone was taken. An order that
 // changes nothing is remembered all the same: whoever heard that it was confirmed must not be overtaken by an older one.
-func evacuateChange(op Evacuate) (change register.FencedChange) {
-	return func(cur *register.Value, fence *register.Fence) (next *register.Value, err error) {
+func evacuateChange(op Evacuate) register.FencedChange {
+	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
 		if _, done := cur.Done(op.ID); done {
 			return nil, nil
 		}
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -12,9 +12,9 @@
 )
 
 // onBase is an order that replaces the document of the revision base, as an operator's call does.
-func onBase(base, revision int) (op Edit) {
+func onBase(base, revision int) Edit {
 	body := strconv.Itoa(revision)
-	return Edit{ID: fmt.Sprint(base, "/", revision), Base: uint64(base), Apply: func(cur []byte) (next []byte, err error) {
+	return Edit{ID: fmt.Sprint(base, "/", revision), Base: uint64(base), Apply: func(cur []byte) ([]byte, error) {
 		at, _ := strconv.Atoi(string(cur))
 		if at != base {
 			return nil, &register.ConflictError{Mark: uint64(at)}
@@ -23,7 +23,7 @@
 	}}
 }
 
-func isConflict(err error) (yes bool) {
+func isConflict(err error) bool {
 	var conflict *register.ConflictError
 	return errors.As(err, &conflict)
 }
--- a/control/overlap_test.go
+++ b/control/overlap_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-func (r *refill) otherVoter() (name string) {
+func (r *refill) otherVoter() string {
+	var name string
 	for _, v := range r.newest().Voters {
 		if v.Name != r.victim {
 			name = v.Name
--- a/control/place.go
+++ b/control/place.go
@@ -17,7 +17,7 @@
 
 const absent = -1
 
-func (n *Node) derive() (d *derived) {
+func (n *Node) derive() *derived {
 	if rev := n.Members.Table.Rev(); n.derived.places == nil || n.derived.rev != rev {
 		n.derived = derived{rev: rev, places: map[string]int{}}
 	}
@@ -25,7 +25,7 @@
 }
 
 // place is how many of the members that fit come before this node in the ranking for a duty, or absent where it does not fit itself.
-func (n *Node) place(kind, duty string, fits func(m membership.Member) bool) (above int) {
+func (n *Node) place(kind, duty string, fits func(m membership.Member) bool) int {
 	d := n.derive()
 	above, ok := d.places[kind+duty]
 	if ok {
--- a/control/prefill.go
+++ b/control/prefill.go
@@ -6,7 +6,7 @@
 type Prefills struct{ Rows []mallowbridge.Prefill }
 
 // Since is the first build that reads the message.
-func (Prefills) Since() (build uint32) { return 2 }
+func (Prefills) Since() uint32 { return 2 }
 
 func (Prefills) in() {}
 
--- a/control/refill_test.go
+++ b/control/refill_test.go
@@ -37,8 +37,8 @@
 	writes int
 }
 
-func newRefill(t *testing.T, shape fleetShape, seed uint64) (r *refill) {
-	r = &refill{lab: newSizedLab(t, shape.nodes, shape.disks, shape.domains, shape.tolerate, seed+1), shape: shape, rng: rand.New(rand.NewPCG(seed, 5))}
+func newRefill(t *testing.T, shape fleetShape, seed uint64) *refill {
+	r := &refill{lab: newSizedLab(t, shape.nodes, shape.disks, shape.domains, shape.tolerate, seed+1), shape: shape, rng: rand.New(rand.NewPCG(seed, 5))}
 	r.run(8 * time.Second)
 	if _, full := r.full(); !full {
 		t.Fatalf("%s, seed %d: never full at first", shape.name, seed)
@@ -51,7 +51,8 @@
 }
 
 // newest is the newest value that a node in touch knows to be chosen.
-func (r *refill) newest() (v *register.Value) {
+func (r *refill) newest() *register.Value {
+	var v *register.Value
 	for _, name := range r.order {
 		if known := r.nodes[name].Value(); !r.down[name] && known.Newer(v) {
 			v = known
@@ -69,7 +70,7 @@
 }
 
 // full says whether as many voters as there should be are in touch, mean to stay and hold the newest value; and who does not.
-func (r *refill) full() (why string, yes bool) {
+func (r *refill) full() (string, bool) {
 	v := r.newest()
 	if v == nil || len(v.Next) > 0 || len(v.Voters) != 2*r.shape.tolerate+1 {
 		return "voters change", false
@@ -89,7 +90,7 @@
 }
 
 // until runs until the set is full, and changes the document every so often.
-func (r *refill) until(most time.Duration) (took time.Duration) {
+func (r *refill) until(most time.Duration) time.Duration {
 	from := r.now
 	for r.now-from < most {
 		if _, yes := r.full(); yes {
@@ -102,8 +103,8 @@
 	return most
 }
 
-func (r *refill) arrive() (name string) {
-	name = fmt.Sprint("n", len(r.order))
+func (r *refill) arrive() string {
+	name := fmt.Sprint("n", len(r.order))
 	r.order = append(r.order, name)
 	r.ids++
 	r.disks[name] = fmt.Sprint("disk-", name, "-", r.ids)
@@ -133,33 +134,34 @@
 // of another, or from the warning.
 var losses = []struct {
 	name string
-	play func(r *refill) (took time.Duration)
+	play func(r *refill) time.Duration
 }{
-	{"back empty", func(r *refill) (took time.Duration) {
+	{"back empty", func(r *refill) time.Duration {
 		r.wipe(r.victim)
 		r.run(awayFor)
 		r.boot(r.victim, false)
 		return r.until(r.shape.within)
 	}},
-	{"gone, another comes", func(r *refill) (took time.Duration) {
+	{"gone, another comes", func(r *refill) time.Duration {
 		r.down[r.victim] = true
 		r.run(awayFor)
 		r.change()
 		r.arrive()
 		return r.until(r.shape.within)
 	}},
-	{"another comes, then SIGTERM", func(r *refill) (took time.Duration) {
+	{"another comes, then SIGTERM", func(r *refill) time.Duration {
 		r.arrive()
 		r.run(awayFor)
 		return r.stop()
 	}},
-	{"SIGTERM, for good", func(r *refill) (took time.Duration) { return r.stop() }},
+	{"SIGTERM, for good", func(r *refill) time.Duration { return r.stop() }},
 }
 
 // stop warns the victim, which leaves after a while, and returns when it has gone.
-func (r *refill) stop() (took time.Duration) {
+func (r *refill) stop() time.Duration {
 	r.call(r.victim, Retire{})
 	from := r.now
+	var took time.Duration
 	if r.spares() > 0 {
 		took = r.until(saidByes)
 	}
@@ -171,7 +173,8 @@
 	return took
 }
 
-func (r *refill) spares() (count int) {
+func (r *refill) spares() int {
+	var count int
 	for name, disk := range r.disks {
 		if !isVoter(r.newest().Voters, disk) && !r.down[name] {
 			count++
--- a/control/register.go
+++ b/control/register.go
@@ -125,7 +125,7 @@
 }
 
 // await numbers an operation of the proposer and has done called with its result.
-func (n *Node) await(now time.Duration, done completion) (id uint64) {
+func (n *Node) await(now time.Duration, done completion) uint64 {
 	n.opSeq++
 	n.pendingOps[n.opSeq] = pendingOp{since: now, done: done}
 	return n.opSeq
@@ -145,7 +145,7 @@
 	n.propose(now, within, nil, full, func(time.Duration, register.Result) { n.reading = false })
 }
 
-func (n *Node) replyTo(id uint64, op string) (done completion) {
+func (n *Node) replyTo(id uint64, op string) completion {
 	return func(_ time.Duration, r register.Result) {
 		a := Answer{ID: id, Value: r.Value, Err: r.Err}
 		if r.Value != nil {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (n *Node) isVoter() (yes bool) {
+func (n *Node) isVoter() bool {
 	for _, v := range n.value.All() {
 		if v.Disk == n.acceptor.Disk {
 			return true
--- a/control/repair.go
+++ b/control/repair.go
@@ -23,7 +23,7 @@
 }
 
 // lostVoter names the disk of the first voter that has been lost for as long as patience.
-func (n *Node) lostVoter(now, patience time.Duration) (disk string) {
+func (n *Node) lostVoter(now, patience time.Duration) string {
 	for _, v := range n.value.Voters {
 		if since, ok := n.tasks.lostSince[v.Disk]; ok && now-since >= patience {
 			return v.Disk
@@ -34,7 +34,7 @@
 
 // leavingVoter names the disk of the first voter whose process was told to end, or has said goodbye. Whether it is only restarted
 // nobody can tell: with a spare disk the seat goes there and stays, and the one that comes back is the next spare.
-func (n *Node) leavingVoter() (disk string) {
+func (n *Node) leavingVoter() string {
 	for _, v := range n.value.Voters {
 		m, ok := n.diskMember(v.Disk)
 		if ok && (m.Retiring || m.State == membership.Left) {
@@ -44,28 +44,30 @@
 	return ""
 }
 
-func (n *Node) diskMember(disk string) (m membership.Member, ok bool) {
+func (n *Node) diskMember(disk string) (membership.Member, bool) {
 	for _, m := range n.Members.Table.All() {
 		if m.Disk == disk {
 			return m, true
 		}
 	}
+	var m membership.Member
 	return m, false
 }
 
-func (n *Node) voterHealthy(disk string) (yes bool) {
+func (n *Node) voterHealthy(disk string) bool {
 	m, ok := n.diskMember(disk)
 	return ok && m.State == membership.Alive && !m.Unfit
 }
 
 // spare says whether a member has a fit disk that could take a seat and means to stay.
-func (n *Node) spare(m membership.Member) (yes bool) {
+func (n *Node) spare(m membership.Member) bool {
 	return m.Disk != "" && m.State == membership.Alive && !m.Unfit && !m.Retiring && !isVoter(n.value.Voters, m.Disk)
 }
 
 // votersWithout puts a spare disk in the place of a lost one, in the domain with the fewest voters; nil: there is none.
-func (n *Node) votersWithout(lost string) (vs []register.Voter) {
+func (n *Node) votersWithout(lost string) []register.Voter {
 	taken := map[string]int{}
+	var vs []register.Voter
 	for _, v := range n.value.Voters {
 		if v.Disk == lost {
 			continue
@@ -87,7 +89,7 @@
 	return append(vs, register.Voter{Disk: best.Disk, Name: best.Name})
 }
 
-func isVoter(vs []register.Voter, disk string) (yes bool) {
+func isVoter(vs []register.Voter, disk string) bool {
 	for _, v := range vs {
 		if v.Disk == disk {
 			return true
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -27,7 +27,7 @@
 		l.run(time.Duration(i%3) * 10 * time.Millisecond)
 	}
 	back := l.now
-	ready := func() (yes bool) {
+	ready := func() bool {
 		for _, name := range l.order {
 			if l.nodes[name].Snapshot() == nil || l.nodes[name].notServing != "" || l.rosters[name] == nil {
 				return false
--- a/control/send.go
+++ b/control/send.go
@@ -8,7 +8,7 @@
 )
 
 // newer is a kind of message or news that older builds cannot read: gob has no name for it there.
-type newer interface{ Since() (build uint32) }
+type newer interface{ Since() uint32 }
 
 func (n *Node) send(to string, msg any) {
 	if to == n.config.Addr {
@@ -21,7 +21,7 @@
 }
 
 // addrOf is the address of the node with that disk, which may be this one; empty: none is known.
-func (n *Node) addrOf(disk string) (addr string) {
+func (n *Node) addrOf(disk string) string {
 	if n.acceptor != nil && disk == n.acceptor.Disk {
 		return n.config.Addr
 	}
@@ -72,7 +72,7 @@
 }
 
 // readable leaves out what the peer's build cannot read: one unknown kind would cost it the whole frame and the connection.
-func (n *Node) readable(to string, msg any) (fit any, ok bool) {
+func (n *Node) readable(to string, msg any) (any, bool) {
 	build := n.buildOf(to)
 	if k, is := msg.(newer); is && k.Since() > build {
 		return nil, false
@@ -94,7 +94,7 @@
 }
 
 // buildOf is what a peer said last, else what its member says, bounded by what this node's own build knows of.
-func (n *Node) buildOf(addr string) (build uint32) {
+func (n *Node) buildOf(addr string) uint32 {
 	build, told := n.documents.builds[addr]
 	if told {
 		return build
--- a/control/stale.go
+++ b/control/stale.go
@@ -9,6 +9,6 @@
 // effect.
 type StaleCallError struct{ Gap time.Duration }
 
-func (e *StaleCallError) Error() (text string) {
+func (e *StaleCallError) Error() string {
 	return fmt.Sprintf("this process stood still for %s and takes no order that may have come before; nothing was changed", e.Gap)
 }
--- a/control/status.go
+++ b/control/status.go
@@ -39,8 +39,8 @@
 }
 
 // Status is the node's state at the time now.
-func (n *Node) Status(now time.Duration) (s Status) {
-	s = Status{
+func (n *Node) Status(now time.Duration) Status {
+	s := Status{
 		Name: n.config.Name, Domain: n.config.Domain, Serving: n.notServing == "" && n.servingReportedAt > 0, Why: n.notServing, Obeyed: n.applied, Unfit: n.Members.Self.Unfit,
 		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, News: n.Gossip.Len(), Emptied: []string{}, Claims: []string{},
 	}
@@ -61,7 +61,8 @@
 }
 
 // Holding names the duties whose lease the node holds at the time now.
-func (n *Node) Holding(now time.Duration) (duties []string) {
+func (n *Node) Holding(now time.Duration) []string {
+	var duties []string
 	for _, d := range n.leases.Held() {
 		if _, ok := n.leases.Holds(now, d); ok {
 			duties = append(duties, d)
@@ -71,7 +72,7 @@
 }
 
 // Snapshot is the configuration that this node's router goes by, or nil.
-func (n *Node) Snapshot() (s *config.Snapshot) {
+func (n *Node) Snapshot() *config.Snapshot {
 	if n.applied == 0 {
 		return nil
 	}
@@ -79,4 +80,4 @@
 }
 
 // Value is the newest value of the register that the node knows, or nil.
-func (n *Node) Value() (v *register.Value) { return n.value }
+func (n *Node) Value() *register.Value { return n.value }
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -46,17 +46,18 @@
 	votersChangedAt time.Duration
 }
 
-func newTasks() (d tasks) {
+func newTasks() tasks {
 	return tasks{
 		receivedAt: map[string]time.Duration{}, token: map[string]uint64{}, seq: map[string]uint64{}, probed: map[string]time.Duration{},
 		shared: map[string]time.Duration{}, urgent: map[string]bool{}, replicas: map[string]*replicaRecord{}, lostSince: map[string]time.Duration{},
 	}
 }
 
-func (n *Node) zones() (ds []string) {
+func (n *Node) zones() []string {
 	if n.snapshot == nil {
 		return nil
 	}
+	var ds []string
 	for _, o := range n.snapshot.Charter.Offers {
 		for _, r := range o.Replicas {
 			if !slices.Contains(ds, r.Domain) {
@@ -68,7 +69,7 @@
 	return ds
 }
 
-func (n *Node) ranksFirst(duty, domain string) (yes bool) {
+func (n *Node) ranksFirst(duty, domain string) bool {
 	near := false
 	for _, m := range n.Members.Table.All() {
 		near = near || (m.State == membership.Alive && m.Domain == domain)
@@ -112,7 +113,7 @@
 	}
 }
 
-func packToken(m lease.Token) (hi uint64) { return m.Seat<<32 | m.N&0xffffffff }
+func packToken(m lease.Token) uint64 { return m.Seat<<32 | m.N&0xffffffff }
 
 func (n *Node) probe(now time.Duration, domain string, hi uint64) {
 	if hi < n.tasks.token[domain] {
@@ -216,7 +217,7 @@
 }
 
 // Knows says whether a zone is known: by the document, by a member in it, or as evacuated.
-func (n *Node) Knows(domain string) (yes bool) {
+func (n *Node) Knows(domain string) bool {
 	if n.value != nil && slices.Contains(n.value.Emptied, domain) || slices.Contains(n.zones(), domain) {
 		return true
 	}
--- a/control/votercut_test.go
+++ b/control/votercut_test.go
@@ -8,7 +8,8 @@
 )
 
 // subset is the disks whose bit is set.
-func subset(disks []string, bits int) (some []string) {
+func subset(disks []string, bits int) []string {
+	var some []string
 	for i, d := range disks {
 		if bits&(1<<i) != 0 {
 			some = append(some, d)
@@ -60,7 +61,7 @@
 }
 
 // readAll has a node that knows the first voters alone read, with all disks in reach that are left.
-func (h *handRegister) readAll() (body string) {
+func (h *handRegister) readAll() string {
 	p := h.proposer("z", nil)
 	for range 200 {
 		sends, results := p.TakeOutput()
--- a/control/voters.go
+++ b/control/voters.go
@@ -20,7 +20,7 @@
 
 // voterPatience is how long a voter may be lost before its seat goes to another disk: fixed where the fleet bears losses by itself
 // (Tolerate), else as the operators' document says. 0: seats stay as they are.
-func (n *Node) voterPatience() (patience time.Duration) {
+func (n *Node) voterPatience() time.Duration {
 	if n.config.Tolerate > 0 {
 		return voterLostAfter
 	}
@@ -61,7 +61,7 @@
 
 // nextVoters names the voters that should take over from the present ones, and why; nil: the present ones stay. The order is that of
 // need: a disk that came back empty, a lost voter, one that is about to leave, and a seat that nobody has yet.
-func (n *Node) nextVoters(now time.Duration) (vs []register.Voter, why string) {
+func (n *Node) nextVoters(now time.Duration) ([]register.Voter, string) {
 	patience := n.voterPatience()
 	if patience <= 0 {
 		return nil, ""
@@ -72,17 +72,17 @@
 		}
 	}
 	if lost := n.lostVoter(now, patience); lost != "" {
-		if vs = n.votersWithout(lost); vs != nil {
+		if vs := n.votersWithout(lost); vs != nil {
 			return vs, "disk " + lost + " is lost"
 		}
 	}
 	if leaving := n.leavingVoter(); leaving != "" {
-		if vs = n.votersWithout(leaving); vs != nil {
+		if vs := n.votersWithout(leaving); vs != nil {
 			return vs, "disk " + leaving + " leaves"
 		}
 	}
 	if len(n.value.Voters) < 2*n.config.Tolerate+1 {
-		if vs = n.votersWithout(""); vs != nil {
+		if vs := n.votersWithout(""); vs != nil {
 			return vs, "a disk joins"
 		}
 	}
@@ -90,13 +90,14 @@
 }
 
 // replacedDisk finds the machine of a voter that is back with another disk.
-func (n *Node) replacedDisk(v register.Voter) (m membership.Member, yes bool) {
+func (n *Node) replacedDisk(v register.Voter) (membership.Member, bool) {
 	m, ok := n.Members.Table.Get(v.Name)
-	yes = ok && m.Disk != v.Disk && n.spare(m)
+	yes := ok && m.Disk != v.Disk && n.spare(m)
 	return m, yes
 }
 
-func (n *Node) replaceVoter(old register.Voter, m membership.Member) (vs []register.Voter) {
+func (n *Node) replaceVoter(old register.Voter, m membership.Member) []register.Voter {
+	var vs []register.Voter
 	for _, v := range n.value.Voters {
 		if v == old {
 			v = register.Voter{Disk: m.Disk, Name: m.Name}
@@ -107,8 +108,8 @@
 }
 
 // beginVoterChangeAt installs the next voters beside the present ones, if the epoch is still the one that the choice was made on.
-func beginVoterChangeAt(seat uint64, vs []register.Voter) (change register.Change) {
-	return func(cur *register.Value) (next *register.Value, err error) {
+func beginVoterChangeAt(seat uint64, vs []register.Voter) register.Change {
+	return func(cur *register.Value) (*register.Value, error) {
 		if slices.Equal(cur.Next, vs) || slices.Equal(cur.Voters, vs) {
 			return nil, nil
 		}
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -10,7 +10,8 @@
 	"github.com/mallowbridge/mallowbridge"
 )
 
-func (l *lab) voters() (disks []string) {
+func (l *lab) voters() []string {
+	var disks []string
 	for _, v := range l.nodes["n5"].Value().Voters {
 		disks = append(disks, v.Disk)
 	}
--- a/control/watch.go
+++ b/control/watch.go
@@ -76,7 +76,7 @@
 
 // acceptsReport compares another node's report on a replica with this node's own observation, and checks the replica again where they
 // differ.
-func (n *Node) acceptsReport(now time.Duration, r mallowbridge.LoadReport) (yes bool) {
+func (n *Node) acceptsReport(now time.Duration, r mallowbridge.LoadReport) bool {
 	s := n.observations[r.Replica]
 	if s == nil || s.state == 0 {
 		return true
--- a/control/witness.go
+++ b/control/witness.go
@@ -65,7 +65,7 @@
 }
 
 // WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
-func WitnessOutcome(a Answer) (how mallowbridge.How) {
+func WitnessOutcome(a Answer) mallowbridge.How {
 	switch {
 	case a.Err != nil || a.Verdict == TooFew:
 		return mallowbridge.NoQuorumOfWitnesses
@@ -75,11 +75,11 @@
 	return ""
 }
 
-func newWitness(now time.Duration) (w witnessState) {
+func newWitness(now time.Duration) witnessState {
 	return witnessState{born: now, seen: map[string]rememberedRequest{}, inquiries: map[uint64]*inquiry{}, deadSince: map[string]time.Duration{}, forgotten: map[string]bool{}}
 }
 
-func (w *witnessState) remember(now time.Duration, m WitnessAsk) (say WitnessSay) {
+func (w *witnessState) remember(now time.Duration, m WitnessAsk) WitnessSay {
 	for len(w.order) > 0 && (len(w.order) > rememberedMost || now-w.seen[w.order[0]].at > witnessMemory) {
 		delete(w.seen, w.order[0])
 		w.order = w.order[1:]
@@ -131,7 +131,7 @@
 
 // witnesses are the same for all routers that know the same members; the dead keep their place as long as they would have
 // remembered, so that a death does not move the others'.
-func (n *Node) witnesses(request string) (ms []membership.Member) {
+func (n *Node) witnesses(request string) []membership.Member {
 	var names []string
 	for _, m := range n.Members.Table.All() {
 		if m.State != membership.Left && !n.witness.forgotten[m.Name] {
@@ -139,6 +139,7 @@
 		}
 	}
 	taken := map[string]int{}
+	var ms []membership.Member
 	for _, name := range scheduler.Nearest("once/"+request, names) {
 		m, _ := n.Members.Table.Get(name)
 		if len(ms) < witnessCount && taken[m.Domain] < witnessesPerDomain {
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -19,8 +19,8 @@
 	asked uint64
 }
 
-func newFleet(t *testing.T, size int) (f *fleet) {
-	f = &fleet{t: t, nodes: map[string]*Node{}, mute: map[string]bool{}, said: map[uint64]Answer{}}
+func newFleet(t *testing.T, size int) *fleet {
+	f := &fleet{t: t, nodes: map[string]*Node{}, mute: map[string]bool{}, said: map[uint64]Answer{}}
 	for i := range size {
 		f.boot(i, 1)
 	}
@@ -54,11 +54,11 @@
 	}
 }
 
-func (f *fleet) ask(at, request string) (how mallowbridge.How, took time.Duration) {
+func (f *fleet) ask(at, request string) (mallowbridge.How, time.Duration) {
 	return f.order(at, Witness{Request: request})
 }
 
-func (f *fleet) order(at string, op Witness) (how mallowbridge.How, took time.Duration) {
+func (f *fleet) order(at string, op Witness) (mallowbridge.How, time.Duration) {
 	request := op.Request
 	f.asked++
 	id, from := f.asked, f.now
@@ -118,7 +118,7 @@
 }
 
 // find gives an ending that makes the three witnesses of one request those of another.
-func find(f *fleet, silent []membership.Member) (ending string) {
+func find(f *fleet, silent []membership.Member) string {
 	for i := 0; ; i++ {
 		n := 0
 		for _, m := range f.nodes["n0"].witnesses(fmt.Sprint("q2b", i)) {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -21,7 +21,7 @@
 // StoppingError says that the process ends. What was under way may have had its effect.
 type StoppingError struct{}
 
-func (e *StoppingError) Error() (text string) { return "node is stopping" }
+func (e *StoppingError) Error() string { return "node is stopping" }
 
 func (h *Daemon) submit(in control.In) {
 	select {
@@ -31,13 +31,13 @@
 }
 
 // Call runs an operation and waits for its answer.
-func (h *Daemon) Call(op control.Op) (a control.Answer) {
+func (h *Daemon) Call(op control.Op) control.Answer {
 	return h.call(call{op: op, reply: make(chan control.Answer, 1)}, nil)
 }
 
 // CallBy runs an operation that has no effect after the deadline, on Clock, and answers soon after it at the latest, also where the
 // owner of control state is stuck.
-func (h *Daemon) CallBy(deadline time.Duration, op control.Op) (a control.Answer) {
+func (h *Daemon) CallBy(deadline time.Duration, op control.Op) control.Answer {
 	late := time.NewTimer(deadline + answerSlack - Clock())
 	defer late.Stop()
 	return h.call(call{op: op, deadline: deadline, reply: make(chan control.Answer, 1)}, late.C)
@@ -48,7 +48,7 @@
 	h.call(call{look: look, reply: make(chan control.Answer, 1)}, nil)
 }
 
-func (h *Daemon) call(c call, late <-chan time.Time) (a control.Answer) {
+func (h *Daemon) call(c call, late <-chan time.Time) control.Answer {
 	select {
 	case h.calls <- c:
 	case <-late:
@@ -56,6 +56,7 @@
 	case <-h.Tomb.Dying():
 		return control.Answer{Err: &StoppingError{}}
 	}
+	var a control.Answer
 	select {
 	case a = <-c.reply:
 		return a
--- a/daemon/clock.go
+++ b/daemon/clock.go
@@ -7,7 +7,7 @@
 )
 
 // Clock is the time since the machine's start, which runs on while the machine sleeps and is never set.
-func Clock() (now time.Duration) {
+func Clock() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		panic(err)
--- a/daemon/coalesce.go
+++ b/daemon/coalesce.go
@@ -18,8 +18,8 @@
 	ev  mallowbridge.Event
 }
 
-func newCoalescer(t *tomb.Tomb, to func(ev mallowbridge.Event)) (v *coalescer) {
-	v = &coalescer{in: make(chan mallowbridge.Event), out: make(chan mallowbridge.Event)}
+func newCoalescer(t *tomb.Tomb, to func(ev mallowbridge.Event)) *coalescer {
+	v := &coalescer{in: make(chan mallowbridge.Event), out: make(chan mallowbridge.Event)}
 	t.Go(func() error { return v.run(t) })
 	t.Go(func() error {
 		for {
@@ -34,7 +34,7 @@
 	return v
 }
 
-func (v *coalescer) run(t *tomb.Tomb) (err error) {
+func (v *coalescer) run(t *tomb.Tomb) error {
 	var q []queued
 	for {
 		var out chan mallowbridge.Event
@@ -53,7 +53,7 @@
 	}
 }
 
-func enqueue(q []queued, ev mallowbridge.Event) (longer []queued) {
+func enqueue(q []queued, ev mallowbridge.Event) []queued {
 	key := keyOf(ev)
 	for i := range q {
 		if q[i].key == key {
@@ -65,7 +65,7 @@
 }
 
 // keyOf names what a later event of the same key makes void; its order is the order for a newcomer.
-func keyOf(ev mallowbridge.Event) (key string) {
+func keyOf(ev mallowbridge.Event) string {
 	switch e := ev.(type) {
 	case mallowbridge.SnapshotUpdate:
 		return "0"
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -51,7 +51,7 @@
 	h.Log.Warn().Str("peer", peer).Err(err).Msg("connection closed")
 }
 
-func (h *Daemon) control() (err error) {
+func (h *Daemon) control() error {
 	tick := time.NewTicker(ticks)
 	defer tick.Stop()
 	replies := map[uint64]chan control.Answer{}
--- a/daemon/document.go
+++ b/daemon/document.go
@@ -12,7 +12,7 @@
 type Documents struct{ Daemon *Daemon }
 
 // Edit changes the document of the revision base; size is the length of the order's body. See control.Edit.
-func (d Documents) Edit(ctx context.Context, id string, base uint64, size int, edit func(cur []byte) (next []byte, err error)) (body []byte, err error) {
+func (d Documents) Edit(ctx context.Context, id string, base uint64, size int, edit func(cur []byte) ([]byte, error)) ([]byte, error) {
 	deadline, err := d.Daemon.Gate.Admit(ctx, size)
 	if err != nil {
 		return nil, err
@@ -25,7 +25,7 @@
 }
 
 // Get reads the document from a majority: what this node knows by itself may be old.
-func (d Documents) Get(context.Context) (body []byte, err error) {
+func (d Documents) Get(context.Context) ([]byte, error) {
 	a := d.Daemon.CallBy(d.Daemon.Gate.Read(), control.Get{})
 	if a.Err != nil {
 		return nil, a.Err
@@ -34,7 +34,7 @@
 }
 
 // Evacuate empties a zone, or takes that back.
-func (d Documents) Evacuate(ctx context.Context, id, zone string, restore bool) (err error) {
+func (d Documents) Evacuate(ctx context.Context, id, zone string, restore bool) error {
 	deadline, err := d.Daemon.Gate.Admit(ctx, 0)
 	if err != nil {
 		return err
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -26,7 +26,7 @@
 	last   map[string]mallowbridge.Event
 }
 
-func newFollowers(h *Daemon) (fs *followers) {
+func newFollowers(h *Daemon) *followers {
 	return &followers{daemon: h, last: map[string]mallowbridge.Event{}}
 }
 
@@ -51,7 +51,7 @@
 	f.n++
 }
 
-func (fs *followers) join(f *follower, n *control.Node) (in control.In) {
+func (fs *followers) join(f *follower, n *control.Node) control.In {
 	taken := map[int]bool{}
 	for _, o := range fs.all {
 		taken[o.id] = true
@@ -68,7 +68,7 @@
 	return fs.count()
 }
 
-func (fs *followers) leave(f *follower) (in control.In) {
+func (fs *followers) leave(f *follower) control.In {
 	for i, o := range fs.all {
 		if o == f {
 			fs.all = append(fs.all[:i], fs.all[i+1:]...)
@@ -78,7 +78,7 @@
 	return fs.count()
 }
 
-func (fs *followers) count() (in control.In) {
+func (fs *followers) count() control.In {
 	most := 0
 	for _, f := range fs.all {
 		most = max(most, f.id)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (h *Daemon) put(conn net.Conn, w *transport.Writer, msg any) (ok bool) {
+func (h *Daemon) put(conn net.Conn, w *transport.Writer, msg any) bool {
 	frame, err := w.Frame(msg)
 	if err != nil {
 		h.logFault("follower", err)
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -12,7 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-func address(t *testing.T) (addr string) {
+func address(t *testing.T) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -21,13 +21,13 @@
 	return lis.Addr().String()
 }
 
-func daemon(t *testing.T, addr, data string) (h *Daemon, stop func()) {
+func daemon(t *testing.T, addr, data string) (*Daemon, func()) {
 	tb := &tomb.Tomb{}
 	s, err := Check(Settings{Role: "core", Name: "n1", Domain: "a", Listen: addr, HTTP: addr, Data: data})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err = Start(tb, s, &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}})
+	h, err := Start(tb, s, &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/frozen_test.go
+++ b/daemon/frozen_test.go
@@ -19,17 +19,18 @@
 	taken atomic.Int64
 }
 
-func (f *gated) Edit(ctx context.Context, _ string, _ uint64, size int, _ func([]byte) ([]byte, error)) (body []byte, err error) {
+func (f *gated) Edit(ctx context.Context, _ string, _ uint64, size int, _ func([]byte) ([]byte, error)) ([]byte, error) {
+	var err error
 	if _, err = f.g.Admit(ctx, size); err == nil {
 		f.taken.Add(1)
 	}
 	return nil, err
 }
 
-func (f *gated) Get(context.Context) (body []byte, err error) { return []byte(`{}`), nil }
+func (f *gated) Get(context.Context) ([]byte, error) { return []byte(`{}`), nil }
 
-func (f *gated) Evacuate(ctx context.Context, _, _ string, _ bool) (err error) {
-	_, err = f.Edit(ctx, "", 0, 0, nil)
+func (f *gated) Evacuate(ctx context.Context, _, _ string, _ bool) error {
+	_, err := f.Edit(ctx, "", 0, 0, nil)
 	return err
 }
 
@@ -50,7 +51,7 @@
 			g.Tick()
 		}
 	}
-	order := func(method string) (status int, closed bool) {
+	order := func(method string) (int, bool) {
 		t.Helper()
 		req, err := http.NewRequest(method, server.URL+"/evacuations/a", nil)
 		if err != nil {
--- a/daemon/gate.go
+++ b/daemon/gate.go
@@ -28,8 +28,8 @@
 }
 
 // NewGate makes a gate that goes by the clock.
-func NewGate(clock func() time.Duration) (g *Gate) {
-	g = &Gate{clock: clock}
+func NewGate(clock func() time.Duration) *Gate {
+	g := &Gate{clock: clock}
 	g.ran.Store(int64(clock()))
 	return g
 }
@@ -38,8 +38,8 @@
 func (g *Gate) Tick() { g.ran.Store(int64(g.look())) }
 
 // look tells the time, and finds a gap that ends here.
-func (g *Gate) look() (now time.Duration) {
-	now = g.clock()
+func (g *Gate) look() time.Duration {
+	now := g.clock()
 	gap := now - time.Duration(g.ran.Load())
 	if gap <= gateGap {
 		return now
@@ -53,16 +53,16 @@
 type acceptedAtKey struct{}
 
 // ConnContext notes when a connection was accepted, for http.Server.
-func (g *Gate) ConnContext(ctx context.Context, _ net.Conn) (noted context.Context) {
+func (g *Gate) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, acceptedAtKey{}, g.look())
 }
 
 // Read is the deadline of a read that comes now.
-func (g *Gate) Read() (deadline time.Duration) { return control.Deadline(g.clock(), 0) }
+func (g *Gate) Read() time.Duration { return control.Deadline(g.clock(), 0) }
 
 // Admit is the deadline of an order with a body of size bytes, which has been read whole by now. An order on a connection that was open,
 // or waiting to be accepted, while the process stood still is denied: when it was sent can't be known.
-func (g *Gate) Admit(ctx context.Context, size int) (deadline time.Duration, err error) {
+func (g *Gate) Admit(ctx context.Context, size int) (time.Duration, error) {
 	now := g.look()
 	opened, known := ctx.Value(acceptedAtKey{}).(time.Duration)
 	woke := time.Duration(g.woke.Load())
@@ -72,7 +72,7 @@
 	return control.Deadline(now, size), nil
 }
 
-func (h *Daemon) tickGate() (err error) {
+func (h *Daemon) tickGate() error {
 	tick := time.NewTicker(gateTicks)
 	defer tick.Stop()
 	for {
--- a/daemon/gate_test.go
+++ b/daemon/gate_test.go
@@ -12,7 +12,7 @@
 // hands is a clock that is set by hand.
 type hands struct{ now time.Duration }
 
-func (h *hands) clock() (now time.Duration) { return h.now }
+func (h *hands) clock() time.Duration { return h.now }
 
 // run lets the process run for d, with its ticks.
 func (h *hands) run(g *Gate, d time.Duration) {
@@ -22,14 +22,14 @@
 	}
 }
 
-func gateAt(now time.Duration) (g *Gate, h *hands) {
-	h = &hands{now: now}
+func gateAt(now time.Duration) (*Gate, *hands) {
+	h := &hands{now: now}
 	return NewGate(h.clock), h
 }
 
-func opened(g *Gate) (ctx context.Context) { return g.ConnContext(context.Background(), nil) }
+func opened(g *Gate) context.Context { return g.ConnContext(context.Background(), nil) }
 
-func isStale(err error) (yes bool) {
+func isStale(err error) bool {
 	var stale *control.StaleCallError
 	return errors.As(err, &stale)
 }
--- a/daemon/persist.go
+++ b/daemon/persist.go
@@ -8,14 +8,14 @@
 
 const recoverEvery = 500 * time.Millisecond
 
-func (h *Daemon) readList() (err error) {
+func (h *Daemon) readList() error {
 	rows, err := h.Settings.Host.List()
 	h.submit(control.ListRead{Rows: rows, Err: err})
 	return nil
 }
 
 // forwardFailures hands the scheduler's reports of failing replicas to control, which publishes them to the other nodes.
-func (h *Daemon) forwardFailures() (err error) {
+func (h *Daemon) forwardFailures() error {
 	for {
 		select {
 		case <-h.Tomb.Dying():
@@ -26,7 +26,7 @@
 	}
 }
 
-func (h *Daemon) persist() (err error) {
+func (h *Daemon) persist() error {
 	var mend <-chan time.Time
 	for {
 		select {
--- a/daemon/prefill.go
+++ b/daemon/prefill.go
@@ -16,7 +16,8 @@
 }
 
 // collectPrefills takes all that wait into one message.
-func (h *Daemon) collectPrefills(first mallowbridge.Prefill) (ps control.Prefills) {
+func (h *Daemon) collectPrefills(first mallowbridge.Prefill) control.Prefills {
+	var ps control.Prefills
 	ps.Rows = []mallowbridge.Prefill{first}
 	for range len(h.prefills) {
 		ps.Rows = append(ps.Rows, <-h.prefills)
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -18,7 +18,7 @@
 	probeBytes   = 64 << 10
 )
 
-func sortedKeys(m map[string]mallowbridge.Event) (keys []string) {
+func sortedKeys(m map[string]mallowbridge.Event) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
@@ -38,8 +38,8 @@
 	h.submit(ask(p))
 }
 
-func ask(p control.Probe) (res control.Probed) {
-	res = control.Probed{Replica: p.Replica, Own: p.Own}
+func ask(p control.Probe) control.Probed {
+	res := control.Probed{Replica: p.Replica, Own: p.Own}
 	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+"/v1/usage", nil)
@@ -63,7 +63,8 @@
 	return got
 }
 
-func (u usageAnswer) probed() (p control.Probed, ok bool) {
+func (u usageAnswer) probed() (control.Probed, bool) {
+	var p control.Probed
 	if u.InstanceID == "" || u.Running < 0 || u.LagMs < 0 {
 		return p, false
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -28,15 +28,15 @@
 	// Read reads the operators' document; nil: config.Documents.Read.
 	Read config.Reader
 	// List reads the platform's list of replicas every ListEvery; nil: there is none.
-	List      func() (rows []mallowbridge.Instance, err error)
+	List      func() ([]mallowbridge.Instance, error)
 	ListEvery time.Duration
 	// Tolerate, Founds and ServesCutOff: see control.Config.
 	Tolerate             int
 	Founds, ServesCutOff bool
 }
 
-func (s Settings) withDefaults() (full Settings) {
-	full = s
+func (s Settings) withDefaults() Settings {
+	full := s
 	for _, d := range []struct {
 		at  *int
 		def int
@@ -51,11 +51,12 @@
 // FileError says why the settings file cannot be read.
 type FileError struct{ Path, Why string }
 
-func (e *FileError) Error() (text string) { return "settings file " + e.Path + ": " + e.Why }
+func (e *FileError) Error() string { return "settings file " + e.Path + ": " + e.Why }
 
 // ReadSettings reads a settings file. It fails with a FileError or a config.InvalidError.
-func ReadSettings(path string) (s Settings, err error) {
+func ReadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
+	var s Settings
 	if err != nil {
 		return s, trace.Wrap(&FileError{Path: path, Why: err.Error()})
 	}
@@ -77,8 +78,8 @@
 }
 
 // Check fills in defaults and checks the settings. It fails with a config.InvalidError that lists all flaws.
-func Check(in Settings) (s Settings, err error) {
-	s = in.withDefaults()
+func Check(in Settings) (Settings, error) {
+	s := in.withDefaults()
 	bad := &config.InvalidError{}
 	flaw := func(field, val, bound string) {
 		bad.Flaws = append(bad.Flaws, config.Flaw{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -19,7 +19,7 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func seed() (n uint64) {
+func seed() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -27,7 +27,7 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-func diskID() (id string) {
+func diskID() string {
 	var b [16]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -37,9 +37,10 @@
 
 // Start opens the disk, listens for other nodes and runs the node in goroutines of t. The settings must have passed Check. It fails where
 // the disk can't be read or the address can't be bound.
-func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Daemon, err error) {
-	h = newDaemon(t, s, lg)
+func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (*Daemon, error) {
+	h := newDaemon(t, s, lg)
 	cfg := h.controlConfig()
+	var err error
 	if cfg.Disk, err = h.openDisk(); err != nil {
 		return nil, err
 	}
@@ -61,7 +62,7 @@
 	return h, nil
 }
 
-func newDaemon(t *tomb.Tomb, s Settings, lg *log.Logger) (h *Daemon) {
+func newDaemon(t *tomb.Tomb, s Settings, lg *log.Logger) *Daemon {
 	boot := strconv.FormatUint(seed(), 36)
 	return &Daemon{
 		Settings:   s,
@@ -81,7 +82,7 @@
 	}
 }
 
-func (h *Daemon) controlConfig() (cfg control.Config) {
+func (h *Daemon) controlConfig() control.Config {
 	s := h.Settings
 	return control.Config{
 		Name:         s.Name,
@@ -102,9 +103,9 @@
 	}
 }
 
-func (h *Daemon) routerConfig() (cfg mallowbridge.Config) {
+func (h *Daemon) routerConfig() mallowbridge.Config {
 	s := h.Settings
-	cfg = mallowbridge.Defaults(s.Name, h.boot, s.Domain)
+	cfg := mallowbridge.Defaults(s.Name, h.boot, s.Domain)
 	cfg.Scheduler.QueueLimit = s.Backlog
 	if s.Host.ServesCutOff {
 		cfg.Scheduler.FeedTimeout = isolatedFeedTimeout
@@ -113,7 +114,7 @@
 }
 
 // openDisk opens the journal and returns what it kept; nil where the node has no disk.
-func (h *Daemon) openDisk() (kept *control.DiskState, err error) {
+func (h *Daemon) openDisk() (*control.DiskState, error) {
 	if h.Settings.Data == "" {
 		return nil, nil
 	}
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -36,11 +36,11 @@
 	pauseMax    time.Duration
 }
 
-func (h *Daemon) newWatcher(name, addr string, most time.Duration) (e *replicaWatcher) {
+func (h *Daemon) newWatcher(name, addr string, most time.Duration) *replicaWatcher {
 	return &replicaWatcher{daemon: h, name: name, addr: addr, stop: make(chan struct{}), lookNow: make(chan struct{}, 1), pause: lookPauseMin, pauseMax: most}
 }
 
-func (h *Daemon) watch() (err error) {
+func (h *Daemon) watch() error {
 	eyes := map[string]*replicaWatcher{}
 	for {
 		select {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (e *replicaWatcher) run() (err error) {
+func (e *replicaWatcher) run() error {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
@@ -128,7 +128,7 @@
 }
 
 // look connects once, and watches for as long as the replica keeps the connection.
-func (e *replicaWatcher) look() (seen bool) {
+func (e *replicaWatcher) look() bool {
 	conn, err := net.DialTimeout("tcp", e.addr, lookTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		e.report(control.Down, control.Probed{})
@@ -170,9 +170,10 @@
 	}
 }
 
-func (e *replicaWatcher) ask(conn net.Conn, r *bufio.Reader) (p control.Probed, ok bool) {
+func (e *replicaWatcher) ask(conn net.Conn, r *bufio.Reader) (control.Probed, bool) {
 	_ = conn.SetDeadline(time.Now().Add(lookTimeout))
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.addr+"/v1/usage", nil)
+	var p control.Probed
 	if err != nil || req.Write(conn) != nil {
 		return p, false
 	}
--- a/decision.go
+++ b/decision.go
@@ -31,7 +31,7 @@
 	PollWitnesses Verdict = "peek"
 )
 
-func (v Verdict) final() (yes bool) {
+func (v Verdict) final() bool {
 	return v == Deny || v == Unknown || v == Partial || v == Done
 }
 
--- a/decisions.go
+++ b/decisions.go
@@ -10,7 +10,8 @@
 const connShare = 0.8
 
 // decisions puts the scheduler's actions into words of the outside and forgets requests that ended.
-func (r *Router) decisions(now time.Duration, actions []scheduler.Action) (out []Decision) {
+func (r *Router) decisions(now time.Duration, actions []scheduler.Action) []Decision {
+	var out []Decision
 	for _, a := range actions {
 		out = append(out, r.decision(a))
 		r.follow(now, a)
@@ -18,8 +19,8 @@
 	return out
 }
 
-func (r *Router) decision(a scheduler.Action) (d Decision) {
-	d = Decision{
+func (r *Router) decision(a scheduler.Action) Decision {
+	d := Decision{
 		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Why: a.Reason, After: a.RetryAfter, Late: a.Late,
 		Confirmed: a.ConfirmedTokens, Predicted: a.PredictedTokens, Once: a.OnceOnly, Repeat: a.Repeat, Spare: a.SpareTime,
 	}
--- a/embed.go
+++ b/embed.go
@@ -10,12 +10,12 @@
 
 // Embed gives a caller's program its own router, which follows the daemon at addr (host:port) until the tomb dies. name is unique among
 // the daemon's followers; zone is used until the daemon has told its own.
-func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) (l *RouterLoop) {
+func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) *RouterLoop {
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
 		panic(err)
 	}
-	l = NewRouterLoop(t, New(Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, Idle)
+	l := NewRouterLoop(t, New(Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, Idle)
 	Follow(t, addr, name, func(w Welcome) { l.Tell(w) }, l.Tell)
 	return l
 }
--- a/follow.go
+++ b/follow.go
@@ -35,7 +35,7 @@
 // GapError says that events of a daemon were lost on the way.
 type GapError struct{ Got, Want uint64 }
 
-func (e *GapError) Error() (text string) {
+func (e *GapError) Error() string {
 	return fmt.Sprintf("change %d came where %d was due", e.Got, e.Want)
 }
 
@@ -61,7 +61,7 @@
 	})
 }
 
-func followOnce(t *tomb.Tomb, addr, name string, start func(w Welcome), feed func(ev Event)) (err error) {
+func followOnce(t *tomb.Tomb, addr, name string, start func(w Welcome), feed func(ev Event)) error {
 	conn, err := net.DialTimeout("tcp", addr, followRetry)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -84,7 +84,7 @@
 }
 
 // readEvents passes on what comes until the connection ends or an event is missing.
-func readEvents(conn net.Conn, r *transport.Reader, start func(w Welcome), feed func(ev Event)) (err error) {
+func readEvents(conn net.Conn, r *transport.Reader, start func(w Welcome), feed func(ev Event)) error {
 	for due := uint64(0); ; {
 		_ = conn.SetReadDeadline(time.Now().Add(followSilence))
 		msg, err := r.Next()
--- a/gossip/digest.go
+++ b/gossip/digest.go
@@ -1,7 +1,7 @@
 package gossip
 
 // OnChecksum answers a checksum that differs with this store's digest.
-func (s *Store) OnChecksum(from string, m Checksum) (sends []Send) {
+func (s *Store) OnChecksum(from string, m Checksum) []Send {
 	if m.Hash == s.hash && m.N == s.durable {
 		return nil
 	}
@@ -9,7 +9,7 @@
 }
 
 // OnDigest sends what is newer here and asks for what is newer there.
-func (s *Store) OnDigest(from string, m Digest) (sends []Send) {
+func (s *Store) OnDigest(from string, m Digest) []Send {
 	theirs := map[string]Version{}
 	var want []string
 	for _, km := range m.Marks {
@@ -24,6 +24,7 @@
 			ahead = append(ahead, k)
 		}
 	}
+	var sends []Send
 	if len(ahead) > 0 || m.Reply {
 		sends = append(sends, Send{To: from, Msg: s.Update(ahead)})
 	}
@@ -34,6 +35,6 @@
 }
 
 // OnPull sends what was asked for.
-func (s *Store) OnPull(from string, m Pull) (sends []Send) {
+func (s *Store) OnPull(from string, m Pull) []Send {
 	return []Send{{To: from, Msg: s.Update(m.Keys)}}
 }
--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -18,12 +18,12 @@
 // brief items are soon replaced.
 type brief string
 
-func (brief) Ephemeral() (yes bool) { return true }
+func (brief) Ephemeral() bool { return true }
 
 // bulky items are too large to be pushed.
 type bulky string
 
-func (bulky) Size() (bytes int) { return large + 1 }
+func (bulky) Size() int { return large + 1 }
 
 type letter struct {
 	from, to string
@@ -40,14 +40,14 @@
 	zones  map[string]string
 	mail   []letter
 	loss   float64
-	cut    func(from, to string) (yes bool)
+	cut    func(from, to string) bool
 	pulls  map[string]int
 }
 
-func zoneOf(at int) (zone string) { return fmt.Sprint("z", at%meshZones) }
+func zoneOf(at int) string { return fmt.Sprint("z", at%meshZones) }
 
-func newMesh(cfg Config, seed uint64, loss float64) (m *mesh) {
-	m = &mesh{rng: rand.New(rand.NewPCG(seed, 5)), stores: map[string]*Store{}, loss: loss, pulls: map[string]int{}, zones: map[string]string{}}
+func newMesh(cfg Config, seed uint64, loss float64) *mesh {
+	m := &mesh{rng: rand.New(rand.NewPCG(seed, 5)), stores: map[string]*Store{}, loss: loss, pulls: map[string]int{}, zones: map[string]string{}}
 	for at := range meshNodes {
 		name := fmt.Sprint("n", at)
 		m.names = append(m.names, name)
@@ -57,7 +57,8 @@
 	return m
 }
 
-func (m *mesh) peers(of int) (list []Peer) {
+func (m *mesh) peers(of int) []Peer {
+	var list []Peer
 	for at, name := range m.names {
 		if at != of {
 			list = append(list, Peer{Name: name, Addr: name, Domain: zoneOf(at), Near: zoneOf(at) == zoneOf(of)})
@@ -76,7 +77,7 @@
 	}
 }
 
-func (m *mesh) near(a, b string) (yes bool) { return m.zones[a] == m.zones[b] }
+func (m *mesh) near(a, b string) bool { return m.zones[a] == m.zones[b] }
 
 func (m *mesh) deliver(l letter) {
 	s := m.stores[l.to]
@@ -116,7 +117,7 @@
 }
 
 // until steps until every store has what is wanted, and tells how long it took; not longer than most.
-func (m *mesh) until(most time.Duration, has func(s *Store) (yes bool)) (took time.Duration, all bool) {
+func (m *mesh) until(most time.Duration, has func(s *Store) bool) (time.Duration, bool) {
 	began := m.now
 	for m.now-began < most {
 		if m.everywhere(has) {
@@ -127,7 +128,7 @@
 	return most, m.everywhere(has)
 }
 
-func (m *mesh) everywhere(has func(s *Store) (yes bool)) (yes bool) {
+func (m *mesh) everywhere(has func(s *Store) bool) bool {
 	for _, s := range m.stores {
 		if !has(s) {
 			return false
--- a/gossip/push.go
+++ b/gossip/push.go
@@ -8,7 +8,7 @@
 // Announcement names items that are too large to be sent unasked; who lacks one pulls it.
 type Announcement struct{ Marks []KeyVersion }
 
-type sized interface{ Size() (bytes int) }
+type sized interface{ Size() int }
 
 const (
 	large    = 1024
@@ -20,7 +20,7 @@
 	at   time.Duration
 }
 
-func (s *Store) pack(keys []string) (msgs []Message) {
+func (s *Store) pack(keys []string) []Message {
 	var small []string
 	var t Announcement
 	sort.Strings(keys)
@@ -31,6 +31,7 @@
 		}
 		small = append(small, k)
 	}
+	var msgs []Message
 	if len(small) > 0 {
 		msgs = append(msgs, s.Update(small))
 	}
@@ -41,7 +42,7 @@
 }
 
 // push tells near nodes; what began here goes to every other domain, what a near node told goes to one far node once more.
-func (s *Store) push(peers []Peer) (sends []Send) {
+func (s *Store) push(peers []Peer) []Send {
 	var near, far, each []string
 	for k, h := range s.pending {
 		near = append(near, k)
@@ -56,13 +57,14 @@
 			delete(s.pending, k)
 		}
 	}
-	sends = s.spread(s.pick(peers, true, s.cfg.Near), near)
+	sends := s.spread(s.pick(peers, true, s.cfg.Near), near)
 	sends = append(sends, s.spread(s.perDomain(peers), each)...)
 	return append(sends, s.spread(s.pick(peers, false, s.cfg.Far), far)...)
 }
 
-func (s *Store) perDomain(peers []Peer) (to []Peer) {
+func (s *Store) perDomain(peers []Peer) []Peer {
 	seen := map[string]bool{}
+	var to []Peer
 	for _, p := range s.pick(peers, false, len(peers)) {
 		if !seen[p.Domain] {
 			seen[p.Domain] = true
@@ -72,8 +74,9 @@
 	return to
 }
 
-func (s *Store) spread(to []Peer, keys []string) (sends []Send) {
+func (s *Store) spread(to []Peer, keys []string) []Send {
 	msgs := s.pack(keys)
+	var sends []Send
 	for _, p := range to {
 		for _, m := range msgs {
 			sends = append(sends, Send{To: p.Addr, Msg: m})
@@ -83,7 +86,7 @@
 }
 
 // OnAnnouncement pulls what is newer than here, unless it was asked for a moment ago.
-func (s *Store) OnAnnouncement(now time.Duration, from string, m Announcement) (sends []Send) {
+func (s *Store) OnAnnouncement(now time.Duration, from string, m Announcement) []Send {
 	var want []string
 	for _, km := range m.Marks {
 		if it, ok := s.items[km.Key]; ok && !it.Mark.Less(km.Mark) {
@@ -102,7 +105,8 @@
 }
 
 // Tick pushes new items and compares checksums, when it is time for either.
-func (s *Store) Tick(now time.Duration, peers []Peer) (sends []Send) {
+func (s *Store) Tick(now time.Duration, peers []Peer) []Send {
+	var sends []Send
 	if len(s.pending) > 0 && now-s.pushed >= s.cfg.Push {
 		s.pushed = now
 		sends = s.push(peers)
@@ -120,7 +124,7 @@
 }
 
 // PushNow pushes new items without waiting for the next round.
-func (s *Store) PushNow(peers []Peer) (sends []Send) {
+func (s *Store) PushNow(peers []Peer) []Send {
 	if len(s.pending) == 0 {
 		return nil
 	}
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -14,8 +14,8 @@
 	spreadWithin = 5 * time.Second
 )
 
-func holds(key string, mark Version) (has func(s *Store) (yes bool)) {
-	return func(s *Store) (yes bool) {
+func holds(key string, mark Version) func(s *Store) bool {
+	return func(s *Store) bool {
 		it, ok := s.Get(key)
 		return ok && it.Mark == mark
 	}
@@ -39,9 +39,9 @@
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0)
-		m.cut = func(from, to string) (yes bool) { return !m.near(from, to) }
+		m.cut = func(from, to string) bool { return !m.near(from, to) }
 		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
-		m.until(5*time.Second, func(*Store) (yes bool) { return false })
+		m.until(5*time.Second, func(*Store) bool { return false })
 		if _, ok := m.stores["n1"].Get("k"); ok {
 			t.Fatalf("seed %d: the cut lets items through", seed)
 		}
@@ -60,9 +60,9 @@
 	cfg := Defaults()
 	cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 	m := newMesh(cfg, 1, 0)
-	m.cut = func(from, to string) (yes bool) { return !m.near(from, to) }
+	m.cut = func(from, to string) bool { return !m.near(from, to) }
 	m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
-	m.until(5*time.Second, func(*Store) (yes bool) { return false })
+	m.until(5*time.Second, func(*Store) bool { return false })
 	m.cut = nil
 	if _, all := m.until(spreadWithin, holds("k", Version{Lo: 1})); all {
 		t.Error("something else than digests repairs")
@@ -91,7 +91,7 @@
 		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
 		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: bulky("v")})
-		m.until(2*time.Second, func(*Store) (yes bool) { return false })
+		m.until(2*time.Second, func(*Store) bool { return false })
 		for pair, n := range m.pulls {
 			if n > 1 {
 				t.Errorf("seed %d: %s pulled %d times", seed, pair, n)
@@ -138,7 +138,7 @@
 		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
 		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
-		m.until(cfg.Push+meshTick+mostDelay+meshTick, func(*Store) (yes bool) { return false })
+		m.until(cfg.Push+meshTick+mostDelay+meshTick, func(*Store) bool { return false })
 		reached := map[string]bool{}
 		for name, s := range m.stores {
 			_, has := s.Get("k")
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -13,7 +13,7 @@
 type Version struct{ Hi, Lo uint64 }
 
 // Less tells whether m comes before o.
-func (m Version) Less(o Version) (yes bool) {
+func (m Version) Less(o Version) bool {
 	return m.Hi < o.Hi || (m.Hi == o.Hi && m.Lo < o.Lo)
 }
 
@@ -81,7 +81,7 @@
 }
 
 // Defaults is the configuration that nodes run with.
-func Defaults() (c Config) {
+func Defaults() Config {
 	return Config{Push: 100 * time.Millisecond, Near: 2, Far: 1, Rounds: 2, DigestNear: time.Second, DigestFar: 2 * time.Second}
 }
 
@@ -100,15 +100,15 @@
 }
 
 // ephemeral items are soon replaced and of no use when old: they are pushed, and digests leave them out, which otherwise never agreed.
-type ephemeral interface{ Ephemeral() (yes bool) }
+type ephemeral interface{ Ephemeral() bool }
 
-func (it Item) ephemeral() (yes bool) {
+func (it Item) ephemeral() bool {
 	f, ok := it.Data.(ephemeral)
 	return ok && f.Ephemeral()
 }
 
 // sentOnce items are soon replaced and pushed in one round only.
-type sentOnce interface{ SentOnce() (yes bool) }
+type sentOnce interface{ SentOnce() bool }
 
 // Store holds the newest version of each item, and what is still to be pushed. Fresh and Stale count items that were taken, and that
 // were no newer. It is a pure state machine.
@@ -127,11 +127,11 @@
 }
 
 // New makes an empty store; the seed is for the choice of peers.
-func New(cfg Config, seed uint64) (s *Store) {
+func New(cfg Config, seed uint64) *Store {
 	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, asked: map[string]asked{}}
 }
 
-func leaf(k string, m Version) (h uint64) {
+func leaf(k string, m Version) uint64 {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], m.Hi)
 	binary.BigEndian.PutUint64(b[8:], m.Lo)
@@ -142,17 +142,17 @@
 }
 
 // Put takes an item of this node, and tells whether it is newer; it goes to one peer of every other domain.
-func (s *Store) Put(it Item) (fresh bool) { return s.hold(it, eachDomain) }
+func (s *Store) Put(it Item) bool { return s.hold(it, eachDomain) }
 
 // Merge takes an item of a peer, and tells whether it is newer. What a near peer sent goes to one far peer too.
-func (s *Store) Merge(it Item, near bool) (fresh bool) {
+func (s *Store) Merge(it Item, near bool) bool {
 	if near {
 		return s.hold(it, oneFar)
 	}
 	return s.hold(it, nearOnly)
 }
 
-func (s *Store) hold(it Item, far reach) (fresh bool) {
+func (s *Store) hold(it Item, far reach) bool {
 	old, ok := s.items[it.Key]
 	if ok && !old.Mark.Less(it.Mark) {
 		s.Stale++
@@ -177,15 +177,16 @@
 }
 
 // Get returns the item under a key.
-func (s *Store) Get(key string) (it Item, ok bool) {
-	it, ok = s.items[key]
+func (s *Store) Get(key string) (Item, bool) {
+	it, ok := s.items[key]
 	return it, ok
 }
 
 // Len is the number of items.
-func (s *Store) Len() (n int) { return len(s.items) }
+func (s *Store) Len() int { return len(s.items) }
 
-func (s *Store) keys() (keys []string) {
+func (s *Store) keys() []string {
+	var keys []string
 	for k, it := range s.items {
 		if !it.ephemeral() {
 			keys = append(keys, k)
@@ -196,7 +197,8 @@
 }
 
 // Digest is that of this store.
-func (s *Store) Digest(reply bool) (m Digest) {
+func (s *Store) Digest(reply bool) Digest {
+	var m Digest
 	m.Reply = reply
 	for _, k := range s.keys() {
 		m.Marks = append(m.Marks, KeyVersion{Key: k, Mark: s.items[k].Mark})
@@ -205,7 +207,8 @@
 }
 
 // Update brings the items under the keys, as far as they are here.
-func (s *Store) Update(keys []string) (n Update) {
+func (s *Store) Update(keys []string) Update {
+	var n Update
 	for _, k := range keys {
 		if it, ok := s.items[k]; ok {
 			n.Items = append(n.Items, it)
@@ -214,7 +217,8 @@
 	return n
 }
 
-func (s *Store) pick(peers []Peer, near bool, n int) (to []Peer) {
+func (s *Store) pick(peers []Peer, near bool, n int) []Peer {
+	var to []Peer
 	for _, p := range peers {
 		if p.Near == near {
 			to = append(to, p)
--- a/httpapi/bounds_test.go
+++ b/httpapi/bounds_test.go
@@ -11,7 +11,7 @@
 
 func TestBounds(t *testing.T) {
 	r := newRig(t, true)
-	post := func(path, id, prefix, body string) (status int) {
+	post := func(path, id, prefix, body string) int {
 		req, err := http.NewRequest(http.MethodPost, r.srv.URL+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 
 func TestBodiesWaitForRoom(t *testing.T) {
 	r := newRig(t, true)
-	post := func(id string, body io.Reader) (status int) {
+	post := func(id string, body io.Reader) int {
 		req, err := http.NewRequest(http.MethodPost, r.srv.URL+"/v1/offers/o/again", body)
 		if err != nil {
 			t.Fatal(err)
--- a/httpapi/deadline_test.go
+++ b/httpapi/deadline_test.go
@@ -15,12 +15,12 @@
 	read, write []time.Time
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) (err error) {
+func (d *deadlines) SetReadDeadline(t time.Time) error {
 	d.read = append(d.read, t)
 	return nil
 }
 
-func (d *deadlines) SetWriteDeadline(t time.Time) (err error) {
+func (d *deadlines) SetWriteDeadline(t time.Time) error {
 	d.write = append(d.write, t)
 	return nil
 }
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -15,7 +15,7 @@
 
 // AskWitnesses tells how an attempt ends before it is sent, or "" when it may be sent. spare is how long the witnesses may take
 // without harm; poll asks early, for a request that has no attempt yet.
-type AskWitnesses func(request string, spare time.Duration, poll bool) (how mallowbridge.How)
+type AskWitnesses func(request string, spare time.Duration, poll bool) mallowbridge.How
 
 // Limits bound what clients may send and how long replicas and clients may take.
 type Limits struct {
@@ -30,7 +30,7 @@
 }
 
 // DefaultLimits are the limits of production nodes.
-func DefaultLimits(maxBody, maxStreams int) (l Limits) {
+func DefaultLimits(maxBody, maxStreams int) Limits {
 	return Limits{
 		MaxBody: maxBody, MaxStreams: maxStreams, Dial: 500 * time.Millisecond, Head: 60 * time.Second, Line: 30 * time.Second,
 		Write: 10 * time.Second, LineBytes: 256 << 10,
@@ -62,7 +62,7 @@
 }
 
 // New gives a frontend that is open.
-func New(router *mallowbridge.RouterLoop, witness AskWitnesses, limits Limits) (f *Frontend) {
+func New(router *mallowbridge.RouterLoop, witness AskWitnesses, limits Limits) *Frontend {
 	return &Frontend{router: router, witness: witness, limits: limits, slots: make(chan struct{}, limits.MaxStreams)}
 }
 
@@ -73,10 +73,10 @@
 func (f *Frontend) Retire() { f.retired.Store(true) }
 
 // Open tells whether clients should be sent here.
-func (f *Frontend) Open() (yes bool) { return !f.closed.Load() && !f.retired.Load() }
+func (f *Frontend) Open() bool { return !f.closed.Load() && !f.retired.Load() }
 
 // Running counts the requests under way.
-func (f *Frontend) Running() (n int) { return len(f.slots) }
+func (f *Frontend) Running() int { return len(f.slots) }
 
 // Exchange is one request of a client as it goes through the filters.
 type Exchange struct {
@@ -89,15 +89,15 @@
 }
 
 // Filter does one step of a request and tells whether it has answered it.
-type Filter func(x *Exchange) (answered bool)
+type Filter func(x *Exchange) bool
 
 // Handler serves one request.
-func (f *Frontend) Handler() (h bunrouter.HandlerFunc) {
+func (f *Frontend) Handler() bunrouter.HandlerFunc {
 	return f.chain(f.readHeaders, f.checkOpen, f.takeSlot, f.readBody, f.route)
 }
 
-func (f *Frontend) chain(filters ...Filter) (h bunrouter.HandlerFunc) {
-	return func(w http.ResponseWriter, r bunrouter.Request) (err error) {
+func (f *Frontend) chain(filters ...Filter) bunrouter.HandlerFunc {
+	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		x := &Exchange{w: w, r: r, release: func() {}}
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		defer func() { x.release() }()
@@ -134,26 +134,26 @@
 	_ = json.NewEncoder(x.w).Encode(a)
 }
 
-func (f *Frontend) bad(x *Exchange, status int, why string) (answered bool) {
+func (f *Frontend) bad(x *Exchange, status int, why string) bool {
 	f.Counters.Bad.Add(1)
 	f.answer(x, status, Answer{Outcome: mallowbridge.OutBad, Why: why}, 0)
 	return true
 }
 
-func (f *Frontend) reject(x *Exchange, why string, after time.Duration) (answered bool) {
+func (f *Frontend) reject(x *Exchange, why string, after time.Duration) bool {
 	f.Counters.Rejected.Add(1)
 	f.answer(x, http.StatusServiceUnavailable, Answer{Outcome: mallowbridge.OutDenied, Why: why}, after)
 	return true
 }
 
-func (f *Frontend) rejectRepeated(x *Exchange, why string) (answered bool) {
+func (f *Frontend) rejectRepeated(x *Exchange, why string) bool {
 	f.Counters.RejectedRepeated.Add(1)
 	f.answer(x, http.StatusConflict, Answer{Outcome: mallowbridge.OutRepeat, Why: why}, 0)
 	return true
 }
 
 // turnAway rejects a request that was not passed to the router, unless this node sent it before.
-func (f *Frontend) turnAway(x *Exchange, why string) (answered bool) {
+func (f *Frontend) turnAway(x *Exchange, why string) bool {
 	had := ""
 	f.router.Look(func(r *mallowbridge.Router) { had = r.AlreadyRan(x.r.Param("offer"), x.r.Param("kind"), x.request) })
 	if had != "" {
@@ -162,7 +162,7 @@
 	return f.reject(x, why, time.Second)
 }
 
-func (f *Frontend) checkOpen(x *Exchange) (answered bool) {
+func (f *Frontend) checkOpen(x *Exchange) bool {
 	if f.closed.Load() {
 		return f.turnAway(x, "draining")
 	}
@@ -170,7 +170,7 @@
 }
 
 // clean tells whether an id is 1 to max printable bytes without quotes.
-func clean(s string, max int) (ok bool) {
+func clean(s string, max int) bool {
 	if s == "" || len(s) > max {
 		return false
 	}
@@ -182,7 +182,7 @@
 	return true
 }
 
-func (f *Frontend) readHeaders(x *Exchange) (answered bool) {
+func (f *Frontend) readHeaders(x *Exchange) bool {
 	x.request = x.r.Header.Get("X-Request-Id")
 	if !clean(x.request, maxID) {
 		x.request = ""
@@ -195,7 +195,7 @@
 	return false
 }
 
-func (f *Frontend) readBody(x *Exchange) (answered bool) {
+func (f *Frontend) readBody(x *Exchange) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, int64(f.limits.MaxBody)))
 	if _, long := err.(*http.MaxBytesError); long {
 		return f.bad(x, http.StatusRequestEntityTooLarge, "body: must be at most "+strconv.Itoa(f.limits.MaxBody)+" bytes")
@@ -211,7 +211,7 @@
 	return false
 }
 
-func (f *Frontend) takeSlot(x *Exchange) (answered bool) {
+func (f *Frontend) takeSlot(x *Exchange) bool {
 	select {
 	case f.slots <- struct{}{}:
 		x.release = func() { <-f.slots }
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -41,8 +41,8 @@
 	r.desk.Tell(mallowbridge.Feed{})
 }
 
-func newRig(t *testing.T, first bool) (r *rig) {
-	r = &rig{t: t, tomb: &tomb.Tomb{}}
+func newRig(t *testing.T, first bool) *rig {
+	r := &rig{t: t, tomb: &tomb.Tomb{}}
 	clock := func() time.Duration { return time.Duration(r.now.Load()) }
 	m := sim.DefaultModel()
 	m.Base, m.PerToken, m.Every, m.Pieces, m.ColdFor = time.Millisecond, 0, time.Millisecond, 6, 0
@@ -96,17 +96,18 @@
 	resp.Body.Close()
 }
 
-func (r *rig) ask(kind, id string) (g ledger.Got) {
+func (r *rig) ask(kind, id string) ledger.Got {
 	a := standin.NewAgent(nil)
 	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Ask{
 		Request: id, Prefix: "p/100", TailTokens: 8, Kind: sim.KindLoad{Offer: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
-func (r *rig) ran() (runs []ledger.Ran) {
+func (r *rig) ran() []ledger.Ran {
 	r.srv.Close()
 	r.tomb.Kill(nil)
 	_ = r.tomb.Wait()
+	var runs []ledger.Ran
 	for i := range r.logs {
 		dec := json.NewDecoder(&r.logs[i])
 		for dec.More() {
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func flag(b bool) (n uint64) {
+func flag(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -19,7 +19,7 @@
 // Control is the node's control side: the daemon. Call gives an operation and waits for its answer; Look calls look in the goroutine that
 // owns the control state.
 type Control interface {
-	Call(op control.Op) (a control.Answer)
+	Call(op control.Op) control.Answer
 	Look(look func(n *control.Node))
 }
 
@@ -30,7 +30,7 @@
 	Frontend *Frontend
 	Router   *mallowbridge.RouterLoop
 	Clock    func() time.Duration
-	Extra    func() (counters map[string]uint64)
+	Extra    func() map[string]uint64
 }
 
 // Configuration is the answer to operators' calls that succeed: the version of this change, the newest one, and what holds there. The
@@ -72,7 +72,7 @@
 	r.GET("/v1/counters", o.counters)
 }
 
-func reply(w http.ResponseWriter, status int, v any) (err error) {
+func reply(w http.ResponseWriter, status int, v any) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
@@ -110,24 +110,24 @@
 	return reply(w, status, t)
 }
 
-func flaw(path, val, bound string) (err error) {
+func flaw(path, val, bound string) error {
 	return &config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}}
 }
 
 // changeID is the id by which a change that is sent again is known.
-func (o *Operations) changeID(r bunrouter.Request) (id string, err error) {
-	id = r.Header.Get("X-Change-Id")
+func (o *Operations) changeID(r bunrouter.Request) (string, error) {
+	id := r.Header.Get("X-Change-Id")
 	if !clean(id, 128) {
 		return "", flaw("X-Change-Id", strconv.Quote(id), "1 to 128 printable bytes, the same when a change is repeated")
 	}
 	return id, nil
 }
 
-func body(w http.ResponseWriter, r bunrouter.Request) (raw []byte, err error) {
+func body(w http.ResponseWriter, r bunrouter.Request) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
 }
 
-func open(w http.ResponseWriter, r bunrouter.Request) (d *config.Decoder, err error) {
+func open(w http.ResponseWriter, r bunrouter.Request) (*config.Decoder, error) {
 	raw, err := body(w, r)
 	if err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 	return o.answer(w, o.Control.Call(control.Put{ID: id, Expect: expect, Body: raw}))
 }
 
-func (o *Operations) zone(restore bool) (h bunrouter.HandlerFunc) {
+func (o *Operations) zone(restore bool) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (o *Operations) voters(op func(id string, names []string) control.Op) (h bunrouter.HandlerFunc) {
+func (o *Operations) voters(op func(id string, names []string) control.Op) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -28,8 +28,8 @@
 }
 
 // connect starts an attempt; stop ends it at once.
-func (f *Frontend) connect(x *Exchange, place mallowbridge.Decision) (c *replicaConn) {
-	c = &replicaConn{
+func (f *Frontend) connect(x *Exchange, place mallowbridge.Decision) *replicaConn {
+	c := &replicaConn{
 		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.ConnectionEvent), orders: make(chan mallowbridge.MoveKind, 2), quit: make(chan struct{}),
 	}
 	go c.run()
@@ -39,7 +39,7 @@
 func (c *replicaConn) stop() { close(c.quit) }
 
 // report gives the session an event; it is not ok once the attempt was stopped.
-func (c *replicaConn) report(s mallowbridge.ConnectionEvent) (ok bool) {
+func (c *replicaConn) report(s mallowbridge.ConnectionEvent) bool {
 	select {
 	case c.events <- s:
 		return true
@@ -90,9 +90,10 @@
 }
 
 // sendAndRead sends the request and reports the answer's head and lines until it ends or fails.
-func (c *replicaConn) sendAndRead(conn net.Conn) (err error) {
+func (c *replicaConn) sendAndRead(conn net.Conn) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(c.frontend.limits.Write))
 	req := c.request()
+	var err error
 	if err = req.Write(conn); err != nil {
 		return err
 	}
@@ -110,10 +111,10 @@
 }
 
 // readHead reads the head of an answer, of bounded length, and passes over interim ones.
-func readHead(conn net.Conn, req *http.Request) (resp *http.Response, err error) {
+func readHead(conn net.Conn, req *http.Request) (*http.Response, error) {
 	src := &io.LimitedReader{R: conn, N: headBytes}
 	r := bufio.NewReader(src)
-	resp, err = http.ReadResponse(r, req)
+	resp, err := http.ReadResponse(r, req)
 	for err == nil && resp.StatusCode/100 == 1 {
 		resp, err = http.ReadResponse(r, req)
 	}
@@ -121,7 +122,7 @@
 	return resp, err
 }
 
-func (c *replicaConn) readLines(conn net.Conn, body io.Reader) (err error) {
+func (c *replicaConn) readLines(conn net.Conn, body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), c.frontend.limits.LineBytes)
 	for {
@@ -133,7 +134,7 @@
 			continue
 		}
 		var l mallowbridge.Line
-		if err = json.Unmarshal(lines.Bytes(), &l); err != nil {
+		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return err
 		}
 		if !c.report(mallowbridge.Read{Go: c.placement.Go, Line: l}) {
@@ -142,8 +143,8 @@
 	}
 }
 
-func (c *replicaConn) request() (req *http.Request) {
-	req = &http.Request{
+func (c *replicaConn) request() *http.Request {
+	req := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.placement.Addr, Path: "/v1/run"}, Host: c.placement.Addr,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: true,
 		Body: io.NopCloser(bytes.NewReader(c.exchange.body)), ContentLength: int64(len(c.exchange.body)),
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -25,7 +25,7 @@
 }
 
 // route is the last filter: it runs the request to its end.
-func (f *Frontend) route(x *Exchange) (answered bool) {
+func (f *Frontend) route(x *Exchange) bool {
 	s := &session{
 		frontend: f, exchange: x, request: mallowbridge.RequestFlow{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
 		polled: make(chan mallowbridge.How, 1),
@@ -70,7 +70,7 @@
 }
 
 // perform does the moves in order and tells whether the request has ended.
-func (s *session) perform(moves []mallowbridge.Move) (final bool) {
+func (s *session) perform(moves []mallowbridge.Move) bool {
 	for _, m := range moves {
 		switch m.Kind {
 		case mallowbridge.Dial:
--- a/lease/clone.go
+++ b/lease/clone.go
@@ -13,13 +13,13 @@
 type still struct{}
 
 // Uint64 returns the highest number; bounded draws would reject zero for ever.
-func (still) Uint64() (n uint64) { return math.MaxUint64 }
+func (still) Uint64() uint64 { return math.MaxUint64 }
 
 var stillRand = rand.New(still{})
 
 // Clone returns an independent copy for a model checker.
-func (g *Grantor) Clone() (c *Grantor) {
-	c = &Grantor{}
+func (g *Grantor) Clone() *Grantor {
+	c := &Grantor{}
 	*c = *g
 	c.rows = map[string]*grantRow{}
 	for duty, row := range g.rows {
@@ -30,10 +30,10 @@
 }
 
 // Epoch is the newest epoch of the voters that the grantor knows.
-func (g *Grantor) Epoch() (epoch uint64) { return g.epoch }
+func (g *Grantor) Epoch() uint64 { return g.epoch }
 
 // AppendFingerprint appends all that decides the grantor's next answers; times count from now, and what is over is zero.
-func (g *Grantor) AppendFingerprint(b []byte, now time.Duration) (out []byte) {
+func (g *Grantor) AppendFingerprint(b []byte, now time.Duration) []byte {
 	b = appendNumbers(b, g.epoch, left(g.graceUntil, now))
 	for _, duty := range slices.Sorted(maps.Keys(g.rows)) {
 		row := g.rows[duty]
@@ -44,8 +44,8 @@
 }
 
 // Clone returns an independent copy for a model checker. Its backoff draws nothing, so that equal copies stay equal.
-func (h *Holder) Clone() (c *Holder) {
-	c = &Holder{}
+func (h *Holder) Clone() *Holder {
+	c := &Holder{}
 	*c = *h
 	c.rng = stillRand
 	c.high = maps.Clone(h.high)
@@ -66,20 +66,20 @@
 }
 
 // Expects tells whether a grant with that round id can still count.
-func (h *Holder) Expects(duty string, rid uint64) (yes bool) {
+func (h *Holder) Expects(duty string, rid uint64) bool {
 	l := h.leases[duty]
 	return l != nil && l.rid == rid
 }
 
 // Heard tells whether a disk granted in the present round.
-func (h *Holder) Heard(duty, disk string) (yes bool) {
+func (h *Holder) Heard(duty, disk string) bool {
 	l := h.leases[duty]
 	return l != nil && l.yes[disk]
 }
 
 // AppendFingerprint appends all that decides what the holder does next but for its waits, which Hurry ends, and for which disks
 // granted in the present round (Heard).
-func (h *Holder) AppendFingerprint(b []byte, now time.Duration) (out []byte) {
+func (h *Holder) AppendFingerprint(b []byte, now time.Duration) []byte {
 	b = appendNumbers(b, h.rid)
 	for _, duty := range slices.Sorted(maps.Keys(h.high)) {
 		b = appendNumbers(appendText(b, duty), h.high[duty])
@@ -92,17 +92,17 @@
 	return b
 }
 
-func left(until, now time.Duration) (n uint64) { return uint64(max(until-now, 0)) }
+func left(until, now time.Duration) uint64 { return uint64(max(until-now, 0)) }
 
-func appendNumbers(b []byte, ns ...uint64) (out []byte) {
+func appendNumbers(b []byte, ns ...uint64) []byte {
 	for _, n := range ns {
 		b = binary.AppendUvarint(b, n)
 	}
 	return b
 }
 
-func appendText(b []byte, s string) (out []byte) {
+func appendText(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func appendToken(b []byte, t Token) (out []byte) { return appendNumbers(b, t.Seat, t.N) }
+func appendToken(b []byte, t Token) []byte { return appendNumbers(b, t.Seat, t.N) }
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -6,7 +6,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-func voters(disks ...string) (vs []register.Voter) {
+func voters(disks ...string) []register.Voter {
+	var vs []register.Voter
 	for _, d := range disks {
 		vs = append(vs, register.Voter{Disk: d})
 	}
@@ -46,8 +47,8 @@
 	}
 }
 
-func newGrantorAt(disk string, epoch uint64) (g *Grantor) {
-	g = NewGrantor(disk, nil, 0)
+func newGrantorAt(disk string, epoch uint64) *Grantor {
+	g := NewGrantor(disk, nil, 0)
 	g.ChangeEpoch(-TTL, epoch)
 	return g
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -23,7 +23,7 @@
 }
 
 // Less says whether m is older than o.
-func (m Token) Less(o Token) (yes bool) {
+func (m Token) Less(o Token) bool {
 	return m.Seat < o.Seat || (m.Seat == o.Seat && m.N < o.N)
 }
 
@@ -48,8 +48,8 @@
 }
 
 // NewGrantor starts from what the disk kept. It grants nothing new before quietUntil, since it does not know what it granted when.
-func NewGrantor(disk string, kept map[string]Record, quietUntil time.Duration) (g *Grantor) {
-	g = &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: quietUntil}
+func NewGrantor(disk string, kept map[string]Record, quietUntil time.Duration) *Grantor {
+	g := &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: quietUntil}
 	for duty, r := range kept {
 		g.rows[duty] = &grantRow{Record: r, until: quietUntil}
 	}
@@ -64,11 +64,11 @@
 }
 
 // HandleRequest grants or refuses. With write set, the answer must wait until Records is durable; an answer without Disk is not sent.
-func (g *Grantor) HandleRequest(now time.Duration, m Request) (r Grant, write bool) {
+func (g *Grantor) HandleRequest(now time.Duration, m Request) (Grant, bool) {
 	if m.Disk != g.Disk {
 		return Grant{}, false
 	}
-	r = Grant{Rid: m.Rid, Disk: g.Disk, Duty: m.Duty}
+	r := Grant{Rid: m.Rid, Disk: g.Disk, Duty: m.Duty}
 	if m.Seat != g.epoch {
 		return r, false
 	}
@@ -82,7 +82,7 @@
 		r.Mark, r.Holder = cur.Mark, cur.Holder
 		return r, false
 	}
-	write = !same
+	write := !same
 	cur.Holder, cur.Mark, cur.until = m.Holder, m.Mark, now+TTL
 	r.OK, r.Mark, r.Holder = true, m.Mark, m.Holder
 	return r, write
@@ -96,8 +96,8 @@
 }
 
 // Records is what has to outlive a restart.
-func (g *Grantor) Records() (kept map[string]Record) {
-	kept = map[string]Record{}
+func (g *Grantor) Records() map[string]Record {
+	kept := map[string]Record{}
 	for duty, r := range g.rows {
 		if r.Holder != "" {
 			kept[duty] = r.Record
@@ -130,12 +130,12 @@
 }
 
 // NewHolder holds nothing yet; seed spreads its retries.
-func NewHolder(name string, seed uint64) (h *Holder) {
+func NewHolder(name string, seed uint64) *Holder {
 	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, high: map[string]uint64{}, rid: firstRid(name)}
 }
 
 // Holds tells the token under which the duty may be done now.
-func (h *Holder) Holds(now time.Duration, duty string) (m Token, ok bool) {
+func (h *Holder) Holds(now time.Duration, duty string) (Token, bool) {
 	c := h.leases[duty]
 	if c == nil || now >= c.until {
 		return Token{}, false
@@ -144,7 +144,7 @@
 }
 
 // Acquire asks for the duty, or for more time, when it is due; it is called again and again for as long as the duty is wanted.
-func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) (sends []Send) {
+func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) []Send {
 	c := h.leases[duty]
 	if c == nil {
 		c = &Lease{Duty: duty, Token: Token{Seat: seats.Seat, N: h.high[duty] + 1}}
@@ -162,6 +162,7 @@
 	}
 	h.rid++
 	c.rid, c.asked, c.yes, c.next, c.epoch = h.rid, now, map[string]bool{}, now+Renew, seats.Seat
+	var sends []Send
 	for _, v := range seats.All() {
 		sends = append(sends, Send{Disk: v.Disk, Msg: Request{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Token, Seat: seats.Seat}})
 	}
@@ -188,7 +189,7 @@
 }
 
 // Release gives the duty up.
-func (h *Holder) Release(duty string, seats *register.Value) (sends []Send) {
+func (h *Holder) Release(duty string, seats *register.Value) []Send {
 	c := h.leases[duty]
 	if c == nil {
 		return nil
@@ -199,8 +200,9 @@
 
 // releases gives a token up. It is never asked for again: its release may arrive after a later request, and would end a lease that its
 // holder counts on.
-func (h *Holder) releases(c *Lease, seats *register.Value) (sends []Send) {
+func (h *Holder) releases(c *Lease, seats *register.Value) []Send {
 	h.high[c.Duty] = max(h.high[c.Duty], c.Token.N)
+	var sends []Send
 	for _, v := range seats.All() {
 		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Token}})
 	}
@@ -208,7 +210,8 @@
 }
 
 // Held lists the duties that are wanted, in order.
-func (h *Holder) Held() (duties []string) {
+func (h *Holder) Held() []string {
+	var duties []string
 	for d := range h.leases {
 		duties = append(duties, d)
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -30,7 +30,7 @@
 
 func (r *rig) at(d time.Duration, do func()) { r.posts = append(r.posts, post{at: r.now + d, do: do}) }
 
-func (r *rig) clock(i int) (local time.Duration) { return time.Duration(float64(r.now) * r.drift[i]) }
+func (r *rig) clock(i int) time.Duration { return time.Duration(float64(r.now) * r.drift[i]) }
 
 func (r *rig) carry(i int, sends []Send) {
 	for _, s := range sends {
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -25,11 +25,11 @@
 	longDelay  = 5 * time.Second
 )
 
-func (s *storm) granterClock(disk string) (local time.Duration) {
+func (s *storm) granterClock(disk string) time.Duration {
 	return time.Duration(float64(s.now) * s.granterDrift[disk])
 }
 
-func (s *storm) delay() (d time.Duration) {
+func (s *storm) delay() time.Duration {
 	if s.rng.IntN(20) == 0 {
 		return time.Duration(s.rng.Int64N(int64(longDelay)))
 	}
@@ -97,15 +97,16 @@
 	}
 }
 
-func isSeated(v *register.Value, disk string) (yes bool) {
+func isSeated(v *register.Value, disk string) bool {
+	var yes bool
 	for _, o := range v.All() {
 		yes = yes || o.Disk == disk
 	}
 	return yes
 }
 
-func newStorm(seed uint64) (s *storm) {
-	s = &storm{rig: rig{rng: rand.New(rand.NewPCG(seed, 9)), granters: map[string]*Grantor{}, seats: &register.Value{Seat: seed % 2}}, granterDrift: map[string]float64{}}
+func newStorm(seed uint64) *storm {
+	s := &storm{rig: rig{rng: rand.New(rand.NewPCG(seed, 9)), granters: map[string]*Grantor{}, seats: &register.Value{Seat: seed % 2}}, granterDrift: map[string]float64{}}
 	drift := func() float64 { return 1 - clockError + 2*clockError*s.rng.Float64() }
 	for i := range 5 {
 		d := fmt.Sprint(i)
@@ -138,7 +139,8 @@
 }
 
 // play runs a minute and returns the steps in which someone held the duty.
-func (s *storm) play(t *testing.T, seed uint64) (held int) {
+func (s *storm) play(t *testing.T, seed uint64) int {
+	var held int
 	for s.now = 0; s.now < time.Minute; s.now += 10 * ms {
 		s.step()
 		s.trouble()
