--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -41,12 +41,12 @@
 }
 
 // New gives a scheduler without rows, which serves nothing until SetFeed.
-func New(cfg Config) (s *Scheduler) {
+func New(cfg Config) *Scheduler {
 	return &Scheduler{cfg: cfg, Index: prefixindex.New(cfg.Index), notServing: "no configuration yet"}
 }
 
 // AddReplica appends a replica whose prefix cache keeps that many tokens.
-func (s *Scheduler) AddReplica(r Replica, keepTokens int) (id int) {
+func (s *Scheduler) AddReplica(r Replica, keepTokens int) int {
 	r.factor = 1
 	s.Replicas = append(s.Replicas, r)
 	s.Index.Add(keepTokens)
@@ -62,7 +62,7 @@
 }
 
 // AddService appends a service.
-func (s *Scheduler) AddService(svc Service) (id int) {
+func (s *Scheduler) AddService(svc Service) int {
 	svc.holdTime = initialHoldTime
 	s.Services = append(s.Services, svc)
 	return len(s.Services) - 1
@@ -72,8 +72,8 @@
 type ClassID struct{ Service, Class int }
 
 // ClassesInUse are those that some request still refers to.
-func (s *Scheduler) ClassesInUse() (used map[ClassID]bool) {
-	used = map[ClassID]bool{}
+func (s *Scheduler) ClassesInUse() map[ClassID]bool {
+	used := map[ClassID]bool{}
 	for i := range s.Requests.rows {
 		if req := &s.Requests.rows[i]; req.live {
 			used[ClassID{req.Service, req.Class}] = true
@@ -108,7 +108,7 @@
 }
 
 // NotServing gives the reason why no request may be served now, or "".
-func (s *Scheduler) NotServing(now time.Duration) (why string) {
+func (s *Scheduler) NotServing(now time.Duration) string {
 	if s.notServing != "" {
 		return s.notServing
 	}
@@ -119,7 +119,8 @@
 }
 
 // Unsent counts admitted requests whose current attempt has not been sent.
-func (s *Scheduler) Unsent() (n int) {
+func (s *Scheduler) Unsent() int {
+	var n int
 	for i := range s.Requests.rows {
 		if s.Requests.rows[i].unsent(s) {
 			n++
@@ -150,7 +151,7 @@
 }
 
 // Arrive admits a request to the queue; the next Tick decides about it. Service, Class, Parts, Tail and Patience are the caller's.
-func (s *Scheduler) Arrive(now time.Duration, req Request) (id int) {
+func (s *Scheduler) Arrive(now time.Duration, req Request) int {
 	class := s.Services[req.Service].Classes[req.Class]
 	req.ArrivedAt, req.State, req.Replica, req.PrefillReplica = now, Waiting, -1, -1
 	req.Due = now + class.FirstTokenBound
@@ -161,14 +162,14 @@
 	if req.Patience > 0 {
 		req.Deadline = min(req.Deadline, now+req.Patience)
 	}
-	id = s.Requests.add(req)
+	id := s.Requests.add(req)
 	s.Counters.Arrived++
 	s.waiting = append(s.waiting, id)
 	return id
 }
 
 // Tick takes the time and gives all decisions since the last Tick, in order.
-func (s *Scheduler) Tick(now time.Duration) (actions []Action) {
+func (s *Scheduler) Tick(now time.Duration) []Action {
 	s.Counters.Steps++
 	s.Counters.Visited += uint64(s.Index.Open() + len(s.Requests.rows))
 	s.Index.Tick(now)
@@ -176,6 +177,7 @@
 	s.checkTimeouts(now)
 	s.judgeReplicas(now)
 	s.matchWaiting(now)
+	var actions []Action
 	actions, s.actions = s.actions, nil
 	return actions
 }
@@ -189,7 +191,7 @@
 )
 
 // Next is when the scheduler needs the time again without an event, if ever.
-func (s *Scheduler) Next(now time.Duration) (at time.Duration, any bool) {
+func (s *Scheduler) Next(now time.Duration) (time.Duration, bool) {
 	if len(s.waiting) > 0 {
 		return now + pollEvery, true
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func market(room int, kinds ...Class) (m *Scheduler) {
-	m = New(Defaults("n1", "a"))
+func market(room int, kinds ...Class) *Scheduler {
+	m := New(Defaults("n1", "a"))
 	o := m.AddService(Service{Name: "o", Classes: kinds, RetryShare: 0.2, RetryAllowance: 4, Base: 50 * time.Millisecond, PerToken: 200 * time.Microsecond, CrossZoneCost: 1})
 	for i := range 2 {
 		dom := string(rune('a' + i))
@@ -24,11 +24,12 @@
 
 const now = 3 * time.Second
 
-func only(t *testing.T, acts []Action, kinds ...ActionKind) (a Action) {
+func only(t *testing.T, acts []Action, kinds ...ActionKind) Action {
 	t.Helper()
 	if len(acts) != len(kinds) {
 		t.Fatalf("%+v, want kinds %v", acts, kinds)
 	}
+	var a Action
 	for i, k := range kinds {
 		if acts[i].Kind != k {
 			t.Fatalf("%+v, want kinds %v", acts, kinds)
@@ -142,7 +143,8 @@
 	}
 	for from := 0; from < 20000; from += 37 {
 		for _, span := range []int{1, 10, 100, 1000} {
-			in := func(ts []int) (n int) {
+			in := func(ts []int) int {
+				var n int
 				for _, t := range ts {
 					if t >= from && t < from+span {
 						n++
--- a/scheduler/service.go
+++ b/scheduler/service.go
@@ -19,7 +19,7 @@
 	Resumable bool
 }
 
-func (c *Class) routed() (yes bool) { return c.Attempts > 0 }
+func (c *Class) routed() bool { return c.Attempts > 0 }
 
 // Service is a model service and what its replicas have in common.
 type Service struct {
--- a/sim/answers.go
+++ b/sim/answers.go
@@ -7,10 +7,10 @@
 )
 
 // job makes the request's work; what is taken up is read as a longer prompt.
-func (i *Instance) job(k *socket, r *request) (j *job) {
+func (i *Instance) job(k *socket, r *request) *job {
 	q := r.try.want
 	stride := max(i.offer.Stride, 1)
-	j = &job{parts: q.parts, prompt: max(q.prompt+r.after*stride, 1), out: max((q.events-r.after)*stride, 1), work: q.work, rank: r.rank, until: r.until}
+	j := &job{parts: q.parts, prompt: max(q.prompt+r.after*stride, 1), out: max((q.events-r.after)*stride, 1), work: q.work, rank: r.rank, until: r.until}
 	run := fmt.Sprintf("%s.%d", i.ID, i.eng.seq+1)
 	headed := false
 	bad := ""
@@ -44,7 +44,7 @@
 }
 
 // spoil sends what a replica in trouble sends in the place of this packet, and tells whether the answer is over.
-func (i *Instance) spoil(k *socket, j *job, how string, p packet) (over bool) {
+func (i *Instance) spoil(k *socket, j *job, how string, p packet) bool {
 	w := i.s.w
 	k.harm()
 	switch how {
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -78,7 +78,7 @@
 	orders   map[string][]stamp
 }
 
-func newAudit(w *World) (a *Audit) {
+func newAudit(w *World) *Audit {
 	return &Audit{
 		w: w, emptyAt: map[string]fact{}, leftAt: map[string]fact{}, obeyed: map[string]uint64{}, bodies: map[uint64]string{},
 		guesses: map[guessKey]time.Duration{}, proofs: map[guessKey]bool{}, orders: map[string][]stamp{},
@@ -87,8 +87,8 @@
 
 // known tells from when on a node must count with a fact: a cut-off domain has until the cut heals for what was told
 // outside, and no node has longer.
-func (a *Audit) known(n *Node, f fact) (at time.Duration) {
-	at = f.at
+func (a *Audit) known(n *Node, f fact) time.Duration {
+	at := f.at
 	for _, s := range a.cuts {
 		if (n.Domain == s.domain) != (f.domain == s.domain) && at >= s.from-gossipTravel && at < s.until {
 			at = s.until
@@ -98,7 +98,7 @@
 }
 
 // late tells whether a node acts against a fact longer than it may; gos that only a cut excuses are counted.
-func (a *Audit) late(n *Node, f fact, within time.Duration) (yes bool) {
+func (a *Audit) late(n *Node, f fact, within time.Duration) bool {
 	if a.w.now-f.at <= within {
 		return false
 	}
@@ -151,7 +151,7 @@
 
 func (a *Audit) back(rep string) { delete(a.leftAt, rep) }
 
-func (a *Audit) due(n *Node) (mark uint64) {
+func (a *Audit) due(n *Node) uint64 {
 	for i := len(a.marks) - 1; i >= 0; i-- {
 		f := a.marks[i]
 		if a.w.now-f.at > orderWithin && a.w.now-a.known(n, f) > orderWithin {
@@ -187,7 +187,8 @@
 	}
 	a.w.Report.Seconds++
 	a.seconds = append(a.seconds, now)
-	in := func(ts []time.Duration) (k int) {
+	in := func(ts []time.Duration) int {
+		var k int
 		for i := len(ts) - 1; i >= 0 && now-ts[i] < secondWindow; i-- {
 			k++
 		}
@@ -227,7 +228,8 @@
 }
 
 // Obeyed tells for each accepted mark how long the slowest node took to obey it or a later one.
-func (a *Audit) Obeyed() (ms []int64) {
+func (a *Audit) Obeyed() []int64 {
+	var ms []int64
 	for _, s := range a.marks {
 		var slowest int64
 		for _, n := range a.w.Nodes {
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -13,7 +13,7 @@
 type Novelty struct{ Text string }
 
 // Since is the first build that reads the item.
-func (Novelty) Since() (build uint32) { return transport.Build + 1 }
+func (Novelty) Since() uint32 { return transport.Build + 1 }
 
 func init() { gob.RegisterName("xx", Novelty{}) }
 
@@ -25,7 +25,7 @@
 }
 
 // foreign tells whether this node's build would fail to read the message, or to make sense of it.
-func (n *Node) foreign(msg any) (yes bool) {
+func (n *Node) foreign(msg any) bool {
 	build := n.speaks()
 	switch m := msg.(type) {
 	case register.Promise:
@@ -45,7 +45,7 @@
 }
 
 // speaks is the build that the node says it is.
-func (n *Node) speaks() (build uint32) {
+func (n *Node) speaks() uint32 {
 	if n.build == 0 {
 		return transport.Build
 	}
@@ -55,9 +55,9 @@
 // manifestsBuild is the first build that reads manifests of documents.
 const manifestsBuild = 3
 
-func manifest(v *register.Value) (yes bool) { return v != nil && !v.Whole() }
+func manifest(v *register.Value) bool { return v != nil && !v.Whole() }
 
-func unknown(kind any, build uint32) (yes bool) {
-	later, is := kind.(interface{ Since() (build uint32) })
+func unknown(kind any, build uint32) bool {
+	later, is := kind.(interface{ Since() uint32 })
 	return is && later.Since() > build
 }
--- a/sim/calls.go
+++ b/sim/calls.go
@@ -25,7 +25,7 @@
 // GoneError says that a node went down before it answered.
 type GoneError struct{ Node string }
 
-func (e *GoneError) Error() (text string) { return e.Node + " went down with the answer" }
+func (e *GoneError) Error() string { return e.Node + " went down with the answer" }
 
 // Put puts a configuration at a node and has it audited.
 func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -14,7 +14,7 @@
 
 const bigRoutes = 400
 
-func isIdle(r config.Route) (yes bool) { return len(r.Name) > 4 && r.Name[:4] == "idle" }
+func isIdle(r config.Route) bool { return len(r.Name) > 4 && r.Name[:4] == "idle" }
 
 // vary moves, splits, adds and drops idle routes, and changes time-outs of all.
 func (o *operators) vary(c *config.Config) {
--- a/sim/client.go
+++ b/sim/client.go
@@ -33,7 +33,7 @@
 }
 
 // data is the n-th event, or the whole answer, of one run.
-func (q *want) data(n int, run string) (raw []byte) {
+func (q *want) data(n int, run string) []byte {
 	if !q.class.Streaming {
 		return fmt.Appendf(nil, "%s of %s", q.id, run)
 	}
--- a/sim/config.go
+++ b/sim/config.go
@@ -12,7 +12,7 @@
 type doc = map[string]any
 
 // varied makes configurations that change what traffic does: replicas, rooms, roles, domains and kinds come and go.
-func (w *World) varied(large bool) (body []byte) {
+func (w *World) varied(large bool) []byte {
 	w.asks++
 	var d doc
 	if err := json.Unmarshal(w.S.Charter, &d); err != nil {
@@ -62,10 +62,11 @@
 }
 
 // padding is real work for a reader: hundreds of offers, thousands of kinds, thousands of replicas that are down.
-func padding() (offers []any) {
+func padding() []any {
 	rng := rand.New(rand.NewPCG(3, 43))
 	long := strings.Repeat("x", 44)
 	size := 0
+	var offers []any
 	for i := 0; size < largeBytes; i++ {
 		var reps, kinds []any
 		for j := range 12 {
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -18,12 +18,12 @@
 	reps     map[string]config.Replica
 }
 
-func (a *Audit) offered(expect uint64, body []byte) (c *content) {
+func (a *Audit) offered(expect uint64, body []byte) *content {
 	ch, err := config.Read(body)
 	if err != nil {
 		panic(err)
 	}
-	c = &content{mark: expect + 1, kinds: map[string]bool{}, reps: map[string]config.Replica{}}
+	c := &content{mark: expect + 1, kinds: map[string]bool{}, reps: map[string]config.Replica{}}
 	for _, o := range ch.Offers {
 		for _, k := range o.Kinds {
 			c.kinds[o.Name+"/"+k.Name] = k.Repeatable
@@ -43,8 +43,9 @@
 	c.denied = errors.As(a.Err, &conflict) || errors.As(a.Err, &unreached)
 }
 
-func (a *Audit) inForce(due uint64) (cs []*content) {
+func (a *Audit) inForce(due uint64) []*content {
 	var base *content
+	var cs []*content
 	for _, c := range a.contents {
 		switch {
 		case c.denied:
--- a/sim/days.go
+++ b/sim/days.go
@@ -11,10 +11,10 @@
 	Name string
 	// Least is the share of requests that must be served.
 	Least  float64
-	Faults func(s SiteSpec, rng *rand.Rand) (fs []Fault)
+	Faults func(s SiteSpec, rng *rand.Rand) []Fault
 	Lasts  time.Duration
 	// Close comes right after the last acknowledgement of the day.
-	Close func(s SiteSpec, rng *rand.Rand, acked string) (fs []Fault)
+	Close func(s SiteSpec, rng *rand.Rand, acked string) []Fault
 	Loss  float64
 	// Traffic is the share of the site's traffic, all of it for 0.
 	Traffic float64
@@ -25,12 +25,12 @@
 const dayLasts = 32 * sec
 
 // Scenario is the day played at a site with a seed.
-func (d Day) Scenario(spec SiteSpec, seed uint64) (s Scenario) {
+func (d Day) Scenario(spec SiteSpec, seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 73))
 	if d.Traffic > 0 {
 		spec = spec.scaled(d.Traffic)
 	}
-	s = Scenario{Seed: seed, Site: &spec, Lasts: dayLasts, Loss: d.Loss, Older: d.Older}
+	s := Scenario{Seed: seed, Site: &spec, Lasts: dayLasts, Loss: d.Loss, Older: d.Older}
 	if d.Lasts > 0 {
 		s.Lasts = d.Lasts
 	}
@@ -56,7 +56,7 @@
 }
 
 // closing has a document taken, and the fault strike in the same moment.
-func (s *site) closing(faults func(acked string) (fs []Fault)) {
+func (s *site) closing(faults func(acked string) []Fault) {
 	s.ops.acked = func(n *Node) {
 		for _, f := range faults(n.Name) {
 			s.w.Break(f)
@@ -66,7 +66,8 @@
 	s.ops.put(s.ops.vary, nil)
 }
 
-func disks(s SiteSpec) (names []string) {
+func disks(s SiteSpec) []string {
+	var names []string
 	for _, n := range s.Shape.Nodes {
 		if n.Disk {
 			names = append(names, n.Name)
@@ -81,7 +82,8 @@
 
 // each repeats a trouble of one kind, on so many of the names each time.
 func each(kind string, times int, gap, d time.Duration, names []string, n int) func(*rand.Rand) []Fault {
-	return func(rng *rand.Rand) (fs []Fault) {
+	return func(rng *rand.Rand) []Fault {
+		var fs []Fault
 		for i := range times {
 			fs = append(fs, one(kind, 12*sec+time.Duration(i)*gap, d, some(rng, names, n)...))
 		}
@@ -90,11 +92,12 @@
 }
 
 // Days are all days that the tests play.
-func Days() (all []Day) { return append(append(replicaDays(), nodeDays()...), orderDays()...) }
+func Days() []Day { return append(append(replicaDays(), nodeDays()...), orderDays()...) }
 
-func replicaDays() (all []Day) {
+func replicaDays() []Day {
 	llm := func(kind string, d time.Duration, at ...time.Duration) func(SiteSpec, *rand.Rand) []Fault {
-		return func(s SiteSpec, _ *rand.Rand) (fs []Fault) {
+		return func(s SiteSpec, _ *rand.Rand) []Fault {
+			var fs []Fault
 			for _, t := range at {
 				fs = append(fs, one(kind, t, d, s.Offers[0].Name))
 			}
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -8,7 +8,7 @@
 // DiskError says why a simulated disk refused an operation.
 type DiskError struct{ What string }
 
-func (e *DiskError) Error() (text string) { return "disk: " + e.What }
+func (e *DiskError) Error() string { return "disk: " + e.What }
 
 type file struct {
 	kept, now []byte
@@ -27,11 +27,11 @@
 }
 
 // NewDisk makes an empty disk.
-func NewDisk(seed uint64) (d *Disk) {
+func NewDisk(seed uint64) *Disk {
 	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, CutAt: -1}
 }
 
-func (d *Disk) spent() (err error) {
+func (d *Disk) spent() error {
 	d.Writes++
 	if d.CutAt >= 0 && d.Writes > d.CutAt {
 		return &DiskError{What: "power is gone"}
@@ -51,7 +51,7 @@
 	return slices.Clone(f.now), true, nil
 }
 
-func (d *Disk) get(name string) (f *file) {
+func (d *Disk) get(name string) *file {
 	if d.files[name] == nil {
 		d.files[name] = &file{}
 	}
@@ -59,8 +59,8 @@
 }
 
 // Write replaces a file. It fails with a DiskError, as the other operations that write do.
-func (d *Disk) Write(name string, data []byte) (err error) {
-	if err = d.spent(); err != nil {
+func (d *Disk) Write(name string, data []byte) error {
+	if err := d.spent(); err != nil {
 		return err
 	}
 	d.get(name).now = slices.Clone(data)
@@ -68,8 +68,8 @@
 }
 
 // Append adds to a file.
-func (d *Disk) Append(name string, data []byte) (err error) {
-	if err = d.spent(); err != nil {
+func (d *Disk) Append(name string, data []byte) error {
+	if err := d.spent(); err != nil {
 		return err
 	}
 	f := d.get(name)
@@ -78,7 +78,7 @@
 }
 
 // Truncate shortens a file.
-func (d *Disk) Truncate(name string, size int) (err error) {
+func (d *Disk) Truncate(name string, size int) error {
 	f := d.get(name)
 	if len(f.now) > size {
 		f.now = slices.Clone(f.now[:size])
@@ -87,8 +87,8 @@
 }
 
 // Sync makes a file's contents durable.
-func (d *Disk) Sync(name string) (err error) {
-	if err = d.spent(); err != nil {
+func (d *Disk) Sync(name string) error {
+	if err := d.spent(); err != nil {
 		return err
 	}
 	if d.BadSync {
@@ -100,8 +100,8 @@
 }
 
 // SyncFolder makes the files' names durable.
-func (d *Disk) SyncFolder() (err error) {
-	if err = d.spent(); err != nil {
+func (d *Disk) SyncFolder() error {
+	if err := d.spent(); err != nil {
 		return err
 	}
 	for _, f := range d.files {
@@ -124,7 +124,7 @@
 	d.CutAt, d.Full, d.BadSync = -1, false, false
 }
 
-func (d *Disk) torn(kept, now []byte) (left []byte) {
+func (d *Disk) torn(kept, now []byte) []byte {
 	if slices.Equal(kept, now) {
 		return kept
 	}
@@ -138,7 +138,7 @@
 	case 1:
 		return slices.Clone(now[:same+d.rng.IntN(len(now)-same+1)])
 	}
-	left = slices.Clone(now)
+	left := slices.Clone(now)
 	for i := same; i < len(left); i++ {
 		if d.rng.IntN(4) == 0 {
 			left[i] = 0
@@ -148,8 +148,8 @@
 }
 
 // Copy is what a power cut would leave at best: all that was synced.
-func (d *Disk) Copy() (files map[string]*file) {
-	files = map[string]*file{}
+func (d *Disk) Copy() map[string]*file {
+	files := map[string]*file{}
 	for name, f := range d.files {
 		if f.named {
 			files[name] = &file{kept: slices.Clone(f.kept), now: slices.Clone(f.kept), named: true}
@@ -177,7 +177,7 @@
 }
 
 // Size is the length of a file in bytes.
-func (d *Disk) Size(name string) (n int) {
+func (d *Disk) Size(name string) int {
 	if d.files[name] == nil {
 		return 0
 	}
--- a/sim/document.go
+++ b/sim/document.go
@@ -14,13 +14,14 @@
 
 // A site's operators write a charter.Charter as JSON: routes, offers whose replicas are discovered, limits and a revision.
 
-func flawed(path, val, bound string) (err error) {
+func flawed(path, val, bound string) error {
 	return trace.Wrap(&config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}})
 }
 
 // readDocument is the charter.Reader of a site.
-func readDocument(raw []byte) (c config.Config, err error) {
-	if err = json.Unmarshal(raw, &c); err != nil {
+func readDocument(raw []byte) (config.Config, error) {
+	var c config.Config
+	if err := json.Unmarshal(raw, &c); err != nil {
 		return config.Config{}, flawed("$", err.Error(), "a charter")
 	}
 	if c.Revision == 0 {
@@ -53,7 +54,7 @@
 	return c, nil
 }
 
-func writeDocument(c config.Config) (raw []byte) {
+func writeDocument(c config.Config) []byte {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -63,10 +64,11 @@
 
 const siteHost = "site.example"
 
-func prefixOf(name string) (p string) { return "/" + name + "/" }
+func prefixOf(name string) string { return "/" + name + "/" }
 
 // first is the document that a day begins with.
-func (s SiteSpec) first() (c config.Config) {
+func (s SiteSpec) first() config.Config {
+	var c config.Config
 	c.Revision = 1
 	for _, o := range s.Offers {
 		c.Offers = append(c.Offers, config.Offer{
@@ -87,7 +89,7 @@
 }
 
 // idle is a route that only lookers use; it may go to any offer.
-func (s SiteSpec) idle(name string, offer int) (r config.Route) {
+func (s SiteSpec) idle(name string, offer int) config.Route {
 	plain := s.Classes[len(s.Classes)-1]
 	return config.Route{
 		Name: name, Host: siteHost, Prefix: prefixOf(name), Split: []config.WeightedOffer{{Offer: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
@@ -96,9 +98,9 @@
 }
 
 // An edit makes the next document of the one in place.
-type edit = func(cur []byte) (next []byte, err error)
+type edit = func(cur []byte) ([]byte, error)
 
-func revisionIn(cur []byte) (n uint64, err error) {
+func revisionIn(cur []byte) (uint64, error) {
 	if len(cur) == 0 {
 		return 0, nil
 	}
@@ -107,8 +109,8 @@
 }
 
 // putEdit replaces the whole document of the revision base.
-func putEdit(base uint64, raw []byte) (e edit) {
-	return func(cur []byte) (next []byte, err error) {
+func putEdit(base uint64, raw []byte) edit {
+	return func(cur []byte) ([]byte, error) {
 		at, err := revisionIn(cur)
 		if err != nil {
 			return nil, err
@@ -125,8 +127,8 @@
 }
 
 // patchEdit adds or replaces routes by name and removes others.
-func patchEdit(base, revision uint64, upsert []config.Route, remove []string) (e edit) {
-	return func(cur []byte) (next []byte, err error) {
+func patchEdit(base, revision uint64, upsert []config.Route, remove []string) edit {
+	return func(cur []byte) ([]byte, error) {
 		c, err := readDocument(cur)
 		if err != nil {
 			return nil, err
@@ -151,7 +153,8 @@
 }
 
 // routeFor finds the route of a request as the document has it, or nothing.
-func routeFor(c *config.Config, path string) (r *config.Route) {
+func routeFor(c *config.Config, path string) *config.Route {
+	var r *config.Route
 	for i := range c.Routes {
 		if o := &c.Routes[i]; strings.HasPrefix(path, o.Prefix) && (r == nil || len(o.Prefix) > len(r.Prefix)) {
 			r = o
--- a/sim/engine.go
+++ b/sim/engine.go
@@ -31,7 +31,7 @@
 	EngineSpec
 	q *queue
 	// Slow multiplies the time that everything takes.
-	Slow     func() (factor float64)
+	Slow     func() float64
 	cache    prefixCache
 	waiting  []*job
 	running  []*job
@@ -46,7 +46,7 @@
 }
 
 // NewEngine makes an engine that lives by the clock of the queue.
-func NewEngine(q *queue, s EngineSpec) (e *Engine) {
+func NewEngine(q *queue, s EngineSpec) *Engine {
 	return &Engine{EngineSpec: s, q: q, Slow: func() float64 { return 1 }, cache: newPrefixCache()}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // Take lets a job in, or turns it away when the queue is full or it is larger than the memory.
-func (e *Engine) Take(j *job) (ok bool) {
+func (e *Engine) Take(j *job) bool {
 	full := len(e.running) >= e.Slots || len(e.waiting)+e.arriving > 0
 	if (full && len(e.waiting)+e.arriving >= e.Queue) || (e.Memory > 0 && j.prompt+j.out > e.Memory) {
 		e.Refused++
@@ -151,7 +151,7 @@
 }
 
 // fits leaves room for what the batch goes on to make.
-func (e *Engine) fits(j *job) (yes bool) {
+func (e *Engine) fits(j *job) bool {
 	return e.Memory == 0 || len(e.running) == 0 || e.held+j.prompt+j.made <= e.Memory-e.Memory/64
 }
 
--- a/sim/engine_test.go
+++ b/sim/engine_test.go
@@ -12,12 +12,12 @@
 	events             int
 }
 
-func newTestEngine(s EngineSpec) (q *queue, e *Engine) {
-	q = &queue{}
+func newTestEngine(s EngineSpec) (*queue, *Engine) {
+	q := &queue{}
 	return q, NewEngine(q, s)
 }
 
-func (x *timed) job(q *queue, header string, prompt, out, rank int) (j *job) {
+func (x *timed) job(q *queue, header string, prompt, out, rank int) *job {
 	parts, _ := prefixindex.Parse(Prompt, header)
 	return &job{
 		parts: parts, prompt: prompt, out: out, rank: rank, begun: func() { x.begun = q.now }, late: func() {},
@@ -32,7 +32,7 @@
 	}
 }
 
-func spec() (s EngineSpec) { return llmOffer("o", 1, 100000).EngineSpec }
+func spec() EngineSpec { return llmOffer("o", 1, 100000).EngineSpec }
 
 func TestTokensComeMoreSlowlyInALargerBatch(t *testing.T) {
 	spans := map[int]time.Duration{}
@@ -65,7 +65,7 @@
 
 func TestKeptPartsAreNotReadAgainUntilTheyGiveWay(t *testing.T) {
 	q, e := newTestEngine(spec())
-	first := func(header string, prompt int) (took time.Duration) {
+	first := func(header string, prompt int) time.Duration {
 		var x timed
 		from := q.now
 		e.Take(x.job(q, header, prompt, 1, 0))
--- a/sim/eyes.go
+++ b/sim/eyes.go
@@ -13,12 +13,12 @@
 	alive     = 2 * time.Second
 )
 
-func (r *Rep) report() (p control.Probed) {
+func (r *Rep) report() control.Probed {
 	running, lag := r.m.Usage(r.w.now)
 	return control.Probed{Replica: r.Name, OK: true, InstanceID: r.m.Instance, Running: running, Leaving: r.Leaving, Lag: lag}
 }
 
-func (n *Node) cutFrom(r *Rep) (yes bool) {
+func (n *Node) cutFrom(r *Rep) bool {
 	return n.w.Net.blocked(n.Addr, r.addr()) || n.w.Net.blocked(r.addr(), n.Addr)
 }
 
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -50,7 +50,8 @@
 	Upgrade    = "upgrade"
 )
 
-func (w *World) nodes(names []string) (ns []*Node) {
+func (w *World) nodes(names []string) []*Node {
+	var ns []*Node
 	for _, name := range names {
 		if n := w.Node(name); n != nil {
 			ns = append(ns, n)
@@ -59,7 +60,8 @@
 	return ns
 }
 
-func (w *World) inDomain(domain string) (names []string) {
+func (w *World) inDomain(domain string) []string {
+	var names []string
 	for _, n := range w.Nodes {
 		if n.Domain == domain {
 			names = append(names, n.Name)
--- a/sim/gate.go
+++ b/sim/gate.go
@@ -70,7 +70,7 @@
 	})
 }
 
-func (f *flight) began() (yes bool) { return len(f.got.Pieces) > 0 }
+func (f *flight) began() bool { return len(f.got.Pieces) > 0 }
 
 func (f *flight) end(outcome string) {
 	if f.over {
@@ -177,7 +177,7 @@
 	})
 }
 
-func (c *conn) cutOff() (yes bool) {
+func (c *conn) cutOff() bool {
 	net := c.f.w.Net
 	return net.blocked(c.f.n.Addr, c.rep.addr()) || net.blocked(c.rep.addr(), c.f.n.Addr)
 }
--- a/sim/gauge.go
+++ b/sim/gauge.go
@@ -20,7 +20,7 @@
 }
 
 // Gauge breaks one thing at a time in a calm fleet under load and times how long the fleet takes, for each seed.
-func Gauge(shape Shape, from, seeds uint64) (rs []Measurement) {
+func Gauge(shape Shape, from, seeds uint64) []Measurement {
 	g := &gauge{shape: shape}
 	for g.seed = from; g.seed < from+seeds; g.seed++ {
 		g.lost("killed", func(n *Node) { n.kill() })
@@ -38,15 +38,15 @@
 	return g.rs
 }
 
-func (g *gauge) world() (w *World) {
-	w = New(Scenario{Seed: g.seed, Shape: g.shape, Load: Load{Kinds: g.shape.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}})
+func (g *gauge) world() *World {
+	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: Load{Kinds: g.shape.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}})
 	w.Boot()
 	w.Load(5*time.Second, 4*time.Minute)
 	w.run(12 * time.Second)
 	return w
 }
 
-func (g *gauge) read(name string, w *World, from time.Duration, until func() (yes bool)) {
+func (g *gauge) read(name string, w *World, from time.Duration, until func() bool) {
 	for !until() && w.now < from+30*time.Second {
 		w.run(w.now + 5*time.Millisecond)
 	}
@@ -63,7 +63,7 @@
 	g.rs = append(g.rs, Measurement{Name: name, Ms: []int64{ms}})
 }
 
-func (w *World) others(n *Node, all bool, test func(o *Node) (yes bool)) (yes bool) {
+func (w *World) others(n *Node, all bool, test func(o *Node) bool) bool {
 	for _, o := range w.Nodes {
 		if o != n && o.Alive && !o.frozen && test(o) != all {
 			return !all
@@ -77,7 +77,7 @@
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	from := w.now
 	harm(n)
-	dead := func(o *Node) (yes bool) {
+	dead := func(o *Node) bool {
 		m, _ := o.node.Members.Table.Get(n.Name)
 		return m.State == membership.Dead
 	}
@@ -121,7 +121,7 @@
 func (g *gauge) handover() {
 	w := g.world()
 	duty := "probe/" + g.shape.Domains[w.rng.IntN(len(g.shape.Domains))]
-	holder := func() (n *Node) {
+	holder := func() *Node {
 		for _, o := range w.Nodes {
 			for _, d := range o.node.Holding(o.local()) {
 				if o.Alive && d == duty {
@@ -146,7 +146,7 @@
 	old := r.m.Instance
 	r.crash()
 	from := w.now
-	doubts := func(o *Node) (yes bool) { return o.router.Trusts(r.Name) != old }
+	doubts := func(o *Node) bool { return o.router.Trusts(r.Name) != old }
 	g.read("replica crashed: all nodes see it", w, from, func() bool { return w.others(nil, true, doubts) })
 	w.run(w.now + time.Second)
 	from = w.now
@@ -169,7 +169,7 @@
 	for _, n := range w.Nodes {
 		w.after(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
 	}
-	ready := func(n *Node) (yes bool) { return n.router.Ready(n.local()) == "" }
+	ready := func(n *Node) bool { return n.router.Ready(n.local()) == "" }
 	g.read("full stop: first node serves", w, from, func() bool { return w.others(nil, false, ready) })
 	g.read("full stop: all nodes serve", w, from, func() bool { return w.now > from+time.Second && w.others(nil, true, ready) })
 }
--- a/sim/guesses.go
+++ b/sim/guesses.go
@@ -15,15 +15,17 @@
 	part                 prefixindex.Key
 }
 
-func (c *conn) keeper() (r *Rep) {
+func (c *conn) keeper() *Rep {
 	if c.place.Prefill != "" {
 		return c.f.w.byURL[c.place.Prefill]
 	}
 	return c.rep
 }
 
-func (c *conn) keys() (keys []guessKey, tokens []int) {
+func (c *conn) keys() ([]guessKey, []int) {
 	parts, _ := prefixindex.Parse(Prompt, c.f.ask.Prefix)
+	var tokens []int
+	var keys []guessKey
 	for _, p := range parts {
 		keys, tokens = append(keys, guessKey{front: c.f.n.front, rep: c.keeper().Name, part: p.Key}), append(tokens, p.Tokens)
 	}
@@ -36,7 +38,7 @@
 	a.counted(f.n, f.ask.Request, c.place, keys, tokens, func(key guessKey) bool { return a.proof(f.n, c.keeper(), key) })
 }
 
-func (a *Audit) counted(n *Node, who string, place mallowbridge.Decision, keys []guessKey, tokens []int, proved func(key guessKey) (yes bool)) {
+func (a *Audit) counted(n *Node, who string, place mallowbridge.Decision, keys []guessKey, tokens []int, proved func(key guessKey) bool) {
 	sure, all, certain := 0, 0, true
 	for i, key := range keys {
 		proof := proved(key)
@@ -68,7 +70,9 @@
 	a.counted(t.n, t.c.id, t.ex.Place, keys, tokens, func(key guessKey) bool { return a.proofs[key] })
 }
 
-func (t *trip) keys() (keys []guessKey, tokens []int) {
+func (t *trip) keys() ([]guessKey, []int) {
+	var tokens []int
+	var keys []guessKey
 	for _, p := range t.c.want.parts {
 		keys, tokens = append(keys, guessKey{front: t.n.front, rep: t.ex.Place.Replica, part: p.Key}), append(tokens, p.Tokens)
 	}
@@ -82,7 +86,7 @@
 	}
 }
 
-func (a *Audit) proof(n *Node, r *Rep, key guessKey) (yes bool) {
+func (a *Audit) proof(n *Node, r *Rep, key guessKey) bool {
 	key.instance = r.m.Instance
 	if a.proofs[key] {
 		return true
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -21,15 +21,15 @@
 	Model Model
 	Meter Meter
 	// Next gives the load, in order of time; nil: none.
-	Next func() (a Ask)
+	Next func() Ask
 	// PutEvery is the time between changes of configuration; 0: only the first. Body gives the n-th.
 	PutEvery time.Duration
-	Body     func(n int) (raw []byte)
+	Body     func(n int) []byte
 	Far      time.Duration
 	// Roll spreads over so long when each node first looks at its replicas.
 	Roll time.Duration
 	// Clock is what inputs are timed by.
-	Clock func() (t time.Duration)
+	Clock func() time.Duration
 }
 
 // Meter sees what the machines of a hollow fleet do.
@@ -71,8 +71,8 @@
 }
 
 // NewHollow makes the fleet; nothing runs yet.
-func NewHollow(p HollowPlan) (h *Hollow) {
-	h = &Hollow{
+func NewHollow(p HollowPlan) *Hollow {
+	h := &Hollow{
 		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*HollowNode{},
 		reps: map[string]*Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
 		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Ends: map[string]int{},
@@ -91,7 +91,7 @@
 }
 
 // Now is the virtual time since the fleet was made.
-func (h *Hollow) Now() (t time.Duration) { return h.now }
+func (h *Hollow) Now() time.Duration { return h.now }
 
 // Run runs the fleet until that time.
 func (h *Hollow) Run(until time.Duration) { h.run(until) }
@@ -114,7 +114,7 @@
 	h.after(time.Second, h.found)
 }
 
-func (h *Hollow) node(name string) (n *HollowNode) {
+func (h *Hollow) node(name string) *HollowNode {
 	for _, n := range h.Nodes {
 		if n.Name == name {
 			return n
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -130,11 +130,11 @@
 	})
 }
 
-func (n *HollowNode) trip(rep string) (d time.Duration) {
+func (n *HollowNode) trip(rep string) time.Duration {
 	return n.h.net.delay(n.Domain == n.h.where[rep])
 }
 
-func (n *HollowNode) report(rep string, own bool) (p control.Probed) {
+func (n *HollowNode) report(rep string, own bool) control.Probed {
 	r := n.h.reps[rep]
 	running, lag := r.Usage(n.h.now)
 	return control.Probed{Replica: rep, Own: own, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
@@ -222,8 +222,8 @@
 }
 
 // HollowShape is a fleet of so many nodes and replicas over zones, with so many disks, offers and kinds of request each.
-func HollowShape(nodes, replicas, disks, offers int, zones []string) (s Shape) {
-	s = Shape{Name: "hollow", Voters: []string{"n1", "n2", "n3"}, Domains: zones}
+func HollowShape(nodes, replicas, disks, offers int, zones []string) Shape {
+	s := Shape{Name: "hollow", Voters: []string{"n1", "n2", "n3"}, Domains: zones}
 	for i := range nodes {
 		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Domain: zones[i%len(zones)], Disk: i < disks})
 	}
--- a/sim/hollowshape.go
+++ b/sim/hollowshape.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-func (s Shape) offers(replicas, offers int) (same Shape) {
+func (s Shape) offers(replicas, offers int) Shape {
 	var os []any
 	for o := range offers {
 		name := fmt.Sprintf("model%d", o+1)
@@ -32,13 +32,14 @@
 const HollowRoom = 12
 
 // HollowBody is the n-th change of a shape's configuration, padded by kinds that nobody asks for to about so many bytes.
-func HollowBody(s Shape, n, bytes int) (raw []byte) {
+func HollowBody(s Shape, n, bytes int) []byte {
 	var d doc
 	if err := json.Unmarshal(s.Charter, &d); err != nil {
 		panic(err)
 	}
 	d["replaceLostVoterMs"] = 15000 + n
 	offers := d["offers"].([]any)
+	var raw []byte
 	for size, at := len(s.Charter), 0; size < bytes; at++ {
 		var ks []any
 		for i := range 48 {
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -43,9 +43,9 @@
 	closesEvery = 50
 )
 
-func (s *site) launch(o *OfferSpec, domain, addr string, pace float64, cold bool) (i *Instance) {
+func (s *site) launch(o *OfferSpec, domain, addr string, pace float64, cold bool) *Instance {
 	s.born++
-	i = &Instance{
+	i := &Instance{
 		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Domain: domain, offer: o, pace: pace, eng: NewEngine(&s.w.queue, o.EngineSpec),
 		up: true, born: s.w.now, leaves: never, ends: never,
 	}
@@ -72,7 +72,7 @@
 	i.coldTill = i.s.w.now + i.offer.ColdFor
 }
 
-func (i *Instance) cold() (yes bool) {
+func (i *Instance) cold() bool {
 	return i.offer.ColdRate > 0 && i.s.w.now < i.coldTill
 }
 
@@ -103,7 +103,7 @@
 }
 
 // accept takes a new connection, unless too many are open.
-func (i *Instance) accept(k *socket) (ok bool) {
+func (i *Instance) accept(k *socket) bool {
 	if !i.up || len(i.sockets) >= i.offer.MaxConns {
 		return false
 	}
@@ -120,13 +120,13 @@
 	}
 }
 
-func (i *Instance) load() (l *mallowbridge.Load) {
+func (i *Instance) load() *mallowbridge.Load {
 	running, waiting, slots := i.eng.Load()
 	return &mallowbridge.Load{Replica: i.ID, Running: running, Waiting: waiting, Slots: slots}
 }
 
-func (i *Instance) head(r *request, status int) (h *head) {
-	h = &head{status: status, attempt: r.attempt, instance: i.ID, load: i.load(), shut: i.leaves != never}
+func (i *Instance) head(r *request, status int) *head {
+	h := &head{status: status, attempt: r.attempt, instance: i.ID, load: i.load(), shut: i.leaves != never}
 	return h
 }
 
@@ -157,7 +157,8 @@
 	k.job = j
 }
 
-func (i *Instance) recent() (n int) {
+func (i *Instance) recent() int {
+	var n int
 	for x := len(i.arrivals) - 1; x >= 0 && i.s.w.now-i.arrivals[x].at < time.Second; x-- {
 		n++
 	}
@@ -170,8 +171,8 @@
 	k.reply(packet{head: h, end: true})
 }
 
-func (i *Instance) row(at time.Duration) (r mallowbridge.Instance) {
-	r = mallowbridge.Instance{
+func (i *Instance) row(at time.Duration) mallowbridge.Instance {
+	r := mallowbridge.Instance{
 		ID: i.ID, Offer: i.offer.Name, Addr: i.Addr, Domain: i.Domain, Model: Prompt, Weights: "1", Room: i.offer.Slots, Leaving: i.leaves <= at,
 	}
 	if i.coldTill > 0 && i.chilled <= at {
@@ -181,7 +182,7 @@
 }
 
 // listed tells whether the list of that moment names the instance.
-func (i *Instance) listed(at time.Duration) (yes bool) {
+func (i *Instance) listed(at time.Duration) bool {
 	until := i.ends
 	if i.lost && until != never {
 		until += lingers
@@ -190,8 +191,8 @@
 }
 
 // shown is when the list first shows the instance as leaving or gone.
-func (i *Instance) shown() (at time.Duration) {
-	at = min(i.leaves, i.ends)
+func (i *Instance) shown() time.Duration {
+	at := min(i.leaves, i.ends)
 	if i.lost && i.leaves == never {
 		at = i.ends + lingers
 	}
--- a/sim/load.go
+++ b/sim/load.go
@@ -53,8 +53,8 @@
 }
 
 // NewSource makes a source; its request names begin with tag.
-func NewSource(l Load, seed uint64, tag string) (s *Source) {
-	s = &Source{load: l, rng: rand.New(rand.NewPCG(seed, 17)), tag: tag}
+func NewSource(l Load, seed uint64, tag string) *Source {
+	s := &Source{load: l, rng: rand.New(rand.NewPCG(seed, 17)), tag: tag}
 	shape := rand.New(rand.NewPCG(1, 19))
 	for _, k := range l.Kinds {
 		var ps []prefix
@@ -70,8 +70,8 @@
 	return s
 }
 
-func (s *Source) rate(at time.Duration) (r float64) {
-	r = s.load.Rate
+func (s *Source) rate(at time.Duration) float64 {
+	r := s.load.Rate
 	for _, c := range s.load.Crowds {
 		if at >= c.From && at < c.Until {
 			r *= c.Times
@@ -81,7 +81,7 @@
 }
 
 // Next is the next request; its time counts from the start of the load.
-func (s *Source) Next() (a Ask) {
+func (s *Source) Next() Ask {
 	s.next += time.Duration(s.rng.ExpFloat64() / s.rate(s.next) * float64(time.Second))
 	k := s.rng.IntN(len(s.load.Kinds))
 	pool := s.prefixes[k]
--- a/sim/net.go
+++ b/sim/net.go
@@ -30,21 +30,21 @@
 	CrossKind  map[string]uint64
 }
 
-func newNet(seed uint64) (n *Net) {
+func newNet(seed uint64) *Net {
 	return &Net{
 		rng: rand.New(rand.NewPCG(seed, 29)), links: map[[2]string]*link{}, Near: 300 * time.Microsecond, Far: 3 * time.Millisecond,
 		Jitter: 2 * time.Millisecond, cuts: map[int]func(from, to string) bool{}, CrossKind: map[string]uint64{},
 	}
 }
 
-func (n *Net) cut(blocked func(from, to string) bool) (heal func()) {
+func (n *Net) cut(blocked func(from, to string) bool) func() {
 	n.cutSeq++
 	id := n.cutSeq
 	n.cuts[id] = blocked
 	return func() { delete(n.cuts, id) }
 }
 
-func (n *Net) blocked(from, to string) (yes bool) {
+func (n *Net) blocked(from, to string) bool {
 	for _, c := range n.cuts {
 		if c(from, to) {
 			return true
@@ -53,15 +53,15 @@
 	return false
 }
 
-func (n *Net) delay(near bool) (d time.Duration) {
-	d = n.Far
+func (n *Net) delay(near bool) time.Duration {
+	d := n.Far
 	if near {
 		d = n.Near
 	}
 	return d + time.Duration(n.rng.Int64N(int64(n.Jitter)))
 }
 
-func (n *Net) copy(from, to string, msg any) (same any, size int) {
+func (n *Net) copy(from, to string, msg any) (any, int) {
 	key := [2]string{from, to}
 	l := n.links[key]
 	if l == nil {
@@ -74,14 +74,14 @@
 		panic(err)
 	}
 	l.buf.Write(frame)
-	same, err = l.r.Next()
+	same, err := l.r.Next()
 	if err != nil {
 		panic(err)
 	}
 	return same, len(frame)
 }
 
-func (n *Net) carry(from, to string, near bool, msg any, kind string) (copies []any, delays []time.Duration) {
+func (n *Net) carry(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
 	same, size := n.copy(from, to, msg)
 	n.Sent++
 	n.Bytes += uint64(size)
@@ -92,7 +92,7 @@
 	if n.blocked(from, to) || n.rng.Float64() < n.Loss {
 		return nil, nil
 	}
-	copies, delays = []any{same}, []time.Duration{n.delay(near)}
+	copies, delays := []any{same}, []time.Duration{n.delay(near)}
 	if n.rng.Float64() < n.Dup {
 		copies, delays = append(copies, same), append(delays, n.delay(near)+50*time.Millisecond)
 	}
--- a/sim/node.go
+++ b/sim/node.go
@@ -53,8 +53,8 @@
 	removed bool
 }
 
-func newNode(w *World, i int, s NodeShape) (n *Node) {
-	n = &Node{
+func newNode(w *World, i int, s NodeShape) *Node {
+	n := &Node{
 		w: w, Name: s.Name, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1), Domain: s.Domain,
 		skew: time.Duration(w.rng.Int64N(int64(100 * time.Hour))),
 		wall: time.Duration(w.whim.Int64N(int64(10 * time.Second))), asks: map[string]*flight{},
@@ -72,13 +72,14 @@
 	return n
 }
 
-func (n *Node) local() (now time.Duration) { return n.skew + n.w.now }
+func (n *Node) local() time.Duration { return n.skew + n.w.now }
 
-func (n *Node) unixMs() (ms uint64) { return uint64((w0 + n.w.now + n.wall) / time.Millisecond) }
+func (n *Node) unixMs() uint64 { return uint64((w0 + n.w.now + n.wall) / time.Millisecond) }
 
 const w0 = 1_700_000_000 * time.Second
 
-func (n *Node) seeds() (addrs []string) {
+func (n *Node) seeds() []string {
+	var addrs []string
 	for _, o := range n.w.Nodes[:3] {
 		addrs = append(addrs, o.Addr)
 	}
--- a/sim/nodedays.go
+++ b/sim/nodedays.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-func nodeDays() (all []Day) {
+func nodeDays() []Day {
 	return []Day{
 		{Name: "processes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return each(Kill, 4, 4*sec, 2*sec, nodeNames(s.Shape), 2)(rng)
@@ -22,27 +22,28 @@
 		{Name: "all are killed", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
 			return []Fault{one(Kill, 14*sec, sec, nodeNames(s.Shape)...)}
 		}},
-		{Name: "machines freeze", Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
-			fs = each(Freeze, 3, 5*sec, 3500*ms, nodeNames(s.Shape)[len(disks(s)):], 1)(rng)
+		{Name: "machines freeze", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := each(Freeze, 3, 5*sec, 3500*ms, nodeNames(s.Shape)[len(disks(s)):], 1)(rng)
 			return append(fs, one(Freeze, 15*sec, 2*sec, some(rng, disks(s), 1)...), one(PutStorm, 12*sec, 8*sec))
 		}},
 		{Name: "machines are stopped in turn", Least: 0.95, Lasts: 46 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return []Fault{one(Upgrade, 12*sec, 0, some(rng, nodeNames(s.Shape), 5)...)}
 		}},
-		{Name: "a domain's machines are stopped together", Least: 0.9, Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
+		{Name: "a domain's machines are stopped together", Least: 0.9, Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			var fs []Fault
 			for i, name := range namesIn(s.Shape, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]) {
 				fs = append(fs, one(Upgrade, 12*sec+time.Duration(i)*1100*ms, 0, name))
 			}
 			return append(fs, one(Burst, 11*sec, 12*sec))
 		}},
-		{Name: "machines are cut off", Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
-			fs = append(each(CutNode, 2, 9*sec, 5500*ms, nodeNames(s.Shape), 2)(rng), each(CutControl, 2, 8*sec, 5*sec, nodeNames(s.Shape), 1)(rng)...)
+		{Name: "machines are cut off", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			fs := append(each(CutNode, 2, 9*sec, 5500*ms, nodeNames(s.Shape), 2)(rng), each(CutControl, 2, 8*sec, 5*sec, nodeNames(s.Shape), 1)(rng)...)
 			return append(fs, one(PutStorm, 13*sec, 4*sec), one(Release, 14*sec, 0, s.Offers[0].Name))
 		}},
 		{Name: "core is cut", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
 			return []Fault{one(SplitCore, 13*sec, 5500*ms, disks(s)...), one(Change, 14*sec, 0), one(Change, 20*sec, 0), one(Release, 15*sec, 0, s.Offers[0].Name)}
 		}},
-		{Name: "clocks step", Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
+		{Name: "clocks step", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return append(each(ClockBack, 3, 5*sec, sec, nodeNames(s.Shape), 3)(rng), one(PutStorm, 13*sec, 8*sec))
 		}},
 		{Name: "disks are slow, stall and fill", Least: 0.95, Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
@@ -61,7 +62,8 @@
 			d := s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]
 			return []Fault{one(Power, 13*sec, 6*sec, namesIn(s.Shape, d)...), one(RepCrash, 13*sec, 6*sec, d), one(PutStorm, 14*sec, 4*sec)}
 		}},
-		{Name: "everything at once", Lasts: 50 * sec, Loss: 0.005, Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
+		{Name: "everything at once", Lasts: 50 * sec, Loss: 0.005, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			var fs []Fault
 			fs = append(fs, one(PutStorm, 11*sec, 30*sec), one(Empty, 18*sec, 8*sec, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]))
 			kinds := []string{Kill, Power, Freeze, CutNode, CutControl, ClockBack, RepCrash, RepDark, SlowDisk, StallDisk, Release, Burst, Garble}
 			hows := []string{"cut", "reset", "late", "junk", "silent"}
@@ -87,7 +89,7 @@
 	}
 }
 
-func orderDays() (all []Day) {
+func orderDays() []Day {
 	allDown := func(s SiteSpec, _ *rand.Rand, _ string) []Fault { return []Fault{one(AllDown, 0, sec)} }
 	return []Day{
 		{Name: "one change", Least: 0.99, Faults: fixedDay(one(Change, 13*sec, 0), one(Change, 18*sec, 0))},
@@ -122,7 +124,8 @@
 		{Name: "evacuated, then all power is lost", Lasts: 18 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return []Fault{one(Empty, 13*sec, 100*sec, s.Shape.Domains[0])}
 		}, Close: allDown},
-		{Name: "disks are lost after the word, one after the other", Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) (fs []Fault) {
+		{Name: "disks are lost after the word, one after the other", Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+			var fs []Fault
 			for i, name := range some(rng, disks(s), 3) {
 				at := 12*sec + time.Duration(i)*9*sec
 				fs = append(fs, one(Change, at-100*ms, 0), one(Wipe, at, 3*sec, name))
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -53,7 +53,7 @@
 	unclear
 )
 
-func fateOf(err error) (f fate) {
+func fateOf(err error) fate {
 	var conflict *register.ConflictError
 	var bad *config.InvalidError
 	switch {
@@ -179,12 +179,12 @@
 	}
 }
 
-func (o *operators) id() (id string) {
+func (o *operators) id() string {
 	o.n++
 	return fmt.Sprintf("order-%d", o.n)
 }
 
-func (o *operators) revision() (n uint64) {
+func (o *operators) revision() uint64 {
 	o.last += 1 + uint64(o.rng.IntN(3))
 	return o.last
 }
@@ -223,17 +223,18 @@
 	}})
 }
 
-func (v *version) clone() (c config.Config) {
-	c = v.doc
+func (v *version) clone() config.Config {
+	c := v.doc
 	c.Routes = append([]config.Route(nil), c.Routes...)
 	return c
 }
 
-func gone(old, fresh []config.Route) (names []string) {
+func gone(old, fresh []config.Route) []string {
 	kept := map[string]bool{}
 	for _, r := range fresh {
 		kept[r.Name] = true
 	}
+	var names []string
 	for _, r := range old {
 		if !kept[r.Name] {
 			names = append(names, r.Name)
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -51,7 +51,8 @@
 	}
 }
 
-func (w *World) someNode() (n *Node) {
+func (w *World) someNode() *Node {
+	var n *Node
 	for {
 		n = w.Nodes[w.rng.IntN(len(w.Nodes))]
 		if n.Alive && !n.frozen {
--- a/sim/prefixcache.go
+++ b/sim/prefixcache.go
@@ -13,12 +13,13 @@
 	tokens int
 }
 
-func newPrefixCache() (c prefixCache) {
+func newPrefixCache() prefixCache {
 	return prefixCache{kept: map[prefixindex.Key]*list.Element{}, order: list.New()}
 }
 
 // hit tells how many tokens need not be read: those of the first parts, up to the first one that is not held.
-func (c *prefixCache) hit(parts []prefixindex.Part) (tokens int) {
+func (c *prefixCache) hit(parts []prefixindex.Part) int {
+	var tokens int
 	for _, p := range parts {
 		if c.kept[p.Key] == nil {
 			break
@@ -29,7 +30,8 @@
 }
 
 // keep holds all parts, the first as the most recent one, and tells how many tokens came anew.
-func (c *prefixCache) keep(parts []prefixindex.Part) (fresh int) {
+func (c *prefixCache) keep(parts []prefixindex.Part) int {
+	var fresh int
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
 		if e := c.kept[p.Key]; e != nil {
--- a/sim/queue.go
+++ b/sim/queue.go
@@ -19,9 +19,9 @@
 }
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() (x any) {
+func (q *events) Pop() any {
 	old := *q
-	x = old[len(old)-1]
+	x := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return x
 }
--- a/sim/rep.go
+++ b/sim/rep.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (r *Rep) addr() (a string) { return "rep/" + r.Name }
+func (r *Rep) addr() string { return "rep/" + r.Name }
 
 func (r *Rep) start(born time.Duration) {
 	if r.lives++; r.m != nil {
@@ -91,7 +91,7 @@
 }
 
 // twist spoils one line of some answers: it is lost, repeated, or of another go or instance. An answer is whole only if all are right.
-func (r *Rep) twist(c *conn, l *mallowbridge.Line) (send bool) {
+func (r *Rep) twist(c *conn, l *mallowbridge.Line) bool {
 	if r.Twists == 0 || r.w.whim.IntN(r.Twists) > 0 {
 		return true
 	}
@@ -146,7 +146,8 @@
 	}
 }
 
-func sortedKeys[T any](m map[string]T) (keys []string) {
+func sortedKeys[T any](m map[string]T) []string {
+	var keys []string
 	for k := range m {
 		keys = append(keys, k)
 	}
--- a/sim/replica.go
+++ b/sim/replica.go
@@ -22,7 +22,7 @@
 }
 
 // DefaultModel is a replica of usual size.
-func DefaultModel() (m Model) {
+func DefaultModel() Model {
 	return Model{
 		Room: 8, Keep: 65536, Base: 60 * time.Millisecond, PerToken: 200 * time.Microsecond, Every: 15 * time.Millisecond,
 		Pieces: 24, ColdFor: 6 * time.Second, UsageLag: 300 * time.Millisecond,
@@ -66,13 +66,13 @@
 }
 
 // NewReplica makes an instance that started at now.
-func NewReplica(m Model, instance string, now time.Duration) (r *Replica) {
+func NewReplica(m Model, instance string, now time.Duration) *Replica {
 	return &Replica{
 		Model: m, Instance: instance, born: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
 	}
 }
 
-func (r *Replica) coldness(now time.Duration) (c float64) {
+func (r *Replica) coldness(now time.Duration) float64 {
 	if r.ColdFor <= 0 || now-r.born >= r.ColdFor {
 		return 0
 	}
@@ -80,7 +80,7 @@
 }
 
 // Bears is how many requests the replica may run at now, by how cold it is.
-func (r *Replica) Bears(now time.Duration) (n int) {
+func (r *Replica) Bears(now time.Duration) int {
 	return max(1, int(float64(r.Room)*(1-r.coldness(now)))) + 1
 }
 
@@ -163,7 +163,7 @@
 }
 
 // Usage is the number of running requests as the replica reports it, and by how much that lags behind.
-func (r *Replica) Usage(now time.Duration) (running int, lag time.Duration) {
+func (r *Replica) Usage(now time.Duration) (int, time.Duration) {
 	for i := len(r.history) - 1; i >= 0; i-- {
 		if r.history[i].at <= now-r.UsageLag {
 			return r.history[i].n, r.UsageLag
--- a/sim/report.go
+++ b/sim/report.go
@@ -49,7 +49,8 @@
 }
 
 // Total sums up all kinds.
-func (r *Report) Total() (k KindReport) {
+func (r *Report) Total() KindReport {
+	var k KindReport
 	for _, name := range sortedKeys(r.Kinds) {
 		o := r.Kinds[name]
 		k.Done += o.Done
@@ -64,7 +65,7 @@
 }
 
 // Quantile is the value below which the share q of the values lies; 0 for none.
-func Quantile(ms []int64, q float64) (v int64) {
+func Quantile(ms []int64, q float64) int64 {
 	if len(ms) == 0 {
 		return 0
 	}
@@ -74,7 +75,7 @@
 }
 
 // HitRate is the share of prefix tokens that replicas had cached.
-func (r *Report) HitRate() (share float64) {
+func (r *Report) HitRate() float64 {
 	return float64(r.CachedTokens) / float64(max(r.PrefixTokens, 1))
 }
 
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -51,7 +51,7 @@
 	lifted bool
 }
 
-func newRules(s *site) (r *rules) {
+func newRules(s *site) *rules {
 	return &rules{
 		s: s, evacs: map[string]*evacuation{}, asked: map[string][]time.Duration{}, again: map[string][]time.Duration{}, floors: map[uint64]floor{}, reopened: map[string]bool{},
 	}
@@ -101,7 +101,8 @@
 	}
 }
 
-func countIn(ts []time.Duration, from, until time.Duration) (n int) {
+func countIn(ts []time.Duration, from, until time.Duration) int {
+	var n int
 	for x := len(ts) - 1; x >= 0 && ts[x] > from; x-- {
 		if ts[x] <= until {
 			n++
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -32,7 +32,7 @@
 	r.versions = append(r.versions, v)
 }
 
-func (v *version) route(path string) (rt *config.Route) {
+func (v *version) route(path string) *config.Route {
 	rt, known := v.routes[path]
 	if !known {
 		rt = routeFor(&v.doc, path)
@@ -41,8 +41,8 @@
 	return rt
 }
 
-func (v *version) allows(path, offer string) (rt *config.Route) {
-	if rt = v.route(path); rt != nil {
+func (v *version) allows(path, offer string) *config.Route {
+	if rt := v.route(path); rt != nil {
 		for _, s := range rt.Split {
 			if s.Offer == offer && s.Weight > 0 {
 				return rt
@@ -53,8 +53,9 @@
 }
 
 // offers are those that any version sends the path to.
-func (r *rules) offers(path string) (names []string) {
+func (r *rules) offers(path string) []string {
 	seen := map[string]bool{}
+	var names []string
 	for _, v := range r.versions {
 		if rt := v.route(path); rt != nil && !v.refused {
 			for _, s := range rt.Split {
@@ -69,7 +70,8 @@
 }
 
 // due is the newest version that a request sent then must be handled by, or by a later one.
-func (r *rules) due(sent, within time.Duration) (revision uint64) {
+func (r *rules) due(sent, within time.Duration) uint64 {
+	var revision uint64
 	for _, v := range r.versions {
 		if v.acked > 0 && sent > v.acked+within {
 			revision = max(revision, v.revision)
@@ -79,7 +81,7 @@
 }
 
 // handled finds the least and the newest version that handle a request as it was.
-func (r *rules) handled(test func(v *version) (yes bool)) (least, newest *version, flawed bool) {
+func (r *rules) handled(test func(v *version) bool) (least, newest *version, flawed bool) {
 	for _, v := range r.versions {
 		if !test(v) {
 			continue
@@ -155,7 +157,8 @@
 	r.obeyed(n, c, least, newest, bound, must)
 }
 
-func (r *rules) newest() (v *version) {
+func (r *rules) newest() *version {
+	var v *version
 	for _, o := range r.versions {
 		if o.acked > 0 && (v == nil || o.revision > v.revision) {
 			v = o
--- a/sim/run.go
+++ b/sim/run.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Run plays a scenario from the start of the fleet to its end, with the checks that follow a full stop.
-func Run(s Scenario) (w *World) {
-	w = New(s)
+func Run(s Scenario) *World {
+	w := New(s)
 	w.Boot()
 	if s.Tune != nil {
 		s.Tune(w)
--- a/sim/scenes.go
+++ b/sim/scenes.go
@@ -11,30 +11,32 @@
 type Scene struct {
 	Name   string
 	Whole  bool
-	Faults func(s Shape, rng *rand.Rand) (fs []Fault)
+	Faults func(s Shape, rng *rand.Rand) []Fault
 	Change func(s *Scenario)
 }
 
 const sec = time.Second
 
-func one(kind string, at, d time.Duration, on ...string) (f Fault) {
+func one(kind string, at, d time.Duration, on ...string) Fault {
 	return Fault{At: at, Kind: kind, On: on, For: d}
 }
 
-func some(rng *rand.Rand, names []string, n int) (picked []string) {
-	picked = slices.Clone(names)
+func some(rng *rand.Rand, names []string, n int) []string {
+	picked := slices.Clone(names)
 	rng.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
 	return picked[:min(n, len(picked))]
 }
 
-func repNames() (names []string) {
+func repNames() []string {
+	var names []string
 	for i := range 18 {
 		names = append(names, fmt.Sprintf("r%d", i+1))
 	}
 	return names
 }
 
-func nodeNames(s Shape) (names []string) {
+func nodeNames(s Shape) []string {
+	var names []string
 	for _, n := range s.Nodes {
 		names = append(names, n.Name)
 	}
@@ -46,34 +48,37 @@
 }
 
 // Scenes are all scenes that the tests play.
-func Scenes() (all []Scene) {
+func Scenes() []Scene {
 	return append(append(trafficScenes(), controlScenes()...), mixedScenes()...)
 }
 
-func trafficScenes() (all []Scene) {
+func trafficScenes() []Scene {
 	return []Scene{
 		{Name: "calm", Faults: fixed()},
 		{Name: "crowd and hot key", Faults: fixed(), Change: func(s *Scenario) {
 			s.Load.HotShare = 0.4
 			s.Load.Crowds = []Crowd{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
 		}},
-		{Name: "replicas crash", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "replicas crash", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			for i := range 6 {
 				fs = append(fs, one(RepCrash, time.Duration(9+3*i)*sec, 3*sec, some(rng, repNames(), 2)...))
 			}
 			return append(fs, one(RepCrash, 20*sec, -1, some(rng, repNames(), 2)...))
 		}},
-		{Name: "replicas go dark", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "replicas go dark", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(RepDark, 10*sec, 12*sec, some(rng, repNames(), 3)...), one(RepDark, 20*sec, 10*sec, some(rng, repNames(), 3)...)}
 		}},
 		{Name: "rolling release", Faults: fixed(one(Release, 10*sec, 0, repNames()...)), Change: func(s *Scenario) { s.Lasts = 90 * sec }},
-		{Name: "our processes are killed", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "our processes are killed", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			for i := range 8 {
 				fs = append(fs, one(Kill, time.Duration(9+3*i)*sec, 2500*time.Millisecond, some(rng, nodeNames(s), 2)...))
 			}
 			return fs
 		}},
-		{Name: "machines freeze and wake", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "machines freeze and wake", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			for i := range 8 {
 				d := time.Duration(800+rng.IntN(7000)) * time.Millisecond
 				at := time.Duration(9+3*i) * sec
@@ -81,7 +86,7 @@
 			}
 			return append(fs, one(PutStorm, 10*sec, 15*sec))
 		}},
-		{Name: "domain is lost", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "domain is lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			d := s.Domains[rng.IntN(len(s.Domains))]
 			var reps []string
 			for i, r := range repNames() {
@@ -91,13 +96,14 @@
 			}
 			return []Fault{one(Power, 12*sec, 15*sec, namesIn(s, d)...), one(RepCrash, 12*sec, 15*sec, reps...)}
 		}},
-		{Name: "domain emptied and restored", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "domain emptied and restored", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(Empty, 12*sec, 10*sec, s.Domains[rng.IntN(len(s.Domains))]), one(Freeze, 11*sec, 8*sec, some(rng, nodeNames(s), 2)...)}
 		}},
 	}
 }
 
-func namesIn(s Shape, domain string) (names []string) {
+func namesIn(s Shape, domain string) []string {
+	var names []string
 	for _, n := range s.Nodes {
 		if n.Domain == domain {
 			names = append(names, n.Name)
@@ -106,16 +112,18 @@
 	return names
 }
 
-func controlScenes() (all []Scene) {
+func controlScenes() []Scene {
 	return []Scene{
-		{Name: "power lost just after yes", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "power lost just after yes", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 20*sec))
 			for i := range 10 {
 				fs = append(fs, one(Power, time.Duration(10000+2000*i+rng.IntN(900))*time.Millisecond, 800*time.Millisecond, some(rng, s.Voters, 1)...))
 			}
 			return fs
 		}},
-		{Name: "a second, later loss", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "a second, later loss", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 26*sec))
 			for i := range 5 {
 				at := time.Duration(10000+5000*i+rng.IntN(300)) * time.Millisecond
@@ -125,7 +133,8 @@
 			}
 			return fs
 		}},
-		{Name: "disks slow, stall, fill", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "disks slow, stall, fill", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 22*sec))
 			for i, k := range []string{SlowDisk, StallDisk, FullDisk, BadDisk} {
 				fs = append(fs, one(k, time.Duration(10+6*i)*sec, 4*sec, some(rng, s.Voters, 1)...))
@@ -133,20 +142,21 @@
 			return fs
 		}},
 		{Name: "core is split", Faults: fixed(one(SplitCore, 12*sec, 10*sec, "n1", "n2", "n3"), one(Race, 10*sec, 16*sec))},
-		{Name: "domain is cut off", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "domain is cut off", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(CutDomain, 12*sec, 10*sec, s.Domains[rng.IntN(len(s.Domains))]), one(PutStorm, 10*sec, 15*sec)}
 		}},
-		{Name: "single machines are cut off", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "single machines are cut off", Faults: func(s Shape, rng *rand.Rand) []Fault {
+			var fs []Fault
 			for i := range 5 {
 				fs = append(fs, one(CutNode, time.Duration(10+5*i)*sec, 4*sec, some(rng, nodeNames(s), 1)...))
 				fs = append(fs, one(CutOneWay, time.Duration(12+5*i)*sec, 3*sec, some(rng, nodeNames(s), 1)...))
 			}
 			return append(fs, one(PutStorm, 10*sec, 15*sec))
 		}},
-		{Name: "core comes back empty elsewhere", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "core comes back empty elsewhere", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 9*sec, 60*sec), one(Move, 12*sec, 2*sec, some(rng, s.Voters, 1)...), one(Move, 52*sec, 2*sec, some(rng, s.Voters, 1)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 100 * sec }},
-		{Name: "voters are swapped", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "voters are swapped", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			first, second := []string{"n2", "n3"}, []string{"n1", "n3"}
 			if s.Nodes[3].Disk {
 				first, second = append(first, "n4"), append(second, "n4")
@@ -157,15 +167,15 @@
 		{Name: "operators race", Faults: fixed(one(Race, 9*sec, 20*sec)), Change: func(s *Scenario) { s.Loss, s.Dup = 0.02, 0.02 }},
 		{Name: "configurations at their size limit", Faults: fixed(one(LargePuts, 9*sec, 8*sec), one(Power, 13*sec, 2*sec, "n2"))},
 		{Name: "all machines lose power", Faults: fixed(one(PutStorm, 9*sec, 6*sec), one(AllDown, 14*sec, 3*sec))},
-		{Name: "last fault at day's end", Faults: func(s Shape, rng *rand.Rand) (fs []Fault) {
+		{Name: "last fault at day's end", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 10*sec, 20*sec), one(Wipe, 35*sec, -1, some(rng, s.Voters, 1)...)}
 		}},
 	}
 }
 
 // Scenario is the scene played on a shape with a seed.
-func (sc Scene) Scenario(sh Shape, seed uint64) (s Scenario) {
-	s = Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: Load{Kinds: sh.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
+func (sc Scene) Scenario(sh Shape, seed uint64) Scenario {
+	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: Load{Kinds: sh.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
 	s.Faults = sc.Faults(sh, rand.New(rand.NewPCG(seed, 37)))
 	if sc.Change != nil {
 		sc.Change(&s)
--- a/sim/scenes_test.go
+++ b/sim/scenes_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func puts(fs []Fault) (any bool) {
+func puts(fs []Fault) bool {
 	return slices.ContainsFunc(fs, func(f Fault) bool { return f.Kind == PutStorm || f.Kind == Race || f.Kind == LargePuts })
 }
 
--- a/sim/shape.go
+++ b/sim/shape.go
@@ -26,33 +26,34 @@
 }
 
 // Tramites is the shape of the first of the two users' fleets.
-func Tramites() (s Shape) {
-	s, _ = Times("tramites", 1)
+func Tramites() Shape {
+	s, _ := Times("tramites", 1)
 	return s
 }
 
 // Atlas is the shape of the second of them.
-func Atlas() (s Shape) {
-	s, _ = Times("atlas", 1)
+func Atlas() Shape {
+	s, _ := Times("atlas", 1)
 	return s
 }
 
 // Times is a fleet of the same shape with several times the nodes and replicas, and as many disks.
-func Times(name string, k int) (s Shape, ok bool) {
+func Times(name string, k int) (Shape, bool) {
 	switch name {
 	case "tramites":
 		return shape(k, "tramites", "zoning", 12, 3, []string{"a", "b", "c"}, []string{"counter", "checklist", "dossier"}, 0.2), true
 	case "atlas":
 		return shape(k, "atlas", "logbook", 11, 4, []string{"a", "b", "c", "d"}, []string{"lookup", "award", "reconcile"}, 1), true
 	}
+	var s Shape
 	return s, false
 }
 
 // ShapeOf finds a shape by name.
-func ShapeOf(name string) (s Shape, ok bool) { return Times(name, 1) }
+func ShapeOf(name string) (Shape, bool) { return Times(name, 1) }
 
-func shape(k int, name, offer string, nodes, cores int, domains, kinds []string, cross float64) (s Shape) {
-	s = Shape{Name: name, Voters: []string{"n1", "n2", "n3"}, Domains: domains, Offer: offer}
+func shape(k int, name, offer string, nodes, cores int, domains, kinds []string, cross float64) Shape {
+	s := Shape{Name: name, Voters: []string{"n1", "n2", "n3"}, Domains: domains, Offer: offer}
 	for i := range k * nodes {
 		d := domains[i%len(domains)]
 		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Domain: d, Disk: i < cores})
--- a/sim/site.go
+++ b/sim/site.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func (s *site) stride(offer string) (n int) {
+func (s *site) stride(offer string) int {
 	for i := range s.spec.Offers {
 		if s.spec.Offers[i].Name == offer {
 			return max(s.spec.Offers[i].Stride, 1)
@@ -84,7 +84,8 @@
 	return 1
 }
 
-func (s *site) alive(offer string) (is []*Instance) {
+func (s *site) alive(offer string) []*Instance {
+	var is []*Instance
 	for _, i := range s.instances {
 		if i.up && (offer == "" || i.offer.Name == offer) && i.leaves == never {
 			is = append(is, i)
@@ -121,7 +122,7 @@
 	w.after(time.Second, s.poll)
 }
 
-func (s *site) pick(domain string) (n *Node) {
+func (s *site) pick(domain string) *Node {
 	ns := s.entries[domain]
 	for _, d := range s.spec.Shape.Domains {
 		if len(ns) == 0 {
--- a/sim/sitelist.go
+++ b/sim/sitelist.go
@@ -9,12 +9,12 @@
 // ListError says why the platform's list of replicas could not be read.
 type ListError struct{ Why string }
 
-func (e *ListError) Error() (text string) { return "list: " + e.Why }
+func (e *ListError) Error() string { return "list: " + e.Why }
 
 type window struct{ from, until time.Duration }
 
 // readable tells whether the list can be read.
-func (s *site) readable() (yes bool) {
+func (s *site) readable() bool {
 	for _, d := range s.downs {
 		if s.w.now >= d.from && s.w.now < d.until {
 			return false
@@ -24,8 +24,8 @@
 }
 
 // since tells how long the list could be read after that moment.
-func (s *site) since(at time.Duration) (d time.Duration) {
-	d = s.w.now - at
+func (s *site) since(at time.Duration) time.Duration {
+	d := s.w.now - at
 	for _, x := range s.downs {
 		d -= max(min(x.until, s.w.now)-max(x.from, at), 0)
 	}
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -54,8 +54,8 @@
 }
 
 // turn gives the router an event and sees to it that it is woken when it needs the time.
-func (n *Node) turn(ev mallowbridge.Event) (ds []mallowbridge.Decision) {
-	ds = n.router.Step(n.local(), ev)
+func (n *Node) turn(ev mallowbridge.Event) []mallowbridge.Decision {
+	ds := n.router.Step(n.local(), ev)
 	if n.w.site == nil {
 		return ds
 	}
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -25,7 +25,7 @@
 	lostShare  = 0.7
 )
 
-func (o *operators) loses() (yes bool) {
+func (o *operators) loses() bool {
 	for _, l := range o.losses {
 		if o.s.w.now >= l.from && o.s.w.now < l.until {
 			return o.rng.Float64() < l.share
@@ -55,7 +55,8 @@
 func (o *operators) gated(n *Node) bool { return n.frozen && !o.ungated }
 
 // base is the newest version that operators know to be or have been in force.
-func (o *operators) base() (v *version) {
+func (o *operators) base() *version {
+	var v *version
 	for _, x := range o.s.rules.versions {
 		if (x.acked > 0 || x.seen) && (v == nil || x.revision > v.revision) {
 			v = x
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -57,12 +57,12 @@
 }
 
 // chosen picks replicas at random, of the offer or domain that the fault names, or of any.
-func (s *site) chosen(f Fault, n int) (is []*Instance) {
+func (s *site) chosen(f Fault, n int) []*Instance {
 	offer := ""
 	if len(f.On) > 0 {
 		offer = f.On[0]
 	}
-	is = s.alive(offer)
+	is := s.alive(offer)
 	if slices.Contains(s.spec.Shape.Domains, offer) {
 		is = slices.DeleteFunc(s.alive(""), func(i *Instance) bool { return i.Domain != offer })
 	}
@@ -106,7 +106,7 @@
 }
 
 // address gives one that a replica, of another offer if possible, held before and that is free long enough; or a new one.
-func (s *site) address(o *OfferSpec) (addr string) {
+func (s *site) address(o *OfferSpec) string {
 	free := func(i *Instance) bool {
 		return !i.up && s.at[i.Addr] == i && s.w.now-i.ends > reuseAfter && i.offer != o
 	}
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -75,7 +75,7 @@
 }
 
 // Served is the share of requests that were served.
-func (r *SiteReport) Served() (share float64) {
+func (r *SiteReport) Served() float64 {
 	asked, served := 0, 0
 	for _, c := range r.Classes {
 		asked, served = asked+c.Asked, served+c.Served
@@ -96,10 +96,10 @@
 	fmt.Fprintf(out, "prompt parts in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", share(int(r.Cached), r.Prompted), share(r.Confirmed, r.Prompted), share(r.Predicted, r.Prompted))
 }
 
-func share(part int, of uint64) (percent float64) { return 100 * float64(part) / float64(max(of, 1)) }
+func share(part int, of uint64) float64 { return 100 * float64(part) / float64(max(of, 1)) }
 
 // Site reports of a world that plays one.
-func (w *World) Site() (r *SiteReport) { return &w.site.report }
+func (w *World) Site() *SiteReport { return &w.site.report }
 
 // finish reads back what was acknowledged and sums up.
 func (s *site) finish() {
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -69,7 +69,7 @@
 	trafficFrom = 10 * time.Second
 )
 
-func llmOffer(name string, replicas, memory int) (o OfferSpec) {
+func llmOffer(name string, replicas, memory int) OfferSpec {
 	return OfferSpec{
 		Name: name, Replicas: replicas, MaxConns: 640, ColdFor: 3 * time.Second, ColdRate: 20, Pace: []float64{1, 1, 1.3},
 		EngineSpec: EngineSpec{
@@ -79,11 +79,11 @@
 	}
 }
 
-func plainOffer(name string, replicas int) (o OfferSpec) {
+func plainOffer(name string, replicas int) OfferSpec {
 	return OfferSpec{Name: name, Replicas: replicas, MaxConns: 130, Pace: []float64{1}, EngineSpec: EngineSpec{Slots: 6, Queue: 24}}
 }
 
-func classes(llm, plain string, names [3]string, scale float64, aim, work, deadline time.Duration) (cs []TrafficClass) {
+func classes(llm, plain string, names [3]string, scale float64, aim, work, deadline time.Duration) []TrafficClass {
 	return []TrafficClass{
 		{
 			Name: names[0], Offer: llm, Rate: 16.2 * scale, Streaming: true, Repeatable: true, Resumable: true, Attempts: 2, Aim: 800 * time.Millisecond,
@@ -98,8 +98,8 @@
 }
 
 // TramitesSite is one of the two small sites of the users' platform.
-func TramitesSite() (s SiteSpec) {
-	s = SiteSpec{
+func TramitesSite() SiteSpec {
+	s := SiteSpec{
 		Shape: siteNodes("tramites site", 11, 3, 3), Far: 500 * time.Microsecond, Idle: 8, Bounds: smallBounds(), Tolerate: 1, ListRate: 44,
 		Offers: []OfferSpec{llmOffer("permisos", 9, 654078), plainOffer("borrador", 3)},
 	}
@@ -108,8 +108,8 @@
 }
 
 // AtlasSite is the other small site of the users' platform.
-func AtlasSite() (s SiteSpec) {
-	s = SiteSpec{
+func AtlasSite() SiteSpec {
+	s := SiteSpec{
 		Shape: siteNodes("atlas site", 12, 4, 4), Far: 900 * time.Microsecond, Idle: 8, Bounds: smallBounds(), Tolerate: 1, ListRate: 44,
 		Offers: []OfferSpec{llmOffer("logbook", 9, 729140), plainOffer("onair", 4)},
 	}
@@ -120,7 +120,8 @@
 }
 
 // SiteOf finds a site by name, with all its traffic at so many requests a second, or at its own rate for 0.
-func SiteOf(name string, rate float64) (s SiteSpec, ok bool) {
+func SiteOf(name string, rate float64) (SiteSpec, bool) {
+	var s SiteSpec
 	switch name {
 	case "tramites site":
 		s = TramitesSite()
@@ -151,7 +152,7 @@
 }
 
 // SiteTroubles are the kinds of fault that a site knows.
-func SiteTroubles() (kinds []string) {
+func SiteTroubles() []string {
 	return []string{
 		Kill, Power, Wipe, ClockBack, AllDown, Move, Freeze, CutNode, CutControl, SplitCore, SlowDisk, StallDisk, FullDisk, Upgrade, Empty, PutStorm, Change,
 		LargePuts, Race, BadPuts, ListDown, Burst, HotKey, RepCrash, RepDark, Release, ScaleIn, ScaleOut, Garble,
@@ -159,8 +160,8 @@
 }
 
 // siteNodes are machines over domains in turn, the first of each with a disk; three of those are the seeds.
-func siteNodes(name string, nodes, domains, disks int) (s Shape) {
-	s = Shape{Name: name}
+func siteNodes(name string, nodes, domains, disks int) Shape {
+	s := Shape{Name: name}
 	for i := range domains {
 		s.Domains = append(s.Domains, string(rune('a'+i)))
 	}
--- a/sim/sitetraffic.go
+++ b/sim/sitetraffic.go
@@ -62,16 +62,16 @@
 }
 
 // spread is a random size around a mean with a long tail.
-func (t *traffic) spread(mean int, sigma float64, most int) (n int) {
+func (t *traffic) spread(mean int, sigma float64, most int) int {
 	return min(max(int(float64(mean)*math.Exp(sigma*t.rng.NormFloat64()-sigma*sigma/2)), 1), most)
 }
 
-func (t *traffic) want(class int, hot float64) (q *want) {
+func (t *traffic) want(class int, hot float64) *want {
 	s := t.s
 	c := &s.spec.Classes[class]
 	t.n++
 	domains := s.spec.Shape.Domains
-	q = &want{
+	q := &want{
 		s: s, id: fmt.Sprintf("q%d", t.n), class: c, path: prefixOf(c.Name) + "x", domain: domains[t.rng.IntN(len(domains))], at: s.w.now,
 		until: s.w.now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.Work), 0.5, 7*int(c.Work))),
 	}
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -51,7 +51,7 @@
 	held     []func()
 	since    time.Duration
 	broken   bool
-	stuck    func() (yes bool)
+	stuck    func() bool
 	fail     func()
 }
 
@@ -103,8 +103,8 @@
 	job      *job
 }
 
-func newSocket(n *Node, to *Instance, key string) (k *socket) {
-	k = &socket{n: n, life: n.life, to: to, key: key}
+func newSocket(n *Node, to *Instance, key string) *socket {
+	k := &socket{n: n, life: n.life, to: to, key: key}
 	near := n.Domain == to.Domain
 	k.up = &pipe{s: to.s, from: n.Addr, to: to.addr(), near: near, fail: func() { k.take(packet{reset: true}) }}
 	k.down = &pipe{s: to.s, from: to.addr(), to: n.Addr, near: near, fail: func() { to.hangup(k) }}
@@ -113,10 +113,10 @@
 	return k
 }
 
-func (i *Instance) addr() (a string) { return "rep/" + i.Addr }
+func (i *Instance) addr() string { return "rep/" + i.Addr }
 
 // unplugged tells that the machine lost its power, so that nobody answers for that life any more.
-func (n *Node) unplugged(life uint64) (yes bool) { return n.life != life && n.dark }
+func (n *Node) unplugged(life uint64) bool { return n.life != life && n.dark }
 
 func (k *socket) reply(p packet) {
 	if slices.Contains(k.to.sockets, k) {
@@ -161,12 +161,13 @@
 }
 
 // kept gives a connection that is still good; or tells that a new one may be opened, which is counted already.
-func (p pool) kept(now time.Duration, instance, attempt string, conns int) (k *socket, capped bool) {
+func (p pool) kept(now time.Duration, instance, attempt string, conns int) (*socket, bool) {
 	s := p[instance]
 	if s == nil {
 		s = &shelf{}
 		p[instance] = s
 	}
+	var k *socket
 	for len(s.idle) > 0 {
 		k = s.idle[len(s.idle)-1]
 		s.idle = s.idle[:len(s.idle)-1]
--- a/sim/touch.go
+++ b/sim/touch.go
@@ -38,7 +38,7 @@
 }
 
 // still tells that nothing disturbed a node, or the core, in that time and Bounds.Touch before.
-func (r *rules) still(node string, from, until time.Duration) (yes bool) {
+func (r *rules) still(node string, from, until time.Duration) bool {
 	for _, t := range r.troubles {
 		if t.node == node && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
 			return false
@@ -47,12 +47,12 @@
 	return true
 }
 
-func (r *rules) inTouch(n *Node, now time.Duration) (yes bool) {
+func (r *rules) inTouch(n *Node, now time.Duration) bool {
 	return r.still(n.Name, now, now) && r.still("", now, now)
 }
 
 // within is how long after its acknowledgement a node must obey an order, and whether it must.
-func (r *rules) within(n *Node, q *request, bound time.Duration) (t time.Duration, must bool) {
+func (r *rules) within(n *Node, q *request, bound time.Duration) (time.Duration, bool) {
 	switch {
 	case q.calm:
 		return bound, true
@@ -63,7 +63,7 @@
 }
 
 // majority tells that most of the core ran and was joined for long before now.
-func (r *rules) majority(now time.Duration) (yes bool) {
+func (r *rules) majority(now time.Duration) bool {
 	for _, t := range r.troubles {
 		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-r.s.spec.Bounds.Outer-r.s.spec.Bounds.Touch {
 			return false
@@ -73,7 +73,7 @@
 }
 
 // unplanned tells that something nobody planned happened anywhere in that time or Bounds.Touch before.
-func (r *rules) unplanned(from, until time.Duration) (yes bool) {
+func (r *rules) unplanned(from, until time.Duration) bool {
 	for _, t := range r.troubles {
 		if !t.planned && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
 			return true
@@ -83,7 +83,7 @@
 }
 
 // leaving tells that the node was being stopped on purpose at some time of the span, and since when.
-func (r *rules) leaving(node string, from, until time.Duration) (since time.Duration, yes bool) {
+func (r *rules) leaving(node string, from, until time.Duration) (time.Duration, bool) {
 	for _, t := range r.troubles {
 		if t.planned && t.node == node && t.from <= until && t.until >= from {
 			return t.from, true
--- a/sim/trip.go
+++ b/sim/trip.go
@@ -48,11 +48,11 @@
 	eventBytes = 1 << 20
 )
 
-func (n *Node) begin(c *try) (t *trip) {
+func (n *Node) begin(c *try) *trip {
 	s := n.w.site
 	n.tripSeq++
 	name := n.front + "-" + strconv.Itoa(n.tripSeq)
-	t = &trip{n: n, life: n.life, c: c, arrived: n.w.now, ex: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
+	t := &trip{n: n, life: n.life, c: c, arrived: n.w.now, ex: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
 	if c.last > 0 {
 		t.events.Last = strconv.Itoa(c.last)
 	}
@@ -117,7 +117,7 @@
 	t.mode = connecting
 	t.turn++
 	turn := t.turn
-	after := func(wait time.Duration, sig func() (s proxy.Signal)) {
+	after := func(wait time.Duration, sig func() proxy.Signal) {
 		t.n.later(wait, func() {
 			if t.turn == turn && t.mode == connecting {
 				t.happened(sig())
@@ -206,7 +206,8 @@
 	t.happened(proxy.Lost{})
 }
 
-func (t *trip) replied(h *head) (s proxy.Replied) {
+func (t *trip) replied(h *head) proxy.Replied {
+	var s proxy.Replied
 	s.Status = h.status
 	if h.attempt != t.c.id {
 		s.Foreign = true
--- a/sim/tripsend.go
+++ b/sim/tripsend.go
@@ -8,8 +8,8 @@
 )
 
 // expiry is when the time of the request is over.
-func (t *trip) expiry() (at time.Duration) {
-	at = t.deadline
+func (t *trip) expiry() time.Duration {
+	at := t.deadline
 	if r := t.ex.Place.Route; r != nil && r.Timeout > 0 {
 		at = min(at, t.arrived+r.Timeout)
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -75,7 +75,7 @@
 const tickEvery = 50 * time.Millisecond
 
 // New makes the fleet of a scenario; nothing runs yet.
-func New(s Scenario) (w *World) {
+func New(s Scenario) *World {
 	if s.Site != nil {
 		s.Shape = s.Site.Shape
 	}
@@ -86,7 +86,7 @@
 		s.Model = DefaultModel()
 		s.Model.Room = 12
 	}
-	w = &World{
+	w := &World{
 		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: newNet(s.Seed), byAddr: map[string]*Node{}, byRep: map[string]*Rep{},
 		byURL: map[string]*Rep{}, whim: rand.New(rand.NewPCG(s.Seed, 47)),
 		answers: map[uint64]func(a control.Answer){}, ready: map[string][]*Node{},
@@ -114,10 +114,10 @@
 }
 
 // Now is the virtual time since the world was made.
-func (w *World) Now() (t time.Duration) { return w.now }
+func (w *World) Now() time.Duration { return w.now }
 
 // Node is the node of that name, or nil.
-func (w *World) Node(name string) (n *Node) {
+func (w *World) Node(name string) *Node {
 	for _, n := range w.Nodes {
 		if n.Name == name {
 			return n
@@ -127,7 +127,7 @@
 }
 
 // Rep is the replica of that name, or nil.
-func (w *World) Rep(name string) (r *Rep) { return w.byRep[name] }
+func (w *World) Rep(name string) *Rep { return w.byRep[name] }
 
 // Boot starts the nodes, founds the register and puts the first configuration.
 func (w *World) Boot() {
@@ -168,7 +168,7 @@
 	w.after(time.Second, w.platform)
 }
 
-func (w *World) pick(domain string) (n *Node) {
+func (w *World) pick(domain string) *Node {
 	ns := w.ready[domain]
 	if len(ns) == 0 {
 		for _, d := range w.S.Shape.Domains {
--- a/snapshot.go
+++ b/snapshot.go
@@ -52,7 +52,7 @@
 }
 
 // serviceRow finds the row of a service, or adds one.
-func (r *Router) serviceRow(name string) (id int) {
+func (r *Router) serviceRow(name string) int {
 	for i := range r.scheduler.Services {
 		if r.scheduler.Services[i].Name == name {
 			return i
@@ -62,8 +62,8 @@
 	return r.scheduler.AddService(scheduler.Service{Name: name})
 }
 
-func (r *Router) applyService(now time.Duration, o config.Offer, used map[scheduler.ClassID]bool) (id int) {
-	id = r.serviceRow(o.Name)
+func (r *Router) applyService(now time.Duration, o config.Offer, used map[scheduler.ClassID]bool) int {
+	id := r.serviceRow(o.Name)
 	row := &r.scheduler.Services[id]
 	row.ColdRoom, row.ColdRamp, row.ColdRate = o.ColdRoom, o.ColdRamp, o.ColdRate
 	row.Base, row.PerToken = o.Base, o.PerToken
@@ -86,7 +86,7 @@
 }
 
 // applyReplica lists a replica of the document. Another address means another replica, of which nothing is known.
-func (r *Router) applyReplica(now time.Duration, service, keepTokens int, c config.Replica) (id int) {
+func (r *Router) applyReplica(now time.Duration, service, keepTokens int, c config.Replica) int {
 	id, ok := r.replicaIDs[c.Name]
 	if !ok {
 		id = r.scheduler.AddReplica(scheduler.Replica{Name: c.Name}, keepTokens)
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -9,8 +9,8 @@
 )
 
 // manyRoutes are 2,500, of which one differs by the mark.
-func manyRoutes(mark uint64) (p *config.Snapshot) {
-	p = &config.Snapshot{Mark: mark}
+func manyRoutes(mark uint64) *config.Snapshot {
+	p := &config.Snapshot{Mark: mark}
 	for i := range 20 {
 		p.Charter.Offers = append(p.Charter.Offers, config.Offer{Name: fmt.Sprint("o", i), Discovered: true, Queues: true})
 	}
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -24,13 +24,13 @@
 }
 
 // NewAgent gives a client that keeps connections to the nodes.
-func NewAgent(nodes []string) (a *Agent) {
+func NewAgent(nodes []string) *Agent {
 	return &Agent{Nodes: nodes, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
 // Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
-func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) (g ledger.Got) {
-	g = ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: outcomeLost}
+func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) ledger.Got {
+	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Kind.Offer+"/"+k.Kind.Name, strings.NewReader(body))
 	if err != nil {
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -52,8 +52,8 @@
 }
 
 // NewReplica starts a replica that writes its ledger to runs. model names the model that prompts are hashed with.
-func NewReplica(t *tomb.Tomb, name, model, instance string, engine sim.Model, runs io.Writer, clock func() time.Duration) (r *Replica) {
-	r = &Replica{
+func NewReplica(t *tomb.Tomb, name, model, instance string, engine sim.Model, runs io.Writer, clock func() time.Duration) *Replica {
+	r := &Replica{
 		t: t, name: name, model: model, clock: clock, engine: sim.NewReplica(engine, instance, clock()),
 		runs: json.NewEncoder(runs), jobs: make(chan job),
 	}
@@ -70,7 +70,7 @@
 	return r
 }
 
-func (r *Replica) do(j job) (ok bool) {
+func (r *Replica) do(j job) bool {
 	done := make(chan struct{})
 	select {
 	case r.jobs <- func(r *Replica) { j(r); close(done) }:
@@ -82,12 +82,12 @@
 }
 
 // Serve answers POST /v1/run, GET /v1/usage and POST /faults on the listener until the tomb dies.
-func (r *Replica) Serve(lis net.Listener) (srv *http.Server) {
+func (r *Replica) Serve(lis net.Listener) *http.Server {
 	mux := bunrouter.New()
 	mux.POST("/v1/run", r.run)
 	mux.GET("/v1/usage", r.usage)
 	mux.POST("/faults", r.faults)
-	srv = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
+	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	r.t.Go(func() error {
 		_ = srv.Serve(lis)
 		return nil
@@ -139,7 +139,7 @@
 	fault Fault
 }
 
-func (r *Replica) run(w http.ResponseWriter, req bunrouter.Request) (err error) {
+func (r *Replica) run(w http.ResponseWriter, req bunrouter.Request) error {
 	attempt, request := req.Header.Get("X-Request-Attempt-Id"), req.Header.Get("X-Request-Id")
 	body, _ := io.ReadAll(io.LimitReader(req.Body, maxBody))
 	parts, err := prefixindex.Parse(r.model, req.Header.Get("X-Prompt-Prefix"))
@@ -162,7 +162,8 @@
 }
 
 // begin admits a run, unless the replica is full or told to break off before.
-func (r *Replica) begin(request, attempt string, parts []prefixindex.Part, tail int) (s start) {
+func (r *Replica) begin(request, attempt string, parts []prefixindex.Part, tail int) start {
+	var s start
 	s.fault = r.fault
 	if s.fault.Times > 0 {
 		if r.fault.Times--; r.fault.Times == 0 {
@@ -181,7 +182,7 @@
 	return s
 }
 
-func (r *Replica) stream(w http.ResponseWriter, req bunrouter.Request, s start, request, id string) (err error) {
+func (r *Replica) stream(w http.ResponseWriter, req bunrouter.Request, s start, request, id string) error {
 	if s.fault.Dark {
 		<-req.Context().Done()
 		return nil
@@ -224,7 +225,7 @@
 	}
 }
 
-func (r *Replica) wait(req bunrouter.Request, d time.Duration) (ok bool) {
+func (r *Replica) wait(req bunrouter.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -238,10 +239,11 @@
 }
 
 // Ledger opens a ledger for appending; an empty path gives one that keeps nothing.
-func Ledger(path string) (w io.Writer, err error) {
+func Ledger(path string) (io.Writer, error) {
 	if path == "" {
 		return io.Discard, nil
 	}
-	w, err = os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	var w io.Writer
+	w, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	return w, trace.ConvertSystemError(err)
 }
--- a/step.go
+++ b/step.go
@@ -8,7 +8,7 @@
 )
 
 // Step takes the time and one event and gives the decisions that follow from both, in order.
-func (r *Router) Step(now time.Duration, ev Event) (out []Decision) {
+func (r *Router) Step(now time.Duration, ev Event) []Decision {
 	switch e := ev.(type) {
 	case Arrive:
 		if d, answered := r.arrive(now, e); answered {
@@ -80,7 +80,8 @@
 	r.scheduler.SetSelf(now, e.Self, e.Domain)
 }
 
-func (e Routers) byZone(zone string) (routers []scheduler.RouterZone) {
+func (e Routers) byZone(zone string) []scheduler.RouterZone {
+	var routers []scheduler.RouterZone
 	for i, name := range e.Names {
 		router := scheduler.RouterZone{Name: name, Zone: zone}
 		if i < len(e.Domains) {
@@ -92,7 +93,7 @@
 }
 
 // withAttempt calls act with the scheduler's ids of a request and an attempt, unless they are not this router's.
-func (r *Router) withAttempt(request, attemptID string, act func(id int, attempt uint64)) (ok bool) {
+func (r *Router) withAttempt(request, attemptID string, act func(id int, attempt uint64)) bool {
 	id, ok := r.requestIDs[request]
 	if !ok {
 		return false
@@ -105,11 +106,11 @@
 	return true
 }
 
-func (r *Router) attemptID(attempt uint64) (id string) {
+func (r *Router) attemptID(attempt uint64) string {
 	return r.attemptPrefix + strconv.FormatUint(attempt, 36)
 }
 
-func (r *Router) attemptNumber(id string) (attempt uint64, ok bool) {
+func (r *Router) attemptNumber(id string) (uint64, bool) {
 	prefix := r.attemptPrefix
 	if len(id) <= len(prefix) || id[:len(prefix)] != prefix {
 		return 0, false
--- a/storage/crash_test.go
+++ b/storage/crash_test.go
@@ -22,8 +22,8 @@
 )
 
 // live opens the disk and works on it until it stops; failures are recovered from once.
-func live(d *crashDisk, before crashLife, from, rounds int) (l crashLife, err error) {
-	l = before
+func live(d *crashDisk, before crashLife, from, rounds int) (crashLife, error) {
+	l := before
 	v, slot, entries, err := storage.Open(d, crashLogBytes)
 	if err != nil {
 		if d.dead || (d.failAt >= 0 && d.ops > d.failAt) {
@@ -39,9 +39,9 @@
 		return l, err
 	}
 	l.tried = slices.Clone(state[len(l.known):])
-	recover := func() (ok bool) {
+	recover := func() bool {
 		for range recoverTries {
-			if ok = v.Recover([]byte(strings.Join(state, " "))) == nil; ok || d.dead {
+			if ok := v.Recover([]byte(strings.Join(state, " "))) == nil; ok || d.dead {
 				return ok
 			}
 		}
@@ -68,12 +68,12 @@
 
 type crashMissing struct{ got, known, tried []string }
 
-func (e *crashMissing) Error() (text string) {
+func (e *crashMissing) Error() string {
 	return fmt.Sprintf("reads %v; known %v, tried %v", e.got, e.known, e.tried)
 }
 
 // holds checks that what is read starts with all that is known and goes on with nothing but what was tried.
-func holds(got, known, tried []string) (err error) {
+func holds(got, known, tried []string) error {
 	if len(got) >= len(known) && slices.Equal(got[:len(known)], known) {
 		rest := got[len(known):]
 		if len(rest) <= len(tried) && slices.Equal(rest, tried[:len(rest)]) {
@@ -83,9 +83,9 @@
 	return &crashMissing{got: got, known: known, tried: tried}
 }
 
-func shown(d *crashDisk) (state []string, err error) {
+func shown(d *crashDisk) ([]string, error) {
 	_, slot, entries, err := storage.Open(d, crashLogBytes)
-	state = strings.Fields(string(slot))
+	state := strings.Fields(string(slot))
 	for _, e := range entries {
 		state = append(state, string(e))
 	}
--- a/storage/crashdisk_test.go
+++ b/storage/crashdisk_test.go
@@ -27,14 +27,14 @@
 
 type crashError struct{ what string }
 
-func (e *crashError) Error() (text string) { return e.what }
+func (e *crashError) Error() string { return e.what }
 
-func newCrashDisk() (d *crashDisk) {
+func newCrashDisk() *crashDisk {
 	return &crashDisk{files: map[string]*crashFile{}, stopAt: -1, failAt: -1}
 }
 
-func (d *crashDisk) clone() (c *crashDisk) {
-	c = newCrashDisk()
+func (d *crashDisk) clone() *crashDisk {
+	c := newCrashDisk()
 	for name, f := range d.files {
 		cp := *f
 		cp.maybe = slices.Clone(f.maybe)
@@ -59,7 +59,7 @@
 	return false, nil
 }
 
-func (d *crashDisk) file(name string) (f *crashFile) {
+func (d *crashDisk) file(name string) *crashFile {
 	if d.files[name] == nil {
 		d.files[name] = &crashFile{}
 	}
@@ -72,17 +72,18 @@
 }
 
 // torn are the contents that an unsynced write of new bytes behind keep may leave besides the whole.
-func torn(keep, fresh []byte) (left [][]byte) {
+func torn(keep, fresh []byte) [][]byte {
 	half := len(fresh) / 2
 	zeroed := slices.Clone(fresh)
 	clear(zeroed[:half])
+	var left [][]byte
 	for _, part := range [][]byte{fresh[:half], zeroed} {
 		left = append(left, slices.Concat(keep, part))
 	}
 	return left
 }
 
-func (d *crashDisk) Read(name string) (data []byte, found bool, err error) {
+func (d *crashDisk) Read(name string) ([]byte, bool, error) {
 	f := d.files[name]
 	if f == nil {
 		return nil, false, nil
@@ -90,7 +91,7 @@
 	return slices.Clone(f.now), true, nil
 }
 
-func (d *crashDisk) put(name string, keep, fresh []byte) (err error) {
+func (d *crashDisk) put(name string, keep, fresh []byte) error {
 	cut, err := d.begin()
 	if err != nil && !cut && d.dead {
 		return err
@@ -106,14 +107,14 @@
 	return nil
 }
 
-func (d *crashDisk) Write(name string, data []byte) (err error) { return d.put(name, nil, data) }
+func (d *crashDisk) Write(name string, data []byte) error { return d.put(name, nil, data) }
 
-func (d *crashDisk) Append(name string, data []byte) (err error) {
+func (d *crashDisk) Append(name string, data []byte) error {
 	return d.put(name, d.file(name).now, data)
 }
 
-func (d *crashDisk) Truncate(name string, size int) (err error) {
-	if _, err = d.begin(); err != nil {
+func (d *crashDisk) Truncate(name string, size int) error {
+	if _, err := d.begin(); err != nil {
 		return err
 	}
 	if f := d.file(name); len(f.now) > size {
@@ -122,8 +123,8 @@
 	return nil
 }
 
-func (d *crashDisk) Sync(name string) (err error) {
-	if _, err = d.begin(); err != nil {
+func (d *crashDisk) Sync(name string) error {
+	if _, err := d.begin(); err != nil {
 		return err
 	}
 	f := d.file(name)
@@ -131,8 +132,8 @@
 	return nil
 }
 
-func (d *crashDisk) SyncFolder() (err error) {
-	if _, err = d.begin(); err != nil {
+func (d *crashDisk) SyncFolder() error {
+	if _, err := d.begin(); err != nil {
 		return err
 	}
 	for _, f := range d.files {
@@ -142,11 +143,11 @@
 }
 
 // killed is the disk after the process alone has ended: all that was written is read, nothing unsynced is durable.
-func (d *crashDisk) killed() (c *crashDisk) { return d.clone() }
+func (d *crashDisk) killed() *crashDisk { return d.clone() }
 
 // powerless are all disks that a loss of power may leave: each unsynced content and each unsynced name by itself.
-func (d *crashDisk) powerless() (all []*crashDisk) {
-	all = []*crashDisk{newCrashDisk()}
+func (d *crashDisk) powerless() []*crashDisk {
+	all := []*crashDisk{newCrashDisk()}
 	for _, name := range sortedNames(d.files) {
 		f := d.files[name]
 		contents := distinct(append([][]byte{f.durable}, f.maybe...))
@@ -166,7 +167,8 @@
 	return all
 }
 
-func sortedNames(files map[string]*crashFile) (names []string) {
+func sortedNames(files map[string]*crashFile) []string {
+	var names []string
 	for name := range files {
 		names = append(names, name)
 	}
@@ -174,7 +176,8 @@
 	return names
 }
 
-func distinct(contents [][]byte) (kept [][]byte) {
+func distinct(contents [][]byte) [][]byte {
+	var kept [][]byte
 	for _, c := range contents {
 		if !slices.ContainsFunc(kept, func(k []byte) bool { return slices.Equal(k, c) }) {
 			kept = append(kept, c)
@@ -183,7 +186,7 @@
 	return kept
 }
 
-func (d *crashDisk) key() (text string) {
+func (d *crashDisk) key() string {
 	var b strings.Builder
 	for _, name := range sortedNames(d.files) {
 		f := d.files[name]
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -14,22 +14,22 @@
 	// Read returns a whole file; found is false where there is none.
 	Read(name string) (data []byte, found bool, err error)
 	// Write replaces a file's contents in place, and makes it if it is missing.
-	Write(name string, data []byte) (err error)
+	Write(name string, data []byte) error
 	// Append writes behind the end of a file, and makes it if it is missing.
-	Append(name string, data []byte) (err error)
+	Append(name string, data []byte) error
 	// Sync makes a file's contents durable, not its name.
-	Sync(name string) (err error)
+	Sync(name string) error
 	// SyncFolder makes the names of all files durable.
-	SyncFolder() (err error)
+	SyncFolder() error
 	// Truncate cuts a file to size bytes.
-	Truncate(name string, size int) (err error)
+	Truncate(name string, size int) error
 }
 
 // FolderError is returned for a folder that cannot be made.
 type FolderError struct{ Path, Why string }
 
 // Error implements error.
-func (e *FolderError) Error() (text string) { return "data folder " + e.Path + ": " + e.Why }
+func (e *FolderError) Error() string { return "data folder " + e.Path + ": " + e.Why }
 
 // Folder is a Disk in the file system. It keeps its files open.
 type Folder struct {
@@ -38,29 +38,30 @@
 }
 
 // OpenFolder makes the folder if it is missing.
-func OpenFolder(path string) (f *Folder, err error) {
-	if err = os.MkdirAll(path, 0o700); err != nil {
+func OpenFolder(path string) (*Folder, error) {
+	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, trace.Wrap(&FolderError{Path: path, Why: err.Error()})
 	}
 	return &Folder{path: path, open: map[string]*os.File{}}, nil
 }
 
-func (f *Folder) at(name string) (p string) { return filepath.Join(f.path, name) }
+func (f *Folder) at(name string) string { return filepath.Join(f.path, name) }
 
 // Read implements Disk.
-func (f *Folder) Read(name string) (data []byte, found bool, err error) {
-	data, err = os.ReadFile(f.at(name))
+func (f *Folder) Read(name string) ([]byte, bool, error) {
+	data, err := os.ReadFile(f.at(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, false, nil
 	}
 	return data, err == nil, trace.ConvertSystemError(err)
 }
 
-func (f *Folder) file(name string) (file *os.File, err error) {
+func (f *Folder) file(name string) (*os.File, error) {
+	var file *os.File
 	if file = f.open[name]; file != nil {
 		return file, nil
 	}
-	file, err = os.OpenFile(f.at(name), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(f.at(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
@@ -69,7 +70,7 @@
 }
 
 // Write implements Disk.
-func (f *Folder) Write(name string, data []byte) (err error) {
+func (f *Folder) Write(name string, data []byte) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
@@ -82,7 +83,7 @@
 }
 
 // Append implements Disk.
-func (f *Folder) Append(name string, data []byte) (err error) {
+func (f *Folder) Append(name string, data []byte) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
@@ -96,7 +97,7 @@
 }
 
 // Sync implements Disk.
-func (f *Folder) Sync(name string) (err error) {
+func (f *Folder) Sync(name string) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
@@ -105,7 +106,7 @@
 }
 
 // SyncFolder implements Disk.
-func (f *Folder) SyncFolder() (err error) {
+func (f *Folder) SyncFolder() error {
 	dir, err := os.Open(f.path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -115,7 +116,7 @@
 }
 
 // Truncate implements Disk.
-func (f *Folder) Truncate(name string, size int) (err error) {
+func (f *Folder) Truncate(name string, size int) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
--- a/storage/lives_test.go
+++ b/storage/lives_test.go
@@ -37,7 +37,7 @@
 }
 
 // left is one disk that may be left, the process's end alone being as likely as the loss of power.
-func (d *crashDisk) left(rng *rand.Rand) (disk *crashDisk) {
+func (d *crashDisk) left(rng *rand.Rand) *crashDisk {
 	if rng.IntN(2) == 0 {
 		return d.killed()
 	}
@@ -45,7 +45,7 @@
 	return all[rng.IntN(len(all))]
 }
 
-func opens(disk *crashDisk, l crashLife) (err error) {
+func opens(disk *crashDisk, l crashLife) error {
 	got, err := shown(disk.clone())
 	if err != nil {
 		return fmt.Errorf("%s: %w", disk.key(), err)
@@ -54,7 +54,8 @@
 }
 
 // generation is the number in the newest slot: it counts the rotations.
-func (d *crashDisk) generation() (newest uint64) {
+func (d *crashDisk) generation() uint64 {
+	var newest uint64
 	for _, name := range []string{"slot0", "slot1"} {
 		if f := d.files[name]; f != nil && len(f.now) > 12 {
 			n := uint64(0)
--- a/storage/open.go
+++ b/storage/open.go
@@ -14,15 +14,16 @@
 	whole               bool
 }
 
-func (h half) there() (yes bool) { return h.slotThere || h.logThere }
+func (h half) there() bool { return h.slotThere || h.logThere }
 
 // Open reads the disk and writes nothing: the newest whole snapshot, and the entries after it in the order of their Append. A process
 // that was killed between a write and its sync left bytes that a loss of power may yet take away: all that is returned is durable only
 // when the first write has succeeded, and nobody may act on it before. A disk that may have lost entries which were synced is reported
 // as UnreadableError. The log is Full from logBytes on.
-func Open(disk Disk, logBytes int) (v *Store, snapshot []byte, entries [][]byte, err error) {
-	v = &Store{disk: disk, maxLogBytes: logBytes}
+func Open(disk Disk, logBytes int) (*Store, []byte, [][]byte, error) {
+	v := &Store{disk: disk, maxLogBytes: logBytes}
 	var halves [2]half
+	var err error
 	for i := range uint64(2) {
 		if halves[i], err = readHalf(disk, i); err != nil {
 			return nil, nil, nil, err
@@ -41,6 +42,7 @@
 	}
 	newest, other := halves[best], halves[1-best]
 	v.generation = newest.generation
+	var entries [][]byte
 	if err = v.replay(newest.log, &entries); err != nil {
 		return nil, nil, nil, err
 	}
@@ -56,8 +58,9 @@
 	return v, newest.slot, entries, nil
 }
 
-func readHalf(disk Disk, i uint64) (h half, err error) {
+func readHalf(disk Disk, i uint64) (half, error) {
 	raw, there, err := disk.Read(slotName(i))
+	var h half
 	if err != nil {
 		return h, trace.Wrap(&UnreadableError{File: slotName(i), Why: err.Error()})
 	}
@@ -72,7 +75,8 @@
 	return h, nil
 }
 
-func namesOf(halves [2]half) (names []string) {
+func namesOf(halves [2]half) []string {
+	var names []string
 	for i, h := range halves {
 		if h.slotThere {
 			names = append(names, slotName(uint64(i)))
@@ -85,7 +89,7 @@
 }
 
 // openTorn opens a disk without a whole slot: new, if its first write was cut before anything was acknowledged, else unreadable.
-func (v *Store) openTorn(halves [2]half) (fresh *Store, snapshot []byte, entries [][]byte, err error) {
+func (v *Store) openTorn(halves [2]half) (*Store, []byte, [][]byte, error) {
 	if len(halves[0].log)+len(halves[1].log) == 0 && !halves[0].slotThere {
 		v.Repair = "both slots are torn and no log was begun: a first write was cut"
 		return v, nil, nil, nil
@@ -93,14 +97,14 @@
 	return nil, nil, nil, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Why: "no valid slot, yet more than a first write"})
 }
 
-func (v *Store) owns(log []byte, gen uint64) (yes bool) {
+func (v *Store) owns(log []byte, gen uint64) bool {
 	g, _, _, ok := unpack(log)
 	return ok && g == gen
 }
 
 // replay appends the log's entries of the present generation. A torn end is left for the next Append to cut off; a damaged entry with
 // whole ones behind it is an error.
-func (v *Store) replay(log []byte, entries *[][]byte) (err error) {
+func (v *Store) replay(log []byte, entries *[][]byte) error {
 	v.logBytes = 0
 	for v.logBytes < len(log) {
 		gen, body, size, ok := unpack(log[v.logBytes:])
@@ -122,6 +126,6 @@
 	return nil
 }
 
-func (v *Store) damaged(why string) (err error) {
+func (v *Store) damaged(why string) error {
 	return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf(why, v.logBytes)})
 }
--- a/storage/store.go
+++ b/storage/store.go
@@ -12,13 +12,13 @@
 type UnreadableError struct{ File, Why string }
 
 // Error implements error.
-func (e *UnreadableError) Error() (text string) { return e.File + " cannot be read: " + e.Why }
+func (e *UnreadableError) Error() string { return e.File + " cannot be read: " + e.Why }
 
 // BrokenError is returned by each write after a failed one, until Recover succeeds.
 type BrokenError struct{ Cause string }
 
 // Error implements error.
-func (e *BrokenError) Error() (text string) {
+func (e *BrokenError) Error() string {
 	return "disk broke down earlier, nothing more is written: " + e.Cause
 }
 
@@ -46,11 +46,11 @@
 	Repair string
 }
 
-func slotName(gen uint64) (name string) { return fmt.Sprintf("slot%d", gen%2) }
-func logName(gen uint64) (name string)  { return fmt.Sprintf("log%d", gen%2) }
+func slotName(gen uint64) string { return fmt.Sprintf("slot%d", gen%2) }
+func logName(gen uint64) string  { return fmt.Sprintf("log%d", gen%2) }
 
-func pack(gen uint64, body []byte) (raw []byte) {
-	raw = make([]byte, headLen, headLen+len(body))
+func pack(gen uint64, body []byte) []byte {
+	raw := make([]byte, headLen, headLen+len(body))
 	binary.BigEndian.PutUint32(raw[0:], magic)
 	binary.BigEndian.PutUint64(raw[4:], gen)
 	binary.BigEndian.PutUint32(raw[12:], uint32(len(body)))
@@ -59,27 +59,27 @@
 	return append(raw, body...)
 }
 
-func unpack(raw []byte) (gen uint64, body []byte, size int, ok bool) {
+func unpack(raw []byte) (uint64, []byte, int, bool) {
 	if len(raw) < headLen || binary.BigEndian.Uint32(raw) != magic {
 		return 0, nil, 0, false
 	}
-	gen = binary.BigEndian.Uint64(raw[4:])
+	gen := binary.BigEndian.Uint64(raw[4:])
 	n := int(binary.BigEndian.Uint32(raw[12:]))
 	if n > MaxEntry || len(raw) < headLen+n {
 		return 0, nil, 0, false
 	}
-	body = raw[headLen : headLen+n]
+	body := raw[headLen : headLen+n]
 	sum := crc32.Update(crc32.Checksum(raw[:16], table), table, body)
 	return gen, body, headLen + n, sum == binary.BigEndian.Uint32(raw[16:])
 }
 
 // Empty says that nothing was ever written to the disk; the first call must be Rotate.
-func (v *Store) Empty() (yes bool) { return v.generation == 0 }
+func (v *Store) Empty() bool { return v.generation == 0 }
 
 // Full says that the log has reached its bound, so that Rotate is due.
-func (v *Store) Full() (yes bool) { return v.logBytes >= v.maxLogBytes }
+func (v *Store) Full() bool { return v.logBytes >= v.maxLogBytes }
 
-func (v *Store) fail(err error) (broke error) {
+func (v *Store) fail(err error) error {
 	if v.broken == nil {
 		v.broken = trace.Wrap(&BrokenError{Cause: err.Error()})
 	}
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -10,11 +10,12 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-func load(d *sim.Disk) (v *storage.Store, all []string, err error) {
+func load(d *sim.Disk) (*storage.Store, []string, error) {
 	v, slot, entries, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
 	}
+	var all []string
 	for _, s := range bytes.Fields(slot) {
 		all = append(all, string(s))
 	}
@@ -24,7 +25,7 @@
 	return v, all, nil
 }
 
-func write(d *sim.Disk, n int) (acked int) {
+func write(d *sim.Disk, n int) int {
 	v, all, err := load(d)
 	if err != nil {
 		return 0
@@ -32,6 +33,7 @@
 	if v.Empty() && v.Rotate(nil) != nil {
 		return 0
 	}
+	var acked int
 	for i := range n {
 		e := fmt.Sprintf("entry-%03d", i)
 		all = append(all, e)
@@ -46,7 +48,8 @@
 	return acked
 }
 
-func byteses(ss []string) (bs [][]byte) {
+func byteses(ss []string) [][]byte {
+	var bs [][]byte
 	for _, s := range ss {
 		bs = append(bs, []byte(s))
 	}
--- a/storage/write.go
+++ b/storage/write.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-func join(entries [][]byte) (batch []byte) {
+func join(entries [][]byte) []byte {
+	var batch []byte
 	for _, e := range entries {
 		batch = binary.AppendUvarint(batch, uint64(len(e)))
 		batch = append(batch, e...)
@@ -10,7 +11,8 @@
 	return batch
 }
 
-func split(batch []byte) (entries [][]byte, ok bool) {
+func split(batch []byte) ([][]byte, bool) {
+	var entries [][]byte
 	for len(batch) > 0 {
 		n, size := binary.Uvarint(batch)
 		if size <= 0 || n > uint64(len(batch)-size) {
@@ -23,27 +25,27 @@
 }
 
 // Append writes entries behind those before and returns once they are durable. After an error nothing more is written until Recover.
-func (v *Store) Append(entries [][]byte) (err error) {
+func (v *Store) Append(entries [][]byte) error {
 	if v.broken != nil {
 		return v.broken
 	}
-	if err = v.settle(); err != nil {
+	if err := v.settle(); err != nil {
 		return v.fail(err)
 	}
 	name := logName(v.generation)
 	raw := pack(v.generation, join(entries))
 	fresh := v.logBytes == 0
-	if err = v.disk.Truncate(name, v.logBytes); err != nil {
+	if err := v.disk.Truncate(name, v.logBytes); err != nil {
 		return v.fail(err)
 	}
-	if err = v.disk.Append(name, raw); err != nil {
+	if err := v.disk.Append(name, raw); err != nil {
 		return v.fail(err)
 	}
-	if err = v.disk.Sync(name); err != nil {
+	if err := v.disk.Sync(name); err != nil {
 		return v.fail(err)
 	}
 	if fresh {
-		if err = v.disk.SyncFolder(); err != nil {
+		if err := v.disk.SyncFolder(); err != nil {
 			return v.fail(err)
 		}
 	}
@@ -52,14 +54,14 @@
 }
 
 // Recover forgets an earlier failure and writes everything anew, so that nothing depends on what that failure left behind.
-func (v *Store) Recover(slot []byte) (err error) {
+func (v *Store) Recover(slot []byte) error {
 	v.broken = nil
 	return v.Rotate(slot)
 }
 
 // Rotate writes a snapshot that stands for all before it and begins a new log. Until it has returned, the snapshot and the log before
 // it are left as they are.
-func (v *Store) Rotate(slot []byte) (err error) {
+func (v *Store) Rotate(slot []byte) error {
 	if v.broken != nil {
 		return v.broken
 	}
@@ -73,7 +75,7 @@
 		func() error { return v.disk.SyncFolder() },
 	}
 	for _, step := range steps {
-		if err = step(); err != nil {
+		if err := step(); err != nil {
 			return v.fail(err)
 		}
 	}
@@ -82,7 +84,7 @@
 }
 
 // nextGeneration decides which slot is overwritten: the older one, or the one that cannot be read, since the older one then carries all.
-func (v *Store) nextGeneration() (gen uint64) {
+func (v *Store) nextGeneration() uint64 {
 	if v.slotDamaged {
 		return v.generation + 2
 	}
@@ -90,16 +92,16 @@
 }
 
 // settle syncs what Open read, once, before anything is written behind it or over its older half.
-func (v *Store) settle() (err error) {
+func (v *Store) settle() error {
 	if len(v.unsynced) == 0 {
 		return nil
 	}
 	for _, name := range v.unsynced {
-		if err = v.disk.Sync(name); err != nil {
+		if err := v.disk.Sync(name); err != nil {
 			return err
 		}
 	}
-	if err = v.disk.SyncFolder(); err != nil {
+	if err := v.disk.SyncFolder(); err != nil {
 		return err
 	}
 	v.unsynced = nil
--- a/transport/accept.go
+++ b/transport/accept.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-func (n *Net) accept() (err error) {
+func (n *Net) accept() error {
 	room := make(chan struct{}, maxInbound)
 	for {
 		conn, err := n.lis.Accept()
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -27,24 +27,24 @@
 // TooLongError says that a frame is longer than MaxFrame, or empty.
 type TooLongError struct{ Bytes, Bound int }
 
-func (e *TooLongError) Error() (text string) {
+func (e *TooLongError) Error() string {
 	return fmt.Sprintf("frame of %d bytes: must be 1 to %d", e.Bytes, e.Bound)
 }
 
 // UnreadableError says that a frame holds no message of a known kind.
 type UnreadableError struct{ Cause string }
 
-func (e *UnreadableError) Error() (text string) { return "frame cannot be read: " + e.Cause }
+func (e *UnreadableError) Error() string { return "frame cannot be read: " + e.Cause }
 
 // BuildError says that the builds of two nodes are too far apart.
 type BuildError struct{ Ours, Theirs uint32 }
 
-func (e *BuildError) Error() (text string) {
+func (e *BuildError) Error() string {
 	return fmt.Sprintf("build %d does not speak with build %d", e.Ours, e.Theirs)
 }
 
 // Speak returns a *BuildError unless the builds are the same or neighbours.
-func Speak(ours, theirs uint32) (err error) {
+func Speak(ours, theirs uint32) error {
 	if theirs+1 < ours || theirs > ours+1 {
 		return trace.Wrap(&BuildError{Ours: ours, Theirs: theirs})
 	}
@@ -58,24 +58,24 @@
 }
 
 // NewWriter makes a writer for a new connection.
-func NewWriter() (w *Writer) {
-	w = &Writer{}
+func NewWriter() *Writer {
+	w := &Writer{}
 	w.enc = gob.NewEncoder(&w.buf)
 	return w
 }
 
 // Frame encodes a message behind its length. Errors: *UnreadableError, *TooLongError.
-func (w *Writer) Frame(msg any) (frame []byte, err error) {
+func (w *Writer) Frame(msg any) ([]byte, error) {
 	w.buf.Reset()
 	w.buf.Write([]byte{0, 0, 0, 0})
-	if err = w.enc.Encode(&msg); err != nil {
+	if err := w.enc.Encode(&msg); err != nil {
 		return nil, trace.Wrap(&UnreadableError{Cause: err.Error()})
 	}
 	n := w.buf.Len() - 4
 	if n > MaxFrame {
 		return nil, trace.Wrap(&TooLongError{Bytes: n, Bound: MaxFrame})
 	}
-	frame = bytes.Clone(w.buf.Bytes())
+	frame := bytes.Clone(w.buf.Bytes())
 	binary.BigEndian.PutUint32(frame, uint32(n))
 	return frame, nil
 }
@@ -88,8 +88,8 @@
 }
 
 // NewReader reads a new connection.
-func NewReader(src io.Reader) (r *Reader) {
-	r = &Reader{src: src}
+func NewReader(src io.Reader) *Reader {
+	r := &Reader{src: src}
 	r.dec = gob.NewDecoder(&r.body)
 	return r
 }
--- a/transport/net.go
+++ b/transport/net.go
@@ -52,12 +52,12 @@
 
 // Listen opens the port of self and serves until t dies. Connections of followers are handed to follow; fault hears of connections that
 // were closed over an error. Errors are those of the listener.
-func Listen(t *tomb.Tomb, self Hello, follow func(c net.Conn, h Hello, r *Reader), fault func(peer string, err error)) (n *Net, err error) {
+func Listen(t *tomb.Tomb, self Hello, follow func(c net.Conn, h Hello, r *Reader), fault func(peer string, err error)) (*Net, error) {
 	lis, err := net.Listen("tcp", self.Addr)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	n = &Net{t: t, self: self, lis: lis, out: make(chan envelope, queued), In: make(chan Inbound, queued), OnFault: fault, follow: follow}
+	n := &Net{t: t, self: self, lis: lis, out: make(chan envelope, queued), In: make(chan Inbound, queued), OnFault: fault, follow: follow}
 	t.Go(n.accept)
 	t.Go(n.dispatch)
 	t.Go(func() error {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (n *Net) dispatch() (err error) {
+func (n *Net) dispatch() error {
 	peers := map[string]chan any{}
 	for {
 		select {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (n *Net) peer(addr string, q chan any) (err error) {
+func (n *Net) peer(addr string, q chan any) error {
 	var conn net.Conn
 	var w *Writer
 	var next time.Time
@@ -108,6 +108,7 @@
 			_ = conn.Close()
 		}
 	}()
+	var err error
 	for {
 		var msg any
 		select {
@@ -138,14 +139,14 @@
 	}
 }
 
-func (n *Net) dial(addr string) (conn net.Conn, w *Writer, err error) {
+func (n *Net) dial(addr string) (net.Conn, *Writer, error) {
 	n.N.Dials.Add(1)
 	d := net.Dialer{Timeout: dialFor, Control: setUserTimeout}
-	conn, err = d.Dial("tcp", addr)
+	conn, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
 	}
-	w = NewWriter()
+	w := NewWriter()
 	_, err = Greet(conn, w, NewReader(conn), n.self)
 	if err != nil {
 		n.fault(addr, err)
@@ -158,7 +159,8 @@
 
 // setUserTimeout bounds how long sent bytes may stay unacknowledged. A connection to a machine that lost power, or is cut off, would
 // else live on, and when the machine is back take messages until TCP sends anew, which may be seconds later.
-func setUserTimeout(_, _ string, raw syscall.RawConn) (err error) {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var err error
 	ctlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedLimit.Milliseconds()))
 	})
@@ -175,10 +177,11 @@
 }
 
 // Greet exchanges hellos on a new connection. Errors: *UnreadableError, *BuildError, or the connection's.
-func Greet(conn net.Conn, w *Writer, r *Reader, self Hello) (theirs Hello, err error) {
+func Greet(conn net.Conn, w *Writer, r *Reader, self Hello) (Hello, error) {
 	_ = conn.SetDeadline(time.Now().Add(writeFor))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
 	frame, err := w.Frame(self)
+	var theirs Hello
 	if err != nil {
 		return theirs, err
 	}
@@ -196,7 +199,7 @@
 	return theirs, Speak(self.Build, theirs.Build)
 }
 
-func (n *Net) write(conn net.Conn, w *Writer, msg any) (err error) {
+func (n *Net) write(conn net.Conn, w *Writer, msg any) error {
 	frame, err := w.Frame(msg)
 	if err != nil {
 		n.fault(conn.RemoteAddr().String(), err)
--- a/whatif/har.go
+++ b/whatif/har.go
@@ -53,7 +53,9 @@
 }
 
 // entry reads one request, or says why it cannot be used.
-func entry(e *har.Entry, kinds []sim.KindLoad) (at time.Time, a sim.Ask, why string) {
+func entry(e *har.Entry, kinds []sim.KindLoad) (time.Time, sim.Ask, string) {
+	var a sim.Ask
+	var at time.Time
 	if e == nil || e.Request == nil {
 		return at, a, "has no request"
 	}
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -42,14 +42,14 @@
 // FileError is a file that cannot be used.
 type FileError struct{ Path, Why string }
 
-func (e *FileError) Error() (text string) { return e.Path + ": " + e.Why }
+func (e *FileError) Error() string { return e.Path + ": " + e.Why }
 
 // Default is a calm fleet under usual load.
-func Default(name string) (p Plan) {
+func Default(name string) Plan {
 	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotShare: 0.1, Prefixes: 24, Index: true}
 }
 
-func faultKinds() (names []string) {
+func faultKinds() []string {
 	return []string{
 		sim.Kill, sim.Power, sim.Freeze, sim.CutNode, sim.CutOneWay, sim.CutDomain, sim.SplitCore, sim.Wipe, sim.Move,
 		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.RepCrash, sim.RepDark, sim.Release, sim.Empty,
@@ -59,8 +59,9 @@
 }
 
 // Load reads a plan from a file; the error is a *FileError or a *config.InvalidError.
-func Load(path string) (p Plan, err error) {
+func Load(path string) (Plan, error) {
 	raw, err := os.ReadFile(path)
+	var p Plan
 	if err != nil {
 		return p, trace.Wrap(&FileError{Path: path, Why: err.Error()})
 	}
@@ -71,8 +72,9 @@
 }
 
 // Read reads a plan; the error is a *config.InvalidError. What the JSON calls breakdowns are faults.
-func Read(name string, raw []byte) (p Plan, err error) {
+func Read(name string, raw []byte) (Plan, error) {
 	d, err := config.Open(raw)
+	var p Plan
 	if err != nil {
 		return p, err
 	}
@@ -131,12 +133,12 @@
 	p.Config = raw
 }
 
-func ms(d *config.Decoder, key string) (t time.Duration) {
+func ms(d *config.Decoder, key string) time.Duration {
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
-func readFault(d *config.Decoder, shape sim.Shape, site bool) (f sim.Fault) {
-	f = sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
+func readFault(d *config.Decoder, shape sim.Shape, site bool) sim.Fault {
+	f := sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := faultKinds()
 	if site {
 		all = sim.SiteTroubles()
@@ -159,7 +161,7 @@
 	return f
 }
 
-func inFleet(s sim.Shape, name string) (yes bool) {
+func inFleet(s sim.Shape, name string) bool {
 	return slices.Contains(s.Domains, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
 		slices.ContainsFunc(s.Nodes, func(n sim.NodeShape) bool { return n.Name == name })
 }
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -30,12 +30,12 @@
 // warmUp is how long a fleet runs before the plan's load and faults.
 const warmUp = 15 * time.Second
 
-func (p Plan) scenario(seed uint64) (s sim.Scenario, err error) {
+func (p Plan) scenario(seed uint64) (sim.Scenario, error) {
 	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
 		return p.site(seed, spec), nil
 	}
 	shape, _ := sim.Times(p.Shape, p.Times)
-	s = sim.Scenario{
+	s := sim.Scenario{
 		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.RoundRobin,
 		Load: sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.HotShare, Crowds: p.Crowds}, Asks: p.Requests,
 	}
@@ -59,9 +59,9 @@
 const workers = 4
 
 // Run runs the plan once a seed. The error is a flawed configuration; broken promises are part of the result.
-func (p Plan) Run() (r Result, err error) {
-	r = Result{Plan: p, Values: map[string][]float64{}}
-	if _, err = p.scenario(1); err != nil {
+func (p Plan) Run() (Result, error) {
+	r := Result{Plan: p, Values: map[string][]float64{}}
+	if _, err := p.scenario(1); err != nil {
 		return r, err
 	}
 	for _, w := range p.runAll() {
@@ -70,8 +70,8 @@
 	return r, nil
 }
 
-func (p Plan) runAll() (worlds []*sim.World) {
-	worlds = make([]*sim.World, p.Seeds)
+func (p Plan) runAll() []*sim.World {
+	worlds := make([]*sim.World, p.Seeds)
 	var next atomic.Int64
 	done := make(chan struct{})
 	for range workers {
@@ -113,7 +113,7 @@
 func (l *list) count(name string, n uint64) { l.add(name, float64(n)) }
 
 // figures are those of a run of the product's own interface.
-func figures(w *sim.World) (fs []figure) {
+func figures(w *sim.World) []figure {
 	var l list
 	l.outcomes(w)
 	l.prefixes(w)
--- a/whatif/site.go
+++ b/whatif/site.go
@@ -9,8 +9,8 @@
 // lead is how long a site's machines run before traffic comes.
 const lead = 10 * time.Second
 
-func (p Plan) site(seed uint64, spec sim.SiteSpec) (s sim.Scenario) {
-	s = sim.Scenario{
+func (p Plan) site(seed uint64, spec sim.SiteSpec) sim.Scenario {
+	s := sim.Scenario{
 		Seed: seed, Site: &spec, Lasts: lead + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.Index, RoundRob: p.RoundRobin,
 	}
 	s.Load.Crowds = p.Crowds
@@ -19,7 +19,7 @@
 }
 
 // siteFigures are those of a run on the users' platform.
-func siteFigures(w *sim.World) (fs []figure) {
+func siteFigures(w *sim.World) []figure {
 	var l list
 	r := w.Site()
 	for _, t := range w.S.Site.Classes {
