--- /dev/null
+++ b/control/encoding.go
@@ -0,0 +1,173 @@
+package control
+
+import (
+	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/chunk"
+	"github.com/mallowbridge/mallowbridge/lease"
+	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/wire"
+)
+
+// The types of this file are what messages, gossip items and log entries hold. Their field names, and the names registered here, are a
+// format between nodes and on disk and stay as they are.
+
+func init() {
+	wire.Register("cu", encodeLoadReports, decodeLoadReports)
+	wire.RegisterPlain("cl", ReplicaState{})
+	wire.Register("cr", encodeReplicaListItem, decodeReplicaListItem)
+	wire.RegisterPlain("ch", ListConfirmation{})
+	wire.RegisterPlain("cp", Prefills{})
+	wire.RegisterPlain("cf", Failures{})
+	wire.RegisterPlain("xp", ChunkPull{})
+	wire.Register("xd", encodeChunkData, decodeChunkData)
+	wire.Register("ws", encodeWitnessAsk, decodeWitnessAsk)
+	wire.Register("wy", encodeWitnessSay, decodeWitnessSay)
+	wire.Register("wf", encodeWitnessForget, decodeWitnessForget)
+}
+
+type encodedLoadReports struct {
+	Domain string
+	By     string
+	Urgent bool
+	Rows   []mallowbridge.LoadReport
+}
+
+func encodeLoadReports(l LoadReports) encodedLoadReports {
+	return encodedLoadReports{Domain: l.Domain, By: l.By, Urgent: l.Urgent, Rows: l.Rows}
+}
+
+func decodeLoadReports(f encodedLoadReports) LoadReports {
+	return LoadReports{Domain: f.Domain, By: f.By, Urgent: f.Urgent, Rows: f.Rows}
+}
+
+type encodedReplicaListItem struct {
+	Rows []mallowbridge.EncodedInstance
+}
+
+func encodeReplicaListItem(r ReplicaListItem) encodedReplicaListItem {
+	return encodedReplicaListItem{Rows: wire.Each(r.Rows, mallowbridge.EncodeInstance)}
+}
+
+func decodeReplicaListItem(f encodedReplicaListItem) ReplicaListItem {
+	return ReplicaListItem{Rows: wire.Each(f.Rows, mallowbridge.EncodedInstance.Decode)}
+}
+
+type encodedChunkData struct {
+	Pieces [][]byte
+	Lacks  []byte
+}
+
+func encodeChunkData(d ChunkData) encodedChunkData {
+	return encodedChunkData{Pieces: d.Pieces, Lacks: d.Lacks}
+}
+
+func decodeChunkData(f encodedChunkData) ChunkData {
+	return ChunkData{Pieces: f.Pieces, Lacks: f.Lacks}
+}
+
+type encodedWitnessAsk struct {
+	Rid     uint64
+	Request string
+	By      string
+	Peek    bool
+}
+
+func encodeWitnessAsk(w WitnessAsk) encodedWitnessAsk {
+	return encodedWitnessAsk{Rid: w.Rid, Request: w.Request, By: w.By, Peek: w.Peek}
+}
+
+func decodeWitnessAsk(f encodedWitnessAsk) WitnessAsk {
+	return WitnessAsk{Rid: f.Rid, Request: f.Request, By: f.By, Peek: f.Peek}
+}
+
+type encodedWitnessSay struct {
+	Rid   uint64
+	First bool
+	Young bool
+}
+
+func encodeWitnessSay(w WitnessSay) encodedWitnessSay {
+	return encodedWitnessSay{Rid: w.Rid, First: w.First, Young: w.Young}
+}
+
+func decodeWitnessSay(f encodedWitnessSay) WitnessSay {
+	return WitnessSay{Rid: f.Rid, First: f.First, Young: f.Young}
+}
+
+type encodedWitnessForget encodedWitnessAsk
+
+func encodeWitnessForget(w WitnessForget) encodedWitnessForget {
+	return encodedWitnessForget(encodeWitnessAsk(WitnessAsk(w)))
+}
+
+func decodeWitnessForget(f encodedWitnessForget) WitnessForget {
+	return WitnessForget(decodeWitnessAsk(encodedWitnessAsk(f)))
+}
+
+// encodedDiskState is a DiskState as the slots hold it.
+type encodedDiskState struct {
+	Pact   register.EncodedState
+	Grants map[string]lease.EncodedRecord
+}
+
+func encodeDiskState(s DiskState) encodedDiskState {
+	f := encodedDiskState{Pact: register.EncodeState(s.Pact)}
+	if s.Grants != nil {
+		f.Grants = make(map[string]lease.EncodedRecord, len(s.Grants))
+	}
+	for duty, record := range s.Grants {
+		f.Grants[duty] = lease.EncodeRecord(record)
+	}
+	return f
+}
+
+func (f encodedDiskState) decode() DiskState {
+	s := DiskState{Pact: f.Pact.Decode()}
+	if f.Grants != nil {
+		s.Grants = make(map[string]lease.Record, len(f.Grants))
+	}
+	for duty, record := range f.Grants {
+		s.Grants[duty] = record.Decode()
+	}
+	return s
+}
+
+// encodedEntry is an entry as the log holds it.
+type encodedEntry struct {
+	Promised *Promised
+	Accepted *encodedAcceptedEntry
+	Granted  *encodedGranted
+	Document *chunk.Delta
+}
+
+type encodedAcceptedEntry struct {
+	Ballot register.Ballot
+	Value  *register.EncodedValue
+}
+
+type encodedGranted struct {
+	Duty   string
+	Record lease.EncodedRecord
+}
+
+func encodeEntry(e entry) encodedEntry {
+	f := encodedEntry{Promised: e.Promised, Document: e.Document}
+	if a := e.Accepted; a != nil {
+		f.Accepted = &encodedAcceptedEntry{Ballot: a.Ballot, Value: register.EncodeValue(a.Value)}
+	}
+	if g := e.Granted; g != nil {
+		f.Granted = &encodedGranted{Duty: g.Duty, Record: lease.EncodeRecord(g.Record)}
+	}
+	return f
+}
+
+func (f encodedEntry) decode() entry {
+	e := entry{Promised: f.Promised, Document: f.Document}
+	if a := f.Accepted; a != nil {
+		e.Accepted = &AcceptedEntry{Ballot: a.Ballot, Value: a.Value.Decode()}
+	}
+	if g := f.Granted; g != nil {
+		e.Granted = &Granted{Duty: g.Duty, Record: g.Record.Decode()}
+	}
+	return e
+}
--- a/control/journal.go
+++ b/control/journal.go
@@ -65,14 +65,17 @@
 		k.state = DiskState{Pact: register.State{Disk: freshID}}
 		return k, k.found()
 	}
-	if err = decode("slot", slot, &k.state); err != nil {
+	var state encodedDiskState
+	if err = decode("slot", slot, &state); err != nil {
 		return nil, err
 	}
+	k.state = state.decode()
 	for _, raw := range entries {
-		var e entry
-		if err = decode("log", raw, &e); err != nil {
+		var form encodedEntry
+		if err = decode("log", raw, &form); err != nil {
 			return nil, err
 		}
+		e := form.decode()
 		if err = k.restore(&e); err != nil {
 			return nil, err
 		}
@@ -102,7 +105,7 @@
 }
 
 func (k *Journal) rotate() error {
-	raw, err := encode(k.state)
+	raw, err := encode(encodeDiskState(k.state))
 	if err != nil {
 		return err
 	}
@@ -111,7 +114,7 @@
 
 // Recover writes the whole state anew after a failure.
 func (k *Journal) Recover() error {
-	raw, err := encode(k.state)
+	raw, err := encode(encodeDiskState(k.state))
 	if err != nil {
 		return err
 	}
@@ -189,7 +192,7 @@
 		e := wrap(w)
 		short := k.shorten(e)
 		k.apply(e)
-		raw, err := encode(short)
+		raw, err := encode(encodeEntry(short))
 		if err != nil {
 			return err
 		}
--- a/control/msg.go
+++ b/control/msg.go
@@ -1,32 +1,12 @@
 package control
 
 import (
-	"encoding/gob"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge"
-	"github.com/mallowbridge/mallowbridge/gossip"
-	"github.com/mallowbridge/mallowbridge/lease"
-	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// The fields of messages, gossip items and log entries are written by gob between nodes and on disk: their names, and the names registered
-// here, are part of the format and stay as they are.
-func init() {
-	for name, v := range map[string]any{
-		"pp": register.Prepare{}, "pq": register.Promise{}, "pa": register.Accept{}, "pb": register.Accepted{}, "pv": &register.Value{},
-		"ta": lease.Request{}, "tg": lease.Grant{}, "td": lease.Release{},
-		"kp": membership.Ping{}, "ka": membership.Ack{}, "kf": membership.PingFor{}, "km": membership.Member{},
-		"rn": gossip.Update{}, "rs": gossip.Checksum{}, "rm": gossip.Digest{}, "rw": gossip.Pull{}, "rt": gossip.Announcement{},
-		"cu": LoadReports{}, "cl": ReplicaState{}, "cr": ReplicaListItem{}, "ch": ListConfirmation{}, "cp": Prefills{}, "cf": Failures{},
-		"xp": ChunkPull{}, "xd": ChunkData{},
-		"ws": WitnessAsk{}, "wy": WitnessSay{}, "wf": WitnessForget{},
-	} {
-		gob.RegisterName(name, v)
-	}
-}
-
 // LoadReports is the gossip item with the load of the replicas of one zone (Domain), as the node named By probed them. Urgent says that a
 // replica went up, down or began to drain since the item before.
 type LoadReports struct {
--- /dev/null
+++ b/encoding.go
@@ -0,0 +1,108 @@
+package mallowbridge
+
+import (
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/transport"
+	"github.com/mallowbridge/mallowbridge/wire"
+)
+
+// The types of this file are the events that a daemon sends its followers, and what nodes send each other of them. Their field names are
+// a format and stay as they are.
+
+func init() {
+	wire.RegisterPlain("hello", transport.Hello{})
+	wire.Register("ew", encodeWelcome, decodeWelcome)
+	wire.Register("en", encodeNumbered, decodeNumbered)
+	wire.Register("eo", encodeSnapshotUpdate, decodeSnapshotUpdate)
+	wire.Register("er", encodeRouters, decodeRouters)
+	wire.RegisterPlain("eu", LoadReport{})
+	wire.RegisterPlain("el", Listing{})
+	wire.RegisterPlain("ef", Feed{})
+	wire.RegisterPlain("ed", ReplicaSuspect{})
+	wire.Register("eR", encodeReplicaList, decodeReplicaList)
+	wire.RegisterPlain("eF", Failures{})
+}
+
+type encodedWelcome struct{ Self, Domain, Boot string }
+
+func encodeWelcome(w Welcome) encodedWelcome {
+	return encodedWelcome{Self: w.Self, Domain: w.Domain, Boot: w.Boot}
+}
+
+func decodeWelcome(f encodedWelcome) Welcome {
+	return Welcome{Self: f.Self, Domain: f.Domain, Boot: f.Boot}
+}
+
+type encodedNumbered struct {
+	N     uint64
+	Event any
+}
+
+func encodeNumbered(n Numbered) encodedNumbered {
+	return encodedNumbered{N: n.N, Event: wire.Encode(n.Event)}
+}
+
+func decodeNumbered(f encodedNumbered) Numbered {
+	event, _ := wire.Decode(f.Event).(Event)
+	return Numbered{N: f.N, Event: event}
+}
+
+type encodedSnapshotUpdate struct{ Picture *config.EncodedSnapshot }
+
+func encodeSnapshotUpdate(s SnapshotUpdate) encodedSnapshotUpdate {
+	return encodedSnapshotUpdate{Picture: config.EncodeSnapshot(s.Picture)}
+}
+
+func decodeSnapshotUpdate(f encodedSnapshotUpdate) SnapshotUpdate {
+	return SnapshotUpdate{Picture: f.Picture.Decode()}
+}
+
+type encodedRouters struct {
+	Names   []string
+	Domains []string
+}
+
+func encodeRouters(r Routers) encodedRouters {
+	return encodedRouters{Names: r.Names, Domains: r.Domains}
+}
+
+func decodeRouters(f encodedRouters) Routers { return Routers{Names: f.Names, Domains: f.Domains} }
+
+// EncodedInstance is an Instance as nodes send it.
+type EncodedInstance struct {
+	ID, Offer, Addr, Domain string
+	Model                   string
+	Weights                 string
+	Room                    int
+	Leaving                 bool
+	Cold                    time.Duration
+}
+
+// EncodeInstance gives the encoded form of an instance.
+func EncodeInstance(i Instance) EncodedInstance {
+	return EncodedInstance{
+		ID: i.ID, Offer: i.Offer, Addr: i.Addr, Domain: i.Domain, Model: i.Model, Weights: i.Weights, Room: i.Room, Leaving: i.Leaving, Cold: i.Cold,
+	}
+}
+
+// Decode gives the instance of an encoded form.
+func (f EncodedInstance) Decode() Instance {
+	return Instance{
+		ID: f.ID, Offer: f.Offer, Addr: f.Addr, Domain: f.Domain, Model: f.Model, Weights: f.Weights, Room: f.Room, Leaving: f.Leaving, Cold: f.Cold,
+	}
+}
+
+type encodedReplicaList struct {
+	Rows []EncodedInstance
+	Age  time.Duration
+}
+
+func encodeReplicaList(l ReplicaList) encodedReplicaList {
+	return encodedReplicaList{Rows: wire.Each(l.Rows, EncodeInstance), Age: l.Age}
+}
+
+func decodeReplicaList(f encodedReplicaList) ReplicaList {
+	return ReplicaList{Rows: wire.Each(f.Rows, EncodedInstance.Decode), Age: f.Age}
+}
--- a/follow.go
+++ b/follow.go
@@ -1,7 +1,6 @@
 package mallowbridge
 
 import (
-	"encoding/gob"
 	"fmt"
 	"net"
 	"time"
@@ -12,17 +11,6 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// init registers the events that a daemon sends its followers. The registered names and the names of fields are part of the format
-// between builds and stay, whatever the types are called.
-func init() {
-	for name, v := range map[string]any{
-		"ew": Welcome{}, "en": Numbered{}, "eo": SnapshotUpdate{}, "er": Routers{}, "eu": LoadReport{}, "el": Listing{}, "ef": Feed{}, "ed": ReplicaSuspect{}, "eR": ReplicaList{}, "eF": Failures{},
-	} {
-		gob.RegisterName(name, v)
-	}
-	gob.RegisterName("hello", transport.Hello{})
-}
-
 // Welcome is a daemon's first event on a connection: its name, its zone and what is new at each of its starts.
 type Welcome struct{ Self, Domain, Boot string }
 
--- /dev/null
+++ b/gossip/encoding.go
@@ -0,0 +1,71 @@
+package gossip
+
+import "github.com/mallowbridge/mallowbridge/wire"
+
+// The types of this file are what messages hold. Their field names are a format and stay as they are.
+
+func init() {
+	wire.Register("rn", encodeUpdate, decodeUpdate)
+	wire.RegisterPlain("rs", Checksum{})
+	wire.Register("rm", encodeDigest, decodeDigest)
+	wire.RegisterPlain("rw", Pull{})
+	wire.Register("rt", encodeAnnouncement, decodeAnnouncement)
+}
+
+type encodedItem struct {
+	Key  string
+	Mark Version
+	Data any
+}
+
+func encodeItem(i Item) encodedItem {
+	return encodedItem{Key: i.Key, Mark: i.Mark, Data: wire.Encode(i.Data)}
+}
+
+func decodeItem(f encodedItem) Item {
+	return Item{Key: f.Key, Mark: f.Mark, Data: wire.Decode(f.Data)}
+}
+
+type encodedUpdate struct{ Items []encodedItem }
+
+func encodeUpdate(m Update) encodedUpdate {
+	return encodedUpdate{Items: wire.Each(m.Items, encodeItem)}
+}
+
+func decodeUpdate(f encodedUpdate) Update { return Update{Items: wire.Each(f.Items, decodeItem)} }
+
+type encodedKeyVersion struct {
+	Key  string
+	Mark Version
+}
+
+func encodeKeyVersion(k KeyVersion) encodedKeyVersion {
+	return encodedKeyVersion{Key: k.Key, Mark: k.Mark}
+}
+
+func decodeKeyVersion(f encodedKeyVersion) KeyVersion {
+	return KeyVersion{Key: f.Key, Mark: f.Mark}
+}
+
+type encodedDigest struct {
+	Marks []encodedKeyVersion
+	Reply bool
+}
+
+func encodeDigest(m Digest) encodedDigest {
+	return encodedDigest{Marks: wire.Each(m.Marks, encodeKeyVersion), Reply: m.Reply}
+}
+
+func decodeDigest(f encodedDigest) Digest {
+	return Digest{Marks: wire.Each(f.Marks, decodeKeyVersion), Reply: f.Reply}
+}
+
+type encodedAnnouncement struct{ Marks []encodedKeyVersion }
+
+func encodeAnnouncement(m Announcement) encodedAnnouncement {
+	return encodedAnnouncement{Marks: wire.Each(m.Marks, encodeKeyVersion)}
+}
+
+func decodeAnnouncement(f encodedAnnouncement) Announcement {
+	return Announcement{Marks: wire.Each(f.Marks, decodeKeyVersion)}
+}
--- /dev/null
+++ b/membership/encoding.go
@@ -0,0 +1,40 @@
+package membership
+
+import "github.com/mallowbridge/mallowbridge/wire"
+
+// The types of this file are what messages hold. Their field names are a format and stay as they are.
+
+func init() {
+	wire.RegisterPlain("kp", Ping{})
+	wire.RegisterPlain("ka", Ack{})
+	wire.RegisterPlain("kf", PingFor{})
+	wire.Register("km", encodeMember, decodeMember)
+}
+
+type encodedMember struct {
+	Name     string
+	Addr     string
+	HTTP     string
+	Domain   string
+	Disk     string
+	Inc      uint64
+	State    State
+	Build    uint32
+	Libs     int
+	Unfit    bool
+	Retiring bool
+}
+
+func encodeMember(m Member) encodedMember {
+	return encodedMember{
+		Name: m.Name, Addr: m.Addr, HTTP: m.HTTP, Domain: m.Domain, Disk: m.Disk, Inc: m.Inc, State: m.State, Build: m.Build, Libs: m.Libs,
+		Unfit: m.Unfit, Retiring: m.Retiring,
+	}
+}
+
+func decodeMember(f encodedMember) Member {
+	return Member{
+		Name: f.Name, Addr: f.Addr, HTTP: f.HTTP, Domain: f.Domain, Disk: f.Disk, Inc: f.Inc, State: f.State, Build: f.Build, Libs: f.Libs,
+		Unfit: f.Unfit, Retiring: f.Retiring,
+	}
+}
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -1,12 +1,12 @@
 package sim
 
 import (
-	"encoding/gob"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/transport"
+	"github.com/mallowbridge/mallowbridge/wire"
 )
 
 // Novelty is news of a kind that the next build knows and this one does not.
@@ -15,7 +15,7 @@
 // Since is the first build that reads the item.
 func (Novelty) Since() uint32 { return transport.Build + 1 }
 
-func init() { gob.RegisterName("xx", Novelty{}) }
+func init() { wire.RegisterPlain("xx", Novelty{}) }
 
 func (n *Node) novel() {
 	if n.build <= transport.Build || n.w.now/time.Second == (n.w.now-tickEvery)/time.Second {
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -8,6 +8,8 @@
 	"io"
 
 	"github.com/gravitational/trace"
+
+	"github.com/mallowbridge/mallowbridge/wire"
 )
 
 // Build is raised with the messages between nodes; neighbouring builds speak with each other. MaxFrame bounds a message in bytes.
@@ -68,7 +70,8 @@
 func (w *Writer) Frame(msg any) ([]byte, error) {
 	w.buf.Reset()
 	w.buf.Write([]byte{0, 0, 0, 0})
-	if err := w.enc.Encode(&msg); err != nil {
+	form := wire.Encode(msg)
+	if err := w.enc.Encode(&form); err != nil {
 		return nil, trace.Wrap(&UnreadableError{Cause: err.Error()})
 	}
 	n := w.buf.Len() - 4
@@ -113,11 +116,12 @@
 			msg, err = nil, trace.Wrap(&UnreadableError{Cause: fmt.Sprint(p)})
 		}
 	}()
-	if err = r.dec.Decode(&msg); err != nil {
+	var form any
+	if err = r.dec.Decode(&form); err != nil {
 		return nil, trace.Wrap(&UnreadableError{Cause: err.Error()})
 	}
-	if msg == nil || r.body.Len() > 0 {
+	if form == nil || r.body.Len() > 0 {
 		return nil, trace.Wrap(&UnreadableError{Cause: "not one message"})
 	}
-	return msg, nil
+	return wire.Decode(form), nil
 }
