--- a/arrive.go
+++ b/arrive.go
@@ -116,9 +116,9 @@
 }
 
 func (r *Router) model(service string) string {
-	for i := range r.snapshot.Charter.Offers {
-		if r.snapshot.Charter.Offers[i].Name == service {
-			return r.snapshot.Charter.Offers[i].Model
+	for i := range r.snapshot.Config.Services {
+		if r.snapshot.Config.Services[i].Name == service {
+			return r.snapshot.Config.Services[i].Model
 		}
 	}
 	return ""
--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -15,10 +15,10 @@
 func usualMessages() []any {
 	return []any{
 		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Checksum{Hash: 1, N: 1},
-		gossip.Digest{Marks: []gossip.KeyVersion{{Key: "k", Mark: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
+		gossip.Digest{Versions: []gossip.KeyVersion{{Key: "k", Version: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
 		gossip.Update{Items: []gossip.Item{
-			{Key: "k", Mark: gossip.Version{Hi: 1}, Data: membership.Member{Name: "n"}},
-			{Key: "u", Mark: gossip.Version{Hi: 1}, Data: control.LoadReports{Domain: "a", Rows: []mallowbridge.LoadReport{{Replica: "r", Running: 1}}}},
+			{Key: "k", Version: gossip.Version{Hi: 1}, Data: membership.Member{Name: "n"}},
+			{Key: "u", Version: gossip.Version{Hi: 1}, Data: control.LoadReports{Zone: "a", Rows: []mallowbridge.LoadReport{{Replica: "r", Running: 1}}}},
 		}},
 	}
 }
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -64,13 +64,13 @@
 	if err != nil {
 		panic(err)
 	}
-	for i := range c.Offers {
-		c.Offers[i].KeepTokens = keep
+	for i := range c.Services {
+		c.Services[i].KeepTokens = keep
 	}
 	l := &soloRouter{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
 	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
-	l.step(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 1, Charter: c}})
+	l.step(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: 1, Config: c}})
 	for i := range soloReplicas {
 		l.step(mallowbridge.LoadReport{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
 	}
@@ -107,7 +107,7 @@
 func remembered() Sweep {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		n := &sim.HollowNode{Name: "n1", Domain: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
-		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Domain: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
+		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
 			in := control.Received{From: "10.0.0.2:1", Msg: control.WitnessAsk{Rid: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -34,7 +34,7 @@
 }
 
 // fetched brings the missing pieces from one store to another, in the wrong order, until the document is there.
-func fetched(t *testing.T, from, to *Store, m *Manifest, document []byte) (bytesNew, pieces int) {
+func fetched(t *testing.T, from, to *Store, m *Manifest, document []byte) (bytesNew, chunks int) {
 	t.Helper()
 	for {
 		body, err := to.Body(m)
@@ -43,13 +43,13 @@
 			if err != nil || !bytes.Equal(body, document) {
 				t.Fatalf("%d bytes of %d, %v", len(body), len(document), err)
 			}
-			return bytesNew, pieces
+			return bytesNew, chunks
 		}
 		for _, name := range slices.Backward(missing.Names) {
 			if !to.Put(from.Get(name)) {
 				t.Fatal("a missing piece isn't taken")
 			}
-			bytesNew, pieces = bytesNew+len(from.Get(name)), pieces+1
+			bytesNew, chunks = bytesNew+len(from.Get(name)), chunks+1
 		}
 	}
 }
@@ -57,13 +57,13 @@
 func TestChunksJoinToTheDocument(t *testing.T) {
 	for _, size := range []int{0, 1, minimum, minimum + 1, Largest, Largest + 1, 300000} {
 		for _, document := range [][]byte{noise(1, size), make([]byte, size)} {
-			pieces := Cut(document)
-			if !bytes.Equal(bytes.Join(pieces, nil), document) {
+			chunks := Cut(document)
+			if !bytes.Equal(bytes.Join(chunks, nil), document) {
 				t.Fatalf("%d bytes don't come back", size)
 			}
-			for i, piece := range pieces {
-				if len(piece) > Largest || (len(piece) < minimum && i < len(pieces)-1) {
-					t.Errorf("%d bytes: chunk %d has %d", size, i, len(piece))
+			for i, data := range chunks {
+				if len(data) > Largest || (len(data) < minimum && i < len(chunks)-1) {
+					t.Errorf("%d bytes: chunk %d has %d", size, i, len(data))
 				}
 			}
 		}
@@ -78,9 +78,9 @@
 		next := routes(2500, changed)
 		from := NewStore(4, 4, 8<<20)
 		m := from.Manifest(next)
-		bytes, pieces := fetched(t, from, s, m, next)
-		if bytes > old.Size/50 || pieces > 10 {
-			t.Errorf("route %d makes %d pieces and %d of %d bytes new", changed, pieces, bytes, old.Size)
+		bytes, chunks := fetched(t, from, s, m, next)
+		if bytes > old.Size/50 || chunks > 10 {
+			t.Errorf("route %d makes %d pieces and %d of %d bytes new", changed, chunks, bytes, old.Size)
 		}
 	}
 	if mean := old.Size / len(Cut(base)); mean < 2<<10 || mean > 4<<10 {
@@ -95,8 +95,8 @@
 	from, to := NewStore(4, 4, 8<<20), NewStore(4, 4, 8<<20)
 	document := routes(300, -1)
 	m := from.Manifest(document)
-	if _, pieces := fetched(t, from, to, m, document); pieces != len(Cut(document))+len(m.Segments)/NameBytes {
-		t.Errorf("%d pieces came", pieces)
+	if _, chunks := fetched(t, from, to, m, document); chunks != len(Cut(document))+len(m.Segments)/NameBytes {
+		t.Errorf("%d pieces came", chunks)
 	}
 	if to.Put([]byte("nobody asked for this")) {
 		t.Error("a chunk of no document is taken")
@@ -138,8 +138,8 @@
 		if body, err := s.Body(m); err != nil || !bytes.Equal(body, mine) {
 			t.Fatalf("after %d others: %v", i, err)
 		}
-		if s.Held() > 1<<20 {
-			t.Fatalf("%d bytes are held", s.Held())
+		if s.BodyBytes() > 1<<20 {
+			t.Fatalf("%d bytes are held", s.BodyBytes())
 		}
 	}
 	if s.Manifest(routes(500, 7)); s.Get(s.recent[0].names[0]) == nil {
@@ -155,8 +155,8 @@
 		s.Manifest(noise(uint64(200+i), 1000))
 	}
 	sum := 0
-	for _, entry := range s.pieces {
-		sum += len(entry.piece)
+	for _, entry := range s.chunks {
+		sum += len(entry.data)
 	}
 	if _, err := s.Body(m); err == nil || sum != 3000+3*NameBytes {
 		t.Errorf("%d bytes are left, %v", sum, err)
@@ -192,11 +192,11 @@
 		at := 0
 		for _, segment := range split(names) {
 			for _, name := range split(s.Get(segment)) {
-				piece := s.Get(name)
-				if !bytes.HasPrefix(body[at:], piece) {
+				data := s.Get(name)
+				if !bytes.HasPrefix(body[at:], data) {
 					t.Fatalf("a chunk isn't in its place, %d", at)
 				}
-				at += len(piece)
+				at += len(data)
 			}
 		}
 	})
--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -42,9 +42,9 @@
 func NewIndex(body []byte) *Index {
 	x := &Index{body: body, sum: sum(body), places: map[Name]int{}}
 	at := 0
-	for _, piece := range Cut(body) {
-		x.places[NameOf(piece)] = at
-		at += len(piece)
+	for _, data := range Cut(body) {
+		x.places[NameOf(data)] = at
+		at += len(data)
 	}
 	return x
 }
@@ -62,16 +62,16 @@
 	then := &Index{body: next, sum: sum(next), places: map[Name]int{}}
 	d := Delta{Base: x.sum, Sum: then.sum}
 	at := 0
-	for _, piece := range Cut(next) {
-		name := NameOf(piece)
+	for _, data := range Cut(next) {
+		name := NameOf(data)
 		then.places[name] = at
-		at += len(piece)
+		at += len(data)
 		from, known := x.places[name]
 		if !known {
-			d.fresh(next[:at], len(piece))
+			d.fresh(next[:at], len(data))
 			continue
 		}
-		d.copied(from, len(piece))
+		d.copied(from, len(data))
 	}
 	return d, then
 }
--- a/chunk/fresh.go
+++ b/chunk/fresh.go
@@ -15,33 +15,33 @@
 	if _, err := s.Body(m); err != nil {
 		return nil
 	}
-	var pieces [][]byte
+	var chunks [][]byte
 	for _, name := range s.open(m).all() {
 		if had[name] {
 			continue
 		}
 		had[name] = true
-		piece := s.pieces[name].piece
-		if bytes -= len(piece); bytes < 0 {
+		data := s.chunks[name].data
+		if bytes -= len(data); bytes < 0 {
 			return nil
 		}
-		pieces = append(pieces, piece)
+		chunks = append(chunks, data)
 	}
-	return pieces
+	return chunks
 }
 
 // all are the names of a document's segments and chunks.
 func (d *document) all() []Name { return slices.Concat(d.segments, d.names) }
 
 // With takes pieces in as far as the document lacks them, and returns it as Body does.
-func (s *Store) With(m *Manifest, pieces [][]byte) ([]byte, error) {
+func (s *Store) With(m *Manifest, chunks [][]byte) ([]byte, error) {
 	body, err := s.Body(m)
 	for range 2 {
-		if err == nil || len(pieces) == 0 {
+		if err == nil || len(chunks) == 0 {
 			return body, err
 		}
-		for _, piece := range pieces {
-			s.Put(piece)
+		for _, data := range chunks {
+			s.Put(data)
 		}
 		body, err = s.Body(m)
 	}
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -19,8 +19,8 @@
 type Name [NameBytes]byte
 
 // NameOf names a chunk.
-func NameOf(piece []byte) Name {
-	sum := sha256.Sum256(piece)
+func NameOf(data []byte) Name {
+	sum := sha256.Sum256(data)
 	return Name(sum[:NameBytes])
 }
 
--- a/chunk/store.go
+++ b/chunk/store.go
@@ -20,9 +20,9 @@
 	return fmt.Sprintf("the chunks have %d bytes together, not %d", e.Bytes, e.Want)
 }
 
-type kept struct {
-	piece []byte
-	uses  int
+type storedChunk struct {
+	data []byte
+	uses int
 }
 
 // document is one that a store knows: names are its chunks, once its segments are here.
@@ -40,15 +40,15 @@
 	documents int
 	bodies    int
 	bytes     int
-	held      int
-	pieces    map[Name]*kept
+	bodyBytes int
+	chunks    map[Name]*storedChunk
 	recent    []*document
 }
 
 // NewStore makes a store that keeps the chunks of the most recently used documents: that many, fewer where their chunks together
 // exceed the number of bytes, two in any case. Of as many as bodies it keeps the whole document too.
 func NewStore(documents, bodies, bytes int) *Store {
-	return &Store{documents: max(documents, 2), bodies: bodies, bytes: bytes, pieces: map[Name]*kept{}}
+	return &Store{documents: max(documents, 2), bodies: bodies, bytes: bytes, chunks: map[Name]*storedChunk{}}
 }
 
 // Manifest takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
@@ -69,8 +69,8 @@
 	}
 	chunks := cut(body)
 	joined := make([]byte, 0, len(chunks)*NameBytes)
-	for _, piece := range chunks {
-		name := NameOf(piece)
+	for _, data := range chunks {
+		name := NameOf(data)
 		joined = append(joined, name[:]...)
 	}
 	m := &Manifest{Size: len(body)}
@@ -84,8 +84,8 @@
 		s.put(d.segments[i], part)
 	}
 	s.expand(d)
-	for i, piece := range chunks {
-		s.put(d.names[i], piece)
+	for i, data := range chunks {
+		s.put(d.names[i], data)
 	}
 	d.body = body
 	s.shrink()
@@ -111,7 +111,7 @@
 	}
 	size := 0
 	for _, name := range d.names {
-		size += len(s.pieces[name].piece)
+		size += len(s.chunks[name].data)
 	}
 	if size != m.Size {
 		s.drop(len(s.recent) - 1)
@@ -119,7 +119,7 @@
 	}
 	body := make([]byte, 0, size)
 	for _, name := range d.names {
-		body = append(body, s.pieces[name].piece...)
+		body = append(body, s.chunks[name].data...)
 	}
 	d.body = body
 	s.shrink()
@@ -130,7 +130,7 @@
 	seen := map[Name]bool{}
 	var names []Name
 	for _, name := range of {
-		if s.pieces[name].piece == nil && !seen[name] {
+		if s.chunks[name].data == nil && !seen[name] {
 			seen[name] = true
 			names = append(names, name)
 		}
@@ -139,34 +139,34 @@
 }
 
 // Put takes in a chunk or a segment that some document of the store lacks, and tells whether it was one.
-func (s *Store) Put(piece []byte) bool {
-	if len(piece) == 0 || len(piece) > Largest {
+func (s *Store) Put(data []byte) bool {
+	if len(data) == 0 || len(data) > Largest {
 		return false
 	}
-	return s.put(NameOf(piece), piece)
+	return s.put(NameOf(data), data)
 }
 
-func (s *Store) put(name Name, piece []byte) bool {
-	entry := s.pieces[name]
-	if entry == nil || entry.piece != nil {
+func (s *Store) put(name Name, data []byte) bool {
+	entry := s.chunks[name]
+	if entry == nil || entry.data != nil {
 		return false
 	}
-	entry.piece = append(make([]byte, 0, len(piece)), piece...)
-	s.held += len(piece)
+	entry.data = append(make([]byte, 0, len(data)), data...)
+	s.bodyBytes += len(data)
 	s.shrink()
 	return true
 }
 
 // Get returns a chunk or a segment, or nothing.
 func (s *Store) Get(name Name) []byte {
-	if entry := s.pieces[name]; entry != nil {
-		return entry.piece
+	if entry := s.chunks[name]; entry != nil {
+		return entry.data
 	}
 	return nil
 }
 
-// Held is how many bytes of chunks and segments the store holds.
-func (s *Store) Held() int { return s.held }
+// BodyBytes is how many bytes of chunks and segments the store holds.
+func (s *Store) BodyBytes() int { return s.bodyBytes }
 
 // open makes a document the most recent one.
 func (s *Store) open(m *Manifest) *document {
@@ -190,27 +190,27 @@
 		return
 	}
 	for _, segment := range d.segments {
-		d.names = append(d.names, split(s.pieces[segment].piece)...)
+		d.names = append(d.names, split(s.chunks[segment].data)...)
 	}
 	s.use(d.names)
 }
 
 func (s *Store) use(names []Name) {
 	for _, name := range names {
-		if s.pieces[name] == nil {
-			s.pieces[name] = &kept{}
+		if s.chunks[name] == nil {
+			s.chunks[name] = &storedChunk{}
 		}
-		s.pieces[name].uses++
+		s.chunks[name].uses++
 	}
 }
 
 func (s *Store) release(names []Name) {
 	for _, name := range names {
-		entry := s.pieces[name]
+		entry := s.chunks[name]
 		entry.uses--
 		if entry.uses == 0 {
-			s.held -= len(entry.piece)
-			delete(s.pieces, name)
+			s.bodyBytes -= len(entry.data)
+			delete(s.chunks, name)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 }
 
 func (s *Store) shrink() {
-	for len(s.recent) > s.documents || (s.held > s.bytes && len(s.recent) > 2) {
+	for len(s.recent) > s.documents || (s.bodyBytes > s.bytes && len(s.recent) > 2) {
 		s.drop(0)
 	}
 	for _, d := range s.recent[:max(0, len(s.recent)-s.bodies)] {
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) mallowbridge.How {
-		return control.WitnessOutcome(h.Call(control.Witness{Request: request, Spare: spare, Peek: peek}))
+		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: spare, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
 	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return transportCounters(h) }}
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: o.Mark, Charter: c, Emptied: o.Emptied}}, nil
+	return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: o.Mark, Config: c, EvacuatedZones: o.Emptied}}, nil
 }
 
 func read[T mallowbridge.Event](raw []byte) (mallowbridge.Event, error) {
--- a/cmd/mallowbridge/main.go
+++ b/cmd/mallowbridge/main.go
@@ -52,7 +52,7 @@
 func complain(errs io.Writer, err error) {
 	var bad *config.InvalidError
 	if errors.As(err, &bad) {
-		for _, f := range bad.Flaws {
+		for _, f := range bad.Violations {
 			fmt.Fprintln(errs, "mallowbridge:", f)
 		}
 		return
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -56,9 +56,9 @@
 		if c, err = documents.Read(raw); err != nil {
 			return c, err
 		}
-		for i := range c.Offers {
-			c.Offers[i].StaleCap = staleCap
-			c.Offers[i].SecondShare, c.Offers[i].SecondPlus = b.RetryRatio, int(float64(b.RetryExtra)*(1-spareAllowance))
+		for i := range c.Services {
+			c.Services[i].StaleCap = staleCap
+			c.Services[i].RetryRatio, c.Services[i].RetryExtra = b.RetryRatio, int(float64(b.RetryExtra)*(1-spareAllowance))
 		}
 		return c, nil
 	}
@@ -118,7 +118,7 @@
 		return err
 	}
 	n.daemon.Loop.Look(func(r *mallowbridge.Router) { placement(r, way) })
-	n.daemon.OnSnapshot(func(p *config.Snapshot) { n.limits.Store(&p.Charter.Limits) })
+	n.daemon.OnSnapshot(func(p *config.Snapshot) { n.limits.Store(&p.Config.Limits) })
 	n.proxy = proxy.New(n.daemon.Loop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
 	n.serve(listeners)
 	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
--- a/config/config.go
+++ b/config/config.go
@@ -11,25 +11,21 @@
 
 const (
 	maxName     = 64
-	maxOffers   = 256
+	maxServices = 256
 	maxReplicas = 4096
-	maxKinds    = 64
+	maxClasses  = 64
 )
 
-// The types below are sent between nodes by gob and kept on disk in a Snapshot, so that their field names are part of the format
-// and stay: an Offer is a service, a Kind a class of requests, Domain a zone, SecondShare and SecondPlus bound retries, Mark is a
-// version, Charter the configuration, Emptied the evacuated zones.
-
 // Replica is a replica that the document names.
 type Replica struct {
 	// Addr is an IP address and port; Role is "both", "prefill" or "decode".
-	Name, Addr, Domain, Role string
-	// Room is how many requests it runs at once.
-	Room int
+	Name, Addr, Zone, Role string
+	// Capacity is how many requests it runs at once.
+	Capacity int
 }
 
-// Kind is a class of requests to a service.
-type Kind struct {
+// RequestClass is a class of requests to a service.
+type RequestClass struct {
 	Name string
 	// Value and Urgency multiply the priority of its requests.
 	Value   float64
@@ -39,17 +35,17 @@
 	Repeatable bool
 }
 
-// Offer is a service: a model, its replicas and what they have in common.
-type Offer struct {
+// Service is a service: a model, its replicas and what they have in common.
+type Service struct {
 	Name, Model string
 	Replicas    []Replica
-	Kinds       []Kind
-	// ColdRoom is how many requests a new replica bears at first; that grows to its room over ColdRamp.
-	ColdRoom int
-	ColdRamp time.Duration
-	// SecondShare is the most retries a first attempt, SecondPlus the most in hand beyond, over the fleet.
-	SecondShare float64
-	SecondPlus  int
+	Classes     []RequestClass
+	// WarmupCapacity is how many requests a new replica bears at first; that grows to its room over SlowStart.
+	WarmupCapacity int
+	SlowStart      time.Duration
+	// RetryRatio is the most retries a first attempt, RetryExtra the most in hand beyond, over the fleet.
+	RetryRatio float64
+	RetryExtra int
 	// StaleCap bounds how long a predicted holding is trusted.
 	StaleCap time.Duration
 	// Base and PerToken estimate the time to the first token of an idle replica.
@@ -68,31 +64,31 @@
 	Health string
 	// MaxConns is the most connections that a replica bears; 0: no bound.
 	MaxConns int
-	// ColdRate is how many requests a second a cold replica bears from all routers together; 0: no bound. It is cold for ColdFor.
-	ColdRate float64
-	ColdFor  time.Duration
+	// WarmupRate is how many requests a second a cold replica bears from all routers together; 0: no bound. It is cold for WarmupTime.
+	WarmupRate float64
+	WarmupTime time.Duration
 	// Stride is how many tokens a piece of a stream may hold; 0 where replicas do not batch.
 	Stride int
 }
 
-// WeightedOffer gives a service a part of a route's requests; weights are relative to each other.
-type WeightedOffer struct {
-	Offer  string
-	Weight float64
+// WeightedService gives a service a part of a route's requests; weights are relative to each other.
+type WeightedService struct {
+	Service string
+	Weight  float64
 }
 
 // A Route takes requests by host and longest path prefix to services.
 type Route struct {
 	Name, Host, Prefix string
-	Split              []WeightedOffer
+	TrafficSplit       []WeightedService
 	// Streaming answers are series of events; Resumable ones may be taken up at another replica after the last event id.
 	Streaming, Repeatable, Resumable bool
-	// Timeout bounds a request as a whole, FirstToken is the aim for its answer or first event, Gap for each later one (0: none).
-	Timeout, FirstToken, Gap time.Duration
-	// Attempts is the most replicas that one request may be sent to.
-	Attempts int
-	// Rank 0 goes first.
-	Rank int
+	// Timeout bounds a request as a whole, FirstToken is the aim for its answer or first event, TargetGap for each later one (0: none).
+	Timeout, FirstToken, TargetGap time.Duration
+	// MaxAttempts is the most replicas that one request may be sent to.
+	MaxAttempts int
+	// Priority 0 goes first.
+	Priority int
 }
 
 // Limits bound what a client may send and how long it may take. Zero leaves the daemon's own bound.
@@ -103,9 +99,9 @@
 
 // Config is a whole document, read and checked. It is immutable.
 type Config struct {
-	Offers []Offer
-	Routes []Route
-	Limits Limits
+	Services []Service
+	Routes   []Route
+	Limits   Limits
 	// ReplaceVoter is how long a voter must be lost until another takes its place; 0: never by itself.
 	ReplaceVoter time.Duration
 	// Revision is the operators' own number for the document; 0 where they give none.
@@ -115,16 +111,16 @@
 // A Reader reads and checks an operators' document; Read is the product's own. Flaws of the document are an *InvalidError.
 type Reader func(raw []byte) (Config, error)
 
-// Snapshot is a whole configuration at one version (Mark), as agreed upon. It is immutable; the control node gives it to routers.
+// Snapshot is a whole configuration at one version (Version), as agreed upon. It is immutable; the control node gives it to routers.
 type Snapshot struct {
-	Mark    uint64
-	Charter Config
-	Emptied []string
+	Version        uint64
+	Config         Config
+	EvacuatedZones []string
 }
 
 // Evacuated tells whether a zone is to get no requests.
 func (p *Snapshot) Evacuated(zone string) bool {
-	for _, evacuated := range p.Emptied {
+	for _, evacuated := range p.EvacuatedZones {
 		if evacuated == zone {
 			return true
 		}
@@ -148,9 +144,9 @@
 		return c, err
 	}
 	c.ReplaceVoter = readReplaceVoter(d)
-	offers, reps := map[string]bool{}, map[string]bool{}
-	for _, o := range d.List(offersField, 1, maxOffers) {
-		c.Offers = append(c.Offers, readOffer(o, offers, reps))
+	services, reps := map[string]bool{}, map[string]bool{}
+	for _, o := range d.List(servicesField, 1, maxServices) {
+		c.Services = append(c.Services, readService(o, services, reps))
 	}
 	d.Close()
 	if err = d.Err(); err != nil {
@@ -163,42 +159,42 @@
 	return ms(d, replaceField, 0, 0, 86400000)
 }
 
-func readOffer(d *Decoder, offers, reps map[string]bool) Offer {
-	var o Offer
-	o.Name = unique(d, "name", offers)
-	o.Model = d.Str("model", true, maxName)
+func readService(d *Decoder, services, reps map[string]bool) Service {
+	var service Service
+	service.Name = unique(d, "name", services)
+	service.Model = d.Str("model", true, maxName)
 	for _, r := range d.List("replicas", 1, maxReplicas) {
-		o.Replicas = append(o.Replicas, readReplica(r, reps))
+		service.Replicas = append(service.Replicas, readReplica(r, reps))
 	}
-	kinds := map[string]bool{}
-	for _, k := range d.List("kinds", 1, maxKinds) {
-		o.Kinds = append(o.Kinds, readKind(k, kinds))
+	classes := map[string]bool{}
+	for _, k := range d.List("kinds", 1, maxClasses) {
+		service.Classes = append(service.Classes, readKind(k, classes))
 	}
-	readWarmUp(d.Sub("cold"), &o)
-	readRetries(d.Sub("secondGo"), &o)
-	readEstimate(d.Sub("estimate"), &o)
-	o.StaleCap = ms(d, "staleCapMs", 2000, 100, 2000)
-	o.KeepTokens = d.Int("keepTokens", 65536, 0, 1<<30)
-	o.CrossCost = d.Num("crossCost", 0.2, 0, 100)
+	readWarmUp(d.Sub("cold"), &service)
+	readRetries(d.Sub("secondGo"), &service)
+	readEstimate(d.Sub("estimate"), &service)
+	service.StaleCap = ms(d, "staleCapMs", 2000, 100, 2000)
+	service.KeepTokens = d.Int("keepTokens", 65536, 0, 1<<30)
+	service.CrossCost = d.Num("crossCost", 0.2, 0, 100)
 	d.Close()
-	return o
+	return service
 }
 
-func readWarmUp(d *Decoder, o *Offer) {
-	o.ColdRoom = d.Int("startRoom", 1, 1, 1024)
-	o.ColdRamp = ms(d, "rampMs", 6000, 0, 600000)
+func readWarmUp(d *Decoder, service *Service) {
+	service.WarmupCapacity = d.Int("startRoom", 1, 1, 1024)
+	service.SlowStart = ms(d, "rampMs", 6000, 0, 600000)
 	d.Close()
 }
 
-func readRetries(d *Decoder, o *Offer) {
-	o.SecondShare = d.Num("share", 0.2, 0, 0.2)
-	o.SecondPlus = d.Int("allowance", 24, 0, 48)
+func readRetries(d *Decoder, service *Service) {
+	service.RetryRatio = d.Num("share", 0.2, 0, 0.2)
+	service.RetryExtra = d.Int("allowance", 24, 0, 48)
 	d.Close()
 }
 
-func readEstimate(d *Decoder, o *Offer) {
-	o.Base = ms(d, "baseMs", 60, 0, 60000)
-	o.PerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
+func readEstimate(d *Decoder, service *Service) {
+	service.Base = ms(d, "baseMs", 60, 0, 60000)
+	service.PerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
 	d.Close()
 }
 
@@ -219,8 +215,8 @@
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
 		d.Flaw(d.At("addr"), r.Addr, "an IP number and port")
 	}
-	r.Domain = d.Str("domain", true, maxName)
-	r.Room = d.Int("room", 8, 1, 4096)
+	r.Zone = d.Str("domain", true, maxName)
+	r.Capacity = d.Int("room", 8, 1, 4096)
 	r.Role = d.Str("role", false, maxName)
 	switch r.Role {
 	case "":
@@ -233,13 +229,13 @@
 	return r
 }
 
-func readKind(d *Decoder, seen map[string]bool) Kind {
-	var k Kind
-	k.Name = unique(d, "name", seen)
-	k.Value = d.Num("value", 1, 0.001, 1e6)
-	k.Urgency = d.Num("urgency", 1, 0.001, 1e3)
-	k.FirstToken = ms(d, "firstTokenMs", 2000, 10, 600000)
-	k.Repeatable = d.Bool("repeatable", false)
+func readKind(d *Decoder, seen map[string]bool) RequestClass {
+	var class RequestClass
+	class.Name = unique(d, "name", seen)
+	class.Value = d.Num("value", 1, 0.001, 1e6)
+	class.Urgency = d.Num("urgency", 1, 0.001, 1e3)
+	class.FirstToken = ms(d, "firstTokenMs", 2000, 10, 600000)
+	class.Repeatable = d.Bool("repeatable", false)
 	d.Close()
-	return k
+	return class
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,7 +12,7 @@
 const sound = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"10.0.0.1:1","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
 func TestFlawsNameTheirPath(t *testing.T) {
-	if c, err := Read([]byte(sound)); err != nil || c.Offers[0].Replicas[0].Room != 8 || c.Offers[0].Kinds[0].Repeatable {
+	if c, err := Read([]byte(sound)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Repeatable {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, c := range []struct{ from, to, path string }{
@@ -38,7 +38,7 @@
 			t.Errorf("%s: taken", c.to)
 			continue
 		}
-		if !slices.ContainsFunc(bad.Flaws, func(f Flaw) bool { return strings.HasPrefix(f.Path, strings.Split(c.path, "[0].offers")[0]) }) {
+		if !slices.ContainsFunc(bad.Violations, func(f Violation) bool { return strings.HasPrefix(f.Path, strings.Split(c.path, "[0].offers")[0]) }) {
 			t.Errorf("%s: %v", c.to, bad)
 		}
 	}
@@ -59,12 +59,12 @@
 		c, err := Read(raw)
 		if err != nil {
 			var bad *InvalidError
-			if !errors.As(err, &bad) || len(bad.Flaws) == 0 {
+			if !errors.As(err, &bad) || len(bad.Violations) == 0 {
 				t.Fatalf("an error without flaws: %v", err)
 			}
 			return
 		}
-		if len(c.Offers) == 0 || fmt.Sprint(c.Offers[0].Kinds) == "[]" {
+		if len(c.Services) == 0 || fmt.Sprint(c.Services[0].Classes) == "[]" {
 			t.Fatal("a configuration without offers was taken")
 		}
 	})
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -10,10 +10,10 @@
 // Decoder reads one object of a document field by field and collects flaws instead of stopping at the first; what is flawed reads as
 // its default. The decoders of parts share the flaws. Fields that nobody read are flaws when it is closed.
 type Decoder struct {
-	path  string
-	t     tree
-	used  map[string]bool
-	flaws *[]Flaw
+	path       string
+	t          tree
+	used       map[string]bool
+	violations *[]Violation
 }
 
 // Open parses a JSON document; the error is an *InvalidError.
@@ -22,12 +22,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Decoder{path: "$", t: t, used: map[string]bool{}, flaws: &[]Flaw{}}, nil
+	return &Decoder{path: "$", t: t, used: map[string]bool{}, violations: &[]Violation{}}, nil
 }
 
-// Flaw adds a flaw.
+// Violation adds a flaw.
 func (d *Decoder) Flaw(path, val, bound string) {
-	*d.flaws = append(*d.flaws, Flaw{Path: path, Value: val, Bound: bound})
+	*d.violations = append(*d.violations, Violation{Path: path, Value: val, Bound: bound})
 }
 
 // At is the path of a field.
@@ -98,7 +98,7 @@
 	if ok && t.kind != 'o' {
 		d.Flaw(d.At(key), t.show(), "an object")
 	}
-	return &Decoder{path: d.At(key), t: t, used: map[string]bool{}, flaws: d.flaws}
+	return &Decoder{path: d.At(key), t: t, used: map[string]bool{}, violations: d.violations}
 }
 
 // List reads a list of min to max elements; an absent one is empty.
@@ -110,7 +110,7 @@
 	}
 	var subs []*Decoder
 	for i, kid := range t.kids {
-		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.At(key), i), t: kid, used: map[string]bool{}, flaws: d.flaws})
+		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.At(key), i), t: kid, used: map[string]bool{}, violations: d.violations})
 	}
 	return subs
 }
@@ -137,8 +137,8 @@
 
 // Err is an *InvalidError with all flaws so far, or nil.
 func (d *Decoder) Err() error {
-	if len(*d.flaws) == 0 {
+	if len(*d.violations) == 0 {
 		return nil
 	}
-	return trace.Wrap(&InvalidError{Flaws: *d.flaws})
+	return trace.Wrap(&InvalidError{Violations: *d.violations})
 }
--- a/config/documents.go
+++ b/config/documents.go
@@ -7,11 +7,11 @@
 
 // Documents reads documents of the product's own format that are mostly like the one before: only offers that differ are read. It has
 // one owner.
-type Documents struct{ memo Memo }
+type Documents struct{ cache SplitCache }
 
 const (
-	offersField  = "offers"
-	replaceField = "replaceLostVoterMs"
+	servicesField = "offers"
+	replaceField  = "replaceLostVoterMs"
 )
 
 // Read is Read; what it finds is the same.
@@ -26,7 +26,7 @@
 
 // quick reads a sound document, and gives up on any other.
 func (d *Documents) quick(raw []byte) (Config, bool) {
-	split, ok := d.memo.Split(raw)
+	split, ok := d.cache.Split(raw)
 	var c Config
 	if !ok {
 		return c, false
@@ -35,8 +35,8 @@
 		switch {
 		case f.Name == replaceField:
 			c.ReplaceVoter, ok = replaceVoter(f.Value)
-		case f.Name == offersField && f.List:
-			c.Offers, ok = offers(f.Items)
+		case f.Name == servicesField && f.List:
+			c.Services, ok = offers(f.Items)
 		default:
 			ok = false
 		}
@@ -44,7 +44,7 @@
 			return Config{}, false
 		}
 	}
-	return c, len(c.Offers) > 0
+	return c, len(c.Services) > 0
 }
 
 func replaceVoter(value []byte) (time.Duration, bool) {
@@ -58,36 +58,36 @@
 }
 
 // offers reads those that are new, and looks for names that occur twice in all.
-func offers(items []*Item) ([]Offer, bool) {
-	if len(items) > maxOffers {
+func offers(items []*Item) ([]Service, bool) {
+	if len(items) > maxServices {
 		return nil, false
 	}
 	names, replicas := map[string]bool{}, map[string]bool{}
-	var all []Offer
+	var all []Service
 	for _, it := range items {
-		if it.Offer == nil {
+		if it.Service == nil {
 			d, err := Open(it.Raw)
 			if err != nil {
 				return nil, false
 			}
-			o := readOffer(d, map[string]bool{}, map[string]bool{})
+			service := readService(d, map[string]bool{}, map[string]bool{})
 			if d.Err() != nil {
 				return nil, false
 			}
-			it.Offer = &o
+			it.Service = &service
 		}
-		if names[it.Offer.Name] {
+		if names[it.Service.Name] {
 			return nil, false
 		}
-		names[it.Offer.Name] = true
-		for i := range it.Offer.Replicas {
-			name := it.Offer.Replicas[i].Name
+		names[it.Service.Name] = true
+		for i := range it.Service.Replicas {
+			name := it.Service.Replicas[i].Name
 			if replicas[name] {
 				return nil, false
 			}
 			replicas[name] = true
 		}
-		all = append(all, *it.Offer)
+		all = append(all, *it.Service)
 	}
 	return all, true
 }
--- a/config/encoding.go
+++ b/config/encoding.go
@@ -15,14 +15,14 @@
 }
 
 func encodeReplica(r Replica) encodedReplica {
-	return encodedReplica{Name: r.Name, Addr: r.Addr, Domain: r.Domain, Role: r.Role, Room: r.Room}
+	return encodedReplica{Name: r.Name, Addr: r.Addr, Domain: r.Zone, Role: r.Role, Room: r.Capacity}
 }
 
 func decodeReplica(f encodedReplica) Replica {
-	return Replica{Name: f.Name, Addr: f.Addr, Domain: f.Domain, Role: f.Role, Room: f.Room}
+	return Replica{Name: f.Name, Addr: f.Addr, Zone: f.Domain, Role: f.Role, Capacity: f.Room}
 }
 
-type encodedKind struct {
+type encodedRequestClass struct {
 	Name       string
 	Value      float64
 	Urgency    float64
@@ -30,14 +30,14 @@
 	Repeatable bool
 }
 
-func encodeKind(k Kind) encodedKind { return encodedKind(k) }
+func encodeRequestClass(class RequestClass) encodedRequestClass { return encodedRequestClass(class) }
 
-func decodeKind(f encodedKind) Kind { return Kind(f) }
+func decodeRequestClass(f encodedRequestClass) RequestClass { return RequestClass(f) }
 
-type encodedOffer struct {
+type encodedService struct {
 	Name, Model string
 	Replicas    []encodedReplica
-	Kinds       []encodedKind
+	Kinds       []encodedRequestClass
 	ColdRoom    int
 	ColdRamp    time.Duration
 	SecondShare float64
@@ -56,42 +56,42 @@
 	Stride      int
 }
 
-func encodeOffer(o Offer) encodedOffer {
-	return encodedOffer{
-		Name: o.Name, Model: o.Model, Replicas: wire.Each(o.Replicas, encodeReplica), Kinds: wire.Each(o.Kinds, encodeKind),
-		ColdRoom: o.ColdRoom, ColdRamp: o.ColdRamp, SecondShare: o.SecondShare, SecondPlus: o.SecondPlus,
-		StaleCap: o.StaleCap, Base: o.Base, PerToken: o.PerToken, KeepTokens: o.KeepTokens, CrossCost: o.CrossCost,
-		Discovered: o.Discovered, Queues: o.Queues, Health: o.Health, MaxConns: o.MaxConns,
-		ColdRate: o.ColdRate, ColdFor: o.ColdFor, Stride: o.Stride,
+func encodeService(service Service) encodedService {
+	return encodedService{
+		Name: service.Name, Model: service.Model, Replicas: wire.Each(service.Replicas, encodeReplica), Kinds: wire.Each(service.Classes, encodeRequestClass),
+		ColdRoom: service.WarmupCapacity, ColdRamp: service.SlowStart, SecondShare: service.RetryRatio, SecondPlus: service.RetryExtra,
+		StaleCap: service.StaleCap, Base: service.Base, PerToken: service.PerToken, KeepTokens: service.KeepTokens, CrossCost: service.CrossCost,
+		Discovered: service.Discovered, Queues: service.Queues, Health: service.Health, MaxConns: service.MaxConns,
+		ColdRate: service.WarmupRate, ColdFor: service.WarmupTime, Stride: service.Stride,
 	}
 }
 
-func decodeOffer(f encodedOffer) Offer {
-	return Offer{
-		Name: f.Name, Model: f.Model, Replicas: wire.Each(f.Replicas, decodeReplica), Kinds: wire.Each(f.Kinds, decodeKind),
-		ColdRoom: f.ColdRoom, ColdRamp: f.ColdRamp, SecondShare: f.SecondShare, SecondPlus: f.SecondPlus,
+func decodeService(f encodedService) Service {
+	return Service{
+		Name: f.Name, Model: f.Model, Replicas: wire.Each(f.Replicas, decodeReplica), Classes: wire.Each(f.Kinds, decodeRequestClass),
+		WarmupCapacity: f.ColdRoom, SlowStart: f.ColdRamp, RetryRatio: f.SecondShare, RetryExtra: f.SecondPlus,
 		StaleCap: f.StaleCap, Base: f.Base, PerToken: f.PerToken, KeepTokens: f.KeepTokens, CrossCost: f.CrossCost,
 		Discovered: f.Discovered, Queues: f.Queues, Health: f.Health, MaxConns: f.MaxConns,
-		ColdRate: f.ColdRate, ColdFor: f.ColdFor, Stride: f.Stride,
+		WarmupRate: f.ColdRate, WarmupTime: f.ColdFor, Stride: f.Stride,
 	}
 }
 
-type encodedWeightedOffer struct {
+type encodedWeightedService struct {
 	Offer  string
 	Weight float64
 }
 
-func encodeWeightedOffer(w WeightedOffer) encodedWeightedOffer {
-	return encodedWeightedOffer{Offer: w.Offer, Weight: w.Weight}
+func encodeWeightedService(w WeightedService) encodedWeightedService {
+	return encodedWeightedService{Offer: w.Service, Weight: w.Weight}
 }
 
-func decodeWeightedOffer(f encodedWeightedOffer) WeightedOffer {
-	return WeightedOffer{Offer: f.Offer, Weight: f.Weight}
+func decodeWeightedService(f encodedWeightedService) WeightedService {
+	return WeightedService{Service: f.Offer, Weight: f.Weight}
 }
 
 type encodedRoute struct {
 	Name, Host, Prefix               string
-	Split                            []encodedWeightedOffer
+	Split                            []encodedWeightedService
 	Streaming, Repeatable, Resumable bool
 	Timeout, FirstToken, Gap         time.Duration
 	Attempts                         int
@@ -100,22 +100,22 @@
 
 func encodeRoute(r Route) encodedRoute {
 	return encodedRoute{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Split: wire.Each(r.Split, encodeWeightedOffer),
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Split: wire.Each(r.TrafficSplit, encodeWeightedService),
 		Streaming: r.Streaming, Repeatable: r.Repeatable, Resumable: r.Resumable,
-		Timeout: r.Timeout, FirstToken: r.FirstToken, Gap: r.Gap, Attempts: r.Attempts, Rank: r.Rank,
+		Timeout: r.Timeout, FirstToken: r.FirstToken, Gap: r.TargetGap, Attempts: r.MaxAttempts, Rank: r.Priority,
 	}
 }
 
 func decodeRoute(f encodedRoute) Route {
 	return Route{
-		Name: f.Name, Host: f.Host, Prefix: f.Prefix, Split: wire.Each(f.Split, decodeWeightedOffer),
+		Name: f.Name, Host: f.Host, Prefix: f.Prefix, TrafficSplit: wire.Each(f.Split, decodeWeightedService),
 		Streaming: f.Streaming, Repeatable: f.Repeatable, Resumable: f.Resumable,
-		Timeout: f.Timeout, FirstToken: f.FirstToken, Gap: f.Gap, Attempts: f.Attempts, Rank: f.Rank,
+		Timeout: f.Timeout, FirstToken: f.FirstToken, TargetGap: f.Gap, MaxAttempts: f.Attempts, Priority: f.Rank,
 	}
 }
 
 type encodedConfig struct {
-	Offers       []encodedOffer
+	Offers       []encodedService
 	Routes       []encodedRoute
 	Limits       Limits
 	ReplaceVoter time.Duration
@@ -124,14 +124,14 @@
 
 func encodeConfig(c Config) encodedConfig {
 	return encodedConfig{
-		Offers: wire.Each(c.Offers, encodeOffer), Routes: wire.Each(c.Routes, encodeRoute), Limits: c.Limits,
+		Offers: wire.Each(c.Services, encodeService), Routes: wire.Each(c.Routes, encodeRoute), Limits: c.Limits,
 		ReplaceVoter: c.ReplaceVoter, Revision: c.Revision,
 	}
 }
 
 func decodeConfig(f encodedConfig) Config {
 	return Config{
-		Offers: wire.Each(f.Offers, decodeOffer), Routes: wire.Each(f.Routes, decodeRoute), Limits: f.Limits,
+		Services: wire.Each(f.Offers, decodeService), Routes: wire.Each(f.Routes, decodeRoute), Limits: f.Limits,
 		ReplaceVoter: f.ReplaceVoter, Revision: f.Revision,
 	}
 }
@@ -148,7 +148,7 @@
 	if s == nil {
 		return nil
 	}
-	return &EncodedSnapshot{Mark: s.Mark, Charter: encodeConfig(s.Charter), Emptied: s.Emptied}
+	return &EncodedSnapshot{Mark: s.Version, Charter: encodeConfig(s.Config), Emptied: s.EvacuatedZones}
 }
 
 // Decode gives the snapshot of an encoded form; nil for nil.
@@ -156,5 +156,5 @@
 	if f == nil {
 		return nil
 	}
-	return &Snapshot{Mark: f.Mark, Charter: decodeConfig(f.Charter), Emptied: f.Emptied}
+	return &Snapshot{Version: f.Mark, Config: decodeConfig(f.Charter), EvacuatedZones: f.Emptied}
 }
--- a/config/memo.go
+++ b/config/memo.go
@@ -13,7 +13,7 @@
 }
 
 // Forget has all items read anew.
-func (m *Memo) Forget() {
+func (m *SplitCache) Forget() {
 	m.routes = remembered{round: m.routes.round}
 	if m.last == nil {
 		return
@@ -27,7 +27,7 @@
 
 // Routes are those of a list's items; read is called for items that weren't read before. It gives up where one can't be read, or two
 // have the same name, or host and prefix.
-func (m *Memo) Routes(items []*Item, read func(raw []byte) (Route, bool)) ([]Route, bool) {
+func (m *SplitCache) Routes(items []*Item, read func(raw []byte) (Route, bool)) ([]Route, bool) {
 	r := &m.routes
 	if r.names == nil {
 		r.names, r.places = map[string]int{}, map[place]int{}
@@ -68,7 +68,7 @@
 	return routes, true
 }
 
-func (m *Memo) giveUp() bool {
+func (m *SplitCache) giveUp() bool {
 	m.routes = remembered{round: m.routes.round}
 	return false
 }
--- a/config/read.go
+++ b/config/read.go
@@ -11,33 +11,33 @@
 	"github.com/gravitational/trace"
 )
 
-// Flaw is one thing wrong with a document: where, what stands there, and what it must be.
-type Flaw struct {
+// Violation is one thing wrong with a document: where, what stands there, and what it must be.
+type Violation struct {
 	// Path is as in "$.offers[0].name".
 	Path  string `json:"path"`
 	Value string `json:"value"`
 	Bound string `json:"bound"`
 }
 
-func (f Flaw) String() string {
+func (f Violation) String() string {
 	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Bound)
 }
 
 // InvalidError is a document that cannot be taken, with all flaws that were found.
 type InvalidError struct {
-	Flaws []Flaw
+	Violations []Violation
 }
 
 func (e *InvalidError) Error() string {
-	lines := make([]string, len(e.Flaws))
-	for i, f := range e.Flaws {
+	lines := make([]string, len(e.Violations))
+	for i, f := range e.Violations {
 		lines[i] = f.String()
 	}
 	return strings.Join(lines, "; ")
 }
 
 func flawed(path, val, bound string) error {
-	return trace.Wrap(&InvalidError{Flaws: []Flaw{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&InvalidError{Violations: []Violation{{Path: path, Value: val, Bound: bound}}})
 }
 
 // tree is a JSON value as it was written, with doubled keys refused.
--- a/config/split.go
+++ b/config/split.go
@@ -7,12 +7,12 @@
 )
 
 // Item is one object of a list of a document. Documents that were split one after the other share items whose bytes are the same, so
-// what was read of an item need not be read again: Route and Offer are for whoever reads such, and nil until then.
+// what was read of an item need not be read again: Route and Service are for whoever reads such, and nil until then.
 type Item struct {
-	Raw   []byte
-	Route *Route
-	Offer *Offer
-	round uint64
+	Raw     []byte
+	Route   *Route
+	Service *Service
+	round   uint64
 }
 
 // Field is one field of a document's object. List tells that its value is a list of nothing but objects; these are its Items.
@@ -39,23 +39,23 @@
 	return nil
 }
 
-// Memo remembers the document that was split and read last. One that is like it is split by comparing bytes, and only the items that
+// SplitCache remembers the document that was split and read last. One that is like it is split by comparing bytes, and only the items that
 // differ are read. It has one owner.
-type Memo struct {
+type SplitCache struct {
 	last   *Split
 	routes remembered
 }
 
 // scanner walks over a document whose parts are known from the last one, or read anew.
 type scanner struct {
-	memo *Memo
+	memo *SplitCache
 	raw  []byte
 	at   int
 	good bool
 }
 
 // Split divides a document, or tells that it can't: it is no JSON object, or names a field twice.
-func (m *Memo) Split(raw []byte) (*Split, bool) {
+func (m *SplitCache) Split(raw []byte) (*Split, bool) {
 	if m.last != nil && len(raw) > 0 && len(m.last.raw) == len(raw) && &m.last.raw[0] == &raw[0] {
 		return m.last, true
 	}
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -15,11 +15,11 @@
 // bootstrapFromSeeds founds the register on a first start: the seeds with a disk become its voters, once all seeds are known.
 // The first seed begins, the others follow at a distance; whoever comes late finds the value of who was first.
 func (n *Node) bootstrapFromSeeds(now time.Duration) {
-	if !n.config.Founds || n.acceptor == nil || n.knownValue() != nil || n.founding || len(n.config.Seeds) == 0 {
+	if !n.config.Bootstraps || n.acceptor == nil || n.knownValue() != nil || n.bootstrapping || len(n.config.Seeds) == 0 {
 		return
 	}
 	at := slices.Index(n.config.Seeds, n.config.Addr)
-	if at < 0 || now-n.startedAt < time.Duration(at)*bootstrapStagger || now-n.foundAt < bootstrapStagger {
+	if at < 0 || now-n.startedAt < time.Duration(at)*bootstrapStagger || now-n.bootstrapAt < bootstrapStagger {
 		return
 	}
 	var vs []register.Voter
@@ -32,9 +32,9 @@
 			vs = append(vs, register.Voter{Disk: m.Disk, Name: m.Name})
 		}
 	}
-	n.founding, n.foundAt = true, now
+	n.bootstrapping, n.bootstrapAt = true, now
 	n.logChange("founds", fmt.Sprint(vs))
-	id := n.await(now, func(time.Duration, register.Result) { n.founding = false })
+	id := n.await(now, func(time.Duration, register.Result) { n.bootstrapping = false })
 	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
 	n.proposer.Bootstrap(now, now+bootstrapStagger, id, &register.Value{Fleet: fleet, Voters: vs})
 }
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -52,7 +52,7 @@
 func (r *refill) obeys(name string, most time.Duration) {
 	want := fmt.Sprint("w", r.writes)
 	for from := r.now; r.now-from < most; r.run(time.Millisecond) {
-		if p := r.nodes[name].Snapshot(); p != nil && string(r.nodes[name].Value().Body) == want && r.nodes[name].joined && r.nodes[name].applied == p.Mark {
+		if p := r.nodes[name].Snapshot(); p != nil && string(r.nodes[name].Value().Document) == want && r.nodes[name].joined && r.nodes[name].applied == p.Version {
 			return
 		}
 	}
@@ -170,7 +170,7 @@
 		r.run(200 * time.Millisecond)
 	}
 	for _, name := range []string{"n1", "n2"} {
-		if got := string(r.nodes[name].acceptor.Value.Body); got != fmt.Sprint("w", r.writes) {
+		if got := string(r.nodes[name].acceptor.Value.Document); got != fmt.Sprint("w", r.writes) {
 			t.Errorf("%s holds %q", name, got)
 		}
 	}
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -26,8 +26,8 @@
 
 // ChunkData answers a ChunkPull, in several messages where the chunks are many. Lacks names those that the sender doesn't have.
 type ChunkData struct {
-	Pieces [][]byte
-	Lacks  []byte
+	Chunks  [][]byte
+	Missing []byte
 }
 
 // Since is the first build that reads the message.
@@ -54,16 +54,16 @@
 	if v == nil {
 		return nil
 	}
-	body, memory := len(v.Body) > register.WholeBytes, len(v.Edits)+len(v.Recent) > register.WholeMemory
+	body, memory := len(v.Document) > register.MaxInlineDocument, len(v.EditLog)+len(v.OrderLog) > register.MaxInlineLogs
 	if !body && !memory {
 		return v
 	}
 	same := v.Clone()
 	if body {
-		same.Body, same.Parts = nil, n.documents.store.Manifest(v.Body)
+		same.Document, same.DocumentManifest = nil, n.documents.store.Manifest(v.Document)
 	}
 	if memory {
-		same.Edits, same.Recent, same.Orders = nil, nil, n.documents.store.FineManifest(v.Memory())
+		same.EditLog, same.OrderLog, same.LogManifest = nil, nil, n.documents.store.FineManifest(v.OrderLogs())
 	}
 	return same
 }
@@ -71,12 +71,12 @@
 // storeDocuments takes the documents of a value into the store, unless they are there.
 func (n *Node) storeDocuments(v *register.Value) {
 	if v != nil {
-		n.documents.store.Manifest(v.Body)
-		n.documents.store.FineManifest(v.Memory())
+		n.documents.store.Manifest(v.Document)
+		n.documents.store.FineManifest(v.OrderLogs())
 	}
 }
 
-// withFreshParts is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node applied
+// withMissingChunks is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node applied
 // and that isn't much.
 func (n *Node) withFreshParts(v *register.Value) *register.Value {
 	same := n.stripDocuments(v)
@@ -88,11 +88,11 @@
 		return same
 	}
 	store := n.documents.store
-	if same.Parts != nil && len(n.value.Body) > 0 {
-		same.Parts = n.withFresh(same.Parts, store.Manifest(n.value.Body))
+	if same.DocumentManifest != nil && len(n.value.Document) > 0 {
+		same.DocumentManifest = n.withFresh(same.DocumentManifest, store.Manifest(n.value.Document))
 	}
-	if same.Orders != nil {
-		same.Orders = n.withFresh(same.Orders, store.FineManifest(n.value.Memory()))
+	if same.LogManifest != nil {
+		same.LogManifest = n.withFresh(same.LogManifest, store.FineManifest(n.value.OrderLogs()))
 	}
 	return same
 }
@@ -143,7 +143,7 @@
 
 // restoreItems takes the other items first: they may name nearer machines that have the chunks.
 func (n *Node) restoreItems(now time.Duration, from string, m gossip.Update) (gossip.Update, bool) {
-	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && !v.Whole() })
+	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && !v.Complete() })
 	if at < 0 {
 		return m, true
 	}
@@ -156,24 +156,24 @@
 }
 
 func (n *Node) restoreValue(now time.Duration, r Received, v *register.Value) (*register.Value, bool) {
-	if v == nil || v.Whole() {
+	if v == nil || v.Complete() {
 		return v, true
 	}
 	same := v.Clone()
 	var ok bool
-	if v.Parts != nil {
-		same.Body, ok = n.restorePart(now, r, v.Parts, true)
-		same.Parts = nil
+	if v.DocumentManifest != nil {
+		same.Document, ok = n.restorePart(now, r, v.DocumentManifest, true)
+		same.DocumentManifest = nil
 	}
-	if v.Orders == nil {
+	if v.LogManifest == nil {
 		return same, ok
 	}
-	memory, here := n.restorePart(now, r, v.Orders, v.Parts == nil || ok)
-	if !here || (v.Parts != nil && !ok) {
+	memory, here := n.restorePart(now, r, v.LogManifest, v.DocumentManifest == nil || ok)
+	if !here || (v.DocumentManifest != nil && !ok) {
 		return nil, false
 	}
-	same.Orders = nil
-	if err := same.SetMemory(memory); err != nil {
+	same.LogManifest = nil
+	if err := same.SetOrderLogs(memory); err != nil {
 		n.logChange("memory of orders rejected", err.Error())
 		return nil, false
 	}
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -25,7 +25,7 @@
 	}
 	l.obeyed(whole, applyWithin)
 	l.run(5 * time.Second)
-	if kept := len(l.nodes["n3"].value.Edits); kept < 6*register.KeptOrders {
+	if kept := len(l.nodes["n3"].value.EditLog); kept < 6*register.KeptOrders {
 		t.Errorf("the memory of orders has %d bytes: the test proves little", kept)
 	}
 	m := l.meter()
@@ -80,8 +80,8 @@
 		case register.Accept:
 			accepts++
 			asked[to] = x.Ballot
-			if x.Value.Parts == nil || x.Value.Body != nil {
-				t.Errorf("%s sends %d bytes and a manifest: %v", from, len(x.Value.Body), x.Value.Parts != nil)
+			if x.Value.DocumentManifest == nil || x.Value.Document != nil {
+				t.Errorf("%s sends %d bytes and a manifest: %v", from, len(x.Value.Document), x.Value.DocumentManifest != nil)
 			}
 		case register.Accepted:
 			if x.OK && x.Promised == asked[from] {
@@ -156,7 +156,7 @@
 	}
 	l.run(2 * time.Second)
 	m := l.meter()
-	last := l.nodes["n0"].value.Body
+	last := l.nodes["n0"].value.Document
 	for _, name := range []string{"n7", "n2"} {
 		l.boot(name, false)
 		t.Logf("%s obeys after %v", name, l.obeyed(last, applyWithin))
@@ -168,7 +168,7 @@
 		}
 	}
 	for name, n := range l.nodes {
-		if held := n.documents.store.Held(); held > keptBytes {
+		if held := n.documents.store.BodyBytes(); held > keptBytes {
 			t.Errorf("%s holds %d bytes of chunks", name, held)
 		}
 	}
@@ -238,7 +238,7 @@
 		given := 0
 		for _, s := range out.Sends {
 			if data, is := s.Msg.(ChunkData); is {
-				given += len(data.Pieces)
+				given += len(data.Chunks)
 			}
 		}
 		if given != len(parts.Segments)/chunk.NameBytes {
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		m.l.t.Fatal(err)
 	}
-	m.zones[[2]string{m.l.nodes[from].config.Domain, m.l.nodes[to].config.Domain}] += len(frame)
+	m.zones[[2]string{m.l.nodes[from].config.Zone, m.l.nodes[to].config.Zone}] += len(frame)
 	m.kinds[fmt.Sprintf("%T", msg)] += len(frame)
 	return false
 }
@@ -195,5 +195,5 @@
 
 func (l *lab) obeys(name string, raw []byte) bool {
 	n := l.nodes[name]
-	return n.value != nil && bytes.Equal(n.value.Body, raw) && n.applied == n.value.Mark
+	return n.value != nil && bytes.Equal(n.value.Document, raw) && n.applied == n.value.Version
 }
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -64,11 +64,11 @@
 func count(t *testing.T, old bool, v *register.Value, thin, whole int) (newThin, newWhole int) {
 	switch {
 	case v == nil:
-	case !v.Whole() && old, v.Parts != nil && len(v.Body) > 0, v.Orders != nil && len(v.Edits)+len(v.Recent) > 0:
+	case !v.Complete() && old, v.DocumentManifest != nil && len(v.Document) > 0, v.LogManifest != nil && len(v.EditLog)+len(v.OrderLog) > 0:
 		t.Error("a manifest to or from an older build, or beside a document")
-	case v.Parts != nil:
+	case v.DocumentManifest != nil:
 		return thin + 1, whole
-	case len(v.Body) > register.WholeBytes:
+	case len(v.Document) > register.MaxInlineDocument:
 		if !old {
 			t.Error("a whole document between builds that know manifests")
 		}
@@ -77,17 +77,17 @@
 	return thin, whole
 }
 
-// Pieces that nobody asked for, or that were changed on the way, take no room and make no document.
+// Chunks that nobody asked for, or that were changed on the way, take no room and make no document.
 func TestChangedChunkIsNotTaken(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
 	spoil := true
 	l.sent = func(from, to string, msg any) bool {
 		if data, is := msg.(ChunkData); is && spoil {
-			for _, piece := range data.Pieces {
+			for _, piece := range data.Chunks {
 				bad := bytes.Clone(piece)
 				bad[len(bad)/2] ^= 1
-				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: from, to: to, msg: ChunkData{Pieces: [][]byte{bad}}})
+				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: from, to: to, msg: ChunkData{Chunks: [][]byte{bad}}})
 			}
 			return true
 		}
@@ -117,7 +117,7 @@
 			}
 			asked++
 			if how == "lacking" {
-				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: to, to: from, msg: ChunkData{Lacks: pull.Names}})
+				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: to, to: from, msg: ChunkData{Missing: pull.Names}})
 			}
 			return true
 		}
@@ -132,24 +132,24 @@
 	}
 }
 
-// News that waited for chunks through a pause catch nobody up: they were told before it.
+// Updates that waited for chunks through a pause bring nobody up to date: they were sent before it.
 func TestWhatWaitedThroughAPauseIsDropped(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		l := newLone()
 		l.run(500 * time.Millisecond)
 		v, store := value(7), chunk.NewStore(4, 4, 8<<20)
-		v.Body = append(bytes.Repeat([]byte(" "), 2*register.WholeBytes), v.Body...)
+		v.Document = append(bytes.Repeat([]byte(" "), 2*register.MaxInlineDocument), v.Document...)
 		thin := v.Clone()
-		thin.Body, thin.Parts = nil, store.Manifest(v.Body)
+		thin.Document, thin.DocumentManifest = nil, store.Manifest(v.Document)
 		for _, from := range []string{"a2", "a4"} {
-			item := gossip.Item{Key: "c", Mark: gossip.Version{Hi: 7, Lo: 1}, Data: thin}
+			item := gossip.Item{Key: "c", Version: gossip.Version{Hi: 7, Lo: 1}, Data: thin}
 			l.step(Received{From: from, Build: chunksBuild, Msg: gossip.Update{Items: []gossip.Item{item}}})
 		}
 		if paused {
 			l.now += 5 * time.Second
 		}
 		for range 4 {
-			l.step(Received{From: "a2", Build: chunksBuild, Msg: data(store, thin.Parts)})
+			l.step(Received{From: "a2", Build: chunksBuild, Msg: data(store, thin.DocumentManifest)})
 		}
 		if known := l.n.value != nil; known == paused || len(l.n.neighboursRead) != map[bool]int{false: 2, true: 0}[paused] {
 			t.Errorf("paused %v: value known %v, neighbours read %v", paused, known, l.n.neighboursRead)
@@ -169,7 +169,7 @@
 		}
 		for _, name := range missing.Names {
 			empty.Put(from.Get(name))
-			msg.Pieces = append(msg.Pieces, from.Get(name))
+			msg.Chunks = append(msg.Chunks, from.Get(name))
 		}
 	}
 }
--- a/control/command.go
+++ b/control/command.go
@@ -19,7 +19,7 @@
 func (n *Node) command(now time.Duration, c Command) {
 	switch op := c.Op.(type) {
 	case Put:
-		if _, err := n.config.Read(op.Body); err != nil {
+		if _, err := n.config.Read(op.Document); err != nil {
 			n.answer(c.ID, err)
 			return
 		}
@@ -43,7 +43,7 @@
 	case Witness:
 		n.witness.ask(now, n, c.ID, op)
 	case SetFollowers:
-		n.Members.Update(now, func(m *membership.Member) { m.Libs = op.N })
+		n.Members.Update(now, func(m *membership.Member) { m.EmbeddedRouters = op.N })
 		n.answer(c.ID, nil)
 	case SetSeeds:
 		n.config.Seeds = op.Addrs
@@ -86,7 +86,7 @@
 func (n *Node) bootstrap(now time.Duration, id uint64, op Bootstrap) {
 	vs, err := n.votersNamed(op.Names)
 	if err == nil && n.knownValue() != nil {
-		err = &register.ConflictError{Mark: n.knownValue().Mark}
+		err = &register.ConflictError{Version: n.knownValue().Version}
 	}
 	if err != nil {
 		n.answer(id, err)
@@ -111,34 +111,34 @@
 			done(now, r)
 			return
 		}
-		n.proposeUrgent(now, finishVoterChangeAt(r.Value.Seat), done)
+		n.proposeUrgent(now, finishVoterChangeAt(r.Value.Epoch), done)
 	})
 }
 
 func beginVoterChange(id string, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if _, done := cur.Done(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.Next, vs) {
+		if _, done := cur.AppliedAt(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.Next, vs) {
 			return nil, nil
 		}
 		if len(cur.Next) > 0 {
-			return nil, &register.ConflictError{Mark: cur.Mark}
+			return nil, &register.ConflictError{Version: cur.Version}
 		}
 		cur.Next = vs
-		cur.Seat++
-		cur.TakeScoped(votersScope, id, false)
+		cur.Epoch++
+		cur.LogScoped(votersScope, id, false)
 		return cur, nil
 	}
 }
 
 // finishVoterChangeAt seats the next voters of the epoch in which a change is known to have been chosen. A later one that was merely
 // accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
-func finishVoterChangeAt(seat uint64) register.Change {
+func finishVoterChangeAt(epoch uint64) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if len(cur.Next) == 0 || cur.Seat != seat {
+		if len(cur.Next) == 0 || cur.Epoch != epoch {
 			return nil, nil
 		}
 		cur.Voters, cur.Next = cur.Next, nil
-		cur.Seat++
+		cur.Epoch++
 		return cur, nil
 	}
 }
@@ -149,7 +149,7 @@
 	}
 	n.leaving = true
 	if n.value != nil {
-		for _, d := range n.leases.Held() {
+		for _, d := range n.leases.Roles() {
 			n.sendToGrantors(n.leases.Release(d, n.value))
 		}
 	}
--- a/control/cut_test.go
+++ b/control/cut_test.go
@@ -41,7 +41,7 @@
 // denied calls each kind of order and the read at a node, and wants a 503 for each while the caller waits.
 func (l *lab) denied(at string) {
 	l.t.Helper()
-	for i, op := range []Op{Get{}, onBase(1, 2), Evacuate{ID: "e", Domain: "z"}} {
+	for i, op := range []Op{Get{}, onBase(1, 2), Evacuate{ID: "e", Zone: "z"}} {
 		from := l.now
 		a := l.call(at, op)
 		if a.Err == nil || isConflict(a.Err) {
@@ -55,7 +55,7 @@
 
 func (l *lab) unchanged(at string) {
 	l.t.Helper()
-	if a := l.call(at, Get{}); a.Err != nil || string(a.Value.Body) != "1" || len(a.Value.Emptied) > 0 {
+	if a := l.call(at, Get{}); a.Err != nil || string(a.Value.Document) != "1" || len(a.Value.EvacuatedZones) > 0 {
 		l.t.Errorf("%v %+v", a.Err, a.Value)
 	}
 }
@@ -87,7 +87,7 @@
 		t.Fatal(a.Err)
 	}
 	l.run(2 * time.Second)
-	if got := string(l.nodes["n5"].Value().Body); got != "2" {
+	if got := string(l.nodes["n5"].Value().Document); got != "2" {
 		t.Errorf("goes by %q, though others tell it of a newer one", got)
 	}
 	l.denied("n5")
@@ -100,21 +100,21 @@
 		"is heard and hears none": func(from, to string) bool { return to == "n0" && from != "n0" },
 	} {
 		l := settled(t, 8)
-		seat := l.nodes["n0"].Value().Seat
+		epoch := l.nodes["n0"].Value().Epoch
 		l.cut = cut
 		l.run(4 * time.Second)
-		if held := l.nodes["n0"].leases.Held(); len(held) > 0 {
-			for _, duty := range held {
-				if _, ok := l.nodes["n0"].leases.Holds(l.now, duty); ok {
-					t.Errorf("%s: holds %s after 4 s", what, duty)
+		if held := l.nodes["n0"].leases.Roles(); len(held) > 0 {
+			for _, role := range held {
+				if _, ok := l.nodes["n0"].leases.Holds(l.now, role); ok {
+					t.Errorf("%s: holds %s after 4 s", what, role)
 				}
 			}
 		}
 		l.denied("n0")
 		l.run(6 * time.Second)
 		for _, v := range []*register.Value{l.nodes["n0"].Value(), l.nodes["n5"].Value()} {
-			if slices.ContainsFunc(v.Voters, func(v register.Voter) bool { return v.Disk == "disk-n0" }) && v.Seat != seat {
-				t.Errorf("%s: voters %v, seat %d was %d", what, v.Voters, v.Seat, seat)
+			if slices.ContainsFunc(v.Voters, func(v register.Voter) bool { return v.Disk == "disk-n0" }) && v.Epoch != epoch {
+				t.Errorf("%s: voters %v, seat %d was %d", what, v.Voters, v.Epoch, epoch)
 			}
 		}
 	}
@@ -123,13 +123,13 @@
 func TestOrdersThatLayThroughAFreezeHaveNoEffect(t *testing.T) {
 	l := settled(t, 6)
 	l.ids += 3
-	for i, op := range []Op{onBase(1, 2), Evacuate{ID: "e", Domain: "z"}} {
+	for i, op := range []Op{onBase(1, 2), Evacuate{ID: "e", Zone: "z"}} {
 		l.step("n5", Command{ID: l.ids - uint64(i), Op: op})
 	}
 	arrived := l.now
 	l.freeze("n5", 20*time.Second)
 	// This one was read off its connection before the freeze, and reaches the owner of control state after it.
-	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "late", Domain: "z"}, Deadline: Deadline(arrived, 0)})
+	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "late", Zone: "z"}, Deadline: Deadline(arrived, 0)})
 	l.run(2 * time.Second)
 	for _, id := range []uint64{l.ids, l.ids - 1, 900} {
 		if a, ok := l.answers[id]; !ok || a.Err == nil || isConflict(a.Err) {
@@ -142,21 +142,21 @@
 // A voter that took an order's offer just before it froze must not bring it back over a later one.
 func TestAnOfferThatLayAtAFrozenVoterIsOvertaken(t *testing.T) {
 	l := settled(t, 6)
-	if a := l.call("n4", Evacuate{ID: "first", Domain: "z"}); a.Err != nil {
+	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "old", Domain: "z", Restore: true}})
+	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "old", Zone: "z", Restore: true}})
 	l.run(3 * time.Millisecond)
 	l.cut = func(from, to string) bool { return from == "n5" && to != "n0" || to == "n5" }
 	l.freeze("n0", 3*time.Second)
-	if a := l.call("n4", Evacuate{ID: "again", Domain: "z"}); a.Err != nil {
+	if a := l.call("n4", Evacuate{ID: "again", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	l.cut = nil
 	l.run(5 * time.Second)
 	a := l.call("n4", Get{})
-	if a.Err != nil || !slices.Contains(a.Value.Emptied, "z") {
-		t.Errorf("%v %v", a.Err, strings.Join(a.Value.Emptied, ","))
+	if a.Err != nil || !slices.Contains(a.Value.EvacuatedZones, "z") {
+		t.Errorf("%v %v", a.Err, strings.Join(a.Value.EvacuatedZones, ","))
 	}
 }
 
@@ -164,21 +164,21 @@
 func TestAnEvacuationIsFencedByALaterOne(t *testing.T) {
 	for what, first := range map[string]bool{"later order changes nothing": false, "later order restores": true} {
 		l := settled(t, 6)
-		if a := l.call("n4", Evacuate{ID: "first", Domain: "z"}); a.Err != nil {
+		if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
 		// This node's ballot is the highest from here on, so that its next round isn't turned back before it has read.
-		if a := l.call("n5", Evacuate{ID: "other", Domain: "y"}); a.Err != nil {
+		if a := l.call("n5", Evacuate{ID: "other", Zone: "y"}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
 		l.run(100 * time.Millisecond)
 		l.ids++
-		l.step("n5", Command{ID: l.ids, Op: Evacuate{ID: "old", Domain: "z", Restore: !first}, Deadline: l.now + 10*time.Second})
+		l.step("n5", Command{ID: l.ids, Op: Evacuate{ID: "old", Zone: "z", Restore: !first}, Deadline: l.now + 10*time.Second})
 		old := l.ids
 		l.run(2 * time.Millisecond)
 		// The promises are on their way back: from here on nobody hears this node's offer, and it goes on with what it read.
 		l.cut = func(from, to string) bool { return from == "n5" && to != "n5" }
-		if a := l.call("n4", Evacuate{ID: "later", Domain: "z", Restore: first}); a.Err != nil {
+		if a := l.call("n4", Evacuate{ID: "later", Zone: "z", Restore: first}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
 		l.cut = nil
@@ -187,25 +187,25 @@
 		if a := l.answers[old]; !errors.As(a.Err, &fenced) {
 			t.Errorf("%s: the old order ends with %v", what, a.Err)
 		}
-		if a := l.call("n4", Get{}); slices.Contains(a.Value.Emptied, "z") == first {
-			t.Errorf("%s: an old order came after it: %v", what, a.Value.Emptied)
+		if a := l.call("n4", Get{}); slices.Contains(a.Value.EvacuatedZones, "z") == first {
+			t.Errorf("%s: an old order came after it: %v", what, a.Value.EvacuatedZones)
 		}
 	}
 }
 
 func TestAnEvacuationOfAnotherZoneIsNoFence(t *testing.T) {
 	var fence register.Fence
-	change := evacuateChange(Evacuate{ID: "a", Domain: "z"})
+	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	first := &register.Value{}
 	if _, err := change(first.Clone(), &fence); err != nil {
 		t.Fatal(err)
 	}
-	first.TakeScoped("y", "b", true)
+	first.LogScoped("y", "b", true)
 	if next, err := change(first.Clone(), &fence); err != nil || next == nil {
 		t.Errorf("%v", err)
 	}
 	for i := range register.KeptOrders {
-		first.TakeScoped("y", string(rune('c'+i)), true)
+		first.LogScoped("y", string(rune('c'+i)), true)
 	}
 	var fenced *register.FencedError
 	if _, err := change(first.Clone(), &fence); !errors.As(err, &fenced) {
@@ -216,12 +216,12 @@
 // An order that took effect in an earlier round is acknowledged though another was taken on top of it.
 func TestAnEvacuationThatWasTakenIsAcknowledgedBehindItsFence(t *testing.T) {
 	var fence register.Fence
-	change := evacuateChange(Evacuate{ID: "a", Domain: "z"})
+	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	next, err := change(&register.Value{}, &fence)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.TakeScoped("z", "b", true)
+	next.LogScoped("z", "b", true)
 	if again, err := change(next.Clone(), &fence); err != nil || again != nil {
 		t.Errorf("%v %v", again, err)
 	}
--- a/control/encoding.go
+++ b/control/encoding.go
@@ -33,11 +33,11 @@
 }
 
 func encodeLoadReports(l LoadReports) encodedLoadReports {
-	return encodedLoadReports{Domain: l.Domain, By: l.By, Urgent: l.Urgent, Rows: l.Rows}
+	return encodedLoadReports{Domain: l.Zone, By: l.By, Urgent: l.Urgent, Rows: l.Rows}
 }
 
 func decodeLoadReports(f encodedLoadReports) LoadReports {
-	return LoadReports{Domain: f.Domain, By: f.By, Urgent: f.Urgent, Rows: f.Rows}
+	return LoadReports{Zone: f.Domain, By: f.By, Urgent: f.Urgent, Rows: f.Rows}
 }
 
 type encodedReplicaListItem struct {
@@ -58,11 +58,11 @@
 }
 
 func encodeChunkData(d ChunkData) encodedChunkData {
-	return encodedChunkData{Pieces: d.Pieces, Lacks: d.Lacks}
+	return encodedChunkData{Pieces: d.Chunks, Lacks: d.Missing}
 }
 
 func decodeChunkData(f encodedChunkData) ChunkData {
-	return ChunkData{Pieces: f.Pieces, Lacks: f.Lacks}
+	return ChunkData{Chunks: f.Pieces, Missing: f.Lacks}
 }
 
 type encodedWitnessAsk struct {
@@ -87,11 +87,11 @@
 }
 
 func encodeWitnessSay(w WitnessSay) encodedWitnessSay {
-	return encodedWitnessSay{Rid: w.Rid, First: w.First, Young: w.Young}
+	return encodedWitnessSay{Rid: w.RequestID, First: w.First, Young: w.Young}
 }
 
 func decodeWitnessSay(f encodedWitnessSay) WitnessSay {
-	return WitnessSay{Rid: f.Rid, First: f.First, Young: f.Young}
+	return WitnessSay{RequestID: f.Rid, First: f.First, Young: f.Young}
 }
 
 type encodedWitnessForget encodedWitnessAsk
@@ -111,23 +111,23 @@
 }
 
 func encodeDiskState(s DiskState) encodedDiskState {
-	f := encodedDiskState{Pact: register.EncodeState(s.Pact)}
+	f := encodedDiskState{Pact: register.EncodeState(s.Register)}
 	if s.Grants != nil {
 		f.Grants = make(map[string]lease.EncodedRecord, len(s.Grants))
 	}
-	for duty, record := range s.Grants {
-		f.Grants[duty] = lease.EncodeRecord(record)
+	for role, record := range s.Grants {
+		f.Grants[role] = lease.EncodeRecord(record)
 	}
 	return f
 }
 
 func (f encodedDiskState) decode() DiskState {
-	s := DiskState{Pact: f.Pact.Decode()}
+	s := DiskState{Register: f.Pact.Decode()}
 	if f.Grants != nil {
 		s.Grants = make(map[string]lease.Record, len(f.Grants))
 	}
-	for duty, record := range f.Grants {
-		s.Grants[duty] = record.Decode()
+	for role, record := range f.Grants {
+		s.Grants[role] = record.Decode()
 	}
 	return s
 }
@@ -156,7 +156,7 @@
 		f.Accepted = &encodedAcceptedEntry{Ballot: a.Ballot, Value: register.EncodeValue(a.Value)}
 	}
 	if g := e.Granted; g != nil {
-		f.Granted = &encodedGranted{Duty: g.Duty, Record: lease.EncodeRecord(g.Record)}
+		f.Granted = &encodedGranted{Duty: g.Role, Record: lease.EncodeRecord(g.Record)}
 	}
 	return f
 }
@@ -167,7 +167,7 @@
 		e.Accepted = &AcceptedEntry{Ballot: a.Ballot, Value: a.Value.Decode()}
 	}
 	if g := f.Granted; g != nil {
-		e.Granted = &Granted{Duty: g.Duty, Record: g.Record.Decode()}
+		e.Granted = &Granted{Role: g.Duty, Record: g.Record.Decode()}
 	}
 	return e
 }
--- a/control/failures.go
+++ b/control/failures.go
@@ -21,12 +21,12 @@
 
 func (n *Node) failed(f Failed) {
 	n.failures++
-	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Mark: n.mark(n.failures), Data: Failures(f)})
+	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Version: n.itemVersion(n.failures), Data: Failures(f)})
 }
 
 // mark orders the news that only this node gives, over its lives.
-func (n *Node) mark(seq uint64) gossip.Version {
-	return gossip.Version{Hi: n.Members.Self.Inc, Lo: seq}
+func (n *Node) itemVersion(seq uint64) gossip.Version {
+	return gossip.Version{Hi: n.Members.Self.Incarnation, Lo: seq}
 }
 
 func (n *Node) onFailures(f Failures) { n.emit(f.Failures) }
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// News that is replaced every second must not keep digests from ever agreeing: each difference costs both sides all marks.
+// An item that is replaced every second must not keep digests from ever agreeing: each difference costs both sides all marks.
 func TestAReadingOfTheListDoesNotUnsettleDigests(t *testing.T) {
 	l := newLab(t, 24)
 	l.list = []mallowbridge.Instance{{ID: "i1", Offer: "o"}}
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// pullMost is how many chunks are asked for at once, and pieceBytes how many bytes of them one message carries, so that pings
+	// pullMost is how many chunks are asked for at once, and chunkBatchBytes how many bytes of them one message carries, so that pings
 	// wait behind no more.
-	pullMost   = 96
-	pieceBytes = 64 << 10
+	pullMost        = 96
+	chunkBatchBytes = 64 << 10
 	// pullFew segments are asked of who announced them if it is near; more are asked of the nearest machine with a disk first.
 	pullFew = 2
-	// pullAgain is how long an answer may stay away before the next holder is asked.
-	pullAgain = 400 * time.Millisecond
+	// pullRetryAfter is how long an answer may stay away before the next holder is asked.
+	pullRetryAfter = 400 * time.Millisecond
 	// fetchFor and fetchMost bound how long messages wait for chunks, and for how many documents.
-	fetchFor    = 4 * time.Second
-	fetchMost   = 16
-	waitingMost = 32
+	fetchFor   = 4 * time.Second
+	fetchMost  = 16
+	maxPending = 32
 )
 
 // fetch is a document whose chunks are being fetched, and the messages that wait for it.
 type fetch struct {
 	manifest   *chunk.Manifest
-	waiting    []Received
+	pending    []Received
 	sources    []string
 	current    int
 	missing    int
@@ -48,8 +48,8 @@
 		at = len(d.fetches) - 1
 	}
 	f := d.fetches[at]
-	if waits && len(f.waiting) < waitingMost {
-		f.waiting = append(f.waiting, r)
+	if waits && len(f.pending) < maxPending {
+		f.pending = append(f.pending, r)
 	}
 	f.offer(n.sources(r, len(missing)))
 	n.pull(now, f, missing)
@@ -81,7 +81,7 @@
 	}
 	var addrs []string
 	for _, m := range n.Members.Table.All() {
-		if m.Disk != "" && m.Name != n.config.Name && m.Domain == n.config.Domain && m.State == membership.Alive && n.buildOf(m.Addr) >= chunksBuild {
+		if m.Disk != "" && m.Name != n.config.Name && m.Zone == n.config.Zone && m.State == membership.Alive && n.buildOf(m.Addr) >= chunksBuild {
 			addrs = append(addrs, m.Addr)
 		}
 	}
@@ -93,7 +93,7 @@
 	var names []byte
 	for _, name := range missing {
 		since, flying := n.documents.requestedAt[name]
-		if flying && now-since < pullAgain {
+		if flying && now-since < pullRetryAfter {
 			continue
 		}
 		n.documents.requestedAt[name] = now
@@ -116,16 +116,16 @@
 	for names := m.Names; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
 		piece := n.documents.store.Get(chunk.Name(names))
 		if piece == nil {
-			answer.Lacks = append(answer.Lacks, names[:chunk.NameBytes]...)
+			answer.Missing = append(answer.Missing, names[:chunk.NameBytes]...)
 			continue
 		}
-		answer.Pieces = append(answer.Pieces, piece)
-		if bytes += len(piece); bytes >= pieceBytes {
+		answer.Chunks = append(answer.Chunks, piece)
+		if bytes += len(piece); bytes >= chunkBatchBytes {
 			n.send(from, answer)
 			answer, bytes = ChunkData{}, 0
 		}
 	}
-	if len(answer.Pieces)+len(answer.Lacks) > 0 {
+	if len(answer.Chunks)+len(answer.Missing) > 0 {
 		n.send(from, answer)
 	}
 }
@@ -138,12 +138,12 @@
 }
 
 func (n *Node) onChunkData(now time.Duration, from string, m ChunkData) {
-	for _, piece := range m.Pieces {
+	for _, piece := range m.Chunks {
 		delete(n.documents.requestedAt, chunk.NameOf(piece))
 		n.documents.store.Put(piece)
 	}
 	lacks := map[chunk.Name]bool{}
-	for names := m.Lacks; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
+	for names := m.Missing; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
 		lacks[chunk.Name(names)] = true
 		delete(n.documents.requestedAt, chunk.Name(names))
 	}
@@ -161,7 +161,7 @@
 // tickFetches turns to the next holder where an answer stays away, and gives up what nobody brought in time.
 func (n *Node) tickFetches(now time.Duration) {
 	n.advance(now, func(f *fetch, _ []chunk.Name) bool {
-		if now-f.progressAt >= pullAgain {
+		if now-f.progressAt >= pullRetryAfter {
 			f.current, f.progressAt = (f.current+1)%len(f.sources), now
 		}
 		return now-f.startedAt < fetchFor
@@ -183,7 +183,7 @@
 		var missing *chunk.MissingError
 		switch {
 		case err == nil:
-			ready = append(ready, f.waiting...)
+			ready = append(ready, f.pending...)
 		case errors.As(err, &missing) && goOn(f, missing.Names):
 			n.documents.fetches = append(n.documents.fetches, f)
 			n.pull(now, f, missing.Names)
--- a/control/firstanswer_test.go
+++ b/control/firstanswer_test.go
@@ -10,9 +10,9 @@
 
 // TestTheFirstAnswerOfALifeWaitsForTheDisk: what was read at the start may not outlive a loss of power until it is synced.
 func TestTheFirstAnswerOfALifeWaitsForTheDisk(t *testing.T) {
-	kept := &DiskState{Pact: register.State{Disk: "d", Accepted: register.Ballot{N: 4, By: "x"}, Value: &register.Value{Mark: 7}}}
+	kept := &DiskState{Register: register.State{Disk: "d", Accepted: register.Ballot{N: 4, By: "x"}, Value: &register.Value{Version: 7}}}
 	n := New(0, Config{Name: "n0", Addr: "n0", Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, Disk: kept})
-	look := Received{From: "n1", Msg: register.Prepare{Rid: 1, Disk: "d", Look: true}}
+	look := Received{From: "n1", Msg: register.Prepare{RequestID: 1, Disk: "d", ReadOnly: true}}
 	out := n.Step(1, look)
 	if promises(out) != 0 || len(out.Writes) != 1 {
 		t.Fatalf("%d answers and %d writes", promises(out), len(out.Writes))
--- a/control/format_test.go
+++ b/control/format_test.go
@@ -198,7 +198,7 @@
 // BenchmarkFrame writes and reads a promise with a large value, the costliest message of a quiet fleet, on one connection.
 func BenchmarkFrame(b *testing.B) {
 	msg := filled[register.Promise]()
-	msg.Value.Body = bytes.Repeat([]byte("x"), 4000)
+	msg.Value.Document = bytes.Repeat([]byte("x"), 4000)
 	benchmarkFrames(b, msg)
 }
 
--- a/control/formatdisk_test.go
+++ b/control/formatdisk_test.go
@@ -18,10 +18,10 @@
 // diskWrites are the entries behind the slot: a promise, a grant, and an accepted value whose document is a delta.
 func diskWrites() []control.LogWrite {
 	value := filled[*register.Value]()
-	value.Body = text(2)
+	value.Document = text(2)
 	return []control.LogWrite{
 		{Ticket: 1, Entry: control.Promised{Ballot: register.Ballot{N: 7, By: "p"}}},
-		{Ticket: 2, Entry: control.Granted{Duty: "probe/z1", Record: filled[lease.Record]()}},
+		{Ticket: 2, Entry: control.Granted{Role: "probe/z1", Record: filled[lease.Record]()}},
 		{Ticket: 3, Entry: control.AcceptedEntry{Ballot: register.Ballot{N: 8, By: "q"}, Value: value}},
 	}
 }
@@ -76,8 +76,8 @@
 	last := writes[2].Entry.(control.AcceptedEntry)
 	grant := writes[1].Entry.(control.Granted)
 	want := control.DiskState{
-		Pact:   register.State{Disk: "disk1", Promised: last.Ballot, Accepted: last.Ballot, Value: last.Value},
-		Grants: map[string]lease.Record{grant.Duty: grant.Record},
+		Register: register.State{Disk: "disk1", Promised: last.Ballot, Accepted: last.Ballot, Value: last.Value},
+		Grants:   map[string]lease.Record{grant.Role: grant.Record},
 	}
 	if got := journal.State(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v, want\n%+v", got, want)
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	state := openFolder(t, path).State()
-	if !bytes.Equal(state.Pact.Value.Body, text(3)) || state.Grants["probe/z1"] != filled[lease.Record]() {
-		t.Errorf("read %d bytes of document, grants %+v", len(state.Pact.Value.Body), state.Grants)
+	if !bytes.Equal(state.Register.Value.Document, text(3)) || state.Grants["probe/z1"] != filled[lease.Record]() {
+		t.Errorf("read %d bytes of document, grants %+v", len(state.Register.Value.Document), state.Grants)
 	}
 }
--- a/control/join.go
+++ b/control/join.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	settleTime      = 2200 * time.Millisecond
+	joinDelay       = 2200 * time.Millisecond
 	askEvery        = 300 * time.Millisecond
 	askFirst        = 80 * time.Millisecond
 	readWithin      = time.Second
 	neighboursAfter = 1500 * time.Millisecond
 )
 
-// Inc is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
+// Incarnation is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
 // number than before, receives its own older member from others and goes above.
 func Inc(now time.Time, chance uint64) uint64 {
 	return uint64(now.UnixMilli())<<16 | chance&0xffff
@@ -96,7 +96,7 @@
 	if n.joined {
 		n.logChange("starts over", why)
 	}
-	n.joined, n.startedOverAt, n.settled = false, now, 0
+	n.joined, n.startedOverAt, n.joinDeadline = false, now, 0
 	n.neighboursRead = map[string]bool{}
 	n.documents.fetches = nil
 }
@@ -129,7 +129,7 @@
 	switch {
 	case n.leaving:
 		return "draining"
-	case n.config.ServesCutOff && n.applied > 0:
+	case n.config.ServesIsolated && n.applied > 0:
 		return ""
 	case n.Members.Isolated(now):
 		return "isolated"
@@ -137,7 +137,7 @@
 		return "catching up"
 	case n.snapshot == nil:
 		return "no configuration yet"
-	case n.settled == 0 || now < n.settled:
+	case n.joinDeadline == 0 || now < n.joinDeadline:
 		return "settling in"
 	}
 	return ""
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -12,8 +12,8 @@
 
 const body = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
-func value(mark uint64) *register.Value {
-	return &register.Value{Fleet: "f", Mark: mark, Seat: 1, Body: []byte(body), Voters: []register.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
+func value(version uint64) *register.Value {
+	return &register.Value{Fleet: "f", Version: version, Epoch: 1, Document: []byte(body), Voters: []register.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
 }
 
 type lone struct {
@@ -25,11 +25,11 @@
 // newLone is a core with an old picture on its disk and two neighbours that answer its pings; no voter answers.
 func newLone() *lone {
 	l := &lone{n: New(0, Config{
-		Name: "n1", Addr: "a1", Boot: "b", Domain: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Pact: register.State{Disk: "d1", Value: value(1)}},
+		Name: "n1", Addr: "a1", Boot: "b", Zone: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Register: register.State{Disk: "d1", Value: value(1)}},
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})}
 	for _, name := range []string{"n2", "n4"} {
-		l.n.Members.Merge(0, membership.Member{Name: name, Addr: "a" + name[1:], Domain: "a", Inc: 1})
+		l.n.Members.Merge(0, membership.Member{Name: name, Addr: "a" + name[1:], Zone: "a", Incarnation: 1})
 	}
 	return l
 }
@@ -38,14 +38,14 @@
 	out := l.n.Step(l.now, in)
 	for _, ev := range out.Events {
 		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
-			l.orders = append(l.orders, o.Picture.Mark)
+			l.orders = append(l.orders, o.Picture.Version)
 		}
 	}
 	return out
 }
 
-func (l *lone) tell(from string, mark uint64) {
-	l.step(Received{From: from, Msg: gossip.Update{Items: []gossip.Item{{Key: "c", Mark: gossip.Version{Hi: mark, Lo: 1}, Data: value(mark)}}}})
+func (l *lone) tell(from string, version uint64) {
+	l.step(Received{From: from, Msg: gossip.Update{Items: []gossip.Item{{Key: "c", Version: gossip.Version{Hi: version, Lo: 1}, Data: value(version)}}}})
 }
 
 func (l *lone) run(until time.Duration) {
--- a/control/journal.go
+++ b/control/journal.go
@@ -18,8 +18,8 @@
 
 // DiskState is what a node keeps on its disk: its part of the register, and what it granted.
 type DiskState struct {
-	Pact   register.State
-	Grants map[string]lease.Record
+	Register register.State
+	Grants   map[string]lease.Record
 }
 
 // entry is what one write adds to the log. An accepted value with a large document has the document as a delta to that of the value
@@ -62,8 +62,8 @@
 	}
 	k := &Journal{store: v}
 	if v.Empty() {
-		k.state = DiskState{Pact: register.State{Disk: freshID}}
-		return k, k.found()
+		k.state = DiskState{Register: register.State{Disk: freshID}}
+		return k, k.initialize()
 	}
 	var state encodedDiskState
 	if err = decode("slot", slot, &state); err != nil {
@@ -95,7 +95,7 @@
 func (k *Journal) Repair() string { return k.store.Repair }
 
 // found writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
-func (k *Journal) found() error {
+func (k *Journal) initialize() error {
 	var broken *storage.BrokenError
 	var err error
 	if err = k.rotate(); errors.As(err, &broken) {
@@ -124,21 +124,21 @@
 func (k *Journal) apply(e entry) {
 	switch {
 	case e.Promised != nil:
-		k.state.Pact.Promised = e.Promised.Ballot
+		k.state.Register.Promised = e.Promised.Ballot
 	case e.Accepted != nil:
-		k.state.Pact.Promised, k.state.Pact.Accepted, k.state.Pact.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
+		k.state.Register.Promised, k.state.Register.Accepted, k.state.Register.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
 	case e.Granted != nil:
 		if k.state.Grants == nil {
 			k.state.Grants = map[string]lease.Record{}
 		}
-		k.state.Grants[e.Granted.Duty] = e.Granted.Record
+		k.state.Grants[e.Granted.Role] = e.Granted.Record
 	}
 }
 
 // body is the document of the value accepted last.
-func (k *Journal) body() []byte {
-	if v := k.state.Pact.Value; v != nil {
-		return v.Body
+func (k *Journal) document() []byte {
+	if v := k.state.Register.Value; v != nil {
+		return v.Document
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 		return nil
 	}
 	var err error
-	e.Accepted.Value.Body, err = e.Document.Apply(k.body())
+	e.Accepted.Value.Document, err = e.Document.Apply(k.document())
 	if err != nil {
 		return trace.Wrap(&storage.UnreadableError{File: "log", Why: err.Error()})
 	}
@@ -158,17 +158,17 @@
 
 // shorten makes of an entry what is written: only what differs from the document accepted before.
 func (k *Journal) shorten(e entry) entry {
-	if e.Accepted == nil || len(e.Accepted.Value.Body) <= register.WholeBytes {
+	if e.Accepted == nil || len(e.Accepted.Value.Document) <= register.MaxInlineDocument {
 		return e
 	}
-	base, next := k.body(), e.Accepted.Value.Body
+	base, next := k.document(), e.Accepted.Value.Document
 	if k.index == nil || !k.index.Of(base) {
 		k.index = chunk.NewIndex(base)
 	}
 	delta, index := k.index.Difference(next)
 	k.index = index
 	bare := e.Accepted.Value.Clone()
-	bare.Body = nil
+	bare.Document = nil
 	return entry{Accepted: &AcceptedEntry{Ballot: e.Accepted.Ballot, Value: bare}, Document: &delta}
 }
 
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -32,7 +32,7 @@
 	if k, err = control.OpenJournal(d, "other"); err != nil {
 		t.Fatal(err)
 	}
-	if kept := k.State().Pact; kept.Disk != "fresh" || kept.Promised != promised.Ballot {
+	if kept := k.State().Register; kept.Disk != "fresh" || kept.Promised != promised.Ballot {
 		t.Errorf("kept %+v", kept)
 	}
 }
@@ -52,13 +52,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if kept := k.State().Pact; life > 0 && (kept.Value == nil || kept.Value.Mark != uint64(100*life) || !bytes.Equal(kept.Value.Body, noise(uint64(100*life)))) {
+		if kept := k.State().Register; life > 0 && (kept.Value == nil || kept.Value.Version != uint64(100*life) || !bytes.Equal(kept.Value.Document, noise(uint64(100*life)))) {
 			t.Fatalf("life %d: kept %+v", life, kept)
 		}
 		for i := range 100 {
-			mark := uint64(100*life + i + 1)
-			v := &register.Value{Mark: mark, Body: noise(mark)}
-			at := register.Ballot{N: mark, By: fmt.Sprint(life)}
+			version := uint64(100*life + i + 1)
+			v := &register.Value{Version: version, Document: noise(version)}
+			at := register.Ballot{N: version, By: fmt.Sprint(life)}
 			if err = k.Append([]control.LogWrite{{Entry: control.Promised{Ballot: at}}, {Entry: control.AcceptedEntry{Ballot: at, Value: v}}}); err != nil {
 				t.Fatal(err)
 			}
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -39,7 +39,7 @@
 
 func accepted(number int) []control.LogWrite {
 	ballot := register.Ballot{N: uint64(number), By: "p"}
-	v := &register.Value{Mark: uint64(number), Body: text(number)}
+	v := &register.Value{Version: uint64(number), Document: text(number)}
 	return []control.LogWrite{{Ticket: 1, Entry: control.Promised{Ballot: ballot}}, {Ticket: 2, Entry: control.AcceptedEntry{Ballot: ballot, Value: v}}}
 }
 
@@ -50,17 +50,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := k.State().Pact.Value
+	v := k.State().Register.Value
 	if v == nil {
 		return k, 0
 	}
-	if !bytes.Equal(v.Body, text(int(v.Mark))) {
-		t.Fatalf("document %d is another after a restart", v.Mark)
+	if !bytes.Equal(v.Document, text(int(v.Version))) {
+		t.Fatalf("document %d is another after a restart", v.Version)
 	}
-	if v.Parts != nil {
+	if v.DocumentManifest != nil {
 		t.Error("a manifest comes from the disk")
 	}
-	return k, int(v.Mark)
+	return k, int(v.Version)
 }
 
 // Power goes at each write in turn: what was written whole before is there, chunks and vote together.
@@ -163,10 +163,13 @@
 
 // The entries that the build before wrote hold whole documents.
 func TestDiskOfTheBuildBeforeIsRead(t *testing.T) {
+	type oldAcceptedEntry struct {
+		Ballot register.Ballot
+		Value  *register.EncodedValue
+	}
 	type oldEntry struct {
 		Promised *control.Promised
-		Accepted *control.AcceptedEntry
-		Granted  *control.Granted
+		Accepted *oldAcceptedEntry
 	}
 	d := sim.NewDisk(1)
 	if _, number := opened(t, d); number != 0 {
@@ -178,7 +181,7 @@
 	}
 	for i := 1; i <= 3; i++ {
 		var b bytes.Buffer
-		e := oldEntry{Accepted: &control.AcceptedEntry{Ballot: register.Ballot{N: uint64(i)}, Value: &register.Value{Mark: uint64(i), Body: text(i)}}}
+		e := oldEntry{Accepted: &oldAcceptedEntry{Ballot: register.Ballot{N: uint64(i)}, Value: &register.EncodedValue{Mark: uint64(i), Body: text(i)}}}
 		if err = gob.NewEncoder(&b).Encode(e); err != nil {
 			t.Fatal(err)
 		}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -76,16 +76,16 @@
 	fmt.Sscanf(name, "n%d", &at)
 	l.ids++
 	cfg := Config{
-		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Domain: fmt.Sprint(at % l.domains), Inc: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
-		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, Tolerate: l.tolerate, Founds: first, ServesCutOff: true,
+		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Zone: fmt.Sprint(at % l.domains), Incarnation: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
+		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, FaultTolerance: l.tolerate, Bootstraps: first, ServesIsolated: true,
 		Build: l.builds[name],
 	}
 	if id := l.disks[name]; id != "" {
 		cfg.Disk = &DiskState{}
 		if old := l.nodes[name]; old != nil && old.acceptor.Disk == id {
-			cfg.Disk.Pact, cfg.Disk.Grants = old.acceptor.State, old.grantor.Records()
+			cfg.Disk.Register, cfg.Disk.Grants = old.acceptor.State, old.grantor.Records()
 		}
-		cfg.Disk.Pact.Disk = id
+		cfg.Disk.Register.Disk = id
 		l.open(name, &cfg)
 	}
 	l.nodes[name] = New(l.now, cfg)
@@ -93,7 +93,7 @@
 }
 
 func anyDocument(raw []byte) (config.Config, error) {
-	return config.Config{Offers: []config.Offer{{Name: "o", Discovered: true}}}, nil
+	return config.Config{Services: []config.Service{{Name: "o", Discovered: true}}}, nil
 }
 
 func (l *lab) step(name string, in In) {
@@ -187,7 +187,7 @@
 	if a.Err != nil {
 		return a.Err.Error()
 	}
-	return string(a.Value.Body)
+	return string(a.Value.Document)
 }
 
 func (l *lab) wipe(name string) {
--- a/control/list.go
+++ b/control/list.go
@@ -13,13 +13,13 @@
 const (
 	replicaListKey      = "l"
 	listConfirmationKey = "lt/"
-	listDuty            = "list"
+	listRole            = "list"
 	// listPatience is how long confirmations may stay away until a node reads for itself; each next in rank waits one step more.
 	listPatience = 1300 * time.Millisecond
 	listStep     = 200 * time.Millisecond
 	listStride   = 8
-	// firstListAgain paces a starting node's own readings, and its rank spreads those of many that start together.
-	firstListAgain = 200 * time.Millisecond
+	// firstListRetry paces a starting node's own readings, and its rank spreads those of many that start together.
+	firstListRetry = 200 * time.Millisecond
 	firstListWait  = 150 * time.Millisecond
 	// firstListSpread is over how many milliseconds those that are no seeds spread their first reading.
 	firstListSpread = 400
@@ -81,17 +81,17 @@
 	if now-n.replicaList.askedAt < n.config.ListEvery {
 		return false
 	}
-	return n.holdsListDuty(now) || now-n.replicaList.confirmedAt >= listPatience+time.Duration(n.rank(listDuty))*listStep
+	return n.holdsListDuty(now) || now-n.replicaList.confirmedAt >= listPatience+time.Duration(n.rank(listRole))*listStep
 }
 
-// holdsListDuty renews or asks for the lease, where this node holds it or is the first by rank.
+// holdsListRole renews or asks for the lease, where this node holds it or is the first by rank.
 func (n *Node) holdsListDuty(now time.Duration) bool {
 	if n.value == nil || !n.joined || n.Members.Isolated(now) {
 		return false
 	}
-	_, yes := n.leases.Holds(now, listDuty)
-	if yes || n.ranksFirst(listDuty, "") {
-		n.sendToGrantors(n.leases.Acquire(now, listDuty, n.value))
+	_, yes := n.leases.Holds(now, listRole)
+	if yes || n.ranksFirst(listRole, "") {
+		n.sendToGrantors(n.leases.Acquire(now, listRole, n.value))
 	}
 	return yes
 }
@@ -99,15 +99,15 @@
 // firstListDue has the list read soon after a start: until some node has, nothing can be served. Seeds begin, and most others receive their
 // result.
 func (n *Node) firstListDue(now time.Duration) bool {
-	spread := time.Duration(scheduler.Rank(listDuty, n.config.Name)%firstListSpread) * time.Millisecond
+	spread := time.Duration(scheduler.Rank(listRole, n.config.Name)%firstListSpread) * time.Millisecond
 	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+spread {
 		return false
 	}
-	return now-n.replicaList.askedAt >= firstListAgain+time.Duration(n.rank(listDuty))*listStep
+	return now-n.replicaList.askedAt >= firstListRetry+time.Duration(n.rank(listRole))*listStep
 }
 
-func (n *Node) rank(duty string) int {
-	return min(n.place("live/", duty, membership.Member.Live), listStride)
+func (n *Node) rank(role string) int {
+	return min(n.place("live/", role, membership.Member.Live), listStride)
 }
 
 func (n *Node) onListRead(now time.Duration, r ListRead) {
@@ -121,16 +121,16 @@
 	version := gossip.Version{Lo: n.config.Seed}
 	it, ok := n.Gossip.Get(replicaListKey)
 	if ok {
-		version.Hi = it.Mark.Hi
+		version.Hi = it.Version.Hi
 	}
 	if !ok || !sameInstances(it.Data.(ReplicaListItem).Rows, r.Rows) {
 		version.Hi++
-		n.Gossip.Put(gossip.Item{Key: replicaListKey, Mark: version, Data: ReplicaListItem{Rows: r.Rows}})
+		n.Gossip.Put(gossip.Item{Key: replicaListKey, Version: version, Data: ReplicaListItem{Rows: r.Rows}})
 		n.emit(mallowbridge.ReplicaList{Rows: r.Rows})
 	} else {
-		version = it.Mark
+		version = it.Version
 	}
-	n.Gossip.Put(gossip.Item{Key: listConfirmationKey + n.config.Name, Mark: n.mark(l.reads), Data: ListConfirmation{Version: version}})
+	n.Gossip.Put(gossip.Item{Key: listConfirmationKey + n.config.Name, Version: n.itemVersion(l.reads), Data: ListConfirmation{Version: version}})
 }
 
 // sameInstances ignores how long a replica stays cold, but not whether it is.
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -29,7 +29,7 @@
 			t.Fatal(a.Err)
 		}
 	}
-	if a := l.call("n4", Evacuate{ID: "e", Domain: "z"}); a.Err != nil {
+	if a := l.call("n4", Evacuate{ID: "e", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	for _, name := range []string{"n0", "n1", "n2"} {
@@ -47,7 +47,7 @@
 			}
 		}
 	}
-	if a := l.call("n5", Get{}); string(a.Value.Body) != "5" || len(a.Value.Emptied) != 1 {
+	if a := l.call("n5", Get{}); string(a.Value.Document) != "5" || len(a.Value.EvacuatedZones) != 1 {
 		t.Errorf("%+v", a.Value)
 	}
 }
@@ -56,18 +56,18 @@
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	const puts = 600
-	put := func(i uint64) Put { return Put{ID: fmt.Sprint("put", i), Expect: i, Body: fmt.Append(nil, i)} }
+	put := func(i uint64) Put { return Put{ID: fmt.Sprint("put", i), Expect: i, Document: fmt.Append(nil, i)} }
 	for i := range uint64(puts) {
-		if a := l.call("n4", put(i)); a.Err != nil || a.Mark != i+1 {
-			t.Fatalf("put %d: %v, mark %d", i, a.Err, a.Mark)
+		if a := l.call("n4", put(i)); a.Err != nil || a.Version != i+1 {
+			t.Fatalf("put %d: %v, mark %d", i, a.Err, a.Version)
 		}
 	}
-	if a := l.call("n4", Evacuate{ID: "e", Domain: "z"}); a.Err != nil || a.Mark != puts+1 {
-		t.Fatalf("%v, mark %d", a.Err, a.Mark)
+	if a := l.call("n4", Evacuate{ID: "e", Zone: "z"}); a.Err != nil || a.Version != puts+1 {
+		t.Fatalf("%v, mark %d", a.Err, a.Version)
 	}
 	for _, i := range []uint64{puts - 400, puts - 1} {
-		if a := l.call("n5", put(i)); a.Err != nil || a.Mark != i+1 {
-			t.Errorf("put %d again: %v, mark %d", i, a.Err, a.Mark)
+		if a := l.call("n5", put(i)); a.Err != nil || a.Version != i+1 {
+			t.Errorf("put %d again: %v, mark %d", i, a.Err, a.Version)
 		}
 	}
 	var forgotten *register.ForgottenError
@@ -91,7 +91,7 @@
 		for i := range 8 {
 			l.ids++
 			ids = append(ids, l.ids)
-			l.step(l.order[i%len(l.order)], Command{ID: l.ids, Op: Evacuate{ID: fmt.Sprint("e", i), Domain: fmt.Sprint("z", i)}})
+			l.step(l.order[i%len(l.order)], Command{ID: l.ids, Op: Evacuate{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i)}})
 		}
 		l.run(time.Second)
 		for _, id := range ids {
@@ -99,8 +99,8 @@
 				t.Errorf("seed %d: order %d: %v %v", seed, id, ok, a.Err)
 			}
 		}
-		if a := l.call("n5", Get{}); len(a.Value.Emptied) != 8 {
-			t.Errorf("seed %d, from %s: %v", seed, from, a.Value.Emptied)
+		if a := l.call("n5", Get{}); len(a.Value.EvacuatedZones) != 8 {
+			t.Errorf("seed %d, from %s: %v", seed, from, a.Value.EvacuatedZones)
 		}
 	}
 }
--- a/control/menders_test.go
+++ b/control/menders_test.go
@@ -75,16 +75,16 @@
 func (w *mendWorld) wish(a *mendActor, body string) register.Change {
 	switch {
 	case a.operator:
-		return edit(a.known.Mark, body)
+		return edit(a.known.Version, body)
 	case len(a.known.Next) > 0:
-		return finishVoterChangeAt(a.known.Seat)
+		return finishVoterChangeAt(a.known.Epoch)
 	}
 	vs := append([]register.Voter{}, a.known.Voters...)
 	for {
 		fresh := fmt.Sprint("d", w.rng.IntN(mendDisks))
 		if !isVoter(vs, fresh) {
 			vs[w.rng.IntN(len(vs))] = register.Voter{Disk: fresh, Name: fresh}
-			return beginVoterChangeAt(a.known.Seat, vs)
+			return beginVoterChangeAt(a.known.Epoch, vs)
 		}
 	}
 }
@@ -111,15 +111,15 @@
 		a.known = r.Value
 		a.proposer.LearnChosen(r.Value)
 	}
-	mark, taken := r.Value.Done(body)
+	version, taken := r.Value.AppliedAt(body)
 	if !a.operator || r.Err != nil || !taken {
 		return
 	}
-	if other, ok := w.confirmed[mark]; ok && other != body {
-		w.t.Fatalf("seed %d at %s: mark %d is confirmed for orders %s and %s", w.seed, w.now, mark, other, body)
+	if other, ok := w.confirmed[version]; ok && other != body {
+		w.t.Fatalf("seed %d at %s: mark %d is confirmed for orders %s and %s", w.seed, w.now, version, other, body)
 	}
-	w.confirmed[mark] = body
-	w.highest = max(w.highest, mark)
+	w.confirmed[version] = body
+	w.highest = max(w.highest, version)
 }
 
 func (w *mendWorld) deliver(m mendMail) {
@@ -173,7 +173,7 @@
 		}
 		marks += w.highest
 		for _, a := range w.actors {
-			epochs = max(epochs, a.known.Seat)
+			epochs = max(epochs, a.known.Epoch)
 		}
 	}
 	if t.Logf("%d changes confirmed over %d seeds, up to %d epochs in one", marks, seeds, epochs); marks < uint64(seeds) || epochs < 4 {
--- a/control/msg.go
+++ b/control/msg.go
@@ -7,10 +7,10 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// LoadReports is the gossip item with the load of the replicas of one zone (Domain), as the node named By probed them. Urgent says that a
+// LoadReports is the gossip item with the load of the replicas of one zone (Zone), as the node named By probed them. Urgent says that a
 // replica went up, down or began to drain since the item before.
 type LoadReports struct {
-	Domain string
+	Zone   string
 	By     string
 	Urgent bool
 	Rows   []mallowbridge.LoadReport
@@ -34,12 +34,12 @@
 	Peek    bool
 }
 
-// WitnessSay answers the WitnessAsk numbered Rid. First: no other router has asked about the request. Young: the witness started so recently
+// WitnessSay answers the WitnessAsk numbered RequestID. First: no other router has asked about the request. Young: the witness started so recently
 // that it may have forgotten an earlier inquiry.
 type WitnessSay struct {
-	Rid   uint64
-	First bool
-	Young bool
+	RequestID uint64
+	First     bool
+	Young     bool
 }
 
 // WitnessForget takes back a WitnessAsk that ended without enough answers.
@@ -62,19 +62,19 @@
 type Persisted struct {
 	Ticket uint64
 	Err    error
-	// Mended tells that everything was written anew after a failure.
-	Mended bool
+	// Repaired tells that everything was written anew after a failure.
+	Repaired bool
 }
 
 // Probed is the outcome of a Probe. Own repeats that of the Probe; OK says whether the replica answered, and only then do the other fields
 // hold: the instance, its running requests, whether it drains, and by how much its figures lag behind.
 type Probed struct {
 	Replica    string
-	Own        bool
+	Local      bool
 	OK         bool
 	InstanceID string
 	Running    int
-	Leaving    bool
+	Draining   bool
 	Lag        time.Duration
 }
 
@@ -97,9 +97,9 @@
 
 // Put replaces the document if its revision is Expect, else it fails with a register.ConflictError. ID makes repetitions harmless.
 type Put struct {
-	ID     string
-	Expect uint64
-	Body   []byte
+	ID       string
+	Expect   uint64
+	Document []byte
 }
 
 // Edit changes the document by a function of the one in place, which may be called several times.
@@ -117,7 +117,7 @@
 // was taken meanwhile.
 type Evacuate struct {
 	ID      string
-	Domain  string
+	Zone    string
 	Restore bool
 }
 
@@ -139,9 +139,9 @@
 
 // Witness asks the witnesses of a request whether another router has sent it. Spare is the time that they may take; Peek only looks.
 type Witness struct {
-	Request string
-	Spare   time.Duration
-	Peek    bool
+	Request   string
+	SpareTime time.Duration
+	Peek      bool
 }
 
 // SetSeeds replaces the addresses that a node contacts when it knows no other node.
@@ -190,20 +190,20 @@
 	Entry  LogEntry
 }
 
-// Answer ends the Command with this ID. Value and Mark are the register's value and the revision that the operation made or found; Verdict
+// Answer ends the Command with this ID. Value and Version are the register's value and the revision that the operation made or found; Witnesses
 // answers a Witness. Err is nil on success.
 type Answer struct {
-	ID      uint64
-	Value   *register.Value
-	Mark    uint64
-	Verdict Verdict
-	Err     error
+	ID        uint64
+	Value     *register.Value
+	Version   uint64
+	Witnesses WitnessVerdict
+	Err       error
 }
 
 // Probe is a request for a replica's load. Own: it checks this node's own observation and is not shared with other nodes.
 type Probe struct {
 	Replica, Addr string
-	Own           bool
+	Local         bool
 }
 
 // Out is what a Step wants done: messages to send, entries to write in order, answers to commands, events for the router, replicas to
--- a/control/news.go
+++ b/control/news.go
@@ -31,7 +31,7 @@
 func (n *Node) near(addr string) bool {
 	for _, m := range n.Members.Table.All() {
 		if m.Addr == addr {
-			return m.Domain == n.config.Domain
+			return m.Zone == n.config.Zone
 		}
 	}
 	return true
@@ -40,16 +40,16 @@
 func (n *Node) applyItem(now time.Duration, it gossip.Item) {
 	switch d := it.Data.(type) {
 	case membership.Member:
-		d.State = membership.State(it.Mark.Lo)
+		d.State = membership.State(it.Version.Lo)
 		n.Members.Merge(now, d)
 	case *register.Value:
-		if d.Whole() {
+		if d.Complete() {
 			n.learnValue(now, d)
 		}
 	case LoadReports:
-		n.onLoadReports(now, it.Mark, d)
+		n.onLoadReports(now, it.Version, d)
 	case ReplicaState:
-		n.onReplicaState(now, it.Mark, d)
+		n.onReplicaState(now, it.Version, d)
 	case ReplicaListItem:
 		n.onReplicaListItem(d)
 	case ListConfirmation:
@@ -63,7 +63,7 @@
 
 func (n *Node) publishMembers(now time.Duration) {
 	for _, m := range n.Members.TakeChanges() {
-		n.Gossip.Put(gossip.Item{Key: "m/" + m.Name, Mark: gossip.Version{Hi: m.Inc, Lo: uint64(m.State)}, Data: m})
+		n.Gossip.Put(gossip.Item{Key: "m/" + m.Name, Version: gossip.Version{Hi: m.Incarnation, Lo: uint64(m.State)}, Data: m})
 		if m.Name != n.config.Name {
 			n.logChange("member "+m.State.String(), m.Name)
 		}
@@ -72,8 +72,8 @@
 }
 
 func (n *Node) publishRouters(now time.Duration) {
-	if n.settled == 0 && n.joined {
-		n.settled = now + settleTime
+	if n.joinDeadline == 0 && n.joined {
+		n.joinDeadline = now + joinDelay
 	}
 	d := n.derive()
 	if d.shared && d.joined == n.joined {
@@ -85,9 +85,9 @@
 		if !m.Live() || (m.Name == n.config.Name && !n.joined) {
 			continue
 		}
-		names, domains = append(names, m.Name), append(domains, m.Domain)
-		for i := range m.Libs {
-			names, domains = append(names, m.Name+"#"+strconv.Itoa(i+1)), append(domains, m.Domain)
+		names, domains = append(names, m.Name), append(domains, m.Zone)
+		for i := range m.EmbeddedRouters {
+			names, domains = append(names, m.Name+"#"+strconv.Itoa(i+1)), append(domains, m.Zone)
 		}
 	}
 	if key := strings.Join(names, ","); key != n.routers {
@@ -100,22 +100,22 @@
 	if !v.Newer(n.value) {
 		return
 	}
-	c, err := n.config.Read(v.Body)
-	if err != nil && len(v.Body) > 0 {
+	c, err := n.config.Read(v.Document)
+	if err != nil && len(v.Document) > 0 {
 		n.logChange("snapshot rejected", err.Error())
 		return
 	}
 	old := n.value
 	n.value = v
 	n.proposer.LearnChosen(v)
-	n.Gossip.Put(gossip.Item{Key: "c", Mark: gossip.Version{Hi: v.Mark, Lo: v.Seat}, Data: v})
+	n.Gossip.Put(gossip.Item{Key: "c", Version: gossip.Version{Hi: v.Version, Lo: v.Epoch}, Data: v})
 	if old == nil || !register.SameVoters(old, v) {
 		n.logChange("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
-	if len(v.Body) > 0 {
-		n.snapshot = &config.Snapshot{Mark: v.Mark, Charter: c, Emptied: v.Emptied}
+	if len(v.Document) > 0 {
+		n.snapshot = &config.Snapshot{Version: v.Version, Config: c, EvacuatedZones: v.EvacuatedZones}
 		n.replicasByName = map[string]config.Replica{}
-		for _, o := range c.Offers {
+		for _, o := range c.Services {
 			for _, r := range o.Replicas {
 				n.replicasByName[r.Name] = r
 			}
@@ -125,17 +125,17 @@
 }
 
 func (n *Node) applySnapshot(now time.Duration) {
-	if !n.joined || n.snapshot == nil || n.snapshot.Mark <= n.applied {
+	if !n.joined || n.snapshot == nil || n.snapshot.Version <= n.applied {
 		return
 	}
-	n.applied = n.snapshot.Mark
+	n.applied = n.snapshot.Version
 	n.logChange("obeys", fmt.Sprintf("mark %d", n.applied))
 	n.emit(mallowbridge.SnapshotUpdate{Picture: n.snapshot})
 	n.replay(now)
 }
 
 func (n *Node) replay(now time.Duration) {
-	for _, o := range n.snapshot.Charter.Offers {
+	for _, o := range n.snapshot.Config.Services {
 		for _, r := range o.Replicas {
 			if it, ok := n.Gossip.Get("p/" + r.Name); ok {
 				if l, ok := it.Data.(ReplicaState); ok {
--- a/control/node.go
+++ b/control/node.go
@@ -12,33 +12,33 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public side) and Domain (its zone) are told to
-// the other nodes. Boot tells one process of a name from the next, Build is the build of its messages (0: transport.Build), Inc the first
-// incarnation of its member (see Inc), Seed feeds its random choices. Disk is what its disk kept; nil: the node has none.
+// Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public side) and Zone (its zone) are told to
+// the other nodes. Boot tells one process of a name from the next, Build is the build of its messages (0: transport.Build), Incarnation the first
+// incarnation of its member (see Incarnation), Seed feeds its random choices. Disk is what its disk kept; nil: the node has none.
 type Config struct {
-	Name, Addr, HTTP, Domain string
-	Seeds                    []string
-	Boot                     string
-	Build                    uint32
-	Inc                      uint64
-	Seed                     uint64
-	Disk                     *DiskState
-	Membership               membership.Config
-	Gossip                   gossip.Config
+	Name, Addr, HTTP, Zone string
+	Seeds                  []string
+	Boot                   string
+	Build                  uint32
+	Incarnation            uint64
+	Seed                   uint64
+	Disk                   *DiskState
+	Membership             membership.Config
+	Gossip                 gossip.Config
 
 	// Read reads and checks the operators' document; nil: that of the product's own documents.
 	Read config.Reader
 	// ListEvery is how often the platform's list of replicas is read; 0: there is none.
 	ListEvery time.Duration
-	// Tolerate is how many voters may be lost together; the fleet then seats voters by itself. 0: operators do.
-	Tolerate int
-	// Founds has the seeds found the register by themselves.
-	Founds bool
-	// ServesCutOff keeps a node serving by its last snapshot while it is isolated.
-	ServesCutOff bool
+	// FaultTolerance is how many voters may be lost together; the fleet then seats voters by itself. 0: operators do.
+	FaultTolerance int
+	// Bootstraps has the seeds found the register by themselves.
+	Bootstraps bool
+	// ServesIsolated keeps a node serving by its last snapshot while it is isolated.
+	ServesIsolated bool
 }
 
-type heldReply struct {
+type pendingReply struct {
 	ticket uint64
 	send   Send
 }
@@ -62,14 +62,14 @@
 	grantor  *lease.Grantor
 	leases   *lease.Holder
 
-	ticket      uint64
-	heldReplies []heldReply
-	heldSince   time.Duration
-	diskErr     error
-	local       []Received
-	opSeq       uint64
-	pendingOps  map[uint64]pendingOp
-	reading     bool
+	ticket         uint64
+	pendingReplies []pendingReply
+	pendingSince   time.Duration
+	diskErr        error
+	local          []Received
+	opSeq          uint64
+	pendingOps     map[uint64]pendingOp
+	reading        bool
 
 	value             *register.Value
 	snapshot          *config.Snapshot
@@ -79,7 +79,7 @@
 	startedOverAt     time.Duration
 	askedAt           time.Duration
 	neighboursRead    map[string]bool
-	settled           time.Duration
+	joinDeadline      time.Duration
 	leaving           bool
 	notServing        string
 	routers           string
@@ -89,12 +89,12 @@
 	aheadSince        time.Duration
 	rereadAt          time.Duration
 
-	startedAt   time.Duration
-	founding    bool
-	foundAt     time.Duration
-	replicaList listReader
-	failures    uint64
-	derived     derived
+	startedAt     time.Duration
+	bootstrapping bool
+	bootstrapAt   time.Duration
+	replicaList   listReader
+	failures      uint64
+	derived       derived
 
 	tasks          tasks
 	observations   map[string]*observed
@@ -111,22 +111,22 @@
 	if cfg.Build == 0 {
 		cfg.Build = transport.Build
 	}
-	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Domain: cfg.Domain, Inc: cfg.Inc, Build: cfg.Build}
+	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Build: cfg.Build}
 	by := cfg.Name + "/" + cfg.Boot
 	n := &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
 		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, startedOverAt: now, askedAt: -time.Hour, servingReportedAt: -time.Hour,
-		startedAt: now, foundAt: -time.Hour, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
+		startedAt: now, bootstrapAt: -time.Hour, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
 		tasks: newTasks(), witness: newWitness(now), observations: map[string]*observed{}, platformStates: map[string]platformState{},
 		documents: newDocuments(),
 	}
 	if cfg.Disk != nil {
-		self.Disk = cfg.Disk.Pact.Disk
-		n.acceptor = &register.Acceptor{State: cfg.Disk.Pact}
+		self.Disk = cfg.Disk.Register.Disk
+		n.acceptor = &register.Acceptor{State: cfg.Disk.Register}
 		n.grantor = lease.NewGrantor(self.Disk, cfg.Disk.Grants, now+lease.TTL)
-		n.proposer.Learn(cfg.Disk.Pact.Value)
-		if v := cfg.Disk.Pact.Value; v != nil {
-			n.grantor.ChangeEpoch(now, v.Seat)
+		n.proposer.Learn(cfg.Disk.Register.Value)
+		if v := cfg.Disk.Register.Value; v != nil {
+			n.grantor.ChangeEpoch(now, v.Epoch)
 		}
 	}
 	n.Members = membership.New(cfg.Membership, self, cfg.Seed, now)
--- a/control/orders.go
+++ b/control/orders.go
@@ -41,38 +41,38 @@
 
 func putChange(op Put) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if _, done := cur.Done(op.ID); done {
+		if _, done := cur.AppliedAt(op.ID); done {
 			return nil, nil
 		}
-		if cur.Mark != op.Expect {
+		if cur.Version != op.Expect {
 			return nil, cur.PutRefusal(op.Expect)
 		}
-		cur.Mark++
-		cur.Body = op.Body
-		cur.TakePut(op.ID)
+		cur.Version++
+		cur.Document = op.Document
+		cur.LogPut(op.ID)
 		return cur, nil
 	}
 }
 
 func editChange(op Edit) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if cur.TookEdit(op.Base, op.ID) {
+		if cur.AppliedEdit(op.Base, op.ID) {
 			return nil, nil
 		}
-		body, err := op.Apply(cur.Body)
+		body, err := op.Apply(cur.Document)
 		var conflict *register.ConflictError
 		if errors.As(err, &conflict) {
-			return nil, cur.Refusal(op.Base, conflict.Mark)
+			return nil, cur.Refusal(op.Base, conflict.Version)
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(body) > 0 && bytes.Equal(body, cur.Body) {
+		if len(body) > 0 && bytes.Equal(body, cur.Document) {
 			return nil, nil
 		}
-		cur.Mark++
-		cur.Body = body
-		cur.TakeEdit(op.Base, op.ID)
+		cur.Version++
+		cur.Document = body
+		cur.LogEdit(op.Base, op.ID)
 		return cur, nil
 	}
 }
@@ -81,25 +81,25 @@
 // changes nothing is remembered all the same: whoever heard that it was confirmed must not be overtaken by an older one.
 func evacuateChange(op Evacuate) register.FencedChange {
 	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
-		if _, done := cur.Done(op.ID); done {
+		if _, done := cur.AppliedAt(op.ID); done {
 			return nil, nil
 		}
-		fence.Set(cur, op.Domain)
-		if !fence.Stands(cur, op.Domain) {
-			return nil, &register.FencedError{Scope: op.Domain}
+		fence.Set(cur, op.Zone)
+		if !fence.Holds(cur, op.Zone) {
+			return nil, &register.FencedError{Scope: op.Zone}
 		}
-		at := slices.Index(cur.Emptied, op.Domain)
+		at := slices.Index(cur.EvacuatedZones, op.Zone)
 		changes := (at >= 0) == op.Restore
 		switch {
 		case !changes:
 		case op.Restore:
-			cur.Emptied = slices.Delete(cur.Emptied, at, at+1)
-			cur.Mark++
+			cur.EvacuatedZones = slices.Delete(cur.EvacuatedZones, at, at+1)
+			cur.Version++
 		default:
-			cur.Emptied = append(cur.Emptied, op.Domain)
-			cur.Mark++
+			cur.EvacuatedZones = append(cur.EvacuatedZones, op.Zone)
+			cur.Version++
 		}
-		cur.TakeScoped(op.Domain, op.ID, changes)
+		cur.LogScoped(op.Zone, op.ID, changes)
 		return cur, nil
 	}
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -17,7 +17,7 @@
 	return Edit{ID: fmt.Sprint(base, "/", revision), Base: uint64(base), Apply: func(cur []byte) ([]byte, error) {
 		at, _ := strconv.Atoi(string(cur))
 		if at != base {
-			return nil, &register.ConflictError{Mark: uint64(at)}
+			return nil, &register.ConflictError{Version: uint64(at)}
 		}
 		return []byte(body), nil
 	}}
@@ -60,19 +60,19 @@
 func TestAnOldEvacuationDoesNotUndoALaterOne(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
-	if a := l.call("n4", Evacuate{ID: "first", Domain: "z"}); a.Err != nil {
+	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	// n5 is cut off with an order to restore under way; its caller leaves, and another order is confirmed meanwhile.
 	l.down["n0"], l.down["n1"], l.down["n2"], l.down["n3"] = true, true, true, true
-	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "old", Domain: "z", Restore: true}})
+	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "old", Zone: "z", Restore: true}})
 	l.run(1100 * time.Millisecond)
 	clear(l.down)
-	if a := l.call("n4", Evacuate{ID: "new", Domain: "z"}); a.Err != nil {
+	if a := l.call("n4", Evacuate{ID: "new", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	l.run(5 * time.Second)
-	if a := l.call("n4", Get{}); !slices.Contains(a.Value.Emptied, "z") {
+	if a := l.call("n4", Get{}); !slices.Contains(a.Value.EvacuatedZones, "z") {
 		t.Error("an order whose caller had left undid a later one")
 	}
 }
@@ -84,7 +84,7 @@
 	for name := range l.disks {
 		l.down[name] = true
 	}
-	for i, op := range []Op{Get{}, onBase(0, 1), Evacuate{ID: "e", Domain: "z"}, Get{}} {
+	for i, op := range []Op{Get{}, onBase(0, 1), Evacuate{ID: "e", Zone: "z"}, Get{}} {
 		at := l.now
 		var none *register.NoQuorumError
 		if a := l.call("n5", op); !errors.As(a.Err, &none) {
--- a/control/overlap_test.go
+++ b/control/overlap_test.go
@@ -49,13 +49,13 @@
 func TestMachinesAreStoppedInTurn(t *testing.T) {
 	for _, shape := range fleetShapes[:2] {
 		r := newRefill(t, shape, 7)
-		epoch := r.newest().Seat
+		epoch := r.newest().Epoch
 		for range 2 {
 			for at := range shape.disks {
 				r.restart(fmt.Sprint("n", at))
 			}
 		}
-		t.Logf("%s: %d epochs over %d restarts", shape.name, r.newest().Seat-epoch, 2*shape.disks)
+		t.Logf("%s: %d epochs over %d restarts", shape.name, r.newest().Epoch-epoch, 2*shape.disks)
 		r.until(shape.within)
 		r.next()
 	}
--- a/control/place.go
+++ b/control/place.go
@@ -25,13 +25,13 @@
 }
 
 // place is how many of the members that fit come before this node in the ranking for a duty, or absent where it does not fit itself.
-func (n *Node) place(kind, duty string, fits func(m membership.Member) bool) int {
+func (n *Node) place(kind, role string, fits func(m membership.Member) bool) int {
 	d := n.derive()
-	above, ok := d.places[kind+duty]
+	above, ok := d.places[kind+role]
 	if ok {
 		return above
 	}
-	mine, here := scheduler.Rank(duty, n.config.Name), false
+	mine, here := scheduler.Rank(role, n.config.Name), false
 	for _, m := range n.Members.Table.All() {
 		if !fits(m) {
 			continue
@@ -40,13 +40,13 @@
 			here = true
 			continue
 		}
-		if w := scheduler.Rank(duty, m.Name); w > mine || (w == mine && m.Name < n.config.Name) {
+		if w := scheduler.Rank(role, m.Name); w > mine || (w == mine && m.Name < n.config.Name) {
 			above++
 		}
 	}
 	if !here {
 		above = absent
 	}
-	d.places[kind+duty] = above
+	d.places[kind+role] = above
 	return above
 }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -24,21 +24,21 @@
 			for _, m := range n.Members.Table.All() {
 				if m.State == membership.Alive {
 					all = append(all, m.Name)
-					if m.Domain == "1" {
+					if m.Zone == "1" {
 						near = append(near, m.Name)
 					}
 				}
 			}
-			for _, duty := range []string{"mend", "list"} {
-				ranked := scheduler.Nearest(duty, all)
-				if got, want := n.place("all/", duty, func(m membership.Member) bool { return m.State == membership.Alive }), slices.Index(ranked, name); got != want {
-					t.Errorf("%s: %s is at place %d of %s, want %d", when, name, got, duty, want)
+			for _, role := range []string{"mend", "list"} {
+				ranked := scheduler.Nearest(role, all)
+				if got, want := n.place("all/", role, func(m membership.Member) bool { return m.State == membership.Alive }), slices.Index(ranked, name); got != want {
+					t.Errorf("%s: %s is at place %d of %s, want %d", when, name, got, role, want)
 				}
-				if n.ranksFirst(duty, "1") != (scheduler.Nearest(duty, near)[0] == name) || n.ranksFirst(duty, "nowhere") != (ranked[0] == name) {
-					t.Errorf("%s: %s disagrees on who is first for %s", when, name, duty)
+				if n.ranksFirst(role, "1") != (scheduler.Nearest(role, near)[0] == name) || n.ranksFirst(role, "nowhere") != (ranked[0] == name) {
+					t.Errorf("%s: %s disagrees on who is first for %s", when, name, role)
 				}
-				if n.ranksFirst(duty, "") {
-					firsts[duty]++
+				if n.ranksFirst(role, "") {
+					firsts[role]++
 				}
 			}
 		}
--- a/control/register.go
+++ b/control/register.go
@@ -19,7 +19,7 @@
 
 // Granted is the log entry of a lease that was granted.
 type Granted struct {
-	Duty   string
+	Role   string
 	Record lease.Record
 }
 
@@ -30,8 +30,8 @@
 const (
 	// stalledAfter is how long a write may take until the disk counts as unfit.
 	stalledAfter = time.Second
-	// MaxHeld is the most replies that wait for the disk; requests beyond it are dropped.
-	MaxHeld = 256
+	// MaxPendingReplies is the most replies that wait for the disk; requests beyond it are dropped.
+	MaxPendingReplies = 256
 )
 
 func (n *Node) handleRegister(now time.Duration, r Received) {
@@ -48,7 +48,7 @@
 		}
 		return
 	}
-	if n.acceptor == nil || n.diskErr != nil || len(n.heldReplies) >= MaxHeld {
+	if n.acceptor == nil || n.diskErr != nil || len(n.pendingReplies) >= MaxPendingReplies {
 		return
 	}
 	switch m := r.Msg.(type) {
@@ -58,12 +58,12 @@
 	case register.Accept:
 		a, write := n.acceptor.Accept(m)
 		if a.OK {
-			n.grantor.ChangeEpoch(now, m.Value.Seat)
+			n.grantor.ChangeEpoch(now, m.Value.Epoch)
 		}
 		n.reply(now, r.From, a, a.Disk != "", write, AcceptedEntry{Ballot: m.Ballot, Value: m.Value})
 	case lease.Request:
 		g, write := n.grantor.HandleRequest(now, m)
-		n.reply(now, r.From, g, g.Disk != "", write, Granted{Duty: m.Duty, Record: lease.Record{Holder: m.Holder, Mark: m.Mark}})
+		n.reply(now, r.From, g, g.Disk != "", write, Granted{Role: m.Role, Record: lease.Record{Holder: m.Holder, Token: m.Token}})
 	case lease.Release:
 		n.grantor.HandleRelease(m)
 	}
@@ -79,33 +79,33 @@
 	if write {
 		n.ticket++
 		n.out.Writes = append(n.out.Writes, LogWrite{Ticket: n.ticket, Entry: entry})
-		if len(n.heldReplies) == 0 {
-			n.heldSince = now
+		if len(n.pendingReplies) == 0 {
+			n.pendingSince = now
 		}
 	}
-	if !write && len(n.heldReplies) == 0 {
+	if !write && len(n.pendingReplies) == 0 {
 		n.send(to, msg)
 		return
 	}
-	n.heldReplies = append(n.heldReplies, heldReply{ticket: n.ticket, send: Send{To: to, Msg: msg}})
+	n.pendingReplies = append(n.pendingReplies, pendingReply{ticket: n.ticket, send: Send{To: to, Msg: msg}})
 }
 
 func (n *Node) onPersisted(now time.Duration, s Persisted) {
 	if s.Err != nil {
 		n.diskErr = s.Err
-		n.heldReplies = nil
+		n.pendingReplies = nil
 		n.logChange("disk broke down", s.Err.Error())
 		n.setDegraded(now, true)
 		return
 	}
-	if n.diskErr != nil && s.Mended {
+	if n.diskErr != nil && s.Repaired {
 		n.diskErr = nil
 		n.logChange("disk works again", "")
 	}
-	for len(n.heldReplies) > 0 && n.heldReplies[0].ticket <= s.Ticket {
-		n.send(n.heldReplies[0].send.To, n.heldReplies[0].send.Msg)
-		n.heldReplies = n.heldReplies[1:]
-		n.heldSince = now
+	for len(n.pendingReplies) > 0 && n.pendingReplies[0].ticket <= s.Ticket {
+		n.send(n.pendingReplies[0].send.To, n.pendingReplies[0].send.Msg)
+		n.pendingReplies = n.pendingReplies[1:]
+		n.pendingSince = now
 	}
 }
 
@@ -113,15 +113,15 @@
 	if n.acceptor == nil || n.diskErr != nil {
 		return
 	}
-	n.setDegraded(now, len(n.heldReplies) > 0 && now-n.heldSince > stalledAfter)
+	n.setDegraded(now, len(n.pendingReplies) > 0 && now-n.pendingSince > stalledAfter)
 }
 
 func (n *Node) setDegraded(now time.Duration, yes bool) {
-	if n.Members.Self.Unfit == yes {
+	if n.Members.Self.Degraded == yes {
 		return
 	}
 	n.logChange("disk fitness", map[bool]string{true: "unfit", false: "fit"}[yes])
-	n.Members.Update(now, func(m *membership.Member) { m.Unfit = yes })
+	n.Members.Update(now, func(m *membership.Member) { m.Degraded = yes })
 }
 
 // await numbers an operation of the proposer and has done called with its result.
@@ -149,9 +149,9 @@
 	return func(_ time.Duration, r register.Result) {
 		a := Answer{ID: id, Value: r.Value, Err: r.Err}
 		if r.Value != nil {
-			a.Mark = r.Value.Mark
-			if mark, ok := r.Value.Done(op); ok {
-				a.Mark = mark
+			a.Version = r.Value.Version
+			if version, ok := r.Value.AppliedAt(op); ok {
+				a.Version = version
 			}
 		}
 		n.out.Answers = append(n.out.Answers, a)
--- a/control/repair.go
+++ b/control/repair.go
@@ -56,12 +56,12 @@
 
 func (n *Node) voterHealthy(disk string) bool {
 	m, ok := n.diskMember(disk)
-	return ok && m.State == membership.Alive && !m.Unfit
+	return ok && m.State == membership.Alive && !m.Degraded
 }
 
 // spare says whether a member has a fit disk that could take a seat and means to stay.
 func (n *Node) spare(m membership.Member) bool {
-	return m.Disk != "" && m.State == membership.Alive && !m.Unfit && !m.Retiring && !isVoter(n.value.Voters, m.Disk)
+	return m.Disk != "" && m.State == membership.Alive && !m.Degraded && !m.Retiring && !isVoter(n.value.Voters, m.Disk)
 }
 
 // votersWithout puts a spare disk in the place of a lost one, in the domain with the fewest voters; nil: there is none.
@@ -74,12 +74,12 @@
 		}
 		vs = append(vs, v)
 		if m, ok := n.Members.Table.Get(v.Name); ok {
-			taken[m.Domain]++
+			taken[m.Zone]++
 		}
 	}
 	var best membership.Member
 	for _, m := range n.Members.Table.All() {
-		if n.spare(m) && (best.Name == "" || taken[m.Domain] < taken[best.Domain]) {
+		if n.spare(m) && (best.Name == "" || taken[m.Zone] < taken[best.Zone]) {
 			best = m
 		}
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -15,46 +15,46 @@
 	State string `json:"state"`
 }
 
-// Status is what a node tells operators of itself. Serving and Why say whether its router serves and if not why; Mark is the newest revision
-// that it knows, Obeyed the one its router goes by. Emptied are the evacuated zones, Claims the leases held here, Deaths and Refutes count
-// members that were declared dead and took that back, News the gossip items held.
+// Status is what a node tells operators of itself. Serving and NotServing say whether its router serves and if not why; Version is the newest revision
+// that it knows, AppliedVersion the one its router goes by. EvacuatedZones are the evacuated zones, Leases the leases held here, Deaths and Refutes count
+// members that were declared dead and took that back, GossipItems the gossip items held.
 type Status struct {
-	Name    string           `json:"name"`
-	Domain  string           `json:"domain"`
-	Serving bool             `json:"serving"`
-	Why     string           `json:"why,omitempty"`
-	Mark    uint64           `json:"mark"`
-	Obeyed  uint64           `json:"obeyed"`
-	Emptied []string         `json:"emptied"`
-	Voters  []register.Voter `json:"voters"`
-	Next    []register.Voter `json:"next,omitempty"`
-	Voter   bool             `json:"voter"`
-	Unfit   bool             `json:"unfit"`
-	Claims  []string         `json:"claims"`
-	Members []MemberStatus   `json:"members"`
-	Deaths  uint64           `json:"deaths"`
-	Refutes uint64           `json:"refutes"`
-	News    int              `json:"news"`
-	Config  json.RawMessage  `json:"config,omitempty"`
+	Name           string           `json:"name"`
+	Zone           string           `json:"domain"`
+	Serving        bool             `json:"serving"`
+	NotServing     string           `json:"why,omitempty"`
+	Version        uint64           `json:"mark"`
+	AppliedVersion uint64           `json:"obeyed"`
+	EvacuatedZones []string         `json:"emptied"`
+	Voters         []register.Voter `json:"voters"`
+	Next           []register.Voter `json:"next,omitempty"`
+	Voter          bool             `json:"voter"`
+	Degraded       bool             `json:"unfit"`
+	Leases         []string         `json:"claims"`
+	Members        []MemberStatus   `json:"members"`
+	Deaths         uint64           `json:"deaths"`
+	Refutes        uint64           `json:"refutes"`
+	GossipItems    int              `json:"news"`
+	Config         json.RawMessage  `json:"config,omitempty"`
 }
 
 // Status is the node's state at the time now.
 func (n *Node) Status(now time.Duration) Status {
 	s := Status{
-		Name: n.config.Name, Domain: n.config.Domain, Serving: n.notServing == "" && n.servingReportedAt > 0, Why: n.notServing, Obeyed: n.applied, Unfit: n.Members.Self.Unfit,
-		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, News: n.Gossip.Len(), Emptied: []string{}, Claims: []string{},
+		Name: n.config.Name, Zone: n.config.Zone, Serving: n.notServing == "" && n.servingReportedAt > 0, NotServing: n.notServing, AppliedVersion: n.applied, Degraded: n.Members.Self.Degraded,
+		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, GossipItems: n.Gossip.Len(), EvacuatedZones: []string{}, Leases: []string{},
 	}
 	for _, m := range n.Members.Table.All() {
 		s.Members = append(s.Members, MemberStatus{Member: m, State: m.State.String()})
 	}
-	for _, d := range n.leases.Held() {
+	for _, d := range n.leases.Roles() {
 		if _, ok := n.leases.Holds(now, d); ok {
-			s.Claims = append(s.Claims, d)
+			s.Leases = append(s.Leases, d)
 		}
 	}
 	if n.value != nil {
-		s.Mark, s.Voters, s.Next, s.Config = n.value.Mark, n.value.Voters, n.value.Next, n.value.Body
-		s.Emptied = append(s.Emptied, n.value.Emptied...)
+		s.Version, s.Voters, s.Next, s.Config = n.value.Version, n.value.Voters, n.value.Next, n.value.Document
+		s.EvacuatedZones = append(s.EvacuatedZones, n.value.EvacuatedZones...)
 		s.Voter = n.acceptor != nil && n.isVoter()
 	}
 	return s
@@ -62,13 +62,13 @@
 
 // Holding names the duties whose lease the node holds at the time now.
 func (n *Node) Holding(now time.Duration) []string {
-	var duties []string
-	for _, d := range n.leases.Held() {
+	var roles []string
+	for _, d := range n.leases.Roles() {
 		if _, ok := n.leases.Holds(now, d); ok {
-			duties = append(duties, d)
+			roles = append(roles, d)
 		}
 	}
-	return duties
+	return roles
 }
 
 // Snapshot is the configuration that this node's router goes by, or nil.
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// probeEvery is the time between two probes of a replica, shareEvery that between two publications of a zone's reports.
-	probeEvery = 250 * time.Millisecond
-	shareEvery = time.Second
+	// probeEvery is the time between two probes of a replica, publishEvery that between two publications of a zone's reports.
+	probeEvery   = 250 * time.Millisecond
+	publishEvery = time.Second
 	// takeoverAfter is how long a zone may be without reports until another node asks for its lease.
 	takeoverAfter = 2500 * time.Millisecond
 	// probeWithoutLeaseAfter is how long it may be without them until the first by rank probes without a lease.
@@ -34,11 +34,11 @@
 // tasks is the state of the duties that nodes share out by lease: per zone when load reports were received, probed and published, and the
 // token of the lease that they were made under.
 type tasks struct {
-	receivedAt      map[string]time.Duration
+	reportedAt      map[string]time.Duration
 	token           map[string]uint64
 	seq             map[string]uint64
 	probed          map[string]time.Duration
-	shared          map[string]time.Duration
+	publishedAt     map[string]time.Duration
 	urgent          map[string]bool
 	replicas        map[string]*replicaRecord
 	lostSince       map[string]time.Duration
@@ -48,8 +48,8 @@
 
 func newTasks() tasks {
 	return tasks{
-		receivedAt: map[string]time.Duration{}, token: map[string]uint64{}, seq: map[string]uint64{}, probed: map[string]time.Duration{},
-		shared: map[string]time.Duration{}, urgent: map[string]bool{}, replicas: map[string]*replicaRecord{}, lostSince: map[string]time.Duration{},
+		reportedAt: map[string]time.Duration{}, token: map[string]uint64{}, seq: map[string]uint64{}, probed: map[string]time.Duration{},
+		publishedAt: map[string]time.Duration{}, urgent: map[string]bool{}, replicas: map[string]*replicaRecord{}, lostSince: map[string]time.Duration{},
 	}
 }
 
@@ -58,10 +58,10 @@
 		return nil
 	}
 	var ds []string
-	for _, o := range n.snapshot.Charter.Offers {
+	for _, o := range n.snapshot.Config.Services {
 		for _, r := range o.Replicas {
-			if !slices.Contains(ds, r.Domain) {
-				ds = append(ds, r.Domain)
+			if !slices.Contains(ds, r.Zone) {
+				ds = append(ds, r.Zone)
 			}
 		}
 	}
@@ -69,17 +69,17 @@
 	return ds
 }
 
-func (n *Node) ranksFirst(duty, domain string) bool {
+func (n *Node) ranksFirst(role, zone string) bool {
 	near := false
 	for _, m := range n.Members.Table.All() {
-		near = near || (m.State == membership.Alive && m.Domain == domain)
+		near = near || (m.State == membership.Alive && m.Zone == zone)
 	}
 	kind := "all/"
 	if near {
-		kind = "near/" + domain + "/"
+		kind = "near/" + zone + "/"
 	}
-	return n.place(kind, duty, func(m membership.Member) bool {
-		return m.State == membership.Alive && (!near || m.Domain == domain)
+	return n.place(kind, role, func(m membership.Member) bool {
+		return m.State == membership.Alive && (!near || m.Zone == zone)
 	}) == 0
 }
 
@@ -96,58 +96,58 @@
 	n.maintainVoters(now)
 }
 
-func (n *Node) probeDuty(now time.Duration, domain string) {
-	duty := "probe/" + domain
-	mark, ok := n.leases.Holds(now, duty)
-	silent := now - max(n.tasks.receivedAt[domain], n.tasks.started)
-	fresh := n.tasks.receivedAt[domain] == 0
-	if ok || ((fresh || silent > takeoverAfter) && n.ranksFirst(duty, domain)) {
-		n.sendToGrantors(n.leases.Acquire(now, duty, n.value))
+func (n *Node) probeDuty(now time.Duration, zone string) {
+	role := "probe/" + zone
+	version, ok := n.leases.Holds(now, role)
+	silent := now - max(n.tasks.reportedAt[zone], n.tasks.started)
+	fresh := n.tasks.reportedAt[zone] == 0
+	if ok || ((fresh || silent > takeoverAfter) && n.ranksFirst(role, zone)) {
+		n.sendToGrantors(n.leases.Acquire(now, role, n.value))
 	}
-	if !ok && silent > probeWithoutLeaseAfter && n.ranksFirst(duty, domain) {
-		n.probe(now, domain, n.tasks.token[domain])
+	if !ok && silent > probeWithoutLeaseAfter && n.ranksFirst(role, zone) {
+		n.probe(now, zone, n.tasks.token[zone])
 		return
 	}
 	if ok {
-		n.probe(now, domain, packToken(mark))
+		n.probe(now, zone, packToken(version))
 	}
 }
 
-func packToken(m lease.Token) uint64 { return m.Seat<<32 | m.N&0xffffffff }
+func packToken(m lease.Token) uint64 { return m.Epoch<<32 | m.Number&0xffffffff }
 
-func (n *Node) probe(now time.Duration, domain string, hi uint64) {
-	if hi < n.tasks.token[domain] {
+func (n *Node) probe(now time.Duration, zone string, hi uint64) {
+	if hi < n.tasks.token[zone] {
 		return
 	}
-	n.tasks.token[domain] = hi
-	if now-n.tasks.probed[domain] >= probeEvery {
-		n.tasks.probed[domain] = now
-		n.eachReplica(domain, func(name, addr string) {
+	n.tasks.token[zone] = hi
+	if now-n.tasks.probed[zone] >= probeEvery {
+		n.tasks.probed[zone] = now
+		n.eachReplica(zone, func(name, addr string) {
 			if n.tasks.replicas[name] == nil {
 				n.tasks.replicas[name] = &replicaRecord{since: now, row: mallowbridge.LoadReport{Replica: name, Down: true}}
 			}
 			n.out.Probes = append(n.out.Probes, Probe{Replica: name, Addr: addr})
 		})
 	}
-	if now-n.tasks.shared[domain] < shareEvery && !n.tasks.urgent[domain] {
+	if now-n.tasks.publishedAt[zone] < publishEvery && !n.tasks.urgent[zone] {
 		return
 	}
-	n.publish(now, domain, hi)
+	n.publish(now, zone, hi)
 }
 
-func (n *Node) eachReplica(domain string, act func(name, addr string)) {
-	for _, o := range n.snapshot.Charter.Offers {
+func (n *Node) eachReplica(zone string, act func(name, addr string)) {
+	for _, o := range n.snapshot.Config.Services {
 		for _, r := range o.Replicas {
-			if r.Domain == domain {
+			if r.Zone == zone {
 				act(r.Name, r.Addr)
 			}
 		}
 	}
 }
 
-func (n *Node) publish(now time.Duration, domain string, hi uint64) {
-	u := LoadReports{Domain: domain, By: n.config.Name, Urgent: n.tasks.urgent[domain]}
-	n.eachReplica(domain, func(name, _ string) {
+func (n *Node) publish(now time.Duration, zone string, hi uint64) {
+	u := LoadReports{Zone: zone, By: n.config.Name, Urgent: n.tasks.urgent[zone]}
+	n.eachReplica(zone, func(name, _ string) {
 		w := n.tasks.replicas[name]
 		if w == nil || (w.row.InstanceID == "" && w.misses < missesDown) {
 			return
@@ -160,18 +160,18 @@
 	if len(u.Rows) == 0 {
 		return
 	}
-	n.tasks.shared[domain], n.tasks.urgent[domain] = now, false
-	n.tasks.seq[domain]++
-	it := gossip.Item{Key: "u/" + domain, Mark: gossip.Version{Hi: hi, Lo: n.tasks.seq[domain]}, Data: u}
+	n.tasks.publishedAt[zone], n.tasks.urgent[zone] = now, false
+	n.tasks.seq[zone]++
+	it := gossip.Item{Key: "u/" + zone, Version: gossip.Version{Hi: hi, Lo: n.tasks.seq[zone]}, Data: u}
 	if n.Gossip.Put(it) {
-		n.onLoadReports(now, it.Mark, u)
+		n.onLoadReports(now, it.Version, u)
 	}
 }
 
 func (n *Node) onLoadReports(now time.Duration, m gossip.Version, u LoadReports) {
-	n.tasks.receivedAt[u.Domain] = now
-	n.tasks.token[u.Domain] = max(n.tasks.token[u.Domain], m.Hi)
-	n.tasks.seq[u.Domain] = m.Lo
+	n.tasks.reportedAt[u.Zone] = now
+	n.tasks.token[u.Zone] = max(n.tasks.token[u.Zone], m.Hi)
+	n.tasks.seq[u.Zone] = m.Lo
 	if u.By != n.config.Name {
 		for _, r := range u.Rows {
 			n.tasks.replicas[r.Replica] = &replicaRecord{row: r, since: now - r.Age, at: now}
@@ -189,7 +189,7 @@
 }
 
 func (n *Node) onProbed(now time.Duration, p Probed) {
-	if p.Own {
+	if p.Local {
 		n.observe(now, Observation{State: map[bool]ConnectionState{true: Up, false: Closed}[p.OK], Probed: p})
 		return
 	}
@@ -197,7 +197,7 @@
 	if w == nil || n.snapshot == nil {
 		return
 	}
-	domain := n.replicasByName[p.Replica].Domain
+	zone := n.replicasByName[p.Replica].Zone
 	was := w.row
 	if !p.OK {
 		w.misses++
@@ -209,20 +209,20 @@
 			w.since = now
 		}
 		w.misses, w.at = 0, now
-		w.row = mallowbridge.LoadReport{Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Leaving, Lag: p.Lag}
+		w.row = mallowbridge.LoadReport{Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Draining, Lag: p.Lag}
 	}
 	if was.InstanceID != w.row.InstanceID || was.Down != w.row.Down || was.Leaving != w.row.Leaving || (w.row.Down && w.misses == missesDown) {
-		n.tasks.urgent[domain] = true
+		n.tasks.urgent[zone] = true
 	}
 }
 
 // Knows says whether a zone is known: by the document, by a member in it, or as evacuated.
-func (n *Node) Knows(domain string) bool {
-	if n.value != nil && slices.Contains(n.value.Emptied, domain) || slices.Contains(n.zones(), domain) {
+func (n *Node) Knows(zone string) bool {
+	if n.value != nil && slices.Contains(n.value.EvacuatedZones, zone) || slices.Contains(n.zones(), zone) {
 		return true
 	}
 	for _, m := range n.Members.Table.All() {
-		if m.Domain == domain {
+		if m.Zone == zone {
 			return true
 		}
 	}
--- a/control/votercut_test.go
+++ b/control/votercut_test.go
@@ -55,7 +55,7 @@
 	if !confirmed(done) {
 		return
 	}
-	finish := h.proposer("n", finishVoterChangeAt(done[0].Value.Seat))
+	finish := h.proposer("n", finishVoterChangeAt(done[0].Value.Epoch))
 	accepts, _ = h.prepare(finish, 3, "a", "b", "c", "d")
 	h.accept(finish, accepts, finishes...)
 }
@@ -69,7 +69,7 @@
 			if results[0].Err != nil {
 				return results[0].Err.Error()
 			}
-			return string(results[0].Value.Body)
+			return string(results[0].Value.Document)
 		}
 		for _, s := range sends {
 			a := h.disks[s.Disk]
--- a/control/voters.go
+++ b/control/voters.go
@@ -19,15 +19,15 @@
 )
 
 // voterPatience is how long a voter may be lost before its seat goes to another disk: fixed where the fleet bears losses by itself
-// (Tolerate), else as the operators' document says. 0: seats stay as they are.
+// (FaultTolerance), else as the operators' document says. 0: seats stay as they are.
 func (n *Node) voterPatience() time.Duration {
-	if n.config.Tolerate > 0 {
+	if n.config.FaultTolerance > 0 {
 		return voterLostAfter
 	}
 	if n.snapshot == nil {
 		return 0
 	}
-	return n.snapshot.Charter.ReplaceVoter
+	return n.snapshot.Config.ReplaceVoter
 }
 
 // maintainVoters keeps the set of voters whole. One node does it, the first by rank; where two believe that they are first, the epoch
@@ -39,7 +39,7 @@
 	}
 	if len(n.value.Next) > 0 {
 		n.tasks.votersChangedAt = now
-		n.finishVoters(now, n.value.Seat)
+		n.finishVoters(now, n.value.Epoch)
 		return
 	}
 	next, why := n.nextVoters(now)
@@ -48,15 +48,15 @@
 	}
 	n.tasks.votersChangedAt = now
 	n.logChange(VotersChange, why)
-	n.proposeUrgent(now, beginVoterChangeAt(n.value.Seat, next), func(now time.Duration, r register.Result) {
+	n.proposeUrgent(now, beginVoterChangeAt(n.value.Epoch, next), func(now time.Duration, r register.Result) {
 		if r.Err == nil {
-			n.finishVoters(now, r.Value.Seat)
+			n.finishVoters(now, r.Value.Epoch)
 		}
 	})
 }
 
-func (n *Node) finishVoters(now time.Duration, seat uint64) {
-	n.proposeUrgent(now, finishVoterChangeAt(seat), func(time.Duration, register.Result) {})
+func (n *Node) finishVoters(now time.Duration, epoch uint64) {
+	n.proposeUrgent(now, finishVoterChangeAt(epoch), func(time.Duration, register.Result) {})
 }
 
 // nextVoters names the voters that should take over from the present ones, and why; nil: the present ones stay. The order is that of
@@ -81,7 +81,7 @@
 			return vs, "disk " + leaving + " leaves"
 		}
 	}
-	if len(n.value.Voters) < 2*n.config.Tolerate+1 {
+	if len(n.value.Voters) < 2*n.config.FaultTolerance+1 {
 		if vs := n.votersWithout(""); vs != nil {
 			return vs, "a disk joins"
 		}
@@ -108,16 +108,16 @@
 }
 
 // beginVoterChangeAt installs the next voters beside the present ones, if the epoch is still the one that the choice was made on.
-func beginVoterChangeAt(seat uint64, vs []register.Voter) register.Change {
+func beginVoterChangeAt(epoch uint64, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
 		if slices.Equal(cur.Next, vs) || slices.Equal(cur.Voters, vs) {
 			return nil, nil
 		}
-		if cur.Seat != seat || len(cur.Next) > 0 {
-			return nil, &register.ConflictError{Mark: cur.Mark}
+		if cur.Epoch != epoch || len(cur.Next) > 0 {
+			return nil, &register.ConflictError{Version: cur.Version}
 		}
 		cur.Next = vs
-		cur.Seat++
+		cur.Epoch++
 		return cur, nil
 	}
 }
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -169,13 +169,13 @@
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	l.step("n0", Persisted{Err: errors.New("no space left")})
-	if !l.nodes["n0"].Members.Self.Unfit {
+	if !l.nodes["n0"].Members.Self.Degraded {
 		t.Fatal("a full disk votes on")
 	}
-	l.step("n0", Persisted{Mended: true})
+	l.step("n0", Persisted{Repaired: true})
 	l.run(time.Second)
 	l.down["n1"] = true
-	if a := l.write("n5", "x"); a.Err != nil || l.nodes["n0"].Members.Self.Unfit {
+	if a := l.write("n5", "x"); a.Err != nil || l.nodes["n0"].Members.Self.Degraded {
 		t.Fatal(a.Err)
 	}
 }
--- a/control/watch.go
+++ b/control/watch.go
@@ -27,10 +27,10 @@
 func (Observation) in() {}
 
 const (
-	// probeAgainAfter is the least time between two checks of one replica that other nodes report on differently.
-	probeAgainAfter = 500 * time.Millisecond
-	// ownObservationHolds is how long an own observation that a replica is down outweighs what other nodes report.
-	ownObservationHolds = time.Second
+	// localProbeRetry is the least time between two checks of one replica that other nodes report on differently.
+	localProbeRetry = 500 * time.Millisecond
+	// localObservationTTL is how long an own observation that a replica is down outweighs what other nodes report.
+	localObservationTTL = time.Second
 )
 
 // observed is the last own observation of a replica.
@@ -70,7 +70,7 @@
 		}
 	}
 	n.emit(mallowbridge.LoadReport{
-		Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Leaving, Own: true, Lag: p.Lag, Age: now - s.since,
+		Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Draining, Own: true, Lag: p.Lag, Age: now - s.since,
 	})
 }
 
@@ -83,20 +83,20 @@
 	}
 	same := !r.Down && s.instance == r.InstanceID
 	if s.state != Up {
-		if !r.Down && now-s.asked > probeAgainAfter {
+		if !r.Down && now-s.asked > localProbeRetry {
 			s.asked = now
 			n.out.Looks = append(n.out.Looks, r.Replica)
 		}
-		return !same || now-s.at > ownObservationHolds
+		return !same || now-s.at > localObservationTTL
 	}
 	if same {
 		s.since = min(s.since, now-r.Age)
 		return true
 	}
-	if now-s.asked > probeAgainAfter {
+	if now-s.asked > localProbeRetry {
 		s.asked = now
 		if addr := n.replicasByName[r.Replica].Addr; addr != "" {
-			n.out.Probes = append(n.out.Probes, Probe{Replica: r.Replica, Addr: addr, Own: true})
+			n.out.Probes = append(n.out.Probes, Probe{Replica: r.Replica, Addr: addr, Local: true})
 		}
 	}
 	return false
--- a/control/witness.go
+++ b/control/witness.go
@@ -21,12 +21,12 @@
 	rememberedMost     = 200000
 )
 
-// Verdict is the outcome of a Witness operation.
-type Verdict uint8
+// Witnesses is the outcome of a Witness operation.
+type WitnessVerdict uint8
 
 const (
 	// FirstAsked says that no witness knows of another router that asked.
-	FirstAsked Verdict = iota
+	FirstAsked WitnessVerdict = iota
 	// AskedBefore says that a witness knows of another router that asked.
 	AskedBefore
 	// TooFew says that fewer witnesses than needed answered in time.
@@ -35,7 +35,7 @@
 
 // inquiry is a Witness operation under way. complete counts the replies of witnesses that have been up for all of witnessMemory.
 type inquiry struct {
-	answer    uint64
+	command   uint64
 	startedAt time.Duration
 	sentAt    time.Duration
 	msg       WitnessAsk
@@ -49,34 +49,34 @@
 
 // rememberedRequest is the router that asked first about a request, and the number of its newest inquiry.
 type rememberedRequest struct {
-	by  string
-	rid uint64
-	at  time.Duration
+	by        string
+	requestID uint64
+	at        time.Duration
 }
 
 type witnessState struct {
-	born      time.Duration
+	startedAt time.Duration
 	seen      map[string]rememberedRequest
 	order     []string
 	inquiries map[uint64]*inquiry
 	deadSince map[string]time.Duration
 	forgotten map[string]bool
-	rid       uint64
+	requestID uint64
 }
 
 // WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
 func WitnessOutcome(a Answer) mallowbridge.How {
 	switch {
-	case a.Err != nil || a.Verdict == TooFew:
+	case a.Err != nil || a.Witnesses == TooFew:
 		return mallowbridge.NoQuorumOfWitnesses
-	case a.Verdict == AskedBefore:
+	case a.Witnesses == AskedBefore:
 		return mallowbridge.Withheld
 	}
 	return ""
 }
 
 func newWitness(now time.Duration) witnessState {
-	return witnessState{born: now, seen: map[string]rememberedRequest{}, inquiries: map[uint64]*inquiry{}, deadSince: map[string]time.Duration{}, forgotten: map[string]bool{}}
+	return witnessState{startedAt: now, seen: map[string]rememberedRequest{}, inquiries: map[uint64]*inquiry{}, deadSince: map[string]time.Duration{}, forgotten: map[string]bool{}}
 }
 
 func (w *witnessState) remember(now time.Duration, m WitnessAsk) WitnessSay {
@@ -86,22 +86,22 @@
 	}
 	s, ok := w.seen[m.Request]
 	if m.Peek {
-		return WitnessSay{Rid: m.Rid, First: !ok || s.by == m.By, Young: now-w.born < witnessMemory}
+		return WitnessSay{RequestID: m.Rid, First: !ok || s.by == m.By, Young: now-w.startedAt < witnessMemory}
 	}
 	if !ok {
 		w.order = append(w.order, m.Request)
 		s = rememberedRequest{by: m.By, at: now}
 	}
 	if s.by == m.By {
-		s.rid = max(s.rid, m.Rid)
+		s.requestID = max(s.requestID, m.Rid)
 		w.seen[m.Request] = s
 	}
-	return WitnessSay{Rid: m.Rid, First: s.by == m.By, Young: now-w.born < witnessMemory}
+	return WitnessSay{RequestID: m.Rid, First: s.by == m.By, Young: now-w.startedAt < witnessMemory}
 }
 
 func (w *witnessState) forget(m WitnessForget) {
 	s, ok := w.seen[m.Request]
-	if !ok || s.by != m.By || s.rid != m.Rid {
+	if !ok || s.by != m.By || s.requestID != m.Rid {
 		return
 	}
 	delete(w.seen, m.Request)
@@ -109,8 +109,8 @@
 }
 
 func (w *witnessState) ask(now time.Duration, n *Node, id uint64, op Witness) {
-	w.rid++
-	a := &inquiry{answer: id, startedAt: now, msg: WitnessAsk{Rid: w.rid, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, timeout: min(max(op.Spare, witnessTimeout), witnessTimeoutMax)}
+	w.requestID++
+	a := &inquiry{command: id, startedAt: now, msg: WitnessAsk{Rid: w.requestID, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
 	for _, m := range n.witnesses(op.Request) {
 		a.addrs = append(a.addrs, m.Addr)
 		if m.Live() {
@@ -118,7 +118,7 @@
 		}
 	}
 	a.needed = min(witnessQuorum, len(a.pending))
-	w.inquiries[w.rid] = a
+	w.inquiries[w.requestID] = a
 	a.send(now, n)
 }
 
@@ -142,8 +142,8 @@
 	var ms []membership.Member
 	for _, name := range scheduler.Nearest("once/"+request, names) {
 		m, _ := n.Members.Table.Get(name)
-		if len(ms) < witnessCount && taken[m.Domain] < witnessesPerDomain {
-			taken[m.Domain]++
+		if len(ms) < witnessCount && taken[m.Zone] < witnessesPerDomain {
+			taken[m.Zone]++
 			ms = append(ms, m)
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 func (w *witnessState) onReply(from string, m WitnessSay, n *Node) {
-	a := w.inquiries[m.Rid]
+	a := w.inquiries[m.RequestID]
 	if a == nil || !slices.Contains(a.pending, from) {
 		return
 	}
@@ -168,9 +168,9 @@
 	}
 }
 
-func (w *witnessState) close(n *Node, a *inquiry, v Verdict) {
+func (w *witnessState) close(n *Node, a *inquiry, v WitnessVerdict) {
 	delete(w.inquiries, a.msg.Rid)
-	n.out.Answers = append(n.out.Answers, Answer{ID: a.answer, Verdict: v})
+	n.out.Answers = append(n.out.Answers, Answer{ID: a.command, Witnesses: v})
 	if v != TooFew || a.msg.Peek {
 		return
 	}
@@ -181,8 +181,8 @@
 
 func (w *witnessState) tick(now time.Duration, n *Node) {
 	w.trackDead(now, n)
-	for _, rid := range slices.Sorted(maps.Keys(w.inquiries)) {
-		a := w.inquiries[rid]
+	for _, requestID := range slices.Sorted(maps.Keys(w.inquiries)) {
+		a := w.inquiries[requestID]
 		waited := now - a.startedAt
 		if waited >= witnessTimeout {
 			a.dropDead(n)
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -34,7 +34,7 @@
 
 func (f *fleet) boot(i int, life uint64) {
 	name := fmt.Sprint("n", i)
-	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Domain: fmt.Sprint(i % 3), Inc: life, Seed: life, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
+	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Zone: fmt.Sprint(i % 3), Incarnation: life, Seed: life, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 	for _, o := range f.nodes {
 		f.nodes[name].Members.Merge(f.now, o.Members.Self)
 	}
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -56,11 +56,11 @@
 
 func TestAStalledDiskHoldsBackNoMoreThanIsWaitedFor(t *testing.T) {
 	n := control.New(0, control.Config{
-		Name: "n1", Addr: "a", Boot: "b", Domain: "d", Disk: &control.DiskState{Pact: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
+		Name: "n1", Addr: "a", Boot: "b", Zone: "d", Disk: &control.DiskState{Register: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})
-	writes := make(chan []control.LogWrite, control.MaxHeld)
-	for i := range uint64(4 * control.MaxHeld) {
-		out := n.Step(0, control.Received{From: "other", Msg: register.Prepare{Rid: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
+	writes := make(chan []control.LogWrite, control.MaxPendingReplies)
+	for i := range uint64(4 * control.MaxPendingReplies) {
+		out := n.Step(0, control.Received{From: "other", Msg: register.Prepare{RequestID: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
 		for _, s := range out.Sends {
 			if p, ok := s.Msg.(register.Promise); ok {
 				t.Fatalf("a promise left before its sync: %v", p)
@@ -75,7 +75,7 @@
 			t.Fatalf("write %d would stop the control owner", i)
 		}
 	}
-	if len(writes) != control.MaxHeld {
+	if len(writes) != control.MaxPendingReplies {
 		t.Errorf("%d writes wait", len(writes))
 	}
 }
--- a/daemon/document.go
+++ b/daemon/document.go
@@ -21,7 +21,7 @@
 	if a.Err != nil {
 		return nil, a.Err
 	}
-	return a.Value.Body, nil
+	return a.Value.Document, nil
 }
 
 // Get reads the document from a majority: what this node knows by itself may be old.
@@ -30,7 +30,7 @@
 	if a.Err != nil {
 		return nil, a.Err
 	}
-	return a.Value.Body, nil
+	return a.Value.Document, nil
 }
 
 // Evacuate empties a zone, or takes that back.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	return d.Daemon.CallBy(deadline, control.Evacuate{ID: id, Domain: zone, Restore: restore}).Err
+	return d.Daemon.CallBy(deadline, control.Evacuate{ID: id, Zone: zone, Restore: restore}).Err
 }
 
 // OnSnapshot has see called with each snapshot that comes into force, by the owner of control state: it must not wait.
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -46,14 +46,14 @@
 	h, stop := daemon(t, addr, data)
 	for h.Call(control.Bootstrap{Names: []string{"n1"}}).Err != nil {
 	}
-	if a := h.Call(control.Put{ID: "one", Body: []byte(document)}); a.Err != nil || a.Mark != 1 {
+	if a := h.Call(control.Put{ID: "one", Document: []byte(document)}); a.Err != nil || a.Version != 1 {
 		t.Fatal(a)
 	}
 	tb := &tomb.Tomb{}
 	marks, names := make(chan uint64, 64), make(chan string, 64)
 	mallowbridge.Follow(tb, addr, "program", func(w mallowbridge.Welcome) { names <- w.Self }, func(ev mallowbridge.Event) {
 		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
-			marks <- o.Picture.Mark
+			marks <- o.Picture.Version
 		}
 	})
 	if name := <-names; name != "n1#1" {
@@ -62,7 +62,7 @@
 	if m := <-marks; m != 1 {
 		t.Errorf("the picture has mark %d", m)
 	}
-	if a := h.Call(control.Put{ID: "two", Expect: 1, Body: []byte(document)}); a.Err != nil {
+	if a := h.Call(control.Put{ID: "two", Expect: 1, Document: []byte(document)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	if m := <-marks; m != 2 {
--- a/daemon/persist.go
+++ b/daemon/persist.go
@@ -50,7 +50,7 @@
 			mend = time.After(recoverEvery)
 			if h.journal.Recover() == nil {
 				mend = nil
-				h.submit(control.Persisted{Mended: true})
+				h.submit(control.Persisted{Repaired: true})
 			}
 		}
 	}
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -39,7 +39,7 @@
 }
 
 func ask(p control.Probe) control.Probed {
-	res := control.Probed{Replica: p.Replica, Own: p.Own}
+	res := control.Probed{Replica: p.Replica, Local: p.Local}
 	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+"/v1/usage", nil)
@@ -59,7 +59,7 @@
 	if !ok {
 		return res
 	}
-	got.Replica, got.Own = p.Replica, p.Own
+	got.Replica, got.Local = p.Replica, p.Local
 	return got
 }
 
@@ -69,6 +69,6 @@
 		return p, false
 	}
 	return control.Probed{
-		OK: true, InstanceID: u.InstanceID, Running: u.Running, Leaving: u.Leaving, Lag: time.Duration(u.LagMs) * time.Millisecond,
+		OK: true, InstanceID: u.InstanceID, Running: u.Running, Draining: u.Leaving, Lag: time.Duration(u.LagMs) * time.Millisecond,
 	}, true
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -82,7 +82,7 @@
 	s := in.withDefaults()
 	bad := &config.InvalidError{}
 	flaw := func(field, val, bound string) {
-		bad.Flaws = append(bad.Flaws, config.Flaw{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
+		bad.Violations = append(bad.Violations, config.Violation{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
 	}
 	if s.Name == "" || len(s.Name) > 64 {
 		flaw("name", s.Name, "1 to 64 bytes")
@@ -114,7 +114,7 @@
 			flaw(n.field, fmt.Sprint(n.val), fmt.Sprintf("1 to %d", n.max))
 		}
 	}
-	if len(bad.Flaws) > 0 {
+	if len(bad.Violations) > 0 {
 		return s, trace.Wrap(bad)
 	}
 	return s, nil
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -79,7 +79,7 @@
 
 func (h *Daemon) watchAll(eyes map[string]*replicaWatcher, p *config.Snapshot) {
 	wanted := map[string]string{}
-	for _, o := range p.Charter.Offers {
+	for _, o := range p.Config.Services {
 		for _, r := range o.Replicas {
 			wanted[r.Name] = r.Addr
 		}
@@ -119,7 +119,7 @@
 }
 
 func (e *replicaWatcher) report(state control.ConnectionState, p control.Probed) {
-	p.Replica, p.Own = e.name, true
+	p.Replica, p.Local = e.name, true
 	select {
 	case e.daemon.in <- control.Observation{State: state, Probed: p}:
 	case <-e.stop:
--- a/decisions.go
+++ b/decisions.go
@@ -68,7 +68,7 @@
 	}
 	d.Until = a.Until
 	if d.Rank < 0 {
-		d.Rank = d.Route.Rank
+		d.Rank = d.Route.Priority
 	}
 }
 
--- a/gossip/digest.go
+++ b/gossip/digest.go
@@ -12,15 +12,15 @@
 func (s *Store) OnDigest(from string, m Digest) []Send {
 	theirs := map[string]Version{}
 	var want []string
-	for _, km := range m.Marks {
-		theirs[km.Key] = km.Mark
-		if it, ok := s.items[km.Key]; !ok || it.Mark.Less(km.Mark) {
+	for _, km := range m.Versions {
+		theirs[km.Key] = km.Version
+		if it, ok := s.items[km.Key]; !ok || it.Version.Less(km.Version) {
 			want = append(want, km.Key)
 		}
 	}
 	var ahead []string
 	for _, k := range s.keys() {
-		if t, ok := theirs[k]; !ok || t.Less(s.items[k].Mark) {
+		if t, ok := theirs[k]; !ok || t.Less(s.items[k].Version) {
 			ahead = append(ahead, k)
 		}
 	}
--- a/gossip/encoding.go
+++ b/gossip/encoding.go
@@ -19,11 +19,11 @@
 }
 
 func encodeItem(i Item) encodedItem {
-	return encodedItem{Key: i.Key, Mark: i.Mark, Data: wire.Encode(i.Data)}
+	return encodedItem{Key: i.Key, Mark: i.Version, Data: wire.Encode(i.Data)}
 }
 
 func decodeItem(f encodedItem) Item {
-	return Item{Key: f.Key, Mark: f.Mark, Data: wire.Decode(f.Data)}
+	return Item{Key: f.Key, Version: f.Mark, Data: wire.Decode(f.Data)}
 }
 
 type encodedUpdate struct{ Items []encodedItem }
@@ -40,11 +40,11 @@
 }
 
 func encodeKeyVersion(k KeyVersion) encodedKeyVersion {
-	return encodedKeyVersion{Key: k.Key, Mark: k.Mark}
+	return encodedKeyVersion{Key: k.Key, Mark: k.Version}
 }
 
 func decodeKeyVersion(f encodedKeyVersion) KeyVersion {
-	return KeyVersion{Key: f.Key, Mark: f.Mark}
+	return KeyVersion{Key: f.Key, Version: f.Mark}
 }
 
 type encodedDigest struct {
@@ -53,19 +53,19 @@
 }
 
 func encodeDigest(m Digest) encodedDigest {
-	return encodedDigest{Marks: wire.Each(m.Marks, encodeKeyVersion), Reply: m.Reply}
+	return encodedDigest{Marks: wire.Each(m.Versions, encodeKeyVersion), Reply: m.Reply}
 }
 
 func decodeDigest(f encodedDigest) Digest {
-	return Digest{Marks: wire.Each(f.Marks, decodeKeyVersion), Reply: f.Reply}
+	return Digest{Versions: wire.Each(f.Marks, decodeKeyVersion), Reply: f.Reply}
 }
 
 type encodedAnnouncement struct{ Marks []encodedKeyVersion }
 
 func encodeAnnouncement(m Announcement) encodedAnnouncement {
-	return encodedAnnouncement{Marks: wire.Each(m.Marks, encodeKeyVersion)}
+	return encodedAnnouncement{Marks: wire.Each(m.Versions, encodeKeyVersion)}
 }
 
 func decodeAnnouncement(f encodedAnnouncement) Announcement {
-	return Announcement{Marks: wire.Each(f.Marks, decodeKeyVersion)}
+	return Announcement{Versions: wire.Each(f.Marks, decodeKeyVersion)}
 }
--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -23,7 +23,7 @@
 // bulky items are too large to be pushed.
 type bulky string
 
-func (bulky) Size() int { return large + 1 }
+func (bulky) Size() int { return maxPushBytes + 1 }
 
 type letter struct {
 	from, to string
@@ -61,7 +61,7 @@
 	var list []Peer
 	for at, name := range m.names {
 		if at != of {
-			list = append(list, Peer{Name: name, Addr: name, Domain: zoneOf(at), Near: zoneOf(at) == zoneOf(of)})
+			list = append(list, Peer{Name: name, Addr: name, Zone: zoneOf(at), Near: zoneOf(at) == zoneOf(of)})
 		}
 	}
 	return list
--- a/gossip/push.go
+++ b/gossip/push.go
@@ -6,18 +6,18 @@
 )
 
 // Announcement names items that are too large to be sent unasked; who lacks one pulls it.
-type Announcement struct{ Marks []KeyVersion }
+type Announcement struct{ Versions []KeyVersion }
 
 type sized interface{ Size() int }
 
 const (
-	large    = 1024
-	askAgain = 300 * time.Millisecond
+	maxPushBytes   = 1024
+	pullRetryAfter = 300 * time.Millisecond
 )
 
-type asked struct {
-	mark Version
-	at   time.Duration
+type pulled struct {
+	version Version
+	at      time.Duration
 }
 
 func (s *Store) pack(keys []string) []Message {
@@ -25,8 +25,8 @@
 	var t Announcement
 	sort.Strings(keys)
 	for _, k := range keys {
-		if d, ok := s.items[k].Data.(sized); ok && d.Size() > large {
-			t.Marks = append(t.Marks, KeyVersion{Key: k, Mark: s.items[k].Mark})
+		if d, ok := s.items[k].Data.(sized); ok && d.Size() > maxPushBytes {
+			t.Versions = append(t.Versions, KeyVersion{Key: k, Version: s.items[k].Version})
 			continue
 		}
 		small = append(small, k)
@@ -35,7 +35,7 @@
 	if len(small) > 0 {
 		msgs = append(msgs, s.Update(small))
 	}
-	if len(t.Marks) > 0 {
+	if len(t.Versions) > 0 {
 		msgs = append(msgs, t)
 	}
 	return msgs
@@ -66,8 +66,8 @@
 	seen := map[string]bool{}
 	var to []Peer
 	for _, p := range s.pick(peers, false, len(peers)) {
-		if !seen[p.Domain] {
-			seen[p.Domain] = true
+		if !seen[p.Zone] {
+			seen[p.Zone] = true
 			to = append(to, p)
 		}
 	}
@@ -88,14 +88,14 @@
 // OnAnnouncement pulls what is newer than here, unless it was asked for a moment ago.
 func (s *Store) OnAnnouncement(now time.Duration, from string, m Announcement) []Send {
 	var want []string
-	for _, km := range m.Marks {
-		if it, ok := s.items[km.Key]; ok && !it.Mark.Less(km.Mark) {
+	for _, km := range m.Versions {
+		if it, ok := s.items[km.Key]; ok && !it.Version.Less(km.Version) {
 			continue
 		}
-		if a, ok := s.asked[km.Key]; ok && !a.mark.Less(km.Mark) && now-a.at < askAgain {
+		if a, ok := s.asked[km.Key]; ok && !a.version.Less(km.Version) && now-a.at < pullRetryAfter {
 			continue
 		}
-		s.asked[km.Key] = asked{mark: km.Mark, at: now}
+		s.asked[km.Key] = pulled{version: km.Version, at: now}
 		want = append(want, km.Key)
 	}
 	if len(want) == 0 {
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -14,10 +14,10 @@
 	spreadWithin = 5 * time.Second
 )
 
-func holds(key string, mark Version) func(s *Store) bool {
+func holds(key string, version Version) func(s *Store) bool {
 	return func(s *Store) bool {
 		it, ok := s.Get(key)
-		return ok && it.Mark == mark
+		return ok && it.Version == version
 	}
 }
 
@@ -25,7 +25,7 @@
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0.2)
-		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 		took, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
 		worst = max(worst, took)
 		if !all {
@@ -40,7 +40,7 @@
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0)
 		m.cut = func(from, to string) bool { return !m.near(from, to) }
-		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 		m.until(5*time.Second, func(*Store) bool { return false })
 		if _, ok := m.stores["n1"].Get("k"); ok {
 			t.Fatalf("seed %d: the cut lets items through", seed)
@@ -61,7 +61,7 @@
 	cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 	m := newMesh(cfg, 1, 0)
 	m.cut = func(from, to string) bool { return !m.near(from, to) }
-	m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+	m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 	m.until(5*time.Second, func(*Store) bool { return false })
 	m.cut = nil
 	if _, all := m.until(spreadWithin, holds("k", Version{Lo: 1})); all {
@@ -71,15 +71,15 @@
 
 func TestEphemeralItemsStayOutOfDigests(t *testing.T) {
 	a, b := New(Defaults(), 1), New(Defaults(), 2)
-	a.Put(Item{Key: "e", Mark: Version{Lo: 1}, Data: brief("v")})
-	if d := a.Digest(false); len(d.Marks) > 0 {
+	a.Put(Item{Key: "e", Version: Version{Lo: 1}, Data: brief("v")})
+	if d := a.Digest(false); len(d.Versions) > 0 {
 		t.Errorf("digest: %v", d)
 	}
 	sum := Checksum{Hash: a.hash, N: a.durable}
 	if sends := b.OnChecksum("a", sum); len(sends) > 0 {
 		t.Errorf("an ephemeral item makes checksums differ: %v", sends)
 	}
-	a.Put(Item{Key: "d", Mark: Version{Lo: 1}, Data: text("v")})
+	a.Put(Item{Key: "d", Version: Version{Lo: 1}, Data: text("v")})
 	if sum = (Checksum{Hash: a.hash, N: a.durable}); len(b.OnChecksum("a", sum)) == 0 {
 		t.Error("a durable item makes no difference")
 	}
@@ -90,7 +90,7 @@
 		cfg := Defaults()
 		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
-		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: bulky("v")})
+		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: bulky("v")})
 		m.until(2*time.Second, func(*Store) bool { return false })
 		for pair, n := range m.pulls {
 			if n > 1 {
@@ -107,10 +107,10 @@
 		var items []Item
 		newest := map[string]Version{}
 		for range 40 {
-			it := Item{Key: string(rune('a' + rng.IntN(5))), Mark: Version{Hi: rng.Uint64N(3), Lo: rng.Uint64N(4)}, Data: text("v")}
+			it := Item{Key: string(rune('a' + rng.IntN(5))), Version: Version{Hi: rng.Uint64N(3), Lo: rng.Uint64N(4)}, Data: text("v")}
 			items = append(items, it)
-			if old, ok := newest[it.Key]; !ok || old.Less(it.Mark) {
-				newest[it.Key] = it.Mark
+			if old, ok := newest[it.Key]; !ok || old.Less(it.Version) {
+				newest[it.Key] = it.Version
 			}
 		}
 		one, two := New(Defaults(), 1), New(Defaults(), 2)
@@ -123,8 +123,8 @@
 		if one.hash != two.hash || one.durable != two.durable || !reflect.DeepEqual(one.Digest(false), two.Digest(false)) {
 			t.Errorf("seed %d: stores differ: %v %v", seed, one.Digest(false), two.Digest(false))
 		}
-		for key, mark := range newest {
-			if !holds(key, mark)(one) {
+		for key, version := range newest {
+			if !holds(key, version)(one) {
 				t.Errorf("seed %d: %s is not at its newest", seed, key)
 			}
 		}
@@ -137,7 +137,7 @@
 		cfg := Defaults()
 		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
-		m.stores["n0"].Put(Item{Key: "k", Mark: Version{Lo: 1}, Data: text("v")})
+		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 		m.until(cfg.Push+meshTick+mostDelay+meshTick, func(*Store) bool { return false })
 		reached := map[string]bool{}
 		for name, s := range m.stores {
@@ -155,10 +155,10 @@
 // One digest repairs both sides.
 func TestADigestRepairsBothSides(t *testing.T) {
 	a, b := New(Defaults(), 1), New(Defaults(), 2)
-	a.Put(Item{Key: "old", Mark: Version{Lo: 2}, Data: text("v")})
-	a.Put(Item{Key: "a", Mark: Version{Lo: 1}, Data: text("v")})
-	b.Put(Item{Key: "old", Mark: Version{Lo: 1}, Data: text("v")})
-	b.Put(Item{Key: "b", Mark: Version{Lo: 1}, Data: text("v")})
+	a.Put(Item{Key: "old", Version: Version{Lo: 2}, Data: text("v")})
+	a.Put(Item{Key: "a", Version: Version{Lo: 1}, Data: text("v")})
+	b.Put(Item{Key: "old", Version: Version{Lo: 1}, Data: text("v")})
+	b.Put(Item{Key: "b", Version: Version{Lo: 1}, Data: text("v")})
 	brings, asks := 0, 0
 	for _, s := range b.OnDigest("a", a.Digest(false)) {
 		switch msg := s.Msg.(type) {
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -19,15 +19,15 @@
 
 // Item is one version of the data under a key. Data is of any type that has a name in gob: the packages above this one bring theirs.
 type Item struct {
-	Key  string
-	Mark Version
-	Data any
+	Key     string
+	Version Version
+	Data    any
 }
 
 // KeyVersion names one version of an item.
 type KeyVersion struct {
-	Key  string
-	Mark Version
+	Key     string
+	Version Version
 }
 
 // Message is what stores send each other. The names of its types and fields are part of the format between nodes.
@@ -44,8 +44,8 @@
 
 // Digest lists the versions of all durable items. Reply asks for an Update even where it would be empty.
 type Digest struct {
-	Marks []KeyVersion
-	Reply bool
+	Versions []KeyVersion
+	Reply    bool
 }
 
 // Pull asks for items by key.
@@ -59,8 +59,8 @@
 
 // Peer is a node to talk to; Near ones are of the same failure domain.
 type Peer struct {
-	Name, Addr, Domain string
-	Near               bool
+	Name, Addr, Zone string
+	Near             bool
 }
 
 // Send is a message for the address To.
@@ -117,18 +117,18 @@
 	rng      *rand.Rand
 	items    map[string]Item
 	pending  map[string]*pendingPush
-	asked    map[string]asked
+	asked    map[string]pulled
 	hash     uint64
 	durable  int
 	pushed   time.Duration
 	digested [2]time.Duration
-	Fresh    uint64
+	Accepted uint64
 	Stale    uint64
 }
 
 // New makes an empty store; the seed is for the choice of peers.
 func New(cfg Config, seed uint64) *Store {
-	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, asked: map[string]asked{}}
+	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, asked: map[string]pulled{}}
 }
 
 func leaf(k string, m Version) uint64 {
@@ -154,16 +154,16 @@
 
 func (s *Store) hold(it Item, far reach) bool {
 	old, ok := s.items[it.Key]
-	if ok && !old.Mark.Less(it.Mark) {
+	if ok && !old.Version.Less(it.Version) {
 		s.Stale++
 		return false
 	}
 	if ok && !old.ephemeral() {
-		s.hash ^= leaf(old.Key, old.Mark)
+		s.hash ^= leaf(old.Key, old.Version)
 		s.durable--
 	}
 	if !it.ephemeral() {
-		s.hash ^= leaf(it.Key, it.Mark)
+		s.hash ^= leaf(it.Key, it.Version)
 		s.durable++
 	}
 	s.items[it.Key] = it
@@ -172,7 +172,7 @@
 		left = 1
 	}
 	s.pending[it.Key] = &pendingPush{left: left, first: true, far: far}
-	s.Fresh++
+	s.Accepted++
 	return true
 }
 
@@ -201,7 +201,7 @@
 	var m Digest
 	m.Reply = reply
 	for _, k := range s.keys() {
-		m.Marks = append(m.Marks, KeyVersion{Key: k, Mark: s.items[k].Mark})
+		m.Versions = append(m.Versions, KeyVersion{Key: k, Version: s.items[k].Version})
 	}
 	return m
 }
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -63,7 +63,7 @@
 	}
 	r.desk = mallowbridge.NewRouterLoop(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
 	for _, ev := range []mallowbridge.Event{
-		mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 1, Charter: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
+		mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: 1, Config: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
 		mallowbridge.LoadReport{Replica: "r1", InstanceID: "i1"}, mallowbridge.LoadReport{Replica: "r2", InstanceID: "i2"},
 	} {
 		r.desk.Tell(ev)
@@ -179,7 +179,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Tell(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: 2, Charter: c}})
+	r.desk.Tell(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: 2, Config: c}})
 	r.desk.Tell(mallowbridge.LoadReport{Replica: "r9", InstanceID: "i9"})
 	r.later(3 * time.Second)
 	if g := r.ask("once", "q1"); g.Outcome != "done" {
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -45,10 +45,10 @@
 
 // Failure is the answer to operators' calls that fail. Its JSON name fate says "unchanged", or "unknown" where the change may yet hold.
 type Failure struct {
-	Error  string        `json:"error"`
-	Effect string        `json:"fate"`
-	Mark   *uint64       `json:"mark,omitempty"`
-	Flaws  []config.Flaw `json:"flaws,omitempty"`
+	Error  string             `json:"error"`
+	Effect string             `json:"fate"`
+	Mark   *uint64            `json:"mark,omitempty"`
+	Flaws  []config.Violation `json:"flaws,omitempty"`
 }
 
 // Routes adds all paths of the product's own interface.
@@ -94,9 +94,9 @@
 	status := http.StatusInternalServerError
 	switch {
 	case errors.As(err, &bad):
-		status, t.Flaws, t.Error = http.StatusUnprocessableEntity, bad.Flaws, "configuration is flawed"
+		status, t.Flaws, t.Error = http.StatusUnprocessableEntity, bad.Violations, "configuration is flawed"
 	case errors.As(err, &conflict):
-		status, t.Mark = http.StatusConflict, &conflict.Mark
+		status, t.Mark = http.StatusConflict, &conflict.Version
 	case errors.As(err, &unknown), errors.As(err, &forgotten):
 		status, t.Effect = http.StatusGatewayTimeout, "unknown"
 	case errors.As(err, &unreached), errors.As(err, &unfounded), errors.As(err, &fenced):
@@ -111,7 +111,7 @@
 }
 
 func flaw(path, val, bound string) error {
-	return &config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}}
+	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}}
 }
 
 // changeID is the id by which a change that is sent again is known.
@@ -140,7 +140,7 @@
 		return fail(w, a.Err)
 	}
 	v := a.Value
-	return reply(w, http.StatusOK, Configuration{Mark: a.Mark, Now: v.Mark, Evacuated: append([]string{}, v.Emptied...), Voters: v.Voters, Config: v.Body})
+	return reply(w, http.StatusOK, Configuration{Mark: a.Version, Now: v.Version, Evacuated: append([]string{}, v.EvacuatedZones...), Voters: v.Voters, Config: v.Document})
 }
 
 func (o *Operations) get(w http.ResponseWriter, r bunrouter.Request) error {
@@ -163,7 +163,7 @@
 	if _, err = config.Read(raw); err != nil {
 		return fail(w, err)
 	}
-	return o.answer(w, o.Control.Call(control.Put{ID: id, Expect: expect, Body: raw}))
+	return o.answer(w, o.Control.Call(control.Put{ID: id, Expect: expect, Document: raw}))
 }
 
 func (o *Operations) zone(restore bool) bunrouter.HandlerFunc {
@@ -178,7 +178,7 @@
 		if !known {
 			return fail(w, &control.NameError{Name: name, Why: "no such domain"})
 		}
-		return o.answer(w, o.Control.Call(control.Evacuate{ID: id, Domain: name, Restore: restore}))
+		return o.answer(w, o.Control.Call(control.Evacuate{ID: id, Zone: name, Restore: restore}))
 	}
 }
 
--- a/lease/clone.go
+++ b/lease/clone.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// still is a source without state: a copy's backoff is always the longest, for whoever copies a holder calls Hurry.
+// still is a source without state: a copy's backoff is always the longest, for whoever copies a holder calls SkipBackoff.
 type still struct{}
 
 // Uint64 returns the highest number; bounded draws would reject zero for ever.
@@ -22,9 +22,9 @@
 	c := &Grantor{}
 	*c = *g
 	c.rows = map[string]*grantRow{}
-	for duty, row := range g.rows {
+	for role, row := range g.rows {
 		kept := *row
-		c.rows[duty] = &kept
+		c.rows[role] = &kept
 	}
 	return c
 }
@@ -35,10 +35,10 @@
 // AppendFingerprint appends all that decides the grantor's next answers; times count from now, and what is over is zero.
 func (g *Grantor) AppendFingerprint(b []byte, now time.Duration) []byte {
 	b = appendNumbers(b, g.epoch, left(g.graceUntil, now))
-	for _, duty := range slices.Sorted(maps.Keys(g.rows)) {
-		row := g.rows[duty]
-		b = appendToken(appendText(appendText(b, duty), row.Holder), row.Mark)
-		b = appendNumbers(b, left(row.until, now))
+	for _, role := range slices.Sorted(maps.Keys(g.rows)) {
+		row := g.rows[role]
+		b = appendToken(appendText(appendText(b, role), row.Holder), row.Token)
+		b = appendNumbers(b, left(row.expiresAt, now))
 	}
 	return b
 }
@@ -48,46 +48,46 @@
 	c := &Holder{}
 	*c = *h
 	c.rng = stillRand
-	c.high = maps.Clone(h.high)
+	c.highestNumbers = maps.Clone(h.highestNumbers)
 	c.leases = map[string]*Lease{}
-	for duty, l := range h.leases {
+	for role, l := range h.leases {
 		kept := *l
-		kept.yes = maps.Clone(l.yes)
-		c.leases[duty] = &kept
+		kept.grantedBy = maps.Clone(l.grantedBy)
+		c.leases[role] = &kept
 	}
 	return c
 }
 
-// Hurry ends the wait before the next request for a duty.
-func (h *Holder) Hurry(duty string) {
-	if l := h.leases[duty]; l != nil {
-		l.next = 0
+// SkipBackoff ends the wait before the next request for a duty.
+func (h *Holder) SkipBackoff(role string) {
+	if l := h.leases[role]; l != nil {
+		l.retryAt = 0
 	}
 }
 
 // Expects tells whether a grant with that round id can still count.
-func (h *Holder) Expects(duty string, rid uint64) bool {
-	l := h.leases[duty]
-	return l != nil && l.rid == rid
+func (h *Holder) Expects(role string, requestID uint64) bool {
+	l := h.leases[role]
+	return l != nil && l.requestID == requestID
 }
 
-// Heard tells whether a disk granted in the present round.
-func (h *Holder) Heard(duty, disk string) bool {
-	l := h.leases[duty]
-	return l != nil && l.yes[disk]
+// GrantedBy tells whether a disk granted in the present round.
+func (h *Holder) GrantedBy(role, disk string) bool {
+	l := h.leases[role]
+	return l != nil && l.grantedBy[disk]
 }
 
-// AppendFingerprint appends all that decides what the holder does next but for its waits, which Hurry ends, and for which disks
-// granted in the present round (Heard).
+// AppendFingerprint appends all that decides what the holder does next but for its waits, which SkipBackoff ends, and for which disks
+// granted in the present round (GrantedBy).
 func (h *Holder) AppendFingerprint(b []byte, now time.Duration) []byte {
-	b = appendNumbers(b, h.rid)
-	for _, duty := range slices.Sorted(maps.Keys(h.high)) {
-		b = appendNumbers(appendText(b, duty), h.high[duty])
+	b = appendNumbers(b, h.requestID)
+	for _, role := range slices.Sorted(maps.Keys(h.highestNumbers)) {
+		b = appendNumbers(appendText(b, role), h.highestNumbers[role])
 	}
-	for _, duty := range slices.Sorted(maps.Keys(h.leases)) {
-		l := h.leases[duty]
-		b = appendToken(appendText(b, duty), l.Token)
-		b = appendNumbers(b, left(l.until, now), left(l.asked+TTL, now), l.rid, uint64(len(l.yes)), l.epoch)
+	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
+		l := h.leases[role]
+		b = appendToken(appendText(b, role), l.Token)
+		b = appendNumbers(b, left(l.expiresAt, now), left(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
 	}
 	return b
 }
@@ -105,4 +105,4 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func appendToken(b []byte, t Token) []byte { return appendNumbers(b, t.Seat, t.N) }
+func appendToken(b []byte, t Token) []byte { return appendNumbers(b, t.Epoch, t.Number) }
--- a/lease/clone_test.go
+++ b/lease/clone_test.go
@@ -25,16 +25,16 @@
 }
 
 func TestClonesGoTheirOwnWay(t *testing.T) {
-	seats := &register.Value{Voters: []register.Voter{{Disk: "a"}}}
+	voters := &register.Value{Voters: []register.Voter{{Disk: "a"}}}
 	g, h := NewGrantor("a", nil, 0), NewHolder("h", 1)
-	request := h.Acquire(0, "d", seats)[0].Msg.(Request)
+	request := h.Acquire(0, "d", voters)[0].Msg.(Request)
 	before := h.AppendFingerprint(g.AppendFingerprint(nil, 0), 0)
 	g2, h2 := g.Clone(), h.Clone()
 	if !bytes.Equal(before, h2.AppendFingerprint(g2.AppendFingerprint(nil, 0), 0)) {
 		t.Fatal("clones differ")
 	}
 	grant, _ := g2.HandleRequest(0, request)
-	h2.OnGrant(0, grant, seats)
+	h2.OnGrant(0, grant, voters)
 	if _, ok := h2.Holds(0, "d"); !ok {
 		t.Error("a clone gets no lease")
 	}
--- a/lease/encoding.go
+++ b/lease/encoding.go
@@ -14,9 +14,9 @@
 	Seat, N uint64
 }
 
-func encodeToken(t Token) encodedToken { return encodedToken{Seat: t.Seat, N: t.N} }
+func encodeToken(t Token) encodedToken { return encodedToken{Seat: t.Epoch, N: t.Number} }
 
-func decodeToken(f encodedToken) Token { return Token{Seat: f.Seat, N: f.N} }
+func decodeToken(f encodedToken) Token { return Token{Epoch: f.Seat, Number: f.N} }
 
 type encodedRequest struct {
 	Rid    uint64
@@ -28,11 +28,11 @@
 }
 
 func encodeRequest(m Request) encodedRequest {
-	return encodedRequest{Rid: m.Rid, Disk: m.Disk, Duty: m.Duty, Holder: m.Holder, Mark: encodeToken(m.Mark), Seat: m.Seat}
+	return encodedRequest{Rid: m.RequestID, Disk: m.Disk, Duty: m.Role, Holder: m.Holder, Mark: encodeToken(m.Token), Seat: m.Epoch}
 }
 
 func decodeRequest(f encodedRequest) Request {
-	return Request{Rid: f.Rid, Disk: f.Disk, Duty: f.Duty, Holder: f.Holder, Mark: decodeToken(f.Mark), Seat: f.Seat}
+	return Request{RequestID: f.Rid, Disk: f.Disk, Role: f.Duty, Holder: f.Holder, Token: decodeToken(f.Mark), Epoch: f.Seat}
 }
 
 type encodedGrant struct {
@@ -45,11 +45,11 @@
 }
 
 func encodeGrant(m Grant) encodedGrant {
-	return encodedGrant{Rid: m.Rid, Disk: m.Disk, Duty: m.Duty, OK: m.OK, Mark: encodeToken(m.Mark), Holder: m.Holder}
+	return encodedGrant{Rid: m.RequestID, Disk: m.Disk, Duty: m.Role, OK: m.OK, Mark: encodeToken(m.Token), Holder: m.Holder}
 }
 
 func decodeGrant(f encodedGrant) Grant {
-	return Grant{Rid: f.Rid, Disk: f.Disk, Duty: f.Duty, OK: f.OK, Mark: decodeToken(f.Mark), Holder: f.Holder}
+	return Grant{RequestID: f.Rid, Disk: f.Disk, Role: f.Duty, OK: f.OK, Token: decodeToken(f.Mark), Holder: f.Holder}
 }
 
 type encodedRelease struct {
@@ -60,11 +60,11 @@
 }
 
 func encodeRelease(m Release) encodedRelease {
-	return encodedRelease{Disk: m.Disk, Duty: m.Duty, Holder: m.Holder, Mark: encodeToken(m.Mark)}
+	return encodedRelease{Disk: m.Disk, Duty: m.Role, Holder: m.Holder, Mark: encodeToken(m.Token)}
 }
 
 func decodeRelease(f encodedRelease) Release {
-	return Release{Disk: f.Disk, Duty: f.Duty, Holder: f.Holder, Mark: decodeToken(f.Mark)}
+	return Release{Disk: f.Disk, Role: f.Duty, Holder: f.Holder, Token: decodeToken(f.Mark)}
 }
 
 // EncodedRecord is a Record as the disk holds it.
@@ -75,8 +75,8 @@
 
 // EncodeRecord gives the encoded form of a record.
 func EncodeRecord(r Record) EncodedRecord {
-	return EncodedRecord{Holder: r.Holder, Mark: encodeToken(r.Mark)}
+	return EncodedRecord{Holder: r.Holder, Mark: encodeToken(r.Token)}
 }
 
 // Decode gives the record of an encoded form.
-func (f EncodedRecord) Decode() Record { return Record{Holder: f.Holder, Mark: decodeToken(f.Mark)} }
+func (f EncodedRecord) Decode() Record { return Record{Holder: f.Holder, Token: decodeToken(f.Mark)} }
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -16,18 +16,18 @@
 
 // Asked while both sets had to agree, granted by a majority of the new one alone: another may hold the duty by the old one.
 func TestGrantsCountUnderTheVotersThatWereAsked(t *testing.T) {
-	both := &register.Value{Seat: 2, Voters: voters("a", "b", "c"), Next: voters("a", "b", "s")}
-	after := &register.Value{Seat: 3, Voters: voters("a", "b", "s")}
+	both := &register.Value{Epoch: 2, Voters: voters("a", "b", "c"), Next: voters("a", "b", "s")}
+	after := &register.Value{Epoch: 3, Voters: voters("a", "b", "s")}
 	h := NewHolder("h", 1)
-	rid := h.Acquire(0, "d", both)[0].Msg.(Request).Rid
+	requestID := h.Acquire(0, "d", both)[0].Msg.(Request).RequestID
 	for _, d := range []string{"b", "s"} {
-		h.OnGrant(0, Grant{Rid: rid, Disk: d, Duty: "d", OK: true}, after)
+		h.OnGrant(0, Grant{RequestID: requestID, Disk: d, Role: "d", OK: true}, after)
 	}
 	if _, ok := h.Holds(0, "d"); ok {
 		t.Error("holds by grants of another epoch")
 	}
 	for _, d := range []string{"b", "s", "a"} {
-		h.OnGrant(0, Grant{Rid: rid, Disk: d, Duty: "d", OK: true}, both)
+		h.OnGrant(0, Grant{RequestID: requestID, Disk: d, Role: "d", OK: true}, both)
 	}
 	if _, ok := h.Holds(0, "d"); !ok {
 		t.Error("does not hold by grants of all who must agree")
@@ -36,7 +36,7 @@
 
 // A voter that was frozen grants what the life before asked for.
 func TestAGrantToTheLifeBeforeDoesNotCount(t *testing.T) {
-	seats := &register.Value{Seat: 1, Voters: voters("a")}
+	seats := &register.Value{Epoch: 1, Voters: voters("a")}
 	before, after := NewHolder("n/1", 1), NewHolder("n/2", 1)
 	asked := before.Acquire(0, "d", seats)[0].Msg.(Request)
 	after.Acquire(0, "d", seats)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -19,23 +19,23 @@
 
 // Token orders the holders of a duty: by the epoch of the voters, then by number. It is a fencing token: work under a lower one is void.
 type Token struct {
-	Seat, N uint64
+	Epoch, Number uint64
 }
 
 // Less says whether m is older than o.
 func (m Token) Less(o Token) bool {
-	return m.Seat < o.Seat || (m.Seat == o.Seat && m.N < o.N)
+	return m.Epoch < o.Epoch || (m.Epoch == o.Epoch && m.Number < o.Number)
 }
 
 // Record is what a grantor keeps on disk of one duty.
 type Record struct {
 	Holder string
-	Mark   Token
+	Token  Token
 }
 
 type grantRow struct {
 	Record
-	until time.Duration
+	expiresAt time.Duration
 }
 
 // Grantor is the part of a voter that grants leases. It is owned by one goroutine and takes the time of its own clock.
@@ -50,16 +50,16 @@
 // NewGrantor starts from what the disk kept. It grants nothing new before quietUntil, since it does not know what it granted when.
 func NewGrantor(disk string, kept map[string]Record, quietUntil time.Duration) *Grantor {
 	g := &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: quietUntil}
-	for duty, r := range kept {
-		g.rows[duty] = &grantRow{Record: r, until: quietUntil}
+	for role, r := range kept {
+		g.rows[role] = &grantRow{Record: r, expiresAt: quietUntil}
 	}
 	return g
 }
 
 // ChangeEpoch moves to a later epoch of the voters. Leases of the epoch before may run on for TTL, during which nothing is granted.
-func (g *Grantor) ChangeEpoch(now time.Duration, seat uint64) {
-	if seat > g.epoch {
-		g.epoch, g.graceUntil = seat, now+TTL
+func (g *Grantor) ChangeEpoch(now time.Duration, epoch uint64) {
+	if epoch > g.epoch {
+		g.epoch, g.graceUntil = epoch, now+TTL
 	}
 }
 
@@ -68,39 +68,39 @@
 	if m.Disk != g.Disk {
 		return Grant{}, false
 	}
-	r := Grant{Rid: m.Rid, Disk: g.Disk, Duty: m.Duty}
-	if m.Seat != g.epoch {
+	r := Grant{RequestID: m.RequestID, Disk: g.Disk, Role: m.Role}
+	if m.Epoch != g.epoch {
 		return r, false
 	}
-	cur := g.rows[m.Duty]
+	cur := g.rows[m.Role]
 	if cur == nil {
-		cur = &grantRow{until: g.graceUntil}
-		g.rows[m.Duty] = cur
+		cur = &grantRow{expiresAt: g.graceUntil}
+		g.rows[m.Role] = cur
 	}
-	same := cur.Holder == m.Holder && cur.Mark == m.Mark
-	if !same && (now < cur.until || now < g.graceUntil || !cur.Mark.Less(m.Mark)) {
-		r.Mark, r.Holder = cur.Mark, cur.Holder
+	same := cur.Holder == m.Holder && cur.Token == m.Token
+	if !same && (now < cur.expiresAt || now < g.graceUntil || !cur.Token.Less(m.Token)) {
+		r.Token, r.Holder = cur.Token, cur.Holder
 		return r, false
 	}
 	write := !same
-	cur.Holder, cur.Mark, cur.until = m.Holder, m.Mark, now+TTL
-	r.OK, r.Mark, r.Holder = true, m.Mark, m.Holder
+	cur.Holder, cur.Token, cur.expiresAt = m.Holder, m.Token, now+TTL
+	r.OK, r.Token, r.Holder = true, m.Token, m.Holder
 	return r, write
 }
 
 // HandleRelease frees a duty whose holder gave it up.
 func (g *Grantor) HandleRelease(m Release) {
-	if cur := g.rows[m.Duty]; cur != nil && m.Disk == g.Disk && cur.Holder == m.Holder && cur.Mark == m.Mark {
-		cur.until = 0
+	if cur := g.rows[m.Role]; cur != nil && m.Disk == g.Disk && cur.Holder == m.Holder && cur.Token == m.Token {
+		cur.expiresAt = 0
 	}
 }
 
 // Records is what has to outlive a restart.
 func (g *Grantor) Records() map[string]Record {
 	kept := map[string]Record{}
-	for duty, r := range g.rows {
+	for role, r := range g.rows {
 		if r.Holder != "" {
-			kept[duty] = r.Record
+			kept[role] = r.Record
 		}
 	}
 	return kept
@@ -108,13 +108,13 @@
 
 // Lease is a holder's side of one duty: the token it asks with, and until when it counts on the grants it got.
 type Lease struct {
-	Duty  string
-	Token Token
-	until time.Duration
-	asked time.Duration
-	rid   uint64
-	yes   map[string]bool
-	next  time.Duration
+	Role        string
+	Token       Token
+	expiresAt   time.Duration
+	requestedAt time.Duration
+	requestID   uint64
+	grantedBy   map[string]bool
+	retryAt     time.Duration
 	// epoch is that of the voters who were asked: a round's grants count under them alone.
 	epoch uint64
 }
@@ -122,99 +122,99 @@
 // Holder acquires, renews and releases leases. It is owned by one goroutine and takes the time of its own clock.
 type Holder struct {
 	// Name must not be used by any other process, not even by an earlier one on the same machine.
-	Name   string
-	leases map[string]*Lease
-	high   map[string]uint64
-	rid    uint64
-	rng    *rand.Rand
+	Name           string
+	leases         map[string]*Lease
+	highestNumbers map[string]uint64
+	requestID      uint64
+	rng            *rand.Rand
 }
 
 // NewHolder holds nothing yet; seed spreads its retries.
 func NewHolder(name string, seed uint64) *Holder {
-	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, high: map[string]uint64{}, rid: firstRid(name)}
+	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, highestNumbers: map[string]uint64{}, requestID: firstRequestID(name)}
 }
 
 // Holds tells the token under which the duty may be done now.
-func (h *Holder) Holds(now time.Duration, duty string) (Token, bool) {
-	c := h.leases[duty]
-	if c == nil || now >= c.until {
+func (h *Holder) Holds(now time.Duration, role string) (Token, bool) {
+	held := h.leases[role]
+	if held == nil || now >= held.expiresAt {
 		return Token{}, false
 	}
-	return c.Token, true
+	return held.Token, true
 }
 
 // Acquire asks for the duty, or for more time, when it is due; it is called again and again for as long as the duty is wanted.
-func (h *Holder) Acquire(now time.Duration, duty string, seats *register.Value) []Send {
-	c := h.leases[duty]
-	if c == nil {
-		c = &Lease{Duty: duty, Token: Token{Seat: seats.Seat, N: h.high[duty] + 1}}
-		h.leases[duty] = c
+func (h *Holder) Acquire(now time.Duration, role string, voters *register.Value) []Send {
+	held := h.leases[role]
+	if held == nil {
+		held = &Lease{Role: role, Token: Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}}
+		h.leases[role] = held
 	}
-	if now < c.next {
+	if now < held.retryAt {
 		return nil
 	}
-	if now >= c.until && len(c.yes) > 0 {
-		c.yes, c.rid, c.next = nil, 0, now+Renew/4+time.Duration(h.rng.Int64N(int64(2*Renew)))
-		return h.releases(c, seats)
+	if now >= held.expiresAt && len(held.grantedBy) > 0 {
+		held.grantedBy, held.requestID, held.retryAt = nil, 0, now+Renew/4+time.Duration(h.rng.Int64N(int64(2*Renew)))
+		return h.releases(held, voters)
 	}
-	if now >= c.until && (c.Token.N <= h.high[duty] || c.Token.Seat != seats.Seat) {
-		c.Token = Token{Seat: seats.Seat, N: h.high[duty] + 1}
+	if now >= held.expiresAt && (held.Token.Number <= h.highestNumbers[role] || held.Token.Epoch != voters.Epoch) {
+		held.Token = Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}
 	}
-	h.rid++
-	c.rid, c.asked, c.yes, c.next, c.epoch = h.rid, now, map[string]bool{}, now+Renew, seats.Seat
+	h.requestID++
+	held.requestID, held.requestedAt, held.grantedBy, held.retryAt, held.epoch = h.requestID, now, map[string]bool{}, now+Renew, voters.Epoch
 	var sends []Send
-	for _, v := range seats.All() {
-		sends = append(sends, Send{Disk: v.Disk, Msg: Request{Rid: c.rid, Disk: v.Disk, Duty: duty, Holder: h.Name, Mark: c.Token, Seat: seats.Seat}})
+	for _, v := range voters.All() {
+		sends = append(sends, Send{Disk: v.Disk, Msg: Request{RequestID: held.requestID, Disk: v.Disk, Role: role, Holder: h.Name, Token: held.Token, Epoch: voters.Epoch}})
 	}
 	return sends
 }
 
 // OnGrant takes one answer. The lease is held when a majority of the voters, of both sets while they change, granted one request; its
 // time runs from the sending of that request.
-func (h *Holder) OnGrant(now time.Duration, g Grant, seats *register.Value) {
-	c := h.leases[g.Duty]
-	if c == nil || g.Rid != c.rid || seats.Seat != c.epoch {
+func (h *Holder) OnGrant(now time.Duration, g Grant, voters *register.Value) {
+	held := h.leases[g.Role]
+	if held == nil || g.RequestID != held.requestID || voters.Epoch != held.epoch {
 		return
 	}
 	if !g.OK {
-		if g.Mark.Seat == c.Token.Seat {
-			h.high[g.Duty] = max(h.high[g.Duty], g.Mark.N)
+		if g.Token.Epoch == held.Token.Epoch {
+			h.highestNumbers[g.Role] = max(h.highestNumbers[g.Role], g.Token.Number)
 		}
 		return
 	}
-	c.yes[g.Disk] = true
-	if register.Quorum(seats, func(d string) bool { return c.yes[d] }) {
-		c.until = max(c.until, c.asked+TTL-Drift)
+	held.grantedBy[g.Disk] = true
+	if register.Quorum(voters, func(d string) bool { return held.grantedBy[d] }) {
+		held.expiresAt = max(held.expiresAt, held.requestedAt+TTL-Drift)
 	}
 }
 
 // Release gives the duty up.
-func (h *Holder) Release(duty string, seats *register.Value) []Send {
-	c := h.leases[duty]
-	if c == nil {
+func (h *Holder) Release(role string, voters *register.Value) []Send {
+	held := h.leases[role]
+	if held == nil {
 		return nil
 	}
-	delete(h.leases, duty)
-	return h.releases(c, seats)
+	delete(h.leases, role)
+	return h.releases(held, voters)
 }
 
 // releases gives a token up. It is never asked for again: its release may arrive after a later request, and would end a lease that its
 // holder counts on.
-func (h *Holder) releases(c *Lease, seats *register.Value) []Send {
-	h.high[c.Duty] = max(h.high[c.Duty], c.Token.N)
+func (h *Holder) releases(held *Lease, voters *register.Value) []Send {
+	h.highestNumbers[held.Role] = max(h.highestNumbers[held.Role], held.Token.Number)
 	var sends []Send
-	for _, v := range seats.All() {
-		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Duty: c.Duty, Holder: h.Name, Mark: c.Token}})
+	for _, v := range voters.All() {
+		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Role: held.Role, Holder: h.Name, Token: held.Token}})
 	}
 	return sends
 }
 
-// Held lists the duties that are wanted, in order.
-func (h *Holder) Held() []string {
-	var duties []string
+// Roles lists the duties that are wanted, in order.
+func (h *Holder) Roles() []string {
+	var roles []string
 	for d := range h.leases {
-		duties = append(duties, d)
+		roles = append(roles, d)
 	}
-	slices.Sort(duties)
-	return duties
+	slices.Sort(roles)
+	return roles
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -52,24 +52,24 @@
 
 func (r *rig) reseat() {
 	if len(r.seats.Next) > 0 {
-		r.seats = &register.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Next}
+		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.Next}
 	} else {
 		var next []register.Voter
 		for _, d := range r.rng.Perm(5)[:3] {
 			next = append(next, register.Voter{Disk: fmt.Sprint(d)})
 		}
-		r.seats = &register.Value{Seat: r.seats.Seat + 1, Voters: r.seats.Voters, Next: next}
+		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.Voters, Next: next}
 	}
 	for _, v := range r.seats.All() {
-		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].epoch == r.seats.Seat }) {
-			r.granters[v.Disk].ChangeEpoch(r.now, r.seats.Seat)
+		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].epoch == r.seats.Epoch }) {
+			r.granters[v.Disk].ChangeEpoch(r.now, r.seats.Epoch)
 		}
 	}
-	seats := r.seats
+	voters := r.seats
 	for i := range r.holders {
 		r.at(time.Duration(r.rng.IntN(9000))*ms, func() {
-			if seats.Seat > r.views[i].Seat {
-				r.views[i] = seats
+			if voters.Epoch > r.views[i].Epoch {
+				r.views[i] = voters
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 func TestNeverTwoHolders(t *testing.T) {
 	held := 0
 	for seed := range uint64(150) {
-		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Grantor{}, seats: &register.Value{Seat: 1}}
+		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Grantor{}, seats: &register.Value{Epoch: 1}}
 		for d := range 5 {
 			r.granters[fmt.Sprint(d)] = NewGrantor(fmt.Sprint(d), nil, 0)
 		}
@@ -127,7 +127,7 @@
 				}
 			}
 			if len(holders) > 1 {
-				t.Fatalf("seed %d at %s: %v hold it, seats %d", seed, r.now, holders, r.seats.Seat)
+				t.Fatalf("seed %d at %s: %v hold it, seats %d", seed, r.now, holders, r.seats.Epoch)
 			}
 			held += len(holders)
 		}
--- a/lease/messages.go
+++ b/lease/messages.go
@@ -3,32 +3,32 @@
 // Message is what holders and grantors send each other. The names of its types and fields are part of the format between nodes.
 type Message interface{ leaseMessage() }
 
-// Request asks one grantor, named by its disk, for a duty under a token, in the epoch Seat. Rid returns in the answer.
+// Request asks one grantor, named by its disk, for a duty under a token, in the epoch Epoch. Rid returns in the answer.
 type Request struct {
-	Rid    uint64
-	Disk   string
-	Duty   string
-	Holder string
-	Mark   Token
-	Seat   uint64
+	RequestID uint64
+	Disk      string
+	Role      string
+	Holder    string
+	Token     Token
+	Epoch     uint64
 }
 
-// Grant answers a Request. If it is refused, Mark and Holder are those in force.
+// Grant answers a Request. If it is refused, Token and Holder are those in force.
 type Grant struct {
-	Rid    uint64
-	Disk   string
-	Duty   string
-	OK     bool
-	Mark   Token
-	Holder string
+	RequestID uint64
+	Disk      string
+	Role      string
+	OK        bool
+	Token     Token
+	Holder    string
 }
 
 // Release gives a token up before its time.
 type Release struct {
 	Disk   string
-	Duty   string
+	Role   string
 	Holder string
-	Mark   Token
+	Token  Token
 }
 
 func (Request) leaseMessage() {}
--- a/lease/rid.go
+++ b/lease/rid.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// firstRid starts the round ids of each life elsewhere: an answer to the life before, from a voter that was frozen, must match no round.
-func firstRid(name string) uint64 { return xxhash.Sum64String(name) >> ridSpare }
+// firstRequestID starts the round ids of each life elsewhere: an answer to the life before, from a voter that was frozen, must match no round.
+func firstRequestID(name string) uint64 { return xxhash.Sum64String(name) >> droppedHashBits }
 
-// ridSpare are the bits of a hash that a first round id leaves out, so that ids stay short and never wrap around.
-const ridSpare = 16
+// droppedHashBits are the bits of a hash that a first round id leaves out, so that ids stay short and never wrap around.
+const droppedHashBits = 16
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -67,31 +67,31 @@
 
 func (s *storm) reseat() {
 	if len(s.seats.Next) > 0 {
-		s.seats = &register.Value{Seat: s.seats.Seat + 1, Voters: s.seats.Next}
+		s.seats = &register.Value{Epoch: s.seats.Epoch + 1, Voters: s.seats.Next}
 	} else {
 		var next []register.Voter
 		for _, d := range s.rng.Perm(5)[:3] {
 			next = append(next, register.Voter{Disk: fmt.Sprint(d)})
 		}
-		s.seats = &register.Value{Seat: s.seats.Seat + 1, Voters: s.seats.Voters, Next: next}
+		s.seats = &register.Value{Epoch: s.seats.Epoch + 1, Voters: s.seats.Voters, Next: next}
 	}
 	// A change is accepted by both sets where there are two; the accept that begins a change needs the present ones alone.
 	needed := *s.seats
 	if len(needed.Next) > 0 {
 		needed.Next = nil
 	}
-	accepted := func(d string) bool { return s.granters[d].epoch == s.seats.Seat }
+	accepted := func(d string) bool { return s.granters[d].epoch == s.seats.Epoch }
 	for _, at := range s.rng.Perm(5) {
 		disk := fmt.Sprint(at)
 		if isSeated(s.seats, disk) && (s.rng.IntN(4) > 0 || !register.Quorum(&needed, accepted)) {
-			s.granters[disk].ChangeEpoch(s.granterClock(disk), s.seats.Seat)
+			s.granters[disk].ChangeEpoch(s.granterClock(disk), s.seats.Epoch)
 		}
 	}
-	seats := s.seats
+	voters := s.seats
 	for i := range s.holders {
 		s.at(time.Duration(s.rng.IntN(9000))*ms, func() {
-			if seats.Seat > s.views[i].Seat {
-				s.views[i] = seats
+			if voters.Epoch > s.views[i].Epoch {
+				s.views[i] = voters
 			}
 		})
 	}
@@ -106,14 +106,14 @@
 }
 
 func newStorm(seed uint64) *storm {
-	s := &storm{rig: rig{rng: rand.New(rand.NewPCG(seed, 9)), granters: map[string]*Grantor{}, seats: &register.Value{Seat: seed % 2}}, granterDrift: map[string]float64{}}
+	s := &storm{rig: rig{rng: rand.New(rand.NewPCG(seed, 9)), granters: map[string]*Grantor{}, seats: &register.Value{Epoch: seed % 2}}, granterDrift: map[string]float64{}}
 	drift := func() float64 { return 1 - clockError + 2*clockError*s.rng.Float64() }
 	for i := range 5 {
 		d := fmt.Sprint(i)
 		s.granters[d], s.granterDrift[d] = NewGrantor(d, nil, 0), drift()
 		if i < 3 {
 			s.seats.Voters = append(s.seats.Voters, register.Voter{Disk: d})
-			s.granters[d].ChangeEpoch(0, s.seats.Seat)
+			s.granters[d].ChangeEpoch(0, s.seats.Epoch)
 		}
 	}
 	for i := range 4 {
@@ -160,7 +160,7 @@
 			s.newest = token
 		}
 		if len(holders) > 1 {
-			t.Fatalf("seed %d at %s: %v hold it, epoch %d", seed, s.now, holders, s.seats.Seat)
+			t.Fatalf("seed %d at %s: %v hold it, epoch %d", seed, s.now, holders, s.seats.Epoch)
 		}
 		held += len(holders)
 	}
