--- a/membership/detector.go
+++ b/membership/detector.go
@@ -37,11 +37,11 @@
 	pinged    map[string]bool
 	pingedRev uint64
 	// others is their number at the revision before othersRev.
-	others    int
-	othersRev uint64
-	heardAt   time.Duration
-	tickedAt  time.Duration
-	changes   []Member
+	others      int
+	othersRev   uint64
+	contactedAt time.Duration
+	tickedAt    time.Duration
+	changes     []Member
 	// Deaths counts members that were declared dead or left, Refutes suspicions of this member that it refuted.
 	Deaths, Refutes uint64
 }
@@ -50,7 +50,7 @@
 func New(cfg Config, self Member, seed uint64, now time.Duration) *Detector {
 	k := &Detector{
 		cfg: cfg, Self: self, rng: rand.New(rand.NewPCG(seed, 13)), probes: map[uint64]*probe{}, relays: map[uint64]relay{},
-		lastPing: map[string]time.Duration{}, suspectSince: map[string]time.Duration{}, heardAt: now, tickedAt: now,
+		lastPing: map[string]time.Duration{}, suspectSince: map[string]time.Duration{}, contactedAt: now, tickedAt: now,
 	}
 	k.Table.rows = map[string]Member{self.Name: self}
 	k.changes = []Member{self}
@@ -77,7 +77,7 @@
 	case !m.Live() && (!had || old.Live()):
 		k.Deaths++
 	}
-	if m.Inc > old.Inc {
+	if m.Incarnation > old.Incarnation {
 		k.forgetProbes(m.Name)
 	}
 }
@@ -94,16 +94,16 @@
 // Update changes this member and raises its incarnation.
 func (k *Detector) Update(now time.Duration, change func(m *Member)) {
 	change(&k.Self)
-	k.Self.Inc++
+	k.Self.Incarnation++
 	k.set(now, k.Self)
 }
 
 // Merge takes in what others say of a member. If they suspect this one, it refutes with a higher incarnation.
 func (k *Detector) Merge(now time.Duration, m Member) {
 	if m.Name == k.Self.Name {
-		if m.Inc > k.Self.Inc || (m.Inc == k.Self.Inc && m.State != k.Self.State) {
+		if m.Incarnation > k.Self.Incarnation || (m.Incarnation == k.Self.Incarnation && m.State != k.Self.State) {
 			k.Refutes++
-			k.Self.Inc = m.Inc
+			k.Self.Incarnation = m.Incarnation
 			k.Update(now, func(*Member) {})
 		}
 		return
@@ -130,7 +130,7 @@
 
 // Isolated tells that no other member has answered for IsolatedAfter, though there are some.
 func (k *Detector) Isolated(now time.Duration) bool {
-	return k.Others() > 0 && now-k.heardAt > k.cfg.IsolatedAfter
+	return k.Others() > 0 && now-k.contactedAt > k.cfg.IsolatedAfter
 }
 
 // OnPing answers a ping that is meant for this member.
@@ -157,7 +157,7 @@
 	if p, ok := k.probes[m.Seq]; ok {
 		delete(k.probes, m.Seq)
 		k.lastPing[p.target] = now
-		k.heardAt = now
+		k.contactedAt = now
 	}
 	return nil
 }
--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -87,21 +87,21 @@
 }
 
 func TestARefutationWins(t *testing.T) {
-	me := Member{Name: "a", Domain: "z"}
+	me := Member{Name: "a", Zone: "z"}
 	k := New(Defaults(), me, 1, 0)
-	other := New(Defaults(), Member{Name: "b", Domain: "z"}, 2, 0)
+	other := New(Defaults(), Member{Name: "b", Zone: "z"}, 2, 0)
 	for _, s := range []State{Suspect, Dead} {
 		said := k.Self
 		said.State = s
 		other.Merge(0, said)
 		k.Merge(0, said)
-		if k.Self.Inc <= said.Inc || k.Self.State != Alive {
+		if k.Self.Incarnation <= said.Incarnation || k.Self.State != Alive {
 			t.Errorf("%s is not refuted: %+v", s, k.Self)
 		}
 		for _, row := range []Member{k.Self, said} {
 			other.Merge(0, row)
 		}
-		if m, _ := other.Table.Get("a"); m.State != Alive || m.Inc != k.Self.Inc {
+		if m, _ := other.Table.Get("a"); m.State != Alive || m.Incarnation != k.Self.Incarnation {
 			t.Errorf("a refuted %s holds: %+v", s, m)
 		}
 	}
@@ -115,7 +115,7 @@
 		for _, m := range all {
 			switch {
 			case m.Name == target.Name:
-			case m.Domain == target.Domain:
+			case m.Zone == target.Zone:
 				near = append(near, m.Name)
 			default:
 				far = append(far, m.Name)
--- a/membership/encoding.go
+++ b/membership/encoding.go
@@ -27,14 +27,14 @@
 
 func encodeMember(m Member) encodedMember {
 	return encodedMember{
-		Name: m.Name, Addr: m.Addr, HTTP: m.HTTP, Domain: m.Domain, Disk: m.Disk, Inc: m.Inc, State: m.State, Build: m.Build, Libs: m.Libs,
-		Unfit: m.Unfit, Retiring: m.Retiring,
+		Name: m.Name, Addr: m.Addr, HTTP: m.HTTP, Domain: m.Zone, Disk: m.Disk, Inc: m.Incarnation, State: m.State, Build: m.Build, Libs: m.EmbeddedRouters,
+		Unfit: m.Degraded, Retiring: m.Retiring,
 	}
 }
 
 func decodeMember(f encodedMember) Member {
 	return Member{
-		Name: f.Name, Addr: f.Addr, HTTP: f.HTTP, Domain: f.Domain, Disk: f.Disk, Inc: f.Inc, State: f.State, Build: f.Build, Libs: f.Libs,
-		Unfit: f.Unfit, Retiring: f.Retiring,
+		Name: f.Name, Addr: f.Addr, HTTP: f.HTTP, Zone: f.Domain, Disk: f.Disk, Incarnation: f.Inc, State: f.State, Build: f.Build, EmbeddedRouters: f.Libs,
+		Degraded: f.Unfit, Retiring: f.Retiring,
 	}
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -46,7 +46,7 @@
 	var rows []Member
 	for at := range fleetSize {
 		name := fmt.Sprint("n", at)
-		rows = append(rows, Member{Name: name, Addr: name, Domain: fmt.Sprint("z", at%fleetZones)})
+		rows = append(rows, Member{Name: name, Addr: name, Zone: fmt.Sprint("z", at%fleetZones)})
 		f.names = append(f.names, name)
 	}
 	for at, row := range rows {
--- a/membership/member.go
+++ b/membership/member.go
@@ -23,22 +23,22 @@
 }
 
 // Member is a node of the fleet as gossip carries it. Its field names are part of the format between nodes and of the status, and stay:
-// Domain is the member's zone, Inc its incarnation, Unfit says that its
+// Zone is the member's zone, Incarnation its incarnation, Degraded says that its
 // disk is too slow to vote.
 type Member struct {
 	Name string `json:"name"`
 	// Addr is where other nodes reach it, HTTP where clients do, both host:port.
-	Addr   string `json:"addr"`
-	HTTP   string `json:"http"`
-	Domain string `json:"domain"`
+	Addr string `json:"addr"`
+	HTTP string `json:"http"`
+	Zone string `json:"domain"`
 	// Disk is the random id of its disk, empty where it has none.
-	Disk  string `json:"disk,omitempty"`
-	Inc   uint64 `json:"incarnation"`
-	State State  `json:"-"`
-	// Build is the number of its message formats, Libs how many embedded routers follow it.
-	Build uint32 `json:"build"`
-	Libs  int    `json:"libs"`
-	Unfit bool   `json:"unfit,omitempty"`
+	Disk        string `json:"disk,omitempty"`
+	Incarnation uint64 `json:"incarnation"`
+	State       State  `json:"-"`
+	// Build is the number of its message formats, EmbeddedRouters how many embedded routers follow it.
+	Build           uint32 `json:"build"`
+	EmbeddedRouters int    `json:"libs"`
+	Degraded        bool   `json:"unfit,omitempty"`
 	// Retiring says that the process was told to end: it still votes, but gives its seat away where it can.
 	Retiring bool `json:"retiring,omitempty"`
 }
@@ -48,7 +48,7 @@
 
 // Newer tells that m replaces o: by incarnation, then by state.
 func (m Member) Newer(o Member) bool {
-	return m.Inc > o.Inc || (m.Inc == o.Inc && m.State > o.State)
+	return m.Incarnation > o.Incarnation || (m.Incarnation == o.Incarnation && m.State > o.State)
 }
 
 // watchersInZone and watchersElsewhere are how many members watch each, of its own zone and of others.
@@ -63,7 +63,7 @@
 	for _, m := range all {
 		switch {
 		case m.Name == target.Name || !m.Live():
-		case m.Domain == target.Domain:
+		case m.Zone == target.Zone:
 			near = append(near, m.Name)
 		default:
 			far = append(far, m.Name)
@@ -81,12 +81,12 @@
 		return false
 	}
 	most := watchersElsewhere
-	if by.Domain == target.Domain {
+	if by.Zone == target.Zone {
 		most = watchersInZone
 	}
 	mine, above := scheduler.Rank(target.Name, by.Name), 0
 	for _, m := range all {
-		if m.Name == target.Name || m.Name == by.Name || !m.Live() || (m.Domain == target.Domain) != (by.Domain == target.Domain) {
+		if m.Name == target.Name || m.Name == by.Name || !m.Live() || (m.Zone == target.Zone) != (by.Zone == target.Zone) {
 			continue
 		}
 		if w := scheduler.Rank(target.Name, m.Name); w > mine || (w == mine && m.Name < by.Name) {
--- a/modelcheck/apply.go
+++ b/modelcheck/apply.go
@@ -151,13 +151,13 @@
 	voters := slices.Clone(known.Voters)
 	voters[place] = register.Voter{Disk: in.acceptor.Disk, Name: in.name}
 	c.touch(at)
-	c.submit(operation{id: c.nextChange(), proposer: at, order: -1, begins: voters}, c.plan.Rules.Begin(known.Seat, voters), false)
+	c.submit(operation{id: c.nextChange(), proposer: at, order: -1, begins: voters}, c.plan.Rules.Begin(known.Epoch, voters), false)
 	c.collect(at)
 }
 
 func (c *Cluster) finish(at int) {
 	c.touch(at)
-	c.submit(operation{id: c.nextChange(), proposer: at, order: -1}, c.plan.Rules.Finish(c.known[at].Seat), false)
+	c.submit(operation{id: c.nextChange(), proposer: at, order: -1}, c.plan.Rules.Finish(c.known[at].Epoch), false)
 	c.collect(at)
 }
 
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -175,6 +175,6 @@
 	}
 	c.check(o, r)
 	if o.begins != nil && r.Err == nil {
-		c.submit(operation{id: o.id + 1, proposer: at, order: -1}, c.plan.Rules.Finish(r.Value.Seat), false)
+		c.submit(operation{id: o.id + 1, proposer: at, order: -1}, c.plan.Rules.Finish(r.Value.Epoch), false)
 	}
 }
--- a/modelcheck/disk.go
+++ b/modelcheck/disk.go
@@ -113,17 +113,17 @@
 	p := c.proposers[m.proposer]
 	switch r := m.msg.(type) {
 	case register.Promise:
-		return !p.Expects(r.Rid, r.Promised)
+		return !p.Expects(r.RequestID, r.Promised)
 	case register.Accepted:
-		return !p.Expects(r.Rid, r.Promised)
+		return !p.Expects(r.RequestID, r.Promised)
 	case register.Prepare:
 		kept := c.disks[c.diskOf(r.Disk)].kept
-		settled := r.Look || r.Ballot.Less(kept.Promised) || r.Ballot == kept.Promised
-		return settled && !p.Expects(r.Rid, kept.Promised)
+		settled := r.ReadOnly || r.Ballot.Less(kept.Promised) || r.Ballot == kept.Promised
+		return settled && !p.Expects(r.RequestID, kept.Promised)
 	case register.Accept:
 		kept := c.disks[c.diskOf(r.Disk)].kept
 		settled := r.Ballot.Less(kept.Promised) || r.Ballot == kept.Accepted
-		return settled && !p.Expects(r.Rid, kept.Promised)
+		return settled && !p.Expects(r.RequestID, kept.Promised)
 	}
 	return false
 }
--- a/modelcheck/evacuate.go
+++ b/modelcheck/evacuate.go
@@ -60,7 +60,7 @@
 		}
 	}
 	c.calls[id] = call{state: waits, after: after}
-	op := control.Evacuate{ID: c.plan.callID(int(id)), Domain: zone, Restore: c.plan.Orders[order].Kind == Restore}
+	op := control.Evacuate{ID: c.plan.callID(int(id)), Zone: zone, Restore: c.plan.Orders[order].Kind == Restore}
 	c.enter(operation{id: id, proposer: at, order: order})
 	c.proposers[at].SubmitFenced(0, noDeadline, id, c.plan.Rules.Evacuate(op))
 	c.collect(at)
@@ -133,7 +133,7 @@
 
 // evacuationTaken bars what the confirmation overtakes: the calls that were over when this one was sent.
 func (c *Cluster) evacuationTaken(id uint64, v *register.Value) {
-	if _, done := v.Done(c.plan.callID(int(id))); !done {
+	if _, done := v.AppliedAt(c.plan.callID(int(id))); !done {
 		c.fail(&InvariantError{Invariant: "what was confirmed is recorded", How: "call " + c.plan.callID(int(id))})
 	}
 	if c.calls[id].state != waits {
@@ -141,7 +141,7 @@
 	}
 	c.calls[id].state = confirmed
 	for other := range c.calls {
-		if _, done := v.Done(c.plan.callID(other)); c.calls[id].after&(1<<other) != 0 && !done {
+		if _, done := v.AppliedAt(c.plan.callID(other)); c.calls[id].after&(1<<other) != 0 && !done {
 			c.calls[other].barred = true
 		}
 	}
@@ -152,15 +152,15 @@
 	current := !c.plan.versionOf(v).older(c.plan.versionOf(c.newest))
 	for id, call := range c.calls {
 		name := c.plan.callID(id)
-		_, taken := v.Done(name)
+		_, taken := v.AppliedAt(name)
 		switch {
 		case call.barred && taken:
-			return &InvariantError{Invariant: "an overtaken evacuation never takes effect", How: fmt.Sprintf("call %s is in the value of revision %d, %d orders", name, v.Mark, v.Taken)}
+			return &InvariantError{Invariant: "an overtaken evacuation never takes effect", How: fmt.Sprintf("call %s is in the value of revision %d, %d orders", name, v.Version, v.AppliedOrders)}
 		case call.state == confirmed && !taken && current:
-			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("call %s is not in revision %d, %d orders", name, v.Mark, v.Taken)}
-		case taken && v.Newest(zone).ID == register.FingerprintOf(name):
-			if (len(v.Emptied) == 0) != (c.plan.Orders[id/attempts].Kind == Restore) {
-				return &InvariantError{Invariant: "the newest order is in force", How: fmt.Sprintf("%s, and evacuated are %v", name, v.Emptied)}
+			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("call %s is not in revision %d, %d orders", name, v.Version, v.AppliedOrders)}
+		case taken && v.LatestOrder(zone).ID == register.FingerprintOf(name):
+			if (len(v.EvacuatedZones) == 0) != (c.plan.Orders[id/attempts].Kind == Restore) {
+				return &InvariantError{Invariant: "the newest order is in force", How: fmt.Sprintf("%s, and evacuated are %v", name, v.EvacuatedZones)}
 			}
 		}
 	}
--- a/modelcheck/evacuate_test.go
+++ b/modelcheck/evacuate_test.go
@@ -57,7 +57,7 @@
 func unfencedEvacuation(op control.Evacuate) register.FencedChange {
 	real := control.EvacuateChange(op)
 	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
-		fence.Set(cur, op.Domain)
+		fence.Set(cur, op.Zone)
 		return real(cur, &register.Fence{})
 	}
 }
@@ -66,7 +66,7 @@
 func unremembered(op control.Evacuate) register.FencedChange {
 	real := control.EvacuateChange(op)
 	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
-		if (len(cur.Emptied) == 0) == op.Restore {
+		if (len(cur.EvacuatedZones) == 0) == op.Restore {
 			return nil, nil
 		}
 		return real(cur, fence)
--- a/modelcheck/fingerprint.go
+++ b/modelcheck/fingerprint.go
@@ -62,7 +62,7 @@
 		b = append(b, d.acceptor.Disk...)
 	}
 	for _, p := range c.proposers {
-		b = p.AppendHeard(b, d.acceptor.Disk)
+		b = p.AppendReplies(b, d.acceptor.Disk)
 	}
 	hash := xxhash.Sum64(b)
 	for _, m := range c.mail {
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -21,9 +21,9 @@
 
 func (p *Plan) versionOf(v *register.Value) version {
 	if p.evacuations() {
-		return version{mark: v.Mark, epoch: v.Seat, taken: v.Taken}
+		return version{mark: v.Version, epoch: v.Epoch, taken: v.AppliedOrders}
 	}
-	return version{mark: v.Mark, epoch: v.Seat}
+	return version{mark: v.Version, epoch: v.Epoch}
 }
 
 func (v version) older(o version) bool {
@@ -94,7 +94,7 @@
 	now := c.plan.tell(v)
 	for _, before := range c.told {
 		if before.version == now.version && before.hash != now.hash {
-			return &InvariantError{Invariant: "one value a version", How: fmt.Sprintf("revision %d epoch %d stands for two values", v.Mark, v.Seat)}
+			return &InvariantError{Invariant: "one value a version", How: fmt.Sprintf("revision %d epoch %d stands for two values", v.Version, v.Epoch)}
 		}
 	}
 	return nil
@@ -114,7 +114,7 @@
 // readNotOlder: an operation never brings a value older than what was told before it began.
 func (c *Cluster) readNotOlder(o operation, v *register.Value) error {
 	if c.plan.versionOf(v).older(o.floor) {
-		return &InvariantError{Invariant: "a read is never old", How: fmt.Sprintf("revision %d epoch %d was read, %d epoch %d was told before it began", v.Mark, v.Seat, o.floor.mark, o.floor.epoch)}
+		return &InvariantError{Invariant: "a read is never old", How: fmt.Sprintf("revision %d epoch %d was read, %d epoch %d was told before it began", v.Version, v.Epoch, o.floor.mark, o.floor.epoch)}
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 	for at, p := range c.orders {
 		o := c.plan.Orders[at]
 		if p.confirmed && !o.reads() && !o.recorded(v) && !c.plan.versionOf(v).older(c.plan.versionOf(c.newest)) {
-			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("order %s is not in revision %d", o.ID, v.Mark)}
+			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("order %s is not in revision %d", o.ID, v.Version)}
 		}
 	}
 	return nil
@@ -134,7 +134,7 @@
 func (c *Cluster) refusedIsNotTaken(v *register.Value) error {
 	for at, p := range c.orders {
 		if p.refused && c.plan.Orders[at].recorded(v) {
-			return &InvariantError{Invariant: "what was taken is never refused", How: fmt.Sprintf("order %s was refused and is in revision %d", c.plan.Orders[at].ID, v.Mark)}
+			return &InvariantError{Invariant: "what was taken is never refused", How: fmt.Sprintf("order %s was refused and is in revision %d", c.plan.Orders[at].ID, v.Version)}
 		}
 	}
 	return nil
@@ -143,8 +143,8 @@
 // appliedOnce: an edit, however often it is sent, changes the document once.
 func (c *Cluster) appliedOnce(v *register.Value) error {
 	for _, o := range c.plan.Orders {
-		if strings.Count(string(v.Body), o.ID) > 1 {
-			return &InvariantError{Invariant: "an order is applied once", How: fmt.Sprintf("order %s is twice in revision %d", o.ID, v.Mark)}
+		if strings.Count(string(v.Document), o.ID) > 1 {
+			return &InvariantError{Invariant: "an order is applied once", How: fmt.Sprintf("order %s is twice in revision %d", o.ID, v.Version)}
 		}
 	}
 	return nil
@@ -221,7 +221,7 @@
 		return at >= 0 && c.olderThanNewest(c.disks[at].kept.Value)
 	})
 	if without {
-		return &InvariantError{Invariant: "every majority left holds the newest value", How: fmt.Sprintf("revision %d epoch %d is held by none of a quorum", c.newest.Mark, c.newest.Seat)}
+		return &InvariantError{Invariant: "every majority left holds the newest value", How: fmt.Sprintf("revision %d epoch %d is held by none of a quorum", c.newest.Version, c.newest.Epoch)}
 	}
 	return nil
 }
--- a/modelcheck/lease_steps.go
+++ b/modelcheck/lease_steps.go
@@ -54,7 +54,7 @@
 			events = append(events, Event{Kind: restartGrantor, What: uint8(at)})
 		}
 		for next := 1; next < len(l.plan.Epochs); next++ {
-			if l.plan.Epochs[next].Seat > g.Epoch() && l.chosen(next-1) && l.asked(next, g.Disk) {
+			if l.plan.Epochs[next].Epoch > g.Epoch() && l.chosen(next-1) && l.asked(next, g.Disk) {
 				events = append(events, Event{Kind: acceptEpoch, What: uint8(at), Which: uint16(next)})
 			}
 		}
@@ -68,7 +68,7 @@
 		return true
 	}
 	return register.Quorum(l.plan.Epochs[epoch-1], func(disk string) bool {
-		return l.grantors[l.grantorOf(disk)].Epoch() >= l.plan.Epochs[epoch].Seat
+		return l.grantors[l.grantorOf(disk)].Epoch() >= l.plan.Epochs[epoch].Epoch
 	})
 }
 
@@ -96,7 +96,7 @@
 		n.restart(what)
 	case acceptEpoch:
 		n.touchGrantor(what)
-		n.plan.Rules.ChangeEpoch(n.grantors[what], n.grantorClock(what), n.plan.Epochs[e.Which].Seat)
+		n.plan.Rules.ChangeEpoch(n.grantors[what], n.grantorClock(what), n.plan.Epochs[e.Which].Epoch)
 	case learnEpoch:
 		n.views[what]++
 	}
@@ -111,7 +111,7 @@
 
 func (l *Leases) acquire(at int) {
 	h := l.holders[at].Clone()
-	h.Hurry(duty)
+	h.SkipBackoff(duty)
 	l.holders[at] = h
 	for _, s := range h.Acquire(l.holderClock(at), duty, l.view(at)) {
 		l.mail = append(l.mail, leaseMail{grantor: l.grantorOf(s.Disk), holder: at, msg: s.Msg})
@@ -168,12 +168,12 @@
 	row := grantor.Records()[duty]
 	switch msg := m.msg.(type) {
 	case lease.Grant:
-		return !holder.Expects(duty, msg.Rid)
+		return !holder.Expects(duty, msg.RequestID)
 	case lease.Request:
-		refused := msg.Seat < grantor.Epoch() && !l.plan.Rules.AnyEpoch
-		return refused || (!holder.Expects(duty, msg.Rid) && msg.Mark.Less(row.Mark))
+		refused := msg.Epoch < grantor.Epoch() && !l.plan.Rules.AnyEpoch
+		return refused || (!holder.Expects(duty, msg.RequestID) && msg.Token.Less(row.Token))
 	case lease.Release:
-		return msg.Mark.Less(row.Mark)
+		return msg.Token.Less(row.Token)
 	}
 	return false
 }
@@ -204,17 +204,17 @@
 	case restartGrantor:
 		return "grantor " + l.grantors[e.What].Disk + " restarts"
 	case acceptEpoch:
-		return fmt.Sprintf("grantor %s accepts epoch %d", l.grantors[e.What].Disk, l.plan.Epochs[e.Which].Seat)
+		return fmt.Sprintf("grantor %s accepts epoch %d", l.grantors[e.What].Disk, l.plan.Epochs[e.Which].Epoch)
 	}
-	return fmt.Sprintf("%s learns of epoch %d", l.holders[e.What].Name, l.plan.Epochs[l.views[e.What]+1].Seat)
+	return fmt.Sprintf("%s learns of epoch %d", l.holders[e.What].Name, l.plan.Epochs[l.views[e.What]+1].Epoch)
 }
 
 func (l *Leases) describeMail(m leaseMail) string {
 	switch msg := m.msg.(type) {
 	case lease.Request:
-		return fmt.Sprintf("%s asks %s, epoch %d, token %d.%d", l.holders[m.holder].Name, msg.Disk, msg.Seat, msg.Mark.Seat, msg.Mark.N)
+		return fmt.Sprintf("%s asks %s, epoch %d, token %d.%d", l.holders[m.holder].Name, msg.Disk, msg.Epoch, msg.Token.Epoch, msg.Token.Number)
 	case lease.Release:
-		return fmt.Sprintf("%s gives back to %s token %d.%d", l.holders[m.holder].Name, msg.Disk, msg.Mark.Seat, msg.Mark.N)
+		return fmt.Sprintf("%s gives back to %s token %d.%d", l.holders[m.holder].Name, msg.Disk, msg.Token.Epoch, msg.Token.Number)
 	case lease.Grant:
 		return fmt.Sprintf("%s answers %s: granted %t, held by %s", msg.Disk, l.holders[m.holder].Name, msg.OK, msg.Holder)
 	}
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -90,7 +90,7 @@
 		for _, v := range value.All() {
 			if l.grantorOf(v.Disk) < 0 {
 				g := lease.NewGrantor(v.Disk, nil, 0)
-				g.ChangeEpoch(0, plan.Epochs[0].Seat)
+				g.ChangeEpoch(0, plan.Epochs[0].Epoch)
 				l.grantors = append(l.grantors, g)
 			}
 		}
@@ -156,7 +156,7 @@
 	var space [256]byte
 	b := g.AppendFingerprint(space[:0], l.grantorClock(at))
 	for _, h := range l.holders {
-		b = append(b, truth(h.Heard(duty, g.Disk)))
+		b = append(b, truth(h.GrantedBy(duty, g.Disk)))
 	}
 	hash := xxhash.Sum64(b)
 	for _, m := range l.mail {
@@ -174,13 +174,13 @@
 	var rid, epoch uint64
 	switch msg := m.msg.(type) {
 	case lease.Request:
-		b, token, rid, epoch = append(b, 'r'), msg.Mark, msg.Rid, msg.Seat
+		b, token, rid, epoch = append(b, 'r'), msg.Token, msg.RequestID, msg.Epoch
 	case lease.Release:
-		b, token = append(b, 'l'), msg.Mark
+		b, token = append(b, 'l'), msg.Token
 	case lease.Grant:
-		b, token, rid = append(append(b, 'g', truth(msg.OK)), msg.Holder...), msg.Mark, msg.Rid
+		b, token, rid = append(append(b, 'g', truth(msg.OK)), msg.Holder...), msg.Token, msg.RequestID
 	}
-	for _, n := range []uint64{token.Seat, token.N, rid, epoch} {
+	for _, n := range []uint64{token.Epoch, token.Number, rid, epoch} {
 		b = binary.AppendUvarint(b, n)
 	}
 	return xxhash.Sum64(b)
--- a/modelcheck/leases_test.go
+++ b/modelcheck/leases_test.go
@@ -10,7 +10,7 @@
 )
 
 func seats(epoch uint64, disks ...string) *register.Value {
-	v := &register.Value{Seat: epoch}
+	v := &register.Value{Epoch: epoch}
 	for _, d := range disks {
 		v.Voters = append(v.Voters, register.Voter{Disk: d})
 	}
@@ -123,9 +123,9 @@
 
 // overruled has a grantor forget whom it granted to when another one asks.
 func overruled(g *lease.Grantor, now time.Duration, m lease.Request) lease.Grant {
-	if kept, ok := g.Records()[m.Duty]; ok && kept.Holder != m.Holder {
-		g.HandleRelease(lease.Release{Disk: g.Disk, Duty: m.Duty, Holder: kept.Holder, Mark: kept.Mark})
-		m.Mark.N += kept.Mark.N
+	if kept, ok := g.Records()[m.Role]; ok && kept.Holder != m.Holder {
+		g.HandleRelease(lease.Release{Disk: g.Disk, Role: m.Role, Holder: kept.Holder, Token: kept.Token})
+		m.Token.Number += kept.Token.Number
 	}
 	r, _ := g.HandleRequest(now, m)
 	return r
@@ -133,7 +133,7 @@
 
 // anyEpoch grants to holders that know other voters.
 func anyEpoch(g *lease.Grantor, now time.Duration, m lease.Request) lease.Grant {
-	m.Seat = g.Epoch()
+	m.Epoch = g.Epoch()
 	r, _ := g.HandleRequest(now, m)
 	return r
 }
--- a/modelcheck/mutations_test.go
+++ b/modelcheck/mutations_test.go
@@ -60,7 +60,7 @@
 // beginAtAnyEpoch takes no heed of changes since the voters were chosen.
 func beginAtAnyEpoch(_ uint64, voters []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		return control.BeginVoterChange(cur.Seat, voters)(cur)
+		return control.BeginVoterChange(cur.Epoch, voters)(cur)
 	}
 }
 
@@ -68,10 +68,10 @@
 func forgetfulPut(op control.Put) register.Change {
 	put := control.PutChange(op)
 	return func(cur *register.Value) (*register.Value, error) {
-		if cur.Mark == op.Expect {
+		if cur.Version == op.Expect {
 			return put(cur)
 		}
-		return nil, &register.ConflictError{Mark: cur.Mark}
+		return nil, &register.ConflictError{Version: cur.Version}
 	}
 }
 
@@ -79,8 +79,8 @@
 func shortHistoryPut(op control.Put) register.Change {
 	put := control.PutChange(op)
 	return func(cur *register.Value) (*register.Value, error) {
-		if _, done := cur.Done(op.ID); !done {
-			cur.Recent = nil
+		if _, done := cur.AppliedAt(op.ID); !done {
+			cur.OrderLog = nil
 		}
 		return put(cur)
 	}
@@ -90,7 +90,7 @@
 func forgetfulEdit(op control.Edit) register.Change {
 	edit := control.EditChange(op)
 	return func(cur *register.Value) (*register.Value, error) {
-		if _, err := op.Apply(cur.Body); err != nil {
+		if _, err := op.Apply(cur.Document); err != nil {
 			return nil, err
 		}
 		return edit(cur)
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -103,7 +103,7 @@
 func (p *Plan) change(o Order) register.Change {
 	switch o.Kind {
 	case Put:
-		return p.Rules.Put(control.Put{ID: o.ID, Expect: o.Expect, Body: []byte(o.ID)})
+		return p.Rules.Put(control.Put{ID: o.ID, Expect: o.Expect, Document: []byte(o.ID)})
 	case Edit:
 		return p.Rules.Edit(control.Edit{ID: o.ID, Base: o.Expect, Apply: o.apply})
 	}
@@ -113,7 +113,7 @@
 // apply appends the order to the document, if that is still the revision which it builds on.
 func (o Order) apply(body []byte) ([]byte, error) {
 	if revision := uint64(len(body)); revision != o.Expect {
-		return nil, &register.ConflictError{Mark: revision}
+		return nil, &register.ConflictError{Version: revision}
 	}
 	return append(slices.Clone(body), o.ID...), nil
 }
@@ -121,16 +121,16 @@
 // knownIn tells whether a value has the revision that the order builds on.
 func (o Order) knownIn(v *register.Value) bool {
 	if o.Kind == Edit {
-		return uint64(len(v.Body)) >= o.Expect
+		return uint64(len(v.Document)) >= o.Expect
 	}
-	return v.Mark >= o.Expect
+	return v.Version >= o.Expect
 }
 
 // recorded tells whether a value remembers that the order was taken.
 func (o Order) recorded(v *register.Value) bool {
 	if o.Kind == Edit {
-		return v.TookEdit(o.Expect, o.ID)
+		return v.AppliedEdit(o.Expect, o.ID)
 	}
-	_, yes := v.Done(o.ID)
+	_, yes := v.AppliedAt(o.ID)
 	return yes
 }
--- a/modelcheck/rounds.go
+++ b/modelcheck/rounds.go
@@ -25,7 +25,7 @@
 // gathered tells whether a request belongs to a round that is delivered as a whole: it is not refused.
 func (c *Cluster) gathered(m mail) bool {
 	prepare, ok := m.msg.(register.Prepare)
-	if !ok || prepare.Look || !c.plan.Rounds {
+	if !ok || prepare.ReadOnly || !c.plan.Rounds {
 		return false
 	}
 	return !prepare.Ballot.Less(c.disks[c.diskOf(prepare.Disk)].acceptor.Promised)
@@ -34,7 +34,7 @@
 // forgotten tells whether a request is a prepare whose answer nobody waits for.
 func (c *Cluster) forgotten(m mail) bool {
 	prepare, ok := m.msg.(register.Prepare)
-	return ok && c.plan.Rounds && !c.proposers[m.proposer].Expects(prepare.Rid, register.Ballot{})
+	return ok && c.plan.Rounds && !c.proposers[m.proposer].Expects(prepare.RequestID, register.Ballot{})
 }
 
 type partRound struct {
--- a/modelcheck/rounds_test.go
+++ b/modelcheck/rounds_test.go
@@ -37,7 +37,7 @@
 // finishAtAnyEpoch finishes whatever change of voters it reads.
 func finishAtAnyEpoch(uint64) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		return control.FinishVoterChange(cur.Seat)(cur)
+		return control.FinishVoterChange(cur.Epoch)(cur)
 	}
 }
 
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -220,7 +220,7 @@
 	from := string(rune('p' + m.proposer))
 	switch r := m.msg.(type) {
 	case register.Prepare:
-		return fmt.Sprintf("%s asks %s to prepare %d%s (look %t)", from, r.Disk, r.Ballot.N, r.Ballot.By, r.Look)
+		return fmt.Sprintf("%s asks %s to prepare %d%s (look %t)", from, r.Disk, r.Ballot.N, r.Ballot.By, r.ReadOnly)
 	case register.Accept:
 		return fmt.Sprintf("%s asks %s to accept %d%s: %s", from, r.Disk, r.Ballot.N, r.Ballot.By, brief(r.Value))
 	case register.Promise:
@@ -235,7 +235,7 @@
 	if v == nil {
 		return "nothing"
 	}
-	text := fmt.Sprintf("revision %d epoch %d %q voters", v.Mark, v.Seat, v.Body)
+	text := fmt.Sprintf("revision %d epoch %d %q voters", v.Version, v.Epoch, v.Document)
 	for _, w := range v.Voters {
 		text += " " + w.Disk
 	}
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	safe    = &config.Route{Repeatable: true, Timeout: time.Minute, Rank: 3}
+	safe    = &config.Route{Repeatable: true, Timeout: time.Minute, Priority: 3}
 	unsafe  = &config.Route{Timeout: time.Minute}
 	streams = &config.Route{Streaming: true, Resumable: true, Timeout: time.Minute}
 	unknown = mallowbridge.Decision{Verdict: mallowbridge.Unknown}
--- a/proxy/rig_test.go
+++ b/proxy/rig_test.go
@@ -167,7 +167,7 @@
 }
 
 func (r *replica) place(route *config.Route) mallowbridge.Decision {
-	return mallowbridge.Decision{Addr: r.addr, Replica: r.addr, Instance: "i1", Route: route, Rank: route.Rank}
+	return mallowbridge.Decision{Addr: r.addr, Replica: r.addr, Instance: "i1", Route: route, Rank: route.Priority}
 }
 
 func say(status, extra, body string) script {
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -5,37 +5,37 @@
 
 // Prepare asks a disk to promise a ballot and to tell what it accepted last. Rid ties the answer to the round.
 type Prepare struct {
-	Rid    uint64
-	Disk   string
-	Ballot Ballot
-	// Look asks what was accepted and wants no promise: a majority that answers alike has been read.
-	Look bool
+	RequestID uint64
+	Disk      string
+	Ballot    Ballot
+	// ReadOnly asks what was accepted and wants no promise: a majority that answers alike has been read.
+	ReadOnly bool
 }
 
 // Promise answers a Prepare. Where OK is false, Promised is the higher ballot that stands in the way.
 type Promise struct {
-	Rid      uint64
-	Disk     string
-	OK       bool
-	Promised Ballot
-	Accepted Ballot
-	Value    *Value
+	RequestID uint64
+	Disk      string
+	OK        bool
+	Promised  Ballot
+	Accepted  Ballot
+	Value     *Value
 }
 
 // Accept asks a disk to accept a value under a ballot.
 type Accept struct {
-	Rid    uint64
-	Disk   string
-	Ballot Ballot
-	Value  *Value
+	RequestID uint64
+	Disk      string
+	Ballot    Ballot
+	Value     *Value
 }
 
 // Accepted answers an Accept. Where OK is false, Promised is the higher ballot that stands in the way.
 type Accepted struct {
-	Rid      uint64
-	Disk     string
-	OK       bool
-	Promised Ballot
+	RequestID uint64
+	Disk      string
+	OK        bool
+	Promised  Ballot
 }
 
 func (Prepare) registerMessage()  {}
@@ -62,8 +62,8 @@
 	if m.Disk != a.Disk {
 		return Promise{}, false
 	}
-	r = Promise{Rid: m.Rid, Disk: a.Disk, Promised: a.Promised}
-	if m.Look {
+	r = Promise{RequestID: m.RequestID, Disk: a.Disk, Promised: a.Promised}
+	if m.ReadOnly {
 		r.OK, r.Accepted, r.Value = true, a.Accepted, a.Value
 		return r, false
 	}
@@ -79,10 +79,10 @@
 // Accept answers an Accept; write tells that the answer may leave only after the value is on disk. It never votes for a value whose
 // document isn't here: what was acknowledged is whole on the disks of a majority.
 func (a *Acceptor) Accept(m Accept) (r Accepted, write bool) {
-	if m.Disk != a.Disk || m.Value == nil || !m.Value.Whole() {
+	if m.Disk != a.Disk || m.Value == nil || !m.Value.Complete() {
 		return Accepted{}, false
 	}
-	r = Accepted{Rid: m.Rid, Disk: a.Disk, Promised: a.Promised}
+	r = Accepted{RequestID: m.RequestID, Disk: a.Disk, Promised: a.Promised}
 	if m.Ballot.Less(a.Promised) {
 		return r, false
 	}
--- a/register/bootstrap_test.go
+++ b/register/bootstrap_test.go
@@ -28,8 +28,8 @@
 
 func (d *duel) holds(text string) {
 	d.t.Helper()
-	if err := d.until(d.y, nil); err != nil || string(d.last.Value.Body) != text {
-		d.t.Errorf("%v: %q is read, %q was confirmed", err, d.last.Value.Body, text)
+	if err := d.until(d.y, nil); err != nil || string(d.last.Value.Document) != text {
+		d.t.Errorf("%v: %q is read, %q was confirmed", err, d.last.Value.Document, text)
 	}
 }
 
--- a/register/clone.go
+++ b/register/clone.go
@@ -23,16 +23,16 @@
 	c := &Proposer{}
 	*c = *p
 	c.rng = stillRand
-	if p.cur != nil {
-		cur := *p.cur
-		c.cur = &cur
+	if p.current != nil {
+		cur := *p.current
+		c.current = &cur
 	}
 	c.queue = nil
 	for _, o := range p.queue {
 		queued := *o
 		c.queue = append(c.queue, &queued)
 	}
-	c.got, c.yes, c.asked = maps.Clone(p.got), maps.Clone(p.yes), maps.Clone(p.asked)
+	c.promises, c.acceptedBy, c.asked = maps.Clone(p.promises), maps.Clone(p.acceptedBy), maps.Clone(p.asked)
 	c.results, c.sends = slices.Clone(p.results), slices.Clone(p.sends)
 	return c
 }
@@ -41,7 +41,7 @@
 func (p *Proposer) Known() *Value { return p.voters }
 
 // Busy tells whether an operation is under way and its timer may fire.
-func (p *Proposer) Busy() bool { return p.cur != nil }
+func (p *Proposer) Busy() bool { return p.current != nil }
 
 // Queued tells whether an operation waits behind the one that is under way.
 func (p *Proposer) Queued() bool { return len(p.queue) > 0 }
@@ -51,22 +51,22 @@
 
 // FireTimer has the wait of the present phase end now, at time zero.
 func (p *Proposer) FireTimer() {
-	p.until = 0
+	p.deadline = 0
 	p.Tick(0)
 }
 
 // FireDeadline has the present operation run out of time now, at time zero.
 func (p *Proposer) FireDeadline() {
-	if p.cur == nil {
+	if p.current == nil {
 		return
 	}
-	p.cur.deadline = 0
+	p.current.deadline = 0
 	p.Tick(0)
 }
 
 // PassDeadline has an operation's time run out, at time zero, while its node stands still: it ends once the node goes on with it.
 func (p *Proposer) PassDeadline(id uint64) {
-	for _, o := range append(slices.Clone(p.queue), p.cur) {
+	for _, o := range append(slices.Clone(p.queue), p.current) {
 		if o != nil && o.id == id {
 			o.deadline = 0
 		}
@@ -75,52 +75,52 @@
 
 // FenceSet tells whether an operation has read a quorum and set its fence.
 func (p *Proposer) FenceSet(id uint64) bool {
-	return p.cur != nil && p.cur.id == id && p.cur.fence.set
+	return p.current != nil && p.current.id == id && p.current.fence.set
 }
 
-// Preparing tells whether the proposer gathers promises, for the round Rid.
+// Preparing tells whether the proposer gathers promises, for the round RequestID.
 func (p *Proposer) Preparing() bool { return p.phase == preparing }
 
-// Rid is the id of the present round.
-func (p *Proposer) Rid() uint64 { return p.rid }
+// RequestID is the id of the present round.
+func (p *Proposer) Rid() uint64 { return p.requestID }
 
 // Expects tells whether an answer with that round id and promised ballot can still change anything here.
-func (p *Proposer) Expects(rid uint64, promised Ballot) bool {
-	return (rid == p.rid && (p.phase == preparing || p.phase == accepting)) || promised.N > p.top
+func (p *Proposer) Expects(requestID uint64, promised Ballot) bool {
+	return (requestID == p.requestID && (p.phase == preparing || p.phase == accepting)) || promised.N > p.highestBallot
 }
 
-// AppendFingerprint appends all that decides what the proposer does next but for what it heard of each disk (AppendHeard). Times are
+// AppendFingerprint appends all that decides what the proposer does next but for what it heard of each disk (AppendReplies). Times are
 // left out, they are fired by hand.
 func (p *Proposer) AppendFingerprint(b []byte) []byte {
 	b = appendText(b, p.By)
 	b = append(b, byte(p.phase))
-	b = appendNumbers(b, p.top, p.rid)
+	b = appendNumbers(b, p.highestBallot, p.requestID)
 	b = p.chosen.AppendFingerprint(p.voters.AppendFingerprint(b))
-	b = p.cur.appendFingerprint(b)
+	b = p.current.appendFingerprint(b)
 	for _, o := range p.queue {
 		b = o.appendFingerprint(b)
 	}
 	switch p.phase {
 	case preparing:
-		return append(p.ballot.appendFingerprint(b), bit(p.look))
+		return append(p.ballot.appendFingerprint(b), bit(p.cheapRead))
 	case accepting:
 		return p.proposed.AppendFingerprint(p.ballot.appendFingerprint(b))
 	}
 	return b
 }
 
-// AppendHeard appends what the proposer asked of and heard from a disk in the present round, without the disk's name.
-func (p *Proposer) AppendHeard(b []byte, disk string) []byte {
+// AppendReplies appends what the proposer asked of and heard from a disk in the present round, without the disk's name.
+func (p *Proposer) AppendReplies(b []byte, disk string) []byte {
 	switch p.phase {
 	case preparing:
-		r, heard := p.got[disk]
+		r, heard := p.promises[disk]
 		b = append(b, bit(p.asked[disk]), bit(heard))
 		if heard {
 			r.Disk = ""
 			b = r.AppendFingerprint(b)
 		}
 	case accepting:
-		b = append(b, bit(p.yes[disk]))
+		b = append(b, bit(p.acceptedBy[disk]))
 	}
 	return b
 }
@@ -129,9 +129,9 @@
 	if o == nil {
 		return append(b, 0)
 	}
-	b = o.offered.appendFingerprint(appendNumbers(append(b, 1), o.id))
+	b = o.proposedBallot.appendFingerprint(appendNumbers(append(b, 1), o.id))
 	b = append(o.fence.appendFingerprint(b), bit(o.deadline <= 0))
-	return append(o.first.AppendFingerprint(b), bit(o.exposed), bit(o.full), bit(o.urgent), bit(o.readFailed))
+	return append(o.bootstrapValue.AppendFingerprint(b), bit(o.proposed), bit(o.full), bit(o.urgent), bit(o.readFailed))
 }
 
 func bit(yes bool) byte {
@@ -158,26 +158,26 @@
 
 // AppendFingerprint appends the whole promise.
 func (r Promise) AppendFingerprint(b []byte) []byte {
-	b = appendNumbers(appendText(append(b, bit(r.OK)), r.Disk), r.Rid)
+	b = appendNumbers(appendText(append(b, bit(r.OK)), r.Disk), r.RequestID)
 	b = r.Accepted.appendFingerprint(r.Promised.appendFingerprint(b))
 	return r.Value.AppendFingerprint(b)
 }
 
 // AppendFingerprint appends the whole answer.
 func (r Accepted) AppendFingerprint(b []byte) []byte {
-	b = appendNumbers(appendText(append(b, bit(r.OK)), r.Disk), r.Rid)
+	b = appendNumbers(appendText(append(b, bit(r.OK)), r.Disk), r.RequestID)
 	return r.Promised.appendFingerprint(b)
 }
 
 // AppendFingerprint appends the whole request.
 func (m Prepare) AppendFingerprint(b []byte) []byte {
-	b = appendNumbers(appendText(append(b, bit(m.Look)), m.Disk), m.Rid)
+	b = appendNumbers(appendText(append(b, bit(m.ReadOnly)), m.Disk), m.RequestID)
 	return m.Ballot.appendFingerprint(b)
 }
 
 // AppendFingerprint appends the whole request.
 func (m Accept) AppendFingerprint(b []byte) []byte {
-	b = m.Ballot.appendFingerprint(appendNumbers(appendText(b, m.Disk), m.Rid))
+	b = m.Ballot.appendFingerprint(appendNumbers(appendText(b, m.Disk), m.RequestID))
 	return m.Value.AppendFingerprint(b)
 }
 
@@ -192,21 +192,21 @@
 	if v == nil {
 		return append(b, 0)
 	}
-	b = appendNumbers(appendText(append(b, 1), v.Fleet), v.Mark, v.Seat)
-	b = append(appendNumbers(b, uint64(len(v.Body))), v.Body...)
-	b = appendNumbers(b, uint64(len(v.Emptied)))
-	for _, domain := range v.Emptied {
+	b = appendNumbers(appendText(append(b, 1), v.Fleet), v.Version, v.Epoch)
+	b = append(appendNumbers(b, uint64(len(v.Document))), v.Document...)
+	b = appendNumbers(b, uint64(len(v.EvacuatedZones)))
+	for _, domain := range v.EvacuatedZones {
 		b = appendText(b, domain)
 	}
 	b = appendVoters(appendVoters(b, v.Voters), v.Next)
-	b = appendNumbers(b, uint64(len(v.Ops)))
-	for _, o := range v.Ops {
-		b = appendNumbers(appendText(b, o.ID), o.Mark)
+	b = appendNumbers(b, uint64(len(v.LegacyOrders)))
+	for _, o := range v.LegacyOrders {
+		b = appendNumbers(appendText(b, o.ID), o.Version)
 	}
-	b = append(appendNumbers(b, uint64(len(v.Edits))), v.Edits...)
-	b = append(appendNumbers(b, uint64(len(v.Recent))), v.Recent...)
-	b = appendManifest(appendManifest(b, v.Parts), v.Orders)
-	return appendNumbers(b, v.Taken)
+	b = append(appendNumbers(b, uint64(len(v.EditLog))), v.EditLog...)
+	b = append(appendNumbers(b, uint64(len(v.OrderLog))), v.OrderLog...)
+	b = appendManifest(appendManifest(b, v.DocumentManifest), v.LogManifest)
+	return appendNumbers(b, v.AppliedOrders)
 }
 
 func appendManifest(b []byte, m *chunk.Manifest) []byte {
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -10,18 +10,18 @@
 // A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
 func TestFingerprintsKnowEveryField(t *testing.T) {
 	for kind, fields := range map[reflect.Type]int{
-		reflect.TypeFor[Proposer]():  22,
-		reflect.TypeFor[operation](): 10,
-		reflect.TypeFor[Fence]():     3,
-		reflect.TypeFor[Stamp]():     3,
-		reflect.TypeFor[Value]():     13,
-		reflect.TypeFor[Op]():        2,
-		reflect.TypeFor[Voter]():     2,
-		reflect.TypeFor[State]():     4,
-		reflect.TypeFor[Prepare]():   4,
-		reflect.TypeFor[Promise]():   6,
-		reflect.TypeFor[Accept]():    4,
-		reflect.TypeFor[Accepted]():  4,
+		reflect.TypeFor[Proposer]():    22,
+		reflect.TypeFor[operation]():   10,
+		reflect.TypeFor[Fence]():       3,
+		reflect.TypeFor[OrderStamp]():  3,
+		reflect.TypeFor[Value]():       13,
+		reflect.TypeFor[LegacyOrder](): 2,
+		reflect.TypeFor[Voter]():       2,
+		reflect.TypeFor[State]():       4,
+		reflect.TypeFor[Prepare]():     4,
+		reflect.TypeFor[Promise]():     6,
+		reflect.TypeFor[Accept]():      4,
+		reflect.TypeFor[Accepted]():    4,
 	} {
 		if kind.NumField() != fields {
 			t.Errorf("%s has %d fields, clone.go knows %d", kind, kind.NumField(), fields)
@@ -40,7 +40,7 @@
 	if !bytes.Equal(before, c.AppendFingerprint(nil)) {
 		t.Fatal("a clone differs")
 	}
-	c.OnPromise(0, Promise{Rid: sends[0].Msg.(Prepare).Rid, Disk: "a", OK: true, Value: first})
+	c.OnPromise(0, Promise{RequestID: sends[0].Msg.(Prepare).RequestID, Disk: "a", OK: true, Value: first})
 	c.FireDeadline()
 	if !bytes.Equal(before, p.AppendFingerprint(nil)) {
 		t.Error("what a clone does shows in the first")
--- a/register/crowd_test.go
+++ b/register/crowd_test.go
@@ -169,11 +169,11 @@
 // raise is a change that any value bears.
 func raise(text string) Change {
 	return func(cur *Value) (*Value, error) {
-		if _, done := cur.Done(text); done {
+		if _, done := cur.AppliedAt(text); done {
 			return nil, nil
 		}
-		cur.Mark++
-		cur.Note(text)
+		cur.Version++
+		cur.LogUnscoped(text)
 		return cur, nil
 	}
 }
--- a/register/duel_test.go
+++ b/register/duel_test.go
@@ -45,15 +45,15 @@
 // take is an order on base that writes text, with the memory that operators' orders use.
 func take(base uint64, text string) Change {
 	return func(cur *Value) (*Value, error) {
-		if cur.TookEdit(base, text) {
+		if cur.AppliedEdit(base, text) {
 			return nil, nil
 		}
-		if cur.Mark != base {
-			return nil, cur.Refusal(base, cur.Mark)
+		if cur.Version != base {
+			return nil, cur.Refusal(base, cur.Version)
 		}
-		cur.Mark++
-		cur.Body = []byte(text)
-		cur.TakeEdit(base, text)
+		cur.Version++
+		cur.Document = []byte(text)
+		cur.LogEdit(base, text)
 		return cur, nil
 	}
 }
--- a/register/encoding.go
+++ b/register/encoding.go
@@ -23,11 +23,11 @@
 }
 
 func encodePrepare(m Prepare) encodedPrepare {
-	return encodedPrepare{Rid: m.Rid, Disk: m.Disk, Ballot: m.Ballot, Look: m.Look}
+	return encodedPrepare{Rid: m.RequestID, Disk: m.Disk, Ballot: m.Ballot, Look: m.ReadOnly}
 }
 
 func decodePrepare(f encodedPrepare) Prepare {
-	return Prepare{Rid: f.Rid, Disk: f.Disk, Ballot: f.Ballot, Look: f.Look}
+	return Prepare{RequestID: f.Rid, Disk: f.Disk, Ballot: f.Ballot, ReadOnly: f.Look}
 }
 
 type encodedPromise struct {
@@ -40,11 +40,11 @@
 }
 
 func encodePromise(m Promise) encodedPromise {
-	return encodedPromise{Rid: m.Rid, Disk: m.Disk, OK: m.OK, Promised: m.Promised, Accepted: m.Accepted, Value: EncodeValue(m.Value)}
+	return encodedPromise{Rid: m.RequestID, Disk: m.Disk, OK: m.OK, Promised: m.Promised, Accepted: m.Accepted, Value: EncodeValue(m.Value)}
 }
 
 func decodePromise(f encodedPromise) Promise {
-	return Promise{Rid: f.Rid, Disk: f.Disk, OK: f.OK, Promised: f.Promised, Accepted: f.Accepted, Value: f.Value.Decode()}
+	return Promise{RequestID: f.Rid, Disk: f.Disk, OK: f.OK, Promised: f.Promised, Accepted: f.Accepted, Value: f.Value.Decode()}
 }
 
 type encodedAccept struct {
@@ -55,11 +55,11 @@
 }
 
 func encodeAccept(m Accept) encodedAccept {
-	return encodedAccept{Rid: m.Rid, Disk: m.Disk, Ballot: m.Ballot, Value: EncodeValue(m.Value)}
+	return encodedAccept{Rid: m.RequestID, Disk: m.Disk, Ballot: m.Ballot, Value: EncodeValue(m.Value)}
 }
 
 func decodeAccept(f encodedAccept) Accept {
-	return Accept{Rid: f.Rid, Disk: f.Disk, Ballot: f.Ballot, Value: f.Value.Decode()}
+	return Accept{RequestID: f.Rid, Disk: f.Disk, Ballot: f.Ballot, Value: f.Value.Decode()}
 }
 
 type encodedAccepted struct {
@@ -70,21 +70,25 @@
 }
 
 func encodeAccepted(m Accepted) encodedAccepted {
-	return encodedAccepted{Rid: m.Rid, Disk: m.Disk, OK: m.OK, Promised: m.Promised}
+	return encodedAccepted{Rid: m.RequestID, Disk: m.Disk, OK: m.OK, Promised: m.Promised}
 }
 
 func decodeAccepted(f encodedAccepted) Accepted {
-	return Accepted{Rid: f.Rid, Disk: f.Disk, OK: f.OK, Promised: f.Promised}
+	return Accepted{RequestID: f.Rid, Disk: f.Disk, OK: f.OK, Promised: f.Promised}
 }
 
-type encodedOp struct {
+type encodedLegacyOrder struct {
 	ID   string
 	Mark uint64
 }
 
-func encodeOp(o Op) encodedOp { return encodedOp{ID: o.ID, Mark: o.Mark} }
+func encodeLegacyOrder(o LegacyOrder) encodedLegacyOrder {
+	return encodedLegacyOrder{ID: o.ID, Mark: o.Version}
+}
 
-func decodeOp(f encodedOp) Op { return Op{ID: f.ID, Mark: f.Mark} }
+func decodeLegacyOrder(f encodedLegacyOrder) LegacyOrder {
+	return LegacyOrder{ID: f.ID, Version: f.Mark}
+}
 
 // EncodedValue is a Value as messages and the disk hold it.
 type EncodedValue struct {
@@ -95,9 +99,9 @@
 	Emptied []string
 	Voters  []Voter
 	Next    []Voter
-	Ops     []encodedOp
-	Edits   Changes
-	Recent  Recent
+	Ops     []encodedLegacyOrder
+	Edits   EditLog
+	Recent  OrderLog
 	Taken   uint64
 	Parts   *chunk.Manifest
 	Orders  *chunk.Manifest
@@ -109,8 +113,8 @@
 		return nil
 	}
 	return &EncodedValue{
-		Fleet: v.Fleet, Mark: v.Mark, Seat: v.Seat, Body: v.Body, Emptied: v.Emptied, Voters: v.Voters, Next: v.Next,
-		Ops: wire.Each(v.Ops, encodeOp), Edits: v.Edits, Recent: v.Recent, Taken: v.Taken, Parts: v.Parts, Orders: v.Orders,
+		Fleet: v.Fleet, Mark: v.Version, Seat: v.Epoch, Body: v.Document, Emptied: v.EvacuatedZones, Voters: v.Voters, Next: v.Next,
+		Ops: wire.Each(v.LegacyOrders, encodeLegacyOrder), Edits: v.EditLog, Recent: v.OrderLog, Taken: v.AppliedOrders, Parts: v.DocumentManifest, Orders: v.LogManifest,
 	}
 }
 
@@ -120,8 +124,8 @@
 		return nil
 	}
 	return &Value{
-		Fleet: f.Fleet, Mark: f.Mark, Seat: f.Seat, Body: f.Body, Emptied: f.Emptied, Voters: f.Voters, Next: f.Next,
-		Ops: wire.Each(f.Ops, decodeOp), Edits: f.Edits, Recent: f.Recent, Taken: f.Taken, Parts: f.Parts, Orders: f.Orders,
+		Fleet: f.Fleet, Version: f.Mark, Epoch: f.Seat, Document: f.Body, EvacuatedZones: f.Emptied, Voters: f.Voters, Next: f.Next,
+		LegacyOrders: wire.Each(f.Ops, decodeLegacyOrder), EditLog: f.Edits, OrderLog: f.Recent, AppliedOrders: f.Taken, DocumentManifest: f.Parts, LogManifest: f.Orders,
 	}
 }
 
--- a/register/exposed_test.go
+++ b/register/exposed_test.go
@@ -61,8 +61,8 @@
 		if got := fateOf(d.end(d.x)); got != "412" {
 			t.Errorf("%v: %s", order, got)
 		}
-		if err := d.until(d.y, nil); err != nil || string(d.last.Value.Body) != "theirs" {
-			t.Errorf("%v: %v, reads %q", order, err, d.last.Value.Body)
+		if err := d.until(d.y, nil); err != nil || string(d.last.Value.Document) != "theirs" {
+			t.Errorf("%v: %v, reads %q", order, err, d.last.Value.Document)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 	}
 	for _, two := range [][]string{{"b", "c"}, {"a", "c"}, {"a", "b"}} {
 		d.only(two...)
-		if err := d.until(d.x, nil); err != nil || string(d.last.Value.Body) != "theirs" {
-			t.Errorf("%v: %v, reads %q after a refusal", two, err, d.last.Value.Body)
+		if err := d.until(d.x, nil); err != nil || string(d.last.Value.Document) != "theirs" {
+			t.Errorf("%v: %v, reads %q after a refusal", two, err, d.last.Value.Document)
 		}
 	}
 }
--- a/register/fence.go
+++ b/register/fence.go
@@ -3,9 +3,9 @@
 // Fence tells whether an order on a scope was taken since it was set. The zero Fence is not set. It is part of an operation, so that a
 // copied proposer has its own.
 type Fence struct {
-	set    bool
-	newest Stamp
-	taken  uint64
+	set           bool
+	latest        OrderStamp
+	appliedOrders uint64
 }
 
 // Set notes the newest order of the scope, unless that is noted already.
@@ -13,18 +13,18 @@
 	if f.set {
 		return
 	}
-	*f = Fence{set: true, newest: cur.Newest(scope), taken: cur.Taken}
+	*f = Fence{set: true, latest: cur.LatestOrder(scope), appliedOrders: cur.AppliedOrders}
 }
 
-// Stands tells whether nothing was taken on the scope. Where so much was taken that an order may be forgotten, it falls.
-func (f *Fence) Stands(cur *Value, scope string) bool {
-	return cur.Newest(scope) == f.newest && cur.Taken-f.taken < KeptOrders
+// Holds tells whether nothing was taken on the scope. Where so much was taken that an order may be forgotten, it falls.
+func (f *Fence) Holds(cur *Value, scope string) bool {
+	return cur.LatestOrder(scope) == f.latest && cur.AppliedOrders-f.appliedOrders < KeptOrders
 }
 
 func (f *Fence) appendFingerprint(b []byte) []byte {
-	b = append(b, bit(f.set), bit(f.newest.Some))
-	b = append(b, f.newest.ID[:]...)
-	return appendNumbers(b, f.newest.Mark, f.taken)
+	b = append(b, bit(f.set), bit(f.latest.Known))
+	b = append(b, f.latest.ID[:]...)
+	return appendNumbers(b, f.latest.Version, f.appliedOrders)
 }
 
 // A FencedChange is a Change that keeps a fence from one run to the next, and nothing else.
--- a/register/fence_test.go
+++ b/register/fence_test.go
@@ -8,19 +8,19 @@
 )
 
 // promiseTo answers the prepare that the proposer has just sent to a disk.
-func promiseTo(p *Proposer, rid uint64, v *Value) {
+func promiseTo(p *Proposer, requestID uint64, v *Value) {
 	for _, disk := range []string{"a", "b", "c"} {
-		p.OnPromise(0, Promise{Rid: rid, Disk: disk, OK: true, Accepted: Ballot{N: uint64(v.Taken), By: "x"}, Value: v})
+		p.OnPromise(0, Promise{RequestID: requestID, Disk: disk, OK: true, Accepted: Ballot{N: uint64(v.AppliedOrders), By: "x"}, Value: v})
 	}
 }
 
 func fencedOn(scope string) FencedChange {
 	return func(cur *Value, fence *Fence) (*Value, error) {
 		fence.Set(cur, scope)
-		if !fence.Stands(cur, scope) {
+		if !fence.Holds(cur, scope) {
 			return nil, &FencedError{Scope: scope}
 		}
-		cur.TakeScoped(scope, "mine", false)
+		cur.LogScoped(scope, "mine", false)
 		return cur, nil
 	}
 }
@@ -29,25 +29,25 @@
 func TestCopiesOfAProposerHaveTheirOwnFences(t *testing.T) {
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	later := first.Clone()
-	later.TakeScoped("z", "theirs", false)
+	later.LogScoped("z", "theirs", false)
 	p := NewProposer("p", 1).Clone()
 	p.Learn(first)
 	p.SubmitFenced(0, time.Hour, 1, fencedOn("z"))
 	sends, _ := p.TakeOutput()
-	rid := sends[0].Msg.(Prepare).Rid
+	requestID := sends[0].Msg.(Prepare).RequestID
 	early, late := p.Clone(), p.Clone()
-	promiseTo(early, rid, first)
-	if bytes.Equal(early.cur.appendFingerprint(nil), p.cur.appendFingerprint(nil)) {
+	promiseTo(early, requestID, first)
+	if bytes.Equal(early.current.appendFingerprint(nil), p.current.appendFingerprint(nil)) {
 		t.Error("a fence doesn't show in the fingerprint")
 	}
-	promiseTo(late, rid, later)
+	promiseTo(late, requestID, later)
 	if late.phase != accepting {
 		t.Error("a copy regards the fence of another")
 	}
 	early.FireTimer()
 	early.FireTimer()
 	sends, _ = early.TakeOutput()
-	promiseTo(early, sends[len(sends)-1].Msg.(Prepare).Rid, later)
+	promiseTo(early, sends[len(sends)-1].Msg.(Prepare).RequestID, later)
 	_, results := early.TakeOutput()
 	var fenced *FencedError
 	if len(results) != 1 || !errors.As(results[0].Err, &fenced) {
--- a/register/forgotten_test.go
+++ b/register/forgotten_test.go
@@ -9,9 +9,9 @@
 // files. The two make a majority that has never heard of what was confirmed; who knows it is chosen does not read or build on less.
 func TestADiskThatWentBackLosesNothingThatIsKnown(t *testing.T) {
 	voters := []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}
-	old := &Value{Fleet: "f", Mark: 1, Voters: voters}
-	confirmed := &Value{Fleet: "f", Mark: 2, Voters: voters}
-	for _, change := range []Change{nil, func(cur *Value) (*Value, error) { cur.Mark++; return cur, nil }} {
+	old := &Value{Fleet: "f", Version: 1, Voters: voters}
+	confirmed := &Value{Fleet: "f", Version: 2, Voters: voters}
+	for _, change := range []Change{nil, func(cur *Value) (*Value, error) { cur.Version++; return cur, nil }} {
 		disks := map[string]*Acceptor{}
 		for _, d := range []string{"b", "c"} {
 			disks[d] = &Acceptor{State{Disk: d, Promised: Ballot{N: 1}, Accepted: Ballot{N: 1}, Value: old}}
@@ -20,15 +20,15 @@
 		p.LearnChosen(confirmed)
 		p.Submit(0, time.Second, 1, change, false)
 		r := runAlone(p, disks)
-		if r == nil || r.Err != nil || r.Value.Mark < confirmed.Mark {
+		if r == nil || r.Err != nil || r.Value.Version < confirmed.Version {
 			t.Fatalf("%+v", r)
 		}
-		if change != nil && r.Value.Mark != confirmed.Mark+1 {
-			t.Fatalf("a change builds on mark %d", r.Value.Mark-1)
+		if change != nil && r.Value.Version != confirmed.Version+1 {
+			t.Fatalf("a change builds on mark %d", r.Value.Version-1)
 		}
 		for _, d := range disks {
-			if d.Value.Mark < confirmed.Mark {
-				t.Errorf("%s still holds mark %d", d.Disk, d.Value.Mark)
+			if d.Value.Version < confirmed.Version {
+				t.Errorf("%s still holds mark %d", d.Disk, d.Value.Version)
 			}
 		}
 	}
--- a/register/lives_test.go
+++ b/register/lives_test.go
@@ -19,13 +19,13 @@
 	sends, _ := before.TakeOutput()
 	for _, s := range sends {
 		m := s.Msg.(Prepare)
-		promises = append(promises, Promise{Rid: m.Rid, Disk: m.Disk, OK: true, Promised: m.Ballot, Accepted: Ballot{By: "f"}, Value: first})
+		promises = append(promises, Promise{RequestID: m.RequestID, Disk: m.Disk, OK: true, Promised: m.Ballot, Accepted: Ballot{By: "f"}, Value: first})
 		before.OnPromise(0, promises[len(promises)-1])
 	}
 	sends, _ = before.TakeOutput()
 	for _, s := range sends {
 		m := s.Msg.(Accept)
-		late = append(late, Accepted{Rid: m.Rid, Disk: m.Disk, OK: true, Promised: m.Ballot})
+		late = append(late, Accepted{RequestID: m.RequestID, Disk: m.Disk, OK: true, Promised: m.Ballot})
 	}
 	for _, r := range promises {
 		after.OnPromise(0, r)
--- a/register/look_test.go
+++ b/register/look_test.go
@@ -13,7 +13,7 @@
 	d.y.Submit(d.now, d.now+patience, 7, nil, false)
 	looks, _ := d.y.TakeOutput()
 	for _, s := range looks {
-		if m := s.Msg.(Prepare); !m.Look {
+		if m := s.Msg.(Prepare); !m.ReadOnly {
 			t.Fatalf("a read begins with %+v", m)
 		}
 		r, _ := d.disks[s.Disk].Prepare(s.Msg.(Prepare))
@@ -24,7 +24,7 @@
 		t.Fatalf("%+v was read while it was chosen by nobody", results[0])
 	}
 	for _, s := range sends {
-		if m, ok := s.Msg.(Prepare); !ok || m.Look {
+		if m, ok := s.Msg.(Prepare); !ok || m.ReadOnly {
 			t.Errorf("a look goes on with %+v", s.Msg)
 		}
 	}
@@ -43,14 +43,14 @@
 		next = append(next, Voter{Disk: disk})
 	}
 	begin := func(cur *Value) (*Value, error) {
-		cur.Next, cur.Seat = next, cur.Seat+1
+		cur.Next, cur.Epoch = next, cur.Epoch+1
 		return cur, nil
 	}
 	finish := func(cur *Value) (*Value, error) {
 		if len(cur.Next) == 0 {
 			return nil, nil
 		}
-		cur.Voters, cur.Next, cur.Seat = cur.Next, nil, cur.Seat+1
+		cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
 		return cur, nil
 	}
 	for _, change := range []Change{begin, finish} {
@@ -73,7 +73,7 @@
 		stale.Learn(d.x.voters)
 		rng := NewProposer("r", seed).rng
 		d.only(all...)
-		mark := uint64(0)
+		version := uint64(0)
 		confirmed := ""
 		for range 6 {
 			at := rng.Perm(len(all))
@@ -83,18 +83,18 @@
 			if len(d.x.voters.Next) == 0 {
 				d.move(rng.IntN(3) > 0, all[at[0]], all[at[1]], all[at[2]])
 			}
-			text := fmt.Sprint("t", mark)
-			d.x.Submit(d.now, d.now+patience, 4, take(mark, text), false)
+			text := fmt.Sprint("t", version)
+			d.x.Submit(d.now, d.now+patience, 4, take(version, text), false)
 			if err := d.end(d.x); err != nil {
 				if fateOf(err) != "503 unchanged" && fateOf(err) != "503 unknown" {
 					t.Fatal(err)
 				}
 				break
 			}
-			mark, confirmed = mark+1, text
+			version, confirmed = version+1, text
 			if len(d.x.voters.Next) > 0 {
 				d.x.Submit(d.now, d.now+patience, 5, func(cur *Value) (*Value, error) {
-					cur.Voters, cur.Next, cur.Seat = cur.Next, nil, cur.Seat+1
+					cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
 					return cur, nil
 				}, false)
 				_ = d.end(d.x)
@@ -103,8 +103,8 @@
 		d.only(all...)
 		d.reach[all[rng.IntN(len(all))]] = rng.IntN(2) == 0
 		stale.Submit(d.now, d.now+2*time.Second, 6, nil, false)
-		if err := d.end(stale); err == nil && confirmed != "" && d.last.Value.Mark < mark {
-			t.Fatalf("seed %d: read %q, %q was confirmed", seed, d.last.Value.Body, confirmed)
+		if err := d.end(stale); err == nil && confirmed != "" && d.last.Value.Version < version {
+			t.Fatalf("seed %d: read %q, %q was confirmed", seed, d.last.Value.Document, confirmed)
 		}
 	}
 }
--- a/register/manifest_test.go
+++ b/register/manifest_test.go
@@ -11,7 +11,7 @@
 func TestAcceptorNeverVotesForAManifest(t *testing.T) {
 	a := &Acceptor{State{Disk: "d"}}
 	m := &chunk.Manifest{Size: 9000, Segments: make([]byte, chunk.NameBytes)}
-	for _, v := range []*Value{{Mark: 1, Parts: m}, {Mark: 1, Orders: m}} {
+	for _, v := range []*Value{{Version: 1, DocumentManifest: m}, {Version: 1, LogManifest: m}} {
 		if r, write := a.Accept(Accept{Disk: "d", Ballot: Ballot{N: 1}, Value: v}); r.OK || r.Disk != "" || write || a.Value != nil {
 			t.Errorf("%+v, written: %v", r, write)
 		}
@@ -19,15 +19,15 @@
 }
 
 func TestMemoryOfOrdersComesBack(t *testing.T) {
-	for _, v := range []*Value{{}, {Edits: Changes("edits")}, {Recent: Recent("recent")}, {Edits: make(Changes, 4000), Recent: Recent("recent")}} {
-		back := &Value{Edits: Changes("others"), Recent: Recent("others")}
-		if err := back.SetMemory(v.Memory()); err != nil || !reflect.DeepEqual(back, v) {
+	for _, v := range []*Value{{}, {EditLog: EditLog("edits")}, {OrderLog: OrderLog("recent")}, {EditLog: make(EditLog, 4000), OrderLog: OrderLog("recent")}} {
+		back := &Value{EditLog: EditLog("others"), OrderLog: OrderLog("others")}
+		if err := back.SetOrderLogs(v.OrderLogs()); err != nil || !reflect.DeepEqual(back, v) {
 			t.Errorf("%+v, %v, not %+v", back, err, v)
 		}
 	}
-	var bad *MemoryError
+	var bad *OrderLogError
 	for _, raw := range [][]byte{nil, {200}, {5, 1, 2}} {
-		if err := (&Value{}).SetMemory(raw); !errors.As(err, &bad) {
+		if err := (&Value{}).SetOrderLogs(raw); !errors.As(err, &bad) {
 			t.Errorf("%v: %v", raw, err)
 		}
 	}
--- a/register/orders.go
+++ b/register/orders.go
@@ -29,9 +29,9 @@
 	return f
 }
 
-// Changes is the packed memory of the orders that made the last documents, oldest first: for each the revision that it built on
+// EditLog is the packed memory of the orders that made the last documents, oldest first: for each the revision that it built on
 // (uvarint) and its fingerprint. Revisions rise strictly, so there is at most one entry for a revision.
-type Changes []byte
+type EditLog []byte
 
 // ForgottenError says that an order builds on a revision that is older than the memory of orders: it may have been taken, or not.
 type ForgottenError struct {
@@ -51,7 +51,7 @@
 }
 
 // each calls see with the entries, oldest first, until it returns false.
-func (c Changes) each(see func(base uint64, f Fingerprint) bool) {
+func (c EditLog) each(see func(base uint64, f Fingerprint) bool) {
 	for len(c) > 0 {
 		base, n := binary.Uvarint(c)
 		if n <= 0 || len(c) < n+fingerprintBytes {
@@ -65,7 +65,7 @@
 }
 
 // Len is the number of entries.
-func (c Changes) Len() int {
+func (c EditLog) Len() int {
 	var n int
 	c.each(func(uint64, Fingerprint) bool {
 		n++
@@ -74,8 +74,8 @@
 	return n
 }
 
-// Took tells whether the order with this id made a document on the revision base, as far as that is remembered.
-func (c Changes) Took(base uint64, id string) bool {
+// Contains tells whether the order with this id made a document on the revision base, as far as that is remembered.
+func (c EditLog) Contains(base uint64, id string) bool {
 	f := FingerprintOf(id)
 	var yes bool
 	c.each(func(at uint64, g Fingerprint) bool {
@@ -86,7 +86,7 @@
 }
 
 // Covers tells whether whatever was made on the revision base, and on each later one, is remembered.
-func (c Changes) Covers(base uint64) bool {
+func (c EditLog) Covers(base uint64) bool {
 	var yes bool
 	c.each(func(oldest uint64, _ Fingerprint) bool {
 		yes = oldest <= base
@@ -96,7 +96,7 @@
 }
 
 // with returns the list with one entry more, the oldest one left out when there are too many. It never shares memory with c.
-func (c Changes) with(base uint64, id string) Changes {
+func (c EditLog) with(base uint64, id string) EditLog {
 	rest := c
 	if c.Len() >= KeptOrders {
 		_, n := binary.Uvarint(c)
@@ -107,22 +107,22 @@
 	return append(longer, f[:]...)
 }
 
-// TakeEdit remembers that the order with this id made the present document on the revision base.
-func (v *Value) TakeEdit(base uint64, id string) {
-	v.Edits = v.Edits.with(base, id)
-	v.dropOldOp()
+// LogEdit remembers that the order with this id made the present document on the revision base.
+func (v *Value) LogEdit(base uint64, id string) {
+	v.EditLog = v.EditLog.with(base, id)
+	v.dropLegacyOrder()
 }
 
-// TookEdit tells whether the order with this id, on the revision base, is known to have been taken. Ids that older builds kept count too.
-func (v *Value) TookEdit(base uint64, id string) bool {
-	return v.Edits.Took(base, id) || v.tookBefore(id)
+// AppliedEdit tells whether the order with this id, on the revision base, is known to have been taken. Ids that older builds kept count too.
+func (v *Value) AppliedEdit(base uint64, id string) bool {
+	return v.EditLog.Contains(base, id) || v.appliedBefore(id)
 }
 
 // Refusal is the error for an order on the revision base that is not the current one and isn't known to have been taken: a
 // ConflictError where it can't have been taken, a ForgottenError where that isn't known.
 func (v *Value) Refusal(base, current uint64) error {
-	if base >= current || v.Edits.Covers(base) {
-		return &ConflictError{Mark: current}
+	if base >= current || v.EditLog.Covers(base) {
+		return &ConflictError{Version: current}
 	}
 	return &ForgottenError{Base: base, Current: current}
 }
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -23,7 +23,7 @@
 func TestMemoryOfEditsDecidesByRevision(t *testing.T) {
 	v := &Value{}
 	for i := range uint64(KeptOrders + 10) {
-		v.TakeEdit(3*i, fmt.Sprint(i))
+		v.LogEdit(3*i, fmt.Sprint(i))
 	}
 	current := uint64(3 * (KeptOrders + 10))
 	for _, c := range []struct {
@@ -41,49 +41,49 @@
 		{"another on a forgotten base", 0, "x", false, "503"},
 		{"ahead of the current one", current + 1, "x", false, "412"},
 	} {
-		if took := v.TookEdit(c.base, c.id); took != c.took {
+		if took := v.AppliedEdit(c.base, c.id); took != c.took {
 			t.Errorf("%s: taken %v", c.what, took)
 		}
 		if say := refused(v.Refusal(c.base, current)); !c.took && say != c.say {
 			t.Errorf("%s: %s, not %s", c.what, say, c.say)
 		}
 	}
-	if len(v.Edits) > KeptOrders*(fingerprintBytes+2) {
-		t.Errorf("%d bytes for %d orders", len(v.Edits), KeptOrders)
+	if len(v.EditLog) > KeptOrders*(fingerprintBytes+2) {
+		t.Errorf("%d bytes for %d orders", len(v.EditLog), KeptOrders)
 	}
 }
 
 func TestMemoryOfPutsDecidesByMark(t *testing.T) {
-	v := &Value{Mark: 5}
+	v := &Value{Version: 5}
 	if say := refused(v.PutRefusal(4)); say != "503" {
 		t.Errorf("nothing is remembered, and %s is said", say)
 	}
-	v.TakeScoped("z", "same", false)
-	v.Mark++
-	v.TakePut("a")
-	v.Mark++
-	v.TakeScoped("z", "b", true)
+	v.LogScoped("z", "same", false)
+	v.Version++
+	v.LogPut("a")
+	v.Version++
+	v.LogScoped("z", "b", true)
 	for expect, want := range map[uint64]string{4: "503", 5: "412", 6: "412", 8: "412"} {
 		if say := refused(v.PutRefusal(expect)); say != want {
 			t.Errorf("on %d: %s, not %s", expect, say, want)
 		}
 	}
-	if mark, ok := v.Done("a"); !ok || mark != 6 {
-		t.Errorf("%d %v", mark, ok)
+	if version, ok := v.AppliedAt("a"); !ok || version != 6 {
+		t.Errorf("%d %v", version, ok)
 	}
 }
 
 func TestNewestOrderOfAZone(t *testing.T) {
 	v := &Value{}
-	none := v.Newest("z")
-	v.TakeScoped("y", "1", true)
-	if v.Newest("z") != none {
+	none := v.LatestOrder("z")
+	v.LogScoped("y", "1", true)
+	if v.LatestOrder("z") != none {
 		t.Error("an order on another zone counts")
 	}
-	v.TakeScoped("z", "2", false)
-	second := v.Newest("z")
-	v.TakeScoped("z", "3", false)
-	if second == none || v.Newest("z") == second {
+	v.LogScoped("z", "2", false)
+	second := v.LatestOrder("z")
+	v.LogScoped("z", "3", false)
+	if second == none || v.LatestOrder("z") == second {
 		t.Error("two orders are not told apart")
 	}
 }
@@ -91,17 +91,17 @@
 func TestACloneSharesNothingThatIsWritten(t *testing.T) {
 	v := &Value{}
 	for i := range 5 {
-		v.TakeEdit(uint64(i), "v")
+		v.LogEdit(uint64(i), "v")
 	}
 	a, b := v.Clone(), v.Clone()
-	a.TakeEdit(5, "a")
-	b.TakeEdit(5, "b")
-	a.Note("a")
-	b.Note("b")
-	if !a.TookEdit(5, "a") || !b.TookEdit(5, "b") || a.TookEdit(5, "b") {
+	a.LogEdit(5, "a")
+	b.LogEdit(5, "b")
+	a.LogUnscoped("a")
+	b.LogUnscoped("b")
+	if !a.AppliedEdit(5, "a") || !b.AppliedEdit(5, "b") || a.AppliedEdit(5, "b") {
 		t.Error("clones write over each other")
 	}
-	if _, ok := a.Done("b"); ok {
+	if _, ok := a.AppliedAt("b"); ok {
 		t.Error("clones write over each other")
 	}
 }
@@ -115,7 +115,7 @@
 	Emptied []string
 	Voters  []Voter
 	Next    []Voter
-	Ops     []Op
+	Ops     []encodedLegacyOrder
 }
 
 func carry(t *testing.T, from, to any) {
@@ -130,23 +130,24 @@
 }
 
 func TestValuesOfOlderBuildsAreRead(t *testing.T) {
-	var v Value
-	carry(t, valueBefore{Mark: 9, Body: []byte("x"), Ops: []Op{{ID: "PUT/a", Mark: 8}, {ID: "PUT/b", Mark: 9}}}, &v)
-	if !v.TookEdit(7, "PUT/b") || v.TookEdit(7, "PUT/c") {
+	var read EncodedValue
+	carry(t, valueBefore{Mark: 9, Body: []byte("x"), Ops: []encodedLegacyOrder{{ID: "PUT/a", Mark: 8}, {ID: "PUT/b", Mark: 9}}}, &read)
+	v := read.Decode()
+	if !v.AppliedEdit(7, "PUT/b") || v.AppliedEdit(7, "PUT/c") {
 		t.Error("the ids of an older build are not known")
 	}
 	if say := refused(v.Refusal(6, 8)); say != "503" {
 		t.Errorf("an order before the memory began: %s", say)
 	}
-	v.TakeEdit(8, "PUT/d")
-	if say := refused(v.Refusal(8, 9)); say != "412" || !v.TookEdit(8, "PUT/d") || len(v.Ops) != 1 {
-		t.Errorf("%s, %v", say, v.Ops)
+	v.LogEdit(8, "PUT/d")
+	if say := refused(v.Refusal(8, 9)); say != "412" || !v.AppliedEdit(8, "PUT/d") || len(v.LegacyOrders) != 1 {
+		t.Errorf("%s, %v", say, v.LegacyOrders)
 	}
 	var old valueBefore
-	carry(t, v, &old)
-	var back Value
+	carry(t, EncodeValue(v), &old)
+	var back EncodedValue
 	carry(t, old, &back)
-	if say := refused(back.Refusal(8, 9)); say != "503" {
+	if say := refused(back.Decode().Refusal(8, 9)); say != "503" {
 		t.Errorf("an older build dropped the list, and %s is said", say)
 	}
 }
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ConflictError says that a change builds on another revision (or mark) than the current one, which is Mark. It can't have been taken
+// ConflictError says that a change builds on another revision (or mark) than the current one, which is Version. It can't have been taken
 // and never will be.
-type ConflictError struct{ Mark uint64 }
+type ConflictError struct{ Version uint64 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("mark is %d by now", e.Mark)
+	return fmt.Sprintf("mark is %d by now", e.Version)
 }
 
 // NoQuorumError says that no majority answered in time and that the change was offered to nobody.
@@ -57,14 +57,14 @@
 	change   FencedChange
 	fence    Fence
 	deadline time.Duration
-	exposed  bool
+	proposed bool
 	// offered is the ballot under which a value with the change was last offered.
-	offered Ballot
+	proposedBallot Ballot
 	// first is the value to found the register with, until one is found.
-	first      *Value
-	full       bool
-	urgent     bool
-	readFailed bool
+	bootstrapValue *Value
+	full           bool
+	urgent         bool
+	readFailed     bool
 }
 
 type phase uint8
@@ -76,47 +76,47 @@
 	waiting
 )
 
-// lookRound is the first wait for a look's answers, which cost the voters nothing; it doubles up to Round.
-const lookRound = 80 * time.Millisecond
+// cheapReadTimeout is the first wait for a look's answers, which cost the voters nothing; it doubles up to RoundTimeout.
+const cheapReadTimeout = 80 * time.Millisecond
 
-// Proposer runs the operations of one node, one after another. By must differ between any two lives of any two proposers; Round is how
+// Proposer runs the operations of one node, one after another. By must differ between any two lives of any two proposers; RoundTimeout is how
 // long answers are waited for (0.4 s).
 type Proposer struct {
-	By    string
-	Round time.Duration
-	rng   *rand.Rand
-
-	voters   *Value
-	chosen   *Value
-	queue    []*operation
-	cur      *operation
-	phase    phase
-	ballot   Ballot
-	top      uint64
-	rid      uint64
-	until    time.Duration
-	tries    int
-	look     bool
-	got      map[string]Promise
-	yes      map[string]bool
-	asked    map[string]bool
-	askedAt  time.Duration
-	trip     time.Duration
-	proposed *Value
-	results  []Result
-	sends    []Send
+	By           string
+	RoundTimeout time.Duration
+	rng          *rand.Rand
+
+	voters        *Value
+	chosen        *Value
+	queue         []*operation
+	current       *operation
+	phase         phase
+	ballot        Ballot
+	highestBallot uint64
+	requestID     uint64
+	deadline      time.Duration
+	tries         int
+	cheapRead     bool
+	promises      map[string]Promise
+	acceptedBy    map[string]bool
+	asked         map[string]bool
+	askedAt       time.Duration
+	roundTrip     time.Duration
+	proposed      *Value
+	results       []Result
+	sends         []Send
 }
 
 // NewProposer makes a proposer that knows no voters yet.
 func NewProposer(by string, seed uint64) *Proposer {
-	return &Proposer{By: by, Round: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), rid: firstRid(by), trip: firstTrip}
+	return &Proposer{By: by, RoundTimeout: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), requestID: firstRequestID(by), roundTrip: initialRoundTrip}
 }
 
-// firstRid starts the round ids of each life elsewhere: an answer to the life before, from a voter that was frozen, must match no round.
-func firstRid(by string) uint64 { return xxhash.Sum64String(by) >> ridSpare }
+// firstRequestID starts the round ids of each life elsewhere: an answer to the life before, from a voter that was frozen, must match no round.
+func firstRequestID(by string) uint64 { return xxhash.Sum64String(by) >> droppedHashBits }
 
-// ridSpare are the bits of a hash that a first round id leaves out, so that ids stay short and never wrap around.
-const ridSpare = 16
+// droppedHashBits are the bits of a hash that a first round id leaves out, so that ids stay short and never wrap around.
+const droppedHashBits = 16
 
 // Learn tells of a chosen value, for its voters.
 func (p *Proposer) Learn(v *Value) {
@@ -150,7 +150,7 @@
 // Bootstrap queues the founding of the register with its first value; all voters named there must answer.
 func (p *Proposer) Bootstrap(now, deadline time.Duration, id uint64, first *Value) {
 	change := func(cur *Value) (*Value, error) { return first, nil }
-	p.queue = append(p.queue, &operation{id: id, change: unfenced(change), deadline: deadline, first: first})
+	p.queue = append(p.queue, &operation{id: id, change: unfenced(change), deadline: deadline, bootstrapValue: first})
 	p.voters = first
 	p.next(now)
 }
@@ -165,10 +165,10 @@
 // expired ends the current operation if its deadline has passed. It stands before each step that would go on with it, so that a proposer
 // which was frozen doesn't take up what its caller has left.
 func (p *Proposer) expired(now time.Duration) bool {
-	if now < p.cur.deadline {
+	if now < p.current.deadline {
 		return false
 	}
-	if p.cur.exposed {
+	if p.current.proposed {
 		p.end(now, nil, &OutcomeUnknownError{})
 		return true
 	}
@@ -192,16 +192,16 @@
 
 func (p *Proposer) next(now time.Duration) {
 	p.expireQueue(now)
-	for p.cur == nil && len(p.queue) > 0 {
-		p.cur, p.queue = p.queue[0], p.queue[1:]
+	for p.current == nil && len(p.queue) > 0 {
+		p.current, p.queue = p.queue[0], p.queue[1:]
 		p.tries = 0
 		p.prepare(now)
 	}
 }
 
 func (p *Proposer) end(now time.Duration, v *Value, err error) {
-	p.results = append(p.results, Result{ID: p.cur.id, Value: v, Err: err})
-	p.cur, p.phase = nil, idle
+	p.results = append(p.results, Result{ID: p.current.id, Value: v, Err: err})
+	p.current, p.phase = nil, idle
 	p.next(now)
 }
 
@@ -210,27 +210,27 @@
 		p.end(now, nil, &NotBootstrappedError{})
 		return
 	}
-	p.findRegister()
-	p.rid++
-	p.look = p.cur.change == nil && !p.cur.full && !p.cur.readFailed
-	if !p.look {
-		p.top++
+	p.joinBootstrapped()
+	p.requestID++
+	p.cheapRead = p.current.change == nil && !p.current.full && !p.current.readFailed
+	if !p.cheapRead {
+		p.highestBallot++
 	}
-	p.ballot = Ballot{N: p.top, By: p.By}
-	p.phase, p.until, p.askedAt = preparing, now+p.Round, now
-	if p.look {
-		p.until = now + min(lookRound<<min(p.tries, 8), p.Round)
+	p.ballot = Ballot{N: p.highestBallot, By: p.By}
+	p.phase, p.deadline, p.askedAt = preparing, now+p.RoundTimeout, now
+	if p.cheapRead {
+		p.deadline = now + min(cheapReadTimeout<<min(p.tries, 8), p.RoundTimeout)
 	}
-	p.got, p.yes = map[string]Promise{}, map[string]bool{}
+	p.promises, p.acceptedBy = map[string]Promise{}, map[string]bool{}
 	p.asked = map[string]bool{}
-	p.ask(p.voters.All())
+	p.prepareAt(p.voters.All())
 }
 
-func (p *Proposer) ask(set []Voter) {
+func (p *Proposer) prepareAt(set []Voter) {
 	for _, v := range set {
 		if !p.asked[v.Disk] {
 			p.asked[v.Disk] = true
-			p.sends = append(p.sends, Send{Disk: v.Disk, Msg: Prepare{Rid: p.rid, Disk: v.Disk, Ballot: p.ballot, Look: p.look}})
+			p.sends = append(p.sends, Send{Disk: v.Disk, Msg: Prepare{RequestID: p.requestID, Disk: v.Disk, Ballot: p.ballot, ReadOnly: p.cheapRead}})
 		}
 	}
 }
@@ -238,13 +238,13 @@
 // Tick acts on what is due at now: deadlines, rounds without a majority, and pauses before another try.
 func (p *Proposer) Tick(now time.Duration) {
 	p.expireQueue(now)
-	if p.cur == nil || p.expired(now) || now < p.until {
+	if p.current == nil || p.expired(now) || now < p.deadline {
 		return
 	}
 	switch p.phase {
 	case waiting:
 		p.prepare(now)
 	case preparing, accepting:
-		p.settle(now)
+		p.finishRound(now)
 	}
 }
--- a/register/recent.go
+++ b/register/recent.go
@@ -5,16 +5,16 @@
 	"encoding/binary"
 )
 
-// Recent is the packed memory of the orders that aren't edits of the document, oldest first: changes of the product's own call by
+// OrderLog is the packed memory of the orders that aren't edits of the document, oldest first: changes of the product's own call by
 // marks, evacuations, changes of voters. For each: its scope's hash, twice the mark that it left (plus one if it raised it) and its
 // fingerprint. The list holds KeptOrders entries at most.
-type Recent []byte
+type OrderLog []byte
 
-// A Stamp tells the newest order of a scope from any other. The zero Stamp says that none is remembered.
-type Stamp struct {
-	ID   Fingerprint
-	Mark uint64
-	Some bool
+// An OrderStamp tells the newest order of a scope from any other. The zero OrderStamp says that none is remembered.
+type OrderStamp struct {
+	ID      Fingerprint
+	Version uint64
+	Known   bool
 }
 
 // scopePut holds the product's own changes of the document, scopeOther what has no scope of its own.
@@ -23,12 +23,12 @@
 	scopeOther = ""
 )
 
-type recentOrder struct {
-	scope  [scopeBytes]byte
-	mark   uint64
-	raised bool
-	id     Fingerprint
-	bytes  int
+type loggedOrder struct {
+	scope   [scopeBytes]byte
+	version uint64
+	raised  bool
+	id      Fingerprint
+	bytes   int
 }
 
 func scopeOf(name string) [scopeBytes]byte {
@@ -38,8 +38,8 @@
 	return hash
 }
 
-func (r Recent) first() (recentOrder, bool) {
-	var o recentOrder
+func (r OrderLog) first() (loggedOrder, bool) {
+	var o loggedOrder
 	if len(r) < scopeBytes {
 		return o, false
 	}
@@ -49,13 +49,13 @@
 	if n <= 0 || len(r) < at+fingerprintBytes {
 		return o, false
 	}
-	o.mark, o.raised, o.bytes = packed/2, packed%2 == 1, at+fingerprintBytes
+	o.version, o.raised, o.bytes = packed/2, packed%2 == 1, at+fingerprintBytes
 	copy(o.id[:], r[at:])
 	return o, true
 }
 
-func (r Recent) all() []recentOrder {
-	var list []recentOrder
+func (r OrderLog) all() []loggedOrder {
+	var list []loggedOrder
 	for {
 		o, ok := r.first()
 		if !ok {
@@ -67,63 +67,63 @@
 }
 
 // Len is the number of entries.
-func (r Recent) Len() int { return len(r.all()) }
+func (r OrderLog) Len() int { return len(r.all()) }
 
-func (r Recent) with(scope, id string, mark uint64, raised bool) Recent {
+func (r OrderLog) with(scope, id string, version uint64, raised bool) OrderLog {
 	rest := r
 	if r.Len() >= KeptOrders {
 		oldest, _ := r.first()
 		rest = r[oldest.bytes:]
 	}
 	hash, f := scopeOf(scope), FingerprintOf(id)
-	packed := 2 * mark
+	packed := 2 * version
 	if raised {
 		packed++
 	}
-	var longer Recent
+	var longer OrderLog
 	longer = append(bytes.Clone(rest), hash[:]...)
 	longer = binary.AppendUvarint(longer, packed)
 	return append(longer, f[:]...)
 }
 
-// Done gives the mark that the order with this id left, if it is known to have been taken.
-func (v *Value) Done(id string) (uint64, bool) {
+// AppliedAt gives the mark that the order with this id left, if it is known to have been taken.
+func (v *Value) AppliedAt(id string) (uint64, bool) {
 	f := FingerprintOf(id)
-	for _, o := range v.Recent.all() {
+	for _, o := range v.OrderLog.all() {
 		if o.id == f {
-			return o.mark, true
+			return o.version, true
 		}
 	}
-	for _, o := range v.Ops {
+	for _, o := range v.LegacyOrders {
 		if o.ID == id {
-			return o.Mark, true
+			return o.Version, true
 		}
 	}
 	return 0, false
 }
 
-// Note remembers an order of no scope that raised the mark to its present value.
-func (v *Value) Note(id string) { v.take(scopeOther, id, true) }
+// LogUnscoped remembers an order of no scope that raised the mark to its present value.
+func (v *Value) LogUnscoped(id string) { v.logOrder(scopeOther, id, true) }
 
-// TakePut remembers that the order with this id made the present document, by marks.
-func (v *Value) TakePut(id string) { v.take(scopePut, id, true) }
+// LogPut remembers that the order with this id made the present document, by marks.
+func (v *Value) LogPut(id string) { v.logOrder(scopePut, id, true) }
 
-// TakeScoped remembers an order on a scope, which raised the mark to its present value or left it as it was.
-func (v *Value) TakeScoped(scope, id string, raised bool) { v.take("on "+scope, id, raised) }
+// LogScoped remembers an order on a scope, which raised the mark to its present value or left it as it was.
+func (v *Value) LogScoped(scope, id string, raised bool) { v.logOrder("on "+scope, id, raised) }
 
-func (v *Value) take(scope, id string, raised bool) {
-	v.Recent = v.Recent.with(scope, id, v.Mark, raised)
-	v.Taken++
-	v.dropOldOp()
+func (v *Value) logOrder(scope, id string, raised bool) {
+	v.OrderLog = v.OrderLog.with(scope, id, v.Version, raised)
+	v.AppliedOrders++
+	v.dropLegacyOrder()
 }
 
-// Newest tells the newest order of a scope: another one was taken since if it differs later.
-func (v *Value) Newest(scope string) Stamp {
+// LatestOrder tells the newest order of a scope: another one was taken since if it differs later.
+func (v *Value) LatestOrder(scope string) OrderStamp {
 	hash := scopeOf("on " + scope)
-	var s Stamp
-	for _, o := range v.Recent.all() {
+	var s OrderStamp
+	for _, o := range v.OrderLog.all() {
 		if o.scope == hash {
-			s = Stamp{ID: o.id, Mark: o.mark, Some: true}
+			s = OrderStamp{ID: o.id, Version: o.version, Known: true}
 		}
 	}
 	return s
@@ -131,27 +131,27 @@
 
 // PutRefusal is the error for a change by marks that expects a mark which isn't the current one and isn't known to have been taken.
 func (v *Value) PutRefusal(expect uint64) error {
-	conflict := &ConflictError{Mark: v.Mark}
-	if expect >= v.Mark {
+	conflict := &ConflictError{Version: v.Version}
+	if expect >= v.Version {
 		return conflict
 	}
-	if oldest, ok := v.Recent.first(); ok && oldest.before() <= expect {
+	if oldest, ok := v.OrderLog.first(); ok && oldest.versionBefore() <= expect {
 		return conflict
 	}
-	return &ForgottenError{Base: expect, Current: v.Mark}
+	return &ForgottenError{Base: expect, Current: v.Version}
 }
 
 // before is the mark that was current when the order was taken: all later marks were made by it or by later entries.
-func (o recentOrder) before() uint64 {
+func (o loggedOrder) versionBefore() uint64 {
 	if o.raised {
-		return o.mark - 1
+		return o.version - 1
 	}
-	return o.mark
+	return o.version
 }
 
-// tookBefore looks an order up among the ids that older builds kept.
-func (v *Value) tookBefore(id string) bool {
-	for _, o := range v.Ops {
+// appliedBefore looks an order up among the ids that older builds kept.
+func (v *Value) appliedBefore(id string) bool {
+	for _, o := range v.LegacyOrders {
 		if o.ID == id {
 			return true
 		}
@@ -159,9 +159,9 @@
 	return false
 }
 
-// dropOldOp lets an id that an older build kept go for each order that is taken now.
-func (v *Value) dropOldOp() {
-	if len(v.Ops) > 0 {
-		v.Ops = v.Ops[1:]
+// dropLegacyOrder lets an id that an older build kept go for each order that is taken now.
+func (v *Value) dropLegacyOrder() {
+	if len(v.LegacyOrders) > 0 {
+		v.LegacyOrders = v.LegacyOrders[1:]
 	}
 }
--- a/register/refused_test.go
+++ b/register/refused_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("the order on what was never chosen: %s", got)
 	}
 	d.only("a", "b")
-	if err := d.until(z, nil); err != nil || d.last.Value.Mark != 0 {
-		t.Errorf("%v: revision %d is read, which a refused order made", err, d.last.Value.Mark)
+	if err := d.until(z, nil); err != nil || d.last.Value.Version != 0 {
+		t.Errorf("%v: revision %d is read, which a refused order made", err, d.last.Value.Version)
 	}
 }
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -96,14 +96,14 @@
 	l.gone = l.gone || errors.As(r.Err, &gone)
 	switch {
 	case errors.As(r.Err, &c):
-		o.Output = result{conflict: true, mark: c.Mark}
+		o.Output = result{conflict: true, mark: c.Version}
 	case r.Err != nil:
 		o.Output, o.Return = result{unknown: true}, int64(time.Hour)
 	case o.Input.(op).put:
-		mark, _ := r.Value.Done(o.Input.(op).body)
-		o.Output = result{mark: mark}
+		version, _ := r.Value.AppliedAt(o.Input.(op).body)
+		o.Output = result{mark: version}
 	default:
-		o.Output = result{mark: r.Value.Mark, body: string(r.Value.Body)}
+		o.Output = result{mark: r.Value.Version, body: string(r.Value.Document)}
 	}
 }
 
@@ -160,15 +160,15 @@
 	var change Change
 	if put {
 		change = func(cur *Value) (*Value, error) {
-			if _, done := cur.Done(o.body); done {
+			if _, done := cur.AppliedAt(o.body); done {
 				return nil, nil
 			}
-			if cur.Mark != o.expect {
-				return nil, &ConflictError{Mark: cur.Mark}
+			if cur.Version != o.expect {
+				return nil, &ConflictError{Version: cur.Version}
 			}
-			cur.Mark++
-			cur.Body = []byte(o.body)
-			cur.Note(o.body)
+			cur.Version++
+			cur.Document = []byte(o.body)
+			cur.LogUnscoped(o.body)
 			return cur, nil
 		}
 	}
@@ -186,14 +186,14 @@
 		if len(cur.Next) > 0 {
 			return nil, nil
 		}
-		cur.Next, cur.Seat = next, cur.Seat+1
+		cur.Next, cur.Epoch = next, cur.Epoch+1
 		return cur, nil
 	}, false)
 	p.Submit(l.now, l.now+2*time.Second, l.id, func(cur *Value) (*Value, error) {
 		if len(cur.Next) == 0 {
 			return nil, nil
 		}
-		cur.Voters, cur.Next, cur.Seat = cur.Next, nil, cur.Seat+1
+		cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
 		return cur, nil
 	}, false)
 }
@@ -211,7 +211,7 @@
 		l.pump(40+l.rng.IntN(160), 0.1)
 		for _, a := range l.disks {
 			if a.Value != nil {
-				accepted = max(accepted, int(a.Value.Mark))
+				accepted = max(accepted, int(a.Value.Version))
 			}
 		}
 	}
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -6,43 +6,43 @@
 
 // OnPromise takes the answer to a Prepare.
 func (p *Proposer) OnPromise(now time.Duration, r Promise) {
-	if p.cur == nil || p.phase != preparing || r.Rid != p.rid {
-		p.top = max(p.top, r.Promised.N)
+	if p.current == nil || p.phase != preparing || r.RequestID != p.requestID {
+		p.highestBallot = max(p.highestBallot, r.Promised.N)
 		return
 	}
-	p.top = max(p.top, r.Promised.N)
+	p.highestBallot = max(p.highestBallot, r.Promised.N)
 	if p.expired(now) {
 		return
 	}
 	if !r.OK {
-		p.outbid(now)
+		p.preempted(now)
 		return
 	}
-	p.got[r.Disk] = r
-	if p.cur.first != nil {
+	p.promises[r.Disk] = r
+	if p.current.bootstrapValue != nil {
 		p.bootstrapped(now)
 		return
 	}
-	if best := p.best(); best != nil {
+	if best := p.baseValue(); best != nil {
 		p.voters = best
-		p.ask(best.All())
+		p.prepareAt(best.All())
 	}
-	if len(p.got) == len(p.asked) || (!p.cur.full && p.hasQuorum()) {
-		p.settle(now)
+	if len(p.promises) == len(p.asked) || (!p.current.full && p.hasQuorum()) {
+		p.finishRound(now)
 		return
 	}
 	if p.hasQuorum() {
-		p.until = min(p.until, now+stragglerWait)
+		p.deadline = min(p.deadline, now+stragglerWait)
 	}
 }
 
 func (p *Proposer) hasQuorum() bool {
-	return Quorum(p.voters, func(d string) bool { _, ok := p.got[d]; return ok })
+	return Quorum(p.voters, func(d string) bool { _, ok := p.promises[d]; return ok })
 }
 
 // best is the value to build on: the one with the highest ballot, or the newest that is known to be chosen if that is newer still.
-func (p *Proposer) best() *Value {
-	v := p.bestAnswer()
+func (p *Proposer) baseValue() *Value {
+	v := p.highestAccepted()
 	if p.knowsNewer(v) {
 		return p.chosen
 	}
@@ -54,10 +54,10 @@
 	return p.chosen.Newer(v) && (v == nil || v.Fleet == p.chosen.Fleet)
 }
 
-func (p *Proposer) bestAnswer() *Value {
+func (p *Proposer) highestAccepted() *Value {
 	var top Ballot
 	var v *Value
-	for _, r := range p.got {
+	for _, r := range p.promises {
 		if r.Value != nil && (v == nil || top.Less(r.Accepted)) {
 			v, top = r.Value, r.Accepted
 		}
@@ -68,54 +68,54 @@
 // bootstrapped goes on with a founding. Whatever a disk holds was accepted under a register that is there already, this one after an
 // earlier try or another: it is finished like any change, never offered over.
 func (p *Proposer) bootstrapped(now time.Duration) {
-	first := p.cur.first
-	if best := p.best(); best != nil {
+	first := p.current.bootstrapValue
+	if best := p.baseValue(); best != nil {
 		p.voters = best
 	}
 	if p.voters != first {
 		p.prepare(now)
 		return
 	}
-	if len(p.got) == len(first.All()) {
+	if len(p.promises) == len(first.All()) {
 		p.proposeValue(now, first, true)
 	}
 }
 
-// findRegister turns a founding into a look for its own register, once any is known.
-func (p *Proposer) findRegister() {
-	first := p.cur.first
+// joinBootstrapped turns a founding into a look for its own register, once any is known.
+func (p *Proposer) joinBootstrapped() {
+	first := p.current.bootstrapValue
 	if first == nil || p.voters == first {
 		return
 	}
-	p.cur.first, p.cur.change = nil, unfenced(founded(first.Fleet))
+	p.current.bootstrapValue, p.current.change = nil, unfenced(confirmBootstrap(first.Fleet))
 }
 
 // founded is a founding that finds a register: done where it is its own.
-func founded(fleet string) Change {
+func confirmBootstrap(fleet string) Change {
 	return func(cur *Value) (*Value, error) {
 		if cur.Fleet == fleet {
 			return nil, nil
 		}
-		return nil, &ConflictError{Mark: cur.Mark}
+		return nil, &ConflictError{Version: cur.Version}
 	}
 }
 
-func (p *Proposer) read(now time.Duration) {
-	p.measure(now)
-	base := p.best()
+func (p *Proposer) onQuorum(now time.Duration) {
+	p.measureRoundTrip(now)
+	base := p.baseValue()
 	if base == nil {
 		p.end(now, nil, &NotBootstrappedError{})
 		return
 	}
-	if p.look && !p.agreed() {
-		p.cur.readFailed = true
+	if p.cheapRead && !p.chosenByMajority() {
+		p.current.readFailed = true
 		p.prepare(now)
 		return
 	}
 	next := base
-	if p.cur.change != nil {
-		changed, err := p.cur.change(base.Clone(), &p.cur.fence)
-		if err != nil && p.settled() {
+	if p.current.change != nil {
+		changed, err := p.current.change(base.Clone(), &p.current.fence)
+		if err != nil && p.decided() {
 			p.end(now, base, err)
 			return
 		}
@@ -123,7 +123,7 @@
 			next = changed
 		}
 	}
-	if next == base && p.settled() && (!p.cur.full || p.acceptedEverywhere()) {
+	if next == base && p.decided() && (!p.current.full || p.acceptedEverywhere()) {
 		p.end(now, base, nil)
 		return
 	}
@@ -132,25 +132,25 @@
 
 // settled says that what was read is chosen, and that nothing which the operation itself offered can still be: it was offered under no
 // higher ballot. Otherwise a disk that holds the offer may have it proposed again, after the operation was refused.
-func (p *Proposer) settled() bool {
-	return p.agreed() && !p.topAccepted().Less(p.cur.offered)
+func (p *Proposer) decided() bool {
+	return p.chosenByMajority() && !p.highestAcceptedBallot().Less(p.current.proposedBallot)
 }
 
 // agreed says that a majority answered with one value, which is then chosen, and that nothing newer is known.
-func (p *Proposer) agreed() bool {
-	if p.knowsNewer(p.bestAnswer()) {
+func (p *Proposer) chosenByMajority() bool {
+	if p.knowsNewer(p.highestAccepted()) {
 		return false
 	}
-	top := p.topAccepted()
+	top := p.highestAcceptedBallot()
 	return Quorum(p.voters, func(d string) bool {
-		r, ok := p.got[d]
+		r, ok := p.promises[d]
 		return ok && r.Accepted == top
 	})
 }
 
-func (p *Proposer) topAccepted() Ballot {
+func (p *Proposer) highestAcceptedBallot() Ballot {
 	var top Ballot
-	for _, r := range p.got {
+	for _, r := range p.promises {
 		if r.Value != nil && top.Less(r.Accepted) {
 			top = r.Accepted
 		}
@@ -159,9 +159,9 @@
 }
 
 func (p *Proposer) acceptedEverywhere() bool {
-	top := p.topAccepted()
+	top := p.highestAcceptedBallot()
 	for _, v := range p.voters.All() {
-		if r, ok := p.got[v.Disk]; !ok || r.Accepted != top {
+		if r, ok := p.promises[v.Disk]; !ok || r.Accepted != top {
 			return false
 		}
 	}
@@ -169,11 +169,11 @@
 }
 
 func (p *Proposer) proposeValue(now time.Duration, v *Value, changed bool) {
-	p.rid++
-	p.phase, p.until, p.proposed = accepting, now+p.Round, v
-	p.yes = map[string]bool{}
+	p.requestID++
+	p.phase, p.deadline, p.proposed = accepting, now+p.RoundTimeout, v
+	p.acceptedBy = map[string]bool{}
 	if changed {
-		p.cur.exposed, p.cur.offered = true, p.ballot
+		p.current.proposed, p.current.proposedBallot = true, p.ballot
 	}
 	to := p.voters.All()
 	for _, s := range v.All() {
@@ -182,7 +182,7 @@
 		}
 	}
 	for _, s := range to {
-		p.sends = append(p.sends, Send{Disk: s.Disk, Msg: Accept{Rid: p.rid, Disk: s.Disk, Ballot: p.ballot, Value: v}})
+		p.sends = append(p.sends, Send{Disk: s.Disk, Msg: Accept{RequestID: p.requestID, Disk: s.Disk, Ballot: p.ballot, Value: v}})
 	}
 }
 
@@ -197,8 +197,8 @@
 
 // OnAccepted takes the answer to an Accept. A majority that accepted has chosen the value, also after the deadline.
 func (p *Proposer) OnAccepted(now time.Duration, r Accepted) {
-	p.top = max(p.top, r.Promised.N)
-	if p.cur == nil || p.phase != accepting || r.Rid != p.rid {
+	p.highestBallot = max(p.highestBallot, r.Promised.N)
+	if p.current == nil || p.phase != accepting || r.RequestID != p.requestID {
 		return
 	}
 	if !r.OK {
@@ -207,25 +207,25 @@
 		}
 		return
 	}
-	p.yes[r.Disk] = true
-	if !Quorum(p.voters, func(d string) bool { return p.yes[d] }) {
+	p.acceptedBy[r.Disk] = true
+	if !Quorum(p.voters, func(d string) bool { return p.acceptedBy[d] }) {
 		return
 	}
 	p.voters = p.proposed
-	p.end(now, p.proposed, p.verdict())
+	p.end(now, p.proposed, p.changeResult())
 }
 
-func (p *Proposer) verdict() error {
-	if p.cur.change == nil {
+func (p *Proposer) changeResult() error {
+	if p.current.change == nil {
 		return nil
 	}
-	_, err := p.cur.change(p.proposed.Clone(), &p.cur.fence)
+	_, err := p.current.change(p.proposed.Clone(), &p.current.fence)
 	return err
 }
 
-func (p *Proposer) settle(now time.Duration) {
-	if p.phase == preparing && p.cur.first == nil && p.hasQuorum() {
-		p.read(now)
+func (p *Proposer) finishRound(now time.Duration) {
+	if p.phase == preparing && p.current.bootstrapValue == nil && p.hasQuorum() {
+		p.onQuorum(now)
 		return
 	}
 	p.retry(now)
--- a/register/starve_test.go
+++ b/register/starve_test.go
@@ -66,7 +66,7 @@
 			last := r.last
 			if err := r.until(r.y, func(cur *Value) (*Value, error) {
 				body++
-				cur.Mark++
+				cur.Version++
 				return cur, nil
 			}); err != nil {
 				t.Fatal(err)
@@ -78,7 +78,7 @@
 		}
 		from := r.now
 		r.x.Submit(r.now, r.now+4*time.Second, 7, func(cur *Value) (*Value, error) {
-			cur.Seat++
+			cur.Epoch++
 			return cur, nil
 		}, false)
 		r.last = Result{}
--- a/register/value.go
+++ b/register/value.go
@@ -23,48 +23,48 @@
 	Name string `json:"name"`
 }
 
-// Op is an order that builds before the packed lists kept whole; it is only read.
-type Op struct {
-	ID   string
-	Mark uint64
+// LegacyOrder is an order that builds before the packed lists kept whole; it is only read.
+type LegacyOrder struct {
+	ID      string
+	Version uint64
 }
 
 // Value is what the register holds. It is never changed in place: a Change works on a Clone.
 type Value struct {
 	// Fleet names the register since it was founded.
 	Fleet string
-	// Mark rises with each change of the document or of the evacuated zones, Seat with each change of voters.
-	Mark uint64
-	Seat uint64
-	// Body is the operators' document as it was sent, Emptied the evacuated zones.
-	Body    []byte
-	Emptied []string
+	// Version rises with each change of the document or of the evacuated zones, Epoch with each change of voters.
+	Version uint64
+	Epoch   uint64
+	// Document is the operators' document as it was sent, EvacuatedZones the evacuated zones.
+	Document       []byte
+	EvacuatedZones []string
 	// Voters are the disks that vote. Next, unless empty, is the set that follows: until it has, majorities of both are needed.
 	Voters []Voter
 	Next   []Voter
-	// Ops is the memory of orders of older builds: kept while there is nothing better.
-	Ops []Op
-	// Edits and Recent are the memory of orders that were taken.
-	Edits  Changes
-	Recent Recent
-	// Taken counts the entries ever made in Recent.
-	Taken uint64
-	// Parts stands for Body in messages where that is large: one of the two is there. No state machine sees it.
-	Parts *chunk.Manifest
-	// Orders stands for Edits and Recent in the same way.
-	Orders *chunk.Manifest
+	// LegacyOrders is the memory of orders of older builds: kept while there is nothing better.
+	LegacyOrders []LegacyOrder
+	// EditLog and OrderLog are the memory of orders that were taken.
+	EditLog  EditLog
+	OrderLog OrderLog
+	// AppliedOrders counts the entries ever made in OrderLog.
+	AppliedOrders uint64
+	// DocumentManifest stands for Document in messages where that is large: one of the two is there. No state machine sees it.
+	DocumentManifest *chunk.Manifest
+	// LogManifest stands for EditLog and OrderLog in the same way.
+	LogManifest *chunk.Manifest
 }
 
-// Clone copies a value so that a Change may alter it. Body, Edits and Recent are shared: they are replaced, never written to.
+// Clone copies a value so that a Change may alter it. Document, EditLog and OrderLog are shared: they are replaced, never written to.
 func (v *Value) Clone() *Value {
 	c := &Value{}
 	*c = *v
-	c.Emptied, c.Voters, c.Next, c.Ops = slices.Clone(v.Emptied), slices.Clone(v.Voters), slices.Clone(v.Next), slices.Clone(v.Ops)
+	c.EvacuatedZones, c.Voters, c.Next, c.LegacyOrders = slices.Clone(v.EvacuatedZones), slices.Clone(v.Voters), slices.Clone(v.Next), slices.Clone(v.LegacyOrders)
 	return c
 }
 
 // Size is the number of bytes of the document.
-func (v *Value) Size() int { return len(v.Body) }
+func (v *Value) Size() int { return len(v.Document) }
 
 // All lists the voters and the next ones, each once.
 func (v *Value) All() []Voter {
@@ -82,7 +82,7 @@
 	if v == nil || o == nil {
 		return v != nil
 	}
-	return v.Mark > o.Mark || (v.Mark == o.Mark && v.Seat > o.Seat)
+	return v.Version > o.Version || (v.Version == o.Version && v.Epoch > o.Epoch)
 }
 
 func sameVoters(a, b []Voter) bool {
--- a/register/voters_test.go
+++ b/register/voters_test.go
@@ -38,17 +38,17 @@
 }
 
 func TestPutAgainWithTheSameIdIsSafe(t *testing.T) {
-	v := &Value{Mark: 4}
-	v.Note("a")
-	if _, ok := v.Done("a"); !ok {
+	v := &Value{Version: 4}
+	v.LogUnscoped("a")
+	if _, ok := v.AppliedAt("a"); !ok {
 		t.Error("a taken change is forgotten")
 	}
 	for i := range 2 * KeptOrders {
-		v.Note(fmt.Sprint(i))
-		v.TakeEdit(uint64(i), fmt.Sprint(i))
+		v.LogUnscoped(fmt.Sprint(i))
+		v.LogEdit(uint64(i), fmt.Sprint(i))
 	}
-	if v.Recent.Len() != KeptOrders || v.Edits.Len() != KeptOrders {
-		t.Errorf("%d orders and %d edits are kept", v.Recent.Len(), v.Edits.Len())
+	if v.OrderLog.Len() != KeptOrders || v.EditLog.Len() != KeptOrders {
+		t.Errorf("%d orders and %d edits are kept", v.OrderLog.Len(), v.EditLog.Len())
 	}
 }
 
--- a/replicalist.go
+++ b/replicalist.go
@@ -40,10 +40,10 @@
 }
 
 // unlistDiscovered empties the services that have their replicas from the list, and gives them by name.
-func (r *Router) unlistDiscovered() map[string]*config.Offer {
-	discovered := map[string]*config.Offer{}
-	for i := range r.snapshot.Charter.Offers {
-		o := &r.snapshot.Charter.Offers[i]
+func (r *Router) unlistDiscovered() map[string]*config.Service {
+	discovered := map[string]*config.Service{}
+	for i := range r.snapshot.Config.Services {
+		o := &r.snapshot.Config.Services[i]
 		if !o.Discovered {
 			continue
 		}
@@ -70,7 +70,7 @@
 }
 
 // applyInstance lists an instance. One that is new, back, or listed otherwise than before counts as up until it is found not to be.
-func (r *Router) applyInstance(now time.Duration, listed Instance, o *config.Offer) {
+func (r *Router) applyInstance(now time.Duration, listed Instance, o *config.Service) {
 	id, known := r.replicaIDs[listed.ID]
 	if known && !r.replicas[id].discovered {
 		return
@@ -138,9 +138,9 @@
 
 // coldTime is how long a service's replicas stay cold.
 func (r *Router) coldTime(service int) time.Duration {
-	for i := range r.snapshot.Charter.Offers {
-		if o := &r.snapshot.Charter.Offers[i]; o.Name == r.scheduler.Services[service].Name {
-			return o.ColdFor
+	for i := range r.snapshot.Config.Services {
+		if o := &r.snapshot.Config.Services[i]; o.Name == r.scheduler.Services[service].Name {
+			return o.WarmupTime
 		}
 	}
 	return 0
--- a/route.go
+++ b/route.go
@@ -15,12 +15,12 @@
 // applyRoutes makes each route a class of every service that it may go to.
 func (r *Router) applyRoutes(p *config.Snapshot, used map[scheduler.ClassID]bool) {
 	r.routesByHost = map[string][]*config.Route{}
-	for i := range p.Charter.Routes {
-		route := &p.Charter.Routes[i]
+	for i := range p.Config.Routes {
+		route := &p.Config.Routes[i]
 		host := hostOnly(route.Host)
 		r.routesByHost[host] = append(r.routesByHost[host], route)
-		for _, part := range route.Split {
-			service, ok := r.services[part.Offer]
+		for _, part := range route.TrafficSplit {
+			service, ok := r.services[part.Service]
 			if !ok {
 				continue
 			}
@@ -35,8 +35,8 @@
 
 func routeClass(route *config.Route) scheduler.Class {
 	return scheduler.Class{
-		Value: 1, Urgency: math.Pow(2, -float64(route.Rank)), FirstTokenBound: orElse(route.FirstToken, route.Timeout),
-		Repeatable: route.Repeatable || route.Resumable, Resumable: route.Resumable, Attempts: max(route.Attempts, 1), Timeout: route.Timeout,
+		Value: 1, Urgency: math.Pow(2, -float64(route.Priority)), FirstTokenBound: orElse(route.FirstToken, route.Timeout),
+		Repeatable: route.Repeatable || route.Resumable, Resumable: route.Resumable, Attempts: max(route.MaxAttempts, 1), Timeout: route.Timeout,
 	}
 }
 
@@ -87,16 +87,16 @@
 // pickService splits requests over services by weight and the hash of their ids.
 func pickService(route *config.Route, request string) string {
 	total := 0.0
-	for _, part := range route.Split {
+	for _, part := range route.TrafficSplit {
 		total += part.Weight
 	}
 	point := float64(xxhash.Sum64String(route.Name+"\x00"+request)>>11) / (1 << 53) * total
 	var service string
-	for _, part := range route.Split {
+	for _, part := range route.TrafficSplit {
 		if part.Weight <= 0 {
 			continue
 		}
-		service = part.Offer
+		service = part.Service
 		if point -= part.Weight; point < 0 {
 			break
 		}
--- a/route_test.go
+++ b/route_test.go
@@ -10,24 +10,26 @@
 )
 
 func routes(mark uint64, rs ...config.Route) *config.Snapshot {
-	p := &config.Snapshot{Mark: mark}
+	p := &config.Snapshot{Version: mark}
 	for _, name := range []string{"a", "b"} {
-		p.Charter.Offers = append(p.Charter.Offers, config.Offer{
-			Name: name, Model: "m", Discovered: true, Queues: true, MaxConns: 100, ColdRate: 20, ColdFor: 3 * time.Second, KeepTokens: 10000,
-			SecondShare: 0.2, SecondPlus: 4, Stride: 6,
+		p.Config.Services = append(p.Config.Services, config.Service{
+			Name: name, Model: "m", Discovered: true, Queues: true, MaxConns: 100, WarmupRate: 20, WarmupTime: 3 * time.Second, KeepTokens: 10000,
+			RetryRatio: 0.2, RetryExtra: 4, Stride: 6,
 		})
 	}
-	p.Charter.Routes = rs
+	p.Config.Routes = rs
 	return p
 }
 
-func route(name, prefix string, split ...config.WeightedOffer) config.Route {
+func route(name, prefix string, split ...config.WeightedService) config.Route {
 	return config.Route{
-		Name: name, Host: "H.example", Prefix: prefix, Split: split, Timeout: 3 * time.Second, FirstToken: 800 * time.Millisecond, Attempts: 2,
+		Name: name, Host: "H.example", Prefix: prefix, TrafficSplit: split, Timeout: 3 * time.Second, FirstToken: 800 * time.Millisecond, MaxAttempts: 2,
 	}
 }
 
-func all(offer string) config.WeightedOffer { return config.WeightedOffer{Offer: offer, Weight: 1} }
+func all(offer string) config.WeightedService {
+	return config.WeightedService{Service: offer, Weight: 1}
+}
 
 func row(id, offer string) mallowbridge.Instance {
 	return mallowbridge.Instance{ID: id, Offer: offer, Addr: "10.0.0.1:1", Domain: "a", Model: "m", Weights: "1", Room: 8}
@@ -59,7 +61,7 @@
 	p := routes(1, route("short", "/a/", all("a")), route("long", "/a/b/", all("b")))
 	r := routed(p, row("i1", "a"), row("i2", "b"))
 	d := one(t, get(r, settled, "q1", "/a/b/c"), mallowbridge.Place)
-	if d.Instance != "i2" || d.Route != &p.Charter.Routes[1] || d.Until != settled+3*time.Second || d.Conns != 80 {
+	if d.Instance != "i2" || d.Route != &p.Config.Routes[1] || d.Until != settled+3*time.Second || d.Conns != 80 {
 		t.Errorf("%+v", d)
 	}
 	if d = one(t, get(r, settled, "q2", "/a/c"), mallowbridge.Place); d.Instance != "i1" {
@@ -75,7 +77,7 @@
 func TestSplitsFollowTheirWeights(t *testing.T) {
 	big, rows := 0, []mallowbridge.Instance{row("i1", "a"), row("i2", "b")}
 	rows[0].Room, rows[1].Room = 4000, 4000
-	r := routed(routes(1, route("k", "/", config.WeightedOffer{Offer: "a", Weight: 90}, config.WeightedOffer{Offer: "b", Weight: 10})), rows...)
+	r := routed(routes(1, route("k", "/", config.WeightedService{Service: "a", Weight: 90}, config.WeightedService{Service: "b", Weight: 10})), rows...)
 	for i := range 2000 {
 		if one(t, get(r, settled, fmt.Sprint(i), "/x"), mallowbridge.Place).Instance == "i1" {
 			big++
@@ -167,7 +169,7 @@
 
 func TestADomainTakenBackIsCold(t *testing.T) {
 	p := routes(1, route("k", "/", all("a")))
-	p.Emptied = []string{"a"}
+	p.EvacuatedZones = []string{"a"}
 	r := routed(p, row("i", "a"))
 	if ds := get(r, settled, "q0", "/x"); len(ds) > 0 {
 		t.Fatalf("placed in an emptied domain: %+v", ds)
--- a/router.go
+++ b/router.go
@@ -92,7 +92,7 @@
 	if r.snapshot == nil {
 		return 0
 	}
-	return r.snapshot.Mark
+	return r.snapshot.Version
 }
 
 // Counters are the scheduler's.
--- a/router_test.go
+++ b/router_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Mark: mark, Charter: c, Emptied: emptied}})
+	r.Step(0, mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: mark, Config: c, EvacuatedZones: emptied}})
 }
 
 func replica(name, role, domain string, port int) string {
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -121,19 +121,19 @@
 
 func (a *Audit) accepted(n *Node, v *register.Value) {
 	a.same(v)
-	if v.Mark > a.high {
-		a.high = v.Mark
-		a.marks = append(a.marks, fact{at: a.w.now, mark: v.Mark, domain: n.Domain})
-		a.w.Say("accepted mark %d", v.Mark)
+	if v.Version > a.high {
+		a.high = v.Version
+		a.marks = append(a.marks, fact{at: a.w.now, mark: v.Version, domain: n.Domain})
+		a.w.Say("accepted mark %d", v.Version)
 	}
 }
 
 func (a *Audit) same(v *register.Value) {
-	text := string(v.Body) + fmt.Sprint(v.Emptied)
-	if old, ok := a.bodies[v.Mark]; ok && old != text {
-		a.breach(TwoValues, fmt.Sprint(v.Mark), "")
+	text := string(v.Document) + fmt.Sprint(v.EvacuatedZones)
+	if old, ok := a.bodies[v.Version]; ok && old != text {
+		a.breach(TwoValues, fmt.Sprint(v.Version), "")
 	}
-	a.bodies[v.Mark] = text
+	a.bodies[v.Version] = text
 }
 
 func (a *Audit) emptied(n *Node, domain string, yes bool) {
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -21,7 +21,7 @@
 	if n.build <= transport.Build || n.w.now/time.Second == (n.w.now-tickEvery)/time.Second {
 		return
 	}
-	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Mark: gossip.Version{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
+	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Version: gossip.Version{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
 }
 
 // foreign tells whether this node's build would fail to read the message, or to make sense of it.
@@ -55,7 +55,7 @@
 // manifestsBuild is the first build that reads manifests of documents.
 const manifestsBuild = 3
 
-func manifest(v *register.Value) bool { return v != nil && !v.Whole() }
+func manifest(v *register.Value) bool { return v != nil && !v.Complete() }
 
 func unknown(kind any, build uint32) bool {
 	later, is := kind.(interface{ Since() uint32 })
--- a/sim/calls.go
+++ b/sim/calls.go
@@ -30,7 +30,7 @@
 // Put puts a configuration at a node and has it audited.
 func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
 	w.asks++
-	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), Expect: expect, Body: body}
+	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), Expect: expect, Document: body}
 	c := w.Audit.offered(expect, body)
 	w.Call(n, op, func(a control.Answer) {
 		c.answered(a)
@@ -44,7 +44,7 @@
 // Evacuate empties a zone at a node, or takes that back, and has it audited.
 func (w *World) Evacuate(n *Node, domain string, restore bool, done func(a control.Answer)) {
 	w.asks++
-	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Domain: domain, Restore: restore}, func(a control.Answer) {
+	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Zone: domain, Restore: restore}, func(a control.Answer) {
 		if a.Err == nil {
 			w.Audit.accepted(n, a.Value)
 			w.Audit.emptied(n, domain, !restore)
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -28,11 +28,11 @@
 			}
 		case rng.IntN(3) == 0:
 			other := spec.Offers[rng.IntN(len(spec.Offers))].Name
-			r.Split = []config.WeightedOffer{{Offer: other, Weight: 1}}
+			r.TrafficSplit = []config.WeightedService{{Service: other, Weight: 1}}
 		case rng.IntN(4) == 0:
-			r.Split = nil
+			r.TrafficSplit = nil
 			for _, x := range spec.Offers {
-				r.Split = append(r.Split, config.WeightedOffer{Offer: x.Name, Weight: float64(1 + rng.IntN(9))})
+				r.TrafficSplit = append(r.TrafficSplit, config.WeightedService{Service: x.Name, Weight: float64(1 + rng.IntN(9))})
 			}
 		}
 	}
@@ -90,8 +90,12 @@
 		return
 	}
 	flaws := []func(c *config.Config){
-		func(c *config.Config) { c.Routes[0].Split = []config.WeightedOffer{{Offer: "nobody", Weight: 1}} },
-		func(c *config.Config) { c.Routes[1].Split = []config.WeightedOffer{{Offer: o.s.spec.Offers[0].Name}} },
+		func(c *config.Config) {
+			c.Routes[0].TrafficSplit = []config.WeightedService{{Service: "nobody", Weight: 1}}
+		},
+		func(c *config.Config) {
+			c.Routes[1].TrafficSplit = []config.WeightedService{{Service: o.s.spec.Offers[0].Name}}
+		},
 		func(c *config.Config) { c.Routes[2].Timeout = 0 },
 		func(c *config.Config) { c.Routes[0].Prefix = c.Routes[1].Prefix },
 		func(c *config.Config) { c.Revision = base.revision },
@@ -115,7 +119,7 @@
 			continue
 		}
 		a, b := was.route(path), is.route(path)
-		if a == nil || b == nil || !slices.Equal(a.Split, b.Split) {
+		if a == nil || b == nil || !slices.Equal(a.TrafficSplit, b.TrafficSplit) {
 			paths = append(paths, path)
 		}
 	}
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -24,8 +24,8 @@
 		panic(err)
 	}
 	c := &content{mark: expect + 1, kinds: map[string]bool{}, reps: map[string]config.Replica{}}
-	for _, o := range ch.Offers {
-		for _, k := range o.Kinds {
+	for _, o := range ch.Services {
+		for _, k := range o.Classes {
 			c.kinds[o.Name+"/"+k.Name] = k.Repeatable
 		}
 		for _, r := range o.Replicas {
@@ -71,7 +71,7 @@
 		}
 		listed = true
 		repeatable = repeatable || again
-		empty, emptied := a.emptyAt[rep.Domain]
+		empty, emptied := a.emptyAt[rep.Zone]
 		kept = kept || !emptied || !a.late(f.n, empty, emptyWithin)
 	}
 	switch {
--- a/sim/document.go
+++ b/sim/document.go
@@ -15,7 +15,7 @@
 // A site's operators write a charter.Charter as JSON: routes, offers whose replicas are discovered, limits and a revision.
 
 func flawed(path, val, bound string) error {
-	return trace.Wrap(&config.InvalidError{Flaws: []config.Flaw{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}})
 }
 
 // readDocument is the charter.Reader of a site.
@@ -28,15 +28,15 @@
 		return config.Config{}, flawed("$.Revision", "0", "above 0")
 	}
 	offers := map[string]bool{}
-	for _, o := range c.Offers {
+	for _, o := range c.Services {
 		offers[o.Name] = true
 	}
 	places := map[string]bool{}
 	for i, r := range c.Routes {
 		at, sum := fmt.Sprintf("$.Routes[%d]", i), 0.0
-		for _, s := range r.Split {
-			if !offers[s.Offer] {
-				return config.Config{}, flawed(at+".Split", s.Offer, "a known offer")
+		for _, s := range r.TrafficSplit {
+			if !offers[s.Service] {
+				return config.Config{}, flawed(at+".Split", s.Service, "a known offer")
 			}
 			sum += s.Weight
 		}
@@ -71,15 +71,15 @@
 	var c config.Config
 	c.Revision = 1
 	for _, o := range s.Offers {
-		c.Offers = append(c.Offers, config.Offer{
-			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, ColdRate: o.ColdRate, ColdFor: o.ColdFor,
-			KeepTokens: o.Memory, Stride: o.Stride, SecondShare: retryShare, SecondPlus: s.Bounds.RetryExtra * 3 / 4, StaleCap: guessMost,
+		c.Services = append(c.Services, config.Service{
+			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.ColdRate, WarmupTime: o.ColdFor,
+			KeepTokens: o.Memory, Stride: o.Stride, RetryRatio: retryShare, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: guessMost,
 		})
 	}
 	for _, t := range s.Classes {
 		c.Routes = append(c.Routes, config.Route{
-			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), Split: []config.WeightedOffer{{Offer: t.Offer, Weight: 1}}, Streaming: t.Streaming,
-			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.Aim, Gap: t.Gap, Attempts: t.Attempts, Rank: t.Rank,
+			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), TrafficSplit: []config.WeightedService{{Service: t.Offer, Weight: 1}}, Streaming: t.Streaming,
+			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.Aim, TargetGap: t.Gap, MaxAttempts: t.Attempts, Priority: t.Rank,
 		})
 	}
 	for i := range s.Idle {
@@ -92,8 +92,8 @@
 func (s SiteSpec) idle(name string, offer int) config.Route {
 	plain := s.Classes[len(s.Classes)-1]
 	return config.Route{
-		Name: name, Host: siteHost, Prefix: prefixOf(name), Split: []config.WeightedOffer{{Offer: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
-		Timeout: plain.Deadline, FirstToken: plain.Aim, Attempts: 1, Rank: 3,
+		Name: name, Host: siteHost, Prefix: prefixOf(name), TrafficSplit: []config.WeightedService{{Service: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
+		Timeout: plain.Deadline, FirstToken: plain.Aim, MaxAttempts: 1, Priority: 3,
 	}
 }
 
@@ -116,7 +116,7 @@
 			return nil, err
 		}
 		if at != base {
-			return nil, &register.ConflictError{Mark: at}
+			return nil, &register.ConflictError{Version: at}
 		}
 		c, err := readDocument(raw)
 		if err == nil && c.Revision <= base {
@@ -134,7 +134,7 @@
 			return nil, err
 		}
 		if c.Revision != base {
-			return nil, &register.ConflictError{Mark: c.Revision}
+			return nil, &register.ConflictError{Version: c.Revision}
 		}
 		c.Revision = revision
 		c.Routes = slices.DeleteFunc(c.Routes, func(r config.Route) bool { return slices.Contains(remove, r.Name) })
--- a/sim/eyes.go
+++ b/sim/eyes.go
@@ -15,7 +15,7 @@
 
 func (r *Rep) report() control.Probed {
 	running, lag := r.m.Usage(r.w.now)
-	return control.Probed{Replica: r.Name, OK: true, InstanceID: r.m.Instance, Running: running, Leaving: r.Leaving, Lag: lag}
+	return control.Probed{Replica: r.Name, OK: true, InstanceID: r.m.Instance, Running: running, Draining: r.Leaving, Lag: lag}
 }
 
 func (n *Node) cutFrom(r *Rep) bool {
@@ -23,7 +23,7 @@
 }
 
 func (n *Node) watch(p *config.Snapshot) {
-	for _, o := range p.Charter.Offers {
+	for _, o := range p.Config.Services {
 		for _, c := range o.Replicas {
 			if r := n.w.byRep[c.Name]; r != nil && n.eyes[c.Name] == nil {
 				n.eyes[c.Name] = &eye{n: n, r: r, life: n.life}
@@ -105,10 +105,10 @@
 func (n *Node) probe(p control.Probe) {
 	r := n.w.byRep[p.Replica]
 	if r == nil || !r.Up || r.Dark || n.cutFrom(r) {
-		n.later(400*time.Millisecond, func() { n.step(control.Probed{Replica: p.Replica, Own: p.Own}) })
+		n.later(400*time.Millisecond, func() { n.step(control.Probed{Replica: p.Replica, Local: p.Local}) })
 		return
 	}
 	res := r.report()
-	res.Own = p.Own
+	res.Local = p.Local
 	n.later(2*n.w.Net.delay(n.Domain == r.Domain), func() { n.step(res) })
 }
--- a/sim/gate.go
+++ b/sim/gate.go
@@ -208,7 +208,7 @@
 }
 
 func (f *flight) vouch(c *conn) {
-	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Spare: c.place.Spare}, func(a control.Answer) {
+	f.w.Call(f.n, control.Witness{Request: f.ask.Request, SpareTime: c.place.Spare}, func(a control.Answer) {
 		c.happened(mallowbridge.WitnessesAnswered{Go: c.place.Go, How: control.WitnessOutcome(a)})
 	})
 }
--- a/sim/gauge.go
+++ b/sim/gauge.go
@@ -111,7 +111,7 @@
 	from := w.now
 	w.Put(w.someNode(), w.Nodes[0].router.Version(), w.varied(false), func(a control.Answer) {
 		if a.Err == nil {
-			mark = a.Value.Mark
+			mark = a.Value.Version
 		}
 	})
 	g.read("put: accepted", w, from, func() bool { return mark > 0 })
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -102,9 +102,9 @@
 	if err != nil {
 		panic(err)
 	}
-	for _, o := range c.Offers {
+	for _, o := range c.Services {
 		for _, r := range o.Replicas {
-			h.reps[r.Name], h.where[r.Name] = NewReplica(h.S.Model, r.Name+".1", -time.Hour), r.Domain
+			h.reps[r.Name], h.where[r.Name] = NewReplica(h.S.Model, r.Name+".1", -time.Hour), r.Zone
 		}
 	}
 	for i, n := range h.Nodes {
@@ -143,10 +143,10 @@
 func (h *Hollow) put(n *HollowNode, expect uint64, body []byte) {
 	h.puts++
 	at := h.now
-	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Body: body}, func(a control.Answer) {
+	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Document: body}, func(a control.Answer) {
 		if a.Err == nil {
-			h.offered[a.Value.Mark] = at
-			h.inForce(a.Value.Mark)
+			h.offered[a.Value.Version] = at
+			h.inForce(a.Value.Version)
 		}
 	})
 }
@@ -216,9 +216,9 @@
 }
 
 func (n *HollowNode) obeys(o mallowbridge.SnapshotUpdate) {
-	for mark := n.mark + 1; mark <= o.Picture.Mark; mark++ {
+	for mark := n.mark + 1; mark <= o.Picture.Version; mark++ {
 		n.h.obeyed[mark]++
 		n.h.inForce(mark)
 	}
-	n.mark = max(n.mark, o.Picture.Mark)
+	n.mark = max(n.mark, o.Picture.Version)
 }
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -44,7 +44,7 @@
 func (n *HollowNode) start() {
 	h := n.h
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Domain: n.Domain, Boot: "b" + n.Name, Inc: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
+		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Zone: n.Domain, Boot: "b" + n.Name, Incarnation: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	}
 	for _, o := range h.Nodes[:min(3, len(h.Nodes))] {
@@ -137,7 +137,7 @@
 func (n *HollowNode) report(rep string, own bool) control.Probed {
 	r := n.h.reps[rep]
 	running, lag := r.Usage(n.h.now)
-	return control.Probed{Replica: rep, Own: own, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
+	return control.Probed{Replica: rep, Local: own, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
 }
 
 func (n *HollowNode) probe(p control.Probe) {
@@ -145,11 +145,11 @@
 		return
 	}
 	n.h.S.Meter.Asked(n)
-	n.h.after(2*n.trip(p.Replica), func() { n.step(n.report(p.Replica, p.Own)) })
+	n.h.after(2*n.trip(p.Replica), func() { n.step(n.report(p.Replica, p.Local)) })
 }
 
 func (n *HollowNode) watch(p *config.Snapshot) {
-	for _, o := range p.Charter.Offers {
+	for _, o := range p.Config.Services {
 		for _, r := range o.Replicas {
 			if n.h.reps[r.Name] == nil || n.eyes[r.Name] {
 				continue
@@ -174,7 +174,7 @@
 			g.on, g.due = m.Place.Replica, 0
 			n.h.after(2*n.trip(g.on), func() { n.happened(g, mallowbridge.Dialed{Go: m.Place.Go, OK: true}) })
 		case mallowbridge.AskWitnesses:
-			n.h.call(n, control.Witness{Request: g.ask.Request, Spare: m.Place.Spare}, func(a control.Answer) {
+			n.h.call(n, control.Witness{Request: g.ask.Request, SpareTime: m.Place.Spare}, func(a control.Answer) {
 				n.happened(g, mallowbridge.WitnessesAnswered{Go: m.Place.Go, How: control.WitnessOutcome(a)})
 			})
 		case mallowbridge.AskWitnessesEarly:
--- a/sim/node.go
+++ b/sim/node.go
@@ -96,7 +96,7 @@
 	n.life, n.Alive, n.frozen, n.inbox, n.saving, n.unsent, n.keeper = w.lives, true, false, nil, false, nil, nil
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, Domain: n.Domain, Seeds: n.seeds(), Boot: boot, Inc: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
+		Name: n.Name, Addr: n.Addr, Zone: n.Domain, Seeds: n.seeds(), Boot: boot, Incarnation: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
 	n.open, n.door = false, nil
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -35,7 +35,7 @@
 						return
 					}
 					w.Report.PutsTaken++
-					w.expect = max(w.expect, a.Value.Mark)
+					w.expect = max(w.expect, a.Value.Version)
 				})
 			}
 			w.after(map[bool]time.Duration{false: 120 * time.Millisecond, true: 1500 * time.Millisecond}[f.Kind == LargePuts], again)
@@ -47,7 +47,7 @@
 func (w *World) learn(err error) {
 	var c *register.ConflictError
 	if errors.As(err, &c) {
-		w.expect = c.Mark
+		w.expect = c.Version
 	}
 }
 
--- a/sim/rep.go
+++ b/sim/rep.go
@@ -35,9 +35,9 @@
 	if err != nil {
 		panic(err)
 	}
-	for _, o := range c.Offers {
+	for _, o := range c.Services {
 		for _, rc := range o.Replicas {
-			r := &Rep{w: w, Name: rc.Name, Domain: rc.Domain, conns: map[string]*conn{}}
+			r := &Rep{w: w, Name: rc.Name, Domain: rc.Zone, conns: map[string]*conn{}}
 			w.Reps = append(w.Reps, r)
 			w.byRep[r.Name] = r
 			w.byURL[rc.Addr] = r
--- a/sim/report.go
+++ b/sim/report.go
@@ -175,8 +175,8 @@
 			return
 		}
 		w.Audit.same(a.Value)
-		if a.Value.Mark < w.Audit.high {
-			w.Audit.breach(LostMark, "register", fmt.Sprintf("mark %d, accepted %d", a.Value.Mark, w.Audit.high))
+		if a.Value.Version < w.Audit.high {
+			w.Audit.breach(LostMark, "register", fmt.Sprintf("mark %d, accepted %d", a.Value.Version, w.Audit.high))
 		}
 	})
 }
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -43,8 +43,8 @@
 
 func (v *version) allows(path, offer string) *config.Route {
 	if rt := v.route(path); rt != nil {
-		for _, s := range rt.Split {
-			if s.Offer == offer && s.Weight > 0 {
+		for _, s := range rt.TrafficSplit {
+			if s.Service == offer && s.Weight > 0 {
 				return rt
 			}
 		}
@@ -58,10 +58,10 @@
 	var names []string
 	for _, v := range r.versions {
 		if rt := v.route(path); rt != nil && !v.refused {
-			for _, s := range rt.Split {
-				if !seen[s.Offer] {
-					seen[s.Offer] = true
-					names = append(names, s.Offer)
+			for _, s := range rt.TrafficSplit {
+				if !seen[s.Service] {
+					seen[s.Service] = true
+					names = append(names, s.Service)
 				}
 			}
 		}
@@ -106,7 +106,7 @@
 	least, newest, flawed := r.handled(func(v *version) bool {
 		rt := v.allows(c.path, i.offer.Name)
 		if rt != nil && !v.refused {
-			most = max(most, rt.Attempts)
+			most = max(most, rt.MaxAttempts)
 		}
 		return rt != nil
 	})
--- a/sim/site.go
+++ b/sim/site.go
@@ -67,7 +67,7 @@
 
 // configure makes a node's settings those of the ordinary path.
 func (s *site) configure(c *control.Config, r *mallowbridge.Config) {
-	c.Read, c.ListEvery, c.Tolerate, c.Founds, c.ServesCutOff = readDocument, time.Second, s.spec.Tolerate, s.first, true
+	c.Read, c.ListEvery, c.FaultTolerance, c.Bootstraps, c.ServesIsolated = readDocument, time.Second, s.spec.Tolerate, s.first, true
 	c.Seeds = slices.Clone(s.seeds)
 	r.Scheduler.QueueLimit, r.Scheduler.FeedTimeout = 1024, time.Minute
 	if s.w.tune != nil {
--- a/sim/siteevacuate.go
+++ b/sim/siteevacuate.go
@@ -23,7 +23,7 @@
 		}
 		o.chill(domain)
 	}
-	o.send(&order{op: control.Evacuate{Domain: domain, Restore: back}, end: func(ok bool) {
+	o.send(&order{op: control.Evacuate{Zone: domain, Restore: back}, end: func(ok bool) {
 		switch {
 		case ok && back:
 			delete(r.evacs, domain)
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -93,7 +93,7 @@
 			return
 		}
 		n.mending = false
-		n.step(control.Persisted{Mended: true})
+		n.step(control.Persisted{Repaired: true})
 	})
 }
 
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -122,7 +122,7 @@
 			if a.Err != nil || a.Value == nil || o.s.w.now-sent > callAnew {
 				return
 			}
-			o.found(n, a.Value.Body, due)
+			o.found(n, a.Value.Document, due)
 		})
 	})
 }
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -141,21 +141,21 @@
 }
 
 func (s *site) compare(n *Node, a control.Answer) {
-	at, _ := revisionIn(a.Value.Body)
+	at, _ := revisionIn(a.Value.Document)
 	newest := s.rules.newest()
-	if !s.rules.sent(at, a.Value.Body) {
+	if !s.rules.sent(at, a.Value.Document) {
 		s.rules.breach(RuleKept, "document", "revision %d is not what was sent", at)
 	}
 	if newest != nil && at < newest.revision {
 		s.rules.breach(RuleKept, "document", "%s gives revision %d, %d was acknowledged", n.Name, at, newest.revision)
 	}
 	for _, d := range sortedKeys(s.rules.evacs) {
-		if e := s.rules.evacs[d]; !e.lifted && !slices.Contains(a.Value.Emptied, d) {
+		if e := s.rules.evacs[d]; !e.lifted && !slices.Contains(a.Value.EvacuatedZones, d) {
 			s.rules.breach(RuleKept, "evacuation", "%s does not know that %s is evacuated", n.Name, d)
 		}
 	}
 	for _, d := range sortedKeys(s.rules.reopened) {
-		if slices.Contains(a.Value.Emptied, d) {
+		if slices.Contains(a.Value.EvacuatedZones, d) {
 			s.rules.breach(RuleKept, "evacuation", "%s holds %s evacuated, which was taken back", n.Name, d)
 		}
 	}
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -163,9 +163,9 @@
 func TestEvacuationThatComesBackIsSeen(t *testing.T) {
 	w, _, newest, _ := quiet(t)
 	w.site.rules.reopened["a"] = true
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Body: newest.raw, Emptied: []string{"b"}}})
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: newest.raw, EvacuatedZones: []string{"b"}}})
 	wantBreach(t, w, "")
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Body: newest.raw, Emptied: []string{"a"}}})
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: newest.raw, EvacuatedZones: []string{"a"}}})
 	wantBreach(t, w, RuleKept)
 }
 
--- a/snapshot.go
+++ b/snapshot.go
@@ -18,7 +18,7 @@
 // applySnapshot puts a configuration into force, unless the one in force is as new. Rows of services and replicas that it leaves out
 // stay, unlisted, for the requests that run there.
 func (r *Router) applySnapshot(now time.Duration, p *config.Snapshot) {
-	if p == nil || (r.snapshot != nil && p.Mark <= r.snapshot.Mark) {
+	if p == nil || (r.snapshot != nil && p.Version <= r.snapshot.Version) {
 		return
 	}
 	r.snapshot = p
@@ -26,7 +26,7 @@
 	r.services = map[string]int{}
 	staleCap := maxStaleCap
 	used := r.scheduler.ClassesInUse()
-	for _, o := range p.Charter.Offers {
+	for _, o := range p.Config.Services {
 		r.services[o.Name] = r.applyService(now, o, used)
 		if o.StaleCap > 0 {
 			staleCap = min(staleCap, o.StaleCap)
@@ -62,19 +62,19 @@
 	return r.scheduler.AddService(scheduler.Service{Name: name})
 }
 
-func (r *Router) applyService(now time.Duration, o config.Offer, used map[scheduler.ClassID]bool) int {
+func (r *Router) applyService(now time.Duration, o config.Service, used map[scheduler.ClassID]bool) int {
 	id := r.serviceRow(o.Name)
 	row := &r.scheduler.Services[id]
-	row.ColdRoom, row.ColdRamp, row.ColdRate = o.ColdRoom, o.ColdRamp, o.ColdRate
+	row.ColdRoom, row.ColdRamp, row.ColdRate = o.WarmupCapacity, o.SlowStart, o.WarmupRate
 	row.Base, row.PerToken = o.Base, o.PerToken
-	row.CrossZoneCost, row.RetryShare, row.RetryAllowance = o.CrossCost, o.SecondShare, o.SecondPlus
+	row.CrossZoneCost, row.RetryShare, row.RetryAllowance = o.CrossCost, o.RetryRatio, o.RetryExtra
 	row.Queues, row.MaxConns = o.Queues, o.MaxConns
 	if o.Stride > 0 || o.Discovered {
 		row.Base, row.PerToken = orElse(o.Base, routedBase), orElse(o.PerToken, routedPerToken)
 	}
 	row.Batch(o.Stride > 0)
 	row.SplitRoles = false
-	for _, k := range o.Kinds {
+	for _, k := range o.Classes {
 		at := r.classRow(id, classKey{name: k.Name}, used)
 		row.Classes[at] = scheduler.Class{Value: k.Value, Urgency: k.Urgency, FirstTokenBound: k.FirstToken, Repeatable: k.Repeatable}
 	}
@@ -99,9 +99,9 @@
 		r.scheduler.Index.Reset(id, 0)
 	}
 	entry.addr = c.Addr
-	row.Service, row.Role, row.Room, row.Listed = service, c.Role, c.Room, true
-	row.Zone, row.SameZone = c.Domain, c.Domain == r.cfg.Zone
-	r.applyEvacuation(now, id, c.Domain)
+	row.Service, row.Role, row.Room, row.Listed = service, c.Role, c.Capacity, true
+	row.Zone, row.SameZone = c.Zone, c.Zone == r.cfg.Zone
+	r.applyEvacuation(now, id, c.Zone)
 	r.scheduler.Index.SetKeep(id, keepTokens)
 	return id
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -10,19 +10,19 @@
 
 // manyRoutes are 2,500, of which one differs by the mark.
 func manyRoutes(mark uint64) *config.Snapshot {
-	p := &config.Snapshot{Mark: mark}
+	p := &config.Snapshot{Version: mark}
 	for i := range 20 {
-		p.Charter.Offers = append(p.Charter.Offers, config.Offer{Name: fmt.Sprint("o", i), Discovered: true, Queues: true})
+		p.Config.Services = append(p.Config.Services, config.Service{Name: fmt.Sprint("o", i), Discovered: true, Queues: true})
 	}
 	for i := range 2500 {
 		r := config.Route{
 			Name: fmt.Sprintf("route-%06d", i), Host: fmt.Sprintf("host%d.example", i%40), Prefix: fmt.Sprintf("/area/%d/part/%d/", i%37, i*7919),
-			Split: []config.WeightedOffer{{Offer: fmt.Sprint("o", i%20), Weight: 1}}, Timeout: time.Second, Attempts: 2,
+			TrafficSplit: []config.WeightedService{{Service: fmt.Sprint("o", i%20), Weight: 1}}, Timeout: time.Second, MaxAttempts: 2,
 		}
 		if i == 1250 {
 			r.Timeout += time.Duration(mark) * time.Millisecond
 		}
-		p.Charter.Routes = append(p.Charter.Routes, r)
+		p.Config.Routes = append(p.Config.Routes, r)
 	}
 	return p
 }
@@ -38,7 +38,7 @@
 		if mark%2 == 0 {
 			p = *c
 		}
-		p.Mark = mark
+		p.Version = mark
 		r.Step(time.Duration(mark)*time.Millisecond, SnapshotUpdate{Picture: &p})
 	}
 }
--- a/whatif/plan_test.go
+++ b/whatif/plan_test.go
@@ -29,7 +29,7 @@
 func TestFlawsOfASitesPlan(t *testing.T) {
 	_, err := Read("p", []byte(`{"shape":"atlas site","times":2,"config":"x","breakdowns":[{"kind":"replica twists","on":["r1"]}]}`))
 	var bad *config.InvalidError
-	if !errors.As(err, &bad) || len(bad.Flaws) != 4 {
+	if !errors.As(err, &bad) || len(bad.Violations) != 4 {
 		t.Fatal(err)
 	}
 }
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -47,8 +47,8 @@
 		return s, err
 	}
 	s.Charter, s.Load.Kinds = p.Config, nil
-	for _, o := range c.Offers {
-		for _, k := range o.Kinds {
+	for _, o := range c.Services {
+		for _, k := range o.Classes {
 			s.Load.Kinds = append(s.Load.Kinds, sim.KindLoad{Offer: o.Name, Name: k.Name, Repeatable: k.Repeatable})
 		}
 	}
