--- a/arrive.go
+++ b/arrive.go
@@ -18,7 +18,7 @@
 	if _, twice := r.requestIDs[e.Request]; twice {
 		return e.rejected(runningHere, true), true
 	}
-	if e.Offer == "" {
+	if e.Service == "" {
 		return r.arriveRouted(now, e)
 	}
 	return r.arriveDirect(now, e)
@@ -26,19 +26,19 @@
 
 // arriveDirect is for requests of the product's own interface, which name a service and a class.
 func (r *Router) arriveDirect(now time.Duration, e Arrive) (Decision, bool) {
-	service, ok := r.services[e.Offer]
+	service, ok := r.services[e.Service]
 	if !ok {
 		return e.bad("no such offer"), true
 	}
-	class, ok := r.classes[service][classKey{name: e.Kind}]
+	class, ok := r.classes[service][classKey{name: e.Class}]
 	row := &r.scheduler.Services[service]
-	if !ok || row.Classes[class].Gone {
+	if !ok || row.Classes[class].Removed {
 		return e.bad("no such kind"), true
 	}
 	if !row.Classes[class].Repeatable && r.alreadyRan.has(now, e.Request) {
 		return e.rejected(scheduler.AlreadyRan, true), true
 	}
-	parts, err := prefixindex.Parse(r.model(e.Offer), e.Prefix)
+	parts, err := prefixindex.Parse(r.model(e.Service), e.Prefix)
 	if err != nil {
 		return e.bad(err.Error()), true
 	}
@@ -73,18 +73,18 @@
 }
 
 func (r *Router) schedule(now time.Duration, e Arrive, req scheduler.Request, route *config.Route) {
-	req.Tail, req.Patience = e.tail(req.Parts), e.Patience
+	req.Tail, req.Patience = e.tail(req.Parts), e.Timeout
 	id := r.scheduler.Arrive(now, req)
 	r.requestIDs[e.Request] = id
 	r.requests[id] = liveRequest{request: e.Request, route: route}
 }
 
 func (e Arrive) rejected(why string, repeat bool) Decision {
-	return Decision{Verdict: Deny, Request: e.Request, Why: why, After: time.Second, Repeat: repeat}
+	return Decision{Verdict: Reject, Request: e.Request, Reason: why, RetryAfter: time.Second, Repeat: repeat}
 }
 
 func (e Arrive) bad(why string) Decision {
-	return Decision{Verdict: Deny, Request: e.Request, Why: why, Bad: true}
+	return Decision{Verdict: Reject, Request: e.Request, Reason: why, Bad: true}
 }
 
 // tail is how many tokens follow the prefix.
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -129,7 +129,7 @@
 		return ReplicaListings
 	case control.Command:
 		return ofCommand(v.Op)
-	case mallowbridge.Tick, mallowbridge.Feed:
+	case mallowbridge.Tick, mallowbridge.ControlStatus:
 		return RouterTick
 	case mallowbridge.LoadReport, mallowbridge.ReplicaSuspect:
 		return LoadGossip
@@ -137,8 +137,8 @@
 		return CapacityShares
 	case mallowbridge.SnapshotUpdate:
 		return Config
-	case mallowbridge.Arrive, mallowbridge.Leave, mallowbridge.Head, mallowbridge.Piece, mallowbridge.End, mallowbridge.Hangup, mallowbridge.Withhold,
-		mallowbridge.Load, mallowbridge.Misplaced:
+	case mallowbridge.Arrive, mallowbridge.ReadyToSend, mallowbridge.AnswerHead, mallowbridge.AnswerStarted, mallowbridge.AttemptEnded, mallowbridge.ClientDisconnected, mallowbridge.RanElsewhere,
+		mallowbridge.Load, mallowbridge.WrongInstance:
 		return Requests
 	}
 	return Other
@@ -170,7 +170,7 @@
 	},
 	reflect.TypeFor[scheduler.Scheduler](): {
 		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": LoadGossip, "routers": CapacityShares, "routerZones": CapacityShares,
-		"divisions": CapacityShares, "waiting": Requests,
+		"divisions": CapacityShares, "queued": Requests,
 	},
 }
 
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -69,8 +69,8 @@
 	}
 	l := &soloRouter{node: &sim.HollowNode{Name: "n1", Domain: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
-	l.step(mallowbridge.Routers{Names: []string{"n1"}, Domains: []string{"a1"}})
-	l.step(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: 1, Config: c}})
+	l.step(mallowbridge.Routers{Names: []string{"n1"}, Zones: []string{"a1"}})
+	l.step(mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}})
 	for i := range soloReplicas {
 		l.step(mallowbridge.LoadReport{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
 	}
@@ -89,16 +89,16 @@
 
 func (l *soloRouter) request(i int, prefix string) {
 	l.now += soloEvery
-	l.step(mallowbridge.Feed{})
+	l.step(mallowbridge.ControlStatus{})
 	req := fmt.Sprintf("q-%08d", i)
-	for _, d := range l.step(mallowbridge.Arrive{Request: req, Offer: "model1", Kind: "fast", Prefix: prefix, Tail: 64}) {
+	for _, d := range l.step(mallowbridge.Arrive{Request: req, Service: "model1", Class: "fast", Prefix: prefix, Tail: 64}) {
 		if d.Verdict != mallowbridge.Place {
 			continue
 		}
-		l.step(mallowbridge.Leave{Request: req, Go: d.Go})
-		l.step(mallowbridge.Head{Request: req, Go: d.Go, InstanceID: "i1"})
-		l.step(mallowbridge.Piece{Request: req, Go: d.Go})
-		l.step(mallowbridge.End{Request: req, Go: d.Go, How: mallowbridge.Whole})
+		l.step(mallowbridge.ReadyToSend{Request: req, AttemptID: d.AttemptID})
+		l.step(mallowbridge.AnswerHead{Request: req, AttemptID: d.AttemptID, InstanceID: "i1"})
+		l.step(mallowbridge.AnswerStarted{Request: req, AttemptID: d.AttemptID})
+		l.step(mallowbridge.AttemptEnded{Request: req, AttemptID: d.AttemptID, Result: mallowbridge.Completed})
 		l.done++
 	}
 }
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -33,7 +33,7 @@
 		c.Flag("name", "Name of this node, unique in the fleet.").StringVar(&s.Name)
 		c.Flag("listen", "IP:port for the other nodes.").StringVar(&s.Listen)
 		c.Flag("http", "IP:port for clients and operators.").StringVar(&s.HTTP)
-		c.Flag("domain", "Zone this node is in.").StringVar(&s.Domain)
+		c.Flag("domain", "Zone this node is in.").StringVar(&s.Zone)
 		c.Flag("seed", "IP:port of another node; give up to three.").StringsVar(&s.Seeds)
 		if role == "core" {
 			c.Flag("data", "Data folder.").StringVar(&s.Data)
@@ -64,7 +64,7 @@
 	}
 	s.Role = flags.Role
 	for _, f := range []struct{ to, from *string }{
-		{&s.Name, &flags.Name}, {&s.Listen, &flags.Listen}, {&s.HTTP, &flags.HTTP}, {&s.Domain, &flags.Domain}, {&s.Data, &flags.Data},
+		{&s.Name, &flags.Name}, {&s.Listen, &flags.Listen}, {&s.HTTP, &flags.HTTP}, {&s.Zone, &flags.Zone}, {&s.Data, &flags.Data},
 	} {
 		if *f.from != "" {
 			*f.to = *f.from
@@ -98,7 +98,7 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) mallowbridge.How {
+	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) mallowbridge.AttemptResult {
 		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: spare, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
@@ -109,7 +109,7 @@
 		Handler: routes, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10,
 	}
 	t.Go(func() error { return served(srv.Serve(lis)) })
-	lg.Info().Str("listen", s.Listen).Str("http", s.HTTP).Str("domain", s.Domain).Msg("started")
+	lg.Info().Str("listen", s.Listen).Str("http", s.HTTP).Str("domain", s.Zone).Msg("started")
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	select {
@@ -175,7 +175,7 @@
 			continue
 		}
 		unsent := 0
-		h.Loop.Look(func(r *mallowbridge.Router) { unsent = r.Unsent() })
+		h.Loop.Inspect(func(r *mallowbridge.Router) { unsent = r.Unsent() })
 		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
 			departed = true
 			h.Call(control.Leave{})
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -115,8 +115,8 @@
 
 var eventReaders = map[string]func(raw []byte) (mallowbridge.Event, error){
 	"arrive": read[mallowbridge.Arrive], "listing": read[mallowbridge.Listing], "usage": read[mallowbridge.LoadReport],
-	"routers": read[mallowbridge.Routers], "feed": read[mallowbridge.Feed], "leave": read[mallowbridge.Leave],
-	"head": read[mallowbridge.Head], "piece": read[mallowbridge.Piece], "end": read[mallowbridge.End], "hangup": read[mallowbridge.Hangup],
+	"routers": read[mallowbridge.Routers], "feed": read[mallowbridge.ControlStatus], "leave": read[mallowbridge.ReadyToSend],
+	"head": read[mallowbridge.AnswerHead], "piece": read[mallowbridge.AnswerStarted], "end": read[mallowbridge.AttemptEnded], "hangup": read[mallowbridge.ClientDisconnected],
 }
 
 // event reads an event by its published name.
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: o.Mark, Config: c, EvacuatedZones: o.Emptied}}, nil
+	return mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: o.Mark, Config: c, EvacuatedZones: o.Emptied}}, nil
 }
 
 func read[T mallowbridge.Event](raw []byte) (mallowbridge.Event, error) {
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -45,8 +45,8 @@
 	staleCap = 2 * time.Second
 )
 
-// spareAllowance keeps a part of the allowed second attempts back for the moments in which nodes hold different members.
-const spareAllowance = 0.25
+// allowanceMargin keeps a part of the allowed second attempts back for the moments in which nodes hold different members.
+const allowanceMargin = 0.25
 
 // reader reads the platform's document and adds what the settings bound.
 func reader(documents *platform.Reader, b platform.Bounds) config.Reader {
@@ -58,7 +58,7 @@
 		}
 		for i := range c.Services {
 			c.Services[i].StaleCap = staleCap
-			c.Services[i].RetryRatio, c.Services[i].RetryExtra = b.RetryRatio, int(float64(b.RetryExtra)*(1-spareAllowance))
+			c.Services[i].RetryRatio, c.Services[i].RetryExtra = b.RetryRatio, int(float64(b.RetryExtra)*(1-allowanceMargin))
 		}
 		return c, nil
 	}
@@ -67,10 +67,10 @@
 // nodeSettings puts the platform's settings into the daemon's.
 func nodeSettings(s platform.Settings, documents *platform.Reader) daemon.Settings {
 	h := daemon.Settings{
-		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Domain: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
+		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Zone: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
 		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
 		Host: daemon.Host{
-			Read: reader(documents, s.Bounds), ListEvery: listEvery, Tolerate: s.Tolerate.Machines, Founds: s.FirstStart, ServesCutOff: true,
+			Read: reader(documents, s.Bounds), ListEvery: listEvery, FaultTolerance: s.FaultTolerance.Machines, Bootstraps: s.FirstStart, ServesIsolated: true,
 		},
 	}
 	get := platform.Getter(s.Cloud.Address)
@@ -81,9 +81,9 @@
 // headers names the platform's headers to the proxy.
 func headers() proxy.Headers {
 	return proxy.Headers{
-		Attempt: platform.HeaderAttempt, Target: platform.HeaderTarget, NotRun: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
+		Attempt: platform.HeaderAttempt, Target: platform.HeaderTarget, NotExecuted: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
 		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokens,
-		Seal: platform.HeaderSeal, Instance: platform.HeaderInstance, Rank: platform.HeaderPriority,
+		Seal: platform.HeaderSeal, Instance: platform.HeaderInstance, Priority: platform.HeaderPriority,
 		ParseTokens: platform.ParseTokens, ParseLoad: platform.ParseLoad,
 	}
 }
@@ -117,7 +117,7 @@
 		n.tomb.Kill(nil)
 		return err
 	}
-	n.daemon.Loop.Look(func(r *mallowbridge.Router) { placement(r, way) })
+	n.daemon.Loop.Inspect(func(r *mallowbridge.Router) { placement(r, way) })
 	n.daemon.OnSnapshot(func(p *config.Snapshot) { n.limits.Store(&p.Config.Limits) })
 	n.proxy = proxy.New(n.daemon.Loop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
 	n.serve(listeners)
@@ -149,7 +149,7 @@
 	platform.Routes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
 		Control: n.daemon, Router: n.daemon.Loop, Clock: daemon.Clock,
-		Extra: func() map[string]uint64 { return merged(transportCounters(n.daemon), n.proxy.N.Map()) },
+		Extra: func() map[string]uint64 { return merged(transportCounters(n.daemon), n.proxy.Counters.Map()) },
 	}
 	operations.Watch(routes)
 	return routes
@@ -233,6 +233,6 @@
 		return "draining"
 	}
 	var why string
-	h.Loop.Look(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
+	h.Loop.Inspect(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
 	return why
 }
--- a/config/config.go
+++ b/config/config.go
@@ -202,7 +202,7 @@
 func unique(d *Decoder, key string, seen map[string]bool) string {
 	s := d.Str(key, true, maxName)
 	if s != "" && seen[s] {
-		d.Flaw(d.At(key), s, "named once")
+		d.AddViolation(d.At(key), s, "named once")
 	}
 	seen[s] = true
 	return s
@@ -213,7 +213,7 @@
 	r.Name = unique(d, "name", seen)
 	r.Addr = d.Str("addr", true, maxName)
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
-		d.Flaw(d.At("addr"), r.Addr, "an IP number and port")
+		d.AddViolation(d.At("addr"), r.Addr, "an IP number and port")
 	}
 	r.Zone = d.Str("domain", true, maxName)
 	r.Capacity = d.Int("room", 8, 1, 4096)
@@ -223,7 +223,7 @@
 		r.Role = "both"
 	case "both", "prefill", "decode":
 	default:
-		d.Flaw(d.At("role"), r.Role, "both, prefill or decode")
+		d.AddViolation(d.At("role"), r.Role, "both, prefill or decode")
 	}
 	d.Close()
 	return r
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -26,7 +26,7 @@
 }
 
 // Violation adds a flaw.
-func (d *Decoder) Flaw(path, val, bound string) {
+func (d *Decoder) AddViolation(path, val, bound string) {
 	*d.violations = append(*d.violations, Violation{Path: path, Value: val, Bound: bound})
 }
 
@@ -50,7 +50,7 @@
 		return ""
 	}
 	if !ok || t.kind != 's' || len(t.str) > max || (need && t.str == "") {
-		d.Flaw(d.At(key), t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
+		d.AddViolation(d.At(key), t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
 		return ""
 	}
 	return t.str
@@ -64,7 +64,7 @@
 	}
 	n, err := strconv.ParseFloat(t.str, 64)
 	if t.kind != 'n' || err != nil || n < min || n > max {
-		d.Flaw(d.At(key), t.show(), fmt.Sprintf("a number from %g to %g", min, max))
+		d.AddViolation(d.At(key), t.show(), fmt.Sprintf("a number from %g to %g", min, max))
 		return def
 	}
 	return n
@@ -74,7 +74,7 @@
 func (d *Decoder) Int(key string, def, min, max int) int {
 	f := d.Num(key, float64(def), float64(min), float64(max))
 	if f != float64(int(f)) {
-		d.Flaw(d.At(key), fmt.Sprint(f), "a whole number")
+		d.AddViolation(d.At(key), fmt.Sprint(f), "a whole number")
 		return def
 	}
 	return int(f)
@@ -87,7 +87,7 @@
 		return def
 	}
 	if t.kind != 'b' {
-		d.Flaw(d.At(key), t.show(), "true or false")
+		d.AddViolation(d.At(key), t.show(), "true or false")
 	}
 	return t.str == "true"
 }
@@ -96,7 +96,7 @@
 func (d *Decoder) Sub(key string) *Decoder {
 	t, ok := d.find(key)
 	if ok && t.kind != 'o' {
-		d.Flaw(d.At(key), t.show(), "an object")
+		d.AddViolation(d.At(key), t.show(), "an object")
 	}
 	return &Decoder{path: d.At(key), t: t, used: map[string]bool{}, violations: d.violations}
 }
@@ -105,7 +105,7 @@
 func (d *Decoder) List(key string, min, max int) []*Decoder {
 	t, _ := d.find(key)
 	if len(t.kids) < min || len(t.kids) > max || (t.kind != 'a' && t.kind != 0) {
-		d.Flaw(d.At(key), t.show(), fmt.Sprintf("a list of %d to %d", min, max))
+		d.AddViolation(d.At(key), t.show(), fmt.Sprintf("a list of %d to %d", min, max))
 		return nil
 	}
 	var subs []*Decoder
@@ -118,7 +118,7 @@
 // Text reads a list's element that is a string of 1 to max bytes.
 func (d *Decoder) Text(max int) string {
 	if d.t.kind != 's' || d.t.str == "" || len(d.t.str) > max {
-		d.Flaw(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
+		d.AddViolation(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", max))
 	}
 	return d.t.str
 }
@@ -126,11 +126,11 @@
 // Close adds a flaw for each field that was not read.
 func (d *Decoder) Close() {
 	if d.t.kind != 'o' && d.t.kind != 0 {
-		d.Flaw(d.path, d.t.show(), "an object")
+		d.AddViolation(d.path, d.t.show(), "an object")
 	}
 	for _, k := range d.t.keys {
 		if !d.used[k] {
-			d.Flaw(d.At(k), "unknown", "a known field")
+			d.AddViolation(d.At(k), "unknown", "a known field")
 		}
 	}
 }
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -31,7 +31,7 @@
 // An item that is replaced every second must not keep digests from ever agreeing: each difference costs both sides all marks.
 func TestAReadingOfTheListDoesNotUnsettleDigests(t *testing.T) {
 	l := newLab(t, 24)
-	l.list = []mallowbridge.Instance{{ID: "i1", Offer: "o"}}
+	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
 	l.run(8 * time.Second)
 	l.marks = 0
 	l.run(10 * time.Second)
@@ -42,7 +42,7 @@
 
 func TestAReaderThatRestartsIsHeardAtOnce(t *testing.T) {
 	l := newLab(t, 9)
-	l.list = []mallowbridge.Instance{{ID: "i1", Offer: "o"}}
+	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
 	l.run(6 * time.Second)
 	reader := ""
 	for name, n := range l.lists {
--- a/control/join.go
+++ b/control/join.go
@@ -122,7 +122,7 @@
 		n.notServing = why
 		n.logChange("serving", map[bool]string{true: "yes", false: why}[why == ""])
 	}
-	n.emit(mallowbridge.Feed{Why: why})
+	n.emit(mallowbridge.ControlStatus{Why: why})
 }
 
 func (n *Node) notServingReason(now time.Duration) string {
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -38,7 +38,7 @@
 	out := l.n.Step(l.now, in)
 	for _, ev := range out.Events {
 		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
-			l.orders = append(l.orders, o.Picture.Version)
+			l.orders = append(l.orders, o.Snapshot.Version)
 		}
 	}
 	return out
@@ -116,7 +116,7 @@
 	l.now += 6 * time.Second
 	for _, seq := range []uint64{0, last.Seq} {
 		for _, ev := range l.step(Received{From: "a2", Msg: membership.Ack{Seq: seq}}).Events {
-			if f, ok := ev.(mallowbridge.Feed); ok && f.Why == "" {
+			if f, ok := ev.(mallowbridge.ControlStatus); ok && f.Why == "" {
 				t.Fatal("serves by what it knew before it was frozen")
 			}
 		}
--- a/control/list.go
+++ b/control/list.go
@@ -136,10 +136,10 @@
 // sameInstances ignores how long a replica stays cold, but not whether it is.
 func sameInstances(a, b []mallowbridge.Instance) bool {
 	return slices.EqualFunc(a, b, func(x, y mallowbridge.Instance) bool {
-		if (x.Cold > 0) != (y.Cold > 0) {
+		if (x.WarmingUp > 0) != (y.WarmingUp > 0) {
 			return false
 		}
-		x.Cold, y.Cold = 0, 0
+		x.WarmingUp, y.WarmingUp = 0, 0
 		return x == y
 	})
 }
--- a/control/news.go
+++ b/control/news.go
@@ -92,7 +92,7 @@
 	}
 	if key := strings.Join(names, ","); key != n.routers {
 		n.routers = key
-		n.emit(mallowbridge.Routers{Names: names, Domains: domains})
+		n.emit(mallowbridge.Routers{Names: names, Zones: domains})
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 	n.applied = n.snapshot.Version
 	n.logChange("obeys", fmt.Sprintf("mark %d", n.applied))
-	n.emit(mallowbridge.SnapshotUpdate{Picture: n.snapshot})
+	n.emit(mallowbridge.SnapshotUpdate{Snapshot: n.snapshot})
 	n.replay(now)
 }
 
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -118,15 +118,15 @@
 
 func TestTheListIsReadByOneAndKnownToAll(t *testing.T) {
 	l := newLab(t, 9)
-	l.list = []mallowbridge.Instance{{ID: "i1", Offer: "o"}}
+	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
 	l.run(3 * time.Second)
 	for name := range l.lists {
 		l.lists[name] = 0
 	}
-	l.list = []mallowbridge.Instance{{ID: "i1", Offer: "o", Leaving: true}}
+	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o", Draining: true}}
 	l.run(1500 * time.Millisecond)
 	for _, name := range l.order {
-		if r := l.rosters[name]; len(r) != 1 || !r[0].Leaving {
+		if r := l.rosters[name]; len(r) != 1 || !r[0].Draining {
 			t.Errorf("%s holds %v", name, r)
 		}
 	}
@@ -153,7 +153,7 @@
 
 func TestANodeWithoutNewsReadsTheListItself(t *testing.T) {
 	l := newLab(t, 9)
-	l.list = []mallowbridge.Instance{{ID: "i1", Offer: "o"}}
+	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
 	l.run(3 * time.Second)
 	for _, name := range l.order {
 		l.down[name] = name != "n8"
--- a/control/witness.go
+++ b/control/witness.go
@@ -65,12 +65,12 @@
 }
 
 // WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
-func WitnessOutcome(a Answer) mallowbridge.How {
+func WitnessOutcome(a Answer) mallowbridge.AttemptResult {
 	switch {
 	case a.Err != nil || a.Witnesses == TooFew:
-		return mallowbridge.NoQuorumOfWitnesses
+		return mallowbridge.Unwitnessed
 	case a.Witnesses == AskedBefore:
-		return mallowbridge.Withheld
+		return mallowbridge.Suppressed
 	}
 	return ""
 }
--- a/daemon/coalesce.go
+++ b/daemon/coalesce.go
@@ -77,7 +77,7 @@
 		return "3" + e.Replica
 	case mallowbridge.ReplicaList:
 		return "1r"
-	case mallowbridge.Feed:
+	case mallowbridge.ControlStatus:
 		return "4"
 	case mallowbridge.ReplicaSuspect:
 		return "5" + e.Replica
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -48,7 +48,7 @@
 	}
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	fs.join(f, nil)
-	fs.tell(mallowbridge.Feed{})
+	fs.tell(mallowbridge.ControlStatus{})
 	if last := (<-f.q).(mallowbridge.Numbered); len(f.first) != 3001 || last.N != 3000 {
 		t.Errorf("%d at the start, then number %d", len(f.first), last.N)
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -106,15 +106,15 @@
 	}
 	for _, ev := range out.Events {
 		if p, is := ev.(mallowbridge.Prefill); is {
-			h.Loop.TellIfIdle(p)
+			h.Loop.NotifyIfIdle(p)
 			continue
 		}
 		h.notify(ev)
 		fs.tell(ev)
 		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
-			h.offerSnapshot(o.Picture)
+			h.offerSnapshot(o.Snapshot)
 			if h.onSnapshot != nil {
-				h.onSnapshot(o.Picture)
+				h.onSnapshot(o.Snapshot)
 			}
 		}
 	}
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -58,7 +58,7 @@
 	}
 	for f.id = 1; taken[f.id]; f.id++ {
 	}
-	f.first = append(f.first, mallowbridge.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Domain: fs.daemon.Settings.Domain, Boot: fs.daemon.boot})
+	f.first = append(f.first, mallowbridge.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Zone: fs.daemon.Settings.Zone, Boot: fs.daemon.boot})
 	for _, key := range sortedKeys(fs.last) {
 		f.first = append(f.first, mallowbridge.Numbered{N: f.n, Event: fs.last[key]})
 		f.n++
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -23,7 +23,7 @@
 
 func daemon(t *testing.T, addr, data string) (*Daemon, func()) {
 	tb := &tomb.Tomb{}
-	s, err := Check(Settings{Role: "core", Name: "n1", Domain: "a", Listen: addr, HTTP: addr, Data: data})
+	s, err := Check(Settings{Role: "core", Name: "n1", Zone: "a", Listen: addr, HTTP: addr, Data: data})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	marks, names := make(chan uint64, 64), make(chan string, 64)
 	mallowbridge.Follow(tb, addr, "program", func(w mallowbridge.Welcome) { names <- w.Self }, func(ev mallowbridge.Event) {
 		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
-			marks <- o.Picture.Version
+			marks <- o.Snapshot.Version
 		}
 	})
 	if name := <-names; name != "n1#1" {
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -16,11 +16,11 @@
 // protocol (Listen) and the public side (HTTP), its zone, the folder of its disk and its seeds' addresses. MaxBody is in bytes, Backlog the
 // most requests that wait, DrainMs how long streams may go on after SIGTERM, in milliseconds. 0 stands for a default.
 type Settings struct {
-	Role, Name, Listen, HTTP, Domain, Data string
-	Seeds                                  []string
-	MaxBody, MaxStreams, Backlog           int
-	DrainMs                                int
-	Host                                   Host
+	Role, Name, Listen, HTTP, Zone, Data string
+	Seeds                                []string
+	MaxBody, MaxStreams, Backlog         int
+	DrainMs                              int
+	Host                                 Host
 }
 
 // Host is what the platform that the daemon runs on provides and asks for; its zero value is the product on its own.
@@ -30,9 +30,9 @@
 	// List reads the platform's list of replicas every ListEvery; nil: there is none.
 	List      func() ([]mallowbridge.Instance, error)
 	ListEvery time.Duration
-	// Tolerate, Founds and ServesCutOff: see control.Config.
-	Tolerate             int
-	Founds, ServesCutOff bool
+	// FaultTolerance, Bootstraps and ServesIsolated: see control.Config.
+	FaultTolerance             int
+	Bootstraps, ServesIsolated bool
 }
 
 func (s Settings) withDefaults() Settings {
@@ -65,7 +65,7 @@
 		return s, err
 	}
 	s.Name, s.Listen, s.HTTP = d.Str("name", false, 64), d.Str("listen", false, 64), d.Str("http", false, 64)
-	s.Domain, s.Data = d.Str("domain", false, 64), d.Str("data", false, 4096)
+	s.Zone, s.Data = d.Str("domain", false, 64), d.Str("data", false, 4096)
 	for _, e := range d.List("seeds", 0, 16) {
 		s.Seeds = append(s.Seeds, e.Text(64))
 	}
@@ -81,37 +81,37 @@
 func Check(in Settings) (Settings, error) {
 	s := in.withDefaults()
 	bad := &config.InvalidError{}
-	flaw := func(field, val, bound string) {
+	violation := func(field, val, bound string) {
 		bad.Violations = append(bad.Violations, config.Violation{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
 	}
 	if s.Name == "" || len(s.Name) > 64 {
-		flaw("name", s.Name, "1 to 64 bytes")
+		violation("name", s.Name, "1 to 64 bytes")
 	}
-	if s.Domain == "" || len(s.Domain) > 64 {
-		flaw("domain", s.Domain, "1 to 64 bytes")
+	if s.Zone == "" || len(s.Zone) > 64 {
+		violation("domain", s.Zone, "1 to 64 bytes")
 	}
 	for field, addr := range map[string]string{"listen": s.Listen, "http": s.HTTP} {
 		if _, e := netip.ParseAddrPort(addr); e != nil {
-			flaw(field, addr, "an IP number and port")
+			violation(field, addr, "an IP number and port")
 		}
 	}
 	for i, addr := range s.Seeds {
 		if _, e := netip.ParseAddrPort(addr); e != nil {
-			flaw(fmt.Sprintf("seeds[%d]", i), addr, "an IP number and port")
+			violation(fmt.Sprintf("seeds[%d]", i), addr, "an IP number and port")
 		}
 	}
 	if s.Role == "core" && s.Data == "" {
-		flaw("data", s.Data, "a folder, for a core")
+		violation("data", s.Data, "a folder, for a core")
 	}
 	if s.Role == "edge" && s.Data != "" {
-		flaw("data", s.Data, "absent, for an edge")
+		violation("data", s.Data, "absent, for an edge")
 	}
 	for _, n := range []struct {
 		field    string
 		val, max int
 	}{{"maxBody", s.MaxBody, 64 << 20}, {"maxStreams", s.MaxStreams, 1 << 20}, {"backlog", s.Backlog, 1 << 16}, {"drainMs", s.DrainMs, 600000}} {
 		if n.val < 1 || n.val > n.max {
-			flaw(n.field, fmt.Sprint(n.val), fmt.Sprintf("1 to %d", n.max))
+			violation(n.field, fmt.Sprint(n.val), fmt.Sprintf("1 to %d", n.max))
 		}
 	}
 	if len(bad.Violations) > 0 {
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -46,7 +46,7 @@
 	}
 	h.Loop = mallowbridge.NewRouterLoop(t, mallowbridge.New(h.routerConfig()), Clock, routerTicks)
 	h.Loop.OnPrefill(h.forwardPrefill)
-	h.coalescer = newCoalescer(t, h.Loop.Tell)
+	h.coalescer = newCoalescer(t, h.Loop.Notify)
 	h.node = control.New(Clock(), cfg)
 	self := transport.Hello{Build: transport.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
 	if h.Net, err = transport.Listen(t, self, h.follow, h.logFault); err != nil {
@@ -88,7 +88,7 @@
 		Name:           s.Name,
 		Addr:           s.Listen,
 		HTTP:           s.HTTP,
-		Zone:           s.Domain,
+		Zone:           s.Zone,
 		Seeds:          s.Seeds,
 		Boot:           h.boot,
 		Incarnation:    control.Inc(time.Now(), seed()),
@@ -97,17 +97,17 @@
 		Gossip:         gossip.Defaults(),
 		Read:           s.Host.Read,
 		ListEvery:      s.Host.ListEvery,
-		FaultTolerance: s.Host.Tolerate,
-		Bootstraps:     s.Host.Founds,
-		ServesIsolated: s.Host.ServesCutOff,
+		FaultTolerance: s.Host.FaultTolerance,
+		Bootstraps:     s.Host.Bootstraps,
+		ServesIsolated: s.Host.ServesIsolated,
 	}
 }
 
 func (h *Daemon) routerConfig() mallowbridge.Config {
 	s := h.Settings
-	cfg := mallowbridge.Defaults(s.Name, h.boot, s.Domain)
+	cfg := mallowbridge.Defaults(s.Name, h.boot, s.Zone)
 	cfg.Scheduler.QueueLimit = s.Backlog
-	if s.Host.ServesCutOff {
+	if s.Host.ServesIsolated {
 		cfg.Scheduler.FeedTimeout = isolatedFeedTimeout
 	}
 	return cfg
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -41,15 +41,15 @@
 }
 
 func (h *Daemon) watch() error {
-	eyes := map[string]*replicaWatcher{}
+	watchers := map[string]*replicaWatcher{}
 	for {
 		select {
 		case <-h.Tomb.Dying():
 			return nil
 		case p := <-h.snapshots:
-			h.watchAll(eyes, p)
+			h.watchAll(watchers, p)
 		case name := <-h.looks:
-			if e := eyes[name]; e != nil {
+			if e := watchers[name]; e != nil {
 				select {
 				case e.lookNow <- struct{}{}:
 				default:
@@ -77,23 +77,23 @@
 	}
 }
 
-func (h *Daemon) watchAll(eyes map[string]*replicaWatcher, p *config.Snapshot) {
+func (h *Daemon) watchAll(watchers map[string]*replicaWatcher, p *config.Snapshot) {
 	wanted := map[string]string{}
 	for _, o := range p.Config.Services {
 		for _, r := range o.Replicas {
 			wanted[r.Name] = r.Addr
 		}
 	}
-	for name, e := range eyes {
+	for name, e := range watchers {
 		if wanted[name] != e.addr {
 			close(e.stop)
-			delete(eyes, name)
+			delete(watchers, name)
 		}
 	}
 	for name, addr := range wanted {
-		if eyes[name] == nil {
+		if watchers[name] == nil {
 			e := h.newWatcher(name, addr, lookPauseMax)
-			eyes[name] = e
+			watchers[name] = e
 			h.Tomb.Go(e.run)
 		}
 	}
--- a/decision.go
+++ b/decision.go
@@ -15,10 +15,10 @@
 	Place Verdict = "place"
 	// Send permits the attempt's bytes to leave.
 	Send Verdict = "send"
-	// Recall closes an attempt of which nothing was sent.
-	Recall Verdict = "recall"
-	// Deny ends a request that was not run.
-	Deny Verdict = "deny"
+	// CancelBeforeSend closes an attempt of which nothing was sent.
+	CancelBeforeSend Verdict = "recall"
+	// Reject ends a request that was not run.
+	Reject Verdict = "deny"
 	// Cancel closes an attempt that may be running.
 	Cancel Verdict = "cancel"
 	// Unknown ends a request that may or may not have run.
@@ -32,46 +32,46 @@
 )
 
 func (v Verdict) final() bool {
-	return v == Deny || v == Unknown || v == Partial || v == Done
+	return v == Reject || v == Unknown || v == Partial || v == Done
 }
 
 // Decision is what a Router decided for one request. The command decide writes decisions as JSON, so that these names are published.
 type Decision struct {
 	Verdict Verdict `json:"verdict"`
 	Request string  `json:"request"`
-	// Go is the id of the attempt, Replica and Addr (host:port) where it goes, Prefill the address of the replica that reads the
+	// AttemptID is the id of the attempt, Replica and Addr (host:port) where it goes, Prefill the address of the replica that reads the
 	// prompt where roles are split.
-	Go      string `json:"go,omitempty"`
-	Replica string `json:"replica,omitempty"`
-	Addr    string `json:"addr,omitempty"`
-	Prefill string `json:"prefill,omitempty"`
-	// Why is a reason for people; After is when a rejected client should come back.
-	Why   string        `json:"why,omitempty"`
-	After time.Duration `json:"after,omitempty"`
-	// Late marks a rejection after the request had been placed, or had waited for a quarter of its bound.
-	Late bool `json:"late,omitempty"`
+	AttemptID string `json:"go,omitempty"`
+	Replica   string `json:"replica,omitempty"`
+	Addr      string `json:"addr,omitempty"`
+	Prefill   string `json:"prefill,omitempty"`
+	// Reason is a reason for people; RetryAfter is when a rejected client should come back.
+	Reason     string        `json:"why,omitempty"`
+	RetryAfter time.Duration `json:"after,omitempty"`
+	// RejectedLate marks a rejection after the request had been placed, or had waited for a quarter of its bound.
+	RejectedLate bool `json:"late,omitempty"`
 	// Confirmed and Predicted are how many tokens of the prompt the replica is held to have cached.
 	Confirmed int `json:"confirmed,omitempty"`
 	Predicted int `json:"predicted,omitempty"`
 	// Repeat marks a rejection of a request that was run before, Bad one of a request that cannot be served as it is.
 	Repeat bool `json:"repeat,omitempty"`
 	Bad    bool `json:"bad,omitempty"`
-	// Once asks for a quorum of witnesses before the request is sent; Spare is the time that they may take without harm.
-	Once  bool          `json:"once,omitempty"`
-	Spare time.Duration `json:"spare,omitempty"`
+	// OnceOnly asks for a quorum of witnesses before the request is sent; SpareTime is the time that they may take without harm.
+	OnceOnly  bool          `json:"once,omitempty"`
+	SpareTime time.Duration `json:"spare,omitempty"`
 
 	// Instance is the life of the replica that was chosen, where the platform lists it.
 	Instance string `json:"instance,omitempty"`
 	// Route is the route taken, nil for a request to /v1/offers. It is immutable.
 	Route *config.Route `json:"-"`
-	// Unread is how many tokens the replica is expected to read, where it batches and other routers should know.
-	Unread int `json:"unread,omitempty"`
-	// Rank tells the replica how urgent the request is, 0 first.
-	Rank int `json:"rank,omitempty"`
-	// Conns is the most connections that this node may keep to the replica; 0: no bound.
-	Conns int `json:"conns,omitempty"`
-	// Until is when the request is given up, on the router's clock; 0: not bounded.
-	Until time.Duration `json:"until,omitempty"`
+	// UnreadTokens is how many tokens the replica is expected to read, where it batches and other routers should know.
+	UnreadTokens int `json:"unread,omitempty"`
+	// Priority tells the replica how urgent the request is, 0 first.
+	Priority int `json:"rank,omitempty"`
+	// MaxConns is the most connections that this node may keep to the replica; 0: no bound.
+	MaxConns int `json:"conns,omitempty"`
+	// Deadline is when the request is given up, on the router's clock; 0: not bounded.
+	Deadline time.Duration `json:"until,omitempty"`
 	// Resumes tells that the replica is to go on after the last event passed on.
 	Resumes bool `json:"resumes,omitempty"`
 }
--- a/decisions.go
+++ b/decisions.go
@@ -6,8 +6,8 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// connShare is the part of a replica's connections that the routers give out; the rest is for probes and for changes of routers.
-const connShare = 0.8
+// connectionQuota is the part of a replica's connections that the routers give out; the rest is for probes and for changes of routers.
+const connectionQuota = 0.8
 
 // decisions puts the scheduler's actions into words of the outside and forgets requests that ended.
 func (r *Router) decisions(now time.Duration, actions []scheduler.Action) []Decision {
@@ -21,11 +21,11 @@
 
 func (r *Router) decision(a scheduler.Action) Decision {
 	d := Decision{
-		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Why: a.Reason, After: a.RetryAfter, Late: a.Late,
-		Confirmed: a.ConfirmedTokens, Predicted: a.PredictedTokens, Once: a.OnceOnly, Repeat: a.Repeat, Spare: a.SpareTime,
+		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Reason: a.Reason, RetryAfter: a.RetryAfter, RejectedLate: a.RejectedLate,
+		Confirmed: a.ConfirmedTokens, Predicted: a.PredictedTokens, OnceOnly: a.OnceOnly, Repeat: a.Repeat, SpareTime: a.SpareTime,
 	}
 	if a.Attempt != 0 {
-		d.Go = r.attemptID(a.Attempt)
+		d.AttemptID = r.attemptID(a.Attempt)
 	}
 	if a.Replica >= 0 {
 		d.Replica, d.Addr = r.replicas[a.Replica].name, r.replicas[a.Replica].addr
@@ -59,21 +59,21 @@
 	if entry.discovered {
 		d.Instance = entry.instance
 	}
-	d.Resumes, d.Unread, d.Rank = a.Resumes, a.Unread, a.Rank
+	d.Resumes, d.UnreadTokens, d.Priority = a.Resumes, a.UnreadTokens, a.Priority
 	service := &r.scheduler.Services[r.scheduler.Replicas[a.Replica].Service]
-	d.Conns = r.scheduler.RouterShare(connShare * float64(service.MaxConns))
+	d.MaxConns = r.scheduler.RouterQuota(connectionQuota * float64(service.MaxConns))
 	d.Route = r.requests[a.Request].route
 	if d.Route == nil {
 		return
 	}
-	d.Until = a.Until
-	if d.Rank < 0 {
-		d.Rank = d.Route.Priority
+	d.Deadline = a.Deadline
+	if d.Priority < 0 {
+		d.Priority = d.Route.Priority
 	}
 }
 
 var verdicts = map[scheduler.ActionKind]Verdict{
-	scheduler.Place: Place, scheduler.Send: Send, scheduler.Recall: Recall, scheduler.Reject: Deny, scheduler.Cancel: Cancel,
+	scheduler.Place: Place, scheduler.Send: Send, scheduler.CancelBeforeSend: CancelBeforeSend, scheduler.Reject: Reject, scheduler.Cancel: Cancel,
 	scheduler.Unknown: Unknown, scheduler.Partial: Partial, scheduler.Done: Done, scheduler.PollWitnesses: PollWitnesses,
 }
 
--- a/embed.go
+++ b/embed.go
@@ -16,6 +16,6 @@
 		panic(err)
 	}
 	l := NewRouterLoop(t, New(Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, Idle)
-	Follow(t, addr, name, func(w Welcome) { l.Tell(w) }, l.Tell)
+	Follow(t, addr, name, func(w Welcome) { l.Notify(w) }, l.Notify)
 	return l
 }
--- a/encoding.go
+++ b/encoding.go
@@ -19,7 +19,7 @@
 	wire.Register("er", encodeRouters, decodeRouters)
 	wire.RegisterPlain("eu", LoadReport{})
 	wire.RegisterPlain("el", Listing{})
-	wire.RegisterPlain("ef", Feed{})
+	wire.RegisterPlain("ef", ControlStatus{})
 	wire.RegisterPlain("ed", ReplicaSuspect{})
 	wire.Register("eR", encodeReplicaList, decodeReplicaList)
 	wire.RegisterPlain("eF", Failures{})
@@ -28,11 +28,11 @@
 type encodedWelcome struct{ Self, Domain, Boot string }
 
 func encodeWelcome(w Welcome) encodedWelcome {
-	return encodedWelcome{Self: w.Self, Domain: w.Domain, Boot: w.Boot}
+	return encodedWelcome{Self: w.Self, Domain: w.Zone, Boot: w.Boot}
 }
 
 func decodeWelcome(f encodedWelcome) Welcome {
-	return Welcome{Self: f.Self, Domain: f.Domain, Boot: f.Boot}
+	return Welcome{Self: f.Self, Zone: f.Domain, Boot: f.Boot}
 }
 
 type encodedNumbered struct {
@@ -52,11 +52,11 @@
 type encodedSnapshotUpdate struct{ Picture *config.EncodedSnapshot }
 
 func encodeSnapshotUpdate(s SnapshotUpdate) encodedSnapshotUpdate {
-	return encodedSnapshotUpdate{Picture: config.EncodeSnapshot(s.Picture)}
+	return encodedSnapshotUpdate{Picture: config.EncodeSnapshot(s.Snapshot)}
 }
 
 func decodeSnapshotUpdate(f encodedSnapshotUpdate) SnapshotUpdate {
-	return SnapshotUpdate{Picture: f.Picture.Decode()}
+	return SnapshotUpdate{Snapshot: f.Picture.Decode()}
 }
 
 type encodedRouters struct {
@@ -65,10 +65,10 @@
 }
 
 func encodeRouters(r Routers) encodedRouters {
-	return encodedRouters{Names: r.Names, Domains: r.Domains}
+	return encodedRouters{Names: r.Names, Domains: r.Zones}
 }
 
-func decodeRouters(f encodedRouters) Routers { return Routers{Names: f.Names, Domains: f.Domains} }
+func decodeRouters(f encodedRouters) Routers { return Routers{Names: f.Names, Zones: f.Domains} }
 
 // EncodedInstance is an Instance as nodes send it.
 type EncodedInstance struct {
@@ -83,14 +83,14 @@
 // EncodeInstance gives the encoded form of an instance.
 func EncodeInstance(i Instance) EncodedInstance {
 	return EncodedInstance{
-		ID: i.ID, Offer: i.Offer, Addr: i.Addr, Domain: i.Domain, Model: i.Model, Weights: i.Weights, Room: i.Room, Leaving: i.Leaving, Cold: i.Cold,
+		ID: i.ID, Offer: i.Service, Addr: i.Addr, Domain: i.Zone, Model: i.Model, Weights: i.Weights, Room: i.Capacity, Leaving: i.Draining, Cold: i.WarmingUp,
 	}
 }
 
 // Decode gives the instance of an encoded form.
 func (f EncodedInstance) Decode() Instance {
 	return Instance{
-		ID: f.ID, Offer: f.Offer, Addr: f.Addr, Domain: f.Domain, Model: f.Model, Weights: f.Weights, Room: f.Room, Leaving: f.Leaving, Cold: f.Cold,
+		ID: f.ID, Service: f.Offer, Addr: f.Addr, Zone: f.Domain, Model: f.Model, Weights: f.Weights, Capacity: f.Room, Draining: f.Leaving, WarmingUp: f.Cold,
 	}
 }
 
--- a/events.go
+++ b/events.go
@@ -10,32 +10,32 @@
 // and the replicas by the daemon, which sends the same events to programs that follow it.
 //
 // Events to followers are written by gob and commands read events as JSON, so that their field names are formats and stay: Go is the
-// id of an attempt, Offer a service, Kind a class of requests, Domain a zone, Picture a snapshot.
+// id of an attempt, Service a service, Class a class of requests, Zone a zone, Snapshot a snapshot.
 type Event interface{ event() }
 
 // Arrive is a new request.
 type Arrive struct {
 	Request string `json:"request"`
-	Offer   string `json:"offer"`
-	Kind    string `json:"kind"`
+	Service string `json:"offer"`
+	Class   string `json:"kind"`
 	// Prefix is the X-Prompt-Prefix header; Tail is how many tokens follow the prefix.
 	Prefix string `json:"prefix"`
 	Tail   int    `json:"tail"`
 
-	// Host and Path choose a route where Offer is empty.
+	// Host and Path choose a route where Service is empty.
 	Host  string `json:"host,omitempty"`
 	Path  string `json:"path,omitempty"`
 	Model string `json:"model,omitempty"`
-	// Tokens is the whole prompt, Most the longest answer in tokens; 0: not told.
-	Tokens int `json:"tokens,omitempty"`
-	Most   int `json:"most,omitempty"`
-	// Patience is how long the client will wait; 0: not told.
-	Patience time.Duration `json:"patience,omitempty"`
+	// Tokens is the whole prompt, MaxAnswerTokens the longest answer in tokens; 0: not told.
+	Tokens          int `json:"tokens,omitempty"`
+	MaxAnswerTokens int `json:"most,omitempty"`
+	// Timeout is how long the client will wait; 0: not told.
+	Timeout time.Duration `json:"patience,omitempty"`
 }
 
 // SnapshotUpdate brings a configuration; an older one than that in force is dropped.
 type SnapshotUpdate struct {
-	Picture *config.Snapshot
+	Snapshot *config.Snapshot
 }
 
 // Listing is what operators say of a replica of the document: "present", "leaving" or "gone".
@@ -46,14 +46,14 @@
 
 // Instance is one life of a replica, as the platform lists it.
 type Instance struct {
-	ID, Offer, Addr, Domain string
+	ID, Service, Addr, Zone string
 	Model                   string
 	// Weights is the revision of the model's weights; cached parts serve only the same one.
-	Weights string
-	Room    int
-	Leaving bool
-	// Cold is how much longer it counts as cold, from the time of reading.
-	Cold time.Duration
+	Weights  string
+	Capacity int
+	Draining bool
+	// WarmingUp is how much longer it counts as cold, from the time of reading.
+	WarmingUp time.Duration
 }
 
 // ReplicaList is the platform's list of replicas, whole, as read Age ago. Instances that it leaves out are gone.
@@ -64,12 +64,12 @@
 
 // Load is what a replica said of itself in an answer.
 type Load struct {
-	Replica                 string
-	Running, Waiting, Slots int
+	Replica                string
+	Running, Queued, Slots int
 }
 
-// Misplaced says that another instance answered at the replica's address and did not run the request.
-type Misplaced struct {
+// WrongInstance says that another instance answered at the replica's address and did not run the request.
+type WrongInstance struct {
 	Replica string
 }
 
@@ -101,25 +101,25 @@
 
 // Routers are the fleet's routers and their zones, by which room and budgets are divided.
 type Routers struct {
-	Names   []string `json:"names"`
-	Domains []string `json:"domains"`
+	Names []string `json:"names"`
+	Zones []string `json:"domains"`
 }
 
-// Feed says that the control side is in touch; Why is a reason not to serve, or "".
-type Feed struct {
+// ControlStatus says that the control side is in touch; Why is a reason not to serve, or "".
+type ControlStatus struct {
 	Why string `json:"why"`
 }
 
-// Leave asks whether an attempt's bytes may be sent now; the answer is Send or Recall.
-type Leave struct {
-	Request string `json:"request"`
-	Go      string `json:"go"`
+// ReadyToSend asks whether an attempt's bytes may be sent now; the answer is Send or CancelBeforeSend.
+type ReadyToSend struct {
+	Request   string `json:"request"`
+	AttemptID string `json:"go"`
 }
 
-// Head says that the head of an answer came.
-type Head struct {
+// AnswerHead says that the head of an answer came.
+type AnswerHead struct {
 	Request    string `json:"request"`
-	Go         string `json:"go"`
+	AttemptID  string `json:"go"`
 	InstanceID string `json:"instanceId"`
 	// Failed says that the answer is a failure of the replica's own.
 	Failed bool `json:"failed,omitempty"`
@@ -138,68 +138,68 @@
 	Gone    bool
 }
 
-// Piece says that the first part of an answer was passed on to the client.
-type Piece struct {
-	Request string `json:"request"`
-	Go      string `json:"go"`
+// AnswerStarted says that the first part of an answer was passed on to the client.
+type AnswerStarted struct {
+	Request   string `json:"request"`
+	AttemptID string `json:"go"`
 }
 
-// End says how an attempt ended.
-type End struct {
-	Request string `json:"request"`
-	Go      string `json:"go"`
-	How     How    `json:"how"`
+// AttemptEnded says how an attempt ended.
+type AttemptEnded struct {
+	Request   string        `json:"request"`
+	AttemptID string        `json:"go"`
+	Result    AttemptResult `json:"how"`
 }
 
-// Hangup says that the client is gone.
-type Hangup struct {
+// ClientDisconnected says that the client is gone.
+type ClientDisconnected struct {
 	Request string `json:"request"`
 }
 
-// Withhold tells that the request was asked for at another router before.
-type Withhold struct {
+// RanElsewhere tells that the request was asked for at another router before.
+type RanElsewhere struct {
 	Request string `json:"request"`
 }
 
 // Tick brings nothing but the time.
 type Tick struct{}
 
-// How is how an attempt ended.
-type How string
+// AttemptResult is how an attempt ended.
+type AttemptResult string
 
 // The ends of attempts.
 const (
-	// Whole: the answer came to its end.
-	Whole How = "whole"
+	// Completed: the answer came to its end.
+	Completed AttemptResult = "whole"
 	// Refused: the replica said that it did not run the request.
-	Refused How = "refused"
-	// Broken: the connection or the answer failed after bytes may have left.
-	Broken How = "broken"
+	Refused AttemptResult = "refused"
+	// Failed: the connection or the answer failed after bytes may have left.
+	Failed AttemptResult = "broken"
 	// Unreached: no byte left.
-	Unreached How = "unreached"
-	// Withheld: a witness knows that another router was asked before.
-	Withheld How = "withheld"
-	// NoQuorumOfWitnesses: too few witnesses answered in time.
-	NoQuorumOfWitnesses How = "unvouched"
+	Unreached AttemptResult = "unreached"
+	// Suppressed: a witness knows that another router was asked before.
+	Suppressed AttemptResult = "withheld"
+	// Unwitnessed: too few witnesses answered in time.
+	Unwitnessed AttemptResult = "unvouched"
 )
 
-func (Arrive) event()         {}
-func (SnapshotUpdate) event() {}
-func (Listing) event()        {}
-func (LoadReport) event()     {}
-func (Routers) event()        {}
-func (ReplicaSuspect) event() {}
-func (Welcome) event()        {}
-func (Feed) event()           {}
-func (Leave) event()          {}
-func (Head) event()           {}
-func (Piece) event()          {}
-func (End) event()            {}
-func (Hangup) event()         {}
-func (Withhold) event()       {}
-func (Tick) event()           {}
-func (ReplicaList) event()    {}
-func (Load) event()           {}
-func (Prefill) event()        {}
-func (Misplaced) event()      {}
-func (Failures) event()       {}
+func (Arrive) event()             {}
+func (SnapshotUpdate) event()     {}
+func (Listing) event()            {}
+func (LoadReport) event()         {}
+func (Routers) event()            {}
+func (ReplicaSuspect) event()     {}
+func (Welcome) event()            {}
+func (ControlStatus) event()      {}
+func (ReadyToSend) event()        {}
+func (AnswerHead) event()         {}
+func (AnswerStarted) event()      {}
+func (AttemptEnded) event()       {}
+func (ClientDisconnected) event() {}
+func (RanElsewhere) event()       {}
+func (Tick) event()               {}
+func (ReplicaList) event()        {}
+func (Load) event()               {}
+func (Prefill) event()            {}
+func (WrongInstance) event()      {}
+func (Failures) event()           {}
--- a/follow.go
+++ b/follow.go
@@ -12,7 +12,7 @@
 )
 
 // Welcome is a daemon's first event on a connection: its name, its zone and what is new at each of its starts.
-type Welcome struct{ Self, Domain, Boot string }
+type Welcome struct{ Self, Zone, Boot string }
 
 // Numbered is an event with its place in the order, from 0 on each connection.
 type Numbered struct {
@@ -30,8 +30,8 @@
 const (
 	// followRetry is the longest wait for a connection to the daemon, and the pause before the next attempt.
 	followRetry = 300 * time.Millisecond
-	// followSilence is how long a daemon may send nothing.
-	followSilence = 5 * time.Second
+	// followTimeout is how long a daemon may send nothing.
+	followTimeout = 5 * time.Second
 )
 
 // Follow keeps one connection to the daemon at addr until the tomb dies, and passes on its snapshot, then its changes, to feed. A lost
@@ -74,7 +74,7 @@
 // readEvents passes on what comes until the connection ends or an event is missing.
 func readEvents(conn net.Conn, r *transport.Reader, start func(w Welcome), feed func(ev Event)) error {
 	for due := uint64(0); ; {
-		_ = conn.SetReadDeadline(time.Now().Add(followSilence))
+		_ = conn.SetReadDeadline(time.Now().Add(followTimeout))
 		msg, err := r.Next()
 		if err != nil {
 			return err
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -15,7 +15,7 @@
 
 // AskWitnesses tells how an attempt ends before it is sent, or "" when it may be sent. spare is how long the witnesses may take
 // without harm; poll asks early, for a request that has no attempt yet.
-type AskWitnesses func(request string, spare time.Duration, poll bool) mallowbridge.How
+type AskWitnesses func(request string, spare time.Duration, poll bool) mallowbridge.AttemptResult
 
 // Limits bound what clients may send and how long replicas and clients may take.
 type Limits struct {
@@ -136,26 +136,26 @@
 
 func (f *Frontend) bad(x *Exchange, status int, why string) bool {
 	f.Counters.Bad.Add(1)
-	f.answer(x, status, Answer{Outcome: mallowbridge.OutBad, Why: why}, 0)
+	f.answer(x, status, Answer{Outcome: mallowbridge.OutcomeBad, Why: why}, 0)
 	return true
 }
 
 func (f *Frontend) reject(x *Exchange, why string, after time.Duration) bool {
 	f.Counters.Rejected.Add(1)
-	f.answer(x, http.StatusServiceUnavailable, Answer{Outcome: mallowbridge.OutDenied, Why: why}, after)
+	f.answer(x, http.StatusServiceUnavailable, Answer{Outcome: mallowbridge.OutcomeRejected, Why: why}, after)
 	return true
 }
 
 func (f *Frontend) rejectRepeated(x *Exchange, why string) bool {
 	f.Counters.RejectedRepeated.Add(1)
-	f.answer(x, http.StatusConflict, Answer{Outcome: mallowbridge.OutRepeat, Why: why}, 0)
+	f.answer(x, http.StatusConflict, Answer{Outcome: mallowbridge.OutcomeRepeat, Why: why}, 0)
 	return true
 }
 
 // turnAway rejects a request that was not passed to the router, unless this node sent it before.
 func (f *Frontend) turnAway(x *Exchange, why string) bool {
 	had := ""
-	f.router.Look(func(r *mallowbridge.Router) { had = r.AlreadyRan(x.r.Param("offer"), x.r.Param("kind"), x.request) })
+	f.router.Inspect(func(r *mallowbridge.Router) { had = r.AlreadyRan(x.r.Param("offer"), x.r.Param("kind"), x.request) })
 	if had != "" {
 		return f.rejectRepeated(x, had)
 	}
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -36,9 +36,9 @@
 }
 
 func (r *rig) later(d time.Duration) {
-	r.desk.Look(func(*mallowbridge.Router) {})
+	r.desk.Inspect(func(*mallowbridge.Router) {})
 	r.now.Add(int64(d))
-	r.desk.Tell(mallowbridge.Feed{})
+	r.desk.Notify(mallowbridge.ControlStatus{})
 }
 
 func newRig(t *testing.T, first bool) *rig {
@@ -63,14 +63,14 @@
 	}
 	r.desk = mallowbridge.NewRouterLoop(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
 	for _, ev := range []mallowbridge.Event{
-		mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: 1, Config: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.Feed{},
+		mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.ControlStatus{},
 		mallowbridge.LoadReport{Replica: "r1", InstanceID: "i1"}, mallowbridge.LoadReport{Replica: "r2", InstanceID: "i2"},
 	} {
-		r.desk.Tell(ev)
+		r.desk.Notify(ev)
 	}
 	r.later(3 * time.Second)
-	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) mallowbridge.How {
-		return map[bool]mallowbridge.How{true: "", false: mallowbridge.Withheld}[first]
+	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) mallowbridge.AttemptResult {
+		return map[bool]mallowbridge.AttemptResult{true: "", false: mallowbridge.Suppressed}[first]
 	}, httpapi.DefaultLimits(4096, 2))
 	r.gate.NodeID = "n1.b"
 	mux := bunrouter.New()
@@ -84,12 +84,12 @@
 	return r
 }
 
-func (r *rig) fault(rep int, f standin.Fault) {
+func (r *rig) fault(replica int, f standin.Fault) {
 	raw, err := json.Marshal(f)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	resp, err := http.Post("http://"+r.addrs[rep]+"/faults", "application/json", bytes.NewReader(raw))
+	resp, err := http.Post("http://"+r.addrs[replica]+"/faults", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -179,8 +179,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Tell(mallowbridge.SnapshotUpdate{Picture: &config.Snapshot{Version: 2, Config: c}})
-	r.desk.Tell(mallowbridge.LoadReport{Replica: "r9", InstanceID: "i9"})
+	r.desk.Notify(mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 2, Config: c}})
+	r.desk.Notify(mallowbridge.LoadReport{Replica: "r9", InstanceID: "i9"})
 	r.later(3 * time.Second)
 	if g := r.ask("once", "q1"); g.Outcome != "done" {
 		t.Errorf("%s, though nothing had left for the dead replica", g.Outcome)
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -25,7 +25,7 @@
 func (o *Operations) readiness(w http.ResponseWriter, r bunrouter.Request) error {
 	why := "draining"
 	if o.Frontend.Open() {
-		o.Frontend.router.Look(func(r *mallowbridge.Router) { why = r.Ready(o.Clock()) })
+		o.Frontend.router.Inspect(func(r *mallowbridge.Router) { why = r.Ready(o.Clock()) })
 	}
 	if why != "" {
 		w.Header().Set("Retry-After", "1")
@@ -47,7 +47,7 @@
 		o.Frontend.count(c)
 		router = o.Frontend.router
 	}
-	router.Look(func(r *mallowbridge.Router) { count(c, r) })
+	router.Inspect(func(r *mallowbridge.Router) { count(c, r) })
 	if o.Extra != nil {
 		for k, v := range o.Extra() {
 			c[k] = v
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -36,7 +36,7 @@
 // Configuration is the answer to operators' calls that succeed: the version of this change, the newest one, and what holds there. The
 // JSON names are published: mark is a version, emptied the evacuated zones.
 type Configuration struct {
-	Mark      uint64           `json:"mark"`
+	Version   uint64           `json:"mark"`
 	Now       uint64           `json:"now"`
 	Evacuated []string         `json:"emptied"`
 	Voters    []register.Voter `json:"voters"`
@@ -45,10 +45,10 @@
 
 // Failure is the answer to operators' calls that fail. Its JSON name fate says "unchanged", or "unknown" where the change may yet hold.
 type Failure struct {
-	Error  string             `json:"error"`
-	Effect string             `json:"fate"`
-	Mark   *uint64            `json:"mark,omitempty"`
-	Flaws  []config.Violation `json:"flaws,omitempty"`
+	Error      string             `json:"error"`
+	Effect     string             `json:"fate"`
+	Version    *uint64            `json:"mark,omitempty"`
+	Violations []config.Violation `json:"flaws,omitempty"`
 }
 
 // Routes adds all paths of the product's own interface.
@@ -94,9 +94,9 @@
 	status := http.StatusInternalServerError
 	switch {
 	case errors.As(err, &bad):
-		status, t.Flaws, t.Error = http.StatusUnprocessableEntity, bad.Violations, "configuration is flawed"
+		status, t.Violations, t.Error = http.StatusUnprocessableEntity, bad.Violations, "configuration is flawed"
 	case errors.As(err, &conflict):
-		status, t.Mark = http.StatusConflict, &conflict.Version
+		status, t.Version = http.StatusConflict, &conflict.Version
 	case errors.As(err, &unknown), errors.As(err, &forgotten):
 		status, t.Effect = http.StatusGatewayTimeout, "unknown"
 	case errors.As(err, &unreached), errors.As(err, &unfounded), errors.As(err, &fenced):
@@ -140,7 +140,7 @@
 		return fail(w, a.Err)
 	}
 	v := a.Value
-	return reply(w, http.StatusOK, Configuration{Mark: a.Version, Now: v.Version, Evacuated: append([]string{}, v.EvacuatedZones...), Voters: v.Voters, Config: v.Document})
+	return reply(w, http.StatusOK, Configuration{Version: a.Version, Now: v.Version, Evacuated: append([]string{}, v.EvacuatedZones...), Voters: v.Voters, Config: v.Document})
 }
 
 func (o *Operations) get(w http.ResponseWriter, r bunrouter.Request) error {
@@ -218,7 +218,7 @@
 	for _, e := range d.List("replicas", 1, 4096) {
 		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: e.Str("state", true, 16)}
 		if l.State != "present" && l.State != "leaving" && l.State != "gone" && l.State != "" {
-			e.Flaw(e.At("state"), l.State, "present, leaving or gone")
+			e.AddViolation(e.At("state"), l.State, "present, leaving or gone")
 		}
 		e.Close()
 		op.Rows = append(op.Rows, l)
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -23,14 +23,14 @@
 	placement mallowbridge.Decision
 	exchange  *Exchange
 	events    chan mallowbridge.ConnectionEvent
-	orders    chan mallowbridge.MoveKind
+	orders    chan mallowbridge.ActionKind
 	quit      chan struct{}
 }
 
 // connect starts an attempt; stop ends it at once.
 func (f *Frontend) connect(x *Exchange, place mallowbridge.Decision) *replicaConn {
 	c := &replicaConn{
-		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.ConnectionEvent), orders: make(chan mallowbridge.MoveKind, 2), quit: make(chan struct{}),
+		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.ConnectionEvent), orders: make(chan mallowbridge.ActionKind, 2), quit: make(chan struct{}),
 	}
 	go c.run()
 	return c
@@ -51,7 +51,7 @@
 func (c *replicaConn) run() {
 	conn, err := net.DialTimeout("tcp", c.placement.Addr, c.frontend.limits.Dial)
 	if err != nil {
-		c.report(mallowbridge.Dialed{Go: c.placement.Go})
+		c.report(mallowbridge.ConnectResult{AttemptID: c.placement.AttemptID})
 		return
 	}
 	done := make(chan struct{})
@@ -63,7 +63,7 @@
 		}
 		_ = conn.Close()
 	}()
-	if !c.report(mallowbridge.Dialed{Go: c.placement.Go, OK: true}) {
+	if !c.report(mallowbridge.ConnectResult{AttemptID: c.placement.AttemptID, OK: true}) {
 		return
 	}
 	c.obey(conn)
@@ -76,11 +76,11 @@
 		case order := <-c.orders:
 			if order == mallowbridge.Write {
 				_ = c.sendAndRead(conn)
-				c.report(mallowbridge.Lost{Go: c.placement.Go})
+				c.report(mallowbridge.ConnectionLost{AttemptID: c.placement.AttemptID})
 				return
 			}
-			how := c.frontend.witness(c.exchange.request, c.placement.Spare, false)
-			if !c.report(mallowbridge.WitnessesAnswered{Go: c.placement.Go, How: how}) {
+			how := c.frontend.witness(c.exchange.request, c.placement.SpareTime, false)
+			if !c.report(mallowbridge.WitnessesAnswered{AttemptID: c.placement.AttemptID, Result: how}) {
 				return
 			}
 		case <-c.quit:
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	replied := mallowbridge.Replied{Go: c.placement.Go, Attempt: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
+	replied := mallowbridge.Replied{AttemptID: c.placement.AttemptID, Attempt: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
 	if !c.report(replied) {
 		return nil
 	}
@@ -133,11 +133,11 @@
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		var l mallowbridge.Line
+		var l mallowbridge.AnswerLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return err
 		}
-		if !c.report(mallowbridge.Read{Go: c.placement.Go, Line: l}) {
+		if !c.report(mallowbridge.AnswerRead{AttemptID: c.placement.AttemptID, Line: l}) {
 			return nil
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("X-Request-Id", c.exchange.request)
-	req.Header.Set("X-Request-Attempt-Id", c.placement.Go)
+	req.Header.Set("X-Request-Attempt-Id", c.placement.AttemptID)
 	if c.exchange.prefix != "" {
 		req.Header.Set("X-Prompt-Prefix", c.exchange.prefix)
 	}
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -19,7 +19,7 @@
 	request  mallowbridge.RequestFlow
 	conn     *replicaConn
 	began    bool
-	polled   chan mallowbridge.How
+	polled   chan mallowbridge.AttemptResult
 	enc      *json.Encoder
 	ctl      *http.ResponseController
 }
@@ -28,12 +28,12 @@
 func (f *Frontend) route(x *Exchange) bool {
 	s := &session{
 		frontend: f, exchange: x, request: mallowbridge.RequestFlow{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
-		polled: make(chan mallowbridge.How, 1),
+		polled: make(chan mallowbridge.AttemptResult, 1),
 	}
 	defer s.drop()
 	defer func() { _ = s.ctl.SetWriteDeadline(time.Time{}) }()
 	s.run(f.router.Submit(mallowbridge.Arrive{
-		Request: x.request, Offer: x.r.Param("offer"), Kind: x.r.Param("kind"), Prefix: x.prefix, Tail: len(x.body) / bytesPerToken,
+		Request: x.request, Service: x.r.Param("offer"), Class: x.r.Param("kind"), Prefix: x.prefix, Tail: len(x.body) / bytesPerToken,
 	}))
 	return true
 }
@@ -47,15 +47,15 @@
 		select {
 		case <-s.exchange.r.Context().Done():
 			s.frontend.Counters.Hangups.Add(1)
-			s.perform(s.request.Happened(mallowbridge.ClientHungUp{}))
+			s.perform(s.request.Happened(mallowbridge.ClientClosed{}))
 			return
 		case d, ok := <-decisions:
 			if !ok {
-				d = mallowbridge.Decision{Verdict: mallowbridge.Unknown, Why: "node is stopping"}
+				d = mallowbridge.Decision{Verdict: mallowbridge.Unknown, Reason: "node is stopping"}
 			}
 			final = s.perform(s.request.Decided(d))
 		case how := <-s.polled:
-			final = s.perform(s.request.Happened(mallowbridge.WitnessesAnswered{How: how}))
+			final = s.perform(s.request.Happened(mallowbridge.WitnessesAnswered{Result: how}))
 		case event := <-events:
 			final = s.perform(s.request.Happened(event))
 		}
@@ -70,26 +70,26 @@
 }
 
 // perform does the moves in order and tells whether the request has ended.
-func (s *session) perform(moves []mallowbridge.Move) bool {
-	for _, m := range moves {
+func (s *session) perform(actions []mallowbridge.Action) bool {
+	for _, m := range actions {
 		switch m.Kind {
-		case mallowbridge.Dial:
-			s.conn = s.frontend.connect(s.exchange, m.Place)
+		case mallowbridge.Connect:
+			s.conn = s.frontend.connect(s.exchange, m.Placement)
 		case mallowbridge.AskWitnesses, mallowbridge.Write:
 			s.conn.orders <- m.Kind
 		case mallowbridge.AskWitnessesEarly:
 			go func() { s.polled <- s.frontend.witness(s.exchange.request, 0, true) }()
-		case mallowbridge.Drop:
+		case mallowbridge.Disconnect:
 			s.drop()
-		case mallowbridge.Tell:
-			if e, ok := m.Event.(mallowbridge.End); ok && e.How == mallowbridge.Broken {
+		case mallowbridge.NotifyRouter:
+			if e, ok := m.Event.(mallowbridge.AttemptEnded); ok && e.Result == mallowbridge.Failed {
 				s.frontend.Counters.Breaks.Add(1)
 			}
-			s.frontend.router.Tell(m.Event)
-		case mallowbridge.Pass:
+			s.frontend.router.Notify(m.Event)
+		case mallowbridge.PassLine:
 			s.pass(m)
-		case mallowbridge.Close:
-			s.close(m.Place, m.Outcome)
+		case mallowbridge.Finish:
+			s.close(m.Placement, m.Outcome)
 			return true
 		}
 	}
@@ -99,36 +99,36 @@
 func (s *session) close(d mallowbridge.Decision, outcome string) {
 	f, x := s.frontend, s.exchange
 	switch outcome {
-	case mallowbridge.OutBad:
-		f.bad(x, http.StatusNotFound, d.Why)
-	case mallowbridge.OutRepeat:
-		f.rejectRepeated(x, d.Why)
-	case mallowbridge.OutDenied:
-		f.reject(x, d.Why, d.After)
-	case mallowbridge.OutUnknown:
+	case mallowbridge.OutcomeBad:
+		f.bad(x, http.StatusNotFound, d.Reason)
+	case mallowbridge.OutcomeRepeat:
+		f.rejectRepeated(x, d.Reason)
+	case mallowbridge.OutcomeRejected:
+		f.reject(x, d.Reason, d.RetryAfter)
+	case mallowbridge.OutcomeUnknown:
 		f.Counters.Unknown.Add(1)
-		f.answer(x, http.StatusBadGateway, Answer{Outcome: outcome, Attempt: d.Go, Why: d.Why}, d.After)
-	case mallowbridge.OutPartial:
+		f.answer(x, http.StatusBadGateway, Answer{Outcome: outcome, Attempt: d.AttemptID, Why: d.Reason}, d.RetryAfter)
+	case mallowbridge.OutcomePartial:
 		f.Counters.Partial.Add(1)
 		panic(http.ErrAbortHandler)
-	case mallowbridge.OutDone:
+	case mallowbridge.OutcomeDone:
 		f.Counters.Done.Add(1)
 	}
 }
 
 // pass sends a line to the client. A client that does not take it is gone.
-func (s *session) pass(m mallowbridge.Move) {
+func (s *session) pass(m mallowbridge.Action) {
 	if !s.began {
 		s.began = true
 		h := s.exchange.w.Header()
 		h.Set("Content-Type", "application/x-ndjson")
 		h.Set("X-Request-Id", s.exchange.request)
-		h.Set("X-Request-Attempt-Id", m.Place.Go)
+		h.Set("X-Request-Attempt-Id", m.Placement.AttemptID)
 		s.exchange.w.WriteHeader(http.StatusOK)
 	}
 	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.Write))
 	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
-		s.perform(s.request.Happened(mallowbridge.ClientHungUp{}))
+		s.perform(s.request.Happened(mallowbridge.ClientClosed{}))
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/ledger/check.go
+++ b/ledger/check.go
@@ -50,7 +50,7 @@
 func (x *runs) attempts() []string {
 	var ids []string
 	for _, r := range x.begun {
-		ids = append(ids, r.Go)
+		ids = append(ids, r.AttemptID)
 	}
 	return ids
 }
@@ -62,8 +62,8 @@
 	}
 	var ids []string
 	for _, r := range x.begun {
-		if strings.HasPrefix(r.Go, node+".") && r.AtMs >= from && r.AtMs < until {
-			ids = append(ids, r.Go)
+		if strings.HasPrefix(r.AttemptID, node+".") && r.AtMs >= from && r.AtMs < until {
+			ids = append(ids, r.AttemptID)
 		}
 	}
 	return ids
@@ -106,13 +106,13 @@
 		x := all.of(r.Request)
 		switch r.Event {
 		case EventBegun:
-			if other, twice := requestOf[r.Go]; twice {
-				breaches = append(breaches, Breach{What: Reused, Request: r.Request, Detail: r.Go + ", before for " + other})
+			if other, twice := requestOf[r.AttemptID]; twice {
+				breaches = append(breaches, Breach{What: Reused, Request: r.Request, Detail: r.AttemptID + ", before for " + other})
 			}
-			requestOf[r.Go] = r.Request
+			requestOf[r.AttemptID] = r.Request
 			x.begun = append(x.begun, r)
 		case EventDone:
-			x.done[r.Go] = r.Pieces
+			x.done[r.AttemptID] = r.Chunks
 		}
 	}
 	return all, breaches
@@ -158,7 +158,7 @@
 // checkAnswer reads an answer's pieces, which must be those of one attempt in order, and all of them where it is called whole.
 func checkAnswer(g Got, x *runs) (Breach, bool) {
 	attempt := ""
-	for i, p := range g.Pieces {
+	for i, p := range g.Chunks {
 		f := strings.Split(p, "|")
 		if len(f) != 3 || f[0] != g.Request {
 			return Breach{What: Mixed, Request: g.Request, Detail: p}, true
@@ -177,8 +177,8 @@
 	}
 	n, ok := x.done[attempt]
 	switch {
-	case !ok && len(g.Pieces) > 0 && slices.Contains(x.attempts(), attempt), ok && n != len(g.Pieces):
-		return Breach{What: Truncated, Request: g.Request, Detail: fmt.Sprintf("%d pieces of %d", len(g.Pieces), n)}, true
+	case !ok && len(g.Chunks) > 0 && slices.Contains(x.attempts(), attempt), ok && n != len(g.Chunks):
+		return Breach{What: Truncated, Request: g.Request, Detail: fmt.Sprintf("%d pieces of %d", len(g.Chunks), n)}, true
 	case !ok:
 		return Breach{What: Unrun, Request: g.Request, Detail: "attempt " + strconv.Quote(attempt)}, true
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -20,14 +20,14 @@
 // were written before.
 type Ran struct {
 	// AtMs is the replica's clock in milliseconds since 1970.
-	AtMs     int64  `json:"atMs"`
-	Replica  string `json:"replica"`
-	Instance string `json:"instanceId"`
-	Request  string `json:"request"`
-	Go       string `json:"go"`
-	Event    string `json:"event"`
-	// Pieces is how many pieces of the answer the replica wrote.
-	Pieces int `json:"pieces,omitempty"`
+	AtMs      int64  `json:"atMs"`
+	Replica   string `json:"replica"`
+	Instance  string `json:"instanceId"`
+	Request   string `json:"request"`
+	AttemptID string `json:"go"`
+	Event     string `json:"event"`
+	// Chunks is how many pieces of the answer the replica wrote.
+	Chunks int `json:"pieces,omitempty"`
 }
 
 // Got is a line of a client's ledger: what came of sending one request to one node. A request that is sent again has several.
@@ -40,7 +40,7 @@
 	Kind       string   `json:"kind"`
 	Repeatable bool     `json:"repeatable"`
 	Outcome    string   `json:"outcome"`
-	Pieces     []string `json:"pieces,omitempty"`
+	Chunks     []string `json:"pieces,omitempty"`
 	// FirstMs is how long the first piece took.
 	FirstMs int64 `json:"firstMs,omitempty"`
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -3,8 +3,10 @@
 import "testing"
 
 func TestCheckerCatchesEachBreach(t *testing.T) {
-	ran := func(event, req, id string, n int) Ran { return Ran{Event: event, Request: req, Go: id, Pieces: n} }
-	done := func(req string, pieces ...string) Got { return Got{Request: req, Outcome: "done", Pieces: pieces} }
+	ran := func(event, req, id string, n int) Ran {
+		return Ran{Event: event, Request: req, AttemptID: id, Chunks: n}
+	}
+	done := func(req string, pieces ...string) Got { return Got{Request: req, Outcome: "done", Chunks: pieces} }
 	at := func(ms int64, r Ran) Ran { r.AtMs = ms; return r }
 	at20 := func(g Got, node string) Got { g.AtMs, g.Node = 20, node; return g }
 	whole := []Ran{ran("begun", "a", "g1", 0), ran("done", "a", "g1", 2)}
@@ -15,7 +17,7 @@
 		want string
 	}{
 		{"sound", whole, []Got{done("a", "a|g1|0", "a|g1|1")}, ""},
-		{"sound partial", whole[:1], []Got{{Request: "a", Outcome: "partial", Pieces: []string{"a|g1|0"}}}, ""},
+		{"sound partial", whole[:1], []Got{{Request: "a", Outcome: "partial", Chunks: []string{"a|g1|0"}}}, ""},
 		{"denied, then asked again and run", whole, []Got{{Request: "a", Outcome: "denied"}, done("a", "a|g1|0", "a|g1|1")}, ""},
 		{"twice", append(whole, ran("begun", "a", "g2", 0)), []Got{done("a", "a|g1|0", "a|g1|1")}, RanTwice},
 		{"denied here, run elsewhere", []Ran{at(20, ran("begun", "a", "n2.b.1", 0)), at(30, ran("done", "a", "n2.b.1", 1))},
--- a/loop.go
+++ b/loop.go
@@ -10,11 +10,11 @@
 type loopMessage struct {
 	event     Event
 	decisions chan Decision
-	look      func(r *Router)
+	inspect   func(r *Router)
 	done      chan struct{}
 }
 
-// RouterLoop owns one Router in one goroutine; events go in by Tell, a request's decisions come back on its own channel.
+// RouterLoop owns one Router in one goroutine; events go in by NotifyRouter, a request's decisions come back on its own channel.
 type RouterLoop struct {
 	tomb        *tomb.Tomb
 	clock       func() time.Duration
@@ -89,8 +89,8 @@
 }
 
 func (l *RouterLoop) handle(m loopMessage) {
-	if m.look != nil {
-		m.look(l.router)
+	if m.inspect != nil {
+		m.inspect(l.router)
 		close(m.done)
 		return
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	l.deliver(l.router.Step(l.clock(), m.event))
-	if e, ok := m.event.(Hangup); ok {
+	if e, ok := m.event.(ClientDisconnected); ok {
 		l.endRequest(e.Request)
 	}
 }
@@ -123,8 +123,8 @@
 
 func (l *RouterLoop) deliver(decisions []Decision) {
 	for _, one := range decisions {
-		if one.Unread > 0 && l.announce != nil {
-			l.announce(Prefill{Replica: one.Replica, Tokens: one.Unread})
+		if one.UnreadTokens > 0 && l.announce != nil {
+			l.announce(Prefill{Replica: one.Replica, Tokens: one.UnreadTokens})
 		}
 		if l.subscribers[one.Request] != nil {
 			l.deliverTo(l.subscribers[one.Request], one)
@@ -138,7 +138,7 @@
 	case subscriber <- one:
 	default:
 		l.endRequest(one.Request)
-		l.deliver(l.router.Step(l.clock(), Hangup{Request: one.Request}))
+		l.deliver(l.router.Step(l.clock(), ClientDisconnected{Request: one.Request}))
 		return
 	}
 	if one.Verdict.final() {
@@ -182,36 +182,36 @@
 
 // OnPrefill has tell called for each prompt that other routers should know of; it must not wait.
 func (l *RouterLoop) OnPrefill(tell func(p Prefill)) {
-	l.Look(func(*Router) { l.announce = tell })
+	l.Inspect(func(*Router) { l.announce = tell })
 }
 
-// TellIfIdle gives an event that is worth nothing later: a loop that is busy doesn't get it.
-func (l *RouterLoop) TellIfIdle(ev Event) {
+// NotifyIfIdle gives an event that is worth nothing later: a loop that is busy doesn't get it.
+func (l *RouterLoop) NotifyIfIdle(ev Event) {
 	select {
 	case l.inbox <- loopMessage{event: ev}:
 	default:
 	}
 }
 
-// Tell gives an event; it waits while the loop is behind, and drops the event once the loop has ended.
-func (l *RouterLoop) Tell(ev Event) { l.post(loopMessage{event: ev}) }
+// NotifyRouter gives an event; it waits while the loop is behind, and drops the event once the loop has ended.
+func (l *RouterLoop) Notify(ev Event) { l.post(loopMessage{event: ev}) }
 
-// decisionRoom is how many decisions of a request may wait to be read.
-const decisionRoom = 64
+// decisionBuffer is how many decisions of a request may wait to be read.
+const decisionBuffer = 64
 
 // Submit gives the channel of a request's decisions; it is closed after the last, and early when nobody reads it.
 func (l *RouterLoop) Submit(a Arrive) <-chan Decision {
-	sub := make(chan Decision, decisionRoom)
+	sub := make(chan Decision, decisionBuffer)
 	if !l.post(loopMessage{event: a, decisions: sub}) {
 		close(sub)
 	}
 	return sub
 }
 
-// Look calls look in the loop's goroutine and waits for it; look must not wait for the loop. It is not called once the loop has ended.
-func (l *RouterLoop) Look(look func(r *Router)) {
+// Inspect calls look in the loop's goroutine and waits for it; look must not wait for the loop. It is not called once the loop has ended.
+func (l *RouterLoop) Inspect(look func(r *Router)) {
 	done := make(chan struct{})
-	if !l.post(loopMessage{look: look, done: done}) {
+	if !l.post(loopMessage{inspect: look, done: done}) {
 		return
 	}
 	select {
--- a/loop_test.go
+++ b/loop_test.go
@@ -14,16 +14,16 @@
 	r := router(t, replica("d1", "both", "a", 1))
 	tb := &tomb.Tomb{}
 	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled }, time.Hour)
-	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Offer: "o", Kind: "k", Prefix: "sys/10", Tail: 5})
+	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", Tail: 5})
 	first := <-decisions
 	for i := range 200 {
-		d.Tell(mallowbridge.Leave{Request: "q", Go: fmt.Sprint("n1.b.", 100+i)})
+		d.Notify(mallowbridge.ReadyToSend{Request: "q", AttemptID: fmt.Sprint("n1.b.", 100+i)})
 	}
 	if first.Verdict != mallowbridge.Place {
 		t.Fatal(first)
 	}
 	running := 0
-	d.Look(func(r *mallowbridge.Router) { running = r.Running() })
+	d.Inspect(func(r *mallowbridge.Router) { running = r.Running() })
 	n := 0
 	for range decisions {
 		n++
@@ -44,7 +44,7 @@
 	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Host: "h.example", Path: "/x"})
 	select {
 	case x := <-decisions:
-		if x.Verdict != mallowbridge.Deny || x.Late || time.Since(start) < 100*time.Millisecond {
+		if x.Verdict != mallowbridge.Reject || x.RejectedLate || time.Since(start) < 100*time.Millisecond {
 			t.Errorf("%+v after %v", x, time.Since(start))
 		}
 	case <-time.After(5 * time.Second):
@@ -66,7 +66,7 @@
 	}
 	ask("short", 100)
 	first := ask("long", 20000)
-	d.Look(func(*mallowbridge.Router) {})
+	d.Inspect(func(*mallowbridge.Router) {})
 	if len(told) != 1 {
 		t.Fatalf("told of %d prompts", len(told))
 	}
@@ -74,8 +74,8 @@
 		t.Errorf("told %+v of a prompt at %s", p, first)
 	}
 	other := map[string]string{"i1": "i2", "i2": "i1"}[first]
-	d.TellIfIdle(mallowbridge.Prefill{Replica: other, Tokens: 60000})
-	d.TellIfIdle(mallowbridge.Prefill{Replica: "unknown", Tokens: 60000})
+	d.NotifyIfIdle(mallowbridge.Prefill{Replica: other, Tokens: 60000})
+	d.NotifyIfIdle(mallowbridge.Prefill{Replica: "unknown", Tokens: 60000})
 	if at := ask("after", 15000); at != first {
 		t.Errorf("placed at %s, where another router has sent a long prompt", at)
 	}
--- a/memory.go
+++ b/memory.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// requestMemory knows which requests were sent, the newest up to a number and an age: those that may not be repeated are not sent again.
-type requestMemory struct {
+// sentRequests knows which requests were sent, the newest up to a number and an age: those that may not be repeated are not sent again.
+type sentRequests struct {
 	keep   time.Duration
 	max    int
 	seenAt map[string]time.Duration
 	order  []string
 }
 
-func newRequestMemory(keep time.Duration, max int) *requestMemory {
-	return &requestMemory{keep: keep, max: max, seenAt: map[string]time.Duration{}}
+func newRequestMemory(keep time.Duration, max int) *sentRequests {
+	return &sentRequests{keep: keep, max: max, seenAt: map[string]time.Duration{}}
 }
 
-func (o *requestMemory) has(now time.Duration, req string) bool {
+func (o *sentRequests) has(now time.Duration, req string) bool {
 	at, ok := o.seenAt[req]
 	return ok && now-at < o.keep
 }
 
-func (o *requestMemory) add(now time.Duration, req string) {
+func (o *sentRequests) add(now time.Duration, req string) {
 	if _, ok := o.seenAt[req]; !ok {
 		o.order = append(o.order, req)
 	}
@@ -34,7 +34,7 @@
 }
 
 // remove forgets a request whose attempt was permitted and yet rejected before it was sent.
-func (o *requestMemory) remove(req string) {
+func (o *sentRequests) remove(req string) {
 	if _, ok := o.seenAt[req]; ok {
 		delete(o.seenAt, req)
 		o.order = slices.DeleteFunc(o.order, func(r string) bool { return r == req })
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -51,20 +51,20 @@
 
 // Cluster is one state of a world of the register.
 type Cluster struct {
-	plan      *Plan
-	left      Budget
-	proposers [proposers]*register.Proposer
-	boots     [proposers]uint8
-	known     [proposers]*register.Value
-	disks     []disk
-	mail      []mail
-	open      []operation
-	orders    []progress
-	calls     []call
-	changes   uint64
-	told      []told
-	newest    *register.Value
-	first     *register.Value
+	plan         *Plan
+	left         Budget
+	proposers    [proposers]*register.Proposer
+	boots        [proposers]uint8
+	known        [proposers]*register.Value
+	disks        []disk
+	mail         []mail
+	open         []operation
+	orders       []progress
+	calls        []call
+	changes      uint64
+	acknowledged []acknowledged
+	newest       *register.Value
+	first        *register.Value
 	// replaced are lost disks that a told value has let go.
 	replaced []string
 	broken   error
@@ -77,7 +77,7 @@
 		first.Voters = append(first.Voters, register.Voter{Disk: id, Name: id})
 	}
 	c := &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), calls: make([]call, attempts*len(plan.Orders)), newest: first, first: first}
-	c.told = []told{plan.tell(first)}
+	c.acknowledged = []acknowledged{plan.tell(first)}
 	for at, id := range plan.Disks {
 		d := disk{name: id, kept: register.State{Disk: id}}
 		if at < plan.Voters {
@@ -108,7 +108,7 @@
 	n.open = slices.Clone(c.open)
 	n.orders = slices.Clone(c.orders)
 	n.calls = slices.Clone(c.calls)
-	n.told = slices.Clone(c.told)
+	n.acknowledged = slices.Clone(c.acknowledged)
 	return n
 }
 
--- a/modelcheck/cluster_test.go
+++ b/modelcheck/cluster_test.go
@@ -85,14 +85,14 @@
 var worlds = map[string]scenario{
 	"two orders on one base":                 {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Timers: 1}}},
 	"two orders, one sent again":             {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Resends: 1}}},
-	"an order on another, and a read":        {plan: Plan{Disks: three, Voters: 3, Guesses: true, Orders: []Order{x, yOnX, read}, Budget: Budget{Timers: 1}}},
+	"an order on another, and a read":        {plan: Plan{Disks: three, Voters: 3, OrdersBeforeAcknowledgement: true, Orders: []Order{x, yOnX, read}, Budget: Budget{Timers: 1}}},
 	"an order sent again, proposers restart": {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x}, Budget: Budget{Timers: 1, Resends: 1, Restarts: 1}}},
 	"two orders, crash before the write":     {plan: Plan{Disks: three, Voters: 3, Journal: true, Orders: []Order{x, y}, Budget: Budget{Crashes: 1}}},
 	"two orders, queued answers":             {plan: Plan{Disks: three, Voters: 3, Queued: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1}}},
 	"an order and a planned replacement":     {plan: Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{y}, Budget: Budget{Replacements: 1}}},
 	"an order, a loss and its replacement":   {plan: Plan{Disks: spare, Voters: 3, Orders: []Order{y}, Budget: Budget{Wipes: 1, Replacements: 1}}},
 	"a second loss after a replacement": {
-		plan:   Plan{Disks: spare, Voters: 3, Guesses: true, Orders: []Order{x, yOnX}, Budget: Budget{Timers: 1, Wipes: 2, Replacements: 1}},
+		plan:   Plan{Disks: spare, Voters: 3, OrdersBeforeAcknowledgement: true, Orders: []Order{x, yOnX}, Budget: Budget{Timers: 1, Wipes: 2, Replacements: 1}},
 		before: aIsReplaced,
 	},
 	"a second loss and its replacement": {
--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -38,9 +38,9 @@
 type Report struct {
 	// States are distinct, Transitions counts also those that led to a state seen before.
 	States, Transitions int
-	// Depth is the longest trace of which every shorter one was explored; Whole tells that no state was left.
-	Depth int
-	Whole bool
+	// Depth is the longest trace of which every shorter one was explored; Complete tells that no state was left.
+	Depth    int
+	Complete bool
 	// Err is the first broken invariant and Trace the shortest way to it.
 	Err   error
 	Trace []string
@@ -48,7 +48,7 @@
 
 // String tells the counts and, if an invariant broke, the trace, one event a line.
 func (r Report) String() string {
-	text := fmt.Sprintf("%d states, %d transitions, depth %d, whole %t", r.States, r.Transitions, r.Depth, r.Whole)
+	text := fmt.Sprintf("%d states, %d transitions, depth %d, whole %t", r.States, r.Transitions, r.Depth, r.Complete)
 	if r.Err == nil {
 		return text
 	}
@@ -108,7 +108,7 @@
 		frontier = next
 		x.report.Depth++
 	}
-	x.report.Whole = len(frontier) == 0
+	x.report.Complete = len(frontier) == 0
 	return x.report
 }
 
--- a/modelcheck/explore_test.go
+++ b/modelcheck/explore_test.go
@@ -70,10 +70,10 @@
 }
 
 func TestBoundsEndAnExploration(t *testing.T) {
-	if r := Explore(jugs{}, Bounds{Depth: 5}); r.Err != nil || r.Depth != 5 || r.Whole {
+	if r := Explore(jugs{}, Bounds{Depth: 5}); r.Err != nil || r.Depth != 5 || r.Complete {
 		t.Error("a fault six steps away, explored to five:", r)
 	}
-	if r := Explore(jugs{}, Bounds{States: 5}); r.States != 5 || r.Whole {
+	if r := Explore(jugs{}, Bounds{States: 5}); r.States != 5 || r.Complete {
 		t.Error("five states:", r)
 	}
 }
@@ -83,7 +83,7 @@
 	plan := worlds["two orders on one base"].plan
 	plan.Rules = RealRules()
 	one, four := Explore(NewCluster(plan), Bounds{Workers: 1}), Explore(NewCluster(plan), Bounds{Workers: 4})
-	if !one.Whole || one.String() != four.String() {
+	if !one.Complete || one.String() != four.String() {
 		t.Errorf("%s\n%s", one, four)
 	}
 }
--- a/modelcheck/fingerprint.go
+++ b/modelcheck/fingerprint.go
@@ -20,7 +20,7 @@
 		b = c.known[at].AppendFingerprint(b)
 	}
 	for _, o := range c.open {
-		b = append(b, byte(o.id), byte(o.proposer), byte(o.order), byte(o.floor.mark), byte(o.floor.epoch), byte(o.floor.taken))
+		b = append(b, byte(o.id), byte(o.proposer), byte(o.order), byte(o.floor.number), byte(o.floor.epoch), byte(o.floor.taken))
 		for _, v := range o.begins {
 			b = append(b, v.Disk...)
 		}
@@ -31,8 +31,8 @@
 	for _, call := range c.calls {
 		b = append(b, byte(call.state), truth(call.barred), byte(call.after), byte(call.after>>8))
 	}
-	for _, t := range c.told {
-		b = append(b, byte(t.mark), byte(t.epoch), byte(t.taken), byte(t.hash), byte(t.hash>>8), byte(t.hash>>16), byte(t.hash>>24))
+	for _, t := range c.acknowledged {
+		b = append(b, byte(t.number), byte(t.epoch), byte(t.taken), byte(t.hash), byte(t.hash>>8), byte(t.hash>>16), byte(t.hash>>24))
 	}
 	for _, id := range c.replaced {
 		b = append(b, id...)
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -17,30 +17,30 @@
 func (e *InvariantError) Error() string { return e.Invariant + ": " + e.How }
 
 // version orders values: by revision, then by the epoch of the voters.
-type version struct{ mark, epoch, taken uint64 }
+type version struct{ number, epoch, taken uint64 }
 
 func (p *Plan) versionOf(v *register.Value) version {
 	if p.evacuations() {
-		return version{mark: v.Version, epoch: v.Epoch, taken: v.AppliedOrders}
+		return version{number: v.Version, epoch: v.Epoch, taken: v.AppliedOrders}
 	}
-	return version{mark: v.Version, epoch: v.Epoch}
+	return version{number: v.Version, epoch: v.Epoch}
 }
 
 func (v version) older(o version) bool {
-	if v.mark != o.mark {
-		return v.mark < o.mark
+	if v.number != o.number {
+		return v.number < o.number
 	}
 	return v.epoch < o.epoch || (v.epoch == o.epoch && v.taken < o.taken)
 }
 
 // told is a version that a caller was told of, and a hash of all that the value holds.
-type told struct {
+type acknowledged struct {
 	version
 	hash uint64
 }
 
-func (p *Plan) tell(v *register.Value) told {
-	return told{version: p.versionOf(v), hash: xxhash.Sum64(v.AppendFingerprint(nil))}
+func (p *Plan) tell(v *register.Value) acknowledged {
+	return acknowledged{version: p.versionOf(v), hash: xxhash.Sum64(v.AppendFingerprint(nil))}
 }
 
 // check judges an answer against all that was told before.
@@ -72,9 +72,9 @@
 
 func (c *Cluster) learnTold(v *register.Value) {
 	t := c.plan.tell(v)
-	if !slices.Contains(c.told, t) {
-		c.told = append(c.told, t)
-		slices.SortFunc(c.told, func(a, b told) int { return sign(a.older(b.version)) })
+	if !slices.Contains(c.acknowledged, t) {
+		c.acknowledged = append(c.acknowledged, t)
+		slices.SortFunc(c.acknowledged, func(a, b acknowledged) int { return sign(a.older(b.version)) })
 	}
 	if c.plan.versionOf(c.newest).older(c.plan.versionOf(v)) {
 		c.noteReplaced(v)
@@ -92,7 +92,7 @@
 // oneValueAVersion: two different values are never told under one revision and epoch.
 func (c *Cluster) oneValueAVersion(v *register.Value) error {
 	now := c.plan.tell(v)
-	for _, before := range c.told {
+	for _, before := range c.acknowledged {
 		if before.version == now.version && before.hash != now.hash {
 			return &InvariantError{Invariant: "one value a version", How: fmt.Sprintf("revision %d epoch %d stands for two values", v.Version, v.Epoch)}
 		}
@@ -103,9 +103,9 @@
 // oneHistory: of two values that were told the one of the later revision never has the earlier epoch, for each is made from the other.
 func (c *Cluster) oneHistory(v *register.Value) error {
 	now := c.plan.versionOf(v)
-	for _, before := range c.told {
-		if (now.mark < before.mark && now.epoch > before.epoch) || (now.mark > before.mark && now.epoch < before.epoch) {
-			return &InvariantError{Invariant: "told values are one history", How: fmt.Sprintf("revision %d epoch %d beside revision %d epoch %d", now.mark, now.epoch, before.mark, before.epoch)}
+	for _, before := range c.acknowledged {
+		if (now.number < before.number && now.epoch > before.epoch) || (now.number > before.number && now.epoch < before.epoch) {
+			return &InvariantError{Invariant: "told values are one history", How: fmt.Sprintf("revision %d epoch %d beside revision %d epoch %d", now.number, now.epoch, before.number, before.epoch)}
 		}
 	}
 	return nil
@@ -114,7 +114,7 @@
 // readNotOlder: an operation never brings a value older than what was told before it began.
 func (c *Cluster) readNotOlder(o operation, v *register.Value) error {
 	if c.plan.versionOf(v).older(o.floor) {
-		return &InvariantError{Invariant: "a read is never old", How: fmt.Sprintf("revision %d epoch %d was read, %d epoch %d was told before it began", v.Version, v.Epoch, o.floor.mark, o.floor.epoch)}
+		return &InvariantError{Invariant: "a read is never old", How: fmt.Sprintf("revision %d epoch %d was read, %d epoch %d was told before it began", v.Version, v.Epoch, o.floor.number, o.floor.epoch)}
 	}
 	return nil
 }
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -171,16 +171,16 @@
 	var space [64]byte
 	b := append(space[:0], byte(m.holder))
 	var token lease.Token
-	var rid, epoch uint64
+	var requestID, epoch uint64
 	switch msg := m.msg.(type) {
 	case lease.Request:
-		b, token, rid, epoch = append(b, 'r'), msg.Token, msg.RequestID, msg.Epoch
+		b, token, requestID, epoch = append(b, 'r'), msg.Token, msg.RequestID, msg.Epoch
 	case lease.Release:
 		b, token = append(b, 'l'), msg.Token
 	case lease.Grant:
-		b, token, rid = append(append(b, 'g', truth(msg.OK)), msg.Holder...), msg.Token, msg.RequestID
+		b, token, requestID = append(append(b, 'g', truth(msg.OK)), msg.Holder...), msg.Token, msg.RequestID
 	}
-	for _, n := range []uint64{token.Epoch, token.Number, rid, epoch} {
+	for _, n := range []uint64{token.Epoch, token.Number, requestID, epoch} {
 		b = binary.AppendUvarint(b, n)
 	}
 	return xxhash.Sum64(b)
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -90,9 +90,9 @@
 	Journal bool
 	// Planned lets a voter be replaced that is not lost.
 	Planned bool
-	// Guesses lets callers order on a revision before anybody was told of it. Such an order may rightly be refused and then, sent again,
+	// OrdersBeforeAcknowledgement lets callers order on a revision before anybody was told of it. Such an order may rightly be refused and then, sent again,
 	// be taken: so a plan that guesses sends nothing again.
-	Guesses bool
+	OrdersBeforeAcknowledgement bool
 	// Early has callers of evacuations leave before their deadline, once their order has read a quorum: the fence alone stops it then.
 	Early bool
 	// Rounds makes one event of the prepares that end a round.
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -58,7 +58,7 @@
 func (c *Cluster) orderEvents(events []Event) []Event {
 	for at, p := range c.orders {
 		switch {
-		case !c.plan.Guesses && !c.plan.Orders[at].knownIn(c.newest):
+		case !c.plan.OrdersBeforeAcknowledgement && !c.plan.Orders[at].knownIn(c.newest):
 		case !c.behind(c.plan.Orders[at]):
 		case p.sent == 0:
 			events = append(events, Event{Kind: submit, What: uint8(at)})
--- a/pieces.go
+++ b/pieces.go
@@ -2,16 +2,16 @@
 
 import "strconv"
 
-// Line is a line of an answer on the product's own interface: a piece of text, or the end mark with the number of pieces. Its JSON
+// AnswerLine is a line of an answer on the product's own interface: a piece of text, or the end mark with the number of pieces. Its JSON
 // names are published; go is the id of the attempt.
-type Line struct {
-	Go         string `json:"go"`
+type AnswerLine struct {
+	AttemptID  string `json:"go"`
 	Request    string `json:"request,omitempty"`
 	InstanceID string `json:"instanceId"`
-	Piece      *int   `json:"piece,omitempty"`
+	Chunk      *int   `json:"piece,omitempty"`
 	Text       string `json:"text,omitempty"`
 	End        bool   `json:"end,omitempty"`
-	Pieces     int    `json:"pieces,omitempty"`
+	Chunks     int    `json:"pieces,omitempty"`
 }
 
 // SequenceError is an answer's line that is not the one that was due: which field, what it says and what it should.
@@ -23,21 +23,21 @@
 	return "stream broke: " + e.Field + " is " + e.Got + ", not " + e.Want
 }
 
-// PieceSequence checks that an answer's lines are those of one attempt at one instance, in order and whole.
-type PieceSequence struct {
-	Go       string
-	Instance string
-	next     int
-	ended    bool
+// ChunkSequence checks that an answer's lines are those of one attempt at one instance, in order and whole.
+type ChunkSequence struct {
+	AttemptID string
+	Instance  string
+	next      int
+	ended     bool
 }
 
 // Check takes the next line; the error is a *SequenceError.
-func (s *PieceSequence) Check(l Line) error {
+func (s *ChunkSequence) Check(l AnswerLine) error {
 	if s.ended {
 		return &SequenceError{Field: "line", Got: "after the end mark", Want: "absent"}
 	}
-	if l.Go != s.Go {
-		return &SequenceError{Field: "go", Got: strconv.Quote(l.Go), Want: strconv.Quote(s.Go)}
+	if l.AttemptID != s.AttemptID {
+		return &SequenceError{Field: "go", Got: strconv.Quote(l.AttemptID), Want: strconv.Quote(s.AttemptID)}
 	}
 	if s.Instance == "" {
 		s.Instance = l.InstanceID
@@ -48,23 +48,23 @@
 	if l.End {
 		return s.end(l)
 	}
-	if l.Piece == nil {
+	if l.Chunk == nil {
 		return nil
 	}
-	if *l.Piece != s.next {
-		return &SequenceError{Field: "piece", Got: strconv.Itoa(*l.Piece), Want: strconv.Itoa(s.next)}
+	if *l.Chunk != s.next {
+		return &SequenceError{Field: "piece", Got: strconv.Itoa(*l.Chunk), Want: strconv.Itoa(s.next)}
 	}
 	s.next++
 	return nil
 }
 
-func (s *PieceSequence) end(l Line) error {
-	if l.Pieces != s.next {
-		return &SequenceError{Field: "pieces", Got: strconv.Itoa(l.Pieces), Want: strconv.Itoa(s.next)}
+func (s *ChunkSequence) end(l AnswerLine) error {
+	if l.Chunks != s.next {
+		return &SequenceError{Field: "pieces", Got: strconv.Itoa(l.Chunks), Want: strconv.Itoa(s.next)}
 	}
 	s.ended = true
 	return nil
 }
 
 // Ended tells that the end mark came.
-func (s *PieceSequence) Ended() bool { return s.ended }
+func (s *ChunkSequence) Ended() bool { return s.ended }
--- a/prefixindex/holder.go
+++ b/prefixindex/holder.go
@@ -7,7 +7,7 @@
 
 // prediction is what one attempt is expected to have its replica cache, until its TTL is over.
 type prediction struct {
-	rep       int
+	replica   int
 	at, until time.Duration
 	parts     []Part
 	open      bool
@@ -28,7 +28,7 @@
 	keepTokens int
 	predicted  map[Key]map[uint64]time.Duration
 	awaiting   map[uint64]time.Duration
-	heardAt    time.Duration
+	answeredAt time.Duration
 }
 
 func newHolder(keep int) *holder {
--- a/prefixindex/index.go
+++ b/prefixindex/index.go
@@ -69,18 +69,18 @@
 func (x *Index) SetCap(stale time.Duration) { x.ttl.setCap(stale) }
 
 // SetKeep changes how many tokens a replica's cache keeps; the least recently used confirmed parts beyond are dropped.
-func (x *Index) SetKeep(rep, tokens int) {
-	x.holders[rep].keepTokens = tokens
-	x.trim(x.holders[rep])
+func (x *Index) SetKeep(replica, tokens int) {
+	x.holders[replica].keepTokens = tokens
+	x.trim(x.holders[replica])
 }
 
 // TTL is how long a prediction that is recorded now will be trusted.
 func (x *Index) TTL() time.Duration { return x.ttl.now }
 
 // Predict records that an attempt will have a replica cache these parts.
-func (x *Index) Predict(now time.Duration, rep int, id uint64, parts []Part) {
-	h := x.holders[rep]
-	g := &prediction{rep: rep, at: now, until: now + x.ttl.now, parts: parts, open: true}
+func (x *Index) Predict(now time.Duration, replica int, id uint64, parts []Part) {
+	h := x.holders[replica]
+	g := &prediction{replica: replica, at: now, until: now + x.ttl.now, parts: parts, open: true}
 	x.predictions[id] = g
 	x.addPrediction(h, id, g)
 	x.Recorded++
@@ -98,42 +98,42 @@
 
 // Confirm turns an attempt's prediction into confirmed parts; took is the time since Predict. It is not ok for attempts that are
 // settled, forgotten or another replica's.
-func (x *Index) Confirm(now time.Duration, rep int, id uint64) (took time.Duration, ok bool) {
+func (x *Index) Confirm(now time.Duration, replica int, id uint64) (latency time.Duration, ok bool) {
 	g := x.predictions[id]
-	if g == nil || g.rep != rep || !g.open {
+	if g == nil || g.replica != replica || !g.open {
 		return 0, false
 	}
-	h := x.holders[rep]
-	took = now - g.at
-	x.ttl.sample(took)
+	h := x.holders[replica]
+	latency = now - g.at
+	x.ttl.sample(latency)
 	if now >= g.until && len(g.parts) > 0 {
 		x.EarlyExpiry++
 	}
 	x.dropPrediction(h, id, g)
 	delete(x.predictions, id)
 	delete(h.awaiting, id)
-	h.heardAt = now
+	h.answeredAt = now
 	for i := len(g.parts) - 1; i >= 0; i-- {
 		x.addConfirmed(now, h, g.parts[i])
 	}
 	x.trim(h)
 	x.Confirmed++
-	return took, true
+	return latency, true
 }
 
-// Settle says that an attempt ended: it can no longer be confirmed, and its prediction stays until its TTL is over.
-func (x *Index) Settle(id uint64) {
+// Resolve says that an attempt ended: it can no longer be confirmed, and its prediction stays until its TTL is over.
+func (x *Index) Resolve(id uint64) {
 	g := x.predictions[id]
 	if g == nil {
 		return
 	}
 	g.open = false
-	delete(x.holders[g.rep].awaiting, id)
+	delete(x.holders[g.replica].awaiting, id)
 }
 
 // DropParts forgets confirmed parts that the replica was seen to have read again.
-func (x *Index) DropParts(rep int, parts []Part) {
-	h := x.holders[rep]
+func (x *Index) DropParts(replica int, parts []Part) {
+	h := x.holders[replica]
 	for _, p := range parts {
 		if e := h.confirmed[p.Key]; e != nil {
 			x.evict(h, e)
@@ -143,26 +143,26 @@
 }
 
 // Reset forgets a replica whole, but for the open prediction of the spared attempt (0: none).
-func (x *Index) Reset(rep int, spared uint64) {
-	old := x.holders[rep]
+func (x *Index) Reset(replica int, spared uint64) {
+	old := x.holders[replica]
 	h := newHolder(old.keepTokens)
-	x.holders[rep] = h
+	x.holders[replica] = h
 	for id, g := range x.predictions {
-		if g.rep == rep && id != spared {
+		if g.replica == replica && id != spared {
 			delete(x.predictions, id)
 		}
 	}
-	if g := x.predictions[spared]; g != nil && g.rep == rep && g.open {
+	if g := x.predictions[spared]; g != nil && g.replica == replica && g.open {
 		x.addPrediction(h, spared, g)
 	}
 	x.Resets++
 }
 
 // Paused tells whether an answer of the replica is so overdue that predictions about it are not trusted.
-func (x *Index) Paused(now time.Duration, rep int) bool {
-	h := x.holders[rep]
+func (x *Index) Paused(now time.Duration, replica int) bool {
+	h := x.holders[replica]
 	for _, at := range h.awaiting {
-		if now-max(at, h.heardAt) > x.cfg.Overdue {
+		if now-max(at, h.answeredAt) > x.cfg.Overdue {
 			return true
 		}
 	}
@@ -171,12 +171,12 @@
 
 // Lookup gives how many tokens of a prefix the replica is held to have cached: confirmed ones up to the first part that is only
 // predicted, and predicted ones from there. It ends at the first part that is neither.
-func (x *Index) Lookup(now time.Duration, rep int, parts []Part) (confirmed, predicted int) {
+func (x *Index) Lookup(now time.Duration, replica int, parts []Part) (confirmed, predicted int) {
 	if x.Off {
 		return 0, 0
 	}
-	h := x.holders[rep]
-	paused := len(h.awaiting) > 0 && x.Paused(now, rep)
+	h := x.holders[replica]
+	paused := len(h.awaiting) > 0 && x.Paused(now, replica)
 	sure := true
 	for _, p := range parts {
 		if e := h.confirmed[p.Key]; e != nil && now-e.Value.(holding).seen < x.cfg.KeepConfirmed {
@@ -212,7 +212,7 @@
 
 // expire withdraws a prediction; while its attempt is open it is kept for some time, so that a late answer counts as early expiry.
 func (x *Index) expire(now time.Duration, id uint64, g *prediction) {
-	h := x.holders[g.rep]
+	h := x.holders[g.replica]
 	if !g.expired {
 		g.expired = true
 		x.dropPrediction(h, id, g)
--- a/prefixindex/index_test.go
+++ b/prefixindex/index_test.go
@@ -37,10 +37,10 @@
 		{"gap beyond T", nil, 2500 * ms, 0, 0},
 		{"answered, below p50", func(x *Index, id uint64) { x.Confirm(50*ms, 0, id) }, 100 * ms, 900, 0},
 		{"answered, beyond T", func(x *Index, id uint64) { x.Confirm(620*ms, 0, id) }, 3000 * ms, 900, 0},
-		{"cancelled, trusted till T", func(x *Index, id uint64) { x.Settle(id) }, 1999 * ms, 0, 900},
-		{"cancelled, gone at T", func(x *Index, id uint64) { x.Settle(id); x.Tick(2000 * ms) }, 2000 * ms, 0, 0},
-		{"prefill failed, answer of another go proves nothing", func(x *Index, id uint64) { x.Settle(id); x.Confirm(500*ms, 0, id+1) }, 2100 * ms, 0, 0},
-		{"cancelled, its late answer proves nothing", func(x *Index, id uint64) { x.Settle(id); x.Confirm(500*ms, 0, id) }, 2100 * ms, 0, 0},
+		{"cancelled, trusted till T", func(x *Index, id uint64) { x.Resolve(id) }, 1999 * ms, 0, 900},
+		{"cancelled, gone at T", func(x *Index, id uint64) { x.Resolve(id); x.Tick(2000 * ms) }, 2000 * ms, 0, 0},
+		{"prefill failed, answer of another go proves nothing", func(x *Index, id uint64) { x.Resolve(id); x.Confirm(500*ms, 0, id+1) }, 2100 * ms, 0, 0},
+		{"cancelled, its late answer proves nothing", func(x *Index, id uint64) { x.Resolve(id); x.Confirm(500*ms, 0, id) }, 2100 * ms, 0, 0},
 		{"answer of another replica proves nothing", func(x *Index, id uint64) { x.Confirm(500*ms, 1, id) }, 2100 * ms, 0, 0},
 		{"replica restarted", func(x *Index, id uint64) { x.Reset(0, 0) }, 100 * ms, 0, 0},
 		{"replica restarted after its answer", func(x *Index, id uint64) { x.Confirm(50*ms, 0, id); x.Reset(0, 0) }, 100 * ms, 0, 0},
@@ -131,11 +131,11 @@
 func TestTTLFollowsLatencySlowlyAndUnderItsCap(t *testing.T) {
 	x := fresh()
 	id, now := uint64(0), time.Duration(0)
-	run := func(secs int, took time.Duration) {
+	run := func(secs int, latency time.Duration) {
 		for range secs * 50 {
 			id++
 			x.Predict(now, 0, id, parts(t, "a/1"))
-			x.Confirm(now+took, 0, id)
+			x.Confirm(now+latency, 0, id)
 			now += 20 * ms
 			was := x.TTL()
 			x.Tick(now)
@@ -179,7 +179,7 @@
 	}
 	x.Tick(2100 * ms)
 	x.Confirm(2200*ms, 0, 90)
-	x.Settle(91)
+	x.Resolve(91)
 	x.Tick(11 * time.Second)
 	if x.EarlyExpiry != 1 || x.StaleExpiry != 9 || x.Confirmed != 91 {
 		t.Errorf("early %d, stale %d, confirmed %d", x.EarlyExpiry, x.StaleExpiry, x.Confirmed)
@@ -200,7 +200,7 @@
 			if answered {
 				x.Confirm(now+50*ms, 0, id)
 			} else {
-				x.Settle(id)
+				x.Resolve(id)
 			}
 			x.Tick(now)
 		}
--- a/prefixindex/ttl.go
+++ b/prefixindex/ttl.go
@@ -25,13 +25,13 @@
 	t.now = min(t.now, t.cap)
 }
 
-func (t *ttl) sample(took time.Duration) {
+func (t *ttl) sample(latency time.Duration) {
 	t.newSamples++
 	if len(t.ring) < t.cfg.Window {
-		t.ring = append(t.ring, took)
+		t.ring = append(t.ring, latency)
 		return
 	}
-	t.ring[t.next] = took
+	t.ring[t.next] = latency
 	t.next = (t.next + 1) % t.cfg.Window
 }
 
@@ -44,9 +44,9 @@
 		return
 	}
 	t.newSamples = 0
-	aim := min(max(t.percentile()+t.cfg.Slack, t.cfg.MinTTL), t.cap)
+	target := min(max(t.percentile()+t.cfg.Slack, t.cfg.MinTTL), t.cap)
 	most := time.Duration(float64(t.now) * t.cfg.MaxStep)
-	t.now += min(max(aim-t.now, -most), most)
+	t.now += min(max(target-t.now, -most), most)
 	t.now = min(t.now, t.cap)
 }
 
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -12,16 +12,16 @@
 )
 
 func (x *transfer) replied(resp *http.Response) Replied {
-	h, place := &x.p.headers, &x.ex.Place
+	h, place := &x.proxy.headers, &x.exchange.Placement
 	var s Replied
 	s.Status = resp.StatusCode
 	s.Open = resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 	if first(resp.Header, h.Attempt) != x.attempt() {
-		x.p.N.Surplus.Add(1)
+		x.proxy.Counters.Surplus.Add(1)
 		s.Foreign = true
 		return s
 	}
-	s.NotRun = h.NotRun != "" && resp.Header[h.NotRun] != nil
+	s.NotRun = h.NotExecuted != "" && resp.Header[h.NotExecuted] != nil
 	s.Bare = h.Seal != "" && resp.Header[h.Seal] == nil
 	if h.Instance != "" {
 		s.Instance = first(resp.Header, h.Instance)
@@ -30,7 +30,7 @@
 	x.stream = s.Stream
 	if v := first(resp.Header, h.Load); v != "" && h.ParseLoad != nil {
 		if running, waiting, slots, ok := h.ParseLoad(v); ok {
-			s.Load = &mallowbridge.Load{Replica: place.Replica, Running: running, Waiting: waiting, Slots: slots}
+			s.Load = &mallowbridge.Load{Replica: place.Replica, Running: running, Queued: waiting, Slots: slots}
 		}
 	}
 	return s
@@ -44,16 +44,16 @@
 	}
 	sound := x.release()
 	x.release = nil
-	if c.r.Buffered() > 0 {
-		x.p.N.Surplus.Add(1)
+	if c.reader.Buffered() > 0 {
+		x.proxy.Counters.Surplus.Add(1)
 		sound = false
 	}
 	if !sound || x.resp.Close || x.nameless() {
-		x.drop()
+		x.disconnect()
 		return
 	}
-	c.setIdle(x.resp.Header, x.p.set)
-	x.park()
+	c.setIdle(x.resp.Header, x.proxy.settings)
+	x.releaseConnection()
 }
 
 const drained = 64 << 10
@@ -64,25 +64,25 @@
 	return err == nil && n < drained
 }
 
-func (x *transfer) drain() {
+func (x *transfer) discardAnswer() {
 	if x.discard() {
 		x.settle()
 	} else {
-		x.drop()
+		x.disconnect()
 	}
-	x.happened(Ended{})
+	x.signal(Ended{})
 }
 
 // lost tells why a connection failed after the request was written to it.
-func (x *transfer) lost(err error) {
+func (x *transfer) connectionLost(err error) {
 	switch {
 	case x.r.Context().Err() != nil:
-		x.happened(HungUp{})
+		x.signal(ClientClosed{})
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		x.happened(Overdue{})
+		x.signal(DeadlinePassed{})
 	default:
-		x.drop()
-		x.happened(Lost{})
+		x.disconnect()
+		x.signal(ConnectionLost{})
 	}
 }
 
@@ -112,24 +112,24 @@
 	name   string
 	status int
 }{
-	Denied: {"denied", http.StatusServiceUnavailable}, NotFound: {"not found", http.StatusNotFound},
+	Rejected: {"denied", http.StatusServiceUnavailable}, NotFound: {"not found", http.StatusNotFound},
 	Unknown: {"unknown", http.StatusBadGateway}, Expired: {"expired", http.StatusGatewayTimeout},
 }
 
-func (x *transfer) finish(m Move) {
-	n := &x.p.N
+func (x *transfer) finish(m Action) {
+	n := &x.proxy.Counters
 	switch m.Outcome {
 	case Done:
 		n.Done.Add(1)
 		return
-	case Gone:
+	case ClientGone:
 		n.Hangups.Add(1)
 		panic(http.ErrAbortHandler)
 	case Aborted:
 		n.Aborted.Add(1)
 		x.resetOldClient()
 		panic(http.ErrAbortHandler)
-	case Denied:
+	case Rejected:
 		n.Denied.Add(1)
 	case NotFound:
 		n.NotFound.Add(1)
@@ -138,9 +138,9 @@
 	case Expired:
 		n.Expired.Add(1)
 	}
-	if m.After > 0 {
-		x.retryAfter(m.After)
+	if m.RetryAfter > 0 {
+		x.retryAfter(m.RetryAfter)
 	}
 	o := outcomes[m.Outcome]
-	x.say(o.status, o.name, m.Why)
+	x.answerWith(o.status, o.name, m.Reason)
 }
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -19,30 +19,30 @@
 )
 
 func TestPassesBytesAndKeepsConnections(t *testing.T) {
-	rep := newReplica(t, say("200 OK", "X-Load: 3,0,8\r\nX-Own: v\r\n", "hello"), say("500 Oops", "", "bad"))
-	m := newMarket(unknown, rep.place(safe))
+	replica := newReplica(t, say("200 OK", "X-Load: 3,0,8\r\nX-Own: v\r\n", "hello"), say("500 Oops", "", "bad"))
+	m := newStubRouter(unknown, replica.place(safe))
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "some body")
-	want(t, "status", r.status, 200)
-	want(t, "body", r.body, "hello")
-	want(t, "seal", r.header.Get("X-Seal")+r.header.Get("X-Own")+r.header.Get("Content-Type"), "s1v")
-	want(t, "events", m.heard(), "Leave Load Head End(whole)")
+	connRequest(t, "status", r.status, 200)
+	connRequest(t, "body", r.body, "hello")
+	connRequest(t, "seal", r.header.Get("X-Seal")+r.header.Get("X-Own")+r.header.Get("Content-Type"), "s1v")
+	connRequest(t, "events", m.notified(), "ReadyToSend Load AnswerHead AttemptEnded(whole)")
 	a := <-m.arrived
-	want(t, "arrival", a.Host+" "+a.Path+" "+a.Patience.String(), "some.example /a/b%2Fc 1m0s")
-	g := <-rep.got
-	want(t, "request line", strings.SplitN(g.raw, "\r\n", 2)[0], "POST /a/b%2Fc?x=1%20y HTTP/1.1")
-	want(t, "host", g.req.Host, "Some.example:80")
-	want(t, "body", g.body, "some body")
-	want(t, "target and rank", g.req.Header.Get("X-Target")+" "+g.req.Header.Get("X-Rank"), "i1 3")
+	connRequest(t, "arrival", a.Host+" "+a.Path+" "+a.Timeout.String(), "some.example /a/b%2Fc 1m0s")
+	g := <-replica.got
+	connRequest(t, "request line", strings.SplitN(g.raw, "\r\n", 2)[0], "POST /a/b%2Fc?x=1%20y HTTP/1.1")
+	connRequest(t, "host", g.req.Host, "Some.example:80")
+	connRequest(t, "body", g.body, "some body")
+	connRequest(t, "target and rank", g.req.Header.Get("X-Target")+" "+g.req.Header.Get("X-Rank"), "i1 3")
 	left, err := strconv.Atoi(g.req.Header.Get("X-Wait-Ms"))
 	if err != nil || left > 60000 || left < 40000 {
 		t.Errorf("deadline is %q", g.req.Header.Get("X-Wait-Ms"))
 	}
 	r = call(t, url, "id2", "")
-	want(t, "answer", strconv.Itoa(r.status)+r.body, "500bad")
-	want(t, "connection", (<-rep.got).conn, 1)
-	want(t, "reused", p.N.Reused.Load(), 1)
-	want(t, "events", m.heard(), "Leave Head End(whole)")
+	connRequest(t, "answer", strconv.Itoa(r.status)+r.body, "500bad")
+	connRequest(t, "connection", (<-replica.got).conn, 1)
+	connRequest(t, "reused", p.Counters.Reused.Load(), 1)
+	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole)")
 }
 
 func TestSurplusAnswerIsNotTakenForTheNext(t *testing.T) {
@@ -54,15 +54,15 @@
 		other, _ := say("200 OK", "", "other")(g)
 		return strings.ReplaceAll(other, "id2", "id1"), false
 	}
-	rep := newReplica(t, twice, late, say("200 OK", "", "right"))
-	m := newMarket(unknown, rep.place(safe), rep.place(safe))
+	replica := newReplica(t, twice, late, say("200 OK", "", "right"))
+	m := newStubRouter(unknown, replica.place(safe), replica.place(safe))
 	p, url := serve(t, m)
-	want(t, "first", call(t, url, "id1", "").body, "hello")
-	want(t, "second", call(t, url, "id2", "").body, "right")
-	want(t, "events", m.heard(), "Leave Head End(whole) Leave End(broken) Leave Head End(whole)")
-	want(t, "connections", len(rep.conn), 3)
-	if p.N.Surplus.Load()+p.N.Stale.Load() < 2 {
-		t.Errorf("surplus %d, stale %d", p.N.Surplus.Load(), p.N.Stale.Load())
+	connRequest(t, "first", call(t, url, "id1", "").body, "hello")
+	connRequest(t, "second", call(t, url, "id2", "").body, "right")
+	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AttemptEnded(broken) ReadyToSend AnswerHead AttemptEnded(whole)")
+	connRequest(t, "connections", len(replica.conn), 3)
+	if p.Counters.Surplus.Load()+p.Counters.Stale.Load() < 2 {
+		t.Errorf("surplus %d, stale %d", p.Counters.Surplus.Load(), p.Counters.Stale.Load())
 	}
 }
 
@@ -76,11 +76,11 @@
 		"foreign":     "HTTP/1.1 503 Full\r\nX-Attempt: id0\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			rep := newReplica(t, func(got) (string, bool) { return bytes, true })
-			m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny, After: time.Second}, rep.place(unsafe))
+			replica := newReplica(t, func(got) (string, bool) { return bytes, true })
+			m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: time.Second}, replica.place(unsafe))
 			_, url := serve(t, m)
-			want(t, "status", call(t, url, "id1", "").status, 502)
-			if kinds := m.heard(); !strings.HasSuffix(kinds, "End(broken)") {
+			connRequest(t, "status", call(t, url, "id1", "").status, 502)
+			if kinds := m.notified(); !strings.HasSuffix(kinds, "AttemptEnded(broken)") {
 				t.Errorf("events %s", kinds)
 			}
 		})
@@ -90,39 +90,39 @@
 func TestRefusedIsNotRun(t *testing.T) {
 	full := newReplica(t, say("503 Full", "X-Not-Run: full\r\n", "no"))
 	other := newReplica(t, say("421 Other", "", ""))
-	m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny, After: 250 * time.Millisecond}, full.place(unsafe), other.place(unsafe))
+	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: 250 * time.Millisecond}, full.place(unsafe), other.place(unsafe))
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	want(t, "answer", strconv.Itoa(r.status)+" "+r.header.Get("Retry-After"), "503 0.25")
-	want(t, "events", m.heard(), "Leave End(refused) Leave Misplaced End(refused)")
-	want(t, "counted", p.N.Refused.Load()*10+p.N.Misplaced.Load(), 21)
+	connRequest(t, "answer", strconv.Itoa(r.status)+" "+r.header.Get("Retry-After"), "503 0.25")
+	connRequest(t, "events", m.notified(), "ReadyToSend AttemptEnded(refused) ReadyToSend WrongInstance AttemptEnded(refused)")
+	connRequest(t, "counted", p.Counters.Refused.Load()*10+p.Counters.Misplaced.Load(), 21)
 }
 
 func TestDeniedUnreachedNotFoundAndTooLong(t *testing.T) {
-	m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny, Bad: true})
+	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true})
 	_, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	want(t, "answer", strconv.Itoa(r.status)+r.header.Get("Retry-After"), "404")
-	want(t, "long", call(t, url, "id2", strings.Repeat("x", 1001)).status, 413)
+	connRequest(t, "answer", strconv.Itoa(r.status)+r.header.Get("Retry-After"), "404")
+	connRequest(t, "long", call(t, url, "id2", strings.Repeat("x", 1001)).status, 413)
 
-	rep := newReplica(t)
-	gone := rep.place(unsafe)
+	replica := newReplica(t)
+	gone := replica.place(unsafe)
 	gone.Addr = "127.0.0.1:1"
-	m = newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny}, gone)
+	m = newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, gone)
 	_, url = serve(t, m)
-	want(t, "status", call(t, url, "id1", "").status, 503)
-	want(t, "events", m.heard(), "End(unreached)")
+	connRequest(t, "status", call(t, url, "id1", "").status, 503)
+	connRequest(t, "events", m.notified(), "AttemptEnded(unreached)")
 }
 
 func TestAFailureOfTheReplicaIsPassedOnAndTold(t *testing.T) {
 	for status, failed := range map[string]bool{"500 Oops": true, "504 Late": false, "404 None": false, "200 OK": false} {
-		rep := newReplica(t, say(status, "", "whole"))
-		m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny}, rep.place(unsafe))
+		replica := newReplica(t, say(status, "", "whole"))
+		m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, replica.place(unsafe))
 		_, url := serve(t, m)
 		r := call(t, url, "id1", "")
-		want(t, "answer", strconv.Itoa(r.status)+" "+r.body, status[:3]+" whole")
+		connRequest(t, "answer", strconv.Itoa(r.status)+" "+r.body, status[:3]+" whole")
 		<-m.events
-		if h, ok := (<-m.events).(mallowbridge.Head); !ok || h.Failed != failed {
+		if h, ok := (<-m.events).(mallowbridge.AnswerHead); !ok || h.Failed != failed {
 			t.Errorf("%s: told as failed: %v", status, h.Failed)
 		}
 	}
--- a/proxy/arrival.go
+++ b/proxy/arrival.go
@@ -12,24 +12,24 @@
 	if err != nil {
 		return 0
 	}
-	if c.look == nil {
-		c.look = func(fd uintptr) {
-			c.rested = 0
+	if c.inspect == nil {
+		c.inspect = func(fd uintptr) {
+			c.sinceLastBytes = 0
 			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-				c.rested = time.Duration(info.Last_data_recv) * time.Millisecond
+				c.sinceLastBytes = time.Duration(info.Last_data_recv) * time.Millisecond
 			}
 		}
 	}
-	if raw.Control(c.look) != nil {
+	if raw.Control(c.inspect) != nil {
 		return 0
 	}
-	return c.rested
+	return c.sinceLastBytes
 }
 
 // arrival gives when the request that is being served reached this machine, once; now where its bytes came along with earlier ones.
 func (c *client) arrival() time.Time {
 	var at time.Time
-	at, c.came = c.came, time.Time{}
+	at, c.firstByteAt = c.firstByteAt, time.Time{}
 	if at.IsZero() {
 		return time.Now()
 	}
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// plain is a market that places every request at once on the same replica.
+// plain is a router that places every request at once on the same replica.
 type plain struct {
 	place mallowbridge.Decision
 	subs  chan map[string]chan mallowbridge.Decision
@@ -31,12 +31,12 @@
 	return out
 }
 
-func (m *plain) Tell(ev mallowbridge.Event) {
+func (m *plain) Notify(ev mallowbridge.Event) {
 	all := <-m.subs
 	switch e := ev.(type) {
-	case mallowbridge.Leave:
-		all[e.Request] <- mallowbridge.Decision{Verdict: mallowbridge.Send, Go: e.Go}
-	case mallowbridge.End:
+	case mallowbridge.ReadyToSend:
+		all[e.Request] <- mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: e.AttemptID}
+	case mallowbridge.AttemptEnded:
 		delete(all, e.Request)
 	}
 	m.subs <- all
@@ -85,7 +85,7 @@
 
 func benchmark(b *testing.B, route *config.Route, answer string, last string) {
 	m := &plain{subs: make(chan map[string]chan mallowbridge.Decision, 1)}
-	m.place = mallowbridge.Decision{Verdict: mallowbridge.Place, Go: "g", Addr: echo(b, answer), Replica: "r", Instance: "i1", Route: route}
+	m.place = mallowbridge.Decision{Verdict: mallowbridge.Place, AttemptID: "g", Addr: echo(b, answer), Replica: "r", Instance: "i1", Route: route}
 	m.subs <- map[string]chan mallowbridge.Decision{}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -14,23 +14,23 @@
 )
 
 // FullError says that the bodies and answers of other requests hold all the room there is.
-type FullError struct{ Held int64 }
+type FullError struct{ Reserved int64 }
 
 func (e *FullError) Error() string {
-	return "the " + strconv.FormatInt(e.Held, 10) + " bytes of other requests leave no room"
+	return "the " + strconv.FormatInt(e.Reserved, 10) + " bytes of other requests leave no room"
 }
 
 func (x *transfer) mostBody() int64 {
-	if n := int64(x.p.limits().BodyBytes); n > 0 {
+	if n := int64(x.proxy.limits().BodyBytes); n > 0 {
 		return n
 	}
-	return int64(x.p.set.BodyBytes)
+	return int64(x.proxy.settings.BodyBytes)
 }
 
 // readBody reads the request's body whole; a client that stops sending, or sends for too long, is waited for no longer.
 func (x *transfer) readBody() (err error) {
-	if !x.share.take(requestBytes) {
-		return trace.Wrap(&FullError{Held: x.p.budget.Held()})
+	if !x.memory.take(requestOverheadBytes) {
+		return trace.Wrap(&FullError{Reserved: x.proxy.budget.Reserved()})
 	}
 	if x.r.ContentLength == 0 {
 		return nil
@@ -52,8 +52,8 @@
 
 // uploadLimit is when more of the body must have come.
 func (x *transfer) uploadLimit() time.Time {
-	at := time.Now().Add(cmp.Or(x.p.limits().Header, ownHeader))
-	end := x.arrived.Add(x.p.set.Upload)
+	at := time.Now().Add(cmp.Or(x.proxy.limits().Header, defaultHeaderTimeout))
+	end := x.arrived.Add(x.proxy.settings.Upload)
 	if !x.deadline.IsZero() && x.deadline.Before(end) {
 		end = x.deadline
 	}
@@ -73,8 +73,8 @@
 
 func (x *transfer) readSized() error {
 	size := int(x.r.ContentLength)
-	if !x.share.take(size) {
-		return trace.Wrap(&FullError{Held: x.p.budget.Held()})
+	if !x.memory.take(size) {
+		return trace.Wrap(&FullError{Reserved: x.proxy.budget.Reserved()})
 	}
 	body := make([]byte, size)
 	for got := 0; got < size; {
@@ -95,8 +95,8 @@
 	for err == nil {
 		if before := body.Cap(); body.Available() < bytes.MinRead {
 			body.Grow(max(bytes.MinRead, before))
-			if !x.share.take(body.Cap() - before) {
-				return trace.Wrap(&FullError{Held: x.p.budget.Held()})
+			if !x.memory.take(body.Cap() - before) {
+				return trace.Wrap(&FullError{Reserved: x.proxy.budget.Reserved()})
 			}
 		}
 		x.readUntil(x.uploadLimit())
@@ -123,28 +123,28 @@
 	status := http.StatusBadRequest
 	switch {
 	case errors.As(err, &full):
-		x.p.N.Full.Add(1)
-		x.retryAfter(comeBack)
-		x.say(http.StatusServiceUnavailable, "denied", err.Error())
+		x.proxy.Counters.Full.Add(1)
+		x.retryAfter(defaultRetryAfter)
+		x.answerWith(http.StatusServiceUnavailable, "denied", err.Error())
 		return
 	case errors.As(err, &ending):
-		x.p.N.ShuttingDown.Add(1)
-		x.retryAfter(elsewhere)
-		x.say(http.StatusServiceUnavailable, "denied", err.Error())
+		x.proxy.Counters.ShuttingDown.Add(1)
+		x.retryAfter(shutdownRetryAfter)
+		x.answerWith(http.StatusServiceUnavailable, "denied", err.Error())
 		return
 	case errors.As(err, &long):
 		status = http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = http.StatusRequestTimeout
-		x.retryAfter(comeBack)
+		x.retryAfter(defaultRetryAfter)
 	}
-	x.p.N.Bad.Add(1)
-	x.say(status, "bad", err.Error())
+	x.proxy.Counters.Bad.Add(1)
+	x.answerWith(status, "bad", err.Error())
 }
 
 const (
-	// requestBytes is counted for each request besides its body: connections, goroutines, headers.
-	requestBytes = 8 << 10
+	// requestOverheadBytes is counted for each request besides its body: connections, goroutines, headers.
+	requestOverheadBytes = 8 << 10
 	// afterRefusal is how long the rest of a refused body is read, so that a reset does not overtake the answer.
 	afterRefusal = time.Second
 )
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -7,54 +7,54 @@
 
 // Budget bounds the bytes of bodies and held answers of all requests together.
 type Budget struct {
-	Bound int64
-	held  atomic.Int64
+	Bound    int64
+	reserved atomic.Int64
 }
 
 // Take reserves n more bytes. What is alone may be larger than the bound.
 func (b *Budget) Take(n int) bool {
-	held := b.held.Add(int64(n))
+	held := b.reserved.Add(int64(n))
 	if b.Bound > 0 && held > b.Bound && held != int64(n) {
-		b.held.Add(-int64(n))
+		b.reserved.Add(-int64(n))
 		return false
 	}
 	return true
 }
 
 // Give returns n reserved bytes.
-func (b *Budget) Give(n int) { b.held.Add(-int64(n)) }
+func (b *Budget) Give(n int) { b.reserved.Add(-int64(n)) }
 
-// Held is how many bytes are reserved.
-func (b *Budget) Held() int64 { return b.held.Load() }
+// Reserved is how many bytes are reserved.
+func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
 // share is what one request holds of the budget.
-type share struct {
-	of   *Budget
-	held int
+type reservation struct {
+	budget *Budget
+	bytes  int
 }
 
-func (s *share) take(n int) bool {
+func (s *reservation) take(n int) bool {
 	var ok bool
-	if ok = s.of.Take(n); ok {
-		s.held += n
+	if ok = s.budget.Take(n); ok {
+		s.bytes += n
 	}
 	return ok
 }
 
-func (s *share) give(n int) {
-	s.of.Give(n)
-	s.held -= n
+func (s *reservation) give(n int) {
+	s.budget.Give(n)
+	s.bytes -= n
 }
 
 const (
 	// pooled is the room of buffers that are used again; larger ones are made and left to the collector.
-	pooled     = 8 << 10
-	mostPooled = 64 << 10
+	bufferBytes    = 8 << 10
+	maxPooledBytes = 64 << 10
 )
 
 type buffer struct{ b []byte }
 
-var buffers = sync.Pool{New: func() any { return &buffer{b: make([]byte, 0, pooled)} }}
+var buffers = sync.Pool{New: func() any { return &buffer{b: make([]byte, 0, bufferBytes)} }}
 
 func getBuffer() *buffer {
 	b := buffers.Get().(*buffer)
@@ -63,10 +63,10 @@
 }
 
 func putBuffer(b *buffer) {
-	if b != nil && cap(b.b) <= mostPooled {
+	if b != nil && cap(b.b) <= maxPooledBytes {
 		buffers.Put(b)
 	}
 }
 
-// Held is how many bytes of bodies and answers are held now.
-func (p *Proxy) Held() int64 { return p.budget.Held() }
+// Reserved is how many bytes of bodies and answers are held now.
+func (p *Proxy) Reserved() int64 { return p.budget.Reserved() }
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -25,20 +25,20 @@
 // client is the connection of a client: writes fail once nothing moves for the stall time, however long they take as a whole.
 type client struct {
 	*net.TCPConn
-	p *Proxy
+	proxy *Proxy
 	// keep is the value of Keep-Alive that fits how long the connection may be idle, if any.
-	keep  []string
-	state atomic.Int32
+	keepAlive []string
+	state     atomic.Int32
 	// until is the deadline for reads that net/http asked for, since boot; 0: none.
-	until atomic.Int64
-	ended atomic.Bool
+	readDeadline atomic.Int64
+	ended        atomic.Bool
 	// came is when the request's first bytes reached this machine, until its handler has asked.
-	came time.Time
-	look func(fd uintptr)
+	firstByteAt time.Time
+	inspect     func(fd uintptr)
 	// rested is for how long the newest bytes have lain in the socket.
-	rested time.Duration
+	sinceLastBytes time.Duration
 	// limit is the deadline in force for writes, hard one that holds even while bytes move.
-	limit, hard time.Time
+	writeDeadline, finalDeadline time.Time
 }
 
 var longAgo = time.Unix(1, 0)
@@ -46,7 +46,7 @@
 func (c *client) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 && c.state.Load() != stateActive {
-		c.came = time.Now().Add(-c.age())
+		c.firstByteAt = time.Now().Add(-c.age())
 		c.activate()
 	}
 	return n, err
@@ -73,13 +73,13 @@
 
 func (c *client) begin(from int32) {
 	if c.state.CompareAndSwap(from, stateActive) {
-		c.p.active.Add(1)
+		c.proxy.active.Add(1)
 	}
 }
 
 func (c *client) deactivate() {
 	if c.state.CompareAndSwap(stateActive, stateIdle) {
-		c.p.active.Add(-1)
+		c.proxy.active.Add(-1)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 func (c *client) intended() time.Time {
 	var t time.Time
-	if at := c.until.Load(); at != 0 {
+	if at := c.readDeadline.Load(); at != 0 {
 		t = boot.Add(time.Duration(at))
 	}
 	return t
@@ -98,19 +98,19 @@
 	if !t.IsZero() {
 		at = int64(t.Sub(boot))
 	}
-	c.until.Store(at)
+	c.readDeadline.Store(at)
 	err := c.TCPConn.SetReadDeadline(t)
 	if s := c.state.Load(); s == stateClosing || s == stateClosed {
 		err = c.TCPConn.SetReadDeadline(longAgo)
 	}
-	if c.p.closing.Load() {
-		c.shut()
+	if c.proxy.closing.Load() {
+		c.closeIdle()
 	}
 	return err
 }
 
 // shut ends the wait for the next request. Bytes that come at the same moment stay unread, so the client learns that it may send again.
-func (c *client) shut() {
+func (c *client) closeIdle() {
 	if c.state.CompareAndSwap(stateIdle, stateClosing) {
 		_ = c.TCPConn.SetReadDeadline(longAgo)
 		c.state.Store(stateClosed)
@@ -118,7 +118,7 @@
 }
 
 func (c *client) SetWriteDeadline(t time.Time) error {
-	c.hard, c.limit = t, time.Time{}
+	c.finalDeadline, c.writeDeadline = t, time.Time{}
 	return nil
 }
 
@@ -132,16 +132,16 @@
 	var n int
 	for quiet, held := 0, 0; ; {
 		now := time.Now()
-		if c.limit.Sub(now) < c.p.set.Stall-c.p.set.Stall/renewal {
-			c.limit = now.Add(c.p.set.Stall)
-			if !c.hard.IsZero() && c.hard.Before(c.limit) {
-				c.limit = c.hard
+		if c.writeDeadline.Sub(now) < c.proxy.settings.Stall-c.proxy.settings.Stall/renewal {
+			c.writeDeadline = now.Add(c.proxy.settings.Stall)
+			if !c.finalDeadline.IsZero() && c.finalDeadline.Before(c.writeDeadline) {
+				c.writeDeadline = c.finalDeadline
 			}
-			_ = c.TCPConn.SetWriteDeadline(c.limit)
+			_ = c.TCPConn.SetWriteDeadline(c.writeDeadline)
 		}
 		m, err := c.TCPConn.Write(b[n:])
 		n += m
-		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || (!c.hard.IsZero() && !time.Now().Before(c.hard)) {
+		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || (!c.finalDeadline.IsZero() && !time.Now().Before(c.finalDeadline)) {
 			return n, err
 		}
 		was := held
@@ -167,22 +167,22 @@
 func (c *client) Close() error {
 	if c.ended.CompareAndSwap(false, true) {
 		if c.state.Swap(stateClosed) == stateActive {
-			c.p.active.Add(-1)
+			c.proxy.active.Add(-1)
 		}
-		all := <-c.p.clients
+		all := <-c.proxy.clients
 		delete(all, c)
-		c.p.clients <- all
+		c.proxy.clients <- all
 	}
 	return c.TCPConn.Close()
 }
 
 // admit takes a client's connection in.
-func (p *Proxy) admit(nc net.Conn, keep []string) net.Conn {
+func (p *Proxy) accept(nc net.Conn, keep []string) net.Conn {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return nc
 	}
-	own := &client{TCPConn: tcp, p: p, keep: keep}
+	own := &client{TCPConn: tcp, proxy: p, keepAlive: keep}
 	all := <-p.clients
 	all[own] = struct{}{}
 	p.clients <- all
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -23,14 +23,14 @@
 		t.Fatal(err)
 	}
 	p := New(nil, Headers{}, Defaults(), nil, "b")
-	c := p.admit(nc, nil).(*client)
+	c := p.accept(nc, nil).(*client)
 	defer c.Close()
 	c.activate()
 	c.deactivate()
 	if err = c.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
-	c.shut()
+	c.closeIdle()
 	if _, err = c.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle connection that was shut still reads")
 	}
--- a/proxy/clients_test.go
+++ b/proxy/clients_test.go
@@ -9,36 +9,36 @@
 // other; each gets its own body and its own answer.
 func TestRequestsInOneSegment(t *testing.T) {
 	h := newHand(t)
-	p, addr := usual(t, newMarket(deny, h.place(unsafe)))
+	p, addr := usual(t, newStubRouter(deny, h.place(unsafe)))
 	u := dial(t, addr)
 	const head = "POST /a HTTP/1.1\r\nHost: h.example\r\nX-Attempt: "
 	u.say(t, head+"id1\r\nContent-Length: 3\r\n\r\none"+head+"id2\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n"+head+"id3\r\n\r\n")
 	r := h.accept(t)
 	for _, c := range []struct{ id, body string }{{"id1", "one"}, {"id2", "two"}, {"id3", ""}} {
 		g := r.request(t)
-		want(t, "sent", g.req.Header.Get("X-Attempt")+" "+g.body, c.id+" "+c.body)
+		connRequest(t, "sent", g.req.Header.Get("X-Attempt")+" "+g.body, c.id+" "+c.body)
 		r.reply(t, g, "200 OK", "", "to "+c.id)
-		want(t, "answer", u.answer(t, "POST").body, "to "+c.id)
+		connRequest(t, "answer", u.answer(t, "POST").body, "to "+c.id)
 	}
 	settled(t, p)
-	want(t, "requests", p.N.Requests.Load(), 3)
+	connRequest(t, "requests", p.Counters.Requests.Load(), 3)
 }
 
 // TestBytesBehindARequestAreNoPartOfIt: what follows a request's body is no request of its own kind, and reaches no replica.
 func TestBytesBehindARequestAreNoPartOfIt(t *testing.T) {
 	h := newHand(t)
-	p, addr := usual(t, newMarket(deny, h.place(unsafe)))
+	p, addr := usual(t, newStubRouter(deny, h.place(unsafe)))
 	u := dial(t, addr)
 	u.ask(t, "POST", "id1", "", "body")
 	u.say(t, "surplus \x01\r\n\r\n")
 	r := h.accept(t)
 	g := r.request(t)
-	want(t, "body", g.body, "body")
+	connRequest(t, "body", g.body, "body")
 	r.reply(t, g, "200 OK", "", "one")
-	want(t, "first", u.answer(t, "POST").body, "one")
-	want(t, "surplus", u.answer(t, "GET").status, 400)
+	connRequest(t, "first", u.answer(t, "POST").body, "one")
+	connRequest(t, "surplus", u.answer(t, "GET").status, 400)
 	settled(t, p)
-	want(t, "requests", p.N.Requests.Load(), 1)
+	connRequest(t, "requests", p.Counters.Requests.Load(), 1)
 }
 
 // TestAClientThatClosesGetsNothing: a client that closes, or closes its sending half, has given the request up; it is not sent again.
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
-			m := newMarket(deny, h.place(safe), h.place(safe))
+			m := newStubRouter(deny, h.place(safe), h.place(safe))
 			p, addr := usual(t, m)
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
@@ -58,8 +58,8 @@
 			_ = end(u)
 			r.ended(t)
 			settled(t, p)
-			want(t, "events", m.heard(), "Leave Hangup")
-			want(t, "dialled", p.N.Dials.Load(), 1)
+			connRequest(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
+			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
@@ -67,7 +67,7 @@
 // TestAnAnswerBeforeTheBodyWasTaken: a replica that answers and resets while a long body is being written may have run the request.
 func TestAnAnswerBeforeTheBodyWasTaken(t *testing.T) {
 	h := newHand(t)
-	p, addr := usual(t, newMarket(deny, h.place(unsafe), h.place(unsafe)))
+	p, addr := usual(t, newStubRouter(deny, h.place(unsafe), h.place(unsafe)))
 	u := dial(t, addr)
 	u.ask(t, "POST", "id1", "X-Wait-Ms: 20000\r\n", strings.Repeat("x", 12<<20))
 	r := h.accept(t)
@@ -76,6 +76,6 @@
 	}
 	r.reply(t, got{req: idRequest("id1")}, "200 OK", "Connection: close\r\n", "early")
 	_ = r.Close()
-	want(t, "status", u.answer(t, "POST").status, 502)
-	want(t, "dialled", p.N.Dials.Load(), 1)
+	connRequest(t, "status", u.answer(t, "POST").status, 502)
+	connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
 }
--- a/proxy/comeback_test.go
+++ b/proxy/comeback_test.go
@@ -13,26 +13,26 @@
 	gone := newHand(t).place(unsafe)
 	gone.Addr = "127.0.0.1:1"
 	short := &config.Route{Timeout: 1}
-	bare := mallowbridge.Decision{Verdict: mallowbridge.Deny}
+	bare := mallowbridge.Decision{Verdict: mallowbridge.Reject}
 	for name, c := range map[string]struct {
-		market proxy.Market
+		market proxy.Router
 		method string
 		extra  string
 		status int
 	}{
-		"refused by the market":         {newMarket(bare), "GET", "", 503},
-		"unreached":                     {newMarket(bare, gone), "GET", "", 503},
+		"refused by the router":         {newStubRouter(bare), "GET", "", 503},
+		"unreached":                     {newStubRouter(bare, gone), "GET", "", 503},
 		"no more decisions":             {ends{}, "GET", "", 503},
-		"out of time before it is sent": {newMarket(deny, newHand(t).place(short)), "GET", "", 503},
-		"upload out of time":            {newMarket(deny), "POST", "X-Wait-Ms: 20\r\nContent-Length: 9\r\n", 408},
+		"out of time before it is sent": {newStubRouter(deny, newHand(t).place(short)), "GET", "", 503},
+		"upload out of time":            {newStubRouter(deny), "POST", "X-Wait-Ms: 20\r\nContent-Length: 9\r\n", 408},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, addr := usual(t, c.market)
 			u := dial(t, addr)
 			u.ask(t, c.method, "id1", c.extra, "")
 			r := u.answer(t, c.method)
-			want(t, "status", r.status, c.status)
-			want(t, "Retry-After", r.header.Get("Retry-After"), "0.25")
+			connRequest(t, "status", r.status, c.status)
+			connRequest(t, "Retry-After", r.header.Get("Retry-After"), "0.25")
 		})
 	}
 }
@@ -40,14 +40,14 @@
 // TestWhatMayHaveRunIsNotDenied: no decision that comes after the write, and none that is missing, makes a denial of it.
 func TestWhatMayHaveRunIsNotDenied(t *testing.T) {
 	for name, last := range map[string]mallowbridge.Decision{
-		"denied": deny, "bad": {Verdict: mallowbridge.Deny, Bad: true}, "unknown": unknown, "placed again": {Verdict: mallowbridge.Place, Go: "z", Route: unsafe},
+		"denied": deny, "bad": {Verdict: mallowbridge.Reject, Bad: true}, "unknown": unknown, "placed again": {Verdict: mallowbridge.Place, AttemptID: "z", Route: unsafe},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rep := newReplica(t, func(got) (string, bool) { return "", true })
-			_, addr := usual(t, newMarket(last, rep.place(unsafe)))
+			replica := newReplica(t, func(got) (string, bool) { return "", true })
+			_, addr := usual(t, newStubRouter(last, replica.place(unsafe)))
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
-			want(t, "status", u.answer(t, "GET").status, 502)
+			connRequest(t, "status", u.answer(t, "GET").status, 502)
 		})
 	}
 }
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -27,20 +27,20 @@
 func (e *StatusError) Error() string { return "status " + strconv.Itoa(e.Status) }
 
 type conn struct {
-	nc      net.Conn
+	net     net.Conn
 	raw     syscall.RawConn
 	key     key
-	src     io.LimitedReader
-	r       *bufio.Reader
+	source  io.LimitedReader
+	reader  *bufio.Reader
 	attempt string
 	used    bool
 	// hadHEAD tells that a HEAD request was written: a late answer to it has a length, but no body.
 	hadHEAD bool
 	// until is when the connection is too old to be used, sure when it is for requests that may not be repeated.
-	until, sure time.Time
-	unacked     time.Duration
-	quiet       bool
-	look        func(fd uintptr)
+	usableUntil, safeUntil time.Time
+	unacked                time.Duration
+	quiet                  bool
+	inspect                func(fd uintptr)
 }
 
 const (
@@ -49,13 +49,13 @@
 )
 
 func newConn(nc net.Conn, k key, unacked time.Duration) (*conn, error) {
-	c := &conn{nc: nc, key: k, src: io.LimitedReader{R: nc, N: noBound}, unacked: unacked}
-	c.r = bufio.NewReaderSize(&c.src, 4096)
+	c := &conn{net: nc, key: k, source: io.LimitedReader{R: nc, N: noBound}, unacked: unacked}
+	c.reader = bufio.NewReaderSize(&c.source, 4096)
 	var err error
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	c.look = func(fd uintptr) {
+	c.inspect = func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		c.quiet = err == unix.EAGAIN
@@ -65,11 +65,11 @@
 
 // alive tells whether the connection is neither closed nor holds bytes that nobody asked for.
 func (c *conn) alive() bool {
-	if c.r.Buffered() > 0 {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	c.quiet = false
-	return c.raw.Control(c.look) == nil && c.quiet
+	return c.raw.Control(c.inspect) == nil && c.quiet
 }
 
 // setUserTimeout lets a request that is longer than the window wait unsent for d. TCP_USER_TIMEOUT, which is to end connections to machines
@@ -95,21 +95,21 @@
 	var n int
 	if len(body) <= joined {
 		head.b = append(head.b, body...)
-		n, err = c.nc.Write(head.b)
+		n, err = c.net.Write(head.b)
 		return n, trace.Wrap(err)
 	}
 	bs := net.Buffers{head.b, body}
-	n64, err := bs.WriteTo(c.nc)
+	n64, err := bs.WriteTo(c.net)
 	return int(n64), trace.Wrap(err)
 }
 
 func (c *conn) read(r *http.Request, headBytes int) (*http.Response, error) {
-	c.src.N = int64(headBytes)
-	defer func() { c.src.N = noBound }()
+	c.source.N = int64(headBytes)
+	defer func() { c.source.N = noBound }()
 	var err error
 	var resp *http.Response
 	for range maxEarly {
-		resp, err = http.ReadResponse(c.r, r)
+		resp, err = http.ReadResponse(c.reader, r)
 		if err != nil {
 			return nil, trace.Wrap(&AnswerError{Cause: err})
 		}
@@ -136,5 +136,5 @@
 		}
 	}
 	now := time.Now()
-	c.until, c.sure = now.Add(idle), now.Add(min(idle, sure))
+	c.usableUntil, c.safeUntil = now.Add(idle), now.Add(min(idle, sure))
 }
--- a/proxy/cuts_test.go
+++ b/proxy/cuts_test.go
@@ -14,12 +14,12 @@
 	runs := 0
 	for _, end := range []string{"\n", "\r\n", "\r"} {
 		events := []string{"id: 1" + end + "data: a" + end + end, "id: 2" + end + "data: b" + end + end, "id: 3" + end + "data: c" + end + end}
-		whole := strings.Join(events, "")
-		for first := range len(whole) + 1 {
+		complete := strings.Join(events, "")
+		for first := range len(complete) + 1 {
 			for skipped := range len(events) {
 				rest := strings.Join(events[skipped:], "")
 				for second := range len(rest) + 1 {
-					if cutTwice(t, events, whole[:first], skipped, rest[:second]) {
+					if cutTwice(t, events, complete[:first], skipped, rest[:second]) {
 						runs++
 					}
 				}
@@ -34,11 +34,11 @@
 	t.Helper()
 	e, out := proxy.Events{Bound: 1 << 10}, ""
 	take := func(text string) {
-		whole, err := e.Feed([]byte(text))
+		complete, err := e.Feed([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		out += string(whole)
+		out += string(complete)
 	}
 	anew := func() {
 		if out == "" {
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -33,38 +33,38 @@
 }
 
 func TestEachAnswerOfALeavingNodeSaysClose(t *testing.T) {
-	rep := newReplica(t, say("200 OK", "", "one"), stream(true, "id: 1\ndata: a\n\n"))
-	m := newMarket(deny, rep.place(streams))
+	replica := newReplica(t, say("200 OK", "", "one"), stream(true, "id: 1\ndata: a\n\n"))
+	m := newStubRouter(deny, replica.place(streams))
 	p, addr := front(t, m, lingering(time.Hour), config.Limits{})
 	open := dial(t, addr)
 	p.Shutdown(grace)
 	open.ask(t, "GET", "id1", soon, "")
 	r := open.answer(t, "GET")
-	want(t, "answer", fmt.Sprint(r.body, r.header["Connection"], r.header["Keep-Alive"]), "one[close] []")
+	connRequest(t, "answer", fmt.Sprint(r.body, r.header["Connection"], r.header["Keep-Alive"]), "one[close] []")
 	open.shutSoon(t)
 	open = dial(t, addr)
 	open.ask(t, "GET", "id2", soon, "")
 	r = open.answer(t, "GET")
-	want(t, "stream", fmt.Sprint(r.body, r.header["Connection"]), "id: 1\ndata: a\n\n[close]")
+	connRequest(t, "stream", fmt.Sprint(r.body, r.header["Connection"]), "id: 1\ndata: a\n\n[close]")
 	open.shutSoon(t)
 	p, addr = front(t, ends{deny}, lingering(time.Hour), config.Limits{})
 	p.Shutdown(grace)
 	open = dial(t, addr)
 	open.ask(t, "GET", "id4", soon, "")
 	r = open.answer(t, "GET")
-	want(t, "refusal", fmt.Sprint(r.status, r.header["Connection"]), "503 [close]")
+	connRequest(t, "refusal", fmt.Sprint(r.status, r.header["Connection"]), "503 [close]")
 }
 
 func TestIdleClientsAreShutOthersAreNot(t *testing.T) {
 	h := newHand(t)
 	set := lingering(time.Millisecond)
 	set.Idle, set.IdleNonRepeatable = time.Hour, time.Hour
-	p, addr := front(t, newMarket(deny, h.place(unsafe)), set, config.Limits{})
+	p, addr := front(t, newStubRouter(deny, h.place(unsafe)), set, config.Limits{})
 	resting, asking, reading, quiet := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
 	resting.ask(t, "GET", "id1", "", "")
 	r1 := h.accept(t)
 	r1.reply(t, r1.request(t), "200 OK", "", "one")
-	want(t, "resting", resting.answer(t, "GET").body, "one")
+	connRequest(t, "resting", resting.answer(t, "GET").body, "one")
 	asking.ask(t, "GET", "id2", "", "")
 	g2 := r1.request(t)
 	reading.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id3\r\nX-Wait-Ms: 1000\r\nContent-Le")
@@ -75,21 +75,21 @@
 	resting.shutSoon(t)
 	r1.reply(t, g2, "200 OK", "", "two")
 	got := asking.answer(t, "GET")
-	want(t, "asking", fmt.Sprint(got.body, got.header["Connection"]), "two[close]")
+	connRequest(t, "asking", fmt.Sprint(got.body, got.header["Connection"]), "two[close]")
 	reading.say(t, "ngth: 4\r\n\r\nbo")
 	reading.say(t, "dy")
 	r1.reply(t, r1.request(t), "200 OK", "", "three")
-	want(t, "reading", reading.answer(t, "POST").body, "three")
+	connRequest(t, "reading", reading.answer(t, "POST").body, "three")
 	quiet.ask(t, "GET", "id4", soon, "")
 	r1.reply(t, r1.request(t), "200 OK", "", "four")
-	want(t, "quiet", quiet.answer(t, "GET").body, "four")
+	connRequest(t, "quiet", quiet.answer(t, "GET").body, "four")
 	settled(t, p)
 }
 
 // TestAnswersBegunBeforeRetireEndWhole: the head said nothing of closing, so the connection is shut when it falls idle.
 func TestAnswersBegunBeforeRetireEndWhole(t *testing.T) {
 	h := newHand(t)
-	p, addr := front(t, newMarket(deny, h.place(streams)), lingering(time.Millisecond), config.Limits{})
+	p, addr := front(t, newStubRouter(deny, h.place(streams)), lingering(time.Millisecond), config.Limits{})
 	other, u := dial(t, addr), dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
@@ -101,11 +101,11 @@
 	other.ask(t, "GET", "id0", "", "")
 	o := h.accept(t)
 	o.reply(t, o.request(t), "200 OK", "", "idle")
-	want(t, "other", other.answer(t, "GET").body, "idle")
+	connRequest(t, "other", other.answer(t, "GET").body, "idle")
 	p.Shutdown(grace)
 	other.shutSoon(t)
 	r.say(t, "7\r\nid: 2\n\n\r\n0\r\n\r\n")
-	want(t, "stream", u.answer(t, "GET").body, "id: 1\n\nid: 2\n\n")
+	connRequest(t, "stream", u.answer(t, "GET").body, "id: 1\n\nid: 2\n\n")
 	u.shutSoon(t)
 }
 
@@ -113,14 +113,14 @@
 func TestNoRequestIsReadAndCut(t *testing.T) {
 	const n = 64
 	for range 5 {
-		m := newMarket(deny)
+		m := newStubRouter(deny)
 		m.arrived, m.events = make(chan mallowbridge.Arrive, 4*n), make(chan mallowbridge.Event, 16*n)
 		p, addr := front(t, m, lingering(time.Millisecond), config.Limits{})
 		var users []*user
 		for range n {
 			u := dial(t, addr)
 			u.ask(t, "GET", "id", "", "")
-			want(t, "before", u.answer(t, "GET").status, 503)
+			connRequest(t, "before", u.answer(t, "GET").status, 503)
 			users = append(users, u)
 		}
 		go p.Shutdown(grace)
@@ -140,7 +140,7 @@
 			}
 		}
 		settled(t, p)
-		want(t, "arrivals", len(m.arrived)-n, answered)
+		connRequest(t, "arrivals", len(m.arrived)-n, answered)
 	}
 }
 
@@ -148,13 +148,13 @@
 	for idle, told := range map[time.Duration]string{
 		15 * time.Second: "[timeout=14]", 2 * time.Second: "[timeout=1]", 1200 * time.Millisecond: "[]", 0: "[timeout=59]",
 	} {
-		rep := newReplica(t, say("200 OK", "Keep-Alive: timeout=3\r\n", "one"), say("200 OK", "", "two"))
-		_, addr := front(t, newMarket(deny, rep.place(unsafe)), proxy.Defaults(), config.Limits{Idle: idle})
+		replica := newReplica(t, say("200 OK", "Keep-Alive: timeout=3\r\n", "one"), say("200 OK", "", "two"))
+		_, addr := front(t, newStubRouter(deny, replica.place(unsafe)), proxy.Defaults(), config.Limits{Idle: idle})
 		u := dial(t, addr)
 		u.ask(t, "GET", "id1", "", "")
-		want(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), told)
+		connRequest(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), told)
 		u.ask(t, "GET", "id2", "Connection: close\r\n", "")
-		want(t, "when closing", fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), "[]")
+		connRequest(t, "when closing", fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), "[]")
 	}
 }
 
@@ -162,6 +162,6 @@
 	_, addr := front(t, ends{deny}, proxy.Defaults(), config.Limits{Idle: 50 * time.Millisecond})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
-	want(t, "status", u.answer(t, "GET").status, 503)
+	connRequest(t, "status", u.answer(t, "GET").status, 503)
 	u.shutSoon(t)
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -22,76 +22,78 @@
 
 // Exchange takes one request through: decisions and signals go in, moves come out.
 type Exchange struct {
-	Request string
-	Place   mallowbridge.Decision
-	// Stuck tells that what was passed on cannot be taken up at another replica.
-	Stuck bool
-	phase phase
+	Request   string
+	Placement mallowbridge.Decision
+	// CannotResume tells that what was passed on cannot be taken up at another replica.
+	CannotResume bool
+	phase        phase
 	// stream tells that the answer being passed on is a stream, flat that bytes of one that is none were passed on.
-	stream, flat bool
-	began        bool
-	mayRun       bool
-	over         bool
-	moves        []Move
+	stream, flat     bool
+	began            bool
+	mayHaveRunBefore bool
+	over             bool
+	actions          []Action
 }
 
 // Over tells that the exchange has ended: it makes no more moves.
 func (e *Exchange) Over() bool { return e.over }
 
-const usualMoves = 4
+const usualActions = 4
 
-func (e *Exchange) do(m Move) {
-	if e.moves == nil {
-		e.moves = make([]Move, 0, usualMoves)
+func (e *Exchange) do(m Action) {
+	if e.actions == nil {
+		e.actions = make([]Action, 0, usualActions)
 	}
-	e.moves = append(e.moves, m)
+	e.actions = append(e.actions, m)
 }
 
-func (e *Exchange) tell(ev mallowbridge.Event) { e.do(Move{Kind: Tell, Event: ev}) }
+func (e *Exchange) notify(ev mallowbridge.Event) { e.do(Action{Kind: NotifyRouter, Event: ev}) }
 
-func (e *Exchange) take() []Move {
-	if len(e.moves) == 0 {
+func (e *Exchange) takeActions() []Action {
+	if len(e.actions) == 0 {
 		return nil
 	}
-	var moves []Move
-	moves, e.moves = e.moves, nil
-	return moves
+	var actions []Action
+	actions, e.actions = e.actions, nil
+	return actions
 }
 
 // spent gives moves that were carried out back, so that their room serves the next ones.
-func (e *Exchange) spent(moves []Move) {
-	if e.moves == nil && moves != nil {
-		clear(moves)
-		e.moves = moves[:0]
+func (e *Exchange) recycle(actions []Action) {
+	if e.actions == nil && actions != nil {
+		clear(actions)
+		e.actions = actions[:0]
 	}
 }
 
 // ran tells whether the request may have run: only an attempt that was never written, or one that a replica refused, has not.
-func (e *Exchange) ran() bool { return e.mayRun || e.phase == written || e.phase == passing }
+func (e *Exchange) mayHaveRun() bool {
+	return e.mayHaveRunBefore || e.phase == written || e.phase == passing
+}
 
-func (e *Exchange) leave() {
-	e.mayRun = e.ran()
+func (e *Exchange) abandonAttempt() {
+	e.mayHaveRunBefore = e.mayHaveRun()
 	if e.phase != none {
-		e.do(Move{Kind: Drop})
+		e.do(Action{Kind: Disconnect})
 	}
 	e.phase = none
 }
 
 func (e *Exchange) finish(o Outcome, why string, after time.Duration) {
-	e.leave()
+	e.abandonAttempt()
 	e.over = true
-	if e.began && o != Done && o != Gone {
+	if e.began && o != Done && o != ClientGone {
 		o = Aborted
 	}
-	e.do(Move{Kind: Finish, Outcome: o, Why: why, After: after})
+	e.do(Action{Kind: Finish, Outcome: o, Reason: why, RetryAfter: after})
 }
 
-func (e *Exchange) end(how mallowbridge.How) {
-	if how == mallowbridge.Broken {
-		e.leave()
+func (e *Exchange) end(how mallowbridge.AttemptResult) {
+	if how == mallowbridge.Failed {
+		e.abandonAttempt()
 	}
 	e.phase = none
-	e.tell(mallowbridge.End{Request: e.Request, Go: e.Place.Go, How: how})
+	e.notify(mallowbridge.AttemptEnded{Request: e.Request, AttemptID: e.Placement.AttemptID, Result: how})
 }
 
 // repeats tells whether a request that may have run may be written again.
@@ -99,83 +101,83 @@
 
 func mayRepeat(r *config.Route) bool { return r != nil && (r.Repeatable || r.Resumable) }
 
-// Decided takes a decision of the market and gives the moves to carry out, in order.
-func (e *Exchange) Decided(d mallowbridge.Decision) []Move {
-	if e.over || (e.phase != none && d.Go != "" && d.Go != e.Place.Go && d.Verdict != mallowbridge.Place) {
+// Decided takes a decision of the router and gives the moves to carry out, in order.
+func (e *Exchange) Decided(d mallowbridge.Decision) []Action {
+	if e.over || (e.phase != none && d.AttemptID != "" && d.AttemptID != e.Placement.AttemptID && d.Verdict != mallowbridge.Place) {
 		return nil
 	}
 	switch d.Verdict {
 	case mallowbridge.Place:
-		if (e.began && (e.Stuck || e.flat || !d.Resumes)) || (e.ran() && !repeats(d)) {
-			e.tell(mallowbridge.Hangup{Request: e.Request})
+		if (e.began && (e.CannotResume || e.flat || !d.Resumes)) || (e.mayHaveRun() && !repeats(d)) {
+			e.notify(mallowbridge.ClientDisconnected{Request: e.Request})
 			e.finish(Unknown, "", 0)
 			break
 		}
-		e.leave()
-		e.Place, e.phase = d, connecting
-		e.do(Move{Kind: Connect})
+		e.abandonAttempt()
+		e.Placement, e.phase = d, connecting
+		e.do(Action{Kind: Connect})
 	case mallowbridge.Send:
 		if e.phase == connected {
 			e.phase = written
-			e.do(Move{Kind: Write})
+			e.do(Action{Kind: Write})
 		}
-	case mallowbridge.Recall:
+	case mallowbridge.CancelBeforeSend:
 		if e.phase == connecting || e.phase == connected {
 			e.phase = none
-			e.do(Move{Kind: Park})
+			e.do(Action{Kind: ReleaseConnection})
 		}
-	case mallowbridge.Deny:
-		e.denied(d)
+	case mallowbridge.Reject:
+		e.reject(d)
 	case mallowbridge.Unknown, mallowbridge.Partial:
-		e.finish(Unknown, d.Why, d.After)
+		e.finish(Unknown, d.Reason, d.RetryAfter)
 	}
-	return e.take()
+	return e.takeActions()
 }
 
 // denied keeps the promise of a 503: a request that may have run is not called denied.
-func (e *Exchange) denied(d mallowbridge.Decision) {
+func (e *Exchange) reject(d mallowbridge.Decision) {
 	switch {
-	case e.ran() || d.Repeat:
-		e.finish(Unknown, d.Why, d.After)
+	case e.mayHaveRun() || d.Repeat:
+		e.finish(Unknown, d.Reason, d.RetryAfter)
 	case d.Bad:
-		e.finish(NotFound, d.Why, 0)
+		e.finish(NotFound, d.Reason, 0)
 	default:
-		e.finish(Denied, d.Why, cmp.Or(d.After, comeBack))
+		e.finish(Rejected, d.Reason, cmp.Or(d.RetryAfter, defaultRetryAfter))
 	}
 }
 
-// comeBack is when a client whose request did not run may ask again where the market does not say.
-const comeBack = 250 * time.Millisecond
+// defaultRetryAfter is when a client whose request did not run may ask again where the router does not say.
+const defaultRetryAfter = 250 * time.Millisecond
 
 // Closed is called when no more decisions will come.
-func (e *Exchange) Closed() []Move {
+func (e *Exchange) Closed() []Action {
 	if !e.over {
-		e.denied(mallowbridge.Decision{Why: "node is stopping"})
+		e.reject(mallowbridge.Decision{Reason: "node is stopping"})
 	}
-	return e.take()
+	return e.takeActions()
 }
 
 // Happened takes what a connection or the clock did and gives the moves to carry out, in order.
-func (e *Exchange) Happened(s Signal) []Move {
+func (e *Exchange) Happened(s Signal) []Action {
 	if e.over {
 		return nil
 	}
 	switch s := s.(type) {
-	case HungUp:
-		e.tell(mallowbridge.Hangup{Request: e.Request})
-		e.finish(Gone, "", 0)
-	case Overdue:
-		e.overdue(s)
+	case ClientClosed:
+		e.notify(mallowbridge.ClientDisconnected{Request: e.Request})
+		e.finish(ClientGone, "", 0)
+	case DeadlinePassed:
+		e.deadlinePassed(s)
 	case Connected:
 		if e.phase == connecting {
 			e.phase = connected
-			e.tell(mallowbridge.Leave{Request: e.Request, Go: e.Place.Go})
+			e.notify(mallowbridge.ReadyToSend{Request: e.Request, AttemptID: e.Placement.AttemptID})
 		}
 	case Unconnected:
 		e.unconnected(s)
 	case Unwritten:
 		if e.phase == written {
-			e.do(Move{Kind: Drop})
+			e.do(Action{Kind: Disconnect})
 			e.end(mallowbridge.Unreached)
 		}
 	case Replied:
@@ -184,19 +186,19 @@
 		}
 	case Begun:
 		if e.phase == passing {
-			e.tell(mallowbridge.Piece{Request: e.Request, Go: e.Place.Go})
+			e.notify(mallowbridge.AnswerStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
 			e.began, e.flat = true, !e.stream
 		}
 	case Ended:
 		e.ended()
-	case Lost:
+	case ConnectionLost:
 		switch e.phase {
 		case written, passing:
-			e.end(mallowbridge.Broken)
+			e.end(mallowbridge.Failed)
 		case draining:
-			e.do(Move{Kind: Drop})
+			e.do(Action{Kind: Disconnect})
 			e.end(mallowbridge.Refused)
 		}
 	}
-	return e.take()
+	return e.takeActions()
 }
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -40,24 +40,24 @@
 func TestClientThatDoesNotReadIsCut(t *testing.T) {
 	set := proxy.Defaults()
 	set.Stall = 150 * time.Millisecond
-	m := newMarket(unknown, endless(t).place(unsafe))
+	m := newStubRouter(unknown, endless(t).place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
-	for end := time.Now().Add(patience); p.N.Hangups.Load() == 0; runtime.Gosched() {
+	for end := time.Now().Add(patience); p.Counters.Hangups.Load() == 0; runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatal("the stuck client is waited for")
 		}
 	}
 	settled(t, p)
-	want(t, "held", p.Held(), 0)
+	connRequest(t, "held", p.Reserved(), 0)
 }
 
 // TestSlowReaderIsNotCut reads at a tenth of the stall time's pace for many stall times.
 func TestSlowReaderIsNotCut(t *testing.T) {
 	set := proxy.Defaults()
 	set.Stall = 200 * time.Millisecond
-	m := newMarket(unknown, endless(t).place(unsafe))
+	m := newStubRouter(unknown, endless(t).place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
@@ -69,20 +69,20 @@
 			t.Fatal(err)
 		}
 	}
-	want(t, "cut", p.N.Hangups.Load(), 0)
+	connRequest(t, "cut", p.Counters.Hangups.Load(), 0)
 }
 
 // TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request lives.
 func TestSlowReaderEndsWithItsRequest(t *testing.T) {
 	set := proxy.Defaults()
-	set.Stall, set.Hold = 300*time.Millisecond, 4<<20
-	m := newMarket(unknown, endless(t).place(&config.Route{Timeout: 2 * time.Second}))
+	set.Stall, set.HoldBytes = 300*time.Millisecond, 4<<20
+	m := newStubRouter(unknown, endless(t).place(&config.Route{Timeout: 2 * time.Second}))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	tick := time.NewTicker(set.Stall / 30)
 	defer tick.Stop()
-	for taken := 0; p.N.Hangups.Load()+p.N.Aborted.Load() == 0; <-tick.C {
+	for taken := 0; p.Counters.Hangups.Load()+p.Counters.Aborted.Load() == 0; <-tick.C {
 		n, err := u.Read(make([]byte, 2048))
 		if taken += n; err != nil || taken > 1<<20 {
 			t.Fatal("the replica is still held", taken, err)
@@ -97,14 +97,14 @@
 		{"chunked", "Transfer-Encoding: chunked\r\n", "4\r\nhalf\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newMarket(deny)
+			m := newStubRouter(deny)
 			p, addr := front(t, m, proxy.Defaults(), config.Limits{Header: 100 * time.Millisecond})
 			u := dial(t, addr)
 			u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\n"+c.head+"\r\n"+c.part)
 			r := u.answer(t, "POST")
-			want(t, "answer", fmt.Sprint(r.status, r.header.Get("Connection")), "408close")
+			connRequest(t, "answer", fmt.Sprint(r.status, r.header.Get("Connection")), "408close")
 			settled(t, p)
-			want(t, "arrivals and held", int64(len(m.arrived))+p.Held(), 0)
+			connRequest(t, "arrivals and held", int64(len(m.arrived))+p.Reserved(), 0)
 		})
 	}
 }
@@ -113,25 +113,25 @@
 func TestSlowUploadIsBounded(t *testing.T) {
 	set := proxy.Defaults()
 	set.Upload = 300 * time.Millisecond
-	p, addr := front(t, newMarket(deny), set, config.Limits{Header: 200 * time.Millisecond})
+	p, addr := front(t, newStubRouter(deny), set, config.Limits{Header: 200 * time.Millisecond})
 	u := dial(t, addr)
 	u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\nContent-Length: 100000\r\n\r\n")
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for sent := 0; p.N.Bad.Load() == 0; sent++ {
+	for sent := 0; p.Counters.Bad.Load() == 0; sent++ {
 		<-tick.C
 		if _, err := io.WriteString(u, "x"); err != nil || sent == 200 {
 			t.Fatal("sent", sent, err)
 		}
 	}
-	want(t, "status", u.answer(t, "POST").status, 408)
+	connRequest(t, "status", u.answer(t, "POST").status, 408)
 }
 
 func TestBudget(t *testing.T) {
 	h := newHand(t)
 	set := proxy.Defaults()
 	set.Budget = 100 << 10
-	m := newMarket(deny, h.place(unsafe))
+	m := newStubRouter(deny, h.place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
 	first := dial(t, addr)
 	first.ask(t, "POST", "id1", "", strings.Repeat("x", 80<<10))
@@ -145,18 +145,18 @@
 			second.say(t, "4e20\r\n"+strings.Repeat("y", 20000)+"\r\n")
 		}
 		r := second.answer(t, "POST")
-		want(t, "second", fmt.Sprint(r.status, r.header.Get("Retry-After")), "5030.25")
+		connRequest(t, "second", fmt.Sprint(r.status, r.header.Get("Retry-After")), "5030.25")
 	}
-	want(t, "arrivals", len(m.arrived), 0)
-	want(t, "full", p.N.Full.Load(), 2)
+	connRequest(t, "arrivals", len(m.arrived), 0)
+	connRequest(t, "full", p.Counters.Full.Load(), 2)
 	u.reply(t, g, "200 OK", "", "done")
-	want(t, "first", first.answer(t, "POST").body, "done")
+	connRequest(t, "first", first.answer(t, "POST").body, "done")
 	first.ask(t, "POST", "id3", "", strings.Repeat("x", 80<<10))
 	u = &up{TCPConn: u.TCPConn, in: u.in}
 	u.reply(t, u.request(t), "200 OK", "", strings.Repeat("z", 200<<10))
-	want(t, "long answer", len(first.answer(t, "POST").body), 200<<10)
+	connRequest(t, "long answer", len(first.answer(t, "POST").body), 200<<10)
 	settled(t, p)
-	want(t, "held", p.Held(), 0)
+	connRequest(t, "held", p.Reserved(), 0)
 }
 
 // TestReplicaThatDoesNotReadOn has small windows, and reads only once TCP_USER_TIMEOUT alone has ended the other, equal request.
@@ -172,14 +172,14 @@
 		_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
 		set := proxy.Defaults()
 		set.UserTimeout, set.Window = 300*time.Millisecond, window
-		_, addr := front(t, newMarket(deny, h.place(unsafe)), set, config.Limits{})
+		_, addr := front(t, newStubRouter(deny, h.place(unsafe)), set, config.Limits{})
 		c := dial(t, addr)
 		c.ask(t, "POST", "id1", "X-Wait-Ms: 30000\r\n", strings.Repeat("x", 30000))
 		users, hands = append(users, c), append(hands, h)
 	}
 	patient, hasty := hands[0].accept(t), hands[1].accept(t)
-	want(t, "hasty", users[1].answer(t, "POST").status, 502)
+	connRequest(t, "hasty", users[1].answer(t, "POST").status, 502)
 	hasty.reset()
 	patient.reply(t, patient.request(t), "200 OK", "", "late")
-	want(t, "patient", users[0].answer(t, "POST").body, "late")
+	connRequest(t, "patient", users[0].answer(t, "POST").body, "late")
 }
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -32,7 +32,7 @@
 		over.ask(t, method, "id1", "X-Wait-Ms: 300\r\n", body)
 		inTime.ask(t, method, "id2", "X-Wait-Ms: 60000\r\n", body)
 		freeze(frozen)
-		p := proxy.New(newMarket(deny, h.place(unsafe)), names, proxy.Defaults(), func() config.Limits {
+		p := proxy.New(newStubRouter(deny, h.place(unsafe)), names, proxy.Defaults(), func() config.Limits {
 			var l config.Limits
 			return l
 		}, "b")
@@ -43,15 +43,15 @@
 		})
 		r := h.accept(t)
 		g := r.request(t)
-		want(t, "sent", g.req.Header.Get("X-Attempt"), "id2")
+		connRequest(t, "sent", g.req.Header.Get("X-Attempt"), "id2")
 		left, _ := strconv.Atoi(g.req.Header.Get("X-Wait-Ms"))
 		if most := int((time.Minute - frozen*9/10).Milliseconds()); left > most {
 			t.Errorf("told %d ms, of which %s are over", left, frozen)
 		}
 		r.reply(t, g, "200 OK", "", "two")
-		want(t, "in time", inTime.answer(t, method).body, "two")
+		connRequest(t, "in time", inTime.answer(t, method).body, "two")
 		got := over.answer(t, method)
-		want(t, "over", fmt.Sprint(got.status == 503 || got.status == 408, got.header.Get("Retry-After") != ""), "true true")
+		connRequest(t, "over", fmt.Sprint(got.status == 503 || got.status == 408, got.header.Get("Retry-After") != ""), "true true")
 		settled(t, p)
 		tb.Kill(nil)
 		_ = tb.Wait()
@@ -67,7 +67,7 @@
 	}{{"over", "200", 0, 503}, {"in time", "30000", 29700, 200}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHand(t)
-			m := &early{market: newMarket(deny, h.place(unsafe))}
+			m := &early{stubRouter: newStubRouter(deny, h.place(unsafe))}
 			set := proxy.Defaults()
 			set.Grace, set.Dial = time.Minute, time.Minute
 			p, addr := front(t, m, set, config.Limits{})
@@ -75,13 +75,13 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", "", "one")
-			want(t, "first", u.answer(t, "GET").body, "one")
+			connRequest(t, "first", u.answer(t, "GET").body, "one")
 			p.OnDial(func() { freeze(300 * time.Millisecond) })
 			m.end = r.reset
 			u.ask(t, "GET", "id2", "X-Wait-Ms: "+c.wait+"\r\n", "")
 			r = h.accept(t)
 			if c.most == 0 {
-				want(t, "answer", u.answer(t, "GET").status, c.status)
+				connRequest(t, "answer", u.answer(t, "GET").status, c.status)
 				if _, err := r.in.ReadByte(); err != io.EOF {
 					t.Errorf("the replica read a byte or %v", err)
 				}
@@ -92,7 +92,7 @@
 				t.Errorf("told %d ms, not at most %d", left, c.most)
 			}
 			r.reply(t, g, "200 OK", "", "two")
-			want(t, "answer", u.answer(t, "GET").status, c.status)
+			connRequest(t, "answer", u.answer(t, "GET").status, c.status)
 		})
 	}
 }
@@ -102,7 +102,7 @@
 	for name, route := range map[string]*config.Route{"once": unsafe, "repeatable": safe} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
-			m := &early{market: newMarket(deny, h.place(route))}
+			m := &early{stubRouter: newStubRouter(deny, h.place(route))}
 			set := proxy.Defaults()
 			set.IdleNonRepeatable, set.Idle = 300*time.Millisecond, 300*time.Millisecond
 			_, addr := front(t, m, set, config.Limits{})
@@ -110,12 +110,12 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", "", "one")
-			want(t, "first", u.answer(t, "GET").body, "one")
+			connRequest(t, "first", u.answer(t, "GET").body, "one")
 			m.end = func() { freeze(400 * time.Millisecond) }
 			u.ask(t, "GET", "id2", "", "")
 			next := h.accept(t)
 			next.reply(t, next.request(t), "200 OK", "", "two")
-			want(t, "second", u.answer(t, "GET").body, "two")
+			connRequest(t, "second", u.answer(t, "GET").body, "two")
 		})
 	}
 }
@@ -126,7 +126,7 @@
 	for name, route := range map[string]*config.Route{"once": unsafe, "repeatable": safe} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
-			p, addr := usual(t, newMarket(deny, h.place(route), h.place(route)))
+			p, addr := usual(t, newStubRouter(deny, h.place(route), h.place(route)))
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "X-Wait-Ms: 500\r\n", "")
 			r := h.accept(t)
@@ -134,9 +134,9 @@
 			freeze(time.Second)
 			text, _ := say("200 OK", "", "late")(g)
 			_, _ = r.Write([]byte(text))
-			want(t, "status", u.answer(t, "GET").status, 504)
+			connRequest(t, "status", u.answer(t, "GET").status, 504)
 			settled(t, p)
-			want(t, "dialled", p.N.Dials.Load(), 1)
+			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -21,15 +21,15 @@
 	route := []*config.Route{safe, unsafe, streams}[b%3]
 	switch kind % 16 {
 	case 0, 1:
-		return mallowbridge.Decision{Verdict: mallowbridge.Place, Go: id, Route: route, Resumes: b&16 > 0, Instance: "i1"}
+		return mallowbridge.Decision{Verdict: mallowbridge.Place, AttemptID: id, Route: route, Resumes: b&16 > 0, Instance: "i1"}
 	case 2, 3:
-		return mallowbridge.Decision{Verdict: mallowbridge.Send, Go: id}
+		return mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: id}
 	case 4:
-		return mallowbridge.Decision{Verdict: mallowbridge.Recall, Go: id}
+		return mallowbridge.Decision{Verdict: mallowbridge.CancelBeforeSend, AttemptID: id}
 	case 5:
-		return mallowbridge.Decision{Verdict: mallowbridge.Deny, Bad: b&8 > 0, Repeat: b&16 > 0}
+		return mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: b&8 > 0, Repeat: b&16 > 0}
 	case 6:
-		return mallowbridge.Decision{Verdict: []mallowbridge.Verdict{mallowbridge.Unknown, mallowbridge.Partial, mallowbridge.Cancel, mallowbridge.Done}[b%4], Go: id}
+		return mallowbridge.Decision{Verdict: []mallowbridge.Verdict{mallowbridge.Unknown, mallowbridge.Partial, mallowbridge.Cancel, mallowbridge.Done}[b%4], AttemptID: id}
 	case 7, 8:
 		return proxy.Connected{}
 	case 9:
@@ -40,12 +40,12 @@
 	case 12:
 		return proxy.Begun{}
 	case 13:
-		return []proxy.Signal{proxy.Ended{}, proxy.Lost{}, proxy.Lost{}, proxy.Unwritten{}}[b%4]
+		return []proxy.Signal{proxy.Ended{}, proxy.ConnectionLost{}, proxy.ConnectionLost{}, proxy.Unwritten{}}[b%4]
 	case 14:
 		if a < 200 {
-			return proxy.Lost{}
+			return proxy.ConnectionLost{}
 		}
-		return []proxy.Signal{proxy.HungUp{}, proxy.Overdue{}, proxy.Overdue{Unwritten: true}}[b%3]
+		return []proxy.Signal{proxy.ClientClosed{}, proxy.DeadlinePassed{}, proxy.DeadlinePassed{Unwritten: true}}[b%3]
 	}
 	if a < 250 {
 		return proxy.Ended{}
@@ -56,7 +56,7 @@
 func judged(t *testing.T, script []byte) {
 	e, j := proxy.Exchange{Request: "q"}, &judge{t: t}
 	for ; len(script) >= 3; script = script[3:] {
-		e.Stuck = script[2]&128 > 0
+		e.CannotResume = script[2]&128 > 0
 		j.step(&e, anything(script[0], script[1], script[2]))
 	}
 	if e.Over() != (j.finishes == 1) {
@@ -101,15 +101,15 @@
 	}
 }
 
-func feed(t *testing.T, e *proxy.Events, text []byte, cut func(left int) int) []byte {
+func connListener(t *testing.T, e *proxy.Events, text []byte, cut func(left int) int) []byte {
 	var out []byte
 	for len(text) > 0 {
 		n := min(max(cut(len(text)), 1), len(text))
-		whole, err := e.Feed(text[:n])
+		complete, err := e.Feed(text[:n])
 		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, whole...)
+		out = append(out, complete...)
 		text = text[n:]
 	}
 	return out
@@ -122,8 +122,8 @@
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
 		one, many := proxy.Events{Bound: 1 << 20}, proxy.Events{Bound: 1 << 20}
-		a := feed(t, &one, text, func(left int) int { return left })
-		b := feed(t, &many, text, func(int) int { return 1 + rnd.IntN(9) })
+		a := connListener(t, &one, text, func(left int) int { return left })
+		b := connListener(t, &many, text, func(int) int { return 1 + rnd.IntN(9) })
 		if !bytes.Equal(append(a, one.Rest()...), text) || !bytes.Equal(append(b, many.Rest()...), text) {
 			t.Fatalf("%q became %q and %q", text, a, b)
 		}
@@ -151,7 +151,7 @@
 			if rnd.IntN(4) == 0 {
 				cut = len(rest)
 			}
-			out = append(out, feed(t, &e, []byte(rest[:cut]), func(int) int { return 1 + rnd.IntN(40) })...)
+			out = append(out, connListener(t, &e, []byte(rest[:cut]), func(int) int { return 1 + rnd.IntN(40) })...)
 			if cut == len(rest) {
 				out = append(out, e.Rest()...)
 				break
@@ -173,9 +173,9 @@
 		e := proxy.Events{Bound: 1 << 10}
 		for i := range 3 {
 			text := fmt.Sprintf("id: %d%sdata: x%s%s", i, end, end, end)
-			out := feed(t, &e, []byte(text), func(int) int { return 1 })
-			want(t, "event", string(out), text)
-			want(t, "last", e.Last, i)
+			out := connListener(t, &e, []byte(text), func(int) int { return 1 })
+			connRequest(t, "event", string(out), text)
+			connRequest(t, "last", e.Last, i)
 		}
 	}
 }
@@ -201,9 +201,9 @@
 		f.Add([]byte(text))
 	}
 	h := newHand(f)
-	m := newMarket(mallowbridge.Decision{Verdict: mallowbridge.Deny}, h.place(streams))
+	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, h.place(streams))
 	set := proxy.Defaults()
-	set.Hold = 4 << 10
+	set.HoldBytes = 4 << 10
 	_, addr := front(f, m, set, config.Limits{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := dial(t, addr)
@@ -213,7 +213,7 @@
 		_, _ = u.Write(text)
 		_ = u.Close()
 		r := c.answer(t, "POST")
-		m.heard()
+		m.notified()
 		for len(m.arrived) > 0 {
 			<-m.arrived
 		}
--- a/proxy/hand_test.go
+++ b/proxy/hand_test.go
@@ -140,7 +140,7 @@
 }
 
 // front starts a proxy behind a listener of its own.
-func front(t testing.TB, m proxy.Market, set proxy.Settings, l config.Limits) (*proxy.Proxy, string) {
+func front(t testing.TB, m proxy.Router, set proxy.Settings, l config.Limits) (*proxy.Proxy, string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,7 +157,7 @@
 	return p, lis.Addr().String()
 }
 
-func usual(t testing.TB, m proxy.Market) (*proxy.Proxy, string) {
+func usual(t testing.TB, m proxy.Router) (*proxy.Proxy, string) {
 	t.Helper()
 	return front(t, m, proxy.Defaults(), config.Limits{})
 }
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -12,16 +12,16 @@
 )
 
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p.N.Requests.Add(1)
+	p.Counters.Requests.Add(1)
 	p.running.Add(1)
 	defer p.running.Add(-1)
-	x := &transfer{p: p, w: w, r: r, arrived: time.Now(), share: share{of: &p.budget}, client: clientOf(r)}
+	x := &transfer{proxy: p, w: w, r: r, arrived: time.Now(), memory: reservation{budget: &p.budget}, client: clientOf(r)}
 	if x.client != nil {
 		x.client.activate()
 		x.arrived = x.client.arrival()
 	}
-	x.ex.Request = p.name()
-	x.events = Events{Bound: p.set.Event, Last: first(r.Header, lastEvent)}
+	x.exchange.Request = p.name()
+	x.events = Events{Bound: p.settings.EventBytes, Last: first(r.Header, lastEvent)}
 	defer x.free()
 	a := p.arrive(x)
 	if err := p.shutdown.Load().admit(time.Now(), x.deadline); err != nil {
@@ -32,17 +32,17 @@
 		x.refuse(err)
 		return
 	}
-	if took := time.Since(x.arrived); a.Patience > 0 && took > slowUpload {
-		a.Patience = max(a.Patience-took, time.Millisecond)
+	if took := time.Since(x.arrived); a.Timeout > 0 && took > slowUpload {
+		a.Timeout = max(a.Timeout-took, time.Millisecond)
 	}
 	if !x.deadline.IsZero() && !time.Now().Before(x.deadline) {
-		x.happened(Overdue{})
+		x.signal(DeadlinePassed{})
 		return
 	}
 	x.run(a)
 }
 
-// slowUpload is how long a body may take before the market is told that less time is left.
+// slowUpload is how long a body may take before the router is told that less time is left.
 const slowUpload = 100 * time.Millisecond
 
 func host(r *http.Request) string {
@@ -69,14 +69,14 @@
 
 func (p *Proxy) arrive(x *transfer) mallowbridge.Arrive {
 	h := x.r.Header
-	a := mallowbridge.Arrive{Request: x.ex.Request, Host: host(x.r), Path: path(x.r)}
+	a := mallowbridge.Arrive{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
 	a.Prefix, a.Model = first(h, p.headers.Prefix), first(h, p.headers.Model)
 	if v := first(h, p.headers.Tokens); v != "" && p.headers.ParseTokens != nil {
-		a.Tokens, a.Most = p.headers.ParseTokens(v)
+		a.Tokens, a.MaxAnswerTokens = p.headers.ParseTokens(v)
 	}
 	if ms, err := strconv.ParseInt(first(h, p.headers.Deadline), 10, 32); err == nil && ms > 0 {
-		a.Patience = time.Duration(ms) * time.Millisecond
-		x.deadline = x.arrived.Add(a.Patience)
+		a.Timeout = time.Duration(ms) * time.Millisecond
+		x.deadline = x.arrived.Add(a.Timeout)
 	}
 	return a
 }
@@ -86,7 +86,7 @@
 	Why     string `json:"why,omitempty"`
 }
 
-func (x *transfer) say(status int, outcome, why string) {
+func (x *transfer) answerWith(status int, outcome, why string) {
 	h := x.w.Header()
 	x.connection()
 	body, _ := json.Marshal(answer{Outcome: outcome, Why: why})
@@ -102,9 +102,9 @@
 func (x *transfer) connection() {
 	h := x.w.Header()
 	switch {
-	case x.p.shutdown.Load() != nil:
+	case x.proxy.shutdown.Load() != nil:
 		h["Connection"] = closes
-	case x.client != nil && x.client.keep != nil && !x.r.Close && h["Connection"] == nil:
-		h["Keep-Alive"] = x.client.keep
+	case x.client != nil && x.client.keepAlive != nil && !x.r.Close && h["Connection"] == nil:
+		h["Keep-Alive"] = x.client.keepAlive
 	}
 }
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -30,23 +30,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHand(t)
 			place := h.place(c.route)
-			place.Conns = 1
+			place.MaxConns = 1
 			set := proxy.Defaults()
 			set.IdleNonRepeatable, set.Idle = c.once, time.Hour
-			p, addr := front(t, newMarket(deny, place), set, config.Limits{})
+			p, addr := front(t, newStubRouter(deny, place), set, config.Limits{})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", c.keep, "one")
-			want(t, "first", u.answer(t, "GET").body, "one")
+			connRequest(t, "first", u.answer(t, "GET").body, "one")
 			u.ask(t, "GET", "id2", "", "")
 			if c.dials == 2 {
 				r.ended(t)
 				r = h.accept(t)
 			}
 			r.reply(t, r.request(t), "200 OK", "", "two")
-			want(t, "second", u.answer(t, "GET").body, "two")
-			want(t, "dials", p.N.Dials.Load(), c.dials)
+			connRequest(t, "second", u.answer(t, "GET").body, "two")
+			connRequest(t, "dials", p.Counters.Dials.Load(), c.dials)
 		})
 	}
 }
@@ -55,12 +55,12 @@
 	h := newHand(t)
 	set := proxy.Defaults()
 	set.Idle = 100 * time.Millisecond
-	_, addr := front(t, newMarket(deny, h.place(safe)), set, config.Limits{})
+	_, addr := front(t, newStubRouter(deny, h.place(safe)), set, config.Limits{})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
 	r.reply(t, r.request(t), "200 OK", "", "one")
-	want(t, "first", u.answer(t, "GET").body, "one")
+	connRequest(t, "first", u.answer(t, "GET").body, "one")
 	r.ended(t)
 }
 
@@ -70,7 +70,7 @@
 	for _, when := range []string{"at once", "while idle", "in place of the next"} {
 		t.Run(when, func(t *testing.T) {
 			h := newHand(t)
-			m := newMarket(unknown, h.place(unsafe))
+			m := newStubRouter(unknown, h.place(unsafe))
 			p, addr := usual(t, m)
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
@@ -80,7 +80,7 @@
 				text += extra
 			}
 			r.say(t, text)
-			want(t, "first", u.answer(t, "GET").body, "one")
+			connRequest(t, "first", u.answer(t, "GET").body, "one")
 			switch when {
 			case "at once":
 				r.ended(t)
@@ -99,8 +99,8 @@
 				r.say(t, extra)
 			}
 			r.reply(t, g, "200 OK", "", "two")
-			want(t, "second", u.answer(t, "GET").body, "two")
-			want(t, "surplus or stale", p.N.Surplus.Load()+p.N.Stale.Load(), 1)
+			connRequest(t, "second", u.answer(t, "GET").body, "two")
+			connRequest(t, "surplus or stale", p.Counters.Surplus.Load()+p.Counters.Stale.Load(), 1)
 		})
 	}
 }
@@ -141,7 +141,7 @@
 	for young, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
 		set := proxy.Defaults()
 		set.IdleNonRepeatable = young
-		p, addr := front(t, newMarket(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, config.Limits{})
+		p, addr := front(t, newStubRouter(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, config.Limits{})
 		u := dial(t, addr)
 		pause := time.NewTicker(100 * time.Millisecond)
 		defer pause.Stop()
@@ -158,8 +158,8 @@
 			}
 			<-pause.C
 		}
-		want(t, young.String(), statuses[http.StatusOK], answered)
-		want(t, "others", statuses[http.StatusGatewayTimeout], 6-answered)
+		connRequest(t, young.String(), statuses[http.StatusOK], answered)
+		connRequest(t, "others", statuses[http.StatusGatewayTimeout], 6-answered)
 		settled(t, p)
 	}
 }
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -24,7 +24,7 @@
 	}{"reset": {"60000", true, 502}, "out of time": {"3000", false, 504}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
-			p, addr := usual(t, newMarket(deny, h.place(unsafe), h.place(unsafe)))
+			p, addr := usual(t, newStubRouter(deny, h.place(unsafe), h.place(unsafe)))
 			u := dial(t, addr)
 			u.ask(t, "POST", "id1", "X-Wait-Ms: "+c.wait+"\r\n", strings.Repeat("x", 12<<20))
 			r := h.accept(t)
@@ -34,8 +34,8 @@
 			if c.reset {
 				r.reset()
 			}
-			want(t, "status", u.answer(t, "POST").status, c.status)
-			want(t, "dialled", p.N.Dials.Load(), 1)
+			connRequest(t, "status", u.answer(t, "POST").status, c.status)
+			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
@@ -80,7 +80,7 @@
 		for n := range callers {
 			set := proxy.Defaults()
 			set.IdleNonRepeatable = young
-			_, addr := front(t, newMarket(deny, closer(t, idle, deaf, ran).place(unsafe)), set, config.Limits{})
+			_, addr := front(t, newStubRouter(deny, closer(t, idle, deaf, ran).place(unsafe)), set, config.Limits{})
 			u, rnd := dial(t, addr), rand.New(rand.NewPCG(uint64(n), 1))
 			go func() {
 				for i := range calls {
@@ -102,7 +102,7 @@
 			}
 			seen[id] = true
 		}
-		want(t, "answered or unknown", count[200]+count[502], callers*calls)
+		connRequest(t, "answered or unknown", count[200]+count[502], callers*calls)
 		t.Logf("bound %v: %d of %d lost", young, count[502], callers*calls)
 	}
 }
--- a/proxy/move.go
+++ b/proxy/move.go
@@ -6,24 +6,24 @@
 	"github.com/mallowbridge/mallowbridge"
 )
 
-// MoveKind names a step that an exchange asks for.
-type MoveKind uint8
+// ActionKind names a step that an exchange asks for.
+type ActionKind uint8
 
 const (
 	// Connect gets a connection to the place.
-	Connect MoveKind = iota + 1
+	Connect ActionKind = iota + 1
 	// Write sends the request and reads the answer.
 	Write
-	// Park gives an unused connection back.
-	Park
-	// Drop closes the connection.
-	Drop
-	// Tell hands the market an event.
-	Tell
-	// Drain reads the rest of an answer that is not passed on.
-	Drain
-	// Pass passes the answer on, without its head where the place resumes.
-	Pass
+	// ReleaseConnection gives an unused connection back.
+	ReleaseConnection
+	// Disconnect closes the connection.
+	Disconnect
+	// NotifyRouter hands the router an event.
+	NotifyRouter
+	// DiscardAnswer reads the rest of an answer that is not passed on.
+	DiscardAnswer
+	// PassAnswer passes the answer on, without its head where the place resumes.
+	PassAnswer
 	// Finish ends the exchange with the outcome.
 	Finish
 )
@@ -34,8 +34,8 @@
 const (
 	// Done is a whole answer of a replica.
 	Done Outcome = iota + 1
-	// Denied is a 503: the request has not run and will not run.
-	Denied
+	// Rejected is a 503: the request has not run and will not run.
+	Rejected
 	// NotFound is a 404: no route matches.
 	NotFound
 	// Unknown is a 502: the request may have run.
@@ -44,17 +44,17 @@
 	Expired
 	// Aborted is an answer that was cut after its first bytes.
 	Aborted
-	// Gone is a client that closed its connection.
-	Gone
+	// ClientGone is a client that closed its connection.
+	ClientGone
 )
 
-// Move is one step for the transfer: Event belongs to Tell; Outcome, Why and After (when the client may come back) to Finish.
-type Move struct {
-	Kind    MoveKind
-	Event   mallowbridge.Event
-	Outcome Outcome
-	Why     string
-	After   time.Duration
+// Action is one step for the transfer: Event belongs to NotifyRouter; Outcome, Reason and RetryAfter (when the client may come back) to Finish.
+type Action struct {
+	Kind       ActionKind
+	Event      mallowbridge.Event
+	Outcome    Outcome
+	Reason     string
+	RetryAfter time.Duration
 }
 
 // Signal is what a connection did.
@@ -82,24 +82,24 @@
 // Ended tells that the answer was read to its end.
 type Ended struct{}
 
-// Lost tells that the connection failed after bytes of the request may have left.
-type Lost struct{}
+// ConnectionLost tells that the connection failed after bytes of the request may have left.
+type ConnectionLost struct{}
 
 // Unwritten tells that no byte of the request that was to be written left this node.
 type Unwritten struct{}
 
-// Overdue tells that the time of the request is over, and whether that was so before any byte of it was written.
-type Overdue struct{ Unwritten bool }
-
-// HungUp tells that the client closed its connection or takes no more bytes.
-type HungUp struct{}
-
-func (Connected) signal()   {}
-func (Unconnected) signal() {}
-func (Replied) signal()     {}
-func (Begun) signal()       {}
-func (Ended) signal()       {}
-func (Lost) signal()        {}
-func (Unwritten) signal()   {}
-func (Overdue) signal()     {}
-func (HungUp) signal()      {}
+// DeadlinePassed tells that the time of the request is over, and whether that was so before any byte of it was written.
+type DeadlinePassed struct{ Unwritten bool }
+
+// ClientClosed tells that the client closed its connection or takes no more bytes.
+type ClientClosed struct{}
+
+func (Connected) signal()      {}
+func (Unconnected) signal()    {}
+func (Replied) signal()        {}
+func (Begun) signal()          {}
+func (Ended) signal()          {}
+func (ConnectionLost) signal() {}
+func (Unwritten) signal()      {}
+func (DeadlinePassed) signal() {}
+func (ClientClosed) signal()   {}
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-func (x *transfer) pass() {
-	if route := x.ex.Place.Route; route == nil || (!route.Repeatable && !route.Resumable) {
-		x.share.give(len(x.body))
+func (x *transfer) passAnswer() {
+	if route := x.exchange.Placement.Route; route == nil || (!route.Repeatable && !route.Resumable) {
+		x.memory.give(len(x.body))
 		x.body = nil
 	}
 	if x.buf == nil {
@@ -38,12 +38,12 @@
 			break
 		}
 		if err != nil {
-			x.lost(err)
+			x.connectionLost(err)
 			return
 		}
 	}
 	x.settle()
-	x.happened(Ended{})
+	x.signal(Ended{})
 	x.head()
 	_, _ = x.w.Write(b)
 }
@@ -53,8 +53,8 @@
 	if n := x.resp.ContentLength; n >= 0 {
 		room = int(n) + 1
 	}
-	room = min(room, x.p.set.Hold)
-	if room <= cap(b) || !x.share.take(room-cap(b)) {
+	room = min(room, x.proxy.settings.HoldBytes)
+	if room <= cap(b) || !x.memory.take(room-cap(b)) {
 		return b, false
 	}
 	wide := append(make([]byte, 0, room), b...)
@@ -63,7 +63,7 @@
 }
 
 func (x *transfer) passLong(held []byte) {
-	x.happened(Begun{})
+	x.signal(Begun{})
 	x.bound()
 	x.head()
 	_, err := x.w.Write(held)
@@ -75,29 +75,29 @@
 		}
 		if readErr == io.EOF && err == nil {
 			x.settle()
-			x.happened(Ended{})
+			x.signal(Ended{})
 			return
 		}
 		if readErr != nil && readErr != io.EOF {
-			x.lost(readErr)
+			x.connectionLost(readErr)
 			return
 		}
 	}
-	x.happened(HungUp{})
+	x.signal(ClientClosed{})
 }
 
 // bound keeps a client that reads ever so slowly from holding a replica's place for longer than the request lives.
 func (x *transfer) bound() {
 	if at := x.expiry(); !at.IsZero() && !x.bounded {
 		x.bounded = true
-		_ = http.NewResponseController(x.w).SetWriteDeadline(at.Add(x.p.set.Stall))
+		_ = http.NewResponseController(x.w).SetWriteDeadline(at.Add(x.proxy.settings.Stall))
 	}
 }
 
 // passStream passes each event on as it comes.
 func (x *transfer) passStream() {
 	if x.headed {
-		x.p.N.Resumed.Add(1)
+		x.proxy.Counters.Resumed.Add(1)
 		x.events.Resume()
 	} else {
 		x.events.Restart()
@@ -106,43 +106,43 @@
 	buf := x.buf.b[:cap(x.buf.b)]
 	for begun := false; ; {
 		n, readErr := x.resp.Body.Read(buf)
-		whole, feedErr := x.feed(buf[:n])
+		complete, feedErr := x.feed(buf[:n])
 		ended := feedErr == nil && readErr == io.EOF
 		if ended {
-			whole = append(whole[:len(whole):len(whole)], x.events.Rest()...)
+			complete = append(complete[:len(complete):len(complete)], x.events.Rest()...)
 		}
-		if len(whole) > 0 && !begun {
+		if len(complete) > 0 && !begun {
 			begun = true
-			x.happened(Begun{})
+			x.signal(Begun{})
 		}
-		if err := x.passEvents(whole, ended); err != nil {
-			x.happened(HungUp{})
+		if err := x.passEvents(complete, ended); err != nil {
+			x.signal(ClientClosed{})
 			return
 		}
 		switch {
 		case ended:
 			x.head()
 			x.settle()
-			x.happened(Ended{})
+			x.signal(Ended{})
 			return
 		case feedErr != nil:
-			x.lost(feedErr)
+			x.connectionLost(feedErr)
 			return
 		case readErr != nil:
-			x.lost(readErr)
+			x.connectionLost(readErr)
 			return
 		}
 	}
 }
 
 // passEvents writes events to the client at once, the last ones with the end of the answer.
-func (x *transfer) passEvents(whole []byte, last bool) error {
-	if len(whole) == 0 {
+func (x *transfer) passEvents(complete []byte, last bool) error {
+	if len(complete) == 0 {
 		return nil
 	}
 	x.head()
-	x.ex.Stuck = x.events.Plain || x.w.Header().Get("Content-Length") != ""
-	if _, err := x.w.Write(whole); err != nil || last {
+	x.exchange.CannotResume = x.events.Plain || x.w.Header().Get("Content-Length") != ""
+	if _, err := x.w.Write(complete); err != nil || last {
 		return err
 	}
 	return http.NewResponseController(x.w).Flush()
@@ -151,9 +151,9 @@
 // feed counts the room that a long event takes.
 func (x *transfer) feed(p []byte) ([]byte, error) {
 	before := cap(x.events.buf)
-	whole, err := x.events.Feed(p)
-	if grown := cap(x.events.buf) - before; err == nil && grown > 0 && cap(x.events.buf) > pooled && !x.share.take(grown) {
-		return whole, &EventError{Bytes: len(x.events.buf)}
+	complete, err := x.events.Feed(p)
+	if grown := cap(x.events.buf) - before; err == nil && grown > 0 && cap(x.events.buf) > bufferBytes && !x.memory.take(grown) {
+		return complete, &EventError{Bytes: len(x.events.buf)}
 	}
-	return whole, err
+	return complete, err
 }
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -13,15 +13,15 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-var deny = mallowbridge.Decision{Verdict: mallowbridge.Deny, After: time.Second}
+var deny = mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: time.Second}
 
 func TestBodiesAndAnswersOfAnyLength(t *testing.T) {
 	for _, n := range []int{0, 1, 8 << 10, 64 << 10, 64<<10 + 1, 1 << 20} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprint(n, chunked), func(t *testing.T) {
 				text := strings.Repeat("0123456789abcdef", n/16+1)[:n]
-				rep := newReplica(t, say("200 OK", "", text))
-				m := newMarket(unknown, rep.place(unsafe))
+				replica := newReplica(t, say("200 OK", "", text))
+				m := newStubRouter(unknown, replica.place(unsafe))
 				p, addr := usual(t, m)
 				c := dial(t, addr)
 				if chunked {
@@ -35,17 +35,17 @@
 					c.ask(t, "PUT", "id1", "", text)
 				}
 				r := c.answer(t, "PUT")
-				want(t, "status", r.status, 200)
-				g := <-rep.got
+				connRequest(t, "status", r.status, 200)
+				g := <-replica.got
 				if g.body != text || r.body != text[:n] {
 					t.Errorf("%d bytes came, %d came back", len(g.body), len(r.body))
 				}
 				if len(text) > 0 {
-					want(t, "length", g.req.ContentLength, len(text))
+					connRequest(t, "length", g.req.ContentLength, len(text))
 				}
-				want(t, "encoding", len(g.req.TransferEncoding), 0)
+				connRequest(t, "encoding", len(g.req.TransferEncoding), 0)
 				settled(t, p)
-				want(t, "held", p.Held(), 0)
+				connRequest(t, "held", p.Reserved(), 0)
 			})
 		}
 	}
@@ -53,9 +53,9 @@
 
 func TestLongAnswersGoOnBeforeTheyAreWhole(t *testing.T) {
 	h := newHand(t)
-	m := newMarket(partial, h.place(safe))
+	m := newStubRouter(partial, h.place(safe))
 	set := proxy.Defaults()
-	set.Hold = 32 << 10
+	set.HoldBytes = 32 << 10
 	p, addr := front(t, m, set, config.Limits{})
 	c := dial(t, addr)
 	c.ask(t, "GET", "id1", "", "")
@@ -69,16 +69,16 @@
 	if _, err = resp.Body.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "events", m.heard(), "Leave Head Piece")
+	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AnswerStarted")
 	u.reset()
 	if _, err = resp.Body.Read(make([]byte, 64<<10)); err == nil {
 		for err == nil {
 			_, err = resp.Body.Read(make([]byte, 64<<10))
 		}
 	}
-	want(t, "end", err.Error(), "unexpected EOF")
+	connRequest(t, "end", err.Error(), "unexpected EOF")
 	settled(t, p)
-	want(t, "aborted", p.N.Aborted.Load(), 1)
+	connRequest(t, "aborted", p.Counters.Aborted.Load(), 1)
 }
 
 func TestAnswersWithoutBodies(t *testing.T) {
@@ -91,25 +91,25 @@
 		{"empty", "GET", "HTTP/1.1 200 OK\r\n" + head + "Content-Length: 0\r\n\r\n", "200 0 "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rep := newReplica(t, func(got) (string, bool) { return c.text, false }, say("200 OK", "", "next"))
-			p, addr := usual(t, newMarket(unknown, rep.place(safe)))
+			replica := newReplica(t, func(got) (string, bool) { return c.text, false }, say("200 OK", "", "next"))
+			p, addr := usual(t, newStubRouter(unknown, replica.place(safe)))
 			u := dial(t, addr)
 			u.ask(t, c.method, "id1", "", "")
 			r := u.answer(t, c.method)
-			want(t, "answer", fmt.Sprint(r.status, r.header.Get("Content-Length"), r.body), strings.ReplaceAll(c.want, " ", ""))
+			connRequest(t, "answer", fmt.Sprint(r.status, r.header.Get("Content-Length"), r.body), strings.ReplaceAll(c.want, " ", ""))
 			u.ask(t, "GET", "id2", "", "")
-			want(t, "next", u.answer(t, "GET").body, "next")
-			want(t, "reused", p.N.Reused.Load(), 1)
+			connRequest(t, "next", u.answer(t, "GET").body, "next")
+			connRequest(t, "reused", p.Counters.Reused.Load(), 1)
 		})
 	}
 }
 
 func TestHeadersOfOneConnectionStayThere(t *testing.T) {
-	rep := newReplica(t, say("200 OK", "Connection: x-own, Keep-Alive\r\nX-Own: 1\r\nKeep-Alive: timeout=9\r\nProxy-Connection: z\r\nX-Two: a\r\nX-Two: b\r\n", "hi"))
-	_, addr := usual(t, newMarket(unknown, rep.place(unsafe)))
+	replica := newReplica(t, say("200 OK", "Connection: x-own, Keep-Alive\r\nX-Own: 1\r\nKeep-Alive: timeout=9\r\nProxy-Connection: z\r\nX-Two: a\r\nX-Two: b\r\n", "hi"))
+	_, addr := usual(t, newStubRouter(unknown, replica.place(unsafe)))
 	c := dial(t, addr)
 	c.ask(t, "GET", "id1", "Connection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: 3\r\nTe: trailers\r\nUpgrade: h2c\r\nProxy-Connection: y\r\nX-Two: a\r\nX-Two: b\r\n", "")
-	r, g := c.answer(t, "GET"), <-rep.got
+	r, g := c.answer(t, "GET"), <-replica.got
 	for _, name := range []string{"Connection", "X-Hop", "Keep-Alive", "Te", "Upgrade", "Proxy-Connection"} {
 		if g.req.Header[name] != nil {
 			t.Errorf("%s reached the replica", name)
@@ -120,14 +120,14 @@
 			t.Errorf("%s reached the client", name)
 		}
 	}
-	want(t, "kept", fmt.Sprint(g.req.Header["X-Two"], r.header["X-Two"], r.header["Keep-Alive"]), "[a b] [a b] [timeout=59]")
+	connRequest(t, "kept", fmt.Sprint(g.req.Header["X-Two"], r.header["X-Two"], r.header["Keep-Alive"]), "[a b] [a b] [timeout=59]")
 }
 
 func TestConnectionCap(t *testing.T) {
 	h := newHand(t)
 	place := h.place(unsafe)
-	place.Conns = 1
-	m := newMarket(deny, place)
+	place.MaxConns = 1
+	m := newStubRouter(deny, place)
 	p, addr := usual(t, m)
 	c := dial(t, addr)
 	c.ask(t, "GET", "id1", "", "")
@@ -135,14 +135,14 @@
 	g := u.request(t)
 	second := dial(t, addr)
 	second.ask(t, "GET", "id2", "", "")
-	want(t, "second", second.answer(t, "GET").status, 503)
-	want(t, "events", m.heard(), "Leave End(refused)")
+	connRequest(t, "second", second.answer(t, "GET").status, 503)
+	connRequest(t, "events", m.notified(), "ReadyToSend AttemptEnded(refused)")
 	u.reply(t, g, "200 OK", "", "one")
-	want(t, "first", c.answer(t, "GET").body, "one")
+	connRequest(t, "first", c.answer(t, "GET").body, "one")
 	second.ask(t, "GET", "id3", "", "")
 	u.reply(t, u.request(t), "200 OK", "", "three")
-	want(t, "third", second.answer(t, "GET").body, "three")
-	want(t, "capped and dialled", p.N.Capped.Load()*10+p.N.Dials.Load(), 11)
+	connRequest(t, "third", second.answer(t, "GET").body, "three")
+	connRequest(t, "capped and dialled", p.Counters.Capped.Load()*10+p.Counters.Dials.Load(), 11)
 }
 
 func TestDecisionsThatEnd(t *testing.T) {
@@ -154,16 +154,16 @@
 	}{
 		{"closed", mallowbridge.Decision{}, "503 denied", "0.25"},
 		{"denied", deny, "503 denied", "1"},
-		{"unknown", mallowbridge.Decision{Verdict: mallowbridge.Unknown, After: time.Second}, "502 unknown", "1"},
-		{"bad", mallowbridge.Decision{Verdict: mallowbridge.Deny, Bad: true}, "404 not found", ""},
+		{"unknown", mallowbridge.Decision{Verdict: mallowbridge.Unknown, RetryAfter: time.Second}, "502 unknown", "1"},
+		{"bad", mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true}, "404 not found", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, addr := usual(t, ends{c.last})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
 			r := u.answer(t, "GET")
-			want(t, "answer", strconv.Itoa(r.status)+" "+strings.Split(r.body, `"`)[3], c.want)
-			want(t, "retry", r.header.Get("Retry-After"), c.back)
+			connRequest(t, "answer", strconv.Itoa(r.status)+" "+strings.Split(r.body, `"`)[3], c.want)
+			connRequest(t, "retry", r.header.Get("Retry-After"), c.back)
 		})
 	}
 }
@@ -180,18 +180,18 @@
 	return out
 }
 
-func (e ends) Tell(mallowbridge.Event) {}
+func (e ends) Notify(mallowbridge.Event) {}
 
 func TestTimeRunsOut(t *testing.T) {
 	h := newHand(t)
-	m := newMarket(unknown, h.place(unsafe))
+	m := newStubRouter(unknown, h.place(unsafe))
 	p, addr := usual(t, m)
 	c := dial(t, addr)
 	c.ask(t, "GET", "id1", "X-Wait-Ms: 50\r\n", "")
 	u := h.accept(t)
 	u.request(t)
-	want(t, "status", c.answer(t, "GET").status, 504)
+	connRequest(t, "status", c.answer(t, "GET").status, 504)
 	u.ended(t)
-	want(t, "events", m.heard(), "Leave Hangup")
-	want(t, "expired", p.N.Expired.Load(), 1)
+	connRequest(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
+	connRequest(t, "expired", p.Counters.Expired.Load(), 1)
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -33,35 +33,35 @@
 
 type key struct{ addr, instance string }
 
-type shelf struct {
+type addressConns struct {
 	idle []*conn
 	open int
 }
 
-type shelves map[key]*shelf
+type poolState map[key]*addressConns
 
 // Pool keeps connections to replicas. Whoever holds the shelves owns them.
 type Pool struct {
-	set    Settings
-	n      *Counters
-	owner  chan shelves
-	dialer net.Dialer
-	sweeps bool
+	settings Settings
+	counters *Counters
+	owner    chan poolState
+	dialer   net.Dialer
+	expiring bool
 }
 
 // NewPool makes an empty pool that counts in n.
 func NewPool(set Settings, n *Counters) *Pool {
-	p := &Pool{set: set, n: n, owner: make(chan shelves, 1)}
+	p := &Pool{settings: set, counters: n, owner: make(chan poolState, 1)}
 	p.dialer = net.Dialer{Timeout: set.Dial, KeepAlive: -1, Control: p.control}
-	p.owner <- shelves{}
+	p.owner <- poolState{}
 	return p
 }
 
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
 	var err error
 	ctlErr := raw.Control(func(fd uintptr) {
-		if p.set.UserTimeout > 0 {
-			err = setUserTimeout(fd, p.set.UserTimeout)
+		if p.settings.UserTimeout > 0 {
+			err = setUserTimeout(fd, p.settings.UserTimeout)
 		}
 	})
 	if err == nil {
@@ -71,19 +71,19 @@
 }
 
 // want is what a request asks of a connection.
-type want struct {
+type connRequest struct {
 	key     key
 	conns   int
 	attempt string
 	// repeatable tells that the request may be repeated; where not, whoever writes it looks at the connection then.
 	repeatable bool
 	// fresh tells that only a new connection will do.
-	fresh bool
+	newOnly bool
 }
 
 // take gives a kept connection that is still good, or a new one. One that last carried the same attempt is not taken:
 // a surplus copy of the answer to it could not be told from the answer.
-func (p *Pool) take(ctx context.Context, w want) (*conn, error) {
+func (p *Pool) take(ctx context.Context, w connRequest) (*conn, error) {
 	var err error
 	var c *conn
 	for {
@@ -94,25 +94,25 @@
 		if c == nil {
 			return p.dial(ctx, w.key)
 		}
-		if (w.attempt == "" || c.attempt != w.attempt) && time.Now().Before(c.until) && (!w.repeatable || c.alive()) {
-			p.n.Reused.Add(1)
+		if (w.attempt == "" || c.attempt != w.attempt) && time.Now().Before(c.usableUntil) && (!w.repeatable || c.alive()) {
+			p.counters.Reused.Add(1)
 			return c, nil
 		}
-		p.n.Stale.Add(1)
+		p.counters.Stale.Add(1)
 		p.drop(c)
 	}
 }
 
 // dial opens a connection that is counted already.
 func (p *Pool) dial(ctx context.Context, k key) (*conn, error) {
-	p.n.Dials.Add(1)
+	p.counters.Dials.Add(1)
 	nc, err := p.dialer.DialContext(ctx, "tcp", k.addr)
 	if err != nil {
-		p.n.DialFails.Add(1)
+		p.counters.DialFails.Add(1)
 		p.leave(k)
 		return nil, trace.Wrap(&DialError{Addr: k.addr, Cause: err})
 	}
-	c, err := newConn(nc, k, p.set.UserTimeout)
+	c, err := newConn(nc, k, p.settings.UserTimeout)
 	if err != nil {
 		_ = nc.Close()
 		p.leave(k)
@@ -123,33 +123,33 @@
 
 // renew opens a connection in the place of one that is closed.
 func (p *Pool) renew(ctx context.Context, old *conn) (*conn, error) {
-	_ = old.nc.Close()
-	p.n.Stale.Add(1)
+	_ = old.net.Close()
+	p.counters.Stale.Add(1)
 	return p.dial(ctx, old.key)
 }
 
 // kept gives nothing when a new connection may be opened, which then is counted already.
-func (p *Pool) kept(w want, now time.Time) (*conn, error) {
+func (p *Pool) kept(w connRequest, now time.Time) (*conn, error) {
 	all := <-p.owner
 	defer func() { p.owner <- all }()
 	s := all[w.key]
 	if s == nil {
-		s = &shelf{}
+		s = &addressConns{}
 		all[w.key] = s
 	}
 	n := len(s.idle)
 	var c *conn
-	if n > 0 && !w.fresh && (w.repeatable || now.Before(s.idle[n-1].sure)) {
+	if n > 0 && !w.newOnly && (w.repeatable || now.Before(s.idle[n-1].safeUntil)) {
 		c, s.idle[n-1] = s.idle[n-1], nil
 		s.idle = s.idle[:n-1]
 		return c, nil
 	}
 	if w.conns > 0 && s.open >= w.conns {
 		if n == 0 {
-			p.n.Capped.Add(1)
+			p.counters.Capped.Add(1)
 			return nil, trace.Wrap(&CappedError{Addr: w.key.addr, Conns: w.conns})
 		}
-		_ = s.idle[0].nc.Close()
+		_ = s.idle[0].net.Close()
 		s.idle = slices.Delete(s.idle, 0, 1)
 		return nil, nil
 	}
@@ -168,12 +168,12 @@
 }
 
 func (p *Pool) drop(c *conn) {
-	_ = c.nc.Close()
+	_ = c.net.Close()
 	p.leave(c.key)
 }
 
 func (p *Pool) park(c *conn) {
-	if !time.Now().Before(c.until) {
+	if !time.Now().Before(c.usableUntil) {
 		p.drop(c)
 		return
 	}
