--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestStateGrowsWithWhatIsHeld(t *testing.T) {
+func TestStateGrowsWithStoredItems(t *testing.T) {
 	l := newSoloRouter(func() time.Duration { return 0 }, unbounded)
 	before := State(l.node)
 	for i := range 1000 {
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestSavedPointsAreReadAgain(t *testing.T) {
+func TestSavedPointsAreReadBack(t *testing.T) {
 	dir, s := t.TempDir(), Sweep{Name: "s", Axis: "x"}
 	var ps []Point
 	for _, x := range []float64{1, 2, 3} {
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -30,7 +30,7 @@
 	Witnesses       Mechanism = "witnesses"
 	Probes          Mechanism = "replica probes"
 	Ticks           Mechanism = "control tick"
-	CapacityShares  Mechanism = "capacity shares"
+	QuotaDivision   Mechanism = "capacity shares"
 	RouterTick      Mechanism = "router tick"
 	Requests        Mechanism = "requests"
 	Prefills        Mechanism = "prefill broadcast"
@@ -134,7 +134,7 @@
 	case mallowbridge.LoadReport, mallowbridge.ReplicaSuspect:
 		return LoadGossip
 	case mallowbridge.Routers:
-		return CapacityShares
+		return QuotaDivision
 	case mallowbridge.SnapshotUpdate:
 		return Config
 	case mallowbridge.Arrive, mallowbridge.ReadyToSend, mallowbridge.AnswerHead, mallowbridge.AnswerStarted, mallowbridge.AttemptEnded, mallowbridge.ClientDisconnected, mallowbridge.RanElsewhere,
@@ -162,20 +162,20 @@
 	reflect.TypeFor[control.Node](): {
 		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config, "documents": Config,
 		"replicasByName": Config, "grantor": Leases, "leases": Leases, "tasks": LoadGossip, "observations": Probes, "platformStates": ReplicaListings,
-		"replicaList": ReplicaListings, "witness": Witnesses, "routers": CapacityShares,
+		"replicaList": ReplicaListings, "witness": Witnesses, "routers": QuotaDivision,
 	},
 	reflect.TypeFor[mallowbridge.Router](): {
 		"snapshot": Config, "services": Config, "classes": Config, "replicaIDs": Config, "replicas": Config,
 		"requestIDs": Requests, "requests": Requests, "alreadyRan": Requests,
 	},
 	reflect.TypeFor[scheduler.Scheduler](): {
-		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": LoadGossip, "routers": CapacityShares, "routerZones": CapacityShares,
-		"divisions": CapacityShares, "queued": Requests,
+		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": LoadGossip, "routers": QuotaDivision, "routerZones": QuotaDivision,
+		"divisions": QuotaDivision, "queued": Requests,
 	},
 }
 
 // State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
-func State(n *sim.HollowNode) map[Mechanism]uint64 {
+func State(n *sim.LightNode) map[Mechanism]uint64 {
 	bytes := map[Mechanism]uint64{}
 	w := newSizer()
 	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
--- a/capacity/point.go
+++ b/capacity/point.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *Result) reads(n *sim.HollowNode) reads {
+func (r *Result) reads(n *sim.LightNode) reads {
 	v := reads{}
 	for m, c := range r.Costs.by[n] {
 		v.add(m, c.reads(r.Plan.Measured))
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -49,7 +49,7 @@
 type Result struct {
 	Plan   Plan
 	Costs  *Costs
-	Nodes  []*sim.HollowNode
+	Nodes  []*sim.LightNode
 	Ready  int
 	Puts   []time.Duration
 	Firsts []time.Duration
@@ -66,11 +66,11 @@
 
 // Run boots the fleet, lets it settle for Warm and counts for Measured.
 func (p Plan) Run() Result {
-	shape := sim.HollowShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
+	shape := sim.LightShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
 	plan := p.hollow(&shape)
-	r := Result{Plan: p, Costs: NewCosts(), Body: len(shape.Charter)}
+	r := Result{Plan: p, Costs: NewCosts(), Body: len(shape.Config)}
 	plan.Shape, plan.Meter = shape, r.Costs
-	h := sim.NewHollow(plan)
+	h := sim.NewLightCluster(plan)
 	h.Boot()
 	warm := p.Warm + p.bootSpread()
 	h.Run(p.bootSpread() + min(8*time.Second, p.Warm/2))
@@ -91,22 +91,22 @@
 }
 
 // hollow is the simulator's plan for a shape, whose configuration it pads.
-func (p Plan) hollow(shape *sim.Shape) sim.HollowPlan {
+func (p Plan) hollow(shape *sim.Shape) sim.LightPlan {
 	plain := *shape
 	if p.ConfigBytes > 0 {
-		shape.Charter = sim.HollowBody(plain, 0, p.ConfigBytes)
+		shape.Config = sim.LightDocument(plain, 0, p.ConfigBytes)
 	}
 	m := sim.DefaultModel()
-	m.Room = sim.HollowRoom
-	plan := sim.HollowPlan{
+	m.Capacity = sim.LightCapacity
+	plan := sim.LightPlan{
 		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
-		Body: func(n int) []byte { return sim.HollowBody(plain, n, p.ConfigBytes) },
+		Body: func(n int) []byte { return sim.LightDocument(plain, n, p.ConfigBytes) },
 	}
 	if p.Changes > 0 {
 		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
 	}
 	if p.Rate > 0 {
-		src := sim.NewSource(sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
+		src := sim.NewSource(sim.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
 		plan.Next = src.Next
 	}
 	return plan
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -57,7 +57,7 @@
 	mapGroup = 8
 )
 
-// heldBy is what a value holds beyond itself.
+// reachableFrom is what a value holds beyond itself.
 func (w *sizer) heldBy(v reflect.Value) uint64 {
 	var bytes uint64
 	switch v.Kind() {
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -42,8 +42,8 @@
 func Sweeps(sizes []float64) []Sweep {
 	return []Sweep{
 		fleet("fleet", "nodes, with replicas and requests to match", sizes, func(p *Plan, x float64) {
-			whole := Part(int(x))
-			p.Nodes, p.Replicas, p.Rate = whole.Nodes, whole.Replicas, whole.Rate
+			complete := Part(int(x))
+			p.Nodes, p.Replicas, p.Rate = complete.Nodes, complete.Replicas, complete.Rate
 		}),
 		fleet("nodes", "nodes", []float64{16, 24, 48, 96, 185}, func(p *Plan, x float64) { p.Nodes = int(x) }),
 		fleet("replicas", "replicas", []float64{39, 78, 156, 300, 600}, func(p *Plan, x float64) { p.Replicas = int(x) }),
--- a/cmd/mallowbridge/capacity.go
+++ b/cmd/mallowbridge/capacity.go
@@ -17,14 +17,14 @@
 	sizes := c.Flag("nodes", "Sizes of the sweep called fleet.").Default("16", "24", "48", "96", "185", "370").Float64List()
 	names := c.Flag("sweep", "Sweep, instead of all: fleet, nodes, replicas, requests, changes, config, distance, prefixes, sessions, tenants, evicting, remembered.").Strings()
 	cores := c.Flag("cores", "Cores to be used at once.").Default("3").Int()
-	again := c.Flag("again", "Run nothing; fit and draw the points that are in the directory.").Bool()
+	reload := c.Flag("again", "Run nothing; fit and draw the points that are in the directory.").Bool()
 	cmds["capacity"] = func(_ io.Reader, out io.Writer) error {
 		runtime.GOMAXPROCS(*cores)
 		some, err := capacity.Choose(capacity.Sweeps(*sizes), *names)
 		if err != nil {
 			return err
 		}
-		if *again {
+		if *reload {
 			return redraw(*dir, some)
 		}
 		fmt.Fprintf(out, "a connection's coders hold %d bytes; its first frames cost %d bytes more than later ones\n", capacity.ConnBytes(), capacity.Opening())
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -98,8 +98,8 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Loop, func(request string, spare time.Duration, peek bool) mallowbridge.AttemptResult {
-		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: spare, Peek: peek}))
+	g := httpapi.New(h.Loop, func(request string, margin time.Duration, peek bool) mallowbridge.AttemptResult {
+		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: margin, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
 	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return transportCounters(h) }}
@@ -151,7 +151,7 @@
 
 // drain has clients sent elsewhere first, then admits no more, sends what was admitted, gives up leases and room, and waits for the
 // streams.
-func drain(h *daemon.Daemon, g *httpapi.Frontend, again chan os.Signal, most time.Duration) {
+func drain(h *daemon.Daemon, g *httpapi.Frontend, reload chan os.Signal, most time.Duration) {
 	g.Retire()
 	h.CallBy(daemon.Clock()+retireWithin, control.Retire{})
 	end := time.After(most)
@@ -166,7 +166,7 @@
 			g.StopAdmitting()
 			from = time.Now()
 			shut = nil
-		case <-again:
+		case <-reload:
 			return
 		case <-end:
 			return
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -37,10 +37,10 @@
 	Data  json.RawMessage `json:"data"`
 }
 
-type orderLine struct {
-	Mark    uint64          `json:"mark"`
-	Emptied []string        `json:"emptied"`
-	Config  json.RawMessage `json:"config"`
+type snapshotLine struct {
+	Version        uint64          `json:"mark"`
+	EvacuatedZones []string        `json:"emptied"`
+	Config         json.RawMessage `json:"config"`
 }
 
 type decisionLine struct {
@@ -135,7 +135,7 @@
 }
 
 func readSnapshot(raw []byte) (mallowbridge.Event, error) {
-	var o orderLine
+	var o snapshotLine
 	var err error
 	if err = strict(raw, &o); err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: o.Mark, Config: c, EvacuatedZones: o.Emptied}}, nil
+	return mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: o.Version, Config: c, EvacuatedZones: o.EvacuatedZones}}, nil
 }
 
 func read[T mallowbridge.Event](raw []byte) (mallowbridge.Event, error) {
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -38,10 +38,10 @@
 	model := c.Flag("model", "Model that it serves.").Default("m1").String()
 	path := c.Flag("ledger", "File that gets a line for each run.").String()
 	m := sim.DefaultModel()
-	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Room)
+	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Capacity)
 	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.Keep)
-	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Pieces)
-	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.ColdFor)
+	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Chunks)
+	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.WarmupTime)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
 		w, err := standin.Ledger(*path)
 		if err != nil {
@@ -65,8 +65,8 @@
 func clients(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("client", "Run stand-in clients, for rehearsals.").Alias("agent")
 	nodes := c.Flag("node", "HTTP IP:port of a node; repeat it.").Required().Strings()
-	offer := c.Flag("offer", "Service to ask.").Default("zoning").String()
-	kinds := c.Flag("kind", "Class of requests that may be repeated.").Default("counter", "checklist").Strings()
+	service := c.Flag("offer", "Service to ask.").Default("zoning").String()
+	classes := c.Flag("kind", "Class of requests that may be repeated.").Default("counter", "checklist").Strings()
 	once := c.Flag("once", "Class of requests that may not be repeated.").Default("dossier").Strings()
 	rate := c.Flag("rate", "Requests per second.").Default("20").Float64()
 	n := c.Flag("count", "Requests in all.").Default("200").Int()
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		load := clientLoad(*rate, *hot, *offer, *kinds, *once)
+		load := clientLoad(*rate, *hot, *service, *classes, *once)
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
@@ -98,10 +98,10 @@
 func clientLoad(rate, hotShare float64, service string, repeatable, once []string) sim.Load {
 	load := sim.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
 	for _, k := range repeatable {
-		load.Kinds = append(load.Kinds, sim.KindLoad{Offer: service, Name: k, Repeatable: true})
+		load.Classes = append(load.Classes, sim.ClassLoad{Service: service, Name: k, Repeatable: true})
 	}
 	for _, k := range once {
-		load.Kinds = append(load.Kinds, sim.KindLoad{Offer: service, Name: k})
+		load.Classes = append(load.Classes, sim.ClassLoad{Service: service, Name: k})
 	}
 	return load
 }
--- a/cmd/mallowbridge/whatif.go
+++ b/cmd/mallowbridge/whatif.go
@@ -66,7 +66,7 @@
 	cmds["recovery"] = func(_ io.Reader, out io.Writer) error {
 		sh, _ := sim.ShapeOf(*shape)
 		fmt.Fprintf(out, "%-36s %8s %8s %8s\n", fmt.Sprintf("%s, ms over %d seeds from %d", *shape, *seeds, *first), "p50", "p95", "max")
-		for _, r := range sim.Gauge(sh, *first, *seeds) {
+		for _, r := range sim.Measure(sh, *first, *seeds) {
 			fmt.Fprintf(out, "%-36s %8d %8d %8d\n", r.Name, sim.Quantile(r.Ms, 0.5), sim.Quantile(r.Ms, 0.95), sim.Quantile(r.Ms, 1))
 		}
 		return nil
@@ -79,7 +79,7 @@
 		return nil
 	}
 	shape, _ := sim.ShapeOf(p.Shape)
-	asks, unused, err := whatif.ReadHAR(file, shape.Kinds)
+	asks, unused, err := whatif.ReadHAR(file, shape.Classes)
 	if err != nil {
 		return err
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -11,7 +11,7 @@
 
 const sound = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"10.0.0.1:1","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
-func TestFlawsNameTheirPath(t *testing.T) {
+func TestViolationsNameTheirPath(t *testing.T) {
 	if c, err := Read([]byte(sound)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Repeatable {
 		t.Fatalf("%+v, %v", c, err)
 	}
--- a/config/memo.go
+++ b/config/memo.go
@@ -1,20 +1,20 @@
 package config
 
 // place is what no two routes may share.
-type place struct{ host, prefix string }
+type routeKey struct{ host, prefix string }
 
 // remembered are the routes that were read last, by what must not occur twice.
 type remembered struct {
-	round  uint64
-	items  []*Item
-	names  map[string]int
-	places map[place]int
-	twice  int
+	generation uint64
+	items      []*Item
+	names      map[string]int
+	places     map[routeKey]int
+	twice      int
 }
 
 // Forget has all items read anew.
 func (m *SplitCache) Forget() {
-	m.routes = remembered{round: m.routes.round}
+	m.routes = remembered{generation: m.routes.generation}
 	if m.last == nil {
 		return
 	}
@@ -30,20 +30,20 @@
 func (m *SplitCache) Routes(items []*Item, read func(raw []byte) (Route, bool)) ([]Route, bool) {
 	r := &m.routes
 	if r.names == nil {
-		r.names, r.places = map[string]int{}, map[place]int{}
+		r.names, r.places = map[string]int{}, map[routeKey]int{}
 	}
-	old, round := r.items, r.round+1
-	r.round, r.items = round, nil
+	old, generation := r.items, r.generation+1
+	r.generation, r.items = generation, nil
 	routes := make([]Route, 0, len(items))
 	var added []*Item
 	for _, it := range items {
-		if it.round == round {
+		if it.generation == generation {
 			return nil, m.giveUp()
 		}
-		if it.round != round-1 || it.Route == nil || old == nil {
+		if it.generation != generation-1 || it.Route == nil || old == nil {
 			added = append(added, it)
 		}
-		it.round = round
+		it.generation = generation
 		if it.Route == nil {
 			to, good := read(it.Raw)
 			if !good {
@@ -54,7 +54,7 @@
 		routes = append(routes, *it.Route)
 	}
 	for _, it := range old {
-		if it.round != round {
+		if it.generation != generation {
 			r.count(it, -1)
 		}
 	}
@@ -69,12 +69,12 @@
 }
 
 func (m *SplitCache) giveUp() bool {
-	m.routes = remembered{round: m.routes.round}
+	m.routes = remembered{generation: m.routes.generation}
 	return false
 }
 
 func (r *remembered) count(it *Item, by int) {
-	r.twice += step(r.names, it.Route.Name, by) + step(r.places, place{host: it.Route.Host, prefix: it.Route.Prefix}, by)
+	r.twice += step(r.names, it.Route.Name, by) + step(r.places, routeKey{host: it.Route.Host, prefix: it.Route.Prefix}, by)
 }
 
 // step counts a key up or down, and tells by how many keys more occur twice or oftener.
--- a/config/split.go
+++ b/config/split.go
@@ -9,10 +9,10 @@
 // Item is one object of a list of a document. Documents that were split one after the other share items whose bytes are the same, so
 // what was read of an item need not be read again: Route and Service are for whoever reads such, and nil until then.
 type Item struct {
-	Raw     []byte
-	Route   *Route
-	Service *Service
-	round   uint64
+	Raw        []byte
+	Route      *Route
+	Service    *Service
+	generation uint64
 }
 
 // Field is one field of a document's object. List tells that its value is a list of nothing but objects; these are its Items.
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// TestAMemberThatWasAwayForManyChangesObeysSoon restarts a voter with its old disk after 500 changes, among them changes of voters.
-func TestAMemberThatWasAwayForManyChangesObeysSoon(t *testing.T) {
+// TestReturningMemberAppliesManyMissedChangesSoon restarts a voter with its old disk after 500 changes, among them changes of voters.
+func TestReturningMemberAppliesManyMissedChangesSoon(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		r := newRefill(t, fleetShapes[1], 3)
 		r.down[r.victim] = true
@@ -133,8 +133,8 @@
 	return ""
 }
 
-// TestAMendedVoterIsLostAgain loses the disk of one voter over and over, each time before the loss before is half over.
-func TestAMendedVoterIsLostAgain(t *testing.T) {
+// TestRepairedVoterIsLostAgain loses the disk of one voter over and over, each time before the loss before is half over.
+func TestRepairedVoterIsLostAgain(t *testing.T) {
 	for seed := range uint64(10) {
 		r := newRefill(t, fleetShapes[seed%2], 60+seed)
 		for range 8 {
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -78,7 +78,7 @@
 
 // withMissingChunks is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node applied
 // and that isn't much.
-func (n *Node) withFreshParts(v *register.Value) *register.Value {
+func (n *Node) withMissingChunks(v *register.Value) *register.Value {
 	same := n.stripDocuments(v)
 	if same == v {
 		return v
@@ -108,7 +108,7 @@
 		m.Value = n.stripDocuments(m.Value)
 		return m
 	case register.Accept:
-		m.Value = n.withFreshParts(m.Value)
+		m.Value = n.withMissingChunks(m.Value)
 		return m
 	case gossip.Update:
 		items := slices.Clone(m.Items)
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -108,7 +108,7 @@
 }
 
 // The nodes that are left are two voters of three, with what their disks say.
-func TestMajorityThatIsLeftHasTheWholeDocument(t *testing.T) {
+func TestRemainingMajorityHasTheDocument(t *testing.T) {
 	for seed := range 6 {
 		l := newDiskLab(t, 9)
 		l.run(time.Duration(6000+37*seed) * time.Millisecond)
@@ -168,8 +168,8 @@
 		}
 	}
 	for name, n := range l.nodes {
-		if held := n.documents.store.BodyBytes(); held > keptBytes {
-			t.Errorf("%s holds %d bytes of chunks", name, held)
+		if holder := n.documents.store.BodyBytes(); holder > keptBytes {
+			t.Errorf("%s holds %d bytes of chunks", name, holder)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 }
 
 // However many other documents came by, a node gives what its values consist of.
-func TestPiecesOfOwnValuesAreAlwaysGiven(t *testing.T) {
+func TestChunksOfLocalValuesAreAlwaysSent(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
 	if a := l.put("n4", document(1, -1)); a.Err != nil {
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -16,8 +16,8 @@
 type memory struct{ files map[string][]byte }
 
 func (m *memory) Read(name string) ([]byte, bool, error) {
-	data, found := m.files[name]
-	return slices.Clone(data), found, nil
+	data, matched := m.files[name]
+	return slices.Clone(data), matched, nil
 }
 
 func (m *memory) Write(name string, data []byte) error {
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -12,7 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-func TestOlderBuildGetsWholeDocuments(t *testing.T) {
+func TestOlderBuildGetsInlineDocuments(t *testing.T) {
 	l := newLab(t, 0)
 	for i := range 9 {
 		name := fmt.Sprint("n", i)
--- a/control/cut_test.go
+++ b/control/cut_test.go
@@ -14,18 +14,18 @@
 func (l *lab) freeze(name string, d time.Duration) {
 	all := l.order
 	l.order = slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == name })
-	var held []parcel
+	var holder []parcel
 	for until := l.now + d; l.now < until; {
 		for _, p := range l.mail {
 			if p.to == name {
-				held = append(held, p)
+				holder = append(holder, p)
 			}
 		}
 		l.mail = slices.DeleteFunc(l.mail, func(p parcel) bool { return p.to == name })
 		l.run(time.Millisecond)
 	}
 	l.order = all
-	l.mail = append(held, l.mail...)
+	l.mail = append(holder, l.mail...)
 }
 
 func settled(t *testing.T, size int) *lab {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestANodeCutOneWayNeitherReadsNorTakesOrders(t *testing.T) {
+func TestNodePartitionedOneWayRejectsReadsAndOrders(t *testing.T) {
 	for what, cut := range map[string]func(from, to string) bool{
 		"hears and isn't heard":   func(from, to string) bool { return from == "n5" && to != "n5" },
 		"is heard and hears none": func(from, to string) bool { return to == "n5" && from != "n5" },
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestANodeThatReachesNoVoterRoutesByNewsAndReadsNothing(t *testing.T) {
+func TestNodeWithoutVotersRoutesByGossipAndRejectsReads(t *testing.T) {
 	l := settled(t, 8)
 	l.cut = func(from, to string) bool {
 		return (from == "n5" && l.disks[to] != "") || (to == "n5" && l.disks[from] != "")
@@ -93,7 +93,7 @@
 	l.denied("n5")
 }
 
-func TestAVoterThatIsCutOffHoldsNoLeaseAndMovesNoVoter(t *testing.T) {
+func TestPartitionedVoterHoldsNoLeaseAndChangesNoVoters(t *testing.T) {
 	for what, cut := range map[string]func(from, to string) bool{
 		"both ways":               func(from, to string) bool { return (from == "n0") != (to == "n0") },
 		"hears and isn't heard":   func(from, to string) bool { return from == "n0" && to != "n0" },
@@ -103,8 +103,8 @@
 		epoch := l.nodes["n0"].Value().Epoch
 		l.cut = cut
 		l.run(4 * time.Second)
-		if held := l.nodes["n0"].leases.Roles(); len(held) > 0 {
-			for _, role := range held {
+		if holder := l.nodes["n0"].leases.Roles(); len(holder) > 0 {
+			for _, role := range holder {
 				if _, ok := l.nodes["n0"].leases.Holds(l.now, role); ok {
 					t.Errorf("%s: holds %s after 4 s", what, role)
 				}
@@ -140,7 +140,7 @@
 }
 
 // A voter that took an order's offer just before it froze must not bring it back over a later one.
-func TestAnOfferThatLayAtAFrozenVoterIsOvertaken(t *testing.T) {
+func TestProposalDelayedAtFrozenVoterIsSuperseded(t *testing.T) {
 	l := settled(t, 6)
 	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestAnEvacuationOfAnotherZoneIsNoFence(t *testing.T) {
+func TestEvacuationOfAnotherZoneIsNotFenced(t *testing.T) {
 	var fence register.Fence
 	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	first := &register.Value{}
@@ -214,7 +214,7 @@
 }
 
 // An order that took effect in an earlier round is acknowledged though another was taken on top of it.
-func TestAnEvacuationThatWasTakenIsAcknowledgedBehindItsFence(t *testing.T) {
+func TestAppliedEvacuationIsAcknowledgedThoughFenced(t *testing.T) {
 	var fence register.Fence
 	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	next, err := change(&register.Value{}, &fence)
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAReaderThatRestartsIsHeardAtOnce(t *testing.T) {
+func TestRestartedListReaderIsAcceptedAtOnce(t *testing.T) {
 	l := newLab(t, 9)
 	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
 	l.run(6 * time.Second)
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -94,9 +94,9 @@
 	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
 	h.accept(begin, accepts, "c")
 
-	late := h.proposer("p2", finishVoterChangeAt(0))
-	accepts, _ = h.prepare(late, 3, "b", "c", "d")
-	h.accept(late, accepts, "d")
+	overdue := h.proposer("p2", finishVoterChangeAt(0))
+	accepts, _ = h.prepare(overdue, 3, "b", "c", "d")
+	h.accept(overdue, accepts, "d")
 
 	second := h.proposer("q", edit(0, "second"))
 	h.prepare(second, 1, "c")
--- a/control/join.go
+++ b/control/join.go
@@ -63,11 +63,11 @@
 
 func (n *Node) greet() {
 	sent := map[string]bool{n.config.Addr: true}
-	marks := n.Gossip.Digest(true)
+	versions := n.Gossip.Digest(true)
 	for _, s := range n.config.Seeds {
 		if !sent[s] {
 			sent[s] = true
-			n.send(s, marks)
+			n.send(s, versions)
 		}
 	}
 	for _, m := range n.Members.Table.All() {
@@ -76,7 +76,7 @@
 		}
 		if !sent[m.Addr] {
 			sent[m.Addr] = true
-			n.send(m.Addr, marks)
+			n.send(m.Addr, versions)
 		}
 	}
 }
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -73,7 +73,7 @@
 }
 
 // The answer to a ping that left just before a freeze waits in the machine and is read first when it wakes.
-func TestAWokenNodeStartsOverThoughItWasHeard(t *testing.T) {
+func TestThawedNodeRejoinsThoughPeersAnswered(t *testing.T) {
 	l := newLone()
 	l.tell("a2", 1)
 	l.tell("a4", 1)
@@ -99,7 +99,7 @@
 }
 
 // A node that wakes hears messages before its first tick finds out that it was frozen; it must not say that it serves.
-func TestNoServingIsToldBetweenWakingAndTheFirstTick(t *testing.T) {
+func TestNoServingReportBetweenThawAndFirstTick(t *testing.T) {
 	l := newLone()
 	l.tell("a2", 1)
 	l.tell("a4", 1)
--- a/control/journal.go
+++ b/control/journal.go
@@ -55,14 +55,14 @@
 
 // OpenJournal reads what the disk kept, or begins a new disk under freshID. A new disk that takes no bytes yet is opened as well: Append
 // fails until Recover has succeeded.
-func OpenJournal(disk storage.Disk, freshID string) (*Journal, error) {
+func OpenJournal(disk storage.Disk, newID string) (*Journal, error) {
 	v, slot, entries, err := storage.Open(disk, logBytes)
 	if err != nil {
 		return nil, err
 	}
 	k := &Journal{store: v}
 	if v.Empty() {
-		k.state = DiskState{Register: register.State{Disk: freshID}}
+		k.state = DiskState{Register: register.State{Disk: newID}}
 		return k, k.initialize()
 	}
 	var state encodedDiskState
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -28,7 +28,7 @@
 	if err = k.Recover(); err != nil {
 		t.Fatal(err)
 	}
-	d.PowerCut()
+	d.PowerLoss()
 	if k, err = control.OpenJournal(d, "other"); err != nil {
 		t.Fatal(err)
 	}
@@ -63,6 +63,6 @@
 				t.Fatal(err)
 			}
 		}
-		d.PowerCut()
+		d.PowerLoss()
 	}
 }
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -70,7 +70,7 @@
 	for cut := 1; cut < 2*changes+20; cut++ {
 		d := sim.NewDisk(uint64(cut))
 		k, _ := opened(t, d)
-		d.CutAt = d.Writes + cut
+		d.PowerLossAt = d.Writes + cut
 		kept := 0
 		for i := 1; i <= changes; i++ {
 			if k.Append(accepted(i)) != nil {
@@ -78,7 +78,7 @@
 			}
 			kept = i
 		}
-		d.PowerCut()
+		d.PowerLoss()
 		k, number := opened(t, d)
 		if number < kept || number > kept+1 {
 			t.Fatalf("cut at write %d: document %d is there, %d was acknowledged", cut, number, kept)
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -146,7 +146,7 @@
 			case l.nodes[p.to] == nil || l.down[p.to] || l.down[p.from]:
 			case l.cut != nil && p.from != "" && l.cut(p.from, p.to):
 			default:
-				if in, own := p.msg.(In); own {
+				if in, local := p.msg.(In); local {
 					l.step(p.to, in)
 					continue
 				}
--- a/control/list.go
+++ b/control/list.go
@@ -81,11 +81,11 @@
 	if now-n.replicaList.askedAt < n.config.ListEvery {
 		return false
 	}
-	return n.holdsListDuty(now) || now-n.replicaList.confirmedAt >= listPatience+time.Duration(n.rank(listRole))*listStep
+	return n.holdsListRole(now) || now-n.replicaList.confirmedAt >= listPatience+time.Duration(n.rank(listRole))*listStep
 }
 
 // holdsListRole renews or asks for the lease, where this node holds it or is the first by rank.
-func (n *Node) holdsListDuty(now time.Duration) bool {
+func (n *Node) holdsListRole(now time.Duration) bool {
 	if n.value == nil || !n.joined || n.Members.Isolated(now) {
 		return false
 	}
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestPutsByMarkAreRememberedToo(t *testing.T) {
+func TestPutsByVersionAreLogged(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	const puts = 600
--- a/control/menders_test.go
+++ b/control/menders_test.go
@@ -10,42 +10,42 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// A mendWorld has several nodes change the voters at once while operators change the document. Messages are lost, doubled and delivered
+// A repairWorld has several nodes change the voters at once while operators change the document. Messages are lost, doubled and delivered
 // in any order; each actor knows the newest value that it was told of, which may be old.
-type mendWorld struct {
+type repairWorld struct {
 	t         *testing.T
 	seed      uint64
 	rng       *rand.Rand
 	now       time.Duration
 	disks     map[string]*register.Acceptor
-	actors    []*mendActor
-	bag       []mendMail
+	actors    []*repairActor
+	bag       []repairMessage
 	ids       uint64
 	confirmed map[uint64]string
 	highest   uint64
 }
 
-type mendActor struct {
+type repairActor struct {
 	proposer *register.Proposer
 	known    *register.Value
 	operator bool
 	busy     map[uint64]string
 }
 
-type mendMail struct {
+type repairMessage struct {
 	to  string
 	by  int
 	msg any
 }
 
-const mendDisks = 6
+const repairDisks = 6
 
 var menderSeeds = flag.Int("menders", 150, "seeds of TestSeveralThatChangeTheVotersAtOnce")
 
-func newMendWorld(t *testing.T, seed uint64) *mendWorld {
-	w := &mendWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
+func newRepairWorld(t *testing.T, seed uint64) *repairWorld {
+	w := &repairWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
 	first := &register.Value{Fleet: "f", Voters: votersOf("d0", "d1", "d2")}
-	for i := range mendDisks {
+	for i := range repairDisks {
 		name := fmt.Sprint("d", i)
 		w.disks[name] = &register.Acceptor{State: register.State{Disk: name}}
 		if i < 3 {
@@ -53,7 +53,7 @@
 		}
 	}
 	for i := range 5 {
-		a := &mendActor{proposer: register.NewProposer(fmt.Sprint("p", i), seed*8+uint64(i)), known: first, operator: i < 2, busy: map[uint64]string{}}
+		a := &repairActor{proposer: register.NewProposer(fmt.Sprint("p", i), seed*8+uint64(i)), known: first, operator: i < 2, busy: map[uint64]string{}}
 		a.proposer.LearnChosen(first)
 		w.actors = append(w.actors, a)
 	}
@@ -61,7 +61,7 @@
 }
 
 // act has an idle actor submit what it would by what it knows.
-func (w *mendWorld) act(a *mendActor) {
+func (w *repairWorld) act(a *repairActor) {
 	if len(a.busy) > 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 	a.proposer.Submit(w.now, within, w.ids, w.wish(a, body), false)
 }
 
-func (w *mendWorld) wish(a *mendActor, body string) register.Change {
+func (w *repairWorld) wish(a *repairActor, body string) register.Change {
 	switch {
 	case a.operator:
 		return edit(a.known.Version, body)
@@ -81,7 +81,7 @@
 	}
 	vs := append([]register.Voter{}, a.known.Voters...)
 	for {
-		fresh := fmt.Sprint("d", w.rng.IntN(mendDisks))
+		fresh := fmt.Sprint("d", w.rng.IntN(repairDisks))
 		if !isVoter(vs, fresh) {
 			vs[w.rng.IntN(len(vs))] = register.Voter{Disk: fresh, Name: fresh}
 			return beginVoterChangeAt(a.known.Epoch, vs)
@@ -89,11 +89,11 @@
 	}
 }
 
-func (w *mendWorld) collect() {
+func (w *repairWorld) collect() {
 	for i, a := range w.actors {
 		sends, results := a.proposer.TakeOutput()
 		for _, s := range sends {
-			w.bag = append(w.bag, mendMail{to: s.Disk, by: i, msg: s.Msg})
+			w.bag = append(w.bag, repairMessage{to: s.Disk, by: i, msg: s.Msg})
 		}
 		for _, r := range results {
 			w.done(a, r)
@@ -101,7 +101,7 @@
 	}
 }
 
-func (w *mendWorld) done(a *mendActor, r register.Result) {
+func (w *repairWorld) done(a *repairActor, r register.Result) {
 	body := a.busy[r.ID]
 	delete(a.busy, r.ID)
 	if r.Value == nil {
@@ -122,8 +122,8 @@
 	w.highest = max(w.highest, version)
 }
 
-func (w *mendWorld) deliver(m mendMail) {
-	reply := func(msg any) { w.bag = append(w.bag, mendMail{by: m.by, msg: msg}) }
+func (w *repairWorld) deliver(m repairMessage) {
+	reply := func(msg any) { w.bag = append(w.bag, repairMessage{by: m.by, msg: msg}) }
 	switch x := m.msg.(type) {
 	case register.Prepare:
 		r, _ := w.disks[m.to].Prepare(x)
@@ -138,7 +138,7 @@
 	}
 }
 
-func (w *mendWorld) step() {
+func (w *repairWorld) step() {
 	w.now += time.Duration(w.rng.IntN(3)) * time.Millisecond
 	for _, a := range w.actors {
 		if w.rng.IntN(40) == 0 {
@@ -165,18 +165,18 @@
 func TestSeveralThatChangeTheVotersAtOnce(t *testing.T) {
 	const steps = 6000
 	seeds := *menderSeeds
-	epochs, marks := uint64(0), uint64(0)
+	epochs, versions := uint64(0), uint64(0)
 	for seed := range uint64(seeds) {
-		w := newMendWorld(t, seed)
+		w := newRepairWorld(t, seed)
 		for range steps {
 			w.step()
 		}
-		marks += w.highest
+		versions += w.highest
 		for _, a := range w.actors {
 			epochs = max(epochs, a.known.Epoch)
 		}
 	}
-	if t.Logf("%d changes confirmed over %d seeds, up to %d epochs in one", marks, seeds, epochs); marks < uint64(seeds) || epochs < 4 {
+	if t.Logf("%d changes confirmed over %d seeds, up to %d epochs in one", versions, seeds, epochs); versions < uint64(seeds) || epochs < 4 {
 		t.Error("the test proves little")
 	}
 }
--- a/control/overlap_test.go
+++ b/control/overlap_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestASeatMovesWhileAnotherVoterIsReplaced: one voter is told to end, and at each millisecond of its handing over another loses its disk
+// TestVoterIsReplacedDuringAnotherReplacement: one voter is told to end, and at each millisecond of its handing over another loses its disk
 // and comes back empty. When the first has gone, the set is full and bears the next loss.
-func TestASeatMovesWhileAnotherVoterIsReplaced(t *testing.T) {
+func TestVoterIsReplacedDuringAnotherReplacement(t *testing.T) {
 	for at := range 40 {
 		r := newRefill(t, fleetShapes[1], uint64(100+at%4))
 		r.call(r.victim, Retire{})
--- a/control/prefill_test.go
+++ b/control/prefill_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge"
 )
 
-func TestLongPromptsAreToldToEachLiveMemberAndNotPassedOn(t *testing.T) {
+func TestPrefillsAreSentToLiveMembersOnce(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(5 * time.Second)
 	row := mallowbridge.Prefill{Replica: "i1", Tokens: 9000}
--- a/control/refill_test.go
+++ b/control/refill_test.go
@@ -183,7 +183,7 @@
 	return count
 }
 
-func TestTheSetIsFullAgainBeforeTheNextLoss(t *testing.T) {
+func TestVoterSetIsRepairedBeforeTheNextLoss(t *testing.T) {
 	for _, shape := range fleetShapes {
 		if shape.nodes > 20 && *refillSeeds < 10 {
 			continue
--- a/control/send.go
+++ b/control/send.go
@@ -80,12 +80,12 @@
 	if min(build, n.config.Build) >= chunksBuild {
 		msg = n.stripMessage(msg)
 	}
-	news, is := msg.(gossip.Update)
+	updates, is := msg.(gossip.Update)
 	if !is {
 		return msg, true
 	}
 	var fitting gossip.Update
-	for _, it := range news.Items {
+	for _, it := range updates.Items {
 		if k, is := it.Data.(newer); !is || k.Since() <= build {
 			fitting.Items = append(fitting.Items, it)
 		}
@@ -95,8 +95,8 @@
 
 // buildOf is what a peer said last, else what its member says, bounded by what this node's own build knows of.
 func (n *Node) buildOf(addr string) uint32 {
-	build, told := n.documents.builds[addr]
-	if told {
+	build, missing := n.documents.builds[addr]
+	if missing {
 		return build
 	}
 	build = 1
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -91,20 +91,20 @@
 		n.tasks.started = now
 	}
 	for _, d := range n.zones() {
-		n.probeDuty(now, d)
+		n.probeRole(now, d)
 	}
 	n.maintainVoters(now)
 }
 
-func (n *Node) probeDuty(now time.Duration, zone string) {
+func (n *Node) probeRole(now time.Duration, zone string) {
 	role := "probe/" + zone
 	version, ok := n.leases.Holds(now, role)
-	silent := now - max(n.tasks.reportedAt[zone], n.tasks.started)
+	overdue := now - max(n.tasks.reportedAt[zone], n.tasks.started)
 	fresh := n.tasks.reportedAt[zone] == 0
-	if ok || ((fresh || silent > takeoverAfter) && n.ranksFirst(role, zone)) {
+	if ok || ((fresh || overdue > takeoverAfter) && n.ranksFirst(role, zone)) {
 		n.sendToGrantors(n.leases.Acquire(now, role, n.value))
 	}
-	if !ok && silent > probeWithoutLeaseAfter && n.ranksFirst(role, zone) {
+	if !ok && overdue > probeWithoutLeaseAfter && n.ranksFirst(role, zone) {
 		n.probe(now, zone, n.tasks.token[zone])
 		return
 	}
--- a/control/votercut_test.go
+++ b/control/votercut_test.go
@@ -18,10 +18,10 @@
 	return some
 }
 
-// TestAChangeOfVotersCutAtEachPoint: an order was confirmed by a majority of a, b and c. Then c's seat goes to d, whose disk is empty; the
+// TestVoterChangeInterruptedAtEachPoint: an order was confirmed by a majority of a, b and c. Then c's seat goes to d, whose disk is empty; the
 // accepts of both rounds reach any of the disks and no others, and after that any one disk is lost and comes back empty under its name,
 // with another id. Who knows the first voters alone still reads the order.
-func TestAChangeOfVotersCutAtEachPoint(t *testing.T) {
+func TestVoterChangeInterruptedAtEachPoint(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	runs := 0
 	for _, confirmedBy := range [][]string{{"a", "b"}, {"a", "c"}, {"b", "c"}, {"a", "b", "c"}} {
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -19,7 +19,7 @@
 	return disks
 }
 
-func TestSeedsFoundTheRegisterOnce(t *testing.T) {
+func TestSeedsBootstrapOnce(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(1500 * time.Millisecond)
 	if a := l.write("n7", "first"); a.Err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestANodeWithoutNewsReadsTheListItself(t *testing.T) {
+func TestNodeWithoutConfirmationsReadsTheList(t *testing.T) {
 	l := newLab(t, 9)
 	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
 	l.run(3 * time.Second)
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestADiskThatWorksAgainVotesAgain(t *testing.T) {
+func TestRecoveredDiskVotesAgain(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	l.step("n0", Persisted{Err: errors.New("no space left")})
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -118,24 +118,24 @@
 }
 
 // find gives an ending that makes the three witnesses of one request those of another.
-func find(f *fleet, silent []membership.Member) string {
+func find(f *fleet, overdue []membership.Member) string {
 	for i := 0; ; i++ {
 		n := 0
 		for _, m := range f.nodes["n0"].witnesses(fmt.Sprint("q2b", i)) {
-			for _, s := range silent {
+			for _, s := range overdue {
 				if s.Name == m.Name {
 					n++
 				}
 			}
 		}
-		if n == len(silent) {
+		if n == len(overdue) {
 			return fmt.Sprint(i)
 		}
 	}
 }
 
 // The first router reached four of six, three of those die, the fourth is slow: the second router must not find four others.
-func TestADeathMovesNoWitness(t *testing.T) {
+func TestDeathChangesNoWitness(t *testing.T) {
 	for i := range 100 {
 		f := newFleet(t, 12)
 		f.now = 11 * time.Minute
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -38,9 +38,9 @@
 // CallBy runs an operation that has no effect after the deadline, on Clock, and answers soon after it at the latest, also where the
 // owner of control state is stuck.
 func (h *Daemon) CallBy(deadline time.Duration, op control.Op) control.Answer {
-	late := time.NewTimer(deadline + answerSlack - Clock())
-	defer late.Stop()
-	return h.call(call{op: op, deadline: deadline, reply: make(chan control.Answer, 1)}, late.C)
+	overdue := time.NewTimer(deadline + answerSlack - Clock())
+	defer overdue.Stop()
+	return h.call(call{op: op, deadline: deadline, reply: make(chan control.Answer, 1)}, overdue.C)
 }
 
 // Look runs look at the owner of control state and waits until it is done.
@@ -48,10 +48,10 @@
 	h.call(call{look: look, reply: make(chan control.Answer, 1)}, nil)
 }
 
-func (h *Daemon) call(c call, late <-chan time.Time) control.Answer {
+func (h *Daemon) call(c call, overdue <-chan time.Time) control.Answer {
 	select {
 	case h.calls <- c:
-	case <-late:
+	case <-overdue:
 		return control.Answer{Err: &register.NoQuorumError{}}
 	case <-h.Tomb.Dying():
 		return control.Answer{Err: &StoppingError{}}
@@ -60,7 +60,7 @@
 	select {
 	case a = <-c.reply:
 		return a
-	case <-late:
+	case <-overdue:
 		return control.Answer{Err: &register.OutcomeUnknownError{}}
 	case <-h.Tomb.Dying():
 		return control.Answer{Err: &StoppingError{}}
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -13,18 +13,18 @@
 
 func TestACallIsAnsweredThoughTheControlLoopIsStuck(t *testing.T) {
 	h := &Daemon{Tomb: &tomb.Tomb{}, calls: make(chan call)}
-	late := make(chan time.Time, 1)
-	late <- time.Time{}
+	overdue := make(chan time.Time, 1)
+	overdue <- time.Time{}
 	var none *register.NoQuorumError
-	if a := h.call(call{op: control.Get{}, reply: make(chan control.Answer, 1)}, late); !errors.As(a.Err, &none) {
+	if a := h.call(call{op: control.Get{}, reply: make(chan control.Answer, 1)}, overdue); !errors.As(a.Err, &none) {
 		t.Errorf("not taken over: %v", a.Err)
 	}
 	go func() {
 		<-h.calls
-		late <- time.Time{}
+		overdue <- time.Time{}
 	}()
 	var unknown *register.OutcomeUnknownError
-	if a := h.call(call{op: control.Get{}, reply: make(chan control.Answer, 1)}, late); !errors.As(a.Err, &unknown) {
+	if a := h.call(call{op: control.Get{}, reply: make(chan control.Answer, 1)}, overdue); !errors.As(a.Err, &unknown) {
 		t.Errorf("taken over, and no answer: %v", a.Err)
 	}
 }
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAFollowerOfManyReplicasStartsWhole(t *testing.T) {
+func TestFollowerOfManyReplicasGetsAllState(t *testing.T) {
 	fs := newFollowers(&Daemon{})
 	for i := range 3000 {
 		fs.tell(mallowbridge.LoadReport{Replica: fmt.Sprint(i)})
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -32,19 +32,19 @@
 	// Gate rejects orders that lay here while the process stood still.
 	Gate *Gate
 
-	in         chan control.In
-	calls      chan call
-	writes     chan []control.LogWrite
-	joins      chan *follower
-	leaves     chan *follower
-	snapshots  chan *config.Snapshot
-	looks      chan string
-	prefills   chan mallowbridge.Prefill
-	coalescer  *coalescer
-	node       *control.Node
-	journal    *control.Journal
-	boot       string
-	onSnapshot func(p *config.Snapshot)
+	in          chan control.In
+	calls       chan call
+	writes      chan []control.LogWrite
+	subscribe   chan *follower
+	unsubscribe chan *follower
+	snapshots   chan *config.Snapshot
+	looks       chan string
+	prefills    chan mallowbridge.Prefill
+	coalescer   *coalescer
+	node        *control.Node
+	journal     *control.Journal
+	boot        string
+	onSnapshot  func(p *config.Snapshot)
 }
 
 func (h *Daemon) logFault(peer string, err error) {
@@ -72,9 +72,9 @@
 		case in = <-h.in:
 		case p := <-h.prefills:
 			in = h.collectPrefills(p)
-		case f := <-h.joins:
+		case f := <-h.subscribe:
 			in = fs.join(f, h.node)
-		case f := <-h.leaves:
+		case f := <-h.unsubscribe:
 			in = fs.leave(f)
 		case c := <-h.calls:
 			if c.look != nil {
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -89,25 +89,25 @@
 func (h *Daemon) follow(conn net.Conn, _ transport.Hello, r *transport.Reader) {
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	select {
-	case h.joins <- f:
+	case h.subscribe <- f:
 	case <-h.Tomb.Dying():
 		return
 	}
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		_, _ = r.Next()
-		close(gone)
+		close(closed)
 	}()
 	w := transport.NewWriter()
-	h.pump(conn, w, f, gone)
+	h.pump(conn, w, f, closed)
 	_ = conn.Close()
 	select {
-	case h.leaves <- f:
+	case h.unsubscribe <- f:
 	case <-h.Tomb.Dying():
 	}
 }
 
-func (h *Daemon) pump(conn net.Conn, w *transport.Writer, f *follower, gone chan struct{}) {
+func (h *Daemon) pump(conn net.Conn, w *transport.Writer, f *follower, closed chan struct{}) {
 	select {
 	case <-f.ready:
 	case <-h.Tomb.Dying():
@@ -122,7 +122,7 @@
 		select {
 		case <-h.Tomb.Dying():
 			return
-		case <-gone:
+		case <-closed:
 			return
 		case msg := <-f.q:
 			if !h.put(conn, w, msg) {
--- a/daemon/gate_test.go
+++ b/daemon/gate_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestAProcessThatIsOnlyLateTakesOrders(t *testing.T) {
+func TestDelayedProcessStillAcceptsOrders(t *testing.T) {
 	g, h := gateAt(time.Hour)
 	ctx := opened(g)
 	for range 20 {
--- a/daemon/persist.go
+++ b/daemon/persist.go
@@ -27,7 +27,7 @@
 }
 
 func (h *Daemon) persist() error {
-	var mend <-chan time.Time
+	var repair <-chan time.Time
 	for {
 		select {
 		case <-h.Tomb.Dying():
@@ -44,12 +44,12 @@
 			err := h.journal.Append(ws)
 			h.submit(control.Persisted{Ticket: ws[len(ws)-1].Ticket, Err: err})
 			if err != nil {
-				mend = time.After(recoverEvery)
+				repair = time.After(recoverEvery)
 			}
-		case <-mend:
-			mend = time.After(recoverEvery)
+		case <-repair:
+			repair = time.After(recoverEvery)
 			if h.journal.Recover() == nil {
-				mend = nil
+				repair = nil
 				h.submit(control.Persisted{Repaired: true})
 			}
 		}
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -65,20 +65,20 @@
 func newDaemon(t *tomb.Tomb, s Settings, lg *log.Logger) *Daemon {
 	boot := strconv.FormatUint(seed(), 36)
 	return &Daemon{
-		Settings:   s,
-		Tomb:       t,
-		Log:        lg,
-		FrontendID: s.Name + "." + boot,
-		Gate:       NewGate(Clock),
-		in:         make(chan control.In, 1024),
-		calls:      make(chan call, 64),
-		writes:     make(chan []control.LogWrite, control.MaxPendingReplies),
-		joins:      make(chan *follower),
-		leaves:     make(chan *follower),
-		snapshots:  make(chan *config.Snapshot, 1),
-		looks:      make(chan string, 64),
-		prefills:   make(chan mallowbridge.Prefill, prefillQueue),
-		boot:       boot,
+		Settings:    s,
+		Tomb:        t,
+		Log:         lg,
+		FrontendID:  s.Name + "." + boot,
+		Gate:        NewGate(Clock),
+		in:          make(chan control.In, 1024),
+		calls:       make(chan call, 64),
+		writes:      make(chan []control.LogWrite, control.MaxPendingReplies),
+		subscribe:   make(chan *follower),
+		unsubscribe: make(chan *follower),
+		snapshots:   make(chan *config.Snapshot, 1),
+		looks:       make(chan string, 64),
+		prefills:    make(chan mallowbridge.Prefill, prefillQueue),
+		boot:        boot,
 	}
 }
 
--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -25,7 +25,7 @@
 
 func (bulky) Size() int { return maxPushBytes + 1 }
 
-type letter struct {
+type envelope struct {
 	from, to string
 	due      time.Duration
 	msg      any
@@ -33,15 +33,15 @@
 
 // mesh is some stores and a network that delays, reorders and loses, in virtual time.
 type mesh struct {
-	rng    *rand.Rand
-	now    time.Duration
-	names  []string
-	stores map[string]*Store
-	zones  map[string]string
-	mail   []letter
-	loss   float64
-	cut    func(from, to string) bool
-	pulls  map[string]int
+	rng         *rand.Rand
+	now         time.Duration
+	names       []string
+	stores      map[string]*Store
+	zones       map[string]string
+	mail        []envelope
+	loss        float64
+	partitioned func(from, to string) bool
+	pulls       map[string]int
 }
 
 func zoneOf(at int) string { return fmt.Sprint("z", at%meshZones) }
@@ -69,17 +69,17 @@
 
 func (m *mesh) post(from string, sends []Send) {
 	for _, s := range sends {
-		if m.rng.Float64() < m.loss || (m.cut != nil && m.cut(from, s.To)) {
+		if m.rng.Float64() < m.loss || (m.partitioned != nil && m.partitioned(from, s.To)) {
 			continue
 		}
 		due := m.now + time.Duration(m.rng.Int64N(int64(mostDelay)))
-		m.mail = append(m.mail, letter{from: from, to: s.To, due: due, msg: s.Msg})
+		m.mail = append(m.mail, envelope{from: from, to: s.To, due: due, msg: s.Msg})
 	}
 }
 
 func (m *mesh) near(a, b string) bool { return m.zones[a] == m.zones[b] }
 
-func (m *mesh) deliver(l letter) {
+func (m *mesh) deliver(l envelope) {
 	s := m.stores[l.to]
 	switch msg := l.msg.(type) {
 	case Update:
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -39,13 +39,13 @@
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0)
-		m.cut = func(from, to string) bool { return !m.near(from, to) }
+		m.partitioned = func(from, to string) bool { return !m.near(from, to) }
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 		m.until(5*time.Second, func(*Store) bool { return false })
 		if _, ok := m.stores["n1"].Get("k"); ok {
 			t.Fatalf("seed %d: the cut lets items through", seed)
 		}
-		m.cut = nil
+		m.partitioned = nil
 		took, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
 		worst = max(worst, took)
 		if !all {
@@ -60,10 +60,10 @@
 	cfg := Defaults()
 	cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 	m := newMesh(cfg, 1, 0)
-	m.cut = func(from, to string) bool { return !m.near(from, to) }
+	m.partitioned = func(from, to string) bool { return !m.near(from, to) }
 	m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 	m.until(5*time.Second, func(*Store) bool { return false })
-	m.cut = nil
+	m.partitioned = nil
 	if _, all := m.until(spreadWithin, holds("k", Version{Lo: 1})); all {
 		t.Error("something else than digests repairs")
 	}
@@ -101,16 +101,16 @@
 }
 
 // Whatever order and however often the same versions come, stores end alike and hold the newest of each key.
-func TestMergeIsIdempotentAndCommutativeAndNewestWins(t *testing.T) {
+func TestMergeIsIdempotentAndCommutativeAndLatestWins(t *testing.T) {
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		var items []Item
-		newest := map[string]Version{}
+		latest := map[string]Version{}
 		for range 40 {
 			it := Item{Key: string(rune('a' + rng.IntN(5))), Version: Version{Hi: rng.Uint64N(3), Lo: rng.Uint64N(4)}, Data: text("v")}
 			items = append(items, it)
-			if old, ok := newest[it.Key]; !ok || old.Less(it.Version) {
-				newest[it.Key] = it.Version
+			if old, ok := latest[it.Key]; !ok || old.Less(it.Version) {
+				latest[it.Key] = it.Version
 			}
 		}
 		one, two := New(Defaults(), 1), New(Defaults(), 2)
@@ -123,7 +123,7 @@
 		if one.hash != two.hash || one.durable != two.durable || !reflect.DeepEqual(one.Digest(false), two.Digest(false)) {
 			t.Errorf("seed %d: stores differ: %v %v", seed, one.Digest(false), two.Digest(false))
 		}
-		for key, version := range newest {
+		for key, version := range latest {
 			if !holds(key, version)(one) {
 				t.Errorf("seed %d: %s is not at its newest", seed, key)
 			}
--- a/httpapi/bounds_test.go
+++ b/httpapi/bounds_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestBodiesWaitForRoom(t *testing.T) {
+func TestBodiesWaitForCapacity(t *testing.T) {
 	r := newRig(t, true)
 	post := func(id string, body io.Reader) int {
 		req, err := http.NewRequest(http.MethodPost, r.srv.URL+"/v1/offers/o/again", body)
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -15,7 +15,7 @@
 
 // AskWitnesses tells how an attempt ends before it is sent, or "" when it may be sent. spare is how long the witnesses may take
 // without harm; poll asks early, for a request that has no attempt yet.
-type AskWitnesses func(request string, spare time.Duration, poll bool) mallowbridge.AttemptResult
+type AskWitnesses func(request string, margin time.Duration, poll bool) mallowbridge.AttemptResult
 
 // Limits bound what clients may send and how long replicas and clients may take.
 type Limits struct {
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -45,7 +45,7 @@
 	r := &rig{t: t, tomb: &tomb.Tomb{}}
 	clock := func() time.Duration { return time.Duration(r.now.Load()) }
 	m := sim.DefaultModel()
-	m.Base, m.PerToken, m.Every, m.Pieces, m.ColdFor = time.Millisecond, 0, time.Millisecond, 6, 0
+	m.Base, m.PerToken, m.Every, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
 	reps := ""
 	for i := range 2 {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,8 +98,8 @@
 
 func (r *rig) ask(kind, id string) ledger.Got {
 	a := standin.NewAgent(nil)
-	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Ask{
-		Request: id, Prefix: "p/100", TailTokens: 8, Kind: sim.KindLoad{Offer: "o", Name: kind, Repeatable: kind == "again"},
+	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Request{
+		Request: id, Prefix: "p/100", TailTokens: 8, Class: sim.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
@@ -172,9 +172,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := lis.Addr().String()
+	closed := lis.Addr().String()
 	lis.Close()
-	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[{"name":"r9","addr":"` + gone +
+	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[{"name":"r9","addr":"` + closed +
 		`","domain":"a"},{"name":"r2","addr":"` + r.addrs[1] + `","domain":"b"}],"kinds":[{"name":"once"}]}]}`))
 	if err != nil {
 		t.Fatal(err)
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -66,11 +66,11 @@
 	if !c.report(mallowbridge.ConnectResult{AttemptID: c.placement.AttemptID, OK: true}) {
 		return
 	}
-	c.obey(conn)
+	c.perform(conn)
 }
 
 // obey asks the witnesses and sends the request as the session orders, and ends with the answer.
-func (c *replicaConn) obey(conn net.Conn) {
+func (c *replicaConn) perform(conn net.Conn) {
 	for {
 		select {
 		case order := <-c.orders:
--- a/lease/clone_test.go
+++ b/lease/clone_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestClonesGoTheirOwnWay(t *testing.T) {
+func TestClonesAreIndependent(t *testing.T) {
 	voters := &register.Value{Voters: []register.Voter{{Disk: "a"}}}
 	g, h := NewGrantor("a", nil, 0), NewHolder("h", 1)
 	request := h.Acquire(0, "d", voters)[0].Msg.(Request)
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -35,7 +35,7 @@
 }
 
 // A voter that was frozen grants what the life before asked for.
-func TestAGrantToTheLifeBeforeDoesNotCount(t *testing.T) {
+func TestGrantToAnEarlierIncarnationDoesNotCount(t *testing.T) {
 	seats := &register.Value{Epoch: 1, Voters: voters("a")}
 	before, after := NewHolder("n/1", 1), NewHolder("n/2", 1)
 	asked := before.Acquire(0, "d", seats)[0].Msg.(Request)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -72,26 +72,26 @@
 	if m.Epoch != g.epoch {
 		return r, false
 	}
-	cur := g.rows[m.Role]
-	if cur == nil {
-		cur = &grantRow{expiresAt: g.graceUntil}
-		g.rows[m.Role] = cur
-	}
-	same := cur.Holder == m.Holder && cur.Token == m.Token
-	if !same && (now < cur.expiresAt || now < g.graceUntil || !cur.Token.Less(m.Token)) {
-		r.Token, r.Holder = cur.Token, cur.Holder
+	current := g.rows[m.Role]
+	if current == nil {
+		current = &grantRow{expiresAt: g.graceUntil}
+		g.rows[m.Role] = current
+	}
+	same := current.Holder == m.Holder && current.Token == m.Token
+	if !same && (now < current.expiresAt || now < g.graceUntil || !current.Token.Less(m.Token)) {
+		r.Token, r.Holder = current.Token, current.Holder
 		return r, false
 	}
 	write := !same
-	cur.Holder, cur.Token, cur.expiresAt = m.Holder, m.Token, now+TTL
+	current.Holder, current.Token, current.expiresAt = m.Holder, m.Token, now+TTL
 	r.OK, r.Token, r.Holder = true, m.Token, m.Holder
 	return r, write
 }
 
 // HandleRelease frees a duty whose holder gave it up.
 func (g *Grantor) HandleRelease(m Release) {
-	if cur := g.rows[m.Role]; cur != nil && m.Disk == g.Disk && cur.Holder == m.Holder && cur.Token == m.Token {
-		cur.expiresAt = 0
+	if current := g.rows[m.Role]; current != nil && m.Disk == g.Disk && current.Holder == m.Holder && current.Token == m.Token {
+		current.expiresAt = 0
 	}
 }
 
@@ -136,35 +136,35 @@
 
 // Holds tells the token under which the duty may be done now.
 func (h *Holder) Holds(now time.Duration, role string) (Token, bool) {
-	held := h.leases[role]
-	if held == nil || now >= held.expiresAt {
+	current := h.leases[role]
+	if current == nil || now >= current.expiresAt {
 		return Token{}, false
 	}
-	return held.Token, true
+	return current.Token, true
 }
 
 // Acquire asks for the duty, or for more time, when it is due; it is called again and again for as long as the duty is wanted.
 func (h *Holder) Acquire(now time.Duration, role string, voters *register.Value) []Send {
-	held := h.leases[role]
-	if held == nil {
-		held = &Lease{Role: role, Token: Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}}
-		h.leases[role] = held
+	current := h.leases[role]
+	if current == nil {
+		current = &Lease{Role: role, Token: Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}}
+		h.leases[role] = current
 	}
-	if now < held.retryAt {
+	if now < current.retryAt {
 		return nil
 	}
-	if now >= held.expiresAt && len(held.grantedBy) > 0 {
-		held.grantedBy, held.requestID, held.retryAt = nil, 0, now+Renew/4+time.Duration(h.rng.Int64N(int64(2*Renew)))
-		return h.releases(held, voters)
+	if now >= current.expiresAt && len(current.grantedBy) > 0 {
+		current.grantedBy, current.requestID, current.retryAt = nil, 0, now+Renew/4+time.Duration(h.rng.Int64N(int64(2*Renew)))
+		return h.releases(current, voters)
 	}
-	if now >= held.expiresAt && (held.Token.Number <= h.highestNumbers[role] || held.Token.Epoch != voters.Epoch) {
-		held.Token = Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}
+	if now >= current.expiresAt && (current.Token.Number <= h.highestNumbers[role] || current.Token.Epoch != voters.Epoch) {
+		current.Token = Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}
 	}
 	h.requestID++
-	held.requestID, held.requestedAt, held.grantedBy, held.retryAt, held.epoch = h.requestID, now, map[string]bool{}, now+Renew, voters.Epoch
+	current.requestID, current.requestedAt, current.grantedBy, current.retryAt, current.epoch = h.requestID, now, map[string]bool{}, now+Renew, voters.Epoch
 	var sends []Send
 	for _, v := range voters.All() {
-		sends = append(sends, Send{Disk: v.Disk, Msg: Request{RequestID: held.requestID, Disk: v.Disk, Role: role, Holder: h.Name, Token: held.Token, Epoch: voters.Epoch}})
+		sends = append(sends, Send{Disk: v.Disk, Msg: Request{RequestID: current.requestID, Disk: v.Disk, Role: role, Holder: h.Name, Token: current.Token, Epoch: voters.Epoch}})
 	}
 	return sends
 }
@@ -172,39 +172,39 @@
 // OnGrant takes one answer. The lease is held when a majority of the voters, of both sets while they change, granted one request; its
 // time runs from the sending of that request.
 func (h *Holder) OnGrant(now time.Duration, g Grant, voters *register.Value) {
-	held := h.leases[g.Role]
-	if held == nil || g.RequestID != held.requestID || voters.Epoch != held.epoch {
+	current := h.leases[g.Role]
+	if current == nil || g.RequestID != current.requestID || voters.Epoch != current.epoch {
 		return
 	}
 	if !g.OK {
-		if g.Token.Epoch == held.Token.Epoch {
+		if g.Token.Epoch == current.Token.Epoch {
 			h.highestNumbers[g.Role] = max(h.highestNumbers[g.Role], g.Token.Number)
 		}
 		return
 	}
-	held.grantedBy[g.Disk] = true
-	if register.Quorum(voters, func(d string) bool { return held.grantedBy[d] }) {
-		held.expiresAt = max(held.expiresAt, held.requestedAt+TTL-Drift)
+	current.grantedBy[g.Disk] = true
+	if register.Quorum(voters, func(d string) bool { return current.grantedBy[d] }) {
+		current.expiresAt = max(current.expiresAt, current.requestedAt+TTL-Drift)
 	}
 }
 
 // Release gives the duty up.
 func (h *Holder) Release(role string, voters *register.Value) []Send {
-	held := h.leases[role]
-	if held == nil {
+	current := h.leases[role]
+	if current == nil {
 		return nil
 	}
 	delete(h.leases, role)
-	return h.releases(held, voters)
+	return h.releases(current, voters)
 }
 
 // releases gives a token up. It is never asked for again: its release may arrive after a later request, and would end a lease that its
 // holder counts on.
-func (h *Holder) releases(held *Lease, voters *register.Value) []Send {
-	h.highestNumbers[held.Role] = max(h.highestNumbers[held.Role], held.Token.Number)
+func (h *Holder) releases(current *Lease, voters *register.Value) []Send {
+	h.highestNumbers[current.Role] = max(h.highestNumbers[current.Role], current.Token.Number)
 	var sends []Send
 	for _, v := range voters.All() {
-		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Role: held.Role, Holder: h.Name, Token: held.Token}})
+		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Role: current.Role, Holder: h.Name, Token: current.Token}})
 	}
 	return sends
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestNeverTwoHolders(t *testing.T) {
-	held := 0
+	current := 0
 	for seed := range uint64(150) {
 		r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Grantor{}, seats: &register.Value{Epoch: 1}}
 		for d := range 5 {
@@ -129,10 +129,10 @@
 			if len(holders) > 1 {
 				t.Fatalf("seed %d at %s: %v hold it, seats %d", seed, r.now, holders, r.seats.Epoch)
 			}
-			held += len(holders)
+			current += len(holders)
 		}
 	}
-	if held < 150*3000 {
-		t.Errorf("held in %d steps only", held)
+	if current < 150*3000 {
+		t.Errorf("held in %d steps only", current)
 	}
 }
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -140,7 +140,7 @@
 
 // play runs a minute and returns the steps in which someone held the duty.
 func (s *storm) play(t *testing.T, seed uint64) int {
-	var held int
+	var current int
 	for s.now = 0; s.now < time.Minute; s.now += 10 * ms {
 		s.step()
 		s.trouble()
@@ -162,9 +162,9 @@
 		if len(holders) > 1 {
 			t.Fatalf("seed %d at %s: %v hold it, epoch %d", seed, s.now, holders, s.seats.Epoch)
 		}
-		held += len(holders)
+		current += len(holders)
 	}
-	return held
+	return current
 }
 
 // act has a holder ask, or now and then give the duty up.
@@ -178,12 +178,12 @@
 
 func TestNeverTwoHoldersInAStorm(t *testing.T) {
 	const seeds = 1000
-	held := 0
+	current := 0
 	for seed := range uint64(seeds) {
-		held += newStorm(seed).play(t, seed)
+		current += newStorm(seed).play(t, seed)
 	}
-	t.Logf("%d seeds, held in %d of %d steps", seeds, held, seeds*6000)
-	if held < seeds*1000 {
-		t.Errorf("held in %d steps only: the test proves little", held)
+	t.Logf("%d seeds, held in %d of %d steps", seeds, current, seeds*6000)
+	if current < seeds*1000 {
+		t.Errorf("held in %d steps only: the test proves little", current)
 	}
 }
--- a/loop_test.go
+++ b/loop_test.go
@@ -56,21 +56,21 @@
 	}
 }
 
-func TestOthersAreToldOfLongPromptsAndHeardOfTheirs(t *testing.T) {
+func TestRouterLoopExchangesLongPrompts(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a")), &tomb.Tomb{}
 	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled }, time.Hour)
-	told := make(chan mallowbridge.Prefill, 8)
-	d.OnPrefill(func(p mallowbridge.Prefill) { told <- p })
+	announced := make(chan mallowbridge.Prefill, 8)
+	d.OnPrefill(func(p mallowbridge.Prefill) { announced <- p })
 	ask := func(id string, tokens int) string {
 		return (<-d.Submit(mallowbridge.Arrive{Request: id, Host: "h.example", Path: "/x", Tokens: tokens})).Replica
 	}
 	ask("short", 100)
 	first := ask("long", 20000)
 	d.Inspect(func(*mallowbridge.Router) {})
-	if len(told) != 1 {
-		t.Fatalf("told of %d prompts", len(told))
+	if len(announced) != 1 {
+		t.Fatalf("told of %d prompts", len(announced))
 	}
-	if p := <-told; p.Replica != first || p.Tokens != 20000 {
+	if p := <-announced; p.Replica != first || p.Tokens != 20000 {
 		t.Errorf("told %+v of a prompt at %s", p, first)
 	}
 	other := map[string]string{"i1": "i2", "i2": "i1"}[first]
--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -10,14 +10,14 @@
 
 const (
 	seeds = 12
-	// foundWithin bounds the time from a member's end until everybody holds it dead: a ping interval, both timeouts, the suspicion, the
+	// detectedWithin bounds the time from a member's end until everybody holds it dead: a ping interval, both timeouts, the suspicion, the
 	// spread of both, and some ticks.
-	foundWithin = 3 * time.Second
+	detectedWithin = 3 * time.Second
 	// wrongFor bounds how long anybody may hold a live member dead: until it hears of that and its refutation has come back.
 	wrongFor = 2*spreadIn + 4*fleetTick
 )
 
-func TestNoLiveMemberIsHeldDeadForLongerThanARefutation(t *testing.T) {
+func TestLiveMemberIsRefutedInTime(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0.1)
 		since := map[[2]string]time.Duration{}
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestADeadMemberIsFoundByAll(t *testing.T) {
+func TestDeadMemberIsDetectedByAll(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
@@ -52,11 +52,11 @@
 		known := func() bool {
 			return !slices.ContainsFunc(f.names, func(by string) bool { return by != "n4" && f.state(by, "n4") != Dead })
 		}
-		for !known() && f.now-began < foundWithin {
+		for !known() && f.now-began < detectedWithin {
 			f.step()
 		}
 		if !known() {
-			t.Errorf("seed %d: not found after %s", seed, foundWithin)
+			t.Errorf("seed %d: not found after %s", seed, detectedWithin)
 		}
 		worst = max(worst, f.now-began)
 		if len(f.declared) != 1 {
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -15,7 +15,7 @@
 	spreadIn = 400 * time.Millisecond
 )
 
-type letter struct {
+type envelope struct {
 	from, to string
 	due      time.Duration
 	msg      Message
@@ -30,13 +30,13 @@
 	now   time.Duration
 	names []string
 	all   map[string]*Detector
-	mail  []letter
+	mail  []envelope
 	loss  float64
 	// gone members neither send nor receive, paused ones do nothing and lose what they are sent but for gossip.
 	gone, paused map[string]bool
-	// cut tells which pings and answers are lost, and gossip too where cutAll is set.
-	cut    func(from, to string) bool
-	cutAll bool
+	// cut tells which pings and answers are lost, and gossip too where isolated is set.
+	partitioned func(from, to string) bool
+	isolated    bool
 	// declared are the members that somebody declared dead, by name.
 	declared map[string]int
 }
@@ -63,7 +63,7 @@
 func (f *fleet) post(from string, sends []Send) {
 	for _, s := range sends {
 		if f.rng.Float64() >= f.loss {
-			f.mail = append(f.mail, letter{from: from, to: s.To, due: f.now + f.upTo(mostDelay), msg: s.Msg})
+			f.mail = append(f.mail, envelope{from: from, to: s.To, due: f.now + f.upTo(mostDelay), msg: s.Msg})
 		}
 	}
 }
@@ -79,13 +79,13 @@
 		}
 		for _, to := range f.names {
 			if to != from {
-				f.mail = append(f.mail, letter{from: from, to: to, due: f.now + f.upTo(spreadIn), row: row})
+				f.mail = append(f.mail, envelope{from: from, to: to, due: f.now + f.upTo(spreadIn), row: row})
 			}
 		}
 	}
 }
 
-func (f *fleet) deliver(l letter) {
+func (f *fleet) deliver(l envelope) {
 	d := f.all[l.to]
 	switch msg := l.msg.(type) {
 	case Ping:
@@ -108,7 +108,7 @@
 	for _, l := range mail {
 		switch {
 		case f.gone[l.to] || f.gone[l.from]:
-		case f.cut != nil && f.cut(l.from, l.to) && (f.cutAll || l.msg != nil):
+		case f.partitioned != nil && f.partitioned(l.from, l.to) && (f.isolated || l.msg != nil):
 		case f.paused[l.to] && l.msg != nil:
 		case l.due > f.now || f.paused[l.to]:
 			f.mail = append(f.mail, l)
--- a/membership/trouble_test.go
+++ b/membership/trouble_test.go
@@ -26,11 +26,11 @@
 	}
 }
 
-func TestAMemberThatIsCutOffDeclaresNobodyDead(t *testing.T) {
+func TestIsolatedMemberDeclaresNobodyDead(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		f.run(3*time.Second + time.Duration(seed)*fleetTick)
-		f.cut, f.cutAll = func(from, to string) bool { return from == "n4" || to == "n4" }, true
+		f.partitioned, f.isolated = func(from, to string) bool { return from == "n4" || to == "n4" }, true
 		f.run(10 * time.Second)
 		if f.held("n4", Dead) {
 			t.Errorf("seed %d: holds others dead", seed)
@@ -43,7 +43,7 @@
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		by := Watchers(f.all["n4"].Self, f.all["n4"].Table.All())[0]
-		f.cut = func(from, to string) bool { return (from == by && to == "n4") || (from == "n4" && to == by) }
+		f.partitioned = func(from, to string) bool { return (from == by && to == "n4") || (from == "n4" && to == by) }
 		for f.now < 8*time.Second {
 			f.step()
 			if f.state(by, "n4") != Alive {
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -63,7 +63,7 @@
 	calls        []call
 	changes      uint64
 	acknowledged []acknowledged
-	newest       *register.Value
+	latest       *register.Value
 	first        *register.Value
 	// replaced are lost disks that a told value has let go.
 	replaced []string
@@ -76,15 +76,15 @@
 	for _, id := range plan.Disks[:plan.Voters] {
 		first.Voters = append(first.Voters, register.Voter{Disk: id, Name: id})
 	}
-	c := &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), calls: make([]call, attempts*len(plan.Orders)), newest: first, first: first}
+	c := &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), calls: make([]call, attempts*len(plan.Orders)), latest: first, first: first}
 	c.acknowledged = []acknowledged{plan.tell(first)}
 	for at, id := range plan.Disks {
-		d := disk{name: id, kept: register.State{Disk: id}}
+		d := disk{name: id, synced: register.State{Disk: id}}
 		if at < plan.Voters {
 			founded := register.Ballot{By: "founder"}
-			d.kept = register.State{Disk: id, Promised: founded, Accepted: founded, Value: first}
+			d.synced = register.State{Disk: id, Promised: founded, Accepted: founded, Value: first}
 		}
-		d.acceptor = register.Acceptor{State: d.kept}
+		d.acceptor = register.Acceptor{State: d.synced}
 		c.disks = append(c.disks, d)
 	}
 	for at := range c.proposers {
@@ -137,7 +137,7 @@
 
 // enter notes an operation that begins.
 func (c *Cluster) enter(o operation) {
-	o.floor = c.plan.versionOf(c.newest)
+	o.floor = c.plan.versionOf(c.latest)
 	c.open = append(c.open, o)
 	slices.SortFunc(c.open, func(a, b operation) int { return int(a.id) - int(b.id) })
 }
--- a/modelcheck/cluster_test.go
+++ b/modelcheck/cluster_test.go
@@ -54,9 +54,9 @@
 	}
 )
 
-// finishedLate has the second proposer know of a first change of voters while it is under way; the first one finishes it and begins
+// finishedAfterDeadline has the second proposer know of a first change of voters while it is under way; the first one finishes it and begins
 // another, which the new disk alone accepts; then the second one finishes what it knows of, and reaches that disk alone.
-var finishedLate = []string{
+var finishedAfterDeadline = []string{
 	"p1 begins to replace voter a by s", "delivered: p asks a to prepare", "delivered: p asks b to prepare", "delivered: p asks a to accept",
 	"delivered: p asks b to accept", "q1 hears", everything,
 	"p1 begins to replace voter s by a", "delivered: p asks s to prepare", "delivered: p asks b to prepare", "delivered: p asks a to accept",
@@ -64,7 +64,7 @@
 	"delivered: q asks a to prepare", "delivered: q asks b to prepare", "delivered: q asks s to prepare", "delivered: q asks a to accept",
 }
 
-var finishedLatePlan = Plan{
+var finishedAfterDeadlinePlan = Plan{
 	Disks: spare, Voters: 3, Planned: true, Orders: []Order{x},
 	Budget: Budget{Timers: 3, Restarts: 1, Replacements: 2, Finishes: 1, Learns: 1},
 }
@@ -107,7 +107,7 @@
 		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1, Restarts: 1, Replacements: 1}},
 		before: halfBegun,
 	},
-	"a change of voters is finished late": {plan: finishedLatePlan, before: finishedLate},
+	"a change of voters is finished late": {plan: finishedAfterDeadlinePlan, before: finishedAfterDeadline},
 	"two orders on one base, everything": {
 		plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Timers: 2, Deadlines: 1, Resends: 1, Doubles: 1, Mutes: 1}},
 	},
--- a/modelcheck/disk.go
+++ b/modelcheck/disk.go
@@ -12,19 +12,19 @@
 type disk struct {
 	name     string
 	acceptor register.Acceptor
-	kept     register.State
-	held     []mail
+	synced   register.State
+	unsynced []mail
 	wiped    uint8
 }
 
 func (d disk) appendFingerprint(b []byte) []byte {
-	now, kept := d.acceptor.State, d.kept
+	now, kept := d.acceptor.State, d.synced
 	now.Disk, kept.Disk = "", ""
-	b = now.AppendFingerprint(append(b, d.wiped, byte(len(d.held))))
+	b = now.AppendFingerprint(append(b, d.wiped, byte(len(d.unsynced))))
 	if !sameState(now, kept) {
 		b = kept.AppendFingerprint(b)
 	}
-	for _, m := range d.held {
+	for _, m := range d.unsynced {
 		b = binary.LittleEndian.AppendUint64(b, m.hash)
 	}
 	return b
@@ -50,28 +50,28 @@
 		answer, ours = newMail(m.proposer, r.Disk, r), r.Disk != ""
 	}
 	if !c.plan.Journal {
-		d.kept = d.acceptor.State
+		d.synced = d.acceptor.State
 		return answer, ours
 	}
 	if !ours {
 		return answer, false
 	}
-	if c.plan.Rules.AnswersFirst || (!write && sameState(d.kept, d.acceptor.State) && len(d.held) == 0) {
+	if c.plan.Rules.AnswersFirst || (!write && sameState(d.synced, d.acceptor.State) && len(d.unsynced) == 0) {
 		return answer, true
 	}
-	d.held = append(slices.Clone(d.held), answer)
+	d.unsynced = append(slices.Clone(d.unsynced), answer)
 	return answer, false
 }
 
 // unwritten tells whether a crash would lose something.
-func (d disk) unwritten() bool { return len(d.held) > 0 || !sameState(d.kept, d.acceptor.State) }
+func (d disk) unwritten() bool { return len(d.unsynced) > 0 || !sameState(d.synced, d.acceptor.State) }
 
 // sync writes everything that waits and lets the answers leave.
 func (c *Cluster) sync(at int) {
 	d := &c.disks[at]
-	d.kept = d.acceptor.State
-	held := d.held
-	d.held = nil
+	d.synced = d.acceptor.State
+	held := d.unsynced
+	d.unsynced = nil
 	for _, m := range held {
 		c.reply(m)
 	}
@@ -80,16 +80,16 @@
 // crash restarts the disk's machine on what was written.
 func (c *Cluster) crash(at int) {
 	d := &c.disks[at]
-	d.acceptor.State, d.held = d.kept, nil
+	d.acceptor.State, d.unsynced = d.synced, nil
 }
 
 // wipe restarts the machine on an empty disk, which gets an id of its own.
 func (c *Cluster) wipe(at int) {
 	d := &c.disks[at]
 	d.wiped++
-	fresh := d.name + string(rune('1'+d.wiped))
-	d.kept = c.plan.Rules.Wiped(d.kept, fresh)
-	d.acceptor.State, d.held = d.kept, nil
+	replacement := d.name + string(rune('1'+d.wiped))
+	d.synced = c.plan.Rules.Wiped(d.synced, replacement)
+	d.acceptor.State, d.unsynced = d.synced, nil
 	c.mail = slices.DeleteFunc(c.mail, func(m mail) bool {
 		return m.request() && c.diskOf(m.disk) < 0
 	})
@@ -117,13 +117,13 @@
 	case register.Accepted:
 		return !p.Expects(r.RequestID, r.Promised)
 	case register.Prepare:
-		kept := c.disks[c.diskOf(r.Disk)].kept
-		settled := r.ReadOnly || r.Ballot.Less(kept.Promised) || r.Ballot == kept.Promised
-		return settled && !p.Expects(r.RequestID, kept.Promised)
+		kept := c.disks[c.diskOf(r.Disk)].synced
+		decided := r.ReadOnly || r.Ballot.Less(kept.Promised) || r.Ballot == kept.Promised
+		return decided && !p.Expects(r.RequestID, kept.Promised)
 	case register.Accept:
-		kept := c.disks[c.diskOf(r.Disk)].kept
-		settled := r.Ballot.Less(kept.Promised) || r.Ballot == kept.Accepted
-		return settled && !p.Expects(r.RequestID, kept.Promised)
+		kept := c.disks[c.diskOf(r.Disk)].synced
+		decided := r.Ballot.Less(kept.Promised) || r.Ballot == kept.Accepted
+		return decided && !p.Expects(r.RequestID, kept.Promised)
 	}
 	return false
 }
--- a/modelcheck/evacuate.go
+++ b/modelcheck/evacuate.go
@@ -149,7 +149,7 @@
 
 // evacuationsHold: a chosen value holds what was confirmed and nothing that is barred, and its zone is as the newest order says.
 func (c *Cluster) evacuationsHold(v *register.Value) error {
-	current := !c.plan.versionOf(v).older(c.plan.versionOf(c.newest))
+	current := !c.plan.versionOf(v).older(c.plan.versionOf(c.latest))
 	for id, call := range c.calls {
 		name := c.plan.callID(id)
 		_, taken := v.AppliedAt(name)
@@ -173,10 +173,10 @@
 		return
 	}
 	for _, d := range c.disks {
-		accepted, v := d.kept.Accepted, d.kept.Value
+		accepted, v := d.synced.Accepted, d.synced.Value
 		if v != nil && register.Quorum(v, func(id string) bool {
 			at := c.diskOf(id)
-			return at >= 0 && c.disks[at].kept.Accepted == accepted
+			return at >= 0 && c.disks[at].synced.Accepted == accepted
 		}) {
 			c.fail(c.evacuationsHold(v))
 		}
--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -117,8 +117,8 @@
 	var next []explored[W]
 	for from := 0; from < len(frontier); from += chunk * batch {
 		part := frontier[from:min(from+chunk*batch, len(frontier))]
-		for _, found := range x.expand(part) {
-			for _, s := range found {
+		for _, visited := range x.expand(part) {
+			for _, s := range visited {
 				if next, done = x.merge(next, s); done {
 					return nil, true
 				}
@@ -148,9 +148,9 @@
 
 // expand shares out chunks among the workers; nobody writes to visited meanwhile.
 func (x *explorer[W]) expand(part []explored[W]) [][]successor[W] {
-	found := make([][]successor[W], (len(part)+chunk-1)/chunk)
-	todo := make(chan int, len(found))
-	for at := range found {
+	visited := make([][]successor[W], (len(part)+chunk-1)/chunk)
+	todo := make(chan int, len(visited))
+	for at := range visited {
 		todo <- at
 	}
 	close(todo)
@@ -158,7 +158,7 @@
 	for range x.bounds.Workers {
 		go func() {
 			for at := range todo {
-				found[at] = x.successors(part[at*chunk : min((at+1)*chunk, len(part))])
+				visited[at] = x.successors(part[at*chunk : min((at+1)*chunk, len(part))])
 			}
 			done <- struct{}{}
 		}()
@@ -166,11 +166,11 @@
 	for range x.bounds.Workers {
 		<-done
 	}
-	return found
+	return visited
 }
 
 func (x *explorer[W]) successors(states []explored[W]) []successor[W] {
-	var found []successor[W]
+	var visited []successor[W]
 	for _, s := range states {
 		for _, e := range s.world.Events() {
 			world := s.world.Apply(e)
@@ -178,10 +178,10 @@
 			if _, known := x.visited[next.hash]; !known {
 				next.world, next.err = world, world.Broken()
 			}
-			found = append(found, next)
+			visited = append(visited, next)
 		}
 	}
-	return found
+	return visited
 }
 
 func (x *explorer[W]) trace(id int32) []string {
--- a/modelcheck/explore_test.go
+++ b/modelcheck/explore_test.go
@@ -59,7 +59,7 @@
 	return []string{"fill 3", "fill 5", "empty 3", "empty 5", "pour 3", "pour 5"}[e.Kind]
 }
 
-func TestTheShortestTraceIsFound(t *testing.T) {
+func TestShortestTraceIsReported(t *testing.T) {
 	want := []string{"fill 5", "pour 5", "empty 3", "pour 5", "fill 5", "pour 5"}
 	for workers := 1; workers <= 4; workers++ {
 		r := Explore(jugs{}, Bounds{Workers: workers})
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -53,7 +53,7 @@
 		c.fail(c.refusedIsNotTaken(r.Value))
 		c.fail(c.appliedOnce(r.Value))
 		c.fail(c.lostVoterStaysOut(r.Value))
-		c.learnTold(r.Value)
+		c.learnAcknowledged(r.Value)
 	}
 	switch {
 	case o.order < 0:
@@ -70,15 +70,15 @@
 	}
 }
 
-func (c *Cluster) learnTold(v *register.Value) {
+func (c *Cluster) learnAcknowledged(v *register.Value) {
 	t := c.plan.tell(v)
 	if !slices.Contains(c.acknowledged, t) {
 		c.acknowledged = append(c.acknowledged, t)
 		slices.SortFunc(c.acknowledged, func(a, b acknowledged) int { return sign(a.older(b.version)) })
 	}
-	if c.plan.versionOf(c.newest).older(c.plan.versionOf(v)) {
-		c.noteReplaced(v)
-		c.newest = v
+	if c.plan.versionOf(c.latest).older(c.plan.versionOf(v)) {
+		c.recordReplaced(v)
+		c.latest = v
 	}
 }
 
@@ -123,7 +123,7 @@
 func (c *Cluster) confirmedSurvives(v *register.Value) error {
 	for at, p := range c.orders {
 		o := c.plan.Orders[at]
-		if p.confirmed && !o.reads() && !o.recorded(v) && !c.plan.versionOf(v).older(c.plan.versionOf(c.newest)) {
+		if p.confirmed && !o.reads() && !o.recorded(v) && !c.plan.versionOf(v).older(c.plan.versionOf(c.latest)) {
 			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("order %s is not in revision %d", o.ID, v.Version)}
 		}
 	}
@@ -153,16 +153,16 @@
 // lostVoterStaysOut: no change of voters brings back a disk that was lost and replaced.
 func (c *Cluster) lostVoterStaysOut(v *register.Value) error {
 	for _, w := range v.All() {
-		if slices.Contains(c.replaced, w.Disk) && !c.plan.versionOf(v).older(c.plan.versionOf(c.newest)) {
+		if slices.Contains(c.replaced, w.Disk) && !c.plan.versionOf(v).older(c.plan.versionOf(c.latest)) {
 			return &InvariantError{Invariant: "a replaced voter stays out", How: fmt.Sprintf("disk %s is lost, was replaced, and is to vote again", w.Disk)}
 		}
 	}
 	return nil
 }
 
-// noteReplaced remembers the lost disks that the newest value lets go.
-func (c *Cluster) noteReplaced(v *register.Value) {
-	for _, w := range c.newest.All() {
+// recordReplaced remembers the lost disks that the newest value lets go.
+func (c *Cluster) recordReplaced(v *register.Value) {
+	for _, w := range c.latest.All() {
 		if c.diskOf(w.Disk) < 0 && !slices.Contains(v.All(), w) {
 			c.replaced = append(slices.Clone(c.replaced), w.Disk)
 		}
@@ -216,24 +216,24 @@
 
 // majorityHolds: whatever quorum of the newest told value's voters is left, one of it holds that value or a newer one on disk.
 func (c *Cluster) majorityHolds() error {
-	without := register.Quorum(c.newest, func(id string) bool {
+	without := register.Quorum(c.latest, func(id string) bool {
 		at := c.diskOf(id)
-		return at >= 0 && c.olderThanNewest(c.disks[at].kept.Value)
+		return at >= 0 && c.olderThanLatest(c.disks[at].synced.Value)
 	})
 	if without {
-		return &InvariantError{Invariant: "every majority left holds the newest value", How: fmt.Sprintf("revision %d epoch %d is held by none of a quorum", c.newest.Version, c.newest.Epoch)}
+		return &InvariantError{Invariant: "every majority left holds the newest value", How: fmt.Sprintf("revision %d epoch %d is held by none of a quorum", c.latest.Version, c.latest.Epoch)}
 	}
 	return nil
 }
 
-func (c *Cluster) olderThanNewest(v *register.Value) bool {
-	return v == nil || c.plan.versionOf(v).older(c.plan.versionOf(c.newest))
+func (c *Cluster) olderThanLatest(v *register.Value) bool {
+	return v == nil || c.plan.versionOf(v).older(c.plan.versionOf(c.latest))
 }
 
 // majorityLeft: as many voters are left as the tolerance promises.
 func (c *Cluster) majorityLeft() error {
-	if !register.Quorum(c.newest, func(id string) bool { return c.diskOf(id) >= 0 }) {
-		return &InvariantError{Invariant: "a majority is left", How: fmt.Sprintf("of %v", c.newest.All())}
+	if !register.Quorum(c.latest, func(id string) bool { return c.diskOf(id) >= 0 }) {
+		return &InvariantError{Invariant: "a majority is left", How: fmt.Sprintf("of %v", c.latest.All())}
 	}
 	return nil
 }
--- a/modelcheck/lease_steps.go
+++ b/modelcheck/lease_steps.go
@@ -111,9 +111,9 @@
 
 func (l *Leases) acquire(at int) {
 	h := l.holders[at].Clone()
-	h.SkipBackoff(duty)
+	h.SkipBackoff(leaseRole)
 	l.holders[at] = h
-	for _, s := range h.Acquire(l.holderClock(at), duty, l.view(at)) {
+	for _, s := range h.Acquire(l.holderClock(at), leaseRole, l.view(at)) {
 		l.mail = append(l.mail, leaseMail{grantor: l.grantorOf(s.Disk), holder: at, msg: s.Msg})
 	}
 }
@@ -165,13 +165,13 @@
 // left or of a round that is over with a token below the one granted, and releases of tokens below it.
 func (l *Leases) useless(m leaseMail) bool {
 	grantor, holder := l.grantors[m.grantor], l.holders[m.holder]
-	row := grantor.Records()[duty]
+	row := grantor.Records()[leaseRole]
 	switch msg := m.msg.(type) {
 	case lease.Grant:
-		return !holder.Expects(duty, msg.RequestID)
+		return !holder.Expects(leaseRole, msg.RequestID)
 	case lease.Request:
 		refused := msg.Epoch < grantor.Epoch() && !l.plan.Rules.AnyEpoch
-		return refused || (!holder.Expects(duty, msg.RequestID) && msg.Token.Less(row.Token))
+		return refused || (!holder.Expects(leaseRole, msg.RequestID) && msg.Token.Less(row.Token))
 	case lease.Release:
 		return msg.Token.Less(row.Token)
 	}
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	holders = 2
-	duty    = "d"
+	holders   = 2
+	leaseRole = "d"
 )
 
 // LeaseBudget is how often each thing may happen in one trace. Loss, delay and reordering of requests, and cuts, need no budget.
@@ -42,7 +42,7 @@
 		},
 		ChangeEpoch: (*lease.Grantor).ChangeEpoch,
 		Holds: func(h *lease.Holder, now time.Duration) bool {
-			_, yes := h.Holds(now, duty)
+			_, yes := h.Holds(now, leaseRole)
 			return yes
 		},
 	}
@@ -156,7 +156,7 @@
 	var space [256]byte
 	b := g.AppendFingerprint(space[:0], l.grantorClock(at))
 	for _, h := range l.holders {
-		b = append(b, truth(h.GrantedBy(duty, g.Disk)))
+		b = append(b, truth(h.GrantedBy(leaseRole, g.Disk)))
 	}
 	hash := xxhash.Sum64(b)
 	for _, m := range l.mail {
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -57,7 +57,7 @@
 	// PassDeadline is what the deadline of a call whose caller has left does to its operation.
 	PassDeadline func(p *register.Proposer, id uint64)
 	// Wiped is what a disk holds that came back empty.
-	Wiped func(old register.State, fresh string) register.State
+	Wiped func(old register.State, replacement string) register.State
 	// AnswersFirst lets answers leave before what they tell is written.
 	AnswersFirst bool
 }
@@ -74,7 +74,7 @@
 		Finish:       control.FinishVoterChange,
 		Evacuate:     control.EvacuateChange,
 		PassDeadline: (*register.Proposer).PassDeadline,
-		Wiped:        func(_ register.State, fresh string) register.State { return register.State{Disk: fresh} },
+		Wiped:        func(_ register.State, replacement string) register.State { return register.State{Disk: replacement} },
 	}
 }
 
--- a/modelcheck/rounds.go
+++ b/modelcheck/rounds.go
@@ -37,7 +37,7 @@
 	return ok && c.plan.Rounds && !c.proposers[m.proposer].Expects(prepare.RequestID, register.Ballot{})
 }
 
-type partRound struct {
+type partialRound struct {
 	world *Cluster
 	path  uint16
 	disks uint8
@@ -48,7 +48,7 @@
 // not in which order.
 func (c *Cluster) rounds(events []Event, at int) []Event {
 	seen := map[uint8]bool{}
-	todo := []partRound{{world: c}}
+	todo := []partialRound{{world: c}}
 	for len(todo) > 0 {
 		part := todo[0]
 		todo = todo[1:]
@@ -57,7 +57,7 @@
 				continue
 			}
 			disk := part.world.diskOf(m.disk)
-			next := partRound{path: part.path | uint16(disk+1)<<(pathBits*part.steps), disks: part.disks | 1<<disk, steps: part.steps + 1}
+			next := partialRound{path: part.path | uint16(disk+1)<<(pathBits*part.steps), disks: part.disks | 1<<disk, steps: part.steps + 1}
 			if seen[next.disks] || next.steps > pathDisks {
 				continue
 			}
--- a/modelcheck/rounds_test.go
+++ b/modelcheck/rounds_test.go
@@ -44,7 +44,7 @@
 // mutationsByRounds are those that need more depth than single prepares leave.
 var mutationsByRounds = map[string]mutation{
 	"voters change finished in any epoch": {
-		plan: finishedLatePlan, before: finishedLate,
+		plan: finishedAfterDeadlinePlan, before: finishedAfterDeadline,
 		mutate: func(r *Rules) { r.Finish = finishAtAnyEpoch },
 	},
 }
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -58,7 +58,7 @@
 func (c *Cluster) orderEvents(events []Event) []Event {
 	for at, p := range c.orders {
 		switch {
-		case !c.plan.OrdersBeforeAcknowledgement && !c.plan.Orders[at].knownIn(c.newest):
+		case !c.plan.OrdersBeforeAcknowledgement && !c.plan.Orders[at].knownIn(c.latest):
 		case !c.behind(c.plan.Orders[at]):
 		case p.sent == 0:
 			events = append(events, Event{Kind: submit, What: uint8(at)})
@@ -152,11 +152,11 @@
 // mayLose keeps to the tolerance: a disk may be lost if no more than the tolerated number of voters is lost with it, and while a
 // change of voters is under way only as the first.
 func (c *Cluster) mayLose(id string) bool {
-	gone := c.lost(c.newest.All())
-	if !slices.ContainsFunc(c.newest.All(), func(v register.Voter) bool { return v.Disk == id }) {
+	dropped := c.lost(c.latest.All())
+	if !slices.ContainsFunc(c.latest.All(), func(v register.Voter) bool { return v.Disk == id }) {
 		return false
 	}
-	return gone < tolerated && (len(c.newest.Next) == 0 || c.left.Wipes == c.plan.Budget.Wipes)
+	return dropped < tolerated && (len(c.latest.Next) == 0 || c.left.Wipes == c.plan.Budget.Wipes)
 }
 
 // Describe tells what an event of this state is.
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -29,15 +29,15 @@
 	s.Stream = place.Route != nil && place.Route.Streaming && isEventStream(resp)
 	x.stream = s.Stream
 	if v := first(resp.Header, h.Load); v != "" && h.ParseLoad != nil {
-		if running, waiting, slots, ok := h.ParseLoad(v); ok {
-			s.Load = &mallowbridge.Load{Replica: place.Replica, Running: running, Queued: waiting, Slots: slots}
+		if running, queued, slots, ok := h.ParseLoad(v); ok {
+			s.Load = &mallowbridge.Load{Replica: place.Replica, Running: running, Queued: queued, Slots: slots}
 		}
 	}
 	return s
 }
 
 // settle ends the use of a connection whose answer was read whole.
-func (x *transfer) settle() {
+func (x *transfer) recycleConnection() {
 	c := x.conn
 	if c == nil {
 		return
@@ -66,7 +66,7 @@
 
 func (x *transfer) discardAnswer() {
 	if x.discard() {
-		x.settle()
+		x.recycleConnection()
 	} else {
 		x.disconnect()
 	}
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -50,11 +50,11 @@
 		one, _ := say("200 OK", "", "hello")(g)
 		return one + one, false
 	}
-	late := func(g got) (string, bool) {
+	overdue := func(g got) (string, bool) {
 		other, _ := say("200 OK", "", "other")(g)
 		return strings.ReplaceAll(other, "id2", "id1"), false
 	}
-	replica := newReplica(t, twice, late, say("200 OK", "", "right"))
+	replica := newReplica(t, twice, overdue, say("200 OK", "", "right"))
 	m := newStubRouter(unknown, replica.place(safe), replica.place(safe))
 	p, url := serve(t, m)
 	connRequest(t, "first", call(t, url, "id1", "").body, "hello")
@@ -98,7 +98,7 @@
 	connRequest(t, "counted", p.Counters.Refused.Load()*10+p.Counters.Misplaced.Load(), 21)
 }
 
-func TestDeniedUnreachedNotFoundAndTooLong(t *testing.T) {
+func TestRejectedUnreachedNotFoundAndTooLong(t *testing.T) {
 	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true})
 	_, url := serve(t, m)
 	r := call(t, url, "id1", "")
@@ -106,15 +106,15 @@
 	connRequest(t, "long", call(t, url, "id2", strings.Repeat("x", 1001)).status, 413)
 
 	replica := newReplica(t)
-	gone := replica.place(unsafe)
-	gone.Addr = "127.0.0.1:1"
-	m = newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, gone)
+	closed := replica.place(unsafe)
+	closed.Addr = "127.0.0.1:1"
+	m = newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, closed)
 	_, url = serve(t, m)
 	connRequest(t, "status", call(t, url, "id1", "").status, 503)
 	connRequest(t, "events", m.notified(), "AttemptEnded(unreached)")
 }
 
-func TestAFailureOfTheReplicaIsPassedOnAndTold(t *testing.T) {
+func TestReplicaFailureIsPassedOnAndReported(t *testing.T) {
 	for status, failed := range map[string]bool{"500 Oops": true, "504 Late": false, "404 None": false, "200 OK": false} {
 		replica := newReplica(t, say(status, "", "whole"))
 		m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, replica.place(unsafe))
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -101,9 +101,9 @@
 		}
 		x.readUntil(x.uploadLimit())
 		var n int
-		room := body.AvailableBuffer()
-		n, err = in.Read(room[:cap(room)])
-		body.Write(room[:n])
+		capacity := body.AvailableBuffer()
+		n, err = in.Read(capacity[:cap(capacity)])
+		body.Write(capacity[:n])
 	}
 	if err != io.EOF {
 		return err
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -130,7 +130,7 @@
 
 func (c *client) Write(b []byte) (int, error) {
 	var n int
-	for quiet, held := 0, 0; ; {
+	for quiet, reserved := 0, 0; ; {
 		now := time.Now()
 		if c.writeDeadline.Sub(now) < c.proxy.settings.Stall-c.proxy.settings.Stall/renewal {
 			c.writeDeadline = now.Add(c.proxy.settings.Stall)
@@ -144,8 +144,8 @@
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || (!c.finalDeadline.IsZero() && !time.Now().Before(c.finalDeadline)) {
 			return n, err
 		}
-		was := held
-		if held = c.unsent(); m > 0 || held < was {
+		was := reserved
+		if reserved = c.unsent(); m > 0 || reserved < was {
 			quiet = 0
 		} else if quiet++; quiet == quietWindows {
 			return n, err
@@ -182,11 +182,11 @@
 	if !ok {
 		return nc
 	}
-	own := &client{TCPConn: tcp, proxy: p, keepAlive: keep}
+	accepted := &client{TCPConn: tcp, proxy: p, keepAlive: keep}
 	all := <-p.clients
-	all[own] = struct{}{}
+	all[accepted] = struct{}{}
 	p.clients <- all
-	return own
+	return accepted
 }
 
 type clientKey struct{}
--- a/proxy/clients_test.go
+++ b/proxy/clients_test.go
@@ -20,7 +20,7 @@
 		r.reply(t, g, "200 OK", "", "to "+c.id)
 		connRequest(t, "answer", u.answer(t, "POST").body, "to "+c.id)
 	}
-	settled(t, p)
+	waitIdle(t, p)
 	connRequest(t, "requests", p.Counters.Requests.Load(), 3)
 }
 
@@ -37,7 +37,7 @@
 	r.reply(t, g, "200 OK", "", "one")
 	connRequest(t, "first", u.answer(t, "POST").body, "one")
 	connRequest(t, "surplus", u.answer(t, "GET").status, 400)
-	settled(t, p)
+	waitIdle(t, p)
 	connRequest(t, "requests", p.Counters.Requests.Load(), 1)
 }
 
@@ -57,7 +57,7 @@
 			r.request(t)
 			_ = end(u)
 			r.ended(t)
-			settled(t, p)
+			waitIdle(t, p)
 			connRequest(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
 			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
--- a/proxy/comeback_test.go
+++ b/proxy/comeback_test.go
@@ -10,8 +10,8 @@
 
 // TestEachDenialSaysWhenToComeBack: a request that was given up without having run is answered at once, with the time to come back.
 func TestEachDenialSaysWhenToComeBack(t *testing.T) {
-	gone := newHand(t).place(unsafe)
-	gone.Addr = "127.0.0.1:1"
+	closed := newHand(t).place(unsafe)
+	closed.Addr = "127.0.0.1:1"
 	short := &config.Route{Timeout: 1}
 	bare := mallowbridge.Decision{Verdict: mallowbridge.Reject}
 	for name, c := range map[string]struct {
@@ -21,7 +21,7 @@
 		status int
 	}{
 		"refused by the router":         {newStubRouter(bare), "GET", "", 503},
-		"unreached":                     {newStubRouter(bare, gone), "GET", "", 503},
+		"unreached":                     {newStubRouter(bare, closed), "GET", "", 503},
 		"no more decisions":             {ends{}, "GET", "", 503},
 		"out of time before it is sent": {newStubRouter(deny, newHand(t).place(short)), "GET", "", 503},
 		"upload out of time":            {newStubRouter(deny), "POST", "X-Wait-Ms: 20\r\nContent-Length: 9\r\n", 408},
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -130,8 +130,8 @@
 		for part := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 			if secs, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-				told := time.Duration(secs) * time.Second
-				idle, sure = told*4/5-set.IdleMargin, told/2
+				advertised := time.Duration(secs) * time.Second
+				idle, sure = advertised*4/5-set.IdleMargin, advertised/2
 			}
 		}
 	}
--- a/proxy/cuts_test.go
+++ b/proxy/cuts_test.go
@@ -8,9 +8,9 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// TestEventsAtEveryCut cuts a stream at each byte, takes it up at a replica that goes on after the last id, or earlier, cuts that one at
+// TestEventsSplitAtEveryByte cuts a stream at each byte, takes it up at a replica that goes on after the last id, or earlier, cuts that one at
 // each byte too, and goes on with a third: the client gets each event once, in order, whichever line ends are used.
-func TestEventsAtEveryCut(t *testing.T) {
+func TestEventsSplitAtEveryByte(t *testing.T) {
 	runs := 0
 	for _, end := range []string{"\n", "\r\n", "\r"} {
 		events := []string{"id: 1" + end + "data: a" + end + end, "id: 2" + end + "data: b" + end + end, "id: 3" + end + "data: c" + end + end}
@@ -19,7 +19,7 @@
 			for skipped := range len(events) {
 				rest := strings.Join(events[skipped:], "")
 				for second := range len(rest) + 1 {
-					if cutTwice(t, events, complete[:first], skipped, rest[:second]) {
+					if splitTwice(t, events, complete[:first], skipped, rest[:second]) {
 						runs++
 					}
 				}
@@ -29,8 +29,8 @@
 	t.Logf("%d runs", runs)
 }
 
-// cutTwice tells whether the second replica may begin after so many events: not after one that the client lacks.
-func cutTwice(t *testing.T, events []string, first string, skipped int, second string) bool {
+// splitTwice tells whether the second replica may begin after so many events: not after one that the client lacks.
+func splitTwice(t *testing.T, events []string, first string, skipped int, second string) bool {
 	t.Helper()
 	e, out := proxy.Events{Bound: 1 << 10}, ""
 	take := func(text string) {
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestEachAnswerOfALeavingNodeSaysClose(t *testing.T) {
+func TestAnswersDuringShutdownSayClose(t *testing.T) {
 	replica := newReplica(t, say("200 OK", "", "one"), stream(true, "id: 1\ndata: a\n\n"))
 	m := newStubRouter(deny, replica.place(streams))
 	p, addr := front(t, m, lingering(time.Hour), config.Limits{})
@@ -55,7 +55,7 @@
 	connRequest(t, "refusal", fmt.Sprint(r.status, r.header["Connection"]), "503 [close]")
 }
 
-func TestIdleClientsAreShutOthersAreNot(t *testing.T) {
+func TestShutdownClosesIdleConnectionsOnly(t *testing.T) {
 	h := newHand(t)
 	set := lingering(time.Millisecond)
 	set.Idle, set.IdleNonRepeatable = time.Hour, time.Hour
@@ -83,11 +83,11 @@
 	quiet.ask(t, "GET", "id4", soon, "")
 	r1.reply(t, r1.request(t), "200 OK", "", "four")
 	connRequest(t, "quiet", quiet.answer(t, "GET").body, "four")
-	settled(t, p)
+	waitIdle(t, p)
 }
 
-// TestAnswersBegunBeforeRetireEndWhole: the head said nothing of closing, so the connection is shut when it falls idle.
-func TestAnswersBegunBeforeRetireEndWhole(t *testing.T) {
+// TestAnswersBegunBeforeShutdownAreCompleted: the head said nothing of closing, so the connection is shut when it falls idle.
+func TestAnswersBegunBeforeShutdownAreCompleted(t *testing.T) {
 	h := newHand(t)
 	p, addr := front(t, newStubRouter(deny, h.place(streams)), lingering(time.Millisecond), config.Limits{})
 	other, u := dial(t, addr), dial(t, addr)
@@ -109,8 +109,8 @@
 	u.shutSoon(t)
 }
 
-// TestNoRequestIsReadAndCut sends on kept connections while the node shuts the idle ones: a request is answered or was never read.
-func TestNoRequestIsReadAndCut(t *testing.T) {
+// TestShutdownAnswersWhatItRead sends on kept connections while the node shuts the idle ones: a request is answered or was never read.
+func TestShutdownAnswersWhatItRead(t *testing.T) {
 	const n = 64
 	for range 5 {
 		m := newStubRouter(deny)
@@ -139,20 +139,20 @@
 				answered++
 			}
 		}
-		settled(t, p)
+		waitIdle(t, p)
 		connRequest(t, "arrivals", len(m.arrived)-n, answered)
 	}
 }
 
 func TestKeepAliveFitsTheIdleTime(t *testing.T) {
-	for idle, told := range map[time.Duration]string{
+	for idle, advertised := range map[time.Duration]string{
 		15 * time.Second: "[timeout=14]", 2 * time.Second: "[timeout=1]", 1200 * time.Millisecond: "[]", 0: "[timeout=59]",
 	} {
 		replica := newReplica(t, say("200 OK", "Keep-Alive: timeout=3\r\n", "one"), say("200 OK", "", "two"))
 		_, addr := front(t, newStubRouter(deny, replica.place(unsafe)), proxy.Defaults(), config.Limits{Idle: idle})
 		u := dial(t, addr)
 		u.ask(t, "GET", "id1", "", "")
-		connRequest(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), told)
+		connRequest(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), advertised)
 		u.ask(t, "GET", "id2", "Connection: close\r\n", "")
 		connRequest(t, "when closing", fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), "[]")
 	}
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -43,8 +43,8 @@
 
 func TestExchangeSteps(t *testing.T) {
 	deny := mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: time.Second}
-	again := place("b")
-	again.Route = safe
+	repeated := place("b")
+	repeated.Route = safe
 	onward := place("b")
 	onward.Resumes = true
 	stream := proxy.Replied{Status: 200, Stream: true}
@@ -77,11 +77,11 @@
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
 		{"never twice", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, place("b")},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
-		{"twice where it may be", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, again, proxy.Connected{}, send("b"), send("b")},
+		{"twice where it may be", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated, proxy.Connected{}, send("b"), send("b")},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|connect|ReadyToSend|write|"},
 		{"resumed", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.Begun{}, proxy.ConnectionLost{}, onward, proxy.Connected{}, send("b"), stream, proxy.Begun{}, proxy.Ended{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
-		{"not resumed from the start", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.Begun{}, proxy.ConnectionLost{}, again},
+		{"not resumed from the start", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.Begun{}, proxy.ConnectionLost{}, repeated},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
 		{"capped", []any{place("a"), proxy.Unconnected{Capped: true}, deny}, "connect|AttemptEnded(refused)|finish2"},
 		{"overdue before the write", []any{place("a"), proxy.Connected{}, send("a"), proxy.DeadlinePassed{Unwritten: true}},
@@ -162,8 +162,8 @@
 		}
 		j.open = true
 	case proxy.Write:
-		again := j.place.Resumes || j.place.Route.Repeatable || j.place.Route.Resumable
-		if j.writes++; j.writes > j.sends || !j.open || (j.mayRun && !again) {
+		repeated := j.place.Resumes || j.place.Route.Repeatable || j.place.Route.Resumable
+		if j.writes++; j.writes > j.sends || !j.open || (j.mayRun && !repeated) {
 			j.fail("written without leave")
 		}
 		j.written = true
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -37,7 +37,7 @@
 	return newReplica(t, say("200 OK", "", strings.Repeat("x", manyBytes)))
 }
 
-func TestClientThatDoesNotReadIsCut(t *testing.T) {
+func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	set := proxy.Defaults()
 	set.Stall = 150 * time.Millisecond
 	m := newStubRouter(unknown, endless(t).place(unsafe))
@@ -49,12 +49,12 @@
 			t.Fatal("the stuck client is waited for")
 		}
 	}
-	settled(t, p)
+	waitIdle(t, p)
 	connRequest(t, "held", p.Reserved(), 0)
 }
 
-// TestSlowReaderIsNotCut reads at a tenth of the stall time's pace for many stall times.
-func TestSlowReaderIsNotCut(t *testing.T) {
+// TestSlowReaderIsNotDisconnected reads at a tenth of the stall time's pace for many stall times.
+func TestSlowReaderIsNotDisconnected(t *testing.T) {
 	set := proxy.Defaults()
 	set.Stall = 200 * time.Millisecond
 	m := newStubRouter(unknown, endless(t).place(unsafe))
@@ -88,7 +88,7 @@
 			t.Fatal("the replica is still held", taken, err)
 		}
 	}
-	settled(t, p)
+	waitIdle(t, p)
 }
 
 func TestUploadsThatStop(t *testing.T) {
@@ -103,7 +103,7 @@
 			u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\n"+c.head+"\r\n"+c.part)
 			r := u.answer(t, "POST")
 			connRequest(t, "answer", fmt.Sprint(r.status, r.header.Get("Connection")), "408close")
-			settled(t, p)
+			waitIdle(t, p)
 			connRequest(t, "arrivals and held", int64(len(m.arrived))+p.Reserved(), 0)
 		})
 	}
@@ -155,7 +155,7 @@
 	u = &up{TCPConn: u.TCPConn, in: u.in}
 	u.reply(t, u.request(t), "200 OK", "", strings.Repeat("z", 200<<10))
 	connRequest(t, "long answer", len(first.answer(t, "POST").body), 200<<10)
-	settled(t, p)
+	waitIdle(t, p)
 	connRequest(t, "held", p.Reserved(), 0)
 }
 
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -52,7 +52,7 @@
 		connRequest(t, "in time", inTime.answer(t, method).body, "two")
 		got := over.answer(t, method)
 		connRequest(t, "over", fmt.Sprint(got.status == 503 || got.status == 408, got.header.Get("Retry-After") != ""), "true true")
-		settled(t, p)
+		waitIdle(t, p)
 		tb.Kill(nil)
 		_ = tb.Wait()
 	}
@@ -135,7 +135,7 @@
 			text, _ := say("200 OK", "", "late")(g)
 			_, _ = r.Write([]byte(text))
 			connRequest(t, "status", u.answer(t, "GET").status, 504)
-			settled(t, p)
+			waitIdle(t, p)
 			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -160,6 +160,6 @@
 		}
 		connRequest(t, young.String(), statuses[http.StatusOK], answered)
 		connRequest(t, "others", statuses[http.StatusGatewayTimeout], 6-answered)
-		settled(t, p)
+		waitIdle(t, p)
 	}
 }
--- a/proxy/orders_test.go
+++ b/proxy/orders_test.go
@@ -22,13 +22,13 @@
 
 func pieces() []piece {
 	first, second := got{req: idRequest("id1")}, got{req: idRequest("id2")}
-	late, _ := say("200 OK", "", "late")(first)
+	overdue, _ := say("200 OK", "", "late")(first)
 	lateRefusal, _ := say("503 Full", "X-Not-Run: 1\r\n", "")(first)
 	answer, _ := say("200 OK", "", "two")(second)
 	refusal, _ := say("503 Full", "X-Not-Run: 1\r\n", "")(second)
 	unproved, _ := say("503 Full", "", "")(second)
 	return []piece{
-		{name: "late answer", bytes: late}, {name: "late refusal", bytes: lateRefusal}, {name: "early hint", bytes: "HTTP/1.1 103 Early Hints\r\n\r\n"},
+		{name: "late answer", bytes: overdue}, {name: "late refusal", bytes: lateRefusal}, {name: "early hint", bytes: "HTTP/1.1 103 Early Hints\r\n\r\n"},
 		{name: "junk", bytes: "junk\r\n\r\n"}, {name: "part", bytes: answer[:len(answer)-1], ends: true}, {name: "close", ends: true}, {name: "reset", resets: true},
 		{name: "answer", bytes: answer, own: true}, {name: "refusal", bytes: refusal, own: true, refuses: true}, {name: "503 without proof", bytes: unproved},
 	}
@@ -115,7 +115,7 @@
 	}()
 	u.ask(t, "GET", "id2", "X-Wait-Ms: 2000\r\n", "")
 	got := u.answer(t, "GET")
-	settled(t, p)
+	waitIdle(t, p)
 	switch ran := len(reads); {
 	case route == unsafe && ran-len(proved) > 1:
 		t.Errorf("%s: read %d times, refused %d times", name, ran, len(proved))
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -16,13 +16,13 @@
 	if x.stream {
 		x.passStream()
 	} else {
-		x.passWhole()
+		x.passBuffered()
 	}
 }
 
-// passWhole holds an answer back until it is whole, so that a broken one may be asked for again; only a very long one, or one for
+// passBuffered holds an answer back until it is whole, so that a broken one may be asked for again; only a very long one, or one for
 // which there is no room, goes on at once.
-func (x *transfer) passWhole() {
+func (x *transfer) passBuffered() {
 	b := x.buf.b[:0]
 	for {
 		if len(b) == cap(b) {
@@ -42,39 +42,39 @@
 			return
 		}
 	}
-	x.settle()
+	x.recycleConnection()
 	x.signal(Ended{})
 	x.head()
 	_, _ = x.w.Write(b)
 }
 
 func (x *transfer) widen(b []byte) ([]byte, bool) {
-	room := 2 * cap(b)
+	capacity := 2 * cap(b)
 	if n := x.resp.ContentLength; n >= 0 {
-		room = int(n) + 1
+		capacity = int(n) + 1
 	}
-	room = min(room, x.proxy.settings.HoldBytes)
-	if room <= cap(b) || !x.memory.take(room-cap(b)) {
+	capacity = min(capacity, x.proxy.settings.HoldBytes)
+	if capacity <= cap(b) || !x.memory.take(capacity-cap(b)) {
 		return b, false
 	}
-	wide := append(make([]byte, 0, room), b...)
+	wide := append(make([]byte, 0, capacity), b...)
 	x.buf.b = wide
 	return wide, true
 }
 
-func (x *transfer) passLong(held []byte) {
+func (x *transfer) passLong(reserved []byte) {
 	x.signal(Begun{})
 	x.bound()
 	x.head()
-	_, err := x.w.Write(held)
-	buf := held[:cap(held)]
+	_, err := x.w.Write(reserved)
+	buf := reserved[:cap(reserved)]
 	for err == nil {
 		n, readErr := x.resp.Body.Read(buf)
 		if n > 0 {
 			_, err = x.w.Write(buf[:n])
 		}
 		if readErr == io.EOF && err == nil {
-			x.settle()
+			x.recycleConnection()
 			x.signal(Ended{})
 			return
 		}
@@ -122,7 +122,7 @@
 		switch {
 		case ended:
 			x.head()
-			x.settle()
+			x.recycleConnection()
 			x.signal(Ended{})
 			return
 		case feedErr != nil:
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -44,14 +44,14 @@
 					connRequest(t, "length", g.req.ContentLength, len(text))
 				}
 				connRequest(t, "encoding", len(g.req.TransferEncoding), 0)
-				settled(t, p)
+				waitIdle(t, p)
 				connRequest(t, "held", p.Reserved(), 0)
 			})
 		}
 	}
 }
 
-func TestLongAnswersGoOnBeforeTheyAreWhole(t *testing.T) {
+func TestLongAnswersAreStreamed(t *testing.T) {
 	h := newHand(t)
 	m := newStubRouter(partial, h.place(safe))
 	set := proxy.Defaults()
@@ -77,7 +77,7 @@
 		}
 	}
 	connRequest(t, "end", err.Error(), "unexpected EOF")
-	settled(t, p)
+	waitIdle(t, p)
 	connRequest(t, "aborted", p.Counters.Aborted.Load(), 1)
 }
 
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -38,7 +38,7 @@
 	Priority string
 
 	ParseTokens func(value string) (prompt, most int)
-	ParseLoad   func(value string) (running, waiting, slots int, ok bool)
+	ParseLoad   func(value string) (running, queued, slots int, ok bool)
 }
 
 func (h Headers) canonical() Headers {
--- a/proxy/reset_test.go
+++ b/proxy/reset_test.go
@@ -57,7 +57,7 @@
 			}
 			got := u.answer(t, "GET")
 			connRequest(t, "answer", fmt.Sprint(got.status, got.err != nil), fmt.Sprint(c.status, c.cut))
-			settled(t, p)
+			waitIdle(t, p)
 			connRequest(t, "events", m.notified(), c.heard)
 		})
 	}
@@ -128,8 +128,8 @@
 			_ = h.lis.Close()
 			u.ask(t, "GET", "id3", "", "")
 			connRequest(t, "third", u.answer(t, "GET").status, 503)
-			if heard := m.notified(); !strings.HasSuffix(heard, "AttemptEnded(unreached)") {
-				t.Errorf("events %s", heard)
+			if notified := m.notified(); !strings.HasSuffix(notified, "AttemptEnded(unreached)") {
+				t.Errorf("events %s", notified)
 			}
 		})
 	}
--- a/proxy/rig_test.go
+++ b/proxy/rig_test.go
@@ -21,9 +21,9 @@
 var names = proxy.Headers{
 	Attempt: "X-Attempt", Target: "X-Target", NotExecuted: "X-Not-Run", Load: "X-Load", Deadline: "X-Wait-Ms", Prefix: "X-Prefix",
 	Model: "X-Model", Tokens: "X-Tokens", Seal: "X-Seal", Instance: "X-Instance", Priority: "X-Rank",
-	ParseLoad: func(v string) (running, waiting, slots int, ok bool) {
-		n, err := fmt.Sscanf(v, "%d,%d,%d", &running, &waiting, &slots)
-		return running, waiting, slots, n == 3 && err == nil
+	ParseLoad: func(v string) (running, queued, slots int, ok bool) {
+		n, err := fmt.Sscanf(v, "%d,%d,%d", &running, &queued, &slots)
+		return running, queued, slots, n == 3 && err == nil
 	},
 }
 
@@ -232,7 +232,7 @@
 }
 
 // settled waits until nothing runs: the last bytes of an answer reach the client a little before the proxy knows that they left.
-func settled(t *testing.T, p *proxy.Proxy) {
+func waitIdle(t *testing.T, p *proxy.Proxy) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); p.Running() > 0; runtime.Gosched() {
 		if time.Now().After(end) {
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestShutdownRefusesWhatItMightCut sends requests that might outlast the grace period, and ones that come late in it. Each gets its final
+// TestShutdownRejectsWhatItMightNotFinish sends requests that might outlast the grace period, and ones that come late in it. Each gets its final
 // answer at once, and none reaches the router.
-func TestShutdownRefusesWhatItMightCut(t *testing.T) {
+func TestShutdownRejectsWhatItMightNotFinish(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		grace  time.Duration
@@ -59,7 +59,7 @@
 			r := u.answer(t, c.method)
 			connRequest(t, "answer", fmt.Sprint(r.status, r.header["Connection"], r.header["Retry-After"]), "503 [close] [0.01]")
 			u.shutSoon(t)
-			settled(t, p)
+			waitIdle(t, p)
 			connRequest(t, "arrivals", len(m.arrived), 0)
 			connRequest(t, "counted", p.Counters.ShuttingDown.Load(), 1)
 		})
@@ -75,5 +75,5 @@
 	u.ask(t, "GET", "id1", "X-Wait-Ms: 30000\r\n", "")
 	r := u.answer(t, "GET")
 	connRequest(t, "answer", fmt.Sprint(r.status, " ", r.body, r.header["Connection"]), "200 one[close]")
-	settled(t, p)
+	waitIdle(t, p)
 }
--- a/proxy/splice_test.go
+++ b/proxy/splice_test.go
@@ -27,10 +27,10 @@
 // TestALongAnswerIsNotTakenUpByAStream cuts an answer that is no stream after a part of it was passed on. A second replica's stream must
 // not follow it.
 func TestALongAnswerIsNotTakenUpByAStream(t *testing.T) {
-	const held = 9000
+	const reserved = 9000
 	first := newReplica(t, func(g got) (string, bool) {
-		complete, _ := say("500 Oops", "", strings.Repeat("x", 2*held))(g)
-		return complete[:len(complete)-held], true
+		complete, _ := say("500 Oops", "", strings.Repeat("x", 2*reserved))(g)
+		return complete[:len(complete)-reserved], true
 	})
 	second := newReplica(t, stream(true, "id: 1\ndata: a\n\n"))
 	onward := second.place(streams)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestACutAnswerLooksCutWithoutChunks: to a client of HTTP/1.0 the end of the connection is the end of the answer, so a cut one is reset.
-func TestACutAnswerLooksCutWithoutChunks(t *testing.T) {
+// TestTruncatedAnswerWithoutChunksLooksTruncated: to a client of HTTP/1.0 the end of the connection is the end of the answer, so a cut one is reset.
+func TestTruncatedAnswerWithoutChunksLooksTruncated(t *testing.T) {
 	h := newHand(t)
 	_, addr := usual(t, newStubRouter(partial, h.place(streams)))
 	u := dial(t, addr)
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -8,9 +8,9 @@
 )
 
 // replies tells what an answer proves: whether it is this request's, and whether it says that nothing ran.
-func replies(name string) (own, refuses bool) {
-	own = !strings.HasPrefix(name, "another's")
-	return own, own && (name == "503 with proof" || name == "421")
+func replies(name string) (accepted, refuses bool) {
+	accepted = !strings.HasPrefix(name, "another's")
+	return accepted, accepted && (name == "503 with proof" || name == "421")
 }
 
 // judge carries the moves of one step out in the world, and gives the rule that they break, if any.
@@ -107,10 +107,10 @@
 }
 
 func (w *world) pass(name string) string {
-	own, refuses := replies(name)
+	accepted, refuses := replies(name)
 	stream := name == "stream"
 	switch {
-	case !own:
+	case !accepted:
 		return "another request's answer is passed on"
 	case refuses, strings.HasSuffix(name, "without proof"):
 		return "a promise of the replica is passed on as an answer"
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -18,9 +18,9 @@
 func TestStreamIsTakenUpElsewhere(t *testing.T) {
 	first := newReplica(t, stream(false, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\nid: 3\ndata"))
 	second := newReplica(t, stream(true, "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"))
-	again := second.place(streams)
-	again.Resumes = true
-	m := newStubRouter(partial, first.place(streams), again)
+	repeated := second.place(streams)
+	repeated.Resumes = true
+	m := newStubRouter(partial, first.place(streams), repeated)
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "")
 	connRequest(t, "error", r.err, error(nil))
@@ -31,7 +31,7 @@
 	connRequest(t, "resumed", p.Counters.Resumed.Load(), 1)
 }
 
-func TestCutStreamLooksCut(t *testing.T) {
+func TestTruncatedStreamLooksTruncated(t *testing.T) {
 	first := newReplica(t, stream(false, "id: 1\ndata: a\n\n", "id: 2\nda"))
 	m := newStubRouter(partial, first.place(streams))
 	p, url := serve(t, m)
@@ -108,7 +108,7 @@
 	p.Shutdown(grace)
 	r := call(t, url, "id2", "")
 	connRequest(t, "second", r.body, "two")
-	settled(t, p)
+	waitIdle(t, p)
 	tb.Kill(nil)
 	connRequest(t, "end", tb.Wait(), error(nil))
 }
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -32,10 +32,10 @@
 
 func (x *transfer) run(a mallowbridge.Arrive) {
 	in := x.proxy.router.Submit(a)
-	gone := x.r.Context().Done()
+	closed := x.r.Context().Done()
 	for !x.exchange.Over() {
 		select {
-		case <-gone:
+		case <-closed:
 			x.signal(ClientClosed{})
 		case d, ok := <-in:
 			if !ok {
--- a/register/backoff.go
+++ b/register/backoff.go
@@ -28,8 +28,8 @@
 
 // measure notes how long a majority took to answer.
 func (p *Proposer) measureRoundTrip(now time.Duration) {
-	trip := (roundTripWeight*p.roundTrip + now - p.askedAt) / (roundTripWeight + 1)
-	p.roundTrip = min(max(trip, minRoundTrip), maxRoundTrip)
+	measured := (roundTripWeight*p.roundTrip + now - p.askedAt) / (roundTripWeight + 1)
+	p.roundTrip = min(max(measured, minRoundTrip), maxRoundTrip)
 }
 
 // outbid goes on after a refused prepare, the first time at once: a proposer that was idle mostly lost because its ballot was old, and
--- a/register/bootstrap_test.go
+++ b/register/bootstrap_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAFoundingThatIsTriedAgainKeepsWhatWasMadeSince(t *testing.T) {
+func TestRepeatedBootstrapKeepsLaterChanges(t *testing.T) {
 	d := founding(t)
 	if err := d.end(d.x); err != nil {
 		t.Errorf("its own founding: %v", err)
--- a/register/clone.go
+++ b/register/clone.go
@@ -113,9 +113,9 @@
 func (p *Proposer) AppendReplies(b []byte, disk string) []byte {
 	switch p.phase {
 	case preparing:
-		r, heard := p.promises[disk]
-		b = append(b, bit(p.asked[disk]), bit(heard))
-		if heard {
+		r, replied := p.promises[disk]
+		b = append(b, bit(p.asked[disk]), bit(replied))
+		if replied {
 			r.Disk = ""
 			b = r.AppendFingerprint(b)
 		}
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestACloneGoesItsOwnWay(t *testing.T) {
+func TestCloneIsIndependent(t *testing.T) {
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	p := NewProposer("p", 1)
 	p.Learn(first)
--- a/register/contention_test.go
+++ b/register/contention_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// crowdSeeds is the number of seeds of each test here.
-const crowdSeeds = 50
+// clusterSeeds is the number of seeds of each test here.
+const clusterSeeds = 50
 
 // urgentBound is how long a change of voters may take behind operators' orders: well within the 4 s in which a repaired set must be whole.
 const urgentBound = time.Second
@@ -23,8 +23,8 @@
 
 func urgentAgainst(t *testing.T, rivals int, frozen string) {
 	var times []time.Duration
-	for seed := range uint64(crowdSeeds) {
-		c := newCrowd(seed, 1+rivals)
+	for seed := range uint64(clusterSeeds) {
+		c := newCluster(seed, 1+rivals)
 		c.frozen = frozen
 		for _, p := range c.proposers[1:] {
 			c.load(p)
@@ -71,8 +71,8 @@
 func storm(t *testing.T, frozen string) {
 	var orders, evacuations []time.Duration
 	failed := 0
-	for seed := range uint64(crowdSeeds) {
-		c := newCrowd(seed, 8)
+	for seed := range uint64(clusterSeeds) {
+		c := newCluster(seed, 8)
 		c.frozen = frozen
 		for range stormOrders {
 			c.submit(c.proposers[c.rng.IntN(8)], orderBound, false, func(r Result, took time.Duration) {
@@ -112,8 +112,8 @@
 // TestEightOrdersAtOnceAreAllConfirmedSoon: eight proposers begin at the same time.
 func TestEightOrdersAtOnceAreAllConfirmedSoon(t *testing.T) {
 	var times []time.Duration
-	for seed := range uint64(crowdSeeds) {
-		c := newCrowd(seed, 8)
+	for seed := range uint64(clusterSeeds) {
+		c := newCluster(seed, 8)
 		for _, p := range c.proposers {
 			c.submit(p, orderBound, false, func(r Result, took time.Duration) {
 				if r.Err != nil {
--- a/register/crowd_test.go
+++ b/register/crowd_test.go
@@ -35,7 +35,7 @@
 
 // A crowd is several proposers over three disks in virtual time: links of 0.5 to 5 ms, syncs of 2 to 5 ms that take whatever waits
 // together, answers that leave in order behind them.
-type crowd struct {
+type cluster struct {
 	rng       *rand.Rand
 	now       time.Duration
 	seq       uint64
@@ -53,8 +53,8 @@
 	syncing, synced time.Duration
 }
 
-func newCrowd(seed uint64, proposers int) *crowd {
-	c := &crowd{rng: rand.New(rand.NewPCG(seed, 11)), disks: map[string]*slowDisk{}, done: map[uint64]func(r Result){}}
+func newCluster(seed uint64, proposers int) *cluster {
+	c := &cluster{rng: rand.New(rand.NewPCG(seed, 11)), disks: map[string]*slowDisk{}, done: map[uint64]func(r Result){}}
 	first := &Value{Fleet: "f"}
 	for _, disk := range []string{"a", "b", "c"} {
 		c.disks[disk] = &slowDisk{Acceptor: Acceptor{State{Disk: disk}}}
@@ -72,18 +72,18 @@
 	return c
 }
 
-func (c *crowd) between(least, most time.Duration) time.Duration {
+func (c *cluster) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(c.rng.Int64N(int64(most-least)))
 }
 
-func (c *crowd) link() time.Duration { return c.between(500*time.Microsecond, 5*time.Millisecond) }
+func (c *cluster) link() time.Duration { return c.between(500*time.Microsecond, 5*time.Millisecond) }
 
-func (c *crowd) after(d time.Duration, do func()) {
+func (c *cluster) after(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.coming, happening{at: c.now + d, seq: c.seq, do: do})
 }
 
-func (c *crowd) runUntil(end time.Duration) {
+func (c *cluster) runUntil(end time.Duration) {
 	for len(c.coming) > 0 && c.coming[0].at <= end {
 		next := heap.Pop(&c.coming).(happening)
 		c.now = next.at
@@ -92,14 +92,14 @@
 	c.now = end
 }
 
-func (c *crowd) tick(p *Proposer) {
+func (c *cluster) tick(p *Proposer) {
 	c.after(ticks, func() { c.tick(p) })
 	p.Tick(c.now)
 	c.carry(p)
 }
 
 // carry has the proposer act on what is due, as a node does at each input, and posts what it sends.
-func (c *crowd) carry(p *Proposer) {
+func (c *cluster) carry(p *Proposer) {
 	p.Tick(c.now)
 	sends, results := p.TakeOutput()
 	for _, s := range sends {
@@ -115,7 +115,7 @@
 }
 
 // obey has a disk handle a request, and answer when all that was written until then is synced.
-func (c *crowd) obey(p *Proposer, s Send) {
+func (c *cluster) obey(p *Proposer, s Send) {
 	d := c.disks[s.Disk]
 	var answer func()
 	var write bool
@@ -139,7 +139,7 @@
 }
 
 // write starts a sync, or joins the one that follows the one that runs.
-func (d *slowDisk) write(c *crowd) {
+func (d *slowDisk) write(c *cluster) {
 	took := c.between(2*time.Millisecond, 5*time.Millisecond)
 	if c.now >= d.syncing {
 		d.syncing = d.synced
@@ -153,7 +153,7 @@
 }
 
 // submit has a proposer run a change; done is called with its result and with how long it took.
-func (c *crowd) submit(p *Proposer, within time.Duration, urgent bool, done func(r Result, took time.Duration)) {
+func (c *cluster) submit(p *Proposer, within time.Duration, urgent bool, done func(r Result, took time.Duration)) {
 	c.ids++
 	begun, id := c.now, c.ids
 	c.done[id] = func(r Result) { done(r, c.now-begun) }
@@ -179,7 +179,7 @@
 }
 
 // load keeps a proposer busy: its next order follows the last one at once.
-func (c *crowd) load(p *Proposer) {
+func (c *cluster) load(p *Proposer) {
 	c.submit(p, 4*time.Second, false, func(Result, time.Duration) { c.after(c.link(), func() { c.load(p) }) })
 }
 
--- a/register/exposed_test.go
+++ b/register/exposed_test.go
@@ -97,13 +97,13 @@
 	d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"), false)
 	d.x.Submit(d.now, d.now+patience, 10, take(0, "queued"), false)
 	sends, _ := d.x.TakeOutput()
-	var late []Promise
+	var overdue []Promise
 	for _, s := range sends {
 		r, _ := d.disks[s.Disk].Prepare(s.Msg.(Prepare))
-		late = append(late, r)
+		overdue = append(overdue, r)
 	}
 	d.now += 20 * time.Second
-	for _, r := range late {
+	for _, r := range overdue {
 		d.x.OnPromise(d.now, r)
 	}
 	sends, results := d.x.TakeOutput()
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestAnOperationThatComesTooLateAsksNobody(t *testing.T) {
+func TestExpiredOperationAsksNobody(t *testing.T) {
 	d := newDuel(t)
 	d.x.Submit(d.now, d.now, 2, take(0, "late"), false)
 	if sends, results := d.x.TakeOutput(); len(sends) != 0 || len(results) != 1 || fateOf(results[0].Err) != "503 unchanged" {
--- a/register/fence_test.go
+++ b/register/fence_test.go
@@ -26,7 +26,7 @@
 }
 
 // What one copy read sets its own fence only: the first read one value and the copy another, and each goes by its own.
-func TestCopiesOfAProposerHaveTheirOwnFences(t *testing.T) {
+func TestProposerClonesHaveTheirOwnFences(t *testing.T) {
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	later := first.Clone()
 	later.LogScoped("z", "theirs", false)
@@ -35,13 +35,13 @@
 	p.SubmitFenced(0, time.Hour, 1, fencedOn("z"))
 	sends, _ := p.TakeOutput()
 	requestID := sends[0].Msg.(Prepare).RequestID
-	early, late := p.Clone(), p.Clone()
+	early, overdue := p.Clone(), p.Clone()
 	promiseTo(early, requestID, first)
 	if bytes.Equal(early.current.appendFingerprint(nil), p.current.appendFingerprint(nil)) {
 		t.Error("a fence doesn't show in the fingerprint")
 	}
-	promiseTo(late, requestID, later)
-	if late.phase != accepting {
+	promiseTo(overdue, requestID, later)
+	if overdue.phase != accepting {
 		t.Error("a copy regards the fence of another")
 	}
 	early.FireTimer()
--- a/register/lives_test.go
+++ b/register/lives_test.go
@@ -7,10 +7,10 @@
 
 // A voter that was frozen answers what the life before asked, after the proposer restarted. Found by the model checker: a value was
 // confirmed that nobody had accepted.
-func TestAnswersToTheLifeBeforeDoNotCount(t *testing.T) {
+func TestAnswersToAnEarlierIncarnationDoNotCount(t *testing.T) {
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	before, after := NewProposer("n/1", 1), NewProposer("n/2", 1)
-	var late []Accepted
+	var overdue []Accepted
 	var promises []Promise
 	for _, p := range []*Proposer{before, after} {
 		p.Learn(first)
@@ -25,15 +25,15 @@
 	sends, _ = before.TakeOutput()
 	for _, s := range sends {
 		m := s.Msg.(Accept)
-		late = append(late, Accepted{RequestID: m.RequestID, Disk: m.Disk, OK: true, Promised: m.Ballot})
+		overdue = append(overdue, Accepted{RequestID: m.RequestID, Disk: m.Disk, OK: true, Promised: m.Ballot})
 	}
 	for _, r := range promises {
 		after.OnPromise(0, r)
 	}
-	for _, r := range late {
+	for _, r := range overdue {
 		after.OnAccepted(0, r)
 	}
-	if _, results := after.TakeOutput(); len(late) != 3 || len(results) != 0 {
-		t.Errorf("%d late answers, confirmed by them: %v", len(late), results)
+	if _, results := after.TakeOutput(); len(overdue) != 3 || len(results) != 0 {
+		t.Errorf("%d late answers, confirmed by them: %v", len(overdue), results)
 	}
 }
--- a/register/look_test.go
+++ b/register/look_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestALookOffersNothing(t *testing.T) {
+func TestReadOnlyPrepareProposesNothing(t *testing.T) {
 	d := newDuel(t)
 	d.expose(0, "a")
 	d.only("a", "b", "c")
@@ -34,7 +34,7 @@
 }
 
 // move makes a change of voters, the whole of it or only its first half.
-func (d *duel) move(whole bool, disks ...string) {
+func (d *duel) move(complete bool, disks ...string) {
 	var next []Voter
 	for _, disk := range disks {
 		if d.disks[disk] == nil {
@@ -58,7 +58,7 @@
 		if err := d.end(d.x); err != nil {
 			d.t.Fatal(err)
 		}
-		if !whole {
+		if !complete {
 			return
 		}
 	}
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -20,7 +20,7 @@
 	return fmt.Sprint(err)
 }
 
-func TestMemoryOfEditsDecidesByRevision(t *testing.T) {
+func TestEditLogDecidesByRevision(t *testing.T) {
 	v := &Value{}
 	for i := range uint64(KeptOrders + 10) {
 		v.LogEdit(3*i, fmt.Sprint(i))
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestMemoryOfPutsDecidesByMark(t *testing.T) {
+func TestOrderLogDecidesPutsByVersion(t *testing.T) {
 	v := &Value{Version: 5}
 	if say := refused(v.PutRefusal(4)); say != "503" {
 		t.Errorf("nothing is remembered, and %s is said", say)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestNewestOrderOfAZone(t *testing.T) {
+func TestLatestOrderOfAZone(t *testing.T) {
 	v := &Value{}
 	none := v.LatestOrder("z")
 	v.LogScoped("y", "1", true)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestACloneSharesNothingThatIsWritten(t *testing.T) {
+func TestCloneSharesNothingThatIsWritten(t *testing.T) {
 	v := &Value{}
 	for i := range 5 {
 		v.LogEdit(uint64(i), "v")
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -92,8 +92,8 @@
 	o := &l.ops[at]
 	o.Return = int64(l.now)
 	var c *ConflictError
-	var gone *NotBootstrappedError
-	l.gone = l.gone || errors.As(r.Err, &gone)
+	var lost *NotBootstrappedError
+	l.gone = l.gone || errors.As(r.Err, &lost)
 	switch {
 	case errors.As(r.Err, &c):
 		o.Output = result{conflict: true, mark: c.Version}
--- a/register/starve_test.go
+++ b/register/starve_test.go
@@ -10,10 +10,10 @@
 type rivals struct {
 	*duel
 	hop  time.Duration
-	mail []letter
+	mail []envelope
 }
 
-type letter struct {
+type envelope struct {
 	at time.Duration
 	do func()
 }
@@ -39,14 +39,14 @@
 	}
 }
 
-func (r *rivals) later(do func()) { r.mail = append(r.mail, letter{at: r.now + r.hop, do: do}) }
+func (r *rivals) later(do func()) { r.mail = append(r.mail, envelope{at: r.now + r.hop, do: do}) }
 
 // step takes one millisecond.
 func (r *rivals) step() {
 	r.now += time.Millisecond
 	r.x.Tick(r.now)
-	due := slices.DeleteFunc(slices.Clone(r.mail), func(l letter) bool { return l.at > r.now })
-	r.mail = slices.DeleteFunc(r.mail, func(l letter) bool { return l.at <= r.now })
+	due := slices.DeleteFunc(slices.Clone(r.mail), func(l envelope) bool { return l.at > r.now })
+	r.mail = slices.DeleteFunc(r.mail, func(l envelope) bool { return l.at <= r.now })
 	for _, l := range due {
 		l.do()
 	}
--- a/register/voters_test.go
+++ b/register/voters_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestPutAgainWithTheSameIdIsSafe(t *testing.T) {
+func TestRepeatedPutWithTheSameIDIsSafe(t *testing.T) {
 	v := &Value{Version: 4}
 	v.LogUnscoped("a")
 	if _, ok := v.AppliedAt("a"); !ok {
--- a/replicalist.go
+++ b/replicalist.go
@@ -79,7 +79,7 @@
 		id = r.replicaRow(now, listed.ID, o.KeepTokens)
 	}
 	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
-	cold, before := listed.WarmingUp, entry.listedAs
+	warmup, before := listed.WarmingUp, entry.listedAs
 	listed.WarmingUp = 0
 	if !known || entry.removedSince > 0 || before != listed {
 		row.Up = true
@@ -94,22 +94,22 @@
 	r.scheduler.Index.SetKeep(id, o.KeepTokens)
 	service := &r.scheduler.Services[row.Service]
 	service.Replicas = append(service.Replicas, id)
-	if cold > 0 {
-		r.scheduler.ExtendWarmup(id, r.listReadAt+cold)
+	if warmup > 0 {
+		r.scheduler.ExtendWarmup(id, r.listReadAt+warmup)
 	}
 	r.applyEvacuation(now, id, listed.Zone)
 }
 
 // replicaRow gives a new instance a row, that of one long gone where there is one.
 func (r *Router) replicaRow(now time.Duration, name string, keepTokens int) int {
-	fresh, entry := scheduler.Replica{Name: name, Warm: true}, replicaEntry{name: name, discovered: true}
+	added, entry := scheduler.Replica{Name: name, Warm: true}, replicaEntry{name: name, discovered: true}
 	id, ok := r.freeRow(now)
 	if ok {
 		delete(r.replicaIDs, r.replicas[id].name)
 		r.replicas[id] = entry
-		r.scheduler.Renew(id, fresh, keepTokens)
+		r.scheduler.Renew(id, added, keepTokens)
 	} else {
-		id = r.scheduler.AddReplica(fresh, keepTokens)
+		id = r.scheduler.AddReplica(added, keepTokens)
 		r.replicas = append(r.replicas, entry)
 	}
 	r.replicaIDs[name] = id
@@ -119,8 +119,8 @@
 func (r *Router) freeRow(now time.Duration) (int, bool) {
 	for id := range r.replicas {
 		entry := &r.replicas[id]
-		gone := entry.discovered && entry.removedSince > 0 && now-entry.removedSince >= reuseRowAfter
-		if gone && r.scheduler.Replicas[id].LocalRunning <= 0 {
+		removed := entry.discovered && entry.removedSince > 0 && now-entry.removedSince >= reuseRowAfter
+		if removed && r.scheduler.Replicas[id].LocalRunning <= 0 {
 			return id, true
 		}
 	}
--- a/route_test.go
+++ b/route_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestRowsOfInstancesLongGoneAreUsedAgain(t *testing.T) {
+func TestRowsOfRemovedInstancesAreReused(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i0", "a"))
 	for i := range 50 {
 		at := settled + time.Duration(i)*20*time.Second
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestKindsOfRoutesLongGoneAreUsedAgain(t *testing.T) {
+func TestClassesOfRemovedRoutesAreReused(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i", "a"))
 	for i := range 50 {
 		name := fmt.Sprint("k", i)
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestADomainTakenBackIsCold(t *testing.T) {
+func TestRestoredZoneIsWarmingUp(t *testing.T) {
 	p := routes(1, route("k", "/", all("a")))
 	p.EvacuatedZones = []string{"a"}
 	r := routed(p, row("i", "a"))
@@ -188,7 +188,7 @@
 }
 
 // One router's 421 is enough for all: the instance that was named is gone.
-func TestWhatOneRouterFindsGoneIsGoneForAll(t *testing.T) {
+func TestReplacedInstanceIsKnownToAllRouters(t *testing.T) {
 	p := routes(1, route("r", "/", all("a")))
 	rows := []mallowbridge.Instance{row("i1", "a"), row("i2", "a")}
 	one, two := routed(p, rows...), routed(p, rows...)
--- a/router_test.go
+++ b/router_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestMarksOnlyRise(t *testing.T) {
+func TestVersionsOnlyRise(t *testing.T) {
 	a, b := replica("p1", "both", "a", 1), replica("d1", "both", "b", 2)
 	r := router(t, a+","+b)
 	order(t, r, 5, a+","+b, "a")
--- a/scheduler/divide.go
+++ b/scheduler/divide.go
@@ -93,7 +93,7 @@
 
 func (s *Scheduler) divideService(service int, d *division) zoneFractions {
 	capacities, total := s.capacityByZone(service)
-	spare := maps.Clone(capacities)
+	headroom := maps.Clone(capacities)
 	fractions := zoneFractions{}
 	for zone := range capacities {
 		fractions[zone] = map[string]float64{}
@@ -101,18 +101,18 @@
 	lack, lacking := map[string]float64{}, 0.0
 	for _, zone := range d.zones {
 		need := total * float64(len(d.routers[zone])) / float64(max(len(s.routerZones), 1))
-		own := min(need, capacities[zone])
-		if own > 0 {
-			fractions[zone][zone] = own / capacities[zone]
-			spare[zone] -= own
+		local := min(need, capacities[zone])
+		if local > 0 {
+			fractions[zone][zone] = local / capacities[zone]
+			headroom[zone] -= local
 		}
-		lack[zone] = need - own
-		lacking += need - own
+		lack[zone] = need - local
+		lacking += need - local
 	}
 	for from := range capacities {
 		for _, to := range d.zones {
 			if lacking > 1e-9 && lack[to] > 0 {
-				fractions[from][to] += spare[from] * lack[to] / lacking / capacities[from]
+				fractions[from][to] += headroom[from] * lack[to] / lacking / capacities[from]
 			}
 		}
 	}
--- a/scheduler/divide_test.go
+++ b/scheduler/divide_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSharesSumToTheRoom(t *testing.T) {
+func TestQuotasSumToTheCapacity(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 400 {
 		var rows []RouterZone
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestSharesShrinkAtOnceAndGrowLate(t *testing.T) {
+func TestQuotasShrinkAtOnceAndGrowLater(t *testing.T) {
 	m := market(8, again)
 	if m.freeSlots(now, 0) != 8 {
 		t.Fatalf("alone it has %d of 8", m.freeSlots(now, 0))
--- a/scheduler/eject.go
+++ b/scheduler/eject.go
@@ -17,7 +17,7 @@
 
 type suspect struct {
 	r     *Replica
-	share float64
+	ratio float64
 }
 
 // serviceFailures is what is known of a service's open replicas: how many there are, how many of them are ejected, and of how many
@@ -81,7 +81,7 @@
 			suspects = append(suspects, suspect{r, ratio})
 		}
 	}
-	sort.SliceStable(suspects, func(i, j int) bool { return suspects[i].share > suspects[j].share })
+	sort.SliceStable(suspects, func(i, j int) bool { return suspects[i].ratio > suspects[j].ratio })
 	return suspects
 }
 
--- a/scheduler/finish.go
+++ b/scheduler/finish.go
@@ -147,13 +147,13 @@
 		return
 	}
 	class := &s.Services[req.Service].Classes[req.Class]
-	late := req.Placements > 0 || now-req.ArrivedAt > class.FirstTokenBound/4
-	if late {
+	afterDeadline := req.Placements > 0 || now-req.ArrivedAt > class.FirstTokenBound/4
+	if afterDeadline {
 		s.Counters.RejectedLate++
 	} else {
 		s.Counters.RejectedEarly++
 	}
-	s.emit(Action{Kind: Reject, Request: id, Reason: why, RetryAfter: class.retryAfter(wait), RejectedLate: late, Replica: -1})
+	s.emit(Action{Kind: Reject, Request: id, Reason: why, RetryAfter: class.retryAfter(wait), RejectedLate: afterDeadline, Replica: -1})
 	s.Requests.drop(id)
 }
 
--- a/scheduler/home_test.go
+++ b/scheduler/home_test.go
@@ -9,7 +9,7 @@
 
 func TestAllDomainsAgreeOnTheHomeOfASharedPart(t *testing.T) {
 	homes := map[int]int{}
-	for own := range 40 {
+	for local := range 40 {
 		seen := map[int]bool{}
 		for _, near := range []string{"a", "b"} {
 			m := New(Defaults("n", near))
@@ -17,13 +17,13 @@
 			for i := range 6 {
 				m.Services[o].Replicas = append(m.Services[o].Replicas, m.AddReplica(Replica{Name: fmt.Sprint("r", i), Service: o, Listed: true, Up: true, SameZone: (i%2 == 0) == (near == "a")}, 1000))
 			}
-			parts := []prefixindex.Part{{Key: 7, Tokens: 100}, {Key: prefixindex.Key(1000 + own), Tokens: 10}}
+			parts := []prefixindex.Part{{Key: 7, Tokens: 100}, {Key: prefixindex.Key(1000 + local), Tokens: 10}}
 			replica := m.home(&Request{Service: o, Parts: parts}, &m.Services[o])
 			seen[replica] = true
 			homes[replica]++
 		}
 		if len(seen) != 1 {
-			t.Fatalf("own part %d: homes %v", own, seen)
+			t.Fatalf("own part %d: homes %v", local, seen)
 		}
 	}
 	if len(homes) != 1 {
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -15,7 +15,7 @@
 func (s *Scheduler) occupied(now time.Duration, replica int) int {
 	r := &s.Replicas[replica]
 	n := r.load()
-	others, age, hold := n-r.LocalRunning, now-r.ReportedAt, max(s.Services[r.Service].holdTime, tickAtMost)
+	others, age, hold := n-r.LocalRunning, now-r.ReportedAt, max(s.Services[r.Service].holdTime, maxTickInterval)
 	if others <= 0 || age <= hold {
 		return n
 	}
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -10,7 +10,7 @@
 )
 
 // A crowd is many routers before many replicas, which tell each other of failures 300 ms later, with requests of one kind.
-type crowd struct {
+type cluster struct {
 	ms   []*Scheduler
 	rng  *rand.Rand
 	deaf bool
@@ -37,8 +37,8 @@
 	rows []FailureCount
 }
 
-func newCrowd(routers, replicas int) *crowd {
-	c := &crowd{rng: rand.New(rand.NewPCG(7, 9)), failed: map[time.Duration]int{}, starts: map[int]int{}}
+func newCluster(routers, replicas int) *cluster {
+	c := &cluster{rng: rand.New(rand.NewPCG(7, 9)), failed: map[time.Duration]int{}, starts: map[int]int{}}
 	var rows []RouterZone
 	for i := range routers {
 		rows = append(rows, RouterZone{fmt.Sprint("n", i), "a"})
@@ -57,7 +57,7 @@
 }
 
 // run has each router get perS requests a second.
-func (c *crowd) run(from, until time.Duration, perS float64) {
+func (c *cluster) run(from, until time.Duration, perS float64) {
 	const step = 10 * ms
 	for at := from; at < until; at += step {
 		flying := c.open
@@ -94,7 +94,7 @@
 	}
 }
 
-func (c *crowd) acts(at time.Duration, i int, acts []Action) {
+func (c *cluster) acts(at time.Duration, i int, acts []Action) {
 	m := c.ms[i]
 	for _, a := range acts {
 		switch a.Kind {
@@ -118,22 +118,22 @@
 	for _, c := range []struct {
 		name string
 		ill  int
-		how  func(c *crowd) (time.Duration, AttemptResult, bool)
+		how  func(c *cluster) (time.Duration, AttemptResult, bool)
 		most float64
 	}{
-		{"errors", 3, func(*crowd) (time.Duration, AttemptResult, bool) { return 5 * ms, Completed, true }, 0.55},
-		{"breaks", 3, func(*crowd) (time.Duration, AttemptResult, bool) { return 5 * ms, Failed, false }, 0.55},
-		{"errors for half", 3, func(c *crowd) (time.Duration, AttemptResult, bool) {
+		{"errors", 3, func(*cluster) (time.Duration, AttemptResult, bool) { return 5 * ms, Completed, true }, 0.55},
+		{"breaks", 3, func(*cluster) (time.Duration, AttemptResult, bool) { return 5 * ms, Failed, false }, 0.55},
+		{"errors for half", 3, func(c *cluster) (time.Duration, AttemptResult, bool) {
 			if c.rng.Float64() < 0.5 {
 				return 5 * ms, Completed, true
 			}
 			return 60 * ms, Completed, false
 		}, 0.75},
-		{"silent", 3, func(*crowd) (time.Duration, AttemptResult, bool) { return 0, 0, false }, 0.6},
+		{"silent", 3, func(*cluster) (time.Duration, AttemptResult, bool) { return 0, 0, false }, 0.6},
 	} {
 		failures := map[bool]int{}
 		for _, deaf := range []bool{true, false} {
-			w := newCrowd(30, 30)
+			w := newCluster(30, 30)
 			w.deaf = deaf
 			w.answer = func(at time.Duration, replica int) (time.Duration, AttemptResult, bool) {
 				if replica < c.ill && at >= 5*time.Second && at < 12*time.Second {
@@ -165,7 +165,7 @@
 }
 
 func TestFewFailuresEjectNobody(t *testing.T) {
-	w := newCrowd(30, 30)
+	w := newCluster(30, 30)
 	w.answer = func(time.Duration, int) (time.Duration, AttemptResult, bool) {
 		if w.rng.Float64() < 0.05 {
 			return 5 * ms, Failed, false
@@ -183,7 +183,7 @@
 }
 
 func TestAServiceIsNeverEmptiedByEjection(t *testing.T) {
-	w := newCrowd(20, 10)
+	w := newCluster(20, 10)
 	w.answer = func(time.Duration, int) (time.Duration, AttemptResult, bool) { return 5 * ms, Completed, true }
 	w.run(3*time.Second, 9*time.Second, 20)
 	for i, m := range w.ms {
@@ -204,7 +204,7 @@
 
 // A router whose own way to the replicas is broken accuses them all; the others take no heed.
 func TestAnAccuserOfAllIsNotBelieved(t *testing.T) {
-	m := newCrowd(3, 10).ms[0]
+	m := newCluster(3, 10).ms[0]
 	at := 5 * time.Second
 	var all []FailureCount
 	for i := range 10 {
--- a/scheduler/prefill.go
+++ b/scheduler/prefill.go
@@ -136,17 +136,17 @@
 	if req.ConfirmedTokens < 2*shortestPrompt || req.PredictedTokens > 0 {
 		return false
 	}
-	whole := time.Duration(prefillWork(s.unreadTokens(req, 0, 0)) * s.pace(req.Replica))
+	complete := time.Duration(prefillWork(s.unreadTokens(req, 0, 0)) * s.pace(req.Replica))
 	reading := elapsed - s.Services[req.Service].Base
-	return req.Estimate-s.Services[req.Service].Base < whole/2 && reading > whole*4/5 && elapsed > req.Estimate*3/2
+	return req.Estimate-s.Services[req.Service].Base < complete/2 && reading > complete*4/5 && elapsed > req.Estimate*3/2
 }
 
 // batchCost weighs a replica that batches, in units of a late first event.
 func (s *Scheduler) batchCost(now time.Duration, req *Request, c choice, home bool) float64 {
 	r, svc := &s.Replicas[c.replica], &s.Services[req.Service]
 	bound := float64(svc.Classes[req.Class].FirstTokenBound)
-	late := float64(c.estimate) / max(float64(req.Due-now), bound/8)
-	cost := min(late*late*late, 64) + 0.1*float64(c.estimate)/bound + 0.5*s.fullness(now, c.replica)
+	afterDeadline := float64(c.estimate) / max(float64(req.Due-now), bound/8)
+	cost := min(afterDeadline*afterDeadline*afterDeadline, 64) + 0.1*float64(c.estimate)/bound + 0.5*s.fullness(now, c.replica)
 	if shared := prefixindex.Tokens(req.Parts[:max(len(req.Parts)-1, 0)]) - c.confirmed - c.predicted; shared > 0 && !home {
 		cost += s.cfg.RereadCost * float64(shared) / 1000
 	}
--- a/scheduler/prefill_test.go
+++ b/scheduler/prefill_test.go
@@ -133,7 +133,7 @@
 		if p.Replica != 1 {
 			t.Errorf("%d tokens behind another router's long prompt", tokens)
 		}
-		if told := p.UnreadTokens > 0; told != (tokens > 4000) {
+		if announced := p.UnreadTokens > 0; announced != (tokens > 4000) {
 			t.Errorf("%d tokens, others are told %d", tokens, p.UnreadTokens)
 		}
 	}
--- a/scheduler/route_test.go
+++ b/scheduler/route_test.go
@@ -11,8 +11,8 @@
 
 var stream = Class{Value: 1, Urgency: 1, FirstTokenBound: 800 * ms, MaxAttempts: 2, Timeout: 3 * time.Second}
 
-func queueing(capacity int, kinds ...Class) *Scheduler {
-	m := market(capacity, kinds...)
+func queueing(capacity int, classes ...Class) *Scheduler {
+	m := market(capacity, classes...)
 	m.Services[0].Queues = true
 	m.Recompute(now)
 	return m
@@ -27,7 +27,7 @@
 	return id, p
 }
 
-func TestColdReplicasGetTheirRateFromAllRoutersTogether(t *testing.T) {
+func TestWarmupRateHoldsOverAllRouters(t *testing.T) {
 	for _, n := range []int{12, 88} {
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		rows := func(n int) []RouterZone {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestColdRateHoldsAtSending(t *testing.T) {
+func TestWarmupRateHoldsAtSending(t *testing.T) {
 	m := queueing(8, stream)
 	m.Replicas[1].Listed = false
 	m.Services[0].WarmupRate = 1
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestNoRefusalWhileRoomIsFree(t *testing.T) {
+func TestNoRejectionWhileCapacityIsFree(t *testing.T) {
 	m := queueing(8, stream)
 	slow := time.Duration(0)
 	for i := range 16 {
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestOldNewsOfOthersFade(t *testing.T) {
+func TestOldReportsOfOthersFade(t *testing.T) {
 	m := queueing(8, stream)
 	for i := range m.Replicas {
 		m.ReportLocalLoad(now, i, 200)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -185,9 +185,9 @@
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
 const (
-	// pollEvery is how often waiting requests are looked at again, tickAtMost how long a scheduler with open requests may sleep.
-	pollEvery  = 10 * time.Millisecond
-	tickAtMost = 250 * time.Millisecond
+	// pollEvery is how often waiting requests are looked at again, maxTickInterval how long a scheduler with open requests may sleep.
+	pollEvery       = 10 * time.Millisecond
+	maxTickInterval = 250 * time.Millisecond
 )
 
 // Next is when the scheduler needs the time again without an event, if ever.
@@ -198,5 +198,5 @@
 	if s.Requests.count == 0 && s.Index.Open() == 0 {
 		return 0, false
 	}
-	return min(now+tickAtMost, s.nextDeadline), true
+	return min(now+maxTickInterval, s.nextDeadline), true
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func market(capacity int, kinds ...Class) *Scheduler {
+func market(capacity int, classes ...Class) *Scheduler {
 	m := New(Defaults("n1", "a"))
-	o := m.AddService(Service{Name: "o", Classes: kinds, RetryRatio: 0.2, RetryAllowance: 4, Base: 50 * time.Millisecond, PerToken: 200 * time.Microsecond, CrossZoneCost: 1})
+	o := m.AddService(Service{Name: "o", Classes: classes, RetryRatio: 0.2, RetryAllowance: 4, Base: 50 * time.Millisecond, PerToken: 200 * time.Microsecond, CrossZoneCost: 1})
 	for i := range 2 {
 		dom := string(rune('a' + i))
 		r := m.AddReplica(Replica{Name: "r" + dom, Service: o, Zone: dom, SameZone: i == 0, Capacity: capacity, Listed: true, Up: true, Warm: true}, 1000)
@@ -24,15 +24,15 @@
 
 const now = 3 * time.Second
 
-func only(t *testing.T, acts []Action, kinds ...ActionKind) Action {
+func only(t *testing.T, acts []Action, classes ...ActionKind) Action {
 	t.Helper()
-	if len(acts) != len(kinds) {
-		t.Fatalf("%+v, want kinds %v", acts, kinds)
+	if len(acts) != len(classes) {
+		t.Fatalf("%+v, want kinds %v", acts, classes)
 	}
 	var a Action
-	for i, k := range kinds {
+	for i, k := range classes {
 		if acts[i].Kind != k {
-			t.Fatalf("%+v, want kinds %v", acts, kinds)
+			t.Fatalf("%+v, want kinds %v", acts, classes)
 		}
 		a = acts[i]
 	}
@@ -75,7 +75,7 @@
 	only(t, m.Tick(now+2*time.Second), Unknown)
 }
 
-func TestQueuedPlacementIsCheckedAgainAtSending(t *testing.T) {
+func TestQueuedPlacementIsRecheckedAtSending(t *testing.T) {
 	for name, spoil := range map[string]func(m *Scheduler){
 		"leaving": func(m *Scheduler) { m.Replicas[0].Leaving = true },
 		"emptied": func(m *Scheduler) { m.Replicas[0].Evacuated = true },
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestSecondGoesKeepTheirShareOverAnyWindow(t *testing.T) {
+func TestRetriesKeepTheirRatioOverAnyWindow(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	p := retryBudget{}
 	p.configure(0.2, 6)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestABrokenReplicaIsTakenForColdUntilItsReportSaysOtherwise(t *testing.T) {
+func TestFailedReplicaIsWarmingUpUntilItsReport(t *testing.T) {
 	m := market(8, once)
 	m.Services[0].SlowStart, m.Services[0].WarmupCapacity = 8*time.Second, 1
 	m.Replicas[0].effectiveSlots, m.Replicas[1].effectiveSlots = -1, -1
--- a/sim/answers.go
+++ b/sim/answers.go
@@ -7,21 +7,21 @@
 )
 
 // job makes the request's work; what is taken up is read as a longer prompt.
-func (i *Instance) job(k *socket, r *request) *job {
-	q := r.try.want
-	stride := max(i.offer.Stride, 1)
-	j := &job{parts: q.parts, prompt: max(q.prompt+r.after*stride, 1), out: max((q.events-r.after)*stride, 1), work: q.work, rank: r.rank, until: r.until}
-	run := fmt.Sprintf("%s.%d", i.ID, i.eng.seq+1)
+func (i *Instance) job(k *socket, r *sentRequest) *job {
+	q := r.try.request
+	stride := max(i.service.Stride, 1)
+	j := &job{parts: q.parts, prompt: max(q.prompt+r.after*stride, 1), out: max((q.events-r.after)*stride, 1), work: q.work, priority: r.rank, until: r.until}
+	run := fmt.Sprintf("%s.%d", i.ID, i.engine.seq+1)
 	headed := false
 	bad := ""
-	if g := i.garble; g.every > 0 && i.s.whim.IntN(g.every) == 0 {
+	if g := i.garble; g.every > 0 && i.s.rng.IntN(g.every) == 0 {
 		bad = g.how
 	}
 	at := 0
 	if q.class.Streaming && q.events > 1 {
-		at = 1 + i.s.whim.IntN(q.events)
+		at = 1 + i.s.rng.IntN(q.events)
 	}
-	j.late = func() { i.refuse(k, r) }
+	j.overdue = func() { i.refuse(k, r) }
 	j.begun = func() { i.s.rules.began(i, r) }
 	j.event = func(n int, last bool) {
 		n += r.after
@@ -29,7 +29,7 @@
 		if !headed {
 			headed = true
 			p.head = i.head(r, http.StatusOK)
-			p.head.seal, p.head.stream, p.head.shut = run, q.class.Streaming, p.head.shut || i.s.whim.IntN(closesEvery) == 0
+			p.head.seal, p.head.stream, p.head.shut = run, q.class.Streaming, p.head.shut || i.s.rng.IntN(closesEvery) == 0
 		}
 		if last {
 			k.job = nil
@@ -53,15 +53,15 @@
 			return false
 		}
 		k.reply(p)
-		again := packet{head: p.head, data: p.data, end: true}
-		if again.head == nil {
-			again.head = &head{status: http.StatusOK, attempt: "another", instance: i.ID}
+		repeated := packet{head: p.head, data: p.data, end: true}
+		if repeated.head == nil {
+			repeated.head = &head{status: http.StatusOK, attempt: "another", instance: i.ID}
 		}
 		wait := time.Duration(0)
 		if how == "late" {
-			wait = time.Duration(i.s.whim.Int64N(int64(300 * time.Millisecond)))
+			wait = time.Duration(i.s.rng.Int64N(int64(300 * time.Millisecond)))
 		}
-		w.after(wait, func() { k.reply(again) })
+		w.after(wait, func() { k.reply(repeated) })
 		return true
 	case "cut":
 		p.data, p.end, p.reset = p.data[:len(p.data)/2], false, true
@@ -75,7 +75,7 @@
 	if how != "silent" {
 		k.reply(p)
 	}
-	i.eng.Drop(j)
+	i.engine.Drop(j)
 	k.job = nil
 	return true
 }
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -14,83 +14,82 @@
 	orderWithin   = 2 * time.Second
 	emptyWithin   = 5 * time.Second
 	secondWindow  = 10 * time.Second
-	secondShare   = 0.2
 	secondPlus    = 24
 	gossipTravel  = 500 * time.Millisecond
 	storyLines    = 90
 )
 
-// Kinds of breach of the rules.
+// Classes of breach of the rules.
 const (
-	OldSnapshot    = "old configuration obeyed"
-	OlderSnapshot  = "older configuration came back"
-	ToEvacuated    = "work for an emptied domain"
-	ToLeaving      = "work for a leaving replica"
-	TooManySeconds = "too many second goes"
-	Flooded        = "cold replica flooded"
-	LostMark       = "accepted configuration was lost"
-	NoReturn       = "service did not return"
-	TwoValues      = "one mark, two configurations"
-	TwoHolders     = "two holders of one claim"
-	Unreadable     = "a frame that a neighbouring build cannot read"
-	Undue          = "contents of a configuration not obeyed"
-	RepeatedUnsafe = "second go of a kind that may not be repeated"
-	StaleGuess     = "warm guess outlived its time"
-	Unproved       = "counted as confirmed without proof"
+	OldSnapshot     = "old configuration obeyed"
+	OlderSnapshot   = "older configuration came back"
+	ToEvacuated     = "work for an emptied domain"
+	ToLeaving       = "work for a leaving replica"
+	TooManySeconds  = "too many second goes"
+	Flooded         = "cold replica flooded"
+	LostVersion     = "accepted configuration was lost"
+	NoReturn        = "service did not return"
+	TwoValues       = "one mark, two configurations"
+	TwoHolders      = "two holders of one claim"
+	Unreadable      = "a frame that a neighbouring build cannot read"
+	Undue           = "contents of a configuration not obeyed"
+	RepeatedUnsafe  = "second go of a kind that may not be repeated"
+	StalePrediction = "warm guess outlived its time"
+	Unproved        = "counted as confirmed without proof"
 )
 
 // A fact is known outside the nodes; domain is where it was told.
-type fact struct {
-	at     time.Duration
-	domain string
-	mark   uint64
+type versionFact struct {
+	at      time.Duration
+	zone    string
+	version uint64
 }
 
-type span struct {
-	domain      string
+type partitionSpan struct {
+	zone        string
 	from, until time.Duration
 }
 
-type stamp struct {
-	at   time.Duration
-	mark uint64
+type versionAt struct {
+	at      time.Duration
+	version uint64
 }
 
 // Audit checks the rules of the fleet as the run goes, by what was told outside the nodes. Breaches holds the first 50 breaches, Story the
 // trace before the first, Exempt how many attempts only a network cut excuses.
 type Audit struct {
-	w        *World
-	Breaches []ledger.Breach
-	marks    []fact
-	high     uint64
-	emptyAt  map[string]fact
-	leftAt   map[string]fact
-	obeyed   map[string]uint64
-	bodies   map[uint64]string
-	contents []*content
-	cuts     []span
-	firsts   []time.Duration
-	seconds  []time.Duration
-	guesses  map[guessKey]time.Duration
-	proofs   map[guessKey]bool
-	Story    []string
-	Exempt   int
-	orders   map[string][]stamp
+	w             *World
+	Breaches      []ledger.Breach
+	versions      []versionFact
+	highest       uint64
+	evacuatedAt   map[string]versionFact
+	drainedAt     map[string]versionFact
+	applied       map[string]uint64
+	bodies        map[uint64]string
+	contents      []*content
+	partitions    []partitionSpan
+	firstAttempts []time.Duration
+	retries       []time.Duration
+	predictions   map[predictionKey]time.Duration
+	proofs        map[predictionKey]bool
+	Story         []string
+	Exempt        int
+	orders        map[string][]versionAt
 }
 
 func newAudit(w *World) *Audit {
 	return &Audit{
-		w: w, emptyAt: map[string]fact{}, leftAt: map[string]fact{}, obeyed: map[string]uint64{}, bodies: map[uint64]string{},
-		guesses: map[guessKey]time.Duration{}, proofs: map[guessKey]bool{}, orders: map[string][]stamp{},
+		w: w, evacuatedAt: map[string]versionFact{}, drainedAt: map[string]versionFact{}, applied: map[string]uint64{}, bodies: map[uint64]string{},
+		predictions: map[predictionKey]time.Duration{}, proofs: map[predictionKey]bool{}, orders: map[string][]versionAt{},
 	}
 }
 
 // known tells from when on a node must count with a fact: a cut-off domain has until the cut heals for what was told
 // outside, and no node has longer.
-func (a *Audit) known(n *Node, f fact) time.Duration {
+func (a *Audit) known(n *Node, f versionFact) time.Duration {
 	at := f.at
-	for _, s := range a.cuts {
-		if (n.Domain == s.domain) != (f.domain == s.domain) && at >= s.from-gossipTravel && at < s.until {
+	for _, s := range a.partitions {
+		if (n.Zone == s.zone) != (f.zone == s.zone) && at >= s.from-gossipTravel && at < s.until {
 			at = s.until
 		}
 	}
@@ -98,7 +97,7 @@
 }
 
 // late tells whether a node acts against a fact longer than it may; gos that only a cut excuses are counted.
-func (a *Audit) late(n *Node, f fact, within time.Duration) bool {
+func (a *Audit) late(n *Node, f versionFact, within time.Duration) bool {
 	if a.w.now-f.at <= within {
 		return false
 	}
@@ -121,9 +120,9 @@
 
 func (a *Audit) accepted(n *Node, v *register.Value) {
 	a.same(v)
-	if v.Version > a.high {
-		a.high = v.Version
-		a.marks = append(a.marks, fact{at: a.w.now, mark: v.Version, domain: n.Domain})
+	if v.Version > a.highest {
+		a.highest = v.Version
+		a.versions = append(a.versions, versionFact{at: a.w.now, version: v.Version, zone: n.Zone})
 		a.w.Say("accepted mark %d", v.Version)
 	}
 }
@@ -136,57 +135,57 @@
 	a.bodies[v.Version] = text
 }
 
-func (a *Audit) emptied(n *Node, domain string, yes bool) {
-	delete(a.emptyAt, domain)
+func (a *Audit) emptied(n *Node, zone string, yes bool) {
+	delete(a.evacuatedAt, zone)
 	if yes {
-		a.emptyAt[domain] = fact{at: a.w.now, domain: n.Domain}
+		a.evacuatedAt[zone] = versionFact{at: a.w.now, zone: n.Zone}
 	}
 }
 
-func (a *Audit) leaves(n *Node, rep string) {
-	if _, ok := a.leftAt[rep]; !ok {
-		a.leftAt[rep] = fact{at: a.w.now, domain: n.Domain}
+func (a *Audit) leaves(n *Node, replica string) {
+	if _, ok := a.drainedAt[replica]; !ok {
+		a.drainedAt[replica] = versionFact{at: a.w.now, zone: n.Zone}
 	}
 }
 
-func (a *Audit) back(rep string) { delete(a.leftAt, rep) }
+func (a *Audit) back(replica string) { delete(a.drainedAt, replica) }
 
 func (a *Audit) due(n *Node) uint64 {
-	for i := len(a.marks) - 1; i >= 0; i-- {
-		f := a.marks[i]
+	for i := len(a.versions) - 1; i >= 0; i-- {
+		f := a.versions[i]
 		if a.w.now-f.at > orderWithin && a.w.now-a.known(n, f) > orderWithin {
-			return f.mark
+			return f.version
 		}
 	}
 	return 0
 }
 
-func (a *Audit) sent(f *flight, c *conn) {
+func (a *Audit) sent(f *fleetRequest, c *fleetConn) {
 	now, n := a.w.now, f.n
-	mark, due := n.router.Version(), a.due(n)
-	if mark < due {
-		a.breach(OldSnapshot, n.Name, fmt.Sprintf("mark %d, due %d", mark, due))
+	version, due := n.router.Version(), a.due(n)
+	if version < due {
+		a.breach(OldSnapshot, n.Name, fmt.Sprintf("mark %d, due %d", version, due))
 	}
-	for i := len(a.marks) - 1; i >= 0 && a.marks[i].mark > mark; i-- {
-		if a.marks[i].mark > due && now-a.marks[i].at > orderWithin {
+	for i := len(a.versions) - 1; i >= 0 && a.versions[i].version > version; i-- {
+		if a.versions[i].version > due && now-a.versions[i].at > orderWithin {
 			a.Exempt++
 			break
 		}
 	}
-	if mark < a.obeyed[n.Name] {
-		a.breach(OlderSnapshot, n.Name, fmt.Sprintf("mark %d after %d", mark, a.obeyed[n.Name]))
+	if version < a.applied[n.Name] {
+		a.breach(OlderSnapshot, n.Name, fmt.Sprintf("mark %d after %d", version, a.applied[n.Name]))
 	}
-	a.obeyed[n.Name] = max(a.obeyed[n.Name], mark)
-	if left, ok := a.leftAt[c.rep.Name]; ok && a.late(n, left, leavingWithin) {
-		a.breach(ToLeaving, c.rep.Name, n.Name)
+	a.applied[n.Name] = max(a.applied[n.Name], version)
+	if left, ok := a.drainedAt[c.replica.Name]; ok && a.late(n, left, leavingWithin) {
+		a.breach(ToLeaving, c.replica.Name, n.Name)
 	}
-	a.obeysContents(f, c, due)
-	if f.gos == 1 {
-		a.firsts = append(a.firsts, now)
+	a.appliesContents(f, c, due)
+	if f.attempts == 1 {
+		a.firstAttempts = append(a.firstAttempts, now)
 		return
 	}
-	a.w.Report.Seconds++
-	a.seconds = append(a.seconds, now)
+	a.w.Report.Retries++
+	a.retries = append(a.retries, now)
 	in := func(ts []time.Duration) int {
 		var k int
 		for i := len(ts) - 1; i >= 0 && now-ts[i] < secondWindow; i-- {
@@ -194,16 +193,16 @@
 		}
 		return k
 	}
-	if s, fst := in(a.seconds), in(a.firsts); float64(s) > secondShare*float64(fst)+secondPlus {
+	if s, fst := in(a.retries), in(a.firstAttempts); float64(s) > retryRatio*float64(fst)+secondPlus {
 		a.breach(TooManySeconds, n.Name, fmt.Sprintf("%d for %d", s, fst))
 	}
 }
 
-func (a *Audit) begun(r *Rep) {
-	if r.m.Floods > 0 {
-		a.breach(Flooded, r.Name, fmt.Sprintf("%d running, bears %d, cold for %s", len(r.m.running), r.m.Bears(a.w.now), a.w.now-r.m.born))
-		a.w.Report.Floods += r.m.Floods
-		r.m.Floods = 0
+func (a *Audit) begun(r *FleetReplica) {
+	if r.model.Floods > 0 {
+		a.breach(Flooded, r.Name, fmt.Sprintf("%d running, bears %d, cold for %s", len(r.model.running), r.model.Bears(a.w.now), a.w.now-r.model.startedAt))
+		a.w.Report.Floods += r.model.Floods
+		r.model.Floods = 0
 	}
 }
 
@@ -224,23 +223,23 @@
 }
 
 func (a *Audit) obeys(n *Node) {
-	a.orders[n.Name] = append(a.orders[n.Name], stamp{at: a.w.now, mark: n.router.Version()})
+	a.orders[n.Name] = append(a.orders[n.Name], versionAt{at: a.w.now, version: n.router.Version()})
 }
 
 // Obeyed tells for each accepted mark how long the slowest node took to obey it or a later one.
 func (a *Audit) Obeyed() []int64 {
 	var ms []int64
-	for _, s := range a.marks {
+	for _, s := range a.versions {
 		var slowest int64
 		for _, n := range a.w.Nodes {
-			took := (a.w.now - s.at).Milliseconds()
+			elapsed := (a.w.now - s.at).Milliseconds()
 			for _, o := range a.orders[n.Name] {
-				if o.mark >= s.mark {
-					took = max((o.at - s.at).Milliseconds(), 0)
+				if o.version >= s.version {
+					elapsed = max((o.at - s.at).Milliseconds(), 0)
 					break
 				}
 			}
-			slowest = max(slowest, took)
+			slowest = max(slowest, elapsed)
 		}
 		ms = append(ms, slowest)
 	}
--- a/sim/calls.go
+++ b/sim/calls.go
@@ -7,25 +7,25 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// Call runs an operation at a node and has done called with its answer; a node that goes down meanwhile answers a GoneError after 6 s.
+// Call runs an operation at a node and has done called with its answer; a node that goes down meanwhile answers a NodeDownError after 6 s.
 func (w *World) Call(n *Node, op control.Op, done func(a control.Answer)) {
 	w.asks++
 	id := w.asks
 	w.answers[id] = done
-	life := n.life
+	incarnation := n.incarnation
 	n.step(control.Command{ID: id, Op: op})
 	w.after(6*time.Second, func() {
-		if w.answers[id] != nil && (n.life != life || !n.Alive) {
+		if w.answers[id] != nil && (n.incarnation != incarnation || !n.Alive) {
 			delete(w.answers, id)
-			done(control.Answer{ID: id, Err: &GoneError{Node: n.Name}})
+			done(control.Answer{ID: id, Err: &NodeDownError{Node: n.Name}})
 		}
 	})
 }
 
-// GoneError says that a node went down before it answered.
-type GoneError struct{ Node string }
+// NodeDownError says that a node went down before it answered.
+type NodeDownError struct{ Node string }
 
-func (e *GoneError) Error() string { return e.Node + " went down with the answer" }
+func (e *NodeDownError) Error() string { return e.Node + " went down with the answer" }
 
 // Put puts a configuration at a node and has it audited.
 func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
@@ -42,12 +42,12 @@
 }
 
 // Evacuate empties a zone at a node, or takes that back, and has it audited.
-func (w *World) Evacuate(n *Node, domain string, restore bool, done func(a control.Answer)) {
+func (w *World) Evacuate(n *Node, zone string, restore bool, done func(a control.Answer)) {
 	w.asks++
-	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Zone: domain, Restore: restore}, func(a control.Answer) {
+	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Zone: zone, Restore: restore}, func(a control.Answer) {
 		if a.Err == nil {
 			w.Audit.accepted(n, a.Value)
-			w.Audit.emptied(n, domain, !restore)
+			w.Audit.emptied(n, zone, !restore)
 		}
 		done(a)
 	})
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -10,7 +10,7 @@
 )
 
 // A look is a request that nobody misses: it shows which document a node goes by.
-type look struct{ revision uint64 }
+type configurationProbe struct{ revision uint64 }
 
 const bigRoutes = 400
 
@@ -27,11 +27,11 @@
 				r.Timeout += time.Duration(rng.IntN(200)) * time.Millisecond
 			}
 		case rng.IntN(3) == 0:
-			other := spec.Offers[rng.IntN(len(spec.Offers))].Name
+			other := spec.Services[rng.IntN(len(spec.Services))].Name
 			r.TrafficSplit = []config.WeightedService{{Service: other, Weight: 1}}
 		case rng.IntN(4) == 0:
 			r.TrafficSplit = nil
-			for _, x := range spec.Offers {
+			for _, x := range spec.Services {
 				r.TrafficSplit = append(r.TrafficSplit, config.WeightedService{Service: x.Name, Weight: float64(1 + rng.IntN(9))})
 			}
 		}
@@ -42,7 +42,7 @@
 		}
 	}
 	if rng.IntN(2) == 0 {
-		c.Routes = append(c.Routes, spec.idle(fmt.Sprintf("idle%d", 100+o.n), rng.IntN(len(spec.Offers))))
+		c.Routes = append(c.Routes, spec.idle(fmt.Sprintf("idle%d", 100+o.n), rng.IntN(len(spec.Services))))
 	}
 }
 
@@ -89,25 +89,25 @@
 	if base == nil {
 		return
 	}
-	flaws := []func(c *config.Config){
+	violations := []func(c *config.Config){
 		func(c *config.Config) {
 			c.Routes[0].TrafficSplit = []config.WeightedService{{Service: "nobody", Weight: 1}}
 		},
 		func(c *config.Config) {
-			c.Routes[1].TrafficSplit = []config.WeightedService{{Service: o.s.spec.Offers[0].Name}}
+			c.Routes[1].TrafficSplit = []config.WeightedService{{Service: o.s.spec.Services[0].Name}}
 		},
 		func(c *config.Config) { c.Routes[2].Timeout = 0 },
 		func(c *config.Config) { c.Routes[0].Prefix = c.Routes[1].Prefix },
 		func(c *config.Config) { c.Revision = base.revision },
 	}
-	for i, flaw := range flaws {
+	for i, flaw := range violations {
 		c := base.clone()
 		c.Revision = o.last + 1 + uint64(i)
 		flaw(&c)
 		v := &version{revision: c.Revision, doc: c, raw: writeDocument(c), flawed: true}
 		o.send(&order{op: control.Edit{ID: o.id(), Base: base.revision, Apply: putEdit(base.revision, v.raw)}, v: v, base: base.revision})
 	}
-	o.last += uint64(len(flaws))
+	o.last += uint64(len(violations))
 }
 
 // looks asks every node for the routes that two versions differ in, soon after the change and when it must be obeyed.
@@ -141,11 +141,11 @@
 		return
 	}
 	s.load.n++
-	q := &want{
-		s: s, id: fmt.Sprintf("look%d", s.load.n), class: &s.look, path: path, domain: n.Domain, at: s.w.now, until: s.w.now + time.Second, events: 1, prompt: 1,
-		work: 5 * time.Millisecond, tries: 1,
+	q := &clientRequest{
+		s: s, id: fmt.Sprintf("look%d", s.load.n), class: &s.probeClass, path: path, domain: n.Zone, at: s.w.now, deadline: s.w.now + time.Second, events: 1, prompt: 1,
+		work: 5 * time.Millisecond, attempts: 1,
 	}
-	c := &try{want: q, id: q.id, n: n, path: path, sent: s.w.now, patience: time.Second, probe: &look{revision: revision}}
+	c := &clientAttempt{request: q, id: q.id, n: n, path: path, sent: s.w.now, patience: time.Second, probe: &configurationProbe{revision: revision}}
 	s.rules.submitted(c)
 	c.start()
 }
--- a/sim/client.go
+++ b/sim/client.go
@@ -10,30 +10,30 @@
 )
 
 // A want is what a user agent wants, over all its tries.
-type want struct {
-	s      *site
-	id     string
-	class  *TrafficClass
-	path   string
-	prefix string
-	parts  []prefixindex.Part
-	prompt int
-	events int
-	work   time.Duration
-	domain string
-	at     time.Duration
-	until  time.Duration
-	tries  int
-	last   int
-	first  time.Duration
-	spoke  time.Duration
-	gap    time.Duration
-	served bool
-	over   bool
+type clientRequest struct {
+	s           *site
+	id          string
+	class       *TrafficClass
+	path        string
+	prefix      string
+	parts       []prefixindex.Part
+	prompt      int
+	events      int
+	work        time.Duration
+	domain      string
+	at          time.Duration
+	deadline    time.Duration
+	attempts    int
+	last        int
+	first       time.Duration
+	lastEventAt time.Duration
+	gap         time.Duration
+	served      bool
+	over        bool
 }
 
 // data is the n-th event, or the whole answer, of one run.
-func (q *want) data(n int, run string) []byte {
+func (q *clientRequest) data(n int, run string) []byte {
 	if !q.class.Streaming {
 		return fmt.Appendf(nil, "%s of %s", q.id, run)
 	}
@@ -41,8 +41,8 @@
 }
 
 // A try is one request of a user agent to one node.
-type try struct {
-	want     *want
+type clientAttempt struct {
+	request  *clientRequest
 	n        *Node
 	id       string
 	path     string
@@ -52,7 +52,7 @@
 	passes   int
 	read     bool
 	over     bool
-	t        *trip
+	proxied  *proxyRequest
 	due      time.Duration
 	h        *head
 	text     []byte
@@ -60,22 +60,22 @@
 	fault    string
 	status   int
 	// began counts the runs at replicas, made is the newest event of any.
-	began, made int
-	madeAt      time.Duration
-	refused     bool
-	harmed      bool
+	runsBegun, eventsMade int
+	madeAt                time.Duration
+	refused               bool
+	harmed                bool
 	// working tells that a replica was at work when the node's process ended.
 	working bool
-	took    time.Duration
-	probe   *look
+	readAt  time.Duration
+	probe   *configurationProbe
 }
 
 const clientDelay = time.Millisecond
 
-func (q *want) submit() {
+func (q *clientRequest) submit() {
 	s := q.s
-	q.tries++
-	c := &try{want: q, id: fmt.Sprintf("%s.%d", q.id, q.tries), path: q.path, sent: s.w.now, patience: q.until - s.w.now, last: q.last}
+	q.attempts++
+	c := &clientAttempt{request: q, id: fmt.Sprintf("%s.%d", q.id, q.attempts), path: q.path, sent: s.w.now, patience: q.deadline - s.w.now, last: q.last}
 	if c.n = s.pick(q.domain); c.n == nil {
 		q.failed(c, 0, false)
 		return
@@ -84,8 +84,8 @@
 	c.start()
 }
 
-func (c *try) start() {
-	w := c.want.s.w
+func (c *clientAttempt) start() {
+	w := c.request.s.w
 	n := c.n
 	w.after(clientDelay, func() {
 		if !n.Alive {
@@ -95,32 +95,32 @@
 			return
 		}
 		n.live(func() {
-			n.enter(func() {
+			n.accept(func() {
 				if !c.over {
-					c.read, c.took = true, w.now
+					c.read, c.readAt = true, w.now
 					n.takeTry(c)
 				}
 			})
 		})
 	})
 	w.after(min(time.Second, c.patience/3), func() {
-		if !c.read && !c.over && (c.want.class.Repeatable || !n.Alive) {
+		if !c.read && !c.over && (c.request.class.Repeatable || !n.Alive) {
 			c.over = true
-			c.want.failed(c, 0, true)
+			c.request.failed(c, 0, true)
 		}
 	})
 	w.after(c.patience, func() { c.hangup() })
-	if c.want.class.Streaming {
-		c.want.spoke = w.now
+	if c.request.class.Streaming {
+		c.request.lastEventAt = w.now
 		c.watch()
 	}
 }
 
 // watch gives a stream up after a long silence.
-func (c *try) watch() {
-	q := c.want
-	most := max(2*time.Second, 4*q.class.Aim, 8*q.class.Gap)
-	quiet := q.s.w.now - q.spoke
+func (c *clientAttempt) watch() {
+	q := c.request
+	most := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.Gap)
+	quiet := q.s.w.now - q.lastEventAt
 	if quiet >= most {
 		c.hangup()
 	}
@@ -129,19 +129,19 @@
 	}
 }
 
-func (c *try) hangup() {
+func (c *clientAttempt) hangup() {
 	if c.over {
 		return
 	}
 	c.over = true
-	c.want.s.report.GaveUp++
-	c.want.s.rules.ended(c, "gave up")
-	c.want.done(false)
+	c.request.s.report.GaveUp++
+	c.request.s.rules.ended(c, "gave up")
+	c.request.done(false)
 	n := c.n
-	c.want.s.w.after(clientDelay, func() {
-		if t := c.t; t != nil && n.Alive && n.life == t.life {
+	c.request.s.w.after(clientDelay, func() {
+		if t := c.proxied; t != nil && n.Alive && n.incarnation == t.life {
 			n.live(func() {
-				if !t.ex.Over() {
+				if !t.exchange.Over() {
 					t.happened(proxy.ClientClosed{})
 				}
 			})
@@ -150,8 +150,8 @@
 }
 
 // send carries what a node sends to the user agent, in order.
-func (c *try) send(_ *Node, do func()) {
-	w := c.want.s.w
+func (c *clientAttempt) send(_ *Node, do func()) {
+	w := c.request.s.w
 	c.due = max(c.due, w.now+clientDelay)
 	w.at(c.due, func() {
 		if !c.over {
@@ -161,17 +161,17 @@
 }
 
 // failed tries again where that is allowed and there is time.
-func (q *want) failed(c *try, after time.Duration, unrun bool) {
-	left := q.until - q.s.w.now
-	again := q.class.Repeatable || unrun
-	if c.status == http.StatusNotFound || !again || q.tries > 1 || left < 50*time.Millisecond || (q.last > 0 && !q.class.Resumable) || c.probe != nil {
+func (q *clientRequest) failed(c *clientAttempt, after time.Duration, unrun bool) {
+	left := q.deadline - q.s.w.now
+	repeated := q.class.Repeatable || unrun
+	if c.status == http.StatusNotFound || !repeated || q.attempts > 1 || left < 50*time.Millisecond || (q.last > 0 && !q.class.Resumable) || c.probe != nil {
 		q.done(false)
 		return
 	}
 	q.s.w.after(min(after, left/3)+time.Millisecond, q.submit)
 }
 
-func (q *want) done(served bool) {
+func (q *clientRequest) done(served bool) {
 	if q.over {
 		return
 	}
--- a/sim/config.go
+++ b/sim/config.go
@@ -32,33 +32,33 @@
 	return body
 }
 
-func (w *World) vary(offer doc) {
+func (w *World) vary(service doc) {
 	rng := w.whim
-	reps := offer["replicas"].([]any)
+	reps := service["replicas"].([]any)
 	rng.Shuffle(len(reps), func(i, j int) { reps[i], reps[j] = reps[j], reps[i] })
 	reps = reps[:len(reps)-rng.IntN(4)]
 	split := rng.IntN(6) == 0
 	for i, r := range reps {
-		rep := r.(doc)
+		replica := r.(doc)
 		if rng.IntN(8) == 0 {
-			rep["room"] = 6 + rng.IntN(7)
+			replica["room"] = 6 + rng.IntN(7)
 		}
 		if split && i < 4 {
-			rep["role"] = "prefill"
+			replica["role"] = "prefill"
 		}
 		if rng.IntN(16) == 0 {
-			rep["domain"] = w.S.Shape.Domains[rng.IntN(len(w.S.Shape.Domains))]
+			replica["domain"] = w.S.Shape.Zones[rng.IntN(len(w.S.Shape.Zones))]
 		}
 	}
-	offer["replicas"] = reps
-	kinds := offer["kinds"].([]any)
-	if second := kinds[1].(doc); rng.IntN(3) == 0 {
+	service["replicas"] = reps
+	classes := service["kinds"].([]any)
+	if second := classes[1].(doc); rng.IntN(3) == 0 {
 		second["repeatable"] = false
 	}
 	if rng.IntN(12) == 0 {
-		kinds = append(kinds[:1:1], kinds[2:]...)
+		classes = append(classes[:1:1], classes[2:]...)
 	}
-	offer["kinds"] = kinds
+	service["kinds"] = classes
 }
 
 // padding is real work for a reader: hundreds of offers, thousands of kinds, thousands of replicas that are down.
@@ -66,22 +66,22 @@
 	rng := rand.New(rand.NewPCG(3, 43))
 	long := strings.Repeat("x", 44)
 	size := 0
-	var offers []any
+	var services []any
 	for i := 0; size < largeBytes; i++ {
-		var reps, kinds []any
+		var reps, classes []any
 		for j := range 12 {
 			reps = append(reps, doc{"name": fmt.Sprintf("pad-%d-%d", i, j), "addr": fmt.Sprintf("10.9.%d.%d:9000", i, j), "domain": string(rune('a' + rng.IntN(3)))})
 		}
 		for j := range 48 {
-			kinds = append(kinds, doc{"name": fmt.Sprintf("%s-%d", long, j), "firstTokenMs": 1000 + rng.IntN(9000)})
+			classes = append(classes, doc{"name": fmt.Sprintf("%s-%d", long, j), "firstTokenMs": 1000 + rng.IntN(9000)})
 		}
-		o := doc{"name": fmt.Sprintf("pad-%d", i), "model": "m1", "replicas": reps, "kinds": kinds}
+		o := doc{"name": fmt.Sprintf("pad-%d", i), "model": "m1", "replicas": reps, "kinds": classes}
 		raw, err := json.Marshal(o)
 		if err != nil {
 			panic(err)
 		}
 		size += len(raw)
-		offers = append(offers, o)
+		services = append(services, o)
 	}
-	return offers[:len(offers)-1]
+	return services[:len(services)-1]
 }
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -11,11 +11,11 @@
 
 // content is what one configuration allows. It may be in force from the moment that it was sent, unless it was denied.
 type content struct {
-	mark     uint64
+	version  uint64
 	accepted bool
 	denied   bool
-	kinds    map[string]bool
-	reps     map[string]config.Replica
+	classes  map[string]bool
+	replicas map[string]config.Replica
 }
 
 func (a *Audit) offered(expect uint64, body []byte) *content {
@@ -23,13 +23,13 @@
 	if err != nil {
 		panic(err)
 	}
-	c := &content{mark: expect + 1, kinds: map[string]bool{}, reps: map[string]config.Replica{}}
+	c := &content{version: expect + 1, classes: map[string]bool{}, replicas: map[string]config.Replica{}}
 	for _, o := range ch.Services {
 		for _, k := range o.Classes {
-			c.kinds[o.Name+"/"+k.Name] = k.Repeatable
+			c.classes[o.Name+"/"+k.Name] = k.Repeatable
 		}
 		for _, r := range o.Replicas {
-			c.reps[r.Name] = r
+			c.replicas[r.Name] = r
 		}
 	}
 	a.contents = append(a.contents, c)
@@ -49,9 +49,9 @@
 	for _, c := range a.contents {
 		switch {
 		case c.denied:
-		case c.mark > due:
+		case c.version > due:
 			cs = append(cs, c)
-		case c.accepted && (base == nil || c.mark > base.mark):
+		case c.accepted && (base == nil || c.version > base.version):
 			base = c
 		}
 	}
@@ -61,30 +61,30 @@
 	return cs
 }
 
-func (a *Audit) obeysContents(f *flight, c *conn, due uint64) {
+func (a *Audit) appliesContents(f *fleetRequest, c *fleetConn, due uint64) {
 	listed, repeatable, kept := false, false, false
 	for _, x := range a.inForce(due) {
-		again, known := x.kinds[f.ask.Kind.Offer+"/"+f.ask.Kind.Name]
-		rep, has := x.reps[c.rep.Name]
-		if !known || !has || rep.Role == "prefill" {
+		repeated, known := x.classes[f.ask.Class.Service+"/"+f.ask.Class.Name]
+		replica, has := x.replicas[c.replica.Name]
+		if !known || !has || replica.Role == "prefill" {
 			continue
 		}
 		listed = true
-		repeatable = repeatable || again
-		empty, emptied := a.emptyAt[rep.Zone]
+		repeatable = repeatable || repeated
+		empty, emptied := a.evacuatedAt[replica.Zone]
 		kept = kept || !emptied || !a.late(f.n, empty, emptyWithin)
 	}
 	switch {
 	case !listed:
 		var marks []uint64
 		for _, x := range a.inForce(due) {
-			marks = append(marks, x.mark)
+			marks = append(marks, x.version)
 		}
-		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Kind.Name, c.rep.Name, f.n.router.Version(), due, marks))
+		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Class.Name, c.replica.Name, f.n.router.Version(), due, marks))
 	case !kept:
-		a.breach(ToEvacuated, c.rep.Name, f.n.Name)
+		a.breach(ToEvacuated, c.replica.Name, f.n.Name)
 	}
-	if f.gos > 1 && listed && !repeatable {
+	if f.attempts > 1 && listed && !repeatable {
 		a.breach(RepeatedUnsafe, f.ask.Request, f.n.Name)
 	}
 }
--- a/sim/days.go
+++ b/sim/days.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A Day is a scene at a site.
-type Day struct {
+// A SiteScenario is a scene at a site.
+type SiteScenario struct {
 	Name string
 	// Least is the share of requests that must be served.
 	Least  float64
@@ -22,15 +22,15 @@
 	Older bool
 }
 
-const dayLasts = 32 * sec
+const scenarioLasts = 32 * sec
 
 // Scenario is the day played at a site with a seed.
-func (d Day) Scenario(spec SiteSpec, seed uint64) Scenario {
+func (d SiteScenario) Scenario(spec SiteSpec, seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 73))
 	if d.Traffic > 0 {
 		spec = spec.scaled(d.Traffic)
 	}
-	s := Scenario{Seed: seed, Site: &spec, Lasts: dayLasts, Loss: d.Loss, Older: d.Older}
+	s := Scenario{Seed: seed, Site: &spec, Lasts: scenarioLasts, Loss: d.Loss, Older: d.Older}
 	if d.Lasts > 0 {
 		s.Lasts = d.Lasts
 	}
@@ -47,10 +47,10 @@
 	return s
 }
 
-func (s SiteSpec) scaled(share float64) SiteSpec {
+func (s SiteSpec) scaled(ratio float64) SiteSpec {
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
-		s.Classes[i].Rate *= share
+		s.Classes[i].Rate *= ratio
 	}
 	return s
 }
@@ -76,7 +76,7 @@
 	return names
 }
 
-func fixedDay(fs ...Fault) func(SiteSpec, *rand.Rand) []Fault {
+func fixedFaults(fs ...Fault) func(SiteSpec, *rand.Rand) []Fault {
 	return func(SiteSpec, *rand.Rand) []Fault { return fs }
 }
 
@@ -91,34 +91,38 @@
 	}
 }
 
-// Days are all days that the tests play.
-func Days() []Day { return append(append(replicaDays(), nodeDays()...), orderDays()...) }
+// SiteScenarios are all days that the tests play.
+func SiteScenarios() []SiteScenario {
+	return append(append(replicaScenarios(), nodeScenarios()...), orderScenarios()...)
+}
 
-func replicaDays() []Day {
+func replicaScenarios() []SiteScenario {
 	llm := func(kind string, d time.Duration, at ...time.Duration) func(SiteSpec, *rand.Rand) []Fault {
 		return func(s SiteSpec, _ *rand.Rand) []Fault {
 			var fs []Fault
 			for _, t := range at {
-				fs = append(fs, one(kind, t, d, s.Offers[0].Name))
+				fs = append(fs, one(kind, t, d, s.Services[0].Name))
 			}
 			return fs
 		}
 	}
-	garble := func(how string) func(SiteSpec, *rand.Rand) []Fault { return fixedDay(one(Garble, 12*sec, 10*sec, how)) }
-	return []Day{
+	garble := func(how string) func(SiteSpec, *rand.Rand) []Fault {
+		return fixedFaults(one(GarbleAnswers, 12*sec, 10*sec, how))
+	}
+	return []SiteScenario{
 		{Name: "calm", Least: 0.99},
 		{Name: "release", Least: 0.95, Faults: llm(Release, 0, 12*sec, 20*sec)},
 		{Name: "release of the other offer", Least: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(Release, 12*sec, 0, s.Offers[1].Name), one(Release, 19*sec, 0, s.Offers[0].Name)}
+			return []Fault{one(Release, 12*sec, 0, s.Services[1].Name), one(Release, 19*sec, 0, s.Services[0].Name)}
 		}},
-		{Name: "replicas crash", Faults: llm(RepCrash, 3*sec, 12*sec, 17*sec, 22*sec)},
-		{Name: "replicas are lost for good", Faults: llm(RepCrash, -1, 13*sec)},
-		{Name: "replicas go dark", Faults: llm(RepDark, 5*sec, 12*sec, 20*sec)},
+		{Name: "replicas crash", Faults: llm(ReplicaCrash, 3*sec, 12*sec, 17*sec, 22*sec)},
+		{Name: "replicas are lost for good", Faults: llm(ReplicaCrash, -1, 13*sec)},
+		{Name: "replicas go dark", Faults: llm(ReplicaUnreachable, 5*sec, 12*sec, 20*sec)},
 		{Name: "scale in and out", Least: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(ScaleIn, 12*sec, 0, s.Offers[0].Name), one(ScaleOut, 18*sec, 0)}
+			return []Fault{one(ScaleIn, 12*sec, 0, s.Services[0].Name), one(ScaleOut, 18*sec, 0)}
 		}},
-		{Name: "burst", Faults: fixedDay(one(Burst, 13*sec, 5*sec))},
-		{Name: "hot key", Least: 0.95, Faults: fixedDay(one(HotKey, 13*sec, 8*sec))},
+		{Name: "burst", Faults: fixedFaults(one(BurstFault, 13*sec, 5*sec))},
+		{Name: "hot key", Least: 0.95, Faults: fixedFaults(one(HotKey, 13*sec, 8*sec))},
 		{Name: "answers are cut", Faults: garble("cut")},
 		{Name: "answers are followed by others", Faults: garble("surplus")},
 		{Name: "answers are followed late", Faults: garble("late")},
@@ -126,10 +130,10 @@
 		{Name: "answers are lost by reset", Faults: garble("reset")},
 		{Name: "answers never come", Faults: garble("silent")},
 		{Name: "replicas break every answer", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(Garble, 13*sec, 7*sec, "reset", "all"), one(Burst, 13*sec, 7*sec, s.Classes[2].Name)}
+			return []Fault{one(GarbleAnswers, 13*sec, 7*sec, "reset", "all"), one(BurstFault, 13*sec, 7*sec, s.Classes[2].Name)}
 		}},
 		{Name: "list is down in a release", Least: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(Release, 11*sec, 0, s.Offers[1].Name), one(ListDown, 13*sec, 7*sec), one(ScaleOut, 19600*ms, 0)}
+			return []Fault{one(Release, 11*sec, 0, s.Services[1].Name), one(ListDown, 13*sec, 7*sec), one(ScaleOut, 19600*ms, 0)}
 		}},
 	}
 }
--- a/sim/days_test.go
+++ b/sim/days_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestPlatformScenes(t *testing.T) {
-	for i, d := range Days() {
+func TestSiteScenarios(t *testing.T) {
+	for i, d := range SiteScenarios() {
 		if raced && i%8 != 0 {
 			continue
 		}
@@ -26,7 +26,7 @@
 	}
 }
 
-func play(t *testing.T, d Day, spec SiteSpec, seed uint64) {
+func play(t *testing.T, d SiteScenario, spec SiteSpec, seed uint64) {
 	w := Run(d.Scenario(spec, seed))
 	for _, b := range w.Audit.Breaches {
 		t.Error(b)
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -16,24 +16,24 @@
 }
 
 // Disk is a simulated storage.Disk that forgets or tears what was not synced at a power cut. Full and BadSync have writes and syncs fail;
-// CutAt is after how many writes the power goes (-1: never).
+// PowerLossAt is after how many writes the power goes (-1: never).
 type Disk struct {
-	rng     *rand.Rand
-	files   map[string]*file
-	Full    bool
-	BadSync bool
-	Writes  int
-	CutAt   int
+	rng         *rand.Rand
+	files       map[string]*file
+	Full        bool
+	BadSync     bool
+	Writes      int
+	PowerLossAt int
 }
 
 // NewDisk makes an empty disk.
 func NewDisk(seed uint64) *Disk {
-	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, CutAt: -1}
+	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, PowerLossAt: -1}
 }
 
 func (d *Disk) spent() error {
 	d.Writes++
-	if d.CutAt >= 0 && d.Writes > d.CutAt {
+	if d.PowerLossAt >= 0 && d.Writes > d.PowerLossAt {
 		return &DiskError{What: "power is gone"}
 	}
 	if d.Full {
@@ -43,7 +43,7 @@
 }
 
 // Read reads a file; found is false where there is none.
-func (d *Disk) Read(name string) (data []byte, found bool, err error) {
+func (d *Disk) Read(name string) (data []byte, exists bool, err error) {
 	f := d.files[name]
 	if f == nil {
 		return nil, false, nil
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// PowerCut leaves of each file what a power cut may leave, and makes the disk sound again.
-func (d *Disk) PowerCut() {
+// PowerLoss leaves of each file what a power cut may leave, and makes the disk sound again.
+func (d *Disk) PowerLoss() {
 	for _, name := range sortedKeys(d.files) {
 		f := d.files[name]
 		if !f.named && d.rng.IntN(2) == 0 {
@@ -121,7 +121,7 @@
 		f.now = d.torn(f.kept, f.now)
 		f.kept, f.named = slices.Clone(f.now), true
 	}
-	d.CutAt, d.Full, d.BadSync = -1, false, false
+	d.PowerLossAt, d.Full, d.BadSync = -1, false, false
 }
 
 func (d *Disk) torn(kept, now []byte) []byte {
--- a/sim/document.go
+++ b/sim/document.go
@@ -12,7 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// A site's operators write a charter.Charter as JSON: routes, offers whose replicas are discovered, limits and a revision.
+// A site's operators write a charter.Config as JSON: routes, offers whose replicas are discovered, limits and a revision.
 
 func flawed(path, val, bound string) error {
 	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}})
@@ -27,15 +27,15 @@
 	if c.Revision == 0 {
 		return config.Config{}, flawed("$.Revision", "0", "above 0")
 	}
-	offers := map[string]bool{}
+	services := map[string]bool{}
 	for _, o := range c.Services {
-		offers[o.Name] = true
+		services[o.Name] = true
 	}
 	places := map[string]bool{}
 	for i, r := range c.Routes {
 		at, sum := fmt.Sprintf("$.Routes[%d]", i), 0.0
 		for _, s := range r.TrafficSplit {
-			if !offers[s.Service] {
+			if !services[s.Service] {
 				return config.Config{}, flawed(at+".Split", s.Service, "a known offer")
 			}
 			sum += s.Weight
@@ -70,16 +70,16 @@
 func (s SiteSpec) first() config.Config {
 	var c config.Config
 	c.Revision = 1
-	for _, o := range s.Offers {
+	for _, o := range s.Services {
 		c.Services = append(c.Services, config.Service{
-			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.ColdRate, WarmupTime: o.ColdFor,
-			KeepTokens: o.Memory, Stride: o.Stride, RetryRatio: retryShare, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: guessMost,
+			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
+			KeepTokens: o.Memory, Stride: o.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictions,
 		})
 	}
 	for _, t := range s.Classes {
 		c.Routes = append(c.Routes, config.Route{
-			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), TrafficSplit: []config.WeightedService{{Service: t.Offer, Weight: 1}}, Streaming: t.Streaming,
-			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.Aim, TargetGap: t.Gap, MaxAttempts: t.Attempts, Priority: t.Rank,
+			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), TrafficSplit: []config.WeightedService{{Service: t.Service, Weight: 1}}, Streaming: t.Streaming,
+			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.LatencyTarget, TargetGap: t.Gap, MaxAttempts: t.Attempts, Priority: t.Priority,
 		})
 	}
 	for i := range s.Idle {
@@ -89,11 +89,11 @@
 }
 
 // idle is a route that only lookers use; it may go to any offer.
-func (s SiteSpec) idle(name string, offer int) config.Route {
+func (s SiteSpec) idle(name string, service int) config.Route {
 	plain := s.Classes[len(s.Classes)-1]
 	return config.Route{
-		Name: name, Host: siteHost, Prefix: prefixOf(name), TrafficSplit: []config.WeightedService{{Service: s.Offers[offer%len(s.Offers)].Name, Weight: 1}}, Repeatable: true,
-		Timeout: plain.Deadline, FirstToken: plain.Aim, MaxAttempts: 1, Priority: 3,
+		Name: name, Host: siteHost, Prefix: prefixOf(name), TrafficSplit: []config.WeightedService{{Service: s.Services[service%len(s.Services)].Name, Weight: 1}}, Repeatable: true,
+		Timeout: plain.Deadline, FirstToken: plain.LatencyTarget, MaxAttempts: 1, Priority: 3,
 	}
 }
 
--- a/sim/engine.go
+++ b/sim/engine.go
@@ -31,15 +31,15 @@
 	EngineSpec
 	q *queue
 	// Slow multiplies the time that everything takes.
-	Slow     func() float64
-	cache    prefixCache
-	waiting  []*job
-	running  []*job
-	arriving int
-	held     int
-	seq      int
-	stepping bool
-	dead     bool
+	Slow       func() float64
+	cache      prefixCache
+	queued     []*job
+	running    []*job
+	arriving   int
+	heldTokens int
+	seq        int
+	stepping   bool
+	dead       bool
 
 	Admitted, Refused, Preempted uint64
 	Prompted, Cached             uint64
@@ -52,13 +52,13 @@
 
 // Load is what a replica tells of itself in answers.
 func (e *Engine) Load() (running, waiting, slots int) {
-	return len(e.running), len(e.waiting) + e.arriving, e.Slots
+	return len(e.running), len(e.queued) + e.arriving, e.Slots
 }
 
 // Take lets a job in, or turns it away when the queue is full or it is larger than the memory.
 func (e *Engine) Take(j *job) bool {
-	full := len(e.running) >= e.Slots || len(e.waiting)+e.arriving > 0
-	if (full && len(e.waiting)+e.arriving >= e.Queue) || (e.Memory > 0 && j.prompt+j.out > e.Memory) {
+	full := len(e.running) >= e.Slots || len(e.queued)+e.arriving > 0
+	if (full && len(e.queued)+e.arriving >= e.Queue) || (e.Memory > 0 && j.prompt+j.out > e.Memory) {
 		e.Refused++
 		return false
 	}
@@ -68,7 +68,7 @@
 	e.arriving++
 	e.q.after(e.Setup, func() {
 		e.arriving--
-		if j.gone || e.dead {
+		if j.abandoned || e.dead {
 			return
 		}
 		e.join(j)
@@ -78,20 +78,20 @@
 }
 
 func (e *Engine) join(j *job) {
-	at := sort.Search(len(e.waiting), func(i int) bool {
-		o := e.waiting[i]
-		return o.rank > j.rank || (o.rank == j.rank && o.seq > j.seq)
+	at := sort.Search(len(e.queued), func(i int) bool {
+		o := e.queued[i]
+		return o.priority > j.priority || (o.priority == j.priority && o.seq > j.seq)
 	})
-	e.waiting = slices.Insert(e.waiting, at, j)
+	e.queued = slices.Insert(e.queued, at, j)
 }
 
 // Drop forgets a job whose connection closed.
 func (e *Engine) Drop(j *job) {
-	if j.gone {
+	if j.abandoned {
 		return
 	}
-	j.gone = true
-	e.waiting = slices.DeleteFunc(e.waiting, func(o *job) bool { return o == j })
+	j.abandoned = true
+	e.queued = slices.DeleteFunc(e.queued, func(o *job) bool { return o == j })
 	e.leave(j)
 	e.kick()
 }
@@ -100,8 +100,8 @@
 	n := len(e.running)
 	e.running = slices.DeleteFunc(e.running, func(o *job) bool { return o == j })
 	if len(e.running) < n {
-		e.held -= j.held
-		j.held = 0
+		e.heldTokens -= j.heldTokens
+		j.heldTokens = 0
 	}
 }
 
@@ -120,18 +120,18 @@
 }
 
 func (e *Engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.Slots {
-		j := e.waiting[0]
+	for len(e.queued) > 0 && len(e.running) < e.Slots {
+		j := e.queued[0]
 		if j.until > 0 && e.q.now >= j.until && !j.started {
-			e.waiting = e.waiting[1:]
-			j.gone = true
-			j.late()
+			e.queued = e.queued[1:]
+			j.abandoned = true
+			j.overdue()
 			continue
 		}
 		if !e.fits(j) {
 			return
 		}
-		e.waiting = e.waiting[1:]
+		e.queued = e.queued[1:]
 		e.running = append(e.running, j)
 		if e.Step == 0 {
 			e.labour(j)
@@ -144,25 +144,25 @@
 			e.Prompted, e.Cached = e.Prompted+uint64(prefixindex.Tokens(j.parts)), e.Cached+uint64(cached)
 		}
 		j.unread = j.prompt - cached + j.made
-		j.held = j.unread
-		e.held += j.held
-		e.cache.evict(max(e.Memory-e.held, 0))
+		j.heldTokens = j.unread
+		e.heldTokens += j.heldTokens
+		e.cache.evict(max(e.Memory-e.heldTokens, 0))
 	}
 }
 
 // fits leaves room for what the batch goes on to make.
 func (e *Engine) fits(j *job) bool {
-	return e.Memory == 0 || len(e.running) == 0 || e.held+j.prompt+j.made <= e.Memory-e.Memory/64
+	return e.Memory == 0 || len(e.running) == 0 || e.heldTokens+j.prompt+j.made <= e.Memory-e.Memory/64
 }
 
 func (e *Engine) labour(j *job) {
 	j.start()
 	e.q.after(time.Duration(float64(j.work)*e.Slow()), func() {
-		if j.gone || e.dead {
+		if j.abandoned || e.dead {
 			return
 		}
 		e.leave(j)
-		j.gone = true
+		j.abandoned = true
 		j.event(1, true)
 		e.kick()
 	})
@@ -192,7 +192,7 @@
 
 // advance reads a piece of a prompt, or makes a token; the last piece brings the first token.
 func (e *Engine) advance(j *job) {
-	if j.gone || j.held == 0 {
+	if j.abandoned || j.heldTokens == 0 {
 		return
 	}
 	if j.unread > 0 {
@@ -200,18 +200,18 @@
 		if j.unread > 0 || j.reading == 0 {
 			return
 		}
-		fresh := min(e.cache.keep(j.parts), j.held-1)
-		j.held -= fresh
-		e.held -= fresh
+		added := min(e.cache.keep(j.parts), j.heldTokens-1)
+		j.heldTokens -= added
+		e.heldTokens -= added
 	}
 	j.start()
 	j.made++
-	j.held++
-	e.held++
+	j.heldTokens++
+	e.heldTokens++
 	last := j.made >= j.out
 	if last {
 		e.leave(j)
-		j.gone = true
+		j.abandoned = true
 	}
 	if last || j.made%e.Stride == 0 {
 		j.event((j.made+e.Stride-1)/e.Stride, last)
@@ -220,10 +220,10 @@
 
 // preempt puts the newest of the least urgent back when memory has run out, to be read anew.
 func (e *Engine) preempt() {
-	for e.held > e.Memory && len(e.running) > 1 {
+	for e.heldTokens > e.Memory && len(e.running) > 1 {
 		worst := slices.MaxFunc(e.running, func(a, b *job) int {
-			if a.rank != b.rank {
-				return a.rank - b.rank
+			if a.priority != b.priority {
+				return a.priority - b.priority
 			}
 			return a.seq - b.seq
 		})
@@ -231,5 +231,5 @@
 		e.join(worst)
 		e.Preempted++
 	}
-	e.cache.evict(max(e.Memory-e.held, 0))
+	e.cache.evict(max(e.Memory-e.heldTokens, 0))
 }
--- a/sim/engine_test.go
+++ b/sim/engine_test.go
@@ -20,7 +20,7 @@
 func (x *timed) job(q *queue, header string, prompt, out, rank int) *job {
 	parts, _ := prefixindex.Parse(Prompt, header)
 	return &job{
-		parts: parts, prompt: prompt, out: out, rank: rank, begun: func() { x.begun = q.now }, late: func() {},
+		parts: parts, prompt: prompt, out: out, priority: rank, begun: func() { x.begun = q.now }, overdue: func() {},
 		event: func(_ int, last bool) {
 			if x.events++; x.events == 1 {
 				x.first = q.now
@@ -32,7 +32,7 @@
 	}
 }
 
-func spec() EngineSpec { return llmOffer("o", 1, 100000).EngineSpec }
+func spec() EngineSpec { return llmService("o", 1, 100000).EngineSpec }
 
 func TestTokensComeMoreSlowlyInALargerBatch(t *testing.T) {
 	spans := map[int]time.Duration{}
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestKeptPartsAreNotReadAgainUntilTheyGiveWay(t *testing.T) {
+func TestCachedPartsAreNotReadUntilEvicted(t *testing.T) {
 	q, e := newTestEngine(spec())
 	first := func(header string, prompt int) time.Duration {
 		var x timed
@@ -81,8 +81,8 @@
 	for _, header := range []string{"x:30000", "y:30000", "z:30000"} {
 		first(header, 30200)
 	}
-	if again := first("a:30000,b:100", 30200); again < cold*9/10 {
-		t.Errorf("after others filled the memory %s, at first %s", again, cold)
+	if repeated := first("a:30000,b:100", 30200); repeated < cold*9/10 {
+		t.Errorf("after others filled the memory %s, at first %s", repeated, cold)
 	}
 }
 
