--- a/sim/faults.go
+++ b/sim/faults.go
@@ -9,45 +9,45 @@
 
 // Fault is one thing that goes wrong at the time At, on the nodes, replicas or zones named, for that long; a negative For means for good.
 type Fault struct {
-	At   time.Duration `json:"at"`
-	Kind string        `json:"kind"`
-	On   []string      `json:"on"`
-	For  time.Duration `json:"for"`
-	Body []byte        `json:"-"`
+	At       time.Duration `json:"at"`
+	Kind     string        `json:"kind"`
+	On       []string      `json:"on"`
+	For      time.Duration `json:"for"`
+	Document []byte        `json:"-"`
 }
 
-// Kinds of fault.
+// Classes of fault.
 const (
-	Kill       = "kill"
-	Power      = "power"
-	Freeze     = "freeze"
-	CutNode    = "cut"
-	CutOneWay  = "cut one way"
-	CutDomain  = "cut domain"
-	SplitCore  = "split core"
-	Wipe       = "wipe"
-	Move       = "move"
-	SlowDisk   = "slow disk"
-	StallDisk  = "stall disk"
-	FullDisk   = "full disk"
-	BadDisk    = "bad disk"
-	RepCrash   = "replica crash"
-	RepDark    = "replica dark"
-	Release    = "release"
-	Empty      = "empty"
-	PutStorm   = "put storm"
-	Race       = "race"
-	SwapVoters = "swap voters"
-	AllDown    = "all down"
-	LargePuts  = "large puts"
-	RepTwist   = "replica twists"
-	RepSick    = "replica breaks each answer"
-	RepBlink   = "replica restarts at once"
-	CutControl = "cut domain from other nodes"
-	ClockBack  = "clock set back"
-	FreezeAct  = "freeze in an act"
-	Lists      = "lists"
-	Upgrade    = "upgrade"
+	Kill               = "kill"
+	Power              = "power"
+	Freeze             = "freeze"
+	PartitionNode      = "cut"
+	PartitionOneWay    = "cut one way"
+	PartitionZone      = "cut domain"
+	SplitCore          = "split core"
+	Wipe               = "wipe"
+	Relocate           = "move"
+	SlowDisk           = "slow disk"
+	StallDisk          = "stall disk"
+	FullDisk           = "full disk"
+	BadDisk            = "bad disk"
+	ReplicaCrash       = "replica crash"
+	ReplicaUnreachable = "replica dark"
+	Release            = "release"
+	EvacuateFault      = "empty"
+	PutStorm           = "put storm"
+	Race               = "race"
+	SwapVoters         = "swap voters"
+	AllDown            = "all down"
+	LargePuts          = "large puts"
+	ReplicaCorrupt     = "replica twists"
+	ReplicaFailing     = "replica breaks each answer"
+	ReplicaRestart     = "replica restarts at once"
+	PartitionControl   = "cut domain from other nodes"
+	ClockBack          = "clock set back"
+	FreezeAct          = "freeze in an act"
+	Lists              = "lists"
+	Upgrade            = "upgrade"
 )
 
 func (w *World) nodes(names []string) []*Node {
@@ -60,10 +60,10 @@
 	return ns
 }
 
-func (w *World) inDomain(domain string) []string {
+func (w *World) inDomain(zone string) []string {
 	var names []string
 	for _, n := range w.Nodes {
-		if n.Domain == domain {
+		if n.Zone == zone {
 			names = append(names, n.Name)
 		}
 	}
@@ -79,24 +79,24 @@
 	}
 	ns := w.nodes(f.On)
 	switch f.Kind {
-	case Kill, Power, Wipe, Move, AllDown, ClockBack:
+	case Kill, Power, Wipe, Relocate, AllDown, ClockBack:
 		w.down(f, ns)
 	case Freeze:
 		for _, n := range ns {
-			life := n.life
+			incarnation := n.incarnation
 			n.freeze()
 			w.after(f.For, func() {
-				if n.life == life {
+				if n.incarnation == incarnation {
 					n.thaw()
 				}
 			})
 		}
-	case CutNode:
+	case PartitionNode:
 		w.isolate(ns, f.For, true, false)
-	case CutOneWay:
+	case PartitionOneWay:
 		w.isolate(ns, f.For, false, false)
-	case CutDomain, CutControl:
-		w.isolate(w.nodes(w.inDomain(f.On[0])), f.For, true, f.Kind == CutDomain, f.On[0])
+	case PartitionZone, PartitionControl:
+		w.isolate(w.nodes(w.inDomain(f.On[0])), f.For, true, f.Kind == PartitionZone, f.On[0])
 	case FreezeAct:
 		w.trap = func(n *Node, what string) {
 			if what == control.VotersChange {
@@ -108,7 +108,7 @@
 		w.split(ns, f.For)
 	case SlowDisk, StallDisk, FullDisk, BadDisk:
 		w.ail(f, ns)
-	case RepCrash, RepDark, RepTwist, RepBlink, RepSick:
+	case ReplicaCrash, ReplicaUnreachable, ReplicaCorrupt, ReplicaRestart, ReplicaFailing:
 		w.breakReplicas(f)
 	case Upgrade:
 		w.upgrade(ns)
@@ -129,13 +129,13 @@
 			n.wall = -w.now - f.For
 		}
 		if n.Disk != nil && f.Kind != Kill {
-			n.Disk.PowerCut()
+			n.Disk.PowerLoss()
 		}
-		if n.Disk != nil && (f.Kind == Wipe || f.Kind == Move) {
+		if n.Disk != nil && (f.Kind == Wipe || f.Kind == Relocate) {
 			n.Disk.Wipe()
 		}
 		n.stall, n.slow = false, 0
-		if f.Kind == Move {
+		if f.Kind == Relocate {
 			delete(w.byAddr, n.Addr)
 			n.Addr += "9"
 			w.byAddr[n.Addr] = n
@@ -146,23 +146,23 @@
 	}
 }
 
-func (w *World) isolate(ns []*Node, d time.Duration, both, replicas bool, domain ...string) {
+func (w *World) isolate(ns []*Node, d time.Duration, both, replicas bool, zone ...string) {
 	in := func(addr string) bool {
 		if len(addr) > 4 && addr[:4] == "rep/" {
-			return len(domain) > 0 && w.byRep[addr[4:]].Domain == domain[0]
+			return len(zone) > 0 && w.replicasByName[addr[4:]].Zone == zone[0]
 		}
 		return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr })
 	}
 	replica := func(addr string) bool { return len(addr) > 4 && addr[:4] == "rep/" }
-	heal := w.Net.cut(func(from, to string) bool {
+	heal := w.Net.partition(func(from, to string) bool {
 		if !replicas && (replica(from) || replica(to)) {
 			return false
 		}
 		a, b := in(from), in(to)
 		return a != b && (both || a)
 	})
-	if len(domain) > 0 {
-		w.Audit.cuts = append(w.Audit.cuts, span{domain: domain[0], from: w.now, until: w.now + d})
+	if len(zone) > 0 {
+		w.Audit.partitions = append(w.Audit.partitions, partitionSpan{zone: zone[0], from: w.now, until: w.now + d})
 	}
 	w.after(d, func() {
 		w.Say("cut heals")
@@ -174,7 +174,7 @@
 	in := func(addr string) bool {
 		return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr })
 	}
-	heal := w.Net.cut(func(from, to string) bool { return in(from) && in(to) })
+	heal := w.Net.partition(func(from, to string) bool { return in(from) && in(to) })
 	w.after(d, heal)
 }
 
@@ -210,18 +210,18 @@
 
 func (w *World) breakReplicas(f Fault) {
 	for _, name := range f.On {
-		r := w.byRep[name]
-		if f.Kind == RepSick {
-			r.Sick = true
-			w.after(f.For, func() { r.Sick = false })
+		r := w.replicasByName[name]
+		if f.Kind == ReplicaFailing {
+			r.Unhealthy = true
+			w.after(f.For, func() { r.Unhealthy = false })
 			continue
 		}
-		if f.Kind == RepTwist {
-			r.Twists = 40
-			w.after(f.For, func() { r.Twists = 0 })
+		if f.Kind == ReplicaCorrupt {
+			r.CorruptAnswers = 40
+			w.after(f.For, func() { r.CorruptAnswers = 0 })
 			continue
 		}
-		if f.Kind == RepDark {
+		if f.Kind == ReplicaUnreachable {
 			r.Dark = true
 			w.after(f.For, func() {
 				r.Dark = false
@@ -231,7 +231,7 @@
 			continue
 		}
 		r.crash()
-		if f.Kind == RepBlink {
+		if f.Kind == ReplicaRestart {
 			w.after(30*time.Millisecond, func() { r.start(w.now) })
 			continue
 		}
--- a/sim/gate.go
+++ b/sim/gate.go
@@ -8,53 +8,53 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-type flight struct {
-	w       *World
-	n       *Node
-	ask     Ask
-	domain  string
-	try     int
-	at      time.Duration
-	got     ledger.Got
-	passage mallowbridge.RequestFlow
-	conn    *conn
-	gos     int
-	over    bool
+type fleetRequest struct {
+	w        *World
+	n        *Node
+	ask      Request
+	domain   string
+	try      int
+	at       time.Duration
+	got      ledger.Got
+	flow     mallowbridge.RequestFlow
+	conn     *fleetConn
+	attempts int
+	over     bool
 }
 
-type conn struct {
-	f     *flight
-	rep   *Rep
-	place mallowbridge.Decision
-	open  bool
-	sent  bool
-	piece int
-	plan  Plan
-	due   time.Duration
-
-	twisted bool
+type fleetConn struct {
+	request *fleetRequest
+	replica *FleetReplica
+	place   mallowbridge.Decision
+	open    bool
+	sent    bool
+	chunk   int
+	plan    Plan
+	due     time.Duration
+
+	corrupted bool
 }
 
 const dialFor = 500 * time.Millisecond
 
-func (w *World) submit(a Ask, domain string, try int) {
-	n := w.pick(domain)
-	f := &flight{w: w, n: n, ask: a, domain: domain, try: try, at: w.now, passage: mallowbridge.RequestFlow{Request: a.Request}}
-	f.got = ledger.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Kind.Name, Repeatable: a.Kind.Repeatable}
+func (w *World) submit(a Request, zone string, try int) {
+	n := w.pick(zone)
+	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.now, flow: mallowbridge.RequestFlow{Request: a.Request}}
+	f.got = ledger.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
 	}
-	f.got.Node = n.front
+	f.got.Node = n.frontendID
 	w.after(w.Net.delay(true), func() {
 		if !n.Alive {
 			f.end("lost")
 			return
 		}
 		n.live(func() {
-			f.got.Node = n.front
+			f.got.Node = n.frontendID
 			w.Report.Arrived++
-			if n.shut {
+			if n.rejecting {
 				f.end(mallowbridge.OutcomeRejected)
 				return
 			}
@@ -64,15 +64,15 @@
 			}
 			n.asks[a.Request] = f
 			n.decide(n.router.Step(n.local(), mallowbridge.Arrive{
-				Request: a.Request, Service: a.Kind.Offer, Class: a.Kind.Name, Prefix: a.Prefix, Tail: a.TailTokens,
+				Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens,
 			}))
 		})
 	})
 }
 
-func (f *flight) began() bool { return len(f.got.Chunks) > 0 }
+func (f *fleetRequest) began() bool { return len(f.got.Chunks) > 0 }
 
-func (f *flight) end(outcome string) {
+func (f *fleetRequest) end(outcome string) {
 	if f.over {
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (f *flight) orphan() {
+func (f *fleetRequest) orphan() {
 	f.drop()
 	if f.began() {
 		f.end(mallowbridge.OutcomePartial)
@@ -94,7 +94,7 @@
 	f.end("lost")
 }
 
-func (f *flight) drop() {
+func (f *fleetRequest) drop() {
 	c := f.conn
 	f.conn = nil
 	if c == nil || !c.open {
@@ -103,10 +103,10 @@
 	c.open = false
 	if c.sent {
 		f.w.after(f.w.Net.delay(true), func() {
-			if c.rep.conns[c.place.AttemptID] == c {
-				delete(c.rep.conns, c.place.AttemptID)
-				c.rep.m.Release(f.w.now, c.place.AttemptID)
-				c.rep.note("cut", f.ask.Request, c.place.AttemptID, c.piece)
+			if c.replica.conns[c.place.AttemptID] == c {
+				delete(c.replica.conns, c.place.AttemptID)
+				c.replica.model.Release(f.w.now, c.place.AttemptID)
+				c.replica.record("cut", f.ask.Request, c.place.AttemptID, c.chunk)
 			}
 		})
 	}
@@ -118,17 +118,17 @@
 			n.step(control.Prefills{Rows: []mallowbridge.Prefill{{Replica: d.Replica, Tokens: d.UnreadTokens}}})
 		}
 		if f := n.asks[d.Request]; f != nil {
-			f.do(f.passage.Decided(d))
+			f.do(f.flow.Decided(d))
 		}
-		if t := n.trips[d.Request]; t != nil {
+		if t := n.requests[d.Request]; t != nil {
 			t.decided(d)
 		}
 	}
 }
 
-func (f *flight) do(moves []mallowbridge.Action) {
+func (f *fleetRequest) do(actions []mallowbridge.Action) {
 	var next []mallowbridge.Decision
-	for _, m := range moves {
+	for _, m := range actions {
 		switch m.Kind {
 		case mallowbridge.Connect:
 			f.dial(m.Placement)
@@ -137,7 +137,7 @@
 		case mallowbridge.AskWitnessesEarly:
 			f.glance()
 		case mallowbridge.Write:
-			f.gos++
+			f.attempts++
 			f.w.Audit.sent(f, f.conn)
 			f.conn.travel()
 		case mallowbridge.Disconnect:
@@ -149,8 +149,8 @@
 		case mallowbridge.Finish:
 			delete(f.n.asks, f.ask.Request)
 			if m.Outcome == mallowbridge.OutcomeRejected {
-				f.w.Report.Whys[m.Placement.Reason]++
-				f.w.Report.DeniedLate += uint64(map[bool]int{true: 1}[m.Placement.RejectedLate])
+				f.w.Report.Reasons[m.Placement.Reason]++
+				f.w.Report.RejectedLate += uint64(map[bool]int{true: 1}[m.Placement.RejectedLate])
 			}
 			f.end(m.Outcome)
 		}
@@ -158,7 +158,7 @@
 	f.n.decide(next)
 }
 
-func (f *flight) pass(l mallowbridge.AnswerLine) {
+func (f *fleetRequest) pass(l mallowbridge.AnswerLine) {
 	if l.Chunk == nil {
 		return
 	}
@@ -168,24 +168,24 @@
 	f.got.Chunks = append(f.got.Chunks, l.Text)
 }
 
-func (c *conn) happened(in mallowbridge.ConnectionEvent) {
-	f := c.f
+func (c *fleetConn) happened(in mallowbridge.ConnectionEvent) {
+	f := c.request
 	f.n.live(func() {
 		if f.conn == c && !f.over {
-			f.do(f.passage.Happened(in))
+			f.do(f.flow.Happened(in))
 		}
 	})
 }
 
-func (c *conn) cutOff() bool {
-	net := c.f.w.Net
-	return net.blocked(c.f.n.Addr, c.rep.addr()) || net.blocked(c.rep.addr(), c.f.n.Addr)
+func (c *fleetConn) cutOff() bool {
+	net := c.request.w.Net
+	return net.blocked(c.request.n.Addr, c.replica.addr()) || net.blocked(c.replica.addr(), c.request.n.Addr)
 }
 
-func (f *flight) dial(d mallowbridge.Decision) {
+func (f *fleetRequest) dial(d mallowbridge.Decision) {
 	w := f.w
-	r := w.byRep[d.Replica]
-	c := &conn{f: f, rep: r, place: d, open: true}
+	r := w.replicasByName[d.Replica]
+	c := &fleetConn{request: f, replica: r, place: d, open: true}
 	f.conn = c
 	w.Audit.placed(f, c)
 	w.Report.Predicted += uint64(d.Predicted)
@@ -194,20 +194,20 @@
 		f.n.later(dialFor, func() { c.happened(mallowbridge.ConnectResult{AttemptID: d.AttemptID}) })
 		return
 	}
-	f.n.later(2*w.Net.delay(f.n.Domain == r.Domain), func() { c.happened(mallowbridge.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
+	f.n.later(2*w.Net.delay(f.n.Zone == r.Zone), func() { c.happened(mallowbridge.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
 }
 
-func (f *flight) glance() {
+func (f *fleetRequest) glance() {
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
 			if !f.over && f.n.asks[f.ask.Request] == f {
-				f.do(f.passage.Happened(mallowbridge.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
+				f.do(f.flow.Happened(mallowbridge.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
 			}
 		})
 	})
 }
 
-func (f *flight) vouch(c *conn) {
+func (f *fleetRequest) vouch(c *fleetConn) {
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, SpareTime: c.place.SpareTime}, func(a control.Answer) {
 		c.happened(mallowbridge.WitnessesAnswered{AttemptID: c.place.AttemptID, Result: control.WitnessOutcome(a)})
 	})
--- a/sim/gauge.go
+++ b/sim/gauge.go
@@ -13,15 +13,15 @@
 	Ms   []int64
 }
 
-type gauge struct {
-	shape Shape
-	seed  uint64
-	rs    []Measurement
+type measurement struct {
+	shape   Shape
+	seed    uint64
+	results []Measurement
 }
 
-// Gauge breaks one thing at a time in a calm fleet under load and times how long the fleet takes, for each seed.
-func Gauge(shape Shape, from, seeds uint64) []Measurement {
-	g := &gauge{shape: shape}
+// Measure breaks one thing at a time in a calm fleet under load and times how long the fleet takes, for each seed.
+func Measure(shape Shape, from, seeds uint64) []Measurement {
+	g := &measurement{shape: shape}
 	for g.seed = from; g.seed < from+seeds; g.seed++ {
 		g.lost("killed", func(n *Node) { n.kill() })
 		g.lost("frozen", func(n *Node) { n.freeze() })
@@ -35,32 +35,32 @@
 		g.tracks()
 		g.falseWarm()
 	}
-	return g.rs
+	return g.results
 }
 
-func (g *gauge) world() *World {
-	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: Load{Kinds: g.shape.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}})
+func (g *measurement) world() *World {
+	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: Load{Classes: g.shape.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}})
 	w.Boot()
 	w.Load(5*time.Second, 4*time.Minute)
 	w.run(12 * time.Second)
 	return w
 }
 
-func (g *gauge) read(name string, w *World, from time.Duration, until func() bool) {
+func (g *measurement) read(name string, w *World, from time.Duration, until func() bool) {
 	for !until() && w.now < from+30*time.Second {
 		w.run(w.now + 5*time.Millisecond)
 	}
 	g.add(name, (w.now - from).Milliseconds())
 }
 
-func (g *gauge) add(name string, ms int64) {
-	for i := range g.rs {
-		if g.rs[i].Name == name {
-			g.rs[i].Ms = append(g.rs[i].Ms, ms)
+func (g *measurement) add(name string, ms int64) {
+	for i := range g.results {
+		if g.results[i].Name == name {
+			g.results[i].Ms = append(g.results[i].Ms, ms)
 			return
 		}
 	}
-	g.rs = append(g.rs, Measurement{Name: name, Ms: []int64{ms}})
+	g.results = append(g.results, Measurement{Name: name, Ms: []int64{ms}})
 }
 
 func (w *World) others(n *Node, all bool, test func(o *Node) bool) bool {
@@ -72,7 +72,7 @@
 	return all
 }
 
-func (g *gauge) lost(how string, harm func(n *Node)) {
+func (g *measurement) lost(how string, harm func(n *Node)) {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	from := w.now
@@ -85,7 +85,7 @@
 	g.read(how+": all nodes know", w, from, func() bool { return w.others(n, true, dead) })
 }
 
-func (g *gauge) alone() {
+func (g *measurement) alone() {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	from := w.now
@@ -95,7 +95,7 @@
 	g.read("cut healed: it serves", w, w.now, func() bool { return n.router.Ready(n.local()) == "" })
 }
 
-func (g *gauge) wakes() {
+func (g *measurement) wakes() {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	n.freeze()
@@ -105,26 +105,26 @@
 	g.read("woken: it serves", w, w.now-100*time.Millisecond, func() bool { return n.router.Ready(n.local()) == "" })
 }
 
-func (g *gauge) orders() {
+func (g *measurement) orders() {
 	w := g.world()
-	mark := uint64(0)
+	version := uint64(0)
 	from := w.now
 	w.Put(w.someNode(), w.Nodes[0].router.Version(), w.varied(false), func(a control.Answer) {
 		if a.Err == nil {
-			mark = a.Value.Version
+			version = a.Value.Version
 		}
 	})
-	g.read("put: accepted", w, from, func() bool { return mark > 0 })
-	g.read("put: all nodes obey, after yes", w, w.now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Version() >= mark }) })
+	g.read("put: accepted", w, from, func() bool { return version > 0 })
+	g.read("put: all nodes obey, after yes", w, w.now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Version() >= version }) })
 }
 
-func (g *gauge) handover() {
+func (g *measurement) handover() {
 	w := g.world()
-	duty := "probe/" + g.shape.Domains[w.rng.IntN(len(g.shape.Domains))]
+	role := "probe/" + g.shape.Zones[w.rng.IntN(len(g.shape.Zones))]
 	holder := func() *Node {
 		for _, o := range w.Nodes {
 			for _, d := range o.node.Holding(o.local()) {
-				if o.Alive && d == duty {
+				if o.Alive && d == role {
 					return o
 				}
 			}
@@ -140,10 +140,10 @@
 	g.read("duty: held by another", w, from, func() bool { return holder() != nil })
 }
 
-func (g *gauge) restart() {
+func (g *measurement) restart() {
 	w := g.world()
 	r := w.Reps[w.rng.IntN(len(w.Reps))]
-	old := r.m.Instance
+	old := r.model.Instance
 	r.crash()
 	from := w.now
 	doubts := func(o *Node) bool { return o.router.Trusts(r.Name) != old }
@@ -152,16 +152,16 @@
 	from = w.now
 	r.start(w.now)
 	g.read("replica is back: all nodes see it", w, from, func() bool {
-		return w.others(nil, true, func(o *Node) bool { return o.router.Trusts(r.Name) == r.m.Instance })
+		return w.others(nil, true, func(o *Node) bool { return o.router.Trusts(r.Name) == r.model.Instance })
 	})
 }
 
-func (g *gauge) stop() {
+func (g *measurement) stop() {
 	w := g.world()
 	for _, n := range w.Nodes {
 		n.kill()
 		if n.Disk != nil {
-			n.Disk.PowerCut()
+			n.Disk.PowerLoss()
 		}
 	}
 	w.run(w.now + 5*time.Second)
--- a/sim/gaugettl.go
+++ b/sim/gaugettl.go
@@ -17,13 +17,13 @@
 }
 
 // tracks follows T while all replicas take longer to their first token for 40 s, and then no longer do.
-func (g *gauge) tracks() {
+func (g *measurement) tracks() {
 	w := g.world()
 	w.run(45 * time.Second)
-	base := w.Reps[0].m.Base
+	base := w.Reps[0].model.Base
 	slow := func(d time.Duration) {
 		for _, r := range w.Reps {
-			r.m.Base = d
+			r.model.Base = d
 		}
 	}
 	g.tell("T before", w)
@@ -33,23 +33,23 @@
 		w.run(w.now + 10*time.Second)
 		g.tell(fmt.Sprintf("T %d s after 340 ms more", 10*i+10), w)
 	}
-	_, late, _, all := w.ttl()
-	g.add("per mille confirmed after T meanwhile", int64(1000*(late-early)/max(all-recorded, 1)))
+	_, overdue, _, all := w.ttl()
+	g.add("per mille confirmed after T meanwhile", int64(1000*(overdue-early)/max(all-recorded, 1)))
 	slow(base)
 	w.run(w.now + 40*time.Second)
 	g.tell("T 40 s after it went", w)
 }
 
-func (g *gauge) tell(name string, w *World) {
+func (g *measurement) tell(name string, w *World) {
 	ms, _, _, _ := w.ttl()
 	g.add(name, ms)
 }
 
 // falseWarm compares guesses that nothing confirmed, while replicas crash, with the source's estimate of rate, share and T.
-func (g *gauge) falseWarm() {
+func (g *measurement) falseWarm() {
 	w := g.world()
 	for i := range 10 {
-		w.at(w.now+time.Duration(3*i)*time.Second, func() { w.Break(Fault{Kind: RepCrash, On: some(w.whim, repNames(), 2), For: 2 * time.Second}) })
+		w.at(w.now+time.Duration(3*i)*time.Second, func() { w.Break(Fault{Kind: ReplicaCrash, On: some(w.whim, replicaNames(), 2), For: 2 * time.Second}) })
 	}
 	w.run(52 * time.Second)
 	t, _, stale, recorded := w.ttl()
--- a/sim/grownshape.go
+++ b/sim/grownshape.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Whole is the share of a large site's machines and replicas that SiteOf gives; FewMachines that of most simulated days, where all
+// NoFailures is the share of a large site's machines and replicas that SiteOf gives; FewMachines that of most simulated days, where all
 // machines with a disk remain and only their number of followers, replicas and requests is smaller.
 const (
 	Whole       = 1.0
@@ -45,35 +45,35 @@
 	trafficScale = 1.5
 )
 
-func partOf(n int, share float64, least int) int { return max(int(float64(n)*share), least) }
+func partOf(n int, ratio float64, least int) int { return max(int(float64(n)*ratio), least) }
 
 // GrownTramitesSite has the disks of the large site with zones of two disks each, and a share of its machines and replicas.
-func GrownTramitesSite(share float64) SiteSpec {
+func GrownTramitesSite(ratio float64) SiteSpec {
 	const nodes, zones, disks, replicas = 88, 3, 6, 89
 	s := SiteSpec{
-		Shape: siteNodes("grown-tramites site", partOf(nodes, share, 2*disks), zones, disks), Far: 500 * time.Microsecond, Idle: 40,
-		Bounds: grownBounds(216), Tolerate: 2, ListRate: 310,
-		Offers: []OfferSpec{llmOffer("permisos", partOf(replicas, share, zones), 437458), plainOffer("borrador", 4)},
+		Shape: siteNodes("grown-tramites site", partOf(nodes, ratio, 2*disks), zones, disks), Far: 500 * time.Microsecond, Idle: 40,
+		Bounds: grownBounds(216), FaultTolerance: 2, ListRate: 310,
+		Services: []ServiceSpec{llmService("permisos", partOf(replicas, ratio, zones), 437458), plainService("borrador", 4)},
 	}
-	s.Offers[0].Slots, s.Offers[0].Queue, s.Offers[0].ColdRate = 24, 72, 18
-	s.Classes = classes("permisos", "borrador", [3]string{"dossier", "zoning", "checklist"}, share*trafficScale, 300*time.Millisecond, 60*time.Millisecond, 1500*time.Millisecond)
+	s.Services[0].Slots, s.Services[0].Queue, s.Services[0].WarmupRate = 24, 72, 18
+	s.Classes = classes("permisos", "borrador", [3]string{"dossier", "zoning", "checklist"}, ratio*trafficScale, 300*time.Millisecond, 60*time.Millisecond, 1500*time.Millisecond)
 	return s
 }
 
 // GrownAtlasSite has the disks of the large site with one disk in each of five zones, and a share of its machines and replicas.
-func GrownAtlasSite(share float64) SiteSpec {
+func GrownAtlasSite(ratio float64) SiteSpec {
 	const nodes, zones, disks, replicas = 72, 5, 5, 60
 	s := SiteSpec{
-		Shape: siteNodes("grown-atlas site", partOf(nodes, share, 2*disks), zones, disks), Far: 1400 * time.Microsecond, Idle: 40,
-		Bounds: grownBounds(184), Tolerate: 2, ListRate: 260,
-		Offers: []OfferSpec{llmOffer("logbook", partOf(replicas, share, zones), 827815), plainOffer("onair", 5)},
+		Shape: siteNodes("grown-atlas site", partOf(nodes, ratio, 2*disks), zones, disks), Far: 1400 * time.Microsecond, Idle: 40,
+		Bounds: grownBounds(184), FaultTolerance: 2, ListRate: 260,
+		Services: []ServiceSpec{llmService("logbook", partOf(replicas, ratio, zones), 827815), plainService("onair", 5)},
 	}
-	s.Classes = classes("logbook", "onair", [3]string{"reconcile", "award", "lookup"}, share*trafficScale, 150*time.Millisecond, 30*time.Millisecond, 1500*time.Millisecond)
+	s.Classes = classes("logbook", "onair", [3]string{"reconcile", "award", "lookup"}, ratio*trafficScale, 150*time.Millisecond, 30*time.Millisecond, 1500*time.Millisecond)
 	s.Classes[1].Attempts = 2
 	return s
 }
 
 // Sites are the four sites of the users' platform, the large ones with that share of their machines.
-func Sites(share float64) []SiteSpec {
-	return []SiteSpec{TramitesSite(), AtlasSite(), GrownTramitesSite(share), GrownAtlasSite(share)}
+func Sites(ratio float64) []SiteSpec {
+	return []SiteSpec{TramitesSite(), AtlasSite(), GrownTramitesSite(ratio), GrownAtlasSite(ratio)}
 }
--- a/sim/guesses.go
+++ b/sim/guesses.go
@@ -8,41 +8,41 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-const guessMost = 2 * time.Second
+const maxPredictions = 2 * time.Second
 
-type guessKey struct {
-	front, rep, instance string
-	part                 prefixindex.Key
+type predictionKey struct {
+	front, replica, instance string
+	part                     prefixindex.Key
 }
 
-func (c *conn) keeper() *Rep {
+func (c *fleetConn) keeper() *FleetReplica {
 	if c.place.Prefill != "" {
-		return c.f.w.byURL[c.place.Prefill]
+		return c.request.w.byURL[c.place.Prefill]
 	}
-	return c.rep
+	return c.replica
 }
 
-func (c *conn) keys() ([]guessKey, []int) {
-	parts, _ := prefixindex.Parse(Prompt, c.f.ask.Prefix)
+func (c *fleetConn) keys() ([]predictionKey, []int) {
+	parts, _ := prefixindex.Parse(Prompt, c.request.ask.Prefix)
 	var tokens []int
-	var keys []guessKey
+	var keys []predictionKey
 	for _, p := range parts {
-		keys, tokens = append(keys, guessKey{front: c.f.n.front, rep: c.keeper().Name, part: p.Key}), append(tokens, p.Tokens)
+		keys, tokens = append(keys, predictionKey{front: c.request.n.frontendID, replica: c.keeper().Name, part: p.Key}), append(tokens, p.Tokens)
 	}
 	return keys, tokens
 }
 
 // placed compares what a placement counted on with what its node can have seen: its own commits and their answers.
-func (a *Audit) placed(f *flight, c *conn) {
+func (a *Audit) placed(f *fleetRequest, c *fleetConn) {
 	keys, tokens := c.keys()
-	a.counted(f.n, f.ask.Request, c.place, keys, tokens, func(key guessKey) bool { return a.proof(f.n, c.keeper(), key) })
+	a.counted(f.n, f.ask.Request, c.place, keys, tokens, func(key predictionKey) bool { return a.proof(f.n, c.keeper(), key) })
 }
 
-func (a *Audit) counted(n *Node, who string, place mallowbridge.Decision, keys []guessKey, tokens []int, proved func(key guessKey) bool) {
+func (a *Audit) counted(n *Node, who string, place mallowbridge.Decision, keys []predictionKey, tokens []int, proved func(key predictionKey) bool) {
 	sure, all, certain := 0, 0, true
 	for i, key := range keys {
 		proof := proved(key)
-		if !proof && a.w.now >= a.guesses[key] {
+		if !proof && a.w.now >= a.predictions[key] {
 			break
 		}
 		certain = certain && proof
@@ -55,49 +55,49 @@
 		a.breach(Unproved, who, fmt.Sprintf("%s counted on %d of %d tokens at %s", n.Name, place.Confirmed, sure, place.Replica))
 	}
 	if counted := place.Confirmed + place.Predicted; counted > all {
-		a.breach(StaleGuess, who, fmt.Sprintf("%s counted on %d of %d tokens at %s", n.Name, counted, all, place.Replica))
+		a.breach(StalePrediction, who, fmt.Sprintf("%s counted on %d of %d tokens at %s", n.Name, counted, all, place.Replica))
 	}
 	_, t := n.router.IndexStats()
 	for _, key := range keys {
-		a.guesses[key] = max(a.guesses[key], a.w.now+min(t, guessMost))
+		a.predictions[key] = max(a.predictions[key], a.w.now+min(t, maxPredictions))
 	}
 }
 
 // guessed does the same for a trip, whose replica is one life.
-func (t *trip) guessed() {
+func (t *proxyRequest) guessed() {
 	a := t.n.w.Audit
 	keys, tokens := t.keys()
-	a.counted(t.n, t.c.id, t.ex.Placement, keys, tokens, func(key guessKey) bool { return a.proofs[key] })
+	a.counted(t.n, t.attempt.id, t.exchange.Placement, keys, tokens, func(key predictionKey) bool { return a.proofs[key] })
 }
 
-func (t *trip) keys() ([]guessKey, []int) {
+func (t *proxyRequest) keys() ([]predictionKey, []int) {
 	var tokens []int
-	var keys []guessKey
-	for _, p := range t.c.want.parts {
-		keys, tokens = append(keys, guessKey{front: t.n.front, rep: t.ex.Placement.Replica, part: p.Key}), append(tokens, p.Tokens)
+	var keys []predictionKey
+	for _, p := range t.attempt.request.parts {
+		keys, tokens = append(keys, predictionKey{front: t.n.frontendID, replica: t.exchange.Placement.Replica, part: p.Key}), append(tokens, p.Tokens)
 	}
 	return keys, tokens
 }
 
-func (t *trip) confirmed() {
+func (t *proxyRequest) confirmed() {
 	keys, _ := t.keys()
 	for _, key := range keys {
 		t.n.w.Audit.proofs[key] = true
 	}
 }
 
-func (a *Audit) proof(n *Node, r *Rep, key guessKey) bool {
-	key.instance = r.m.Instance
+func (a *Audit) proof(n *Node, r *FleetReplica, key predictionKey) bool {
+	key.instance = r.model.Instance
 	if a.proofs[key] {
 		return true
 	}
 	key.instance = r.before
-	return a.proofs[key] && !a.late(n, fact{at: r.since, domain: r.Domain}, leavingWithin)
+	return a.proofs[key] && !a.late(n, versionFact{at: r.since, zone: r.Zone}, leavingWithin)
 }
 
-func (a *Audit) proved(c *conn, inst string) {
+func (a *Audit) proved(c *fleetConn, inst string) {
 	if c.place.Prefill != "" {
-		inst = c.keeper().m.Instance
+		inst = c.keeper().model.Instance
 	}
 	keys, _ := c.keys()
 	for _, key := range keys {
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -13,15 +13,15 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// HollowPlan is a fleet whose state machines are real and whose surroundings are the least that they need: nothing is audited
+// LightPlan is a fleet whose state machines are real and whose surroundings are the least that they need: nothing is audited
 // and nothing breaks, so that a fleet of hundreds fits into one process.
-type HollowPlan struct {
+type LightPlan struct {
 	Seed  uint64
 	Shape Shape
 	Model Model
 	Meter Meter
 	// Next gives the load, in order of time; nil: none.
-	Next func() Ask
+	Next func() Request
 	// PutEvery is the time between changes of configuration; 0: only the first. Body gives the n-th.
 	PutEvery time.Duration
 	Body     func(n int) []byte
@@ -35,26 +35,26 @@
 // Meter sees what the machines of a hollow fleet do.
 type Meter interface {
 	// Sent is one message of one node to another: its frame on a connection that has carried its kind before.
-	Sent(from, to *HollowNode, msg any, frame int, encode, decode time.Duration)
+	Sent(from, to *LightNode, msg any, frame int, encode, decode time.Duration)
 	// Stepped is one input (control.In or mallowbridge.Event) and the real time that the machine took for it.
-	Stepped(n *HollowNode, in any, took time.Duration)
+	Stepped(n *LightNode, in any, elapsed time.Duration)
 	// Asked is one question to a replica for its usage.
-	Asked(n *HollowNode)
+	Asked(n *LightNode)
 	// Wrote is one entry to be synced to a node's disk.
-	Wrote(n *HollowNode)
+	Wrote(n *LightNode)
 }
 
-// Hollow is a fleet that runs a HollowPlan.
-type Hollow struct {
+// LightCluster is a fleet that runs a LightPlan.
+type LightCluster struct {
 	queue
-	S       HollowPlan
+	S       LightPlan
 	rng     *rand.Rand
 	net     *Net
 	pipe    *transport.Writer
 	buf     bytes.Buffer
 	out     *transport.Reader
-	Nodes   []*HollowNode
-	byAddr  map[string]*HollowNode
+	Nodes   []*LightNode
+	byAddr  map[string]*LightNode
 	reps    map[string]*Replica
 	where   map[string]string
 	answers map[uint64]func(a control.Answer)
@@ -70,17 +70,17 @@
 	Firsts []time.Duration
 }
 
-// NewHollow makes the fleet; nothing runs yet.
-func NewHollow(p HollowPlan) *Hollow {
-	h := &Hollow{
-		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*HollowNode{},
+// NewLightCluster makes the fleet; nothing runs yet.
+func NewLightCluster(p LightPlan) *LightCluster {
+	h := &LightCluster{
+		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*LightNode{},
 		reps: map[string]*Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
 		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Ends: map[string]int{},
 	}
 	h.out = transport.NewReader(&h.buf)
 	h.net.Far = max(h.net.Far, p.Far)
 	for i, s := range p.Shape.Nodes {
-		n := &HollowNode{h: h, Name: s.Name, Domain: s.Domain, Addr: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255), eyes: map[string]bool{}, asks: map[string]*hollowGo{}}
+		n := &LightNode{h: h, Name: s.Name, Zone: s.Zone, Addr: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255), watchers: map[string]bool{}, asks: map[string]*lightRequest{}}
 		if s.Disk {
 			n.Disk = NewDisk(p.Seed*1000 + uint64(i))
 		}
@@ -91,14 +91,14 @@
 }
 
 // Now is the virtual time since the fleet was made.
-func (h *Hollow) Now() time.Duration { return h.now }
+func (h *LightCluster) Now() time.Duration { return h.now }
 
 // Run runs the fleet until that time.
-func (h *Hollow) Run(until time.Duration) { h.run(until) }
+func (h *LightCluster) Run(until time.Duration) { h.run(until) }
 
 // Boot starts all nodes within a third of a second, founds the register and puts the first configuration.
-func (h *Hollow) Boot() {
-	c, err := config.Read(h.S.Shape.Charter)
+func (h *LightCluster) Boot() {
+	c, err := config.Read(h.S.Shape.Config)
 	if err != nil {
 		panic(err)
 	}
@@ -108,13 +108,13 @@
 		}
 	}
 	for i, n := range h.Nodes {
-		n.rolled = h.S.Roll * time.Duration(i) / time.Duration(len(h.Nodes))
+		n.upgradeAt = h.S.Roll * time.Duration(i) / time.Duration(len(h.Nodes))
 		h.after(time.Duration(i)*300*time.Millisecond/time.Duration(len(h.Nodes)), n.start)
 	}
 	h.after(time.Second, h.found)
 }
 
-func (h *Hollow) node(name string) *HollowNode {
+func (h *LightCluster) node(name string) *LightNode {
 	for _, n := range h.Nodes {
 		if n.Name == name {
 			return n
@@ -123,24 +123,24 @@
 	return nil
 }
 
-func (h *Hollow) call(n *HollowNode, op control.Op, done func(a control.Answer)) {
+func (h *LightCluster) call(n *LightNode, op control.Op, done func(a control.Answer)) {
 	h.ids++
 	h.answers[h.ids] = done
 	n.step(control.Command{ID: h.ids, Op: op})
 }
 
-func (h *Hollow) found() {
+func (h *LightCluster) found() {
 	n := h.node(h.S.Shape.Voters[0])
 	h.call(n, control.Bootstrap{Names: h.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			h.after(300*time.Millisecond, h.found)
 			return
 		}
-		h.put(n, 0, h.S.Shape.Charter)
+		h.put(n, 0, h.S.Shape.Config)
 	})
 }
 
-func (h *Hollow) put(n *HollowNode, expect uint64, body []byte) {
+func (h *LightCluster) put(n *LightNode, expect uint64, body []byte) {
 	h.puts++
 	at := h.now
 	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Document: body}, func(a control.Answer) {
@@ -152,7 +152,7 @@
 }
 
 // Change puts a configuration every PutEvery from half of that on, each at another node.
-func (h *Hollow) Change() {
+func (h *LightCluster) Change() {
 	if h.S.PutEvery == 0 {
 		return
 	}
@@ -165,16 +165,16 @@
 	h.after(h.S.PutEvery/2, next)
 }
 
-func (h *Hollow) inForce(mark uint64) {
-	at, known := h.offered[mark]
-	if known && h.obeyed[mark] == len(h.Nodes) {
+func (h *LightCluster) inForce(version uint64) {
+	at, known := h.offered[version]
+	if known && h.obeyed[version] == len(h.Nodes) {
 		h.Puts = append(h.Puts, h.now-at)
-		delete(h.offered, mark)
+		delete(h.offered, version)
 	}
 }
 
 // Load submits the requests of Next from now until then, each to a node at random.
-func (h *Hollow) Load(until time.Duration) {
+func (h *LightCluster) Load(until time.Duration) {
 	if h.S.Next == nil {
 		return
 	}
@@ -193,7 +193,7 @@
 	next()
 }
 
-func (h *Hollow) carry(from *HollowNode, s control.Send) {
+func (h *LightCluster) carry(from *LightNode, s control.Send) {
 	to := h.byAddr[s.To]
 	if to == nil || to.Control == nil {
 		return
@@ -212,13 +212,13 @@
 		panic(err)
 	}
 	h.S.Meter.Sent(from, to, s.Msg, len(frame), encoded, decoded)
-	h.after(h.net.delay(from.Domain == to.Domain), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
+	h.after(h.net.delay(from.Zone == to.Zone), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
-func (n *HollowNode) obeys(o mallowbridge.SnapshotUpdate) {
-	for mark := n.mark + 1; mark <= o.Snapshot.Version; mark++ {
-		n.h.obeyed[mark]++
-		n.h.inForce(mark)
+func (n *LightNode) obeys(o mallowbridge.SnapshotUpdate) {
+	for version := n.version + 1; version <= o.Snapshot.Version; version++ {
+		n.h.obeyed[version]++
+		n.h.inForce(version)
 	}
-	n.mark = max(n.mark, o.Snapshot.Version)
+	n.version = max(n.version, o.Snapshot.Version)
 }
--- a/sim/hollownode.go
+++ b/sim/hollownode.go
@@ -14,37 +14,37 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-// HollowNode is one node's two real machines, Control and Router, with a disk where the shape gives it one.
-type HollowNode struct {
-	h       *Hollow
-	Name    string
-	Addr    string
-	Domain  string
-	Control *control.Node
-	Router  *mallowbridge.Router
-	Disk    *Disk
-	keeper  *control.Journal
-	saving  bool
-	unsaved []control.LogWrite
-	eyes    map[string]bool
-	asks    map[string]*hollowGo
-	mark    uint64
-	rolled  time.Duration
-}
-
-// hollowGo is a request on its way: due keeps its answer's lines in order.
-type hollowGo struct {
-	ask     Ask
-	at      time.Duration
-	passage mallowbridge.RequestFlow
-	due     time.Duration
-	on      string
-}
-
-func (n *HollowNode) start() {
+// LightNode is one node's two real machines, Control and Router, with a disk where the shape gives it one.
+type LightNode struct {
+	h         *LightCluster
+	Name      string
+	Addr      string
+	Zone      string
+	Control   *control.Node
+	Router    *mallowbridge.Router
+	Disk      *Disk
+	journal   *control.Journal
+	saving    bool
+	unsaved   []control.LogWrite
+	watchers  map[string]bool
+	asks      map[string]*lightRequest
+	version   uint64
+	upgradeAt time.Duration
+}
+
+// lightRequest is a request on its way: due keeps its answer's lines in order.
+type lightRequest struct {
+	ask  Request
+	at   time.Duration
+	flow mallowbridge.RequestFlow
+	due  time.Duration
+	on   string
+}
+
+func (n *LightNode) start() {
 	h := n.h
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Zone: n.Domain, Boot: "b" + n.Name, Incarnation: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
+		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Zone: n.Zone, Boot: "b" + n.Name, Incarnation: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	}
 	for _, o := range h.Nodes[:min(3, len(h.Nodes))] {
@@ -55,40 +55,40 @@
 		if err != nil {
 			panic(err)
 		}
-		n.keeper = k
+		n.journal = k
 		kept := k.State()
 		cfg.Disk = &kept
 	}
 	n.Control = control.New(h.now, cfg)
-	n.Router = mallowbridge.New(mallowbridge.Defaults(n.Name, cfg.Boot, n.Domain))
+	n.Router = mallowbridge.New(mallowbridge.Defaults(n.Name, cfg.Boot, n.Zone))
 	n.tick()
 }
 
-func (n *HollowNode) tick() {
+func (n *LightNode) tick() {
 	n.h.after(tickEvery, n.tick)
 	n.step(control.Tick{})
 	n.event(mallowbridge.Tick{})
 }
 
-func (n *HollowNode) step(in control.In) {
+func (n *LightNode) step(in control.In) {
 	start := n.h.S.Clock()
 	out := n.Control.Step(n.h.now, in)
 	n.h.S.Meter.Stepped(n, in, n.h.S.Clock()-start)
 	n.carry(out)
 }
 
-func (n *HollowNode) event(ev mallowbridge.Event) {
+func (n *LightNode) event(ev mallowbridge.Event) {
 	start := n.h.S.Clock()
 	ds := n.Router.Step(n.h.now, ev)
 	n.h.S.Meter.Stepped(n, ev, n.h.S.Clock()-start)
 	for _, d := range ds {
 		if g := n.asks[d.Request]; g != nil {
-			n.move(g, g.passage.Decided(d))
+			n.move(g, g.flow.Decided(d))
 		}
 	}
 }
 
-func (n *HollowNode) carry(out control.Out) {
+func (n *LightNode) carry(out control.Out) {
 	for _, s := range out.Sends {
 		n.h.carry(n, s)
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-func (n *HollowNode) save() {
+func (n *LightNode) save() {
 	if n.saving || len(n.unsaved) == 0 {
 		return
 	}
@@ -124,23 +124,23 @@
 	n.unsaved = nil
 	n.h.after(3*time.Millisecond, func() {
 		n.saving = false
-		err := n.keeper.Append(batch)
+		err := n.journal.Append(batch)
 		n.step(control.Persisted{Ticket: batch[len(batch)-1].Ticket, Err: err})
 		n.save()
 	})
 }
 
-func (n *HollowNode) trip(rep string) time.Duration {
-	return n.h.net.delay(n.Domain == n.h.where[rep])
+func (n *LightNode) trip(replica string) time.Duration {
+	return n.h.net.delay(n.Zone == n.h.where[replica])
 }
 
-func (n *HollowNode) report(rep string, own bool) control.Probed {
-	r := n.h.reps[rep]
+func (n *LightNode) report(replica string, local bool) control.Probed {
+	r := n.h.reps[replica]
 	running, lag := r.Usage(n.h.now)
-	return control.Probed{Replica: rep, Local: own, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
+	return control.Probed{Replica: replica, Local: local, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
 }
 
-func (n *HollowNode) probe(p control.Probe) {
+func (n *LightNode) probe(p control.Probe) {
 	if n.h.reps[p.Replica] == nil {
 		return
 	}
@@ -148,27 +148,27 @@
 	n.h.after(2*n.trip(p.Replica), func() { n.step(n.report(p.Replica, p.Local)) })
 }
 
-func (n *HollowNode) watch(p *config.Snapshot) {
+func (n *LightNode) watch(p *config.Snapshot) {
 	for _, o := range p.Config.Services {
 		for _, r := range o.Replicas {
-			if n.h.reps[r.Name] == nil || n.eyes[r.Name] {
+			if n.h.reps[r.Name] == nil || n.watchers[r.Name] {
 				continue
 			}
-			n.eyes[r.Name] = true
+			n.watchers[r.Name] = true
 			n.h.S.Meter.Asked(n)
-			n.h.at(max(n.h.now, n.rolled)+2*n.trip(r.Name), func() { n.step(control.Observation{State: control.Up, Probed: n.report(r.Name, true)}) })
+			n.h.at(max(n.h.now, n.upgradeAt)+2*n.trip(r.Name), func() { n.step(control.Observation{State: control.Up, Probed: n.report(r.Name, true)}) })
 		}
 	}
 }
 
-func (n *HollowNode) submit(a Ask) {
-	g := &hollowGo{ask: a, at: n.h.now, passage: mallowbridge.RequestFlow{Request: a.Request}}
+func (n *LightNode) submit(a Request) {
+	g := &lightRequest{ask: a, at: n.h.now, flow: mallowbridge.RequestFlow{Request: a.Request}}
 	n.asks[a.Request] = g
-	n.event(mallowbridge.Arrive{Request: a.Request, Service: a.Kind.Offer, Class: a.Kind.Name, Prefix: a.Prefix, Tail: a.TailTokens})
+	n.event(mallowbridge.Arrive{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens})
 }
 
-func (n *HollowNode) move(g *hollowGo, moves []mallowbridge.Action) {
-	for _, m := range moves {
+func (n *LightNode) move(g *lightRequest, actions []mallowbridge.Action) {
+	for _, m := range actions {
 		switch m.Kind {
 		case mallowbridge.Connect:
 			g.on, g.due = m.Placement.Replica, 0
@@ -192,16 +192,16 @@
 	}
 }
 
-func (n *HollowNode) happened(g *hollowGo, w mallowbridge.ConnectionEvent) {
-	n.move(g, g.passage.Happened(w))
+func (n *LightNode) happened(g *lightRequest, w mallowbridge.ConnectionEvent) {
+	n.move(g, g.flow.Happened(w))
 }
 
-func (n *HollowNode) back(g *hollowGo, at time.Duration, w mallowbridge.ConnectionEvent) {
+func (n *LightNode) back(g *lightRequest, at time.Duration, w mallowbridge.ConnectionEvent) {
 	g.due = max(g.due, at+n.trip(g.on))
 	n.h.at(g.due, func() { n.happened(g, w) })
 }
 
-func (n *HollowNode) admitted(g *hollowGo, id string) {
+func (n *LightNode) admitted(g *lightRequest, id string) {
 	r := n.h.reps[g.on]
 	parts, _ := prefixindex.Parse(Prompt, g.ask.Prefix)
 	plan, ok := r.Admit(n.h.now, id, parts, g.ask.TailTokens)
@@ -212,20 +212,20 @@
 	at := n.h.now + plan.First
 	n.back(g, at, mallowbridge.Replied{AttemptID: id, Attempt: id, Status: http.StatusOK})
 	n.h.Firsts = append(n.h.Firsts, at-g.at)
-	for i := range plan.Pieces {
+	for i := range plan.Chunks {
 		text := ledger.Piece(g.ask.Request, id, i)
 		n.back(g, at+time.Duration(i)*plan.Every, mallowbridge.AnswerRead{AttemptID: id, Line: mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
-	end := at + time.Duration(plan.Pieces-1)*plan.Every
-	n.back(g, end, mallowbridge.AnswerRead{AttemptID: id, Line: mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Pieces}})
+	end := at + time.Duration(plan.Chunks-1)*plan.Every
+	n.back(g, end, mallowbridge.AnswerRead{AttemptID: id, Line: mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
 	n.h.at(end, func() { r.Release(n.h.now, id) })
 }
 
-// HollowShape is a fleet of so many nodes and replicas over zones, with so many disks, offers and kinds of request each.
-func HollowShape(nodes, replicas, disks, offers int, zones []string) Shape {
-	s := Shape{Name: "hollow", Voters: []string{"n1", "n2", "n3"}, Domains: zones}
+// LightShape is a fleet of so many nodes and replicas over zones, with so many disks, offers and kinds of request each.
+func LightShape(nodes, replicas, disks, services int, zones []string) Shape {
+	s := Shape{Name: "hollow", Voters: []string{"n1", "n2", "n3"}, Zones: zones}
 	for i := range nodes {
-		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Domain: zones[i%len(zones)], Disk: i < disks})
+		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Zone: zones[i%len(zones)], Disk: i < disks})
 	}
-	return s.offers(replicas, offers)
+	return s.offers(replicas, services)
 }
--- a/sim/hollowshape.go
+++ b/sim/hollowshape.go
@@ -5,53 +5,53 @@
 	"fmt"
 )
 
-func (s Shape) offers(replicas, offers int) Shape {
+func (s Shape) offers(replicas, services int) Shape {
 	var os []any
-	for o := range offers {
+	for o := range services {
 		name := fmt.Sprintf("model%d", o+1)
 		var rs []any
-		for i := o; i < replicas; i += offers {
+		for i := o; i < replicas; i += services {
 			rs = append(rs, doc{
-				"name": fmt.Sprintf("r%d", i+1), "addr": fmt.Sprintf("10.200.%d.%d:9000", i>>8, i&255), "domain": s.Domains[i%len(s.Domains)], "room": HollowRoom,
+				"name": fmt.Sprintf("r%d", i+1), "addr": fmt.Sprintf("10.200.%d.%d:9000", i>>8, i&255), "domain": s.Zones[i%len(s.Zones)], "room": LightCapacity,
 			})
 		}
 		var ks []any
 		for i, k := range []string{"fast", "normal", "once"} {
-			s.Kinds = append(s.Kinds, KindLoad{Offer: name, Name: k, Repeatable: i < 2})
+			s.Classes = append(s.Classes, ClassLoad{Service: name, Name: k, Repeatable: i < 2})
 			ks = append(ks, doc{"name": k, "value": 5, "urgency": 3 - i, "firstTokenMs": 1900, "repeatable": i < 2})
 		}
 		os = append(os, doc{
 			"name": name, "model": Prompt, "replicas": rs, "kinds": ks, "crossCost": 0.5, "cold": doc{"startRoom": 1, "rampMs": 0},
 		})
 	}
-	s.Charter, _ = json.Marshal(doc{"replaceLostVoterMs": 15000, "offers": os})
+	s.Config, _ = json.Marshal(doc{"replaceLostVoterMs": 15000, "offers": os})
 	return s
 }
 
-// HollowRoom is how many requests a replica of a hollow fleet runs at once.
-const HollowRoom = 12
+// LightCapacity is how many requests a replica of a hollow fleet runs at once.
+const LightCapacity = 12
 
-// HollowBody is the n-th change of a shape's configuration, padded by kinds that nobody asks for to about so many bytes.
-func HollowBody(s Shape, n, bytes int) []byte {
+// LightDocument is the n-th change of a shape's configuration, padded by kinds that nobody asks for to about so many bytes.
+func LightDocument(s Shape, n, bytes int) []byte {
 	var d doc
-	if err := json.Unmarshal(s.Charter, &d); err != nil {
+	if err := json.Unmarshal(s.Config, &d); err != nil {
 		panic(err)
 	}
 	d["replaceLostVoterMs"] = 15000 + n
-	offers := d["offers"].([]any)
+	services := d["offers"].([]any)
 	var raw []byte
-	for size, at := len(s.Charter), 0; size < bytes; at++ {
+	for size, at := len(s.Config), 0; size < bytes; at++ {
 		var ks []any
 		for i := range 48 {
 			ks = append(ks, doc{"name": fmt.Sprintf("padding-of-a-name-that-is-long-enough-%d", i), "firstTokenMs": 1900})
 		}
 		name := fmt.Sprintf("pad%d", at)
-		pad := doc{"name": name, "model": Prompt, "kinds": ks, "replicas": []any{doc{"name": name, "addr": "10.201.0.1:9000", "domain": s.Domains[0]}}}
+		pad := doc{"name": name, "model": Prompt, "kinds": ks, "replicas": []any{doc{"name": name, "addr": "10.201.0.1:9000", "domain": s.Zones[0]}}}
 		raw, _ = json.Marshal(pad)
 		size += len(raw) + 1
-		offers = append(offers, pad)
+		services = append(services, pad)
 	}
-	d["offers"] = offers
+	d["offers"] = services
 	raw, _ = json.Marshal(d)
 	return raw
 }
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -11,28 +11,28 @@
 
 // An Instance is one life of a replica at an address.
 type Instance struct {
-	s        *site
-	ID, Addr string
-	Domain   string
-	offer    *OfferSpec
-	pace     float64
-	eng      *Engine
-	up, dark bool
-	born     time.Duration
-	leaves   time.Duration
-	ends     time.Duration
-	lost     bool
-	chilled  time.Duration
-	coldTill time.Duration
-	sockets  []*socket
-	arrivals []arrival
-	garble   garble
+	s           *site
+	ID, Addr    string
+	Zone        string
+	service     *ServiceSpec
+	pace        float64
+	engine      *Engine
+	up, dark    bool
+	startedAt   time.Duration
+	leaves      time.Duration
+	ends        time.Duration
+	lost        bool
+	warmupFrom  time.Duration
+	warmupUntil time.Duration
+	sockets     []*socket
+	arrivals    []arrival
+	garble      garbling
 }
 
 type arrival struct{ sent, at time.Duration }
 
 // A garble spoils the share of answers that Every gives: how is cut, junk, surplus, late, reset or silent.
-type garble struct {
+type garbling struct {
 	every int
 	how   string
 }
@@ -43,22 +43,22 @@
 	closesEvery = 50
 )
 
-func (s *site) launch(o *OfferSpec, domain, addr string, pace float64, cold bool) *Instance {
+func (s *site) launch(o *ServiceSpec, zone, addr string, pace float64, warm bool) *Instance {
 	s.born++
 	i := &Instance{
-		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Domain: domain, offer: o, pace: pace, eng: NewEngine(&s.w.queue, o.EngineSpec),
-		up: true, born: s.w.now, leaves: never, ends: never,
+		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Zone: zone, service: o, pace: pace, engine: NewEngine(&s.w.queue, o.EngineSpec),
+		up: true, startedAt: s.w.now, leaves: never, ends: never,
 	}
-	i.eng.Slow = func() float64 {
-		if s.w.now < i.coldTill {
+	i.engine.Slow = func() float64 {
+		if s.w.now < i.warmupUntil {
 			return i.pace * 2
 		}
 		return i.pace
 	}
-	if cold {
+	if warm {
 		i.chill()
 	} else {
-		i.born = -time.Minute
+		i.startedAt = -time.Minute
 	}
 	s.at[addr] = i
 	s.instances = append(s.instances, i)
@@ -66,14 +66,14 @@
 }
 
 func (i *Instance) chill() {
-	if i.s.w.now >= i.coldTill {
-		i.chilled = i.s.w.now
+	if i.s.w.now >= i.warmupUntil {
+		i.warmupFrom = i.s.w.now
 	}
-	i.coldTill = i.s.w.now + i.offer.ColdFor
+	i.warmupUntil = i.s.w.now + i.service.WarmupTime
 }
 
-func (i *Instance) cold() bool {
-	return i.offer.ColdRate > 0 && i.s.w.now < i.coldTill
+func (i *Instance) warmingUp() bool {
+	return i.service.WarmupRate > 0 && i.s.w.now < i.warmupUntil
 }
 
 // drain has the list show that the instance leaves; it serves on for a little more than it must.
@@ -93,7 +93,7 @@
 	}
 	i.up, i.ends, i.lost = false, i.s.w.now, crash
 	i.s.w.Say("%s at %s ends, crash: %v", i.ID, i.Addr, crash)
-	i.eng.Stop()
+	i.engine.Stop()
 	i.s.tallied(i)
 	for _, k := range i.sockets {
 		k.harm()
@@ -104,7 +104,7 @@
 
 // accept takes a new connection, unless too many are open.
 func (i *Instance) accept(k *socket) bool {
-	if !i.up || len(i.sockets) >= i.offer.MaxConns {
+	if !i.up || len(i.sockets) >= i.service.MaxConns {
 		return false
 	}
 	i.sockets = append(i.sockets, k)
@@ -115,23 +115,23 @@
 func (i *Instance) hangup(k *socket) {
 	i.sockets = slices.DeleteFunc(i.sockets, func(o *socket) bool { return o == k })
 	if k.job != nil {
-		i.eng.Drop(k.job)
+		i.engine.Drop(k.job)
 		k.job = nil
 	}
 }
 
 func (i *Instance) load() *mallowbridge.Load {
-	running, waiting, slots := i.eng.Load()
+	running, waiting, slots := i.engine.Load()
 	return &mallowbridge.Load{Replica: i.ID, Running: running, Queued: waiting, Slots: slots}
 }
 
-func (i *Instance) head(r *request, status int) *head {
+func (i *Instance) head(r *sentRequest, status int) *head {
 	h := &head{status: status, attempt: r.attempt, instance: i.ID, load: i.load(), shut: i.leaves != never}
 	return h
 }
 
 // serve takes a request that came in on a connection.
-func (i *Instance) serve(k *socket, r *request) {
+func (i *Instance) serve(k *socket, r *sentRequest) {
 	if !i.up || i.dark {
 		return
 	}
@@ -139,18 +139,18 @@
 	if r.target != "" && r.target != i.ID {
 		h := i.head(r, http.StatusMisdirectedRequest)
 		h.notRun = true
-		i.s.report.Misplaced++
+		i.s.report.WrongInstance++
 		k.reply(packet{head: h, end: true})
 		return
 	}
 	i.s.rules.arrived(i, r)
 	i.arrivals = append(i.arrivals, arrival{sent: r.sent, at: w.now})
-	if i.cold() && i.recent() > 3*int(i.offer.ColdRate)+coldSlack {
+	if i.warmingUp() && i.recent() > 3*int(i.service.WarmupRate)+warmupSlack {
 		i.end(true)
 		return
 	}
 	j := i.job(k, r)
-	if !i.eng.Take(j) {
+	if !i.engine.Take(j) {
 		i.refuse(k, r)
 		return
 	}
@@ -165,7 +165,7 @@
 	return n
 }
 
-func (i *Instance) refuse(k *socket, r *request) {
+func (i *Instance) refuse(k *socket, r *sentRequest) {
 	h := i.head(r, http.StatusServiceUnavailable)
 	h.notRun = true
 	k.reply(packet{head: h, end: true})
@@ -173,10 +173,10 @@
 
 func (i *Instance) row(at time.Duration) mallowbridge.Instance {
 	r := mallowbridge.Instance{
-		ID: i.ID, Service: i.offer.Name, Addr: i.Addr, Zone: i.Domain, Model: Prompt, Weights: "1", Capacity: i.offer.Slots, Draining: i.leaves <= at,
+		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
 	}
-	if i.coldTill > 0 && i.chilled <= at {
-		r.WarmingUp = max(i.coldTill-at, 0)
+	if i.warmupUntil > 0 && i.warmupFrom <= at {
+		r.WarmingUp = max(i.warmupUntil-at, 0)
 	}
 	return r
 }
@@ -187,7 +187,7 @@
 	if i.lost && until != never {
 		until += lingers
 	}
-	return i.born <= at && at < until
+	return i.startedAt <= at && at < until
 }
 
 // shown is when the list first shows the instance as leaving or gone.
--- a/sim/job.go
+++ b/sim/job.go
@@ -8,27 +8,27 @@
 
 // A job is one request at an engine.
 type job struct {
-	parts  []prefixindex.Part
-	prompt int
-	out    int
-	work   time.Duration
-	rank   int
+	parts    []prefixindex.Part
+	prompt   int
+	out      int
+	work     time.Duration
+	priority int
 	// until is when it is no longer worth starting.
 	until time.Duration
 	// begun is called when it starts running, event for each event, from 1, late when its time was over in the queue.
-	begun func()
-	event func(n int, last bool)
-	late  func()
+	begun   func()
+	event   func(n int, last bool)
+	overdue func()
 
-	seq     int
-	unread  int
-	reading int
-	made    int
-	held    int
-	cached  int
-	started bool
-	gone    bool
-	joined  bool
+	seq        int
+	unread     int
+	reading    int
+	made       int
+	heldTokens int
+	cached     int
+	started    bool
+	abandoned  bool
+	joined     bool
 }
 
 func (j *job) start() {
--- a/sim/load.go
+++ b/sim/load.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// KindLoad is a kind of request of an offer.
-type KindLoad struct {
-	Offer, Name string
-	Repeatable  bool
+// ClassLoad is a kind of request of an offer.
+type ClassLoad struct {
+	Service, Name string
+	Repeatable    bool
 }
 
 // Load describes random requests: Rate a second over all kinds, begun by one of Prefixes prefixes a kind, and a HotShare
 // (0 to 1) of them all of the first kind with its first prefix.
 type Load struct {
-	Kinds    []KindLoad
+	Classes  []ClassLoad
 	Rate     float64
 	Prefixes int
 	HotShare float64
-	Crowds   []Crowd
+	Bursts   []Burst
 }
 
-// Crowd multiplies the rate for a while.
-type Crowd struct {
+// Burst multiplies the rate for a while.
+type Burst struct {
 	From, Until time.Duration
 	Times       float64
 }
 
-// Ask is one request: when it comes, its prefix as a header, and the tokens that follow the prefix.
-type Ask struct {
+// Request is one request: when it comes, its prefix as a header, and the tokens that follow the prefix.
+type Request struct {
 	At         time.Duration
 	Request    string
-	Kind       KindLoad
+	Class      ClassLoad
 	Prefix     string
 	TailTokens int
 }
@@ -56,7 +56,7 @@
 func NewSource(l Load, seed uint64, tag string) *Source {
 	s := &Source{load: l, rng: rand.New(rand.NewPCG(seed, 17)), tag: tag}
 	shape := rand.New(rand.NewPCG(1, 19))
-	for _, k := range l.Kinds {
+	for _, k := range l.Classes {
 		var ps []prefix
 		for i := range max(l.Prefixes, 1) {
 			parts := []string{fmt.Sprintf("%s.sys/%d", k.Name, 256)}
@@ -72,7 +72,7 @@
 
 func (s *Source) rate(at time.Duration) float64 {
 	r := s.load.Rate
-	for _, c := range s.load.Crowds {
+	for _, c := range s.load.Bursts {
 		if at >= c.From && at < c.Until {
 			r *= c.Times
 		}
@@ -81,9 +81,9 @@
 }
 
 // Next is the next request; its time counts from the start of the load.
-func (s *Source) Next() Ask {
+func (s *Source) Next() Request {
 	s.next += time.Duration(s.rng.ExpFloat64() / s.rate(s.next) * float64(time.Second))
-	k := s.rng.IntN(len(s.load.Kinds))
+	k := s.rng.IntN(len(s.load.Classes))
 	pool := s.prefixes[k]
 	i := int(float64(len(pool)) * s.rng.Float64() * s.rng.Float64())
 	if s.rng.Float64() < s.load.HotShare {
@@ -91,8 +91,8 @@
 		pool = s.prefixes[0]
 	}
 	s.n++
-	return Ask{
-		At: s.next, Request: fmt.Sprintf("%s-%d", s.tag, s.n), Kind: s.load.Kinds[k], Prefix: pool[i].header,
+	return Request{
+		At: s.next, Request: fmt.Sprintf("%s-%d", s.tag, s.n), Class: s.load.Classes[k], Prefix: pool[i].header,
 		TailTokens: 32 + s.rng.IntN(160),
 	}
 }
--- a/sim/marathon.go
+++ b/sim/marathon.go
@@ -13,33 +13,33 @@
 	atOnce = 3
 )
 
-// marathonKinds are the troubles of a marathon by what they strike.
-func marathonKinds() (onCore, onNodes, onReplicas, plain []string) {
+// marathonFaults are the troubles of a marathon by what they strike.
+func marathonFaults() (onCore, onNodes, onReplicas, plain []string) {
 	onCore = []string{
-		Kill, Power, Wipe, Move, Retire, Freeze, ClockBack, CutCore, CutCoreOut, CutCoreIn, CutControl, CutOneWay, CutIn, CutNode, SlowDisk, StallDisk, FullDisk,
+		Kill, Power, Wipe, Relocate, Retire, Freeze, ClockBack, PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionControl, PartitionOneWay, PartitionIn, PartitionNode, SlowDisk, StallDisk, FullDisk,
 		OldDisk,
 	}
-	onNodes = []string{Kill, Power, Freeze, CutNode, CutControl, CutOneWay, CutIn, ClockBack, Upgrade}
-	onReplicas = []string{RepCrash, RepDark, RepFreeze, Release, ScaleIn}
-	plain = []string{PutStorm, Change, Race, SameNumber, BadPuts, AckLost, Empty, ListDown, Burst, HotKey, ScaleOut, Garble}
+	onNodes = []string{Kill, Power, Freeze, PartitionNode, PartitionControl, PartitionOneWay, PartitionIn, ClockBack, Upgrade}
+	onReplicas = []string{ReplicaCrash, ReplicaUnreachable, ReplicaFreeze, Release, ScaleIn}
+	plain = []string{PutStorm, Change, Race, SameNumber, BadPuts, AckLost, EvacuateFault, ListDown, BurstFault, HotKey, ScaleOut, GarbleAnswers}
 	return onCore, onNodes, onReplicas, plain
 }
 
 // Marathon is a long day on which three troubles at a time begin, drawn from all kinds, under orders that never pause.
-func Marathon() Day {
-	return Day{Name: "marathon", Lasts: marathonLasts, Traffic: few, Close: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+func Marathon() SiteScenario {
+	return SiteScenario{Name: "marathon", Lasts: marathonLasts, Traffic: few, Close: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 		fs := pressing(s, rng, marathonFrom, marathonEnds)
 		for at := marathonFrom + sec; at < marathonEnds-5*sec; at += time.Duration(2000+rng.IntN(2500)) * ms {
 			for range atOnce {
-				fs = append(fs, marathonTrouble(s, rng, at+time.Duration(rng.IntN(700))*ms))
+				fs = append(fs, marathonFault(s, rng, at+time.Duration(rng.IntN(700))*ms))
 			}
 		}
 		return fs
 	}}
 }
 
-func marathonTrouble(s SiteSpec, rng *rand.Rand, at time.Duration) Fault {
-	onCore, onNodes, onReplicas, plain := marathonKinds()
+func marathonFault(s SiteSpec, rng *rand.Rand, at time.Duration) Fault {
+	onCore, onNodes, onReplicas, plain := marathonFaults()
 	lasts := time.Duration(300+rng.IntN(5000)) * ms
 	if rng.IntN(8) == 0 {
 		lasts = 20 * sec
@@ -50,13 +50,13 @@
 	case 2:
 		return one(drawn(rng, onNodes...), at, lasts, some(rng, nodeNames(s.Shape)[len(disks(s)):], 1+rng.IntN(2))...)
 	case 3:
-		return one(drawn(rng, onReplicas...), at, lasts, s.Offers[rng.IntN(len(s.Offers))].Name)
+		return one(drawn(rng, onReplicas...), at, lasts, s.Services[rng.IntN(len(s.Services))].Name)
 	}
 	f := one(drawn(rng, plain...), at, min(lasts, 6*sec))
 	switch f.Kind {
-	case Empty:
-		f.On = some(rng, s.Shape.Domains, 1)
-	case Garble:
+	case EvacuateFault:
+		f.On = some(rng, s.Shape.Zones, 1)
+	case GarbleAnswers:
 		f.On = []string{drawn(rng, "cut", "reset", "late", "junk", "silent", "surplus")}
 	}
 	return f
--- a/sim/mixed.go
+++ b/sim/mixed.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-func reps(s Shape, domain string) []string {
+func reps(s Shape, zone string) []string {
 	var names []string
-	for i, r := range repNames() {
-		if s.Domains[i%len(s.Domains)] == domain {
+	for i, r := range replicaNames() {
+		if s.Zones[i%len(s.Zones)] == zone {
 			names = append(names, r)
 		}
 	}
 	return names
 }
 
-func mixedScenes() []Scene {
-	return []Scene{
-		{Name: "our nodes are upgraded one by one", Whole: true, Faults: func(s Shape, rng *rand.Rand) []Fault {
+func mixedScenarios() []FleetScenario {
+	return []FleetScenario{
+		{Name: "our nodes are upgraded one by one", NoFailures: true, Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(Upgrade, 9*sec, 0, nodeNames(s)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 80 * sec }},
 		{Name: "neighbouring builds are mixed", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(PutStorm, 9*sec, 20*sec), one(Kill, 12*sec, 2*sec, some(rng, nodeNames(s), 3)...), one(CutDomain, 20*sec, 5*sec, s.Domains[rng.IntN(len(s.Domains))])}
+			return []Fault{one(PutStorm, 9*sec, 20*sec), one(Kill, 12*sec, 2*sec, some(rng, nodeNames(s), 3)...), one(PartitionZone, 20*sec, 5*sec, s.Zones[rng.IntN(len(s.Zones))])}
 		}, Change: func(s *Scenario) { s.Builds = true }},
 		{Name: "one order while machines freeze", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
@@ -32,45 +32,45 @@
 			return fs
 		}, Change: func(s *Scenario) { s.Load.Rate = 150 }},
 		{Name: "a release that breaks each answer", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(RepSick, 9*sec, 25*sec, some(rng, repNames(), 9)...)}
+			return []Fault{one(ReplicaFailing, 9*sec, 25*sec, some(rng, replicaNames(), 9)...)}
 		}, Change: func(s *Scenario) { s.Load.Rate = 40 }},
 		{Name: "replicas answer wrongly", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(RepTwist, 9*sec, 25*sec, some(rng, repNames(), 9)...)}
+			return []Fault{one(ReplicaCorrupt, 9*sec, 25*sec, some(rng, replicaNames(), 9)...)}
 		}},
 		{Name: "replicas restart at once", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 12 {
-				fs = append(fs, one(RepBlink, time.Duration(9000+2200*i+rng.IntN(900))*time.Millisecond, 0, some(rng, repNames(), 3)...))
+				fs = append(fs, one(ReplicaRestart, time.Duration(9000+2200*i+rng.IntN(900))*time.Millisecond, 0, some(rng, replicaNames(), 3)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Crowds = []Crowd{{From: 12 * sec, Until: 30 * sec, Times: 2.5}} }},
+		}, Change: func(s *Scenario) { s.Load.Bursts = []Burst{{From: 12 * sec, Until: 30 * sec, Times: 2.5}} }},
 		{Name: "replicas flap", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 30 {
-				fs = append(fs, one(RepCrash, time.Duration(9000+900*i)*time.Millisecond, 400*time.Millisecond, some(rng, repNames(), 5)...))
+				fs = append(fs, one(ReplicaCrash, time.Duration(9000+900*i)*time.Millisecond, 400*time.Millisecond, some(rng, replicaNames(), 5)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Crowds = []Crowd{{From: 8 * sec, Until: 38 * sec, Times: 3}} }},
+		}, Change: func(s *Scenario) { s.Load.Bursts = []Burst{{From: 8 * sec, Until: 38 * sec, Times: 3}} }},
 		{Name: "probers die while replicas restart", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 6 {
 				at := time.Duration(9+4*i) * sec
 				fs = append(fs, one(Kill, at, 3*sec, some(rng, nodeNames(s), 4)...))
-				fs = append(fs, one(RepCrash, at+time.Duration(300+rng.IntN(2500))*time.Millisecond, 300*time.Millisecond, some(rng, repNames(), 4)...))
+				fs = append(fs, one(ReplicaCrash, at+time.Duration(300+rng.IntN(2500))*time.Millisecond, 300*time.Millisecond, some(rng, replicaNames(), 4)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Crowds = []Crowd{{From: 9 * sec, Until: 36 * sec, Times: 1.5}} }},
+		}, Change: func(s *Scenario) { s.Load.Bursts = []Burst{{From: 9 * sec, Until: 36 * sec, Times: 1.5}} }},
 		{Name: "platform lists late and out of order", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(Lists, 9*sec, 25*sec), one(PutStorm, 12*sec, 12*sec)}
 		}},
 		{Name: "release while a domain empties", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			d := s.Domains[rng.IntN(len(s.Domains))]
-			return []Fault{one(Release, 10*sec, 0, append(some(rng, reps(s, d), 3), some(rng, repNames(), 3)...)...), one(Empty, 14*sec, 15*sec, d),
+			d := s.Zones[rng.IntN(len(s.Zones))]
+			return []Fault{one(Release, 10*sec, 0, append(some(rng, reps(s, d), 3), some(rng, replicaNames(), 3)...)...), one(EvacuateFault, 14*sec, 15*sec, d),
 				one(Kill, 15*sec, 2*sec, some(rng, nodeNames(s), 2)...)}
 		}},
 		{Name: "domain is cut from other nodes", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(CutControl, 12*sec, 12*sec, s.Domains[rng.IntN(len(s.Domains))]), one(RepCrash, 17*sec, 500*time.Millisecond, some(rng, repNames(), 3)...),
-				one(Release, 14*sec, 0, some(rng, repNames(), 2)...)}
+			return []Fault{one(PartitionControl, 12*sec, 12*sec, s.Zones[rng.IntN(len(s.Zones))]), one(ReplicaCrash, 17*sec, 500*time.Millisecond, some(rng, replicaNames(), 3)...),
+				one(Release, 14*sec, 0, some(rng, replicaNames(), 2)...)}
 		}},
 		{Name: "clocks are set back", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			back := some(rng, nodeNames(s), 4)
@@ -81,11 +81,11 @@
 			return append(fs, one(PutStorm, 9*sec, 25*sec), one(Lists, 9*sec, 20*sec))
 		}},
 		{Name: "core freezes in an act", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(FreezeAct, 9*sec, 7*sec), one(PutStorm, 9*sec, 50*sec), one(Move, 12*sec, 2*sec, some(rng, s.Voters, 1)...)}
+			return []Fault{one(FreezeAct, 9*sec, 7*sec), one(PutStorm, 9*sec, 50*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 70 * sec }},
 		{Name: "day ends with a domain lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			d := s.Domains[rng.IntN(3)]
-			return []Fault{one(PutStorm, 10*sec, 29900*time.Millisecond), one(Wipe, 39900*time.Millisecond, -1, namesIn(s, d)...), one(RepCrash, 39900*time.Millisecond, -1, reps(s, d)...)}
+			d := s.Zones[rng.IntN(3)]
+			return []Fault{one(PutStorm, 10*sec, 29900*time.Millisecond), one(Wipe, 39900*time.Millisecond, -1, namesIn(s, d)...), one(ReplicaCrash, 39900*time.Millisecond, -1, reps(s, d)...)}
 		}},
 		{Name: "day ends with all power and one disk lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 10*sec, 30*sec), one(AllDown, 40*sec, -1), one(Wipe, 41*sec, -1, some(rng, s.Voters, 1)...)}
@@ -93,12 +93,12 @@
 		{Name: "everything at once", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 40*sec))
-			kinds := []string{Kill, Power, Freeze, CutNode, CutOneWay, RepCrash, RepDark, SlowDisk, StallDisk}
+			classes := []string{Kill, Power, Freeze, PartitionNode, PartitionOneWay, ReplicaCrash, ReplicaUnreachable, SlowDisk, StallDisk}
 			for at := 10 * sec; at < 45*sec; at += 2 * sec {
-				k := kinds[rng.IntN(len(kinds))]
+				k := classes[rng.IntN(len(classes))]
 				on := some(rng, nodeNames(s), 1)
-				if k == RepCrash || k == RepDark {
-					on = some(rng, repNames(), 2)
+				if k == ReplicaCrash || k == ReplicaUnreachable {
+					on = some(rng, replicaNames(), 2)
 				}
 				fs = append(fs, one(k, at, time.Duration(1000+rng.IntN(4000))*time.Millisecond, on...))
 			}
--- a/sim/net.go
+++ b/sim/net.go
@@ -17,35 +17,35 @@
 // Net is the simulated network: shares of messages that are lost and doubled, one-way delays within (Near) and between zones (Far) with a
 // random addition of up to Jitter, and counts of messages and bytes, between zones also by kind.
 type Net struct {
-	rng        *rand.Rand
-	links      map[[2]string]*link
-	Loss, Dup  float64
-	Near, Far  time.Duration
-	Jitter     time.Duration
-	cuts       map[int]func(from, to string) bool
-	cutSeq     int
-	Sent       uint64
-	Bytes      uint64
-	CrossBytes uint64
-	CrossKind  map[string]uint64
+	rng          *rand.Rand
+	links        map[[2]string]*link
+	Loss, Dup    float64
+	Near, Far    time.Duration
+	Jitter       time.Duration
+	partitions   map[int]func(from, to string) bool
+	partitionSeq int
+	Sent         uint64
+	Bytes        uint64
+	CrossBytes   uint64
+	CrossKind    map[string]uint64
 }
 
 func newNet(seed uint64) *Net {
 	return &Net{
 		rng: rand.New(rand.NewPCG(seed, 29)), links: map[[2]string]*link{}, Near: 300 * time.Microsecond, Far: 3 * time.Millisecond,
-		Jitter: 2 * time.Millisecond, cuts: map[int]func(from, to string) bool{}, CrossKind: map[string]uint64{},
+		Jitter: 2 * time.Millisecond, partitions: map[int]func(from, to string) bool{}, CrossKind: map[string]uint64{},
 	}
 }
 
-func (n *Net) cut(blocked func(from, to string) bool) func() {
-	n.cutSeq++
-	id := n.cutSeq
-	n.cuts[id] = blocked
-	return func() { delete(n.cuts, id) }
+func (n *Net) partition(blocked func(from, to string) bool) func() {
+	n.partitionSeq++
+	id := n.partitionSeq
+	n.partitions[id] = blocked
+	return func() { delete(n.partitions, id) }
 }
 
 func (n *Net) blocked(from, to string) bool {
-	for _, c := range n.cuts {
+	for _, c := range n.partitions {
 		if c(from, to) {
 			return true
 		}
--- a/sim/node.go
+++ b/sim/node.go
@@ -14,50 +14,50 @@
 
 // Node is a simulated machine of the fleet with its process: control state machine, router, disk and clock.
 type Node struct {
-	w      *World
-	Name   string
-	Addr   string
-	Domain string
-	Alive  bool
-	frozen bool
-	shut   bool
-	retire bool
-	// retiredAt is when the process was told to end, where retire is set.
-	retiredAt time.Duration
-	inbox     []func()
-	life      uint64
-	front     string
-	build     uint32
-	skew      time.Duration
-	wall      time.Duration
-	node      *control.Node
-	router    *mallowbridge.Router
-	keeper    *control.Journal
-	Disk      *Disk
-	slow      time.Duration
-	stall     bool
-	saving    bool
-	unsent    []control.LogWrite
-	asks      map[string]*flight
-	eyes      map[string]*eye
-	tick      func()
-
-	trips   map[string]*trip
-	tripSeq int
-	pool    pool
-	wakes   time.Duration
-	dark    bool
-	mending bool
-	open    bool
-	door    []func()
-	removed bool
+	w            *World
+	Name         string
+	Addr         string
+	Zone         string
+	Alive        bool
+	frozen       bool
+	rejecting    bool
+	shuttingDown bool
+	// shutdownAt is when the process was told to end, where retire is set.
+	shutdownAt  time.Duration
+	inbox       []func()
+	incarnation uint64
+	frontendID  string
+	build       uint32
+	skew        time.Duration
+	wall        time.Duration
+	node        *control.Node
+	router      *mallowbridge.Router
+	journal     *control.Journal
+	Disk        *Disk
+	slow        time.Duration
+	stall       bool
+	saving      bool
+	unsent      []control.LogWrite
+	asks        map[string]*fleetRequest
+	watchers    map[string]*watcher
+	tick        func()
+
+	requests    map[string]*proxyRequest
+	requestSeq  int
+	pool        pool
+	wakes       time.Duration
+	dark        bool
+	repairing   bool
+	serving     bool
+	acceptQueue []func()
+	removed     bool
 }
 
 func newNode(w *World, i int, s NodeShape) *Node {
 	n := &Node{
-		w: w, Name: s.Name, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1), Domain: s.Domain,
+		w: w, Name: s.Name, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1), Zone: s.Zone,
 		skew: time.Duration(w.rng.Int64N(int64(100 * time.Hour))),
-		wall: time.Duration(w.whim.Int64N(int64(10 * time.Second))), asks: map[string]*flight{},
+		wall: time.Duration(w.whim.Int64N(int64(10 * time.Second))), asks: map[string]*fleetRequest{},
 	}
 	if w.S.Builds && i%2 == 0 {
 		n.build = transport.Build + 1
@@ -92,42 +92,42 @@
 	}
 	w := n.w
 	w.lives++
-	n.eyes, n.shut, n.retire = map[string]*eye{}, false, false
-	n.life, n.Alive, n.frozen, n.inbox, n.saving, n.unsent, n.keeper = w.lives, true, false, nil, false, nil, nil
+	n.watchers, n.rejecting, n.shuttingDown = map[string]*watcher{}, false, false
+	n.incarnation, n.Alive, n.frozen, n.inbox, n.saving, n.unsent, n.journal = w.lives, true, false, nil, false, nil, nil
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, Zone: n.Domain, Seeds: n.seeds(), Boot: boot, Incarnation: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.life,
+		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot, Incarnation: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.incarnation,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
-	n.open, n.door = false, nil
-	n.dark, n.mending, n.trips, n.pool, n.wakes = false, false, map[string]*trip{}, pool{}, 0
-	rc := mallowbridge.Defaults(n.Name, boot, n.Domain)
+	n.serving, n.acceptQueue = false, nil
+	n.dark, n.repairing, n.requests, n.pool, n.wakes = false, false, map[string]*proxyRequest{}, pool{}, 0
+	rc := mallowbridge.Defaults(n.Name, boot, n.Zone)
 	if w.site != nil {
 		w.site.configure(&cfg, &rc)
 	}
 	if n.Disk != nil {
-		k, err := control.OpenJournal(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.life))
+		k, err := control.OpenJournal(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.incarnation))
 		if err != nil {
 			w.Say("%s cannot start: %v", n.Name, err)
 			w.Audit.breach("disk cannot be read", n.Name, err.Error())
 			n.Alive = false
 			return
 		}
-		n.keeper = k
+		n.journal = k
 		kept := k.State()
 		cfg.Disk = &kept
 	}
 	n.node = control.New(n.local(), cfg)
-	n.front = n.Name + "." + boot
+	n.frontendID = n.Name + "." + boot
 	rc.Scheduler.RoundRobin = w.S.RoundRob
 	n.router = mallowbridge.New(rc)
 	if w.S.IndexOff || w.S.RoundRob {
 		n.router.IndexOff()
 	}
 	w.Say("%s starts", n.Name)
-	life := n.life
+	incarnation := n.incarnation
 	n.tick = func() {
-		if n.life != life || !n.Alive {
+		if n.incarnation != incarnation || !n.Alive {
 			return
 		}
 		w.after(tickEvery, n.tick)
@@ -142,14 +142,14 @@
 	n.tick()
 	if w.site != nil {
 		n.arm()
-		n.unlock(w.now)
+		n.open(w.now)
 	}
 }
 
 func (n *Node) live(do func()) {
-	life := n.life
+	incarnation := n.incarnation
 	wrapped := func() {
-		if n.Alive && n.life == life {
+		if n.Alive && n.incarnation == incarnation {
 			do()
 		}
 	}
@@ -161,9 +161,9 @@
 }
 
 func (n *Node) later(d time.Duration, do func()) {
-	life := n.life
+	incarnation := n.incarnation
 	n.w.after(d, func() {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			n.live(do)
 		}
 	})
@@ -178,12 +178,12 @@
 		return
 	}
 	n.Alive = false
-	n.life = 0
+	n.incarnation = 0
 	n.w.Say("%s is killed", n.Name)
 	for _, name := range sortedKeys(n.asks) {
 		n.asks[name].orphan()
 	}
-	n.asks = map[string]*flight{}
+	n.asks = map[string]*fleetRequest{}
 	n.halt()
 }
 
--- a/sim/nodedays.go
+++ b/sim/nodedays.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-func nodeDays() []Day {
-	return []Day{
+func nodeScenarios() []SiteScenario {
+	return []SiteScenario{
 		{Name: "processes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return each(Kill, 4, 4*sec, 2*sec, nodeNames(s.Shape), 2)(rng)
 		}},
@@ -31,17 +31,17 @@
 		}},
 		{Name: "a domain's machines are stopped together", Least: 0.9, Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			var fs []Fault
-			for i, name := range namesIn(s.Shape, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]) {
+			for i, name := range namesIn(s.Shape, s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]) {
 				fs = append(fs, one(Upgrade, 12*sec+time.Duration(i)*1100*ms, 0, name))
 			}
-			return append(fs, one(Burst, 11*sec, 12*sec))
+			return append(fs, one(BurstFault, 11*sec, 12*sec))
 		}},
 		{Name: "machines are cut off", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			fs := append(each(CutNode, 2, 9*sec, 5500*ms, nodeNames(s.Shape), 2)(rng), each(CutControl, 2, 8*sec, 5*sec, nodeNames(s.Shape), 1)(rng)...)
-			return append(fs, one(PutStorm, 13*sec, 4*sec), one(Release, 14*sec, 0, s.Offers[0].Name))
+			fs := append(each(PartitionNode, 2, 9*sec, 5500*ms, nodeNames(s.Shape), 2)(rng), each(PartitionControl, 2, 8*sec, 5*sec, nodeNames(s.Shape), 1)(rng)...)
+			return append(fs, one(PutStorm, 13*sec, 4*sec), one(Release, 14*sec, 0, s.Services[0].Name))
 		}},
 		{Name: "core is cut", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(SplitCore, 13*sec, 5500*ms, disks(s)...), one(Change, 14*sec, 0), one(Change, 20*sec, 0), one(Release, 15*sec, 0, s.Offers[0].Name)}
+			return []Fault{one(SplitCore, 13*sec, 5500*ms, disks(s)...), one(Change, 14*sec, 0), one(Change, 20*sec, 0), one(Release, 15*sec, 0, s.Services[0].Name)}
 		}},
 		{Name: "clocks step", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return append(each(ClockBack, 3, 5*sec, sec, nodeNames(s.Shape), 3)(rng), one(PutStorm, 13*sec, 8*sec))
@@ -53,30 +53,30 @@
 			}
 		}},
 		{Name: "a core machine comes back elsewhere", Lasts: 42 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return []Fault{one(Change, 11*sec, 0), one(Move, 12*sec, sec, disks(s)[0]), one(PutStorm, 14*sec, 10*sec), one(Kill, 26*sec, 2*sec, disks(s)[1]), one(Change, 27*sec, 0)}
+			return []Fault{one(Change, 11*sec, 0), one(Relocate, 12*sec, sec, disks(s)[0]), one(PutStorm, 14*sec, 10*sec), one(Kill, 26*sec, 2*sec, disks(s)[1]), one(Change, 27*sec, 0)}
 		}},
 		{Name: "replicas crash while nodes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return append(each(Kill, 3, 5*sec, 2*sec, nodeNames(s.Shape), 2)(rng), each(RepCrash, 3, 4*sec, 2*sec, []string{s.Offers[0].Name}, 1)(rng)...)
+			return append(each(Kill, 3, 5*sec, 2*sec, nodeNames(s.Shape), 2)(rng), each(ReplicaCrash, 3, 4*sec, 2*sec, []string{s.Services[0].Name}, 1)(rng)...)
 		}},
 		{Name: "a domain is lost", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			d := s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]
-			return []Fault{one(Power, 13*sec, 6*sec, namesIn(s.Shape, d)...), one(RepCrash, 13*sec, 6*sec, d), one(PutStorm, 14*sec, 4*sec)}
+			d := s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]
+			return []Fault{one(Power, 13*sec, 6*sec, namesIn(s.Shape, d)...), one(ReplicaCrash, 13*sec, 6*sec, d), one(PutStorm, 14*sec, 4*sec)}
 		}},
 		{Name: "everything at once", Lasts: 50 * sec, Loss: 0.005, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			var fs []Fault
-			fs = append(fs, one(PutStorm, 11*sec, 30*sec), one(Empty, 18*sec, 8*sec, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]))
-			kinds := []string{Kill, Power, Freeze, CutNode, CutControl, ClockBack, RepCrash, RepDark, SlowDisk, StallDisk, Release, Burst, Garble}
+			fs = append(fs, one(PutStorm, 11*sec, 30*sec), one(EvacuateFault, 18*sec, 8*sec, s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]))
+			classes := []string{Kill, Power, Freeze, PartitionNode, PartitionControl, ClockBack, ReplicaCrash, ReplicaUnreachable, SlowDisk, StallDisk, Release, BurstFault, GarbleAnswers}
 			hows := []string{"cut", "reset", "late", "junk", "silent"}
 			for at := 12 * sec; at < 42*sec; at += 2 * sec {
-				k, on := kinds[rng.IntN(len(kinds))], some(rng, nodeNames(s.Shape), 1)
+				k, on := classes[rng.IntN(len(classes))], some(rng, nodeNames(s.Shape), 1)
 				switch k {
-				case RepCrash, RepDark, Release:
-					on = []string{s.Offers[rng.IntN(len(s.Offers))].Name}
+				case ReplicaCrash, ReplicaUnreachable, Release:
+					on = []string{s.Services[rng.IntN(len(s.Services))].Name}
 				case SlowDisk, StallDisk:
 					on = some(rng, disks(s), 1)
-				case Burst:
+				case BurstFault:
 					on = nil
-				case Garble:
+				case GarbleAnswers:
 					on = some(rng, hows, 1)
 				}
 				fs = append(fs, one(k, at, time.Duration(1000+rng.IntN(4000))*ms, on...))
@@ -84,31 +84,31 @@
 			return fs
 		}},
 		{Name: "messages are lost", Loss: 0.02, Least: 0.95, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(PutStorm, 12*sec, 8*sec), one(Release, 13*sec, 0, s.Offers[0].Name)}
+			return []Fault{one(PutStorm, 12*sec, 8*sec), one(Release, 13*sec, 0, s.Services[0].Name)}
 		}},
 	}
 }
 
-func orderDays() []Day {
+func orderScenarios() []SiteScenario {
 	allDown := func(s SiteSpec, _ *rand.Rand, _ string) []Fault { return []Fault{one(AllDown, 0, sec)} }
-	return []Day{
-		{Name: "one change", Least: 0.99, Faults: fixedDay(one(Change, 13*sec, 0), one(Change, 18*sec, 0))},
-		{Name: "configurations in quick succession", Least: 0.98, Faults: fixedDay(one(PutStorm, 12*sec, 8*sec))},
-		{Name: "operators race", Least: 0.98, Faults: fixedDay(one(Race, 12*sec, 0))},
-		{Name: "flawed configurations", Least: 0.98, Faults: fixedDay(one(BadPuts, 12*sec, 0), one(Change, 14*sec, 0), one(BadPuts, 15*sec, 0))},
+	return []SiteScenario{
+		{Name: "one change", Least: 0.99, Faults: fixedFaults(one(Change, 13*sec, 0), one(Change, 18*sec, 0))},
+		{Name: "configurations in quick succession", Least: 0.98, Faults: fixedFaults(one(PutStorm, 12*sec, 8*sec))},
+		{Name: "operators race", Least: 0.98, Faults: fixedFaults(one(Race, 12*sec, 0))},
+		{Name: "flawed configurations", Least: 0.98, Faults: fixedFaults(one(BadPuts, 12*sec, 0), one(Change, 14*sec, 0), one(BadPuts, 15*sec, 0))},
 		{Name: "configuration grows between builds", Lasts: 36 * sec, Older: true, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return []Fault{one(LargePuts, 12*sec, 0), one(PutStorm, 14*sec, 12*sec), one(Power, 16*sec, 2*sec, disks(s)[rng.IntN(3)]),
 				one(FullDisk, 21*sec, 3*sec, some(rng, disks(s), 1)...), one(Kill, 24*sec, 2*sec, some(rng, nodeNames(s.Shape), 3)...), one(Race, 27*sec, 0)}
 		}},
-		{Name: "configuration grows", Least: 0.95, Faults: fixedDay(one(LargePuts, 12*sec, 0), one(PutStorm, 15*sec, 4*sec))},
+		{Name: "configuration grows", Least: 0.95, Faults: fixedFaults(one(LargePuts, 12*sec, 0), one(PutStorm, 15*sec, 4*sec))},
 		{Name: "evacuation and back", Least: 0.9, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return []Fault{one(Empty, 12*sec, 8*sec, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))])}
+			return []Fault{one(EvacuateFault, 12*sec, 8*sec, s.Shape.Zones[rng.IntN(len(s.Shape.Zones))])}
 		}},
 		{Name: "evacuation while nodes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := each(Kill, 3, 4*sec, 2*sec, nodeNames(s.Shape), 2)(rng)
-			return append(fs, one(Empty, 13*sec, 9*sec, s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]))
+			return append(fs, one(EvacuateFault, 13*sec, 9*sec, s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]))
 		}},
-		{Name: "all power is lost after the word", Lasts: 18 * sec, Faults: fixedDay(one(PutStorm, 12*sec, 4*sec)), Close: allDown},
+		{Name: "all power is lost after the word", Lasts: 18 * sec, Faults: fixedFaults(one(PutStorm, 12*sec, 4*sec)), Close: allDown},
 		{Name: "all are killed after the word", Lasts: 18 * sec, Close: func(s SiteSpec, _ *rand.Rand, _ string) []Fault {
 			return []Fault{one(Kill, 0, sec, nodeNames(s.Shape)...)}
 		}},
@@ -122,7 +122,7 @@
 			return []Fault{one(AllDown, 0, sec), one(Wipe, 0, sec, acked)}
 		}},
 		{Name: "evacuated, then all power is lost", Lasts: 18 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return []Fault{one(Empty, 13*sec, 100*sec, s.Shape.Domains[0])}
+			return []Fault{one(EvacuateFault, 13*sec, 100*sec, s.Shape.Zones[0])}
 		}, Close: allDown},
 		{Name: "disks are lost after the word, one after the other", Lasts: 40 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			var fs []Fault
--- a/sim/nodeout.go
+++ b/sim/nodeout.go
@@ -19,7 +19,7 @@
 			w.Audit.breach(Unreadable, to.Name, fmt.Sprintf("%T from %s", s.Msg, n.Name))
 			continue
 		}
-		msgs, delays := w.Net.carry(n.Addr, s.To, n.Domain == to.Domain, s.Msg, fmt.Sprintf("%T", s.Msg))
+		msgs, delays := w.Net.carry(n.Addr, s.To, n.Zone == to.Zone, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
 			w.after(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.speaks(), Msg: m}) })
 		}
@@ -42,7 +42,7 @@
 		n.probe(p)
 	}
 	for _, name := range out.Looks {
-		n.eyes[name].poke()
+		n.watchers[name].poke()
 	}
 	for _, c := range out.Changes {
 		w.Say("%s %s: %s", n.Name, c.What, c.Detail)
@@ -68,11 +68,11 @@
 	d := time.Millisecond + time.Duration(n.w.rng.Int64N(int64(4*time.Millisecond))) + n.slow
 	n.later(d, func() {
 		n.saving = false
-		err := n.keeper.Append(batch)
+		err := n.journal.Append(batch)
 		n.step(control.Persisted{Ticket: batch[len(batch)-1].Ticket, Err: err})
 		n.save()
-		if err != nil && n.w.site != nil && !n.mending {
-			n.mend()
+		if err != nil && n.w.site != nil && !n.repairing {
+			n.repairDisk()
 		}
 	})
 }
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -31,18 +31,18 @@
 
 // An order is one call of an operator, sent unchanged to node after node.
 type order struct {
-	op     control.Op
-	v      *version
-	base   uint64
-	from   time.Duration
-	until  time.Duration
-	calls  int
-	over   bool
-	vague  bool
-	forced bool
+	op      control.Op
+	v       *version
+	base    uint64
+	from    time.Duration
+	until   time.Duration
+	calls   int
+	over    bool
+	unclear bool
+	forced  bool
 	// lost says that an answer to it was lost on its way; again that it was acknowledged before.
-	lost, again bool
-	end         func(acked bool)
+	answerLost, repeated bool
+	end                  func(acked bool)
 }
 
 type fate uint8
@@ -72,7 +72,7 @@
 	if d.forced {
 		d.until = never
 	}
-	if d.v != nil && !d.again {
+	if d.v != nil && !d.repeated {
 		o.s.rules.offered(d.v)
 		d.v.base, d.v.refused = d.base, d.v.flawed
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	if w.now >= d.until {
-		o.settle(d, nil, unclear)
+		o.finishOrder(d, nil, unclear)
 		return
 	}
 	d.calls++
@@ -105,24 +105,24 @@
 	sent := w.now
 	w.after(clientDelay, func() {
 		if o.gated(n) {
-			d.vague = true
+			d.unclear = true
 			return
 		}
 		w.Call(n, o.callOf(d), func(a control.Answer) {
 			f := fateOf(a.Err)
 			if o.loses() {
-				d.vague, d.lost = true, true
+				d.unclear, d.answerLost = true, true
 				o.extend(d)
 				return
 			}
 			switch {
 			case d.over || w.now-sent > callAnew || call != d.calls:
-				d.vague = true
+				d.unclear = true
 			case f == unclear:
-				d.vague = true
+				d.unclear = true
 				next(pause)
 			default:
-				o.settle(d, n, f)
+				o.finishOrder(d, n, f)
 			}
 		})
 	})
@@ -130,10 +130,10 @@
 }
 
 // settle ends an order. One that was answered vaguely before may be in force though it was refused.
-func (o *operators) settle(d *order, n *Node, f fate) {
+func (o *operators) finishOrder(d *order, n *Node, f fate) {
 	w, v := o.s.w, d.v
 	d.over = true
-	if d.again {
+	if d.repeated {
 		o.repeated(d, n, f)
 		return
 	}
@@ -150,14 +150,14 @@
 			o.inForce(v)
 		case f == refused && !v.flawed:
 			o.denied(d, n)
-			if d.vague {
+			if d.unclear {
 				break
 			}
 			v.refused = true
 			o.s.report.PutsRefused++
 		}
 	}
-	if f != acked && !d.forced && !d.lost && (v == nil || !v.flawed && !o.overtaken(d)) && w.now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.now) {
+	if f != acked && !d.forced && !d.answerLost && (v == nil || !v.flawed && !o.overtaken(d)) && w.now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.now) {
 		o.s.rules.breach(RuleAcks, fmt.Sprint(d.base), "not within %s", w.now-d.from)
 	}
 	if f == acked && o.acked != nil {
@@ -229,9 +229,9 @@
 	return c
 }
 
-func gone(old, fresh []config.Route) []string {
+func gone(old, added []config.Route) []string {
 	kept := map[string]bool{}
-	for _, r := range fresh {
+	for _, r := range added {
 		kept[r.Name] = true
 	}
 	var names []string
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -11,7 +11,7 @@
 
 func (w *World) order(f Fault, ns []*Node) {
 	switch f.Kind {
-	case Empty:
+	case EvacuateFault:
 		n := w.someNode()
 		w.Evacuate(n, f.On[0], false, func(control.Answer) {})
 		w.after(f.For, func() { w.Evacuate(w.someNode(), f.On[0], true, func(control.Answer) {}) })
@@ -21,8 +21,8 @@
 		w.Call(w.someNode(), control.ReplaceVoters{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
 	case PutStorm, Race, LargePuts:
 		end := w.now + f.For
-		var again func()
-		again = func() {
+		var repeated func()
+		repeated = func() {
 			if w.now >= end {
 				return
 			}
@@ -38,9 +38,9 @@
 					w.expect = max(w.expect, a.Value.Version)
 				})
 			}
-			w.after(map[bool]time.Duration{false: 120 * time.Millisecond, true: 1500 * time.Millisecond}[f.Kind == LargePuts], again)
+			w.after(map[bool]time.Duration{false: 120 * time.Millisecond, true: 1500 * time.Millisecond}[f.Kind == LargePuts], repeated)
 		}
-		again()
+		repeated()
 	}
 }
 
--- a/sim/prefixcache.go
+++ b/sim/prefixcache.go
@@ -31,7 +31,7 @@
 
 // keep holds all parts, the first as the most recent one, and tells how many tokens came anew.
 func (c *prefixCache) keep(parts []prefixindex.Part) int {
-	var fresh int
+	var added int
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
 		if e := c.kept[p.Key]; e != nil {
@@ -40,9 +40,9 @@
 		}
 		c.kept[p.Key] = c.order.PushFront(p)
 		c.tokens += p.Tokens
-		fresh += p.Tokens
+		added += p.Tokens
 	}
-	return fresh
+	return added
 }
 
 func (c *prefixCache) touch(parts []prefixindex.Part) {
--- a/sim/reader.go
+++ b/sim/reader.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-func (c *try) heads(h head) {
+func (c *clientAttempt) heads(h head) {
 	c.h = &h
 	if h.status/100 == 2 && h.seal == "" {
 		c.fault = "a success without a seal"
 	}
 }
 
-func (c *try) reads(data []byte) {
-	q := c.want
+func (c *clientAttempt) reads(data []byte) {
+	q := c.request
 	c.text = append(c.text, data...)
 	if !q.class.Streaming {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-func (c *try) event(text string) {
-	q := c.want
+func (c *clientAttempt) event(text string) {
+	q := c.request
 	now := q.s.w.now
 	var n, events int
 	var id, run string
@@ -49,16 +49,16 @@
 	if q.first == 0 {
 		q.first = now
 	} else {
-		q.gap = max(q.gap, now-q.spoke)
+		q.gap = max(q.gap, now-q.lastEventAt)
 	}
-	c.run, q.last, q.spoke = run, n, now
+	c.run, q.last, q.lastEventAt = run, n, now
 	q.s.rules.passed(c, n)
 }
 
 // ended is a complete answer, of a replica or of the node itself.
-func (c *try) ended(status int, after time.Duration) {
+func (c *clientAttempt) ended(status int, after time.Duration) {
 	c.over, c.status = true, status
-	q := c.want
+	q := c.request
 	if status == http.StatusOK && c.h != nil && c.h.status == http.StatusOK {
 		switch {
 		case q.class.Streaming && (q.last != q.events || len(c.text) > 0):
@@ -81,12 +81,12 @@
 }
 
 // cut is a connection that ends before the answer does.
-func (c *try) cut() {
+func (c *clientAttempt) cut() {
 	if c.over {
 		return
 	}
 	c.over = true
-	q := c.want
+	q := c.request
 	q.s.rules.ended(c, "cut")
 	q.failed(c, 0, !c.read)
 }
--- a/sim/rep.go
+++ b/sim/rep.go
@@ -11,23 +11,23 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// Rep is a simulated replica with its connections. Dark: it answers nothing; Sick: it breaks each answer; Twists: it spoils a line in one
+// FleetReplica is a simulated replica with its connections. Dark: it answers nothing; Unhealthy: it breaks each answer; CorruptAnswers: it spoils a line in one
 // of so many answers.
-type Rep struct {
-	w       *World
-	Name    string
-	Domain  string
-	Up      bool
-	Dark    bool
-	Leaving bool
-	Sick    bool
-	since   time.Duration
-	before  string
-	Twists  int
-	lives   uint64
-	eyes    []func()
-	m       *Replica
-	conns   map[string]*conn
+type FleetReplica struct {
+	w              *World
+	Name           string
+	Zone           string
+	Up             bool
+	Dark           bool
+	Draining       bool
+	Unhealthy      bool
+	since          time.Duration
+	before         string
+	CorruptAnswers int
+	incarnations   uint64
+	watchers       []func()
+	model          *Replica
+	conns          map[string]*fleetConn
 }
 
 func (w *World) replicas() {
@@ -37,26 +37,26 @@
 	}
 	for _, o := range c.Services {
 		for _, rc := range o.Replicas {
-			r := &Rep{w: w, Name: rc.Name, Domain: rc.Zone, conns: map[string]*conn{}}
+			r := &FleetReplica{w: w, Name: rc.Name, Zone: rc.Zone, conns: map[string]*fleetConn{}}
 			w.Reps = append(w.Reps, r)
-			w.byRep[r.Name] = r
+			w.replicasByName[r.Name] = r
 			w.byURL[rc.Addr] = r
 			r.start(-time.Hour)
 		}
 	}
 }
 
-func (r *Rep) addr() string { return "rep/" + r.Name }
+func (r *FleetReplica) addr() string { return "rep/" + r.Name }
 
-func (r *Rep) start(born time.Duration) {
-	if r.lives++; r.m != nil {
-		r.before = r.m.Instance
+func (r *FleetReplica) start(born time.Duration) {
+	if r.incarnations++; r.model != nil {
+		r.before = r.model.Instance
 	}
-	r.Up, r.Leaving, r.since, r.Twists = true, false, r.w.now, 0
-	r.m = NewReplica(r.w.S.Model, fmt.Sprintf("%s.%d", r.Name, r.lives), born)
+	r.Up, r.Draining, r.since, r.CorruptAnswers = true, false, r.w.now, 0
+	r.model = NewReplica(r.w.S.Model, fmt.Sprintf("%s.%d", r.Name, r.incarnations), born)
 }
 
-func (r *Rep) crash() {
+func (r *FleetReplica) crash() {
 	if !r.Up {
 		return
 	}
@@ -66,36 +66,36 @@
 	for _, id := range sortedKeys(r.conns) {
 		r.conns[id].reset()
 	}
-	r.conns = map[string]*conn{}
-	eyes := r.eyes
-	r.eyes = nil
+	r.conns = map[string]*fleetConn{}
+	eyes := r.watchers
+	r.watchers = nil
 	for _, shut := range eyes {
 		shut()
 	}
 }
 
-func (r *Rep) collect() {
+func (r *FleetReplica) collect() {
 	rp := &r.w.Report
-	rp.Floods += r.m.Floods
-	rp.CachedTokens += r.m.CachedTokens
-	rp.PrefixTokens += r.m.PrefixTokens
-	rp.Admitted += r.m.Admitted
-	rp.Refused += r.m.Refused
-	r.m.Floods, r.m.CachedTokens, r.m.PrefixTokens, r.m.Admitted, r.m.Refused = 0, 0, 0, 0, 0
+	rp.Floods += r.model.Floods
+	rp.CachedTokens += r.model.CachedTokens
+	rp.PrefixTokens += r.model.PrefixTokens
+	rp.Admitted += r.model.Admitted
+	rp.Refused += r.model.Refused
+	r.model.Floods, r.model.CachedTokens, r.model.PrefixTokens, r.model.Admitted, r.model.Refused = 0, 0, 0, 0, 0
 }
 
-func (r *Rep) note(event, req, id string, n int) {
+func (r *FleetReplica) record(event, req, id string, n int) {
 	r.w.Ran = append(r.w.Ran, ledger.Ran{
-		AtMs: r.w.now.Milliseconds(), Replica: r.Name, Instance: r.m.Instance, Request: req, AttemptID: id, Event: event, Chunks: n,
+		AtMs: r.w.now.Milliseconds(), Replica: r.Name, Instance: r.model.Instance, Request: req, AttemptID: id, Event: event, Chunks: n,
 	})
 }
 
 // twist spoils one line of some answers: it is lost, repeated, or of another go or instance. An answer is whole only if all are right.
-func (r *Rep) twist(c *conn, l *mallowbridge.AnswerLine) bool {
-	if r.Twists == 0 || r.w.whim.IntN(r.Twists) > 0 {
+func (r *FleetReplica) twist(c *fleetConn, l *mallowbridge.AnswerLine) bool {
+	if r.CorruptAnswers == 0 || r.w.whim.IntN(r.CorruptAnswers) > 0 {
 		return true
 	}
-	c.twisted = true
+	c.corrupted = true
 	switch r.w.whim.IntN(4) {
 	case 0:
 		return false
@@ -133,9 +133,9 @@
 
 func (w *World) release(names []string, each time.Duration) {
 	for i, name := range names {
-		r := w.byRep[name]
+		r := w.replicasByName[name]
 		w.after(time.Duration(i)*each, func() {
-			r.Leaving = true
+			r.Draining = true
 			w.after(500*time.Millisecond, func() { w.list(name, "leaving") })
 			w.after(4500*time.Millisecond, func() { r.crash() })
 			w.after(6500*time.Millisecond, func() {
--- a/sim/replica.go
+++ b/sim/replica.go
@@ -8,24 +8,24 @@
 )
 
 // Model is how a replica serves: Room requests at a time, Keep tokens of prefixes in its cache; the first token takes Base and PerToken for
-// each token not cached, more when it is full or cold (for ColdFor after its start), then Pieces come one Every so often. Its usage figures
+// each token not cached, more when it is full or cold (for WarmupTime after its start), then Chunks come one Every so often. Its usage figures
 // lag behind by UsageLag.
 type Model struct {
-	Room     int
-	Keep     int
-	Base     time.Duration
-	PerToken time.Duration
-	Every    time.Duration
-	Pieces   int
-	ColdFor  time.Duration
-	UsageLag time.Duration
+	Capacity   int
+	Keep       int
+	Base       time.Duration
+	PerToken   time.Duration
+	Every      time.Duration
+	Chunks     int
+	WarmupTime time.Duration
+	UsageLag   time.Duration
 }
 
 // DefaultModel is a replica of usual size.
 func DefaultModel() Model {
 	return Model{
-		Room: 8, Keep: 65536, Base: 60 * time.Millisecond, PerToken: 200 * time.Microsecond, Every: 15 * time.Millisecond,
-		Pieces: 24, ColdFor: 6 * time.Second, UsageLag: 300 * time.Millisecond,
+		Capacity: 8, Keep: 65536, Base: 60 * time.Millisecond, PerToken: 200 * time.Microsecond, Every: 15 * time.Millisecond,
+		Chunks: 24, WarmupTime: 6 * time.Second, UsageLag: 300 * time.Millisecond,
 	}
 }
 
@@ -34,7 +34,7 @@
 type Plan struct {
 	First  time.Duration
 	Every  time.Duration
-	Pieces int
+	Chunks int
 	Cached int
 	Tokens int
 }
@@ -52,14 +52,14 @@
 // Replica is one instance of a simulated replica by a Model. Floods counts requests admitted above what a cold replica bears.
 type Replica struct {
 	Model
-	Instance string
-	born     time.Duration
-	kept     map[prefixindex.Key]*list.Element
-	order    *list.List
-	tokens   int
-	prompts  []promptReading
-	running  map[string]bool
-	history  []sample
+	Instance  string
+	startedAt time.Duration
+	kept      map[prefixindex.Key]*list.Element
+	order     *list.List
+	tokens    int
+	prompts   []promptReading
+	running   map[string]bool
+	history   []sample
 
 	Admitted, Refused, Floods  uint64
 	CachedTokens, PrefixTokens uint64
@@ -68,20 +68,20 @@
 // NewReplica makes an instance that started at now.
 func NewReplica(m Model, instance string, now time.Duration) *Replica {
 	return &Replica{
-		Model: m, Instance: instance, born: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
+		Model: m, Instance: instance, startedAt: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
 	}
 }
 
 func (r *Replica) coldness(now time.Duration) float64 {
-	if r.ColdFor <= 0 || now-r.born >= r.ColdFor {
+	if r.WarmupTime <= 0 || now-r.startedAt >= r.WarmupTime {
 		return 0
 	}
-	return 1 - float64(now-r.born)/float64(r.ColdFor)
+	return 1 - float64(now-r.startedAt)/float64(r.WarmupTime)
 }
 
 // Bears is how many requests the replica may run at now, by how cold it is.
 func (r *Replica) Bears(now time.Duration) int {
-	return max(1, int(float64(r.Room)*(1-r.coldness(now)))) + 1
+	return max(1, int(float64(r.Capacity)*(1-r.coldness(now)))) + 1
 }
 
 func (r *Replica) settle(now time.Duration) {
@@ -113,7 +113,7 @@
 // Admit takes an attempt with its prefix's parts and the tokens after them; ok is false where the replica is full.
 func (r *Replica) Admit(now time.Duration, goID string, parts []prefixindex.Part, tail int) (p Plan, ok bool) {
 	r.settle(now)
-	if len(r.running) >= r.Room {
+	if len(r.running) >= r.Capacity {
 		r.Refused++
 		return p, false
 	}
@@ -129,15 +129,15 @@
 	total := prefixindex.Tokens(parts)
 	r.CachedTokens += uint64(cached)
 	r.PrefixTokens += uint64(total)
-	full := float64(len(r.running)) / float64(r.Room)
-	cold := r.coldness(now)
+	full := float64(len(r.running)) / float64(r.Capacity)
+	warm := r.coldness(now)
 	r.running[goID] = true
-	if cold > 0 && len(r.running) > r.Bears(now) {
+	if warm > 0 && len(r.running) > r.Bears(now) {
 		r.Floods++
 	}
 	r.note(now)
 	work := r.Base + time.Duration(total+tail-cached)*r.PerToken
-	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + cold)), Every: r.Every, Pieces: r.Pieces, Cached: cached, Tokens: total}
+	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + warm)), Every: r.Every, Chunks: r.Chunks, Cached: cached, Tokens: total}
 	at := now + p.First
 	i := len(r.prompts)
 	for i > 0 && r.prompts[i-1].at > at {
--- a/sim/report.go
+++ b/sim/report.go
@@ -10,35 +10,35 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// KindReport counts how the requests of one kind ended. Firsts are times to the first token, in milliseconds.
-type KindReport struct {
-	Done, Denied, Partial, Unknown, Lost, Repeat, Late int
-	Firsts                                             []int64
+// ClassResult counts how the requests of one kind ended. Firsts are times to the first token, in milliseconds.
+type ClassResult struct {
+	Done, Rejected, Partial, Unknown, Lost, Repeat, RejectedLate int
+	Firsts                                                       []int64
 }
 
-// Report is what a run came to. Whys counts the reasons of denials, Seconds second attempts, Predicted and Confirmed the prefix tokens that
+// Report is what a run came to. Whys counts the reasons of denials, Retries second attempts, Predicted and Confirmed the prefix tokens that
 // placements counted on. ReturnMs is how long the fleet took to serve after the full stop at the end.
 type Report struct {
-	Kinds                                              map[string]*KindReport
-	Whys                                               map[string]int
-	Arrived, DeniedLate, Seconds, Predicted, Confirmed uint64
-	Floods, CachedTokens, PrefixTokens                 uint64
-	Admitted, Refused                                  uint64
-	PutsTaken, PutsDenied                              int
-	CrossBytes, Bytes, Sent, StreamCross               uint64
-	Steps, Visited                                     uint64
-	Exempt                                             int
-	ReturnMs                                           int64
+	Classes                                              map[string]*ClassResult
+	Reasons                                              map[string]int
+	Arrived, RejectedLate, Retries, Predicted, Confirmed uint64
+	Floods, CachedTokens, PrefixTokens                   uint64
+	Admitted, Refused                                    uint64
+	PutsTaken, PutsDenied                                int
+	CrossBytes, Bytes, Sent, StreamCross                 uint64
+	Steps, Visited                                       uint64
+	Exempt                                               int
+	ReturnMs                                             int64
 }
 
-func (r *Report) take(f *flight) {
-	k := r.Kinds[f.ask.Kind.Name]
+func (r *Report) take(f *fleetRequest) {
+	k := r.Classes[f.ask.Class.Name]
 	if k == nil {
-		k = &KindReport{}
-		r.Kinds[f.ask.Kind.Name] = k
+		k = &ClassResult{}
+		r.Classes[f.ask.Class.Name] = k
 	}
 	at := map[string]*int{
-		"done": &k.Done, "denied": &k.Denied, "partial": &k.Partial, "unknown": &k.Unknown, "lost": &k.Lost, "repeat": &k.Repeat,
+		"done": &k.Done, "denied": &k.Rejected, "partial": &k.Partial, "unknown": &k.Unknown, "lost": &k.Lost, "repeat": &k.Repeat,
 	}[f.got.Outcome]
 	if at != nil {
 		*at++
@@ -49,12 +49,12 @@
 }
 
 // Total sums up all kinds.
-func (r *Report) Total() KindReport {
-	var k KindReport
-	for _, name := range sortedKeys(r.Kinds) {
-		o := r.Kinds[name]
+func (r *Report) Total() ClassResult {
+	var k ClassResult
+	for _, name := range sortedKeys(r.Classes) {
+		o := r.Classes[name]
 		k.Done += o.Done
-		k.Denied += o.Denied
+		k.Rejected += o.Rejected
 		k.Partial += o.Partial
 		k.Unknown += o.Unknown
 		k.Lost += o.Lost
@@ -82,22 +82,22 @@
 // Write prints the report as a table.
 func (r *Report) Write(out io.Writer) {
 	fmt.Fprintf(out, "%-10s %7s %7s %8s %8s %6s %9s %9s\n", "kind", "done", "denied", "partial", "unknown", "lost", "first p50", "first p95")
-	row := func(name string, k *KindReport) {
-		fmt.Fprintf(out, "%-10s %7d %7d %8d %8d %6d %7dms %7dms\n", name, k.Done, k.Denied, k.Partial, k.Unknown, k.Lost,
+	row := func(name string, k *ClassResult) {
+		fmt.Fprintf(out, "%-10s %7d %7d %8d %8d %6d %7dms %7dms\n", name, k.Done, k.Rejected, k.Partial, k.Unknown, k.Lost,
 			Quantile(k.Firsts, 0.5), Quantile(k.Firsts, 0.95))
 	}
-	for _, name := range sortedKeys(r.Kinds) {
-		row(name, r.Kinds[name])
+	for _, name := range sortedKeys(r.Classes) {
+		row(name, r.Classes[name])
 	}
 	all := r.Total()
 	row("all", &all)
-	fmt.Fprintf(out, "denied late %d, second goes %d, replicas full %d of %d\n", r.DeniedLate, r.Seconds, r.Refused, r.Admitted+r.Refused)
+	fmt.Fprintf(out, "denied late %d, second goes %d, replicas full %d of %d\n", r.RejectedLate, r.Retries, r.Refused, r.Admitted+r.Refused)
 	fmt.Fprintf(out, "prefix tokens in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", 100*r.HitRate(),
 		100*float64(r.Confirmed)/float64(max(r.PrefixTokens, 1)), 100*float64(r.Predicted)/float64(max(r.PrefixTokens, 1)))
 	fmt.Fprintf(out, "control bytes %d, between domains %d\n", r.Bytes, r.CrossBytes)
 	fmt.Fprintf(out, "gos that only a cut excuses: %d\n", r.Exempt)
-	for _, why := range sortedKeys(r.Whys) {
-		fmt.Fprintf(out, "denied because %s: %d\n", why, r.Whys[why])
+	for _, why := range sortedKeys(r.Reasons) {
+		fmt.Fprintf(out, "denied because %s: %d\n", why, r.Reasons[why])
 	}
 }
 
@@ -122,13 +122,13 @@
 
 func (w *World) finish() {
 	w.collect()
-	w.Net.cuts = map[int]func(from, to string) bool{}
+	w.Net.partitions = map[int]func(from, to string) bool{}
 	w.Net.Loss, w.Net.Dup = 0, 0
 	for _, n := range w.Nodes {
 		n.thaw()
 		n.kill()
 		if n.Disk != nil {
-			n.Disk.PowerCut()
+			n.Disk.PowerLoss()
 		}
 		n.stall, n.slow = false, 0
 	}
@@ -171,12 +171,12 @@
 func (w *World) dayEnd() {
 	w.Call(w.someNode(), control.Get{}, func(a control.Answer) {
 		if a.Err != nil {
-			w.Audit.breach(LostMark, "register", a.Err.Error())
+			w.Audit.breach(LostVersion, "register", a.Err.Error())
 			return
 		}
 		w.Audit.same(a.Value)
-		if a.Value.Version < w.Audit.high {
-			w.Audit.breach(LostMark, "register", fmt.Sprintf("mark %d, accepted %d", a.Value.Version, w.Audit.high))
+		if a.Value.Version < w.Audit.highest {
+			w.Audit.breach(LostVersion, "register", fmt.Sprintf("mark %d, accepted %d", a.Value.Version, w.Audit.highest))
 		}
 	})
 }
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -22,7 +22,7 @@
 }
 
 // A floor is the least version that a life of a node has shown to obey, and since when.
-type floor struct {
+type versionFloor struct {
 	revision uint64
 	at       time.Duration
 }
@@ -41,10 +41,10 @@
 	return rt
 }
 
-func (v *version) allows(path, offer string) *config.Route {
+func (v *version) allows(path, service string) *config.Route {
 	if rt := v.route(path); rt != nil {
 		for _, s := range rt.TrafficSplit {
-			if s.Service == offer && s.Weight > 0 {
+			if s.Service == service && s.Weight > 0 {
 				return rt
 			}
 		}
@@ -81,7 +81,7 @@
 }
 
 // handled finds the least and the newest version that handle a request as it was.
-func (r *rules) handled(test func(v *version) bool) (least, newest *version, flawed bool) {
+func (r *rules) handled(test func(v *version) bool) (least, latest *version, flawed bool) {
 	for _, v := range r.versions {
 		if !test(v) {
 			continue
@@ -93,68 +93,68 @@
 		if least == nil || v.revision < least.revision {
 			least = v
 		}
-		if newest == nil || v.revision > newest.revision {
-			newest = v
+		if latest == nil || v.revision > latest.revision {
+			latest = v
 		}
 	}
-	return least, newest, flawed
+	return least, latest, flawed
 }
 
-func (r *rules) config(i *Instance, q *request) {
+func (r *rules) config(i *Instance, q *sentRequest) {
 	c := q.try
 	most := 0
-	least, newest, flawed := r.handled(func(v *version) bool {
-		rt := v.allows(c.path, i.offer.Name)
+	least, latest, flawed := r.handled(func(v *version) bool {
+		rt := v.allows(c.path, i.service.Name)
 		if rt != nil && !v.refused {
 			most = max(most, rt.MaxAttempts)
 		}
 		return rt != nil
 	})
-	if newest == nil {
+	if latest == nil {
 		what := RuleRoute
 		if flawed {
 			what = RuleTaken
 		}
-		r.breach(what, c.path, "%s at %s from %s", c.id, i.offer.Name, q.n.Name)
+		r.breach(what, c.path, "%s at %s from %s", c.id, i.service.Name, q.n.Name)
 		return
 	}
 	if c.passes > most {
 		r.breach(RuleTries, c.id, "%d, at most %d", c.passes, most)
 	}
 	bound, must := r.within(q.n, q, r.s.spec.Bounds.Apply)
-	r.obeyed(q.n, c, least, newest, bound, must)
+	r.obeyed(q.n, c, least, latest, bound, must)
 }
 
 // obeyed compares the versions that explain how a node handled a try with what it must obey and with what it obeyed before.
-func (r *rules) obeyed(n *Node, c *try, least, newest *version, bound time.Duration, must bool) {
-	if due := r.due(c.sent, bound); must && newest.revision < due {
-		r.breach(RuleConfig, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, newest.revision, due)
+func (r *rules) obeyed(n *Node, c *clientAttempt, least, latest *version, bound time.Duration, must bool) {
+	if due := r.due(c.sent, bound); must && latest.revision < due {
+		r.breach(RuleConfig, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, latest.revision, due)
 	}
 	slack := backSlack
 	if !r.still(n.Name, c.sent, r.s.w.now) {
 		slack *= 8
 	}
-	f := r.floors[n.life]
-	if newest.revision < f.revision && c.sent > f.at+slack {
-		r.breach(RuleBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, newest.revision, f.revision)
+	f := r.lowestVersions[n.incarnation]
+	if latest.revision < f.revision && c.sent > f.at+slack {
+		r.breach(RuleBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, latest.revision, f.revision)
 	}
 	if least.revision > f.revision {
-		r.floors[n.life] = floor{revision: least.revision, at: r.s.w.now}
+		r.lowestVersions[n.incarnation] = versionFloor{revision: least.revision, at: r.s.w.now}
 	}
 }
 
 // unknown judges a node's word that there is no such route.
-func (r *rules) unknown(c *try, n *Node) {
-	least, newest, _ := r.handled(func(v *version) bool { return v.route(c.path) == nil })
-	q := &request{n: n, sent: r.s.w.now, calm: r.inTouch(n, r.s.w.now)}
+func (r *rules) unknown(c *clientAttempt, n *Node) {
+	least, latest, _ := r.handled(func(v *version) bool { return v.route(c.path) == nil })
+	q := &sentRequest{n: n, sent: r.s.w.now, calm: r.inTouch(n, r.s.w.now)}
 	bound, must := r.within(n, q, r.s.spec.Bounds.Apply)
-	if newest == nil {
+	if latest == nil {
 		if must && r.due(c.sent, bound) > 0 {
 			r.breach(RuleDenied, c.path, "%s by %s, every version has the route", c.id, n.Name)
 		}
 		return
 	}
-	r.obeyed(n, c, least, newest, bound, must)
+	r.obeyed(n, c, least, latest, bound, must)
 }
 
 func (r *rules) newest() *version {
--- a/sim/scenes.go
+++ b/sim/scenes.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Scene is a named way to disturb a fleet. Whole: every request must be served all the same. Change, if any, alters the scenario.
-type Scene struct {
-	Name   string
-	Whole  bool
-	Faults func(s Shape, rng *rand.Rand) []Fault
-	Change func(s *Scenario)
+// FleetScenario is a named way to disturb a fleet. Whole: every request must be served all the same. Change, if any, alters the scenario.
+type FleetScenario struct {
+	Name       string
+	NoFailures bool
+	Faults     func(s Shape, rng *rand.Rand) []Fault
+	Change     func(s *Scenario)
 }
 
 const sec = time.Second
@@ -27,7 +27,7 @@
 	return picked[:min(n, len(picked))]
 }
 
-func repNames() []string {
+func replicaNames() []string {
 	var names []string
 	for i := range 18 {
 		names = append(names, fmt.Sprintf("r%d", i+1))
@@ -47,29 +47,29 @@
 	return func(Shape, *rand.Rand) []Fault { return fs }
 }
 
-// Scenes are all scenes that the tests play.
-func Scenes() []Scene {
-	return append(append(trafficScenes(), controlScenes()...), mixedScenes()...)
+// FleetScenarios are all scenes that the tests play.
+func FleetScenarios() []FleetScenario {
+	return append(append(trafficScenarios(), controlScenarios()...), mixedScenarios()...)
 }
 
-func trafficScenes() []Scene {
-	return []Scene{
+func trafficScenarios() []FleetScenario {
+	return []FleetScenario{
 		{Name: "calm", Faults: fixed()},
 		{Name: "crowd and hot key", Faults: fixed(), Change: func(s *Scenario) {
 			s.Load.HotShare = 0.4
-			s.Load.Crowds = []Crowd{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
+			s.Load.Bursts = []Burst{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
 		}},
 		{Name: "replicas crash", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 6 {
-				fs = append(fs, one(RepCrash, time.Duration(9+3*i)*sec, 3*sec, some(rng, repNames(), 2)...))
+				fs = append(fs, one(ReplicaCrash, time.Duration(9+3*i)*sec, 3*sec, some(rng, replicaNames(), 2)...))
 			}
-			return append(fs, one(RepCrash, 20*sec, -1, some(rng, repNames(), 2)...))
+			return append(fs, one(ReplicaCrash, 20*sec, -1, some(rng, replicaNames(), 2)...))
 		}},
 		{Name: "replicas go dark", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(RepDark, 10*sec, 12*sec, some(rng, repNames(), 3)...), one(RepDark, 20*sec, 10*sec, some(rng, repNames(), 3)...)}
+			return []Fault{one(ReplicaUnreachable, 10*sec, 12*sec, some(rng, replicaNames(), 3)...), one(ReplicaUnreachable, 20*sec, 10*sec, some(rng, replicaNames(), 3)...)}
 		}},
-		{Name: "rolling release", Faults: fixed(one(Release, 10*sec, 0, repNames()...)), Change: func(s *Scenario) { s.Lasts = 90 * sec }},
+		{Name: "rolling release", Faults: fixed(one(Release, 10*sec, 0, replicaNames()...)), Change: func(s *Scenario) { s.Lasts = 90 * sec }},
 		{Name: "our processes are killed", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 8 {
@@ -87,33 +87,33 @@
 			return append(fs, one(PutStorm, 10*sec, 15*sec))
 		}},
 		{Name: "domain is lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			d := s.Domains[rng.IntN(len(s.Domains))]
+			d := s.Zones[rng.IntN(len(s.Zones))]
 			var reps []string
-			for i, r := range repNames() {
-				if s.Domains[i%len(s.Domains)] == d {
+			for i, r := range replicaNames() {
+				if s.Zones[i%len(s.Zones)] == d {
 					reps = append(reps, r)
 				}
 			}
-			return []Fault{one(Power, 12*sec, 15*sec, namesIn(s, d)...), one(RepCrash, 12*sec, 15*sec, reps...)}
+			return []Fault{one(Power, 12*sec, 15*sec, namesIn(s, d)...), one(ReplicaCrash, 12*sec, 15*sec, reps...)}
 		}},
 		{Name: "domain emptied and restored", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(Empty, 12*sec, 10*sec, s.Domains[rng.IntN(len(s.Domains))]), one(Freeze, 11*sec, 8*sec, some(rng, nodeNames(s), 2)...)}
+			return []Fault{one(EvacuateFault, 12*sec, 10*sec, s.Zones[rng.IntN(len(s.Zones))]), one(Freeze, 11*sec, 8*sec, some(rng, nodeNames(s), 2)...)}
 		}},
 	}
 }
 
-func namesIn(s Shape, domain string) []string {
+func namesIn(s Shape, zone string) []string {
 	var names []string
 	for _, n := range s.Nodes {
-		if n.Domain == domain {
+		if n.Zone == zone {
 			names = append(names, n.Name)
 		}
 	}
 	return names
 }
 
-func controlScenes() []Scene {
-	return []Scene{
+func controlScenarios() []FleetScenario {
+	return []FleetScenario{
 		{Name: "power lost just after yes", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 20*sec))
@@ -143,18 +143,18 @@
 		}},
 		{Name: "core is split", Faults: fixed(one(SplitCore, 12*sec, 10*sec, "n1", "n2", "n3"), one(Race, 10*sec, 16*sec))},
 		{Name: "domain is cut off", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(CutDomain, 12*sec, 10*sec, s.Domains[rng.IntN(len(s.Domains))]), one(PutStorm, 10*sec, 15*sec)}
+			return []Fault{one(PartitionZone, 12*sec, 10*sec, s.Zones[rng.IntN(len(s.Zones))]), one(PutStorm, 10*sec, 15*sec)}
 		}},
 		{Name: "single machines are cut off", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 5 {
-				fs = append(fs, one(CutNode, time.Duration(10+5*i)*sec, 4*sec, some(rng, nodeNames(s), 1)...))
-				fs = append(fs, one(CutOneWay, time.Duration(12+5*i)*sec, 3*sec, some(rng, nodeNames(s), 1)...))
+				fs = append(fs, one(PartitionNode, time.Duration(10+5*i)*sec, 4*sec, some(rng, nodeNames(s), 1)...))
+				fs = append(fs, one(PartitionOneWay, time.Duration(12+5*i)*sec, 3*sec, some(rng, nodeNames(s), 1)...))
 			}
 			return append(fs, one(PutStorm, 10*sec, 15*sec))
 		}},
 		{Name: "core comes back empty elsewhere", Faults: func(s Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(PutStorm, 9*sec, 60*sec), one(Move, 12*sec, 2*sec, some(rng, s.Voters, 1)...), one(Move, 52*sec, 2*sec, some(rng, s.Voters, 1)...)}
+			return []Fault{one(PutStorm, 9*sec, 60*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...), one(Relocate, 52*sec, 2*sec, some(rng, s.Voters, 1)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 100 * sec }},
 		{Name: "voters are swapped", Faults: func(s Shape, rng *rand.Rand) []Fault {
 			first, second := []string{"n2", "n3"}, []string{"n1", "n3"}
@@ -174,8 +174,8 @@
 }
 
 // Scenario is the scene played on a shape with a seed.
-func (sc Scene) Scenario(sh Shape, seed uint64) Scenario {
-	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: Load{Kinds: sh.Kinds, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
+func (sc FleetScenario) Scenario(sh Shape, seed uint64) Scenario {
+	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: Load{Classes: sh.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
 	s.Faults = sc.Faults(sh, rand.New(rand.NewPCG(seed, 37)))
 	if sc.Change != nil {
 		sc.Change(&s)
--- a/sim/scenes_test.go
+++ b/sim/scenes_test.go
@@ -13,8 +13,8 @@
 	first = flag.Uint64("seed", 1, "first seed")
 )
 
-func TestScenes(t *testing.T) {
-	for i, sc := range Scenes() {
+func TestFleetScenarios(t *testing.T) {
+	for i, sc := range FleetScenarios() {
 		if raced && i%8 != 0 {
 			continue
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-func rehearse(t *testing.T, sc Scene, sh Shape, seed uint64) {
+func rehearse(t *testing.T, sc FleetScenario, sh Shape, seed uint64) {
 	w := Run(sc.Scenario(sh, seed))
 	if w.trap != nil {
 		t.Error("the act in which a node was to freeze never came")
@@ -45,8 +45,8 @@
 	if all.Done < 100 {
 		t.Errorf("only %d requests were done", all.Done)
 	}
-	if sc.Whole && all.Denied+all.Lost+all.Partial+all.Unknown > 0 {
-		t.Errorf("denied %d, lost %d, partial %d, unknown %d", all.Denied, all.Lost, all.Partial, all.Unknown)
+	if sc.NoFailures && all.Rejected+all.Lost+all.Partial+all.Unknown > 0 {
+		t.Errorf("denied %d, lost %d, partial %d, unknown %d", all.Rejected, all.Lost, all.Partial, all.Unknown)
 	}
 	if puts(w.S.Faults) && w.Report.PutsTaken < 3 {
 		t.Errorf("only %d configurations were taken, %d denied", w.Report.PutsTaken, w.Report.PutsDenied)
@@ -67,7 +67,7 @@
 	if raced {
 		t.Skip("a world is one goroutine; the plain run covers it")
 	}
-	scenes := Scenes()
+	scenes := FleetScenarios()
 	sc := scenes[len(scenes)-1]
 	var runs [2]string
 	for i := range runs {
--- a/sim/shape.go
+++ b/sim/shape.go
@@ -7,20 +7,20 @@
 
 // NodeShape is one machine of a shape; Disk: it has one and can be a voter.
 type NodeShape struct {
-	Name   string `json:"name"`
-	Domain string `json:"domain"`
-	Disk   bool   `json:"disk"`
+	Name string `json:"name"`
+	Zone string `json:"domain"`
+	Disk bool   `json:"disk"`
 }
 
-// Shape is a fleet: its machines, first voters, zones, the one offer with its kinds of request, and its first configuration (Charter).
+// Shape is a fleet: its machines, first voters, zones, the one offer with its kinds of request, and its first configuration (Config).
 type Shape struct {
 	Name    string
 	Nodes   []NodeShape
 	Voters  []string
-	Domains []string
-	Offer   string
-	Kinds   []KindLoad
-	Charter []byte
+	Zones   []string
+	Service string
+	Classes []ClassLoad
+	Config  []byte
 	// Others are what else faults may name: a site's offers and classes, and how answers are garbled.
 	Others []string
 }
@@ -52,16 +52,16 @@
 // ShapeOf finds a shape by name.
 func ShapeOf(name string) (Shape, bool) { return Times(name, 1) }
 
-func shape(k int, name, offer string, nodes, cores int, domains, kinds []string, cross float64) Shape {
-	s := Shape{Name: name, Voters: []string{"n1", "n2", "n3"}, Domains: domains, Offer: offer}
+func shape(k int, name, service string, nodes, cores int, domains, classes []string, cross float64) Shape {
+	s := Shape{Name: name, Voters: []string{"n1", "n2", "n3"}, Zones: domains, Service: service}
 	for i := range k * nodes {
 		d := domains[i%len(domains)]
-		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Domain: d, Disk: i < cores})
+		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Zone: d, Disk: i < cores})
 	}
 	bounds := []int{1500, 3000, 6000}
 	var ks, rs []map[string]any
-	for i, k := range kinds {
-		s.Kinds = append(s.Kinds, KindLoad{Offer: offer, Name: k, Repeatable: i < 2})
+	for i, k := range classes {
+		s.Classes = append(s.Classes, ClassLoad{Service: service, Name: k, Repeatable: i < 2})
 		ks = append(ks, map[string]any{
 			"name": k, "value": []int{10, 5, 8}[i], "urgency": 3 - i, "firstTokenMs": bounds[i], "repeatable": i < 2,
 		})
@@ -71,10 +71,10 @@
 			"name": fmt.Sprintf("r%d", i+1), "addr": fmt.Sprintf("127.0.0.1:%d", 9001+i), "domain": domains[i%len(domains)], "room": 12,
 		})
 	}
-	s.Charter, _ = json.Marshal(map[string]any{
+	s.Config, _ = json.Marshal(map[string]any{
 		"replaceLostVoterMs": 15000,
 		"offers": []any{map[string]any{
-			"name": offer, "model": Prompt, "replicas": rs, "kinds": ks, "crossCost": cross, "cold": map[string]any{"startRoom": 1, "rampMs": 8000},
+			"name": service, "model": Prompt, "replicas": rs, "kinds": ks, "crossCost": cross, "cold": map[string]any{"startRoom": 1, "rampMs": 8000},
 		}},
 	})
 	return s
--- a/sim/site.go
+++ b/sim/site.go
@@ -12,40 +12,40 @@
 
 // A site is the platform around the nodes of a world: it lists replicas, hands user agents to nodes, and its operators write documents.
 type site struct {
-	w         *World
-	spec      SiteSpec
-	whim      *rand.Rand
-	load      traffic
-	at        map[string]*Instance
-	instances []*Instance
-	born      int
-	seeds     []string
-	first     bool
-	calls     []time.Duration
-	downs     []window
-	misses    map[string]int
-	entries   map[string][]*Node
-	rules     *rules
-	ops       operators
-	report    SiteReport
-	look      TrafficClass
+	w          *World
+	spec       SiteSpec
+	rng        *rand.Rand
+	load       traffic
+	at         map[string]*Instance
+	instances  []*Instance
+	born       int
+	seeds      []string
+	first      bool
+	calls      []time.Duration
+	downs      []window
+	misses     map[string]int
+	entries    map[string][]*Node
+	rules      *rules
+	ops        operators
+	report     SiteReport
+	probeClass TrafficClass
 }
 
 func (w *World) openSite(spec SiteSpec) {
 	s := &site{
-		w: w, spec: spec, whim: rand.New(rand.NewPCG(w.S.Seed, 67)), at: map[string]*Instance{}, misses: map[string]int{}, entries: map[string][]*Node{},
-		report: SiteReport{Whys: map[string]int{}, Outcomes: map[string]int{}},
+		w: w, spec: spec, rng: rand.New(rand.NewPCG(w.S.Seed, 67)), at: map[string]*Instance{}, misses: map[string]int{}, entries: map[string][]*Node{},
+		report: SiteReport{Reasons: map[string]int{}, Outcomes: map[string]int{}},
 	}
 	w.site = s
 	s.rules = newRules(s)
 	s.ops = operators{s: s, rng: rand.New(rand.NewPCG(w.S.Seed, 71))}
-	s.look = spec.Classes[len(spec.Classes)-1]
-	s.look.Name = "look"
+	s.probeClass = spec.Classes[len(spec.Classes)-1]
+	s.probeClass.Name = "look"
 	w.Net.Near, w.Net.Far, w.Net.Jitter = 200*time.Microsecond, spec.Far, 300*time.Microsecond
-	for k := range spec.Offers {
-		o := &spec.Offers[k]
+	for k := range spec.Services {
+		o := &spec.Services[k]
 		for i := range o.Replicas {
-			s.launch(o, spec.Shape.Domains[i%len(spec.Shape.Domains)], fmt.Sprintf("10.9.%d.%d:8080", k, i), o.Pace[i%len(o.Pace)], false)
+			s.launch(o, spec.Shape.Zones[i%len(spec.Shape.Zones)], fmt.Sprintf("10.9.%d.%d:8080", k, i), o.Pace[i%len(o.Pace)], false)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 
 // configure makes a node's settings those of the ordinary path.
 func (s *site) configure(c *control.Config, r *mallowbridge.Config) {
-	c.Read, c.ListEvery, c.FaultTolerance, c.Bootstraps, c.ServesIsolated = readDocument, time.Second, s.spec.Tolerate, s.first, true
+	c.Read, c.ListEvery, c.FaultTolerance, c.Bootstraps, c.ServesIsolated = readDocument, time.Second, s.spec.FaultTolerance, s.first, true
 	c.Seeds = slices.Clone(s.seeds)
 	r.Scheduler.QueueLimit, r.Scheduler.FeedTimeout = 1024, time.Minute
 	if s.w.tune != nil {
@@ -75,19 +75,19 @@
 	}
 }
 
-func (s *site) stride(offer string) int {
-	for i := range s.spec.Offers {
-		if s.spec.Offers[i].Name == offer {
-			return max(s.spec.Offers[i].Stride, 1)
+func (s *site) stride(service string) int {
+	for i := range s.spec.Services {
+		if s.spec.Services[i].Name == service {
+			return max(s.spec.Services[i].Stride, 1)
 		}
 	}
 	return 1
 }
 
-func (s *site) alive(offer string) []*Instance {
+func (s *site) alive(service string) []*Instance {
 	var is []*Instance
 	for _, i := range s.instances {
-		if i.up && (offer == "" || i.offer.Name == offer) && i.leaves == never {
+		if i.up && (service == "" || i.service.Name == service) && i.leaves == never {
 			is = append(is, i)
 		}
 	}
@@ -98,14 +98,14 @@
 func (s *site) poll() {
 	w := s.w
 	s.entries = map[string][]*Node{}
-	for _, d := range s.spec.Shape.Domains {
+	for _, d := range s.spec.Shape.Zones {
 		var in, all []*Node
 		for _, n := range w.Nodes {
-			if n.Domain != d || n.removed {
+			if n.Zone != d || n.removed {
 				continue
 			}
 			all = append(all, n)
-			if n.Alive && !n.frozen && !n.retire && n.router.Ready(n.local()) == "" {
+			if n.Alive && !n.frozen && !n.shuttingDown && n.router.Ready(n.local()) == "" {
 				s.misses[n.Name] = 0
 			} else {
 				s.misses[n.Name]++
@@ -122,9 +122,9 @@
 	w.after(time.Second, s.poll)
 }
 
-func (s *site) pick(domain string) *Node {
-	ns := s.entries[domain]
-	for _, d := range s.spec.Shape.Domains {
+func (s *site) pick(zone string) *Node {
+	ns := s.entries[zone]
+	for _, d := range s.spec.Shape.Zones {
 		if len(ns) == 0 {
 			ns = s.entries[d]
 		}
@@ -132,5 +132,5 @@
 	if len(ns) == 0 {
 		return nil
 	}
-	return ns[s.whim.IntN(len(ns))]
+	return ns[s.rng.IntN(len(ns))]
 }
--- a/sim/sitecuts.go
+++ b/sim/sitecuts.go
@@ -7,26 +7,26 @@
 
 // Troubles of the control side of a site. On names machines, or is AnyCore: machines with a disk, so many as may still be lost.
 const (
-	// CutCore, CutCoreOut and CutCoreIn cut machines with a disk off from the others with one: both ways, what they send, what they get.
-	CutCore    = "core cut"
-	CutCoreOut = "core cut, sends nothing"
-	CutCoreIn  = "core cut, gets nothing"
-	// CutIn cuts what machines get from all other nodes; CutOneWay is what they send.
-	CutIn = "cut, gets nothing"
+	// PartitionCore, PartitionCoreOut and PartitionCoreIn cut machines with a disk off from the others with one: both ways, what they send, what they get.
+	PartitionCore    = "core cut"
+	PartitionCoreOut = "core cut, sends nothing"
+	PartitionCoreIn  = "core cut, gets nothing"
+	// PartitionIn cuts what machines get from all other nodes; PartitionOneWay is what they send.
+	PartitionIn = "cut, gets nothing"
 	// OldDisk has machines come back with the disk that they had For before.
 	OldDisk = "disk restored from before"
 	// Retire starts an empty machine, and after For stops the one whose place it takes, for good.
 	Retire = "planned replacement"
-	// RepFreeze has replicas of an offer stand still and then go on with what lay there.
-	RepFreeze = "replica freezes"
+	// ReplicaFreeze has replicas of an offer stand still and then go on with what lay there.
+	ReplicaFreeze = "replica freezes"
 	// AckLost loses a share of the answers to operators, or all of them for On "all".
 	AckLost = "acknowledgements are lost"
 	// Rapid sends ten changes a second, up to eight under way.
 	Rapid = "rapid changes"
 	// SameNumber has pairs of operators use one number for different changes.
 	SameNumber = "one number twice"
-	// Again sends changes again that were acknowledged before.
-	Again = "taken changes sent again"
+	// Repeats sends changes again that were acknowledged before.
+	Repeats = "taken changes sent again"
 	// Reads asks nodes for the configuration all the time.
 	Reads = "configuration is read"
 	// EvacTurns evacuates a domain and takes that back by turns.
@@ -47,7 +47,7 @@
 		return true
 	}
 	now := s.w.now
-	return slices.ContainsFunc(s.rules.troubles, func(t *trouble) bool {
+	return slices.ContainsFunc(s.rules.faults, func(t *fault) bool {
 		return t.node == n.Name && t.from <= now && t.until+s.spec.Bounds.CatchUp > now
 	})
 }
@@ -68,7 +68,7 @@
 			fit = append(fit, n.Name)
 		}
 	}
-	spare := s.spec.Tolerate - lost
+	spare := s.spec.FaultTolerance - lost
 	if spare <= 0 || len(fit) == 0 {
 		later := *f
 		s.w.after(waitTurn, func() { s.strike(later) })
@@ -77,22 +77,22 @@
 	if f.On[0] == AnyCore {
 		spare = 1
 	}
-	f.On = some(s.whim, fit, spare)
+	f.On = some(s.rng, fit, spare)
 	s.w.Say("fault %s strikes %v", f.Kind, f.On)
 	return false
 }
 
-// cutLinks cuts machines off from nodes, or from those with a disk alone, one way or both.
-func (s *site) cutLinks(f Fault, ns []*Node) {
-	s.rules.harm(ns, f.For, false, false)
-	core := f.Kind == CutCore || f.Kind == CutCoreOut || f.Kind == CutCoreIn
-	outward, inward := f.Kind != CutCoreIn && f.Kind != CutIn, f.Kind != CutCoreOut && f.Kind != CutOneWay
+// partitionLinks cuts machines off from nodes, or from those with a disk alone, one way or both.
+func (s *site) partitionLinks(f Fault, ns []*Node) {
+	s.rules.recordFault(ns, f.For, false, false)
+	core := f.Kind == PartitionCore || f.Kind == PartitionCoreOut || f.Kind == PartitionCoreIn
+	outward, inward := f.Kind != PartitionCoreIn && f.Kind != PartitionIn, f.Kind != PartitionCoreOut && f.Kind != PartitionOneWay
 	in := func(addr string) bool { return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr }) }
 	other := func(addr string) bool {
 		n := s.w.byAddr[addr]
 		return n != nil && !in(addr) && (!core || n.Disk != nil)
 	}
-	heal := s.w.Net.cut(func(from, to string) bool {
+	heal := s.w.Net.partition(func(from, to string) bool {
 		return outward && in(from) && other(to) || inward && other(from) && in(to)
 	})
 	s.w.after(f.For, heal)
@@ -116,9 +116,9 @@
 		if !n.Alive || n.removed {
 			return
 		}
-		s.rules.harm([]*Node{n}, time.Second, false, false)
+		s.rules.recordFault([]*Node{n}, time.Second, false, false)
 		n.kill()
-		n.Disk.PowerCut()
+		n.Disk.PowerLoss()
 		n.Disk.Restore(old)
 		s.w.after(time.Second, func() { s.start(n) })
 	})
@@ -129,12 +129,12 @@
 	if old.removed || !old.Alive {
 		return
 	}
-	fresh := s.successor(old)
-	s.start(fresh)
-	s.renewSeeds(old, fresh, 0)
+	added := s.successor(old)
+	s.start(added)
+	s.renewSeeds(old, added, 0)
 	s.w.after(d, func() {
 		old.removed = true
-		s.roll([]*Node{old})
+		s.rollingRestart([]*Node{old})
 	})
 }
 
@@ -153,22 +153,22 @@
 	until := now + f.For
 	switch f.Kind {
 	case AckLost:
-		l := ackLoss{window: window{from: now, until: until}, share: lostShare}
+		l := ackLoss{window: window{from: now, until: until}, ratio: lostRatio}
 		if slices.Contains(f.On, "all") {
-			l.share = 1
+			l.ratio = 1
 		}
 		o.losses = append(o.losses, l)
 	case Rapid:
 		o.rapid(until, 100*time.Millisecond, 0)
 	case SameNumber:
 		o.sameNumber(int(f.For/time.Second), time.Second)
-	case Again:
+	case Repeats:
 		o.again(until, 300*time.Millisecond)
 	case Reads:
 		o.reads(until, 50*time.Millisecond)
 	case EvacTurns:
-		for _, domain := range f.On {
-			o.turns(domain, until, false)
+		for _, zone := range f.On {
+			o.turns(zone, until, false)
 		}
 	}
 }
--- a/sim/siteevacuate.go
+++ b/sim/siteevacuate.go
@@ -10,46 +10,46 @@
 const longestStay = 9 * time.Second
 
 // evacuate closes a domain, or opens it again after its replicas turned cold.
-func (o *operators) evacuate(domain string, back bool) {
-	o.evacuateThen(domain, back, func() {})
+func (o *operators) evacuate(zone string, back bool) {
+	o.evacuateThen(zone, back, func() {})
 }
 
-func (o *operators) evacuateThen(domain string, back bool, then func()) {
+func (o *operators) evacuateThen(zone string, back bool, then func()) {
 	r := o.s.rules
-	delete(r.reopened, domain)
+	delete(r.reopened, zone)
 	if back {
-		if e := r.evacs[domain]; e != nil {
+		if e := r.evacs[zone]; e != nil {
 			e.lifted = true
 		}
-		o.chill(domain)
+		o.chill(zone)
 	}
-	o.send(&order{op: control.Evacuate{Zone: domain, Restore: back}, end: func(ok bool) {
+	o.send(&order{op: control.Evacuate{Zone: zone, Restore: back}, end: func(ok bool) {
 		switch {
 		case ok && back:
-			delete(r.evacs, domain)
-			r.reopened[domain] = true
+			delete(r.evacs, zone)
+			r.reopened[zone] = true
 		case ok:
-			r.evacs[domain] = &evacuation{acked: o.s.w.now}
+			r.evacs[zone] = &evacuation{acked: o.s.w.now}
 		}
 		then()
 	}})
 }
 
-func (o *operators) chill(domain string) {
+func (o *operators) chill(zone string) {
 	for _, i := range o.s.instances {
-		if i.up && i.Domain == domain && i.offer.ColdRate > 0 {
+		if i.up && i.Zone == zone && i.service.WarmupRate > 0 {
 			i.chill()
 		}
 	}
 }
 
 // turns evacuates a domain and takes it back, again and again; each order follows the one before as soon as that is settled.
-func (o *operators) turns(domain string, until time.Duration, back bool) {
+func (o *operators) turns(zone string, until time.Duration, back bool) {
 	if o.s.w.now >= until && !back {
 		return
 	}
-	o.evacuateThen(domain, back, func() {
+	o.evacuateThen(zone, back, func() {
 		pause := time.Duration(o.rng.Int64N(int64(longestStay)))
-		o.s.w.after(pause, func() { o.turns(domain, until, !back) })
+		o.s.w.after(pause, func() { o.turns(zone, until, !back) })
 	})
 }
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -9,14 +9,14 @@
 
 // Troubles of a site beyond those of any fleet. On names nodes, domains or classes, or begins with the share of replicas.
 const (
-	Burst    = "burst"
-	HotKey   = "hot key"
-	ScaleIn  = "scale in"
-	ScaleOut = "scale out"
-	Garble   = "garble"
-	BadPuts  = "flawed puts"
-	ListDown = "list is down"
-	Change   = "change"
+	BurstFault    = "burst"
+	HotKey        = "hot key"
+	ScaleIn       = "scale in"
+	ScaleOut      = "scale out"
+	GarbleAnswers = "garble"
+	BadPuts       = "flawed puts"
+	ListDown      = "list is down"
+	Change        = "change"
 )
 
 func (s *site) strike(f Fault) {
@@ -27,30 +27,30 @@
 	ns := w.nodes(f.On)
 	switch f.Kind {
 	case Kill, Power, Wipe, ClockBack, AllDown:
-		s.fell(f, ns)
-	case Move:
+		s.stopMachines(f, ns)
+	case Relocate:
 		for _, n := range ns {
 			s.replace(n, f.For)
 		}
 	case Freeze:
-		s.rules.harm(ns, f.For, false, false)
+		s.rules.recordFault(ns, f.For, false, false)
 		for _, n := range ns {
-			life := n.life
+			incarnation := n.incarnation
 			n.freeze()
 			w.after(f.For, func() {
-				if n.life == life {
+				if n.incarnation == incarnation {
 					n.thaw()
 				}
 			})
 		}
-	case CutNode, CutControl:
-		s.cutOff(ns, f.For, f.Kind == CutNode)
+	case PartitionNode, PartitionControl:
+		s.isolate(ns, f.For, f.Kind == PartitionNode)
 	case SplitCore:
-		s.rules.harm(ns, f.For, false, 2*len(ns) > 3)
+		s.rules.recordFault(ns, f.For, false, 2*len(ns) > 3)
 		w.split(ns, f.For)
 	case SlowDisk, StallDisk, FullDisk:
 		ns = slices.DeleteFunc(ns, func(n *Node) bool { return n.Disk == nil })
-		s.rules.harm(ns, f.For, false, true)
+		s.rules.recordFault(ns, f.For, false, true)
 		for _, n := range ns {
 			n.slow, n.stall, n.Disk.Full = map[bool]time.Duration{true: 50 * time.Millisecond}[f.Kind == SlowDisk], f.Kind == StallDisk, f.Kind == FullDisk
 			w.after(f.For, func() {
@@ -61,11 +61,11 @@
 			})
 		}
 	case Upgrade:
-		s.roll(ns)
-	case Empty:
-		for _, domain := range f.On {
-			s.ops.evacuate(domain, false)
-			w.after(f.For, func() { s.ops.evacuate(domain, true) })
+		s.rollingRestart(ns)
+	case EvacuateFault:
+		for _, zone := range f.On {
+			s.ops.evacuate(zone, false)
+			w.after(f.For, func() { s.ops.evacuate(zone, true) })
 		}
 	case PutStorm:
 		s.ops.change(w.now+f.For, 330*time.Millisecond, s.ops.vary)
@@ -77,24 +77,24 @@
 		s.ops.race(3, 1200*time.Millisecond)
 	case BadPuts:
 		s.ops.flawed()
-	case CutCore, CutCoreOut, CutCoreIn, CutOneWay, CutIn:
-		s.cutLinks(f, ns)
+	case PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionOneWay, PartitionIn:
+		s.partitionLinks(f, ns)
 	case OldDisk, Retire:
 		s.comeBack(f, ns)
-	case AckLost, Rapid, SameNumber, Again, Reads, EvacTurns:
+	case AckLost, Rapid, SameNumber, Repeats, Reads, EvacTurns:
 		s.ops.press(f)
 	case ListDown:
 		s.downs = append(s.downs, window{from: w.now, until: w.now + f.For})
 	default:
-		s.sway(f)
+		s.injectTrafficFault(f)
 	}
 }
 
-func (s *site) fell(f Fault, ns []*Node) {
+func (s *site) stopMachines(f Fault, ns []*Node) {
 	if f.Kind == AllDown {
 		ns = s.w.Nodes
 	}
-	s.rules.harm(ns, f.For, false, false)
+	s.rules.recordFault(ns, f.For, false, false)
 	for _, n := range ns {
 		n.dark = f.Kind == Power || f.Kind == AllDown
 		n.kill()
@@ -102,7 +102,7 @@
 			n.wall = -s.w.now - f.For
 		}
 		if n.Disk != nil && f.Kind != Kill && f.Kind != ClockBack {
-			n.Disk.PowerCut()
+			n.Disk.PowerLoss()
 		}
 		if n.Disk != nil && f.Kind == Wipe {
 			n.Disk.Wipe()
@@ -118,7 +118,7 @@
 	if n.removed || n.Alive {
 		return
 	}
-	s.rules.harm([]*Node{n}, 0, false, false)
+	s.rules.recordFault([]*Node{n}, 0, false, false)
 	n.start()
 }
 
@@ -128,30 +128,30 @@
 	if old.removed {
 		return
 	}
-	s.rules.harm([]*Node{old}, -1, false, false)
+	s.rules.recordFault([]*Node{old}, -1, false, false)
 	old.kill()
 	old.removed = true
-	fresh := s.successor(old)
-	w.after(d, func() { s.start(fresh) })
-	s.renewSeeds(old, fresh, d)
+	added := s.successor(old)
+	w.after(d, func() { s.start(added) })
+	s.renewSeeds(old, added, d)
 }
 
 // successor is an empty machine at another address, not started yet.
 func (s *site) successor(old *Node) *Node {
 	w := s.w
-	fresh := newNode(w, len(w.Nodes), NodeShape{Name: old.Name + "b", Domain: old.Domain, Disk: old.Disk != nil})
-	fresh.wall = 0
-	w.Nodes = append(w.Nodes, fresh)
-	return fresh
+	added := newNode(w, len(w.Nodes), NodeShape{Name: old.Name + "b", Zone: old.Zone, Disk: old.Disk != nil})
+	added.wall = 0
+	w.Nodes = append(w.Nodes, added)
+	return added
 }
 
 // renewSeeds tells the nodes the address of a successor some time after its start.
-func (s *site) renewSeeds(old, fresh *Node, d time.Duration) {
+func (s *site) renewSeeds(old, added *Node, d time.Duration) {
 	w := s.w
 	w.after(d+seedLag, func() {
 		for i, a := range s.seeds {
 			if a == old.Addr {
-				s.seeds[i] = fresh.Addr
+				s.seeds[i] = added.Addr
 			}
 		}
 		for _, n := range w.Nodes {
@@ -162,11 +162,11 @@
 	})
 }
 
-// cutOff cuts machines off from all other nodes, and from replicas and the platform where whole.
-func (s *site) cutOff(ns []*Node, d time.Duration, whole bool) {
-	s.rules.harm(ns, d, false, false)
+// isolate cuts machines off from all other nodes, and from replicas and the platform where whole.
+func (s *site) isolate(ns []*Node, d time.Duration, whole bool) {
+	s.rules.recordFault(ns, d, false, false)
 	in := func(addr string) bool { return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr }) }
-	heal := s.w.Net.cut(func(from, to string) bool {
+	heal := s.w.Net.partition(func(from, to string) bool {
 		a, b := in(from), in(to)
 		if !whole && (s.w.byAddr[from] == nil || s.w.byAddr[to] == nil) {
 			return false
@@ -179,32 +179,32 @@
 const stopGap = 1300 * time.Millisecond
 
 // roll stops nodes with a warning, one after the other, as the process drains, and starts each again.
-func (s *site) roll(ns []*Node) {
+func (s *site) rollingRestart(ns []*Node) {
 	if len(ns) == 0 {
 		return
 	}
 	n, w := ns[0], s.w
 	if !n.Alive {
-		s.roll(ns[1:])
+		s.rollingRestart(ns[1:])
 		return
 	}
-	from, life := w.now, n.life
+	from, incarnation := w.now, n.incarnation
 	w.Say("%s is told to stop", n.Name)
-	s.rules.harm([]*Node{n}, grace+time.Second, true, false)
-	n.retire, n.retiredAt = true, w.now
+	s.rules.recordFault([]*Node{n}, grace+time.Second, true, false)
+	n.shuttingDown, n.shutdownAt = true, w.now
 	w.Call(n, control.Retire{}, func(control.Answer) {})
 	left := false
 	var look func()
 	look = func() {
 		switch {
-		case n.life != life:
+		case n.incarnation != incarnation:
 			return
-		case w.now-from > schedule.ExitAfter(), left && len(n.trips) == 0:
+		case w.now-from > schedule.ExitAfter(), left && len(n.requests) == 0:
 			n.kill()
 			if !n.removed {
 				w.after(300*time.Millisecond, n.start)
 			}
-			w.after(stopGap, func() { s.roll(ns[1:]) })
+			w.after(stopGap, func() { s.rollingRestart(ns[1:]) })
 			return
 		case !left && w.now-from > schedule.LeaveAfter():
 			left = true
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -15,24 +15,24 @@
 )
 
 // enter leaves connections after a start in the listener's queue until they can be served, or for long enough.
-func (n *Node) enter(do func()) {
-	if n.open {
+func (n *Node) accept(do func()) {
+	if n.serving {
 		do()
 		return
 	}
-	n.door = append(n.door, do)
+	n.acceptQueue = append(n.acceptQueue, do)
 }
 
 // schedule is how processes at a site shut down.
 var schedule = proxy.ShutdownSchedule{Grace: grace}
 
 // takeTry begins a try's trip, or refuses it as a proxy does that shuts down.
-func (n *Node) takeTry(c *try) {
-	if !n.retire || schedule.Admits(n.w.now-n.retiredAt, c.patience) {
-		c.t = n.begin(c)
+func (n *Node) takeTry(c *clientAttempt) {
+	if !n.shuttingDown || schedule.Admits(n.w.now-n.shutdownAt, c.patience) {
+		c.proxied = n.begin(c)
 		return
 	}
-	n.w.site.report.Whys["shutting down"]++
+	n.w.site.report.Reasons["shutting down"]++
 	n.w.site.rules.refused(c, n)
 	c.send(n, func() { c.ended(http.StatusServiceUnavailable, refusedAfter) })
 }
@@ -40,14 +40,14 @@
 // refusedAfter is the Retry-After of a process that shuts down.
 const refusedAfter = 10 * time.Millisecond
 
-func (n *Node) unlock(from time.Duration) {
+func (n *Node) open(from time.Duration) {
 	if n.router.Ready(n.local()) != "" && n.w.now-from < openWithin {
-		n.later(openPoll, func() { n.unlock(from) })
+		n.later(openPoll, func() { n.open(from) })
 		return
 	}
-	n.open = true
-	door := n.door
-	n.door = nil
+	n.serving = true
+	door := n.acceptQueue
+	n.acceptQueue = nil
 	for _, do := range door {
 		do()
 	}
@@ -85,22 +85,22 @@
 }
 
 // mend writes everything anew after a failure, until the disk takes it.
-func (n *Node) mend() {
-	n.mending = true
+func (n *Node) repairDisk() {
+	n.repairing = true
 	n.later(500*time.Millisecond, func() {
-		if n.keeper.Recover() != nil {
-			n.mend()
+		if n.journal.Recover() != nil {
+			n.repairDisk()
 			return
 		}
-		n.mending = false
+		n.repairing = false
 		n.step(control.Persisted{Repaired: true})
 	})
 }
 
 // halt ends what runs at a node whose process ends; without power nobody is told.
 func (n *Node) halt() {
-	for _, name := range sortedKeys(n.trips) {
-		t := n.trips[name]
+	for _, name := range sortedKeys(n.requests) {
+		t := n.requests[name]
 		if !n.dark {
 			t.orphan()
 		}
@@ -112,5 +112,5 @@
 			}
 		}
 	}
-	n.trips, n.pool, n.wakes = map[string]*trip{}, pool{}, 0
+	n.requests, n.pool, n.wakes = map[string]*proxyRequest{}, pool{}, 0
 }
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -12,7 +12,7 @@
 // ackLoss is a time in which a share of the answers to operators is lost on the way.
 type ackLoss struct {
 	window
-	share float64
+	ratio float64
 }
 
 const (
@@ -22,13 +22,13 @@
 	lookEvery = 10
 	// patientFor is how long an order is sent again whose answers were lost.
 	patientFor = 25 * time.Second
-	lostShare  = 0.7
+	lostRatio  = 0.7
 )
 
 func (o *operators) loses() bool {
 	for _, l := range o.losses {
 		if o.s.w.now >= l.from && o.s.w.now < l.until {
-			return o.rng.Float64() < l.share
+			return o.rng.Float64() < l.ratio
 		}
 	}
 	return false
@@ -69,7 +69,7 @@
 func (o *operators) inForce(v *version) {
 	v.seen = true
 	if v.denied {
-		o.s.rules.breach(RuleAgain, fmt.Sprint(v.revision), "it was refused, and is in force")
+		o.s.rules.breach(RuleRepeat, fmt.Sprint(v.revision), "it was refused, and is in force")
 	}
 }
 
@@ -79,7 +79,7 @@
 	v.denied = true
 	switch {
 	case v.seen || v.acked > 0:
-		o.s.rules.breach(RuleAgain, fmt.Sprint(v.revision), "by %s", n.Name)
+		o.s.rules.breach(RuleRepeat, fmt.Sprint(v.revision), "by %s", n.Name)
 	case !o.rivalled(d):
 		o.s.rules.breach(RuleDenies, fmt.Sprint(v.revision), "by %s, on top of %d", n.Name, d.base)
 	}
@@ -181,10 +181,10 @@
 	if base := o.base(); base != nil {
 		number := o.revision()
 		for i := range 2 {
-			mark := time.Duration(i+1) * time.Millisecond
+			version := time.Duration(i+1) * time.Millisecond
 			o.put2(base, number, func(c *config.Config) {
 				o.vary(c)
-				c.Routes[0].Timeout += mark
+				c.Routes[0].Timeout += version
 			}, nil)
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	if len(o.taken) > 0 {
 		old := o.taken[o.rng.IntN(len(o.taken))]
-		o.send(&order{op: old.op, v: old.v, base: old.base, again: true})
+		o.send(&order{op: old.op, v: old.v, base: old.base, repeated: true})
 	}
 	o.s.w.after(gap, func() { o.again(until, gap) })
 }
@@ -207,7 +207,7 @@
 func (o *operators) repeated(d *order, n *Node, f fate) {
 	o.s.report.Repeats++
 	if f == refused {
-		o.s.rules.breach(RuleAgain, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.now-d.v.acked)
+		o.s.rules.breach(RuleRepeat, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.now-d.v.acked)
 	}
 }
 
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -7,26 +7,26 @@
 )
 
 // sway is trouble with replicas and traffic.
-func (s *site) sway(f Fault) {
+func (s *site) injectTrafficFault(f Fault) {
 	w := s.w
 	switch f.Kind {
-	case Burst:
+	case BurstFault:
 		for i, c := range s.spec.Classes {
 			if named := slices.Contains(f.On, c.Name); named || (len(f.On) == 0 && c.Streaming) {
-				s.load.swells = append(s.load.swells, swell{from: w.now, until: w.now + f.For, class: i, times: map[bool]float64{true: 3, false: 1.5}[named]})
+				s.load.surges = append(s.load.surges, loadSurge{from: w.now, until: w.now + f.For, class: i, times: map[bool]float64{true: 3, false: 1.5}[named]})
 			}
 		}
 	case HotKey:
-		s.load.swells = append(s.load.swells, swell{from: w.now, until: w.now + f.For, class: 1, times: 1, hot: 0.28})
-	case RepCrash, RepDark, RepBlink:
+		s.load.surges = append(s.load.surges, loadSurge{from: w.now, until: w.now + f.For, class: 1, times: 1, hot: 0.28})
+	case ReplicaCrash, ReplicaUnreachable, ReplicaRestart:
 		most := 2
-		if len(f.On) > 0 && slices.Contains(s.spec.Shape.Domains, f.On[0]) {
+		if len(f.On) > 0 && slices.Contains(s.spec.Shape.Zones, f.On[0]) {
 			most = len(s.instances)
 		}
 		for _, i := range s.chosen(f, most) {
 			s.crash(i, f)
 		}
-	case RepFreeze:
+	case ReplicaFreeze:
 		for _, i := range s.chosen(f, 2) {
 			s.freezeReplica(i, f.For)
 		}
@@ -38,10 +38,10 @@
 		}
 	case ScaleOut:
 		for k := range 3 {
-			o := &s.spec.Offers[0]
-			s.launch(o, s.spec.Shape.Domains[k%len(s.spec.Shape.Domains)], s.address(o), o.Pace[k%len(o.Pace)], true)
+			o := &s.spec.Services[0]
+			s.launch(o, s.spec.Shape.Zones[k%len(s.spec.Shape.Zones)], s.address(o), o.Pace[k%len(o.Pace)], true)
 		}
-	case Garble:
+	case GarbleAnswers:
 		how, every, on := "reset", 25, 6
 		if len(f.On) > 0 {
 			how = f.On[0]
@@ -50,23 +50,23 @@
 			every, on = 1, len(s.instances)
 		}
 		for _, i := range s.chosen(Fault{}, on) {
-			i.garble = garble{every: every, how: how}
-			w.after(f.For, func() { i.garble = garble{} })
+			i.garble = garbling{every: every, how: how}
+			w.after(f.For, func() { i.garble = garbling{} })
 		}
 	}
 }
 
 // chosen picks replicas at random, of the offer or domain that the fault names, or of any.
 func (s *site) chosen(f Fault, n int) []*Instance {
-	offer := ""
+	service := ""
 	if len(f.On) > 0 {
-		offer = f.On[0]
+		service = f.On[0]
 	}
-	is := s.alive(offer)
-	if slices.Contains(s.spec.Shape.Domains, offer) {
-		is = slices.DeleteFunc(s.alive(""), func(i *Instance) bool { return i.Domain != offer })
+	is := s.alive(service)
+	if slices.Contains(s.spec.Shape.Zones, service) {
+		is = slices.DeleteFunc(s.alive(""), func(i *Instance) bool { return i.Zone != service })
 	}
-	s.whim.Shuffle(len(is), func(i, j int) { is[i], is[j] = is[j], is[i] })
+	s.rng.Shuffle(len(is), func(i, j int) { is[i], is[j] = is[j], is[i] })
 	return is[:min(n, len(is))]
 }
 
@@ -74,23 +74,23 @@
 	for _, k := range i.sockets {
 		k.harm()
 	}
-	again := func() {
+	repeated := func() {
 		if s.at[i.Addr] == i {
-			s.launch(i.offer, i.Domain, i.Addr, i.pace, true)
+			s.launch(i.service, i.Zone, i.Addr, i.pace, true)
 		}
 	}
-	if f.Kind == RepDark {
+	if f.Kind == ReplicaUnreachable {
 		i.dark = true
 		s.w.after(f.For, func() {
 			i.dark = false
 			i.end(true)
-			s.w.after(time.Second, again)
+			s.w.after(time.Second, repeated)
 		})
 		return
 	}
 	i.end(true)
 	if f.For >= 0 {
-		s.w.after(f.For, again)
+		s.w.after(f.For, repeated)
 	}
 }
 
@@ -101,14 +101,14 @@
 	}
 	old, w := is[0], s.w
 	old.drain()
-	w.after(2*time.Second, func() { s.launch(old.offer, old.Domain, s.address(old.offer), old.pace, true) })
+	w.after(2*time.Second, func() { s.launch(old.service, old.Zone, s.address(old.service), old.pace, true) })
 	w.after(time.Second, func() { s.renew(is[1:]) })
 }
 
 // address gives one that a replica, of another offer if possible, held before and that is free long enough; or a new one.
-func (s *site) address(o *OfferSpec) string {
+func (s *site) address(o *ServiceSpec) string {
 	free := func(i *Instance) bool {
-		return !i.up && s.at[i.Addr] == i && s.w.now-i.ends > reuseAfter && i.offer != o
+		return !i.up && s.at[i.Addr] == i && s.w.now-i.ends > reuseAfter && i.service != o
 	}
 	if at := slices.IndexFunc(s.instances, free); at >= 0 {
 		return s.instances[at].Addr
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -18,19 +18,19 @@
 
 // SiteReport is what a day at a site came to.
 type SiteReport struct {
-	Wanted                               int
+	Requested                            int
 	Classes                              map[string]*ClassReport
-	Outcomes, Whys                       map[string]int
-	GaveUp, LateEvents, Seconds, Resumed int
+	Outcomes, Reasons                    map[string]int
+	GaveUp, LateEvents, Retries, Resumed int
 	Lists, ListRefused                   int
 	Puts, PutsRefused                    int
 	Reads, Repeats                       int
-	Dials, Misplaced                     int
+	Dials, WrongInstance                 int
 	Confirmed, Predicted                 int
 	Prompted, Cached                     uint64
 	Admitted, Refused, Preempted         uint64
 	after                                time.Duration
-	asked, served                        int
+	requested, served                    int
 }
 
 func (r *SiteReport) take(d *mallowbridge.Decision) {
@@ -39,12 +39,12 @@
 }
 
 func (s *site) tallied(i *Instance) {
-	r, e := &s.report, i.eng
+	r, e := &s.report, i.engine
 	r.Prompted, r.Cached = r.Prompted+e.Prompted, r.Cached+e.Cached
 	r.Admitted, r.Refused, r.Preempted = r.Admitted+e.Admitted, r.Refused+e.Refused, r.Preempted+e.Preempted
 }
 
-func (r *SiteReport) end(q *want) {
+func (r *SiteReport) end(q *clientRequest) {
 	if q.class.Name == "look" {
 		return
 	}
@@ -57,19 +57,19 @@
 		r.Classes[q.class.Name] = c
 	}
 	c.Asked++
-	late := r.after > 0 && q.at > r.after
-	if late {
-		r.asked++
+	overdue := r.after > 0 && q.at > r.after
+	if overdue {
+		r.requested++
 	}
 	if !q.served {
 		return
 	}
 	c.Served++
-	if late {
+	if overdue {
 		r.served++
 	}
 	c.Firsts = append(c.Firsts, (q.first - q.at).Milliseconds())
-	if q.first-q.at <= q.class.Aim && (q.class.Gap == 0 || q.gap <= q.class.Gap) {
+	if q.first-q.at <= q.class.LatencyTarget && (q.class.Gap == 0 || q.gap <= q.class.Gap) {
 		c.InTime++
 	}
 }
@@ -90,8 +90,8 @@
 		c := r.Classes[name]
 		fmt.Fprintf(out, "%-10s %6d %6d %7d %7dms %7dms\n", name, c.Asked, c.Served, c.InTime, Quantile(c.Firsts, 0.5), Quantile(c.Firsts, 0.95))
 	}
-	fmt.Fprintf(out, "outcomes %v, gave up %d, events late %d\nwhy denied: %v\n", r.Outcomes, r.GaveUp, r.LateEvents, r.Whys)
-	fmt.Fprintf(out, "second attempts %d, resumed %d, connections %d, misplaced %d, lists %d (%d refused)\n", r.Seconds, r.Resumed, r.Dials, r.Misplaced, r.Lists, r.ListRefused)
+	fmt.Fprintf(out, "outcomes %v, gave up %d, events late %d\nwhy denied: %v\n", r.Outcomes, r.GaveUp, r.LateEvents, r.Reasons)
+	fmt.Fprintf(out, "second attempts %d, resumed %d, connections %d, misplaced %d, lists %d (%d refused)\n", r.Retries, r.Resumed, r.Dials, r.WrongInstance, r.Lists, r.ListRefused)
 	fmt.Fprintf(out, "documents taken %d, refused %d, read %d, sent again %d; replicas admitted %d, refused %d, preempted %d\n", r.Puts, r.PutsRefused, r.Reads, r.Repeats, r.Admitted, r.Refused, r.Preempted)
 	fmt.Fprintf(out, "prompt parts in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", share(int(r.Cached), r.Prompted), share(r.Confirmed, r.Prompted), share(r.Predicted, r.Prompted))
 }
@@ -110,8 +110,8 @@
 	}
 	s.kept(s.w.now + s.spec.Bounds.Touch)
 	s.w.run(s.w.now + s.spec.Bounds.Touch + 3*time.Second)
-	if s.report.after > 0 && (s.report.asked == 0 || 4*s.report.served < s.report.asked) {
-		s.rules.breach(RuleRecover, "fleet", "%d of %d served", s.report.served, s.report.asked)
+	if s.report.after > 0 && (s.report.requested == 0 || 4*s.report.served < s.report.requested) {
+		s.rules.breach(RuleRecover, "fleet", "%d of %d served", s.report.served, s.report.requested)
 	}
 	if got := s.report.Served(); got < 0.4 {
 		s.rules.breach(RuleServed, "fleet", "%.0f%%", 100*got)
@@ -126,14 +126,14 @@
 		s.rules.breach(RuleKept, "document", "nobody gives it")
 		return
 	}
-	again := func() { w.after(200*time.Millisecond, func() { s.kept(until) }) }
+	repeated := func() { w.after(200*time.Millisecond, func() { s.kept(until) }) }
 	if !n.Alive {
-		again()
+		repeated()
 		return
 	}
 	w.Call(n, control.Get{}, func(a control.Answer) {
 		if a.Err != nil {
-			again()
+			repeated()
 			return
 		}
 		s.compare(n, a)
@@ -142,12 +142,12 @@
 
 func (s *site) compare(n *Node, a control.Answer) {
 	at, _ := revisionIn(a.Value.Document)
-	newest := s.rules.newest()
+	latest := s.rules.newest()
 	if !s.rules.sent(at, a.Value.Document) {
 		s.rules.breach(RuleKept, "document", "revision %d is not what was sent", at)
 	}
-	if newest != nil && at < newest.revision {
-		s.rules.breach(RuleKept, "document", "%s gives revision %d, %d was acknowledged", n.Name, at, newest.revision)
+	if latest != nil && at < latest.revision {
+		s.rules.breach(RuleKept, "document", "%s gives revision %d, %d was acknowledged", n.Name, at, latest.revision)
 	}
 	for _, d := range sortedKeys(s.rules.evacs) {
 		if e := s.rules.evacs[d]; !e.lifted && !slices.Contains(a.Value.EvacuatedZones, d) {
--- a/sim/sitetraffic.go
+++ b/sim/sitetraffic.go
@@ -11,7 +11,7 @@
 )
 
 // swell is more traffic, or traffic on one key, for a while.
-type swell struct {
+type loadSurge struct {
 	from, until time.Duration
 	class       int
 	times       float64
@@ -21,7 +21,7 @@
 type traffic struct {
 	s      *site
 	rng    *rand.Rand
-	swells []swell
+	surges []loadSurge
 	n      int
 }
 
@@ -29,11 +29,11 @@
 	t := &s.load
 	t.s, t.rng = s, rand.New(rand.NewPCG(s.w.S.Seed, 61))
 	for i, c := range s.spec.Classes {
-		for _, x := range s.w.S.Load.Crowds {
-			t.swells = append(t.swells, swell{from: trafficFrom + x.From, until: trafficFrom + x.Until, class: i, times: x.Times})
+		for _, x := range s.w.S.Load.Bursts {
+			t.surges = append(t.surges, loadSurge{from: trafficFrom + x.From, until: trafficFrom + x.Until, class: i, times: x.Times})
 		}
 		if c.Streaming {
-			t.swells = append(t.swells, swell{until: until, class: i, times: 1, hot: s.w.S.Load.HotShare})
+			t.surges = append(t.surges, loadSurge{until: until, class: i, times: 1, hot: s.w.S.Load.HotShare})
 		}
 		s.w.at(trafficFrom, func() { t.next(i, until) })
 	}
@@ -41,7 +41,7 @@
 
 func (t *traffic) rate(class int) (r, hot float64) {
 	r = t.s.spec.Classes[class].Rate
-	for _, x := range t.swells {
+	for _, x := range t.surges {
 		if x.class == class && t.s.w.now >= x.from && t.s.w.now < x.until {
 			r, hot = r*x.times, max(hot, x.hot)
 		}
@@ -66,35 +66,35 @@
 	return min(max(int(float64(mean)*math.Exp(sigma*t.rng.NormFloat64()-sigma*sigma/2)), 1), most)
 }
 
-func (t *traffic) want(class int, hot float64) *want {
+func (t *traffic) want(class int, hot float64) *clientRequest {
 	s := t.s
 	c := &s.spec.Classes[class]
 	t.n++
-	domains := s.spec.Shape.Domains
-	q := &want{
+	domains := s.spec.Shape.Zones
+	q := &clientRequest{
 		s: s, id: fmt.Sprintf("q%d", t.n), class: c, path: prefixOf(c.Name) + "x", domain: domains[t.rng.IntN(len(domains))], at: s.w.now,
-		until: s.w.now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.Work), 0.5, 7*int(c.Work))),
+		deadline: s.w.now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.Work), 0.5, 7*int(c.Work))),
 	}
 	if c.Streaming {
 		q.events = t.spread(c.Events, 0.44, 3*c.Events)
 		q.ask(t, hot)
 	}
-	s.report.Wanted++
+	s.report.Requested++
 	return q
 }
 
-func (q *want) ask(t *traffic, hot float64) {
+func (q *clientRequest) ask(t *traffic, hot float64) {
 	c := q.class
 	shared := t.rng.IntN(c.Shared)
 	if t.rng.Float64() < hot {
 		shared = 0
 	}
 	system := shared % c.System
-	own := t.spread(c.Prompt, 1, 8*c.Prompt)
+	local := t.spread(c.Prompt, 1, 8*c.Prompt)
 	q.prefix = strings.Join([]string{
 		fmt.Sprintf("%s%d:%d", c.Name, system, c.SystemTokens), fmt.Sprintf("%s%d.%d:%d", c.Name, system, shared, c.SharedTokens),
-		fmt.Sprintf("%s:%d", q.id, own),
+		fmt.Sprintf("%s:%d", q.id, local),
 	}, ",")
 	q.parts, _ = prefixindex.Parse(Prompt, q.prefix)
-	q.prompt = c.SystemTokens + c.SharedTokens + own
+	q.prompt = c.SystemTokens + c.SharedTokens + local
 }
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -8,8 +8,8 @@
 )
 
 // A request is what a node sends to a replica.
-type request struct {
-	try     *try
+type sentRequest struct {
+	try     *clientAttempt
 	n       *Node
 	attempt string
 	target  string
@@ -94,7 +94,7 @@
 	life     uint64
 	to       *Instance
 	key      string
-	t        *trip
+	t        *proxyRequest
 	attempt  string
 	up, down *pipe
 	stale    bool
@@ -104,8 +104,8 @@
 }
 
 func newSocket(n *Node, to *Instance, key string) *socket {
-	k := &socket{n: n, life: n.life, to: to, key: key}
-	near := n.Domain == to.Domain
+	k := &socket{n: n, life: n.incarnation, to: to, key: key}
+	near := n.Zone == to.Zone
 	k.up = &pipe{s: to.s, from: n.Addr, to: to.addr(), near: near, fail: func() { k.take(packet{reset: true}) }}
 	k.down = &pipe{s: to.s, from: to.addr(), to: n.Addr, near: near, fail: func() { to.hangup(k) }}
 	k.up.stuck = func() bool { return to.dark }
@@ -116,7 +116,7 @@
 func (i *Instance) addr() string { return "rep/" + i.Addr }
 
 // unplugged tells that the machine lost its power, so that nobody answers for that life any more.
-func (n *Node) unplugged(life uint64) bool { return n.life != life && n.dark }
+func (n *Node) unplugged(incarnation uint64) bool { return n.incarnation != incarnation && n.dark }
 
 func (k *socket) reply(p packet) {
 	if slices.Contains(k.to.sockets, k) {
@@ -127,7 +127,7 @@
 // take is what the node's end of the connection gets.
 func (k *socket) take(p packet) {
 	n := k.n
-	if n.life != k.life || !n.Alive {
+	if n.incarnation != k.life || !n.Alive {
 		return
 	}
 	n.live(func() {
@@ -142,7 +142,7 @@
 // harm notes that the replica, not a node, breaks the answer off.
 func (k *socket) harm() {
 	if k.t != nil {
-		k.t.c.harmed = true
+		k.t.attempt.harmed = true
 	}
 }
 
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -8,15 +8,15 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-const pieceBytes = 120
+const chunkBytes = 120
 
-func (c *conn) travel() {
-	w, r, f := c.f.w, c.rep, c.f
+func (c *fleetConn) travel() {
+	w, r, f := c.request.w, c.replica, c.request
 	c.sent = true
-	if f.n.Domain != r.Domain {
+	if f.n.Zone != r.Zone {
 		w.Report.StreamCross += uint64(300 + 4*f.ask.TailTokens)
 	}
-	w.after(w.Net.delay(f.n.Domain == r.Domain), func() {
+	w.after(w.Net.delay(f.n.Zone == r.Zone), func() {
 		if !r.Up {
 			if c.open {
 				c.happened(mallowbridge.ConnectionLost{AttemptID: c.place.AttemptID})
@@ -27,20 +27,20 @@
 			return
 		}
 		parts, _ := prefixindex.Parse(Prompt, f.ask.Prefix)
-		plan, ok := r.m.Admit(w.now, c.place.AttemptID, parts, f.ask.TailTokens)
+		plan, ok := r.model.Admit(w.now, c.place.AttemptID, parts, f.ask.TailTokens)
 		if !ok {
-			r.note("refused", f.ask.Request, c.place.AttemptID, 0)
+			r.record("refused", f.ask.Request, c.place.AttemptID, 0)
 			c.back(func() {
 				c.happened(mallowbridge.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusTooManyRequests})
 			})
 			return
 		}
-		r.note("begun", f.ask.Request, c.place.AttemptID, 0)
+		r.record("begun", f.ask.Request, c.place.AttemptID, 0)
 		w.Audit.begun(r)
 		r.conns[c.place.AttemptID] = c
 		c.plan = plan
-		inst := r.m.Instance
-		if r.Sick {
+		inst := r.model.Instance
+		if r.Unhealthy {
 			w.after(plan.First/4, c.spoil)
 			return
 		}
@@ -48,21 +48,21 @@
 	})
 }
 
-func (c *conn) spoil() {
-	r := c.rep
+func (c *fleetConn) spoil() {
+	r := c.replica
 	if r.conns[c.place.AttemptID] == c {
 		delete(r.conns, c.place.AttemptID)
-		r.m.Release(c.f.w.now, c.place.AttemptID)
+		r.model.Release(c.request.w.now, c.place.AttemptID)
 		c.back(func() { c.happened(mallowbridge.ConnectionLost{AttemptID: c.place.AttemptID}) })
 	}
 }
 
-func (c *conn) back(do func()) {
-	w := c.f.w
-	if c.rep.Dark || c.cutOff() {
+func (c *fleetConn) back(do func()) {
+	w := c.request.w
+	if c.replica.Dark || c.cutOff() {
 		return
 	}
-	c.due = max(c.due, w.now+w.Net.delay(c.f.n.Domain == c.rep.Domain))
+	c.due = max(c.due, w.now+w.Net.delay(c.request.n.Zone == c.replica.Zone))
 	w.at(c.due, func() {
 		if c.open {
 			do()
@@ -70,15 +70,15 @@
 	})
 }
 
-func (c *conn) emit(inst string) {
-	r, w, f := c.rep, c.f.w, c.f
-	if r.conns[c.place.AttemptID] != c || !r.Up || r.m.Instance != inst {
+func (c *fleetConn) emit(inst string) {
+	r, w, f := c.replica, c.request.w, c.request
+	if r.conns[c.place.AttemptID] != c || !r.Up || r.model.Instance != inst {
 		return
 	}
-	i := c.piece
-	c.piece++
-	if f.n.Domain != r.Domain {
-		w.Report.StreamCross += pieceBytes
+	i := c.chunk
+	c.chunk++
+	if f.n.Zone != r.Zone {
+		w.Report.StreamCross += chunkBytes
 	}
 	if i == 0 {
 		c.back(func() {
@@ -86,33 +86,33 @@
 		})
 	}
 	l := mallowbridge.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.Piece(f.ask.Request, c.place.AttemptID, i)}
-	if c.twisted || r.twist(c, &l) {
+	if c.corrupted || r.twist(c, &l) {
 		c.line(l)
 	}
-	if c.piece < c.plan.Pieces {
+	if c.chunk < c.plan.Chunks {
 		w.after(c.plan.Every, func() { c.emit(inst) })
 		return
 	}
-	r.note("done", f.ask.Request, c.place.AttemptID, c.piece)
-	r.m.Release(w.now, c.place.AttemptID)
+	r.record("done", f.ask.Request, c.place.AttemptID, c.chunk)
+	r.model.Release(w.now, c.place.AttemptID)
 	delete(r.conns, c.place.AttemptID)
-	c.line(mallowbridge.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.piece})
+	c.line(mallowbridge.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
 }
 
-func (c *conn) line(l mallowbridge.AnswerLine) {
+func (c *fleetConn) line(l mallowbridge.AnswerLine) {
 	c.back(func() {
 		if l.Chunk != nil && *l.Chunk == 0 {
-			c.f.w.Audit.proved(c, l.InstanceID)
+			c.request.w.Audit.proved(c, l.InstanceID)
 		}
 		c.happened(mallowbridge.AnswerRead{AttemptID: c.place.AttemptID, Line: l})
 	})
 }
 
-func (c *conn) reset() {
+func (c *fleetConn) reset() {
 	if !c.open {
 		return
 	}
-	c.f.w.after(c.f.w.Net.delay(true), func() {
+	c.request.w.after(c.request.w.Net.delay(true), func() {
 		if c.open {
 			c.happened(mallowbridge.ConnectionLost{AttemptID: c.place.AttemptID})
 		}
--- a/sim/touch.go
+++ b/sim/touch.go
@@ -3,14 +3,14 @@
 import "time"
 
 // A trouble disturbs one node, or the core (node is empty), from one moment until another. Planned ones are a part of the day's work.
-type trouble struct {
+type fault struct {
 	node        string
 	from, until time.Duration
 	planned     bool
 }
 
 // harm notes trouble on machines; that of a machine with a disk unsettles the core at its begin and end, that of most of them all through.
-func (r *rules) harm(ns []*Node, d time.Duration, planned, slows bool) {
+func (r *rules) recordFault(ns []*Node, d time.Duration, planned, slows bool) {
 	now := r.s.w.now
 	until := now + d
 	if d < 0 {
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, n := range ns {
-		r.troubles = append(r.troubles, &trouble{node: n.Name, from: now, until: until, planned: planned})
+		r.faults = append(r.faults, &fault{node: n.Name, from: now, until: until, planned: planned})
 		if n.Disk != nil {
 			core++
 		}
@@ -31,15 +31,15 @@
 	switch {
 	case core == 0:
 	case 2*core >= total || slows:
-		r.troubles = append(r.troubles, &trouble{from: now, until: until, planned: planned})
+		r.faults = append(r.faults, &fault{from: now, until: until, planned: planned})
 	default:
-		r.troubles = append(r.troubles, &trouble{from: now, until: now, planned: planned}, &trouble{from: until, until: until, planned: planned})
+		r.faults = append(r.faults, &fault{from: now, until: now, planned: planned}, &fault{from: until, until: until, planned: planned})
 	}
 }
 
 // still tells that nothing disturbed a node, or the core, in that time and Bounds.Touch before.
 func (r *rules) still(node string, from, until time.Duration) bool {
-	for _, t := range r.troubles {
+	for _, t := range r.faults {
 		if t.node == node && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
 			return false
 		}
@@ -52,7 +52,7 @@
 }
 
 // within is how long after its acknowledgement a node must obey an order, and whether it must.
-func (r *rules) within(n *Node, q *request, bound time.Duration) (time.Duration, bool) {
+func (r *rules) within(n *Node, q *sentRequest, bound time.Duration) (time.Duration, bool) {
 	switch {
 	case q.calm:
 		return bound, true
@@ -64,7 +64,7 @@
 
 // majority tells that most of the core ran and was joined for long before now.
 func (r *rules) majority(now time.Duration) bool {
-	for _, t := range r.troubles {
+	for _, t := range r.faults {
 		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-r.s.spec.Bounds.Outer-r.s.spec.Bounds.Touch {
 			return false
 		}
@@ -74,7 +74,7 @@
 
 // unplanned tells that something nobody planned happened anywhere in that time or Bounds.Touch before.
 func (r *rules) unplanned(from, until time.Duration) bool {
-	for _, t := range r.troubles {
+	for _, t := range r.faults {
 		if !t.planned && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
 			return true
 		}
@@ -84,7 +84,7 @@
 
 // leaving tells that the node was being stopped on purpose at some time of the span, and since when.
 func (r *rules) leaving(node string, from, until time.Duration) (time.Duration, bool) {
-	for _, t := range r.troubles {
+	for _, t := range r.faults {
 		if t.planned && t.node == node && t.from <= until && t.until >= from {
 			return t.from, true
 		}
--- a/sim/trip.go
+++ b/sim/trip.go
@@ -10,22 +10,22 @@
 )
 
 // A trip takes one try through a node: it carries out the moves of proxy's exchange, one after the other, as proxy's transfer does.
-type trip struct {
-	n        *Node
-	life     uint64
-	c        *try
-	ex       proxy.Exchange
-	k        *socket
-	h        *head
-	events   proxy.Events
-	body     []byte
-	arrived  time.Duration
-	deadline time.Duration
-	mode     mode
-	turn     int
-	headed   bool
-	flowing  bool
-	queued   []mallowbridge.Decision
+type proxyRequest struct {
+	n          *Node
+	life       uint64
+	attempt    *clientAttempt
+	exchange   proxy.Exchange
+	conn       *socket
+	answerHead *head
+	events     proxy.Events
+	body       []byte
+	arrived    time.Duration
+	deadline   time.Duration
+	mode       mode
+	turn       int
+	headed     bool
+	flowing    bool
+	queued     []mallowbridge.Decision
 }
 
 // A mode is what the trip waits for; meanwhile decisions wait, too.
@@ -41,54 +41,54 @@
 )
 
 const (
-	dialMost   = 400 * time.Millisecond
-	ownIdle    = 4 * time.Second
-	toldIdle   = 3800 * time.Millisecond
-	overGrace  = 250 * time.Millisecond
-	eventBytes = 1 << 20
+	dialMost           = 400 * time.Millisecond
+	defaultIdleTimeout = 4 * time.Second
+	advertisedIdle     = 3800 * time.Millisecond
+	overGrace          = 250 * time.Millisecond
+	eventBytes         = 1 << 20
 )
 
-func (n *Node) begin(c *try) *trip {
+func (n *Node) begin(c *clientAttempt) *proxyRequest {
 	s := n.w.site
-	n.tripSeq++
-	name := n.front + "-" + strconv.Itoa(n.tripSeq)
-	t := &trip{n: n, life: n.life, c: c, arrived: n.w.now, ex: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
+	n.requestSeq++
+	name := n.frontendID + "-" + strconv.Itoa(n.requestSeq)
+	t := &proxyRequest{n: n, life: n.incarnation, attempt: c, arrived: n.w.now, exchange: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
 	if c.last > 0 {
 		t.events.Last = strconv.Itoa(c.last)
 	}
 	t.deadline = n.w.now + c.patience
-	n.trips[name] = t
-	q := c.want
+	n.requests[name] = t
+	q := c.request
 	a := mallowbridge.Arrive{Request: name, Host: siteHost, Path: c.path, Timeout: c.patience}
 	if q.class.Streaming {
-		a.Prefix, a.Model, a.Tokens, a.MaxAnswerTokens = q.prefix, Prompt, q.prompt, q.events*s.stride(q.class.Offer)
+		a.Prefix, a.Model, a.Tokens, a.MaxAnswerTokens = q.prefix, Prompt, q.prompt, q.events*s.stride(q.class.Service)
 	}
 	n.decide(n.turn(a))
 	return t
 }
 
-func (t *trip) decided(d mallowbridge.Decision) {
+func (t *proxyRequest) decided(d mallowbridge.Decision) {
 	if t.mode != free {
 		t.queued = append(t.queued, d)
 		return
 	}
-	t.do(t.ex.Decided(d))
+	t.do(t.exchange.Decided(d))
 }
 
 // happened hands a signal in, then the decisions that came while the trip waited.
-func (t *trip) happened(sig proxy.Signal) {
+func (t *proxyRequest) happened(sig proxy.Signal) {
 	t.mode = free
-	t.do(t.ex.Happened(sig))
-	for len(t.queued) > 0 && t.mode == free && !t.ex.Over() {
+	t.do(t.exchange.Happened(sig))
+	for len(t.queued) > 0 && t.mode == free && !t.exchange.Over() {
 		d := t.queued[0]
 		t.queued = t.queued[1:]
-		t.do(t.ex.Decided(d))
+		t.do(t.exchange.Decided(d))
 	}
 }
 
-func (t *trip) do(moves []proxy.Action) {
+func (t *proxyRequest) do(actions []proxy.Action) {
 	var next []mallowbridge.Decision
-	for _, m := range moves {
+	for _, m := range actions {
 		switch m.Kind {
 		case proxy.Connect:
 			t.connect()
@@ -111,8 +111,8 @@
 	t.n.decide(next)
 }
 
-func (t *trip) connect() {
-	d, w := t.ex.Placement, t.n.w
+func (t *proxyRequest) connect() {
+	d, w := t.exchange.Placement, t.n.w
 	t.guessed()
 	t.mode = connecting
 	t.turn++
@@ -126,7 +126,7 @@
 			}
 		})
 	}
-	k, capped := t.n.pool.kept(w.now, d.Instance, t.c.id, d.MaxConns)
+	k, capped := t.n.pool.kept(w.now, d.Instance, t.attempt.id, d.MaxConns)
 	if capped {
 		after(0, func() proxy.Signal { return proxy.Unconnected{Capped: true} })
 		return
@@ -149,7 +149,7 @@
 		after(wait, failed)
 		return
 	}
-	after(2*w.Net.delay(t.n.Domain == i.Domain)+time.Millisecond, func() proxy.Signal {
+	after(2*w.Net.delay(t.n.Zone == i.Zone)+time.Millisecond, func() proxy.Signal {
 		k := newSocket(t.n, i, d.Instance)
 		if !i.accept(k) {
 			return failed()
@@ -159,22 +159,22 @@
 	})
 }
 
-func (t *trip) use(k *socket) { t.k, k.t = k, t }
+func (t *proxyRequest) use(k *socket) { t.conn, k.t = k, t }
 
-func (t *trip) park() {
-	k := t.k
-	if t.k = nil; k == nil {
+func (t *proxyRequest) park() {
+	k := t.conn
+	if t.conn = nil; k == nil {
 		return
 	}
 	if k.t = nil; !k.used {
-		k.until = t.n.w.now + ownIdle
+		k.until = t.n.w.now + defaultIdleTimeout
 	}
 	t.n.pool.park(k)
 }
 
-func (t *trip) drop() {
-	k := t.k
-	if t.k = nil; k == nil {
+func (t *proxyRequest) drop() {
+	k := t.conn
+	if t.conn = nil; k == nil {
 		return
 	}
 	k.close()
@@ -182,16 +182,16 @@
 }
 
 // took is what the connection in use brought.
-func (t *trip) took(p packet) {
+func (t *proxyRequest) took(p packet) {
 	switch {
 	case t.mode < asking:
-		t.k.stale = true
+		t.conn.stale = true
 	case p.reset || p.junk || (p.head != nil && t.mode > asking):
 		t.lost()
 	case t.mode == asking && p.head == nil:
 		t.lost()
 	case t.mode == asking:
-		t.h = p.head
+		t.answerHead = p.head
 		t.happened(t.replied(p.head))
 		if t.mode > asking {
 			t.more(p)
@@ -201,15 +201,15 @@
 	}
 }
 
-func (t *trip) lost() {
+func (t *proxyRequest) lost() {
 	t.drop()
 	t.happened(proxy.ConnectionLost{})
 }
 
-func (t *trip) replied(h *head) proxy.Replied {
+func (t *proxyRequest) replied(h *head) proxy.Replied {
 	var s proxy.Replied
 	s.Status = h.status
-	if h.attempt != t.c.id {
+	if h.attempt != t.attempt.id {
 		s.Foreign = true
 		return s
 	}
@@ -217,13 +217,13 @@
 	if !s.NotRun && !s.Bare {
 		t.confirmed()
 	}
-	s.Stream = t.ex.Placement.Route != nil && t.ex.Placement.Route.Streaming && h.stream && h.status == http.StatusOK
+	s.Stream = t.exchange.Placement.Route != nil && t.exchange.Placement.Route.Streaming && h.stream && h.status == http.StatusOK
 	return s
 }
 
-func (t *trip) pass() {
+func (t *proxyRequest) pass() {
 	t.mode, t.flowing = holding, false
-	if t.ex.Placement.Route != nil && t.ex.Placement.Route.Streaming && t.h.stream {
+	if t.exchange.Placement.Route != nil && t.exchange.Placement.Route.Streaming && t.answerHead.stream {
 		t.mode = streaming
 		if t.headed {
 			t.n.w.site.report.Resumed++
--- a/sim/tripend.go
+++ b/sim/tripend.go
@@ -7,7 +7,7 @@
 )
 
 // more takes data of an answer whose head was taken.
-func (t *trip) more(p packet) {
+func (t *proxyRequest) more(p packet) {
 	switch t.mode {
 	case draining:
 		if p.end {
@@ -26,7 +26,7 @@
 	}
 }
 
-func (t *trip) flow(p packet) {
+func (t *proxyRequest) flow(p packet) {
 	whole, err := t.events.Feed(p.data)
 	ended := err == nil && p.end
 	if ended {
@@ -35,11 +35,11 @@
 	if len(whole) > 0 {
 		if !t.flowing {
 			t.flowing = true
-			t.ex.CannotResume = t.events.Plain
-			t.do(t.ex.Happened(proxy.Begun{}))
+			t.exchange.CannotResume = t.events.Plain
+			t.do(t.exchange.Happened(proxy.Begun{}))
 			t.mode = streaming
 		}
-		t.ex.CannotResume = t.events.Plain
+		t.exchange.CannotResume = t.events.Plain
 		t.answer(whole)
 	}
 	switch {
@@ -53,21 +53,21 @@
 }
 
 // settle ends the use of a connection whose answer was read whole.
-func (t *trip) settle() {
-	if t.k.stale || t.h.shut {
+func (t *proxyRequest) settle() {
+	if t.conn.stale || t.answerHead.shut {
 		t.drop()
 		return
 	}
-	t.k.until = t.n.w.now + toldIdle
+	t.conn.until = t.n.w.now + advertisedIdle
 	t.park()
 }
 
 // answer passes bytes on to the user agent, the head of the first replica before them.
-func (t *trip) answer(data []byte) {
-	c := t.c
+func (t *proxyRequest) answer(data []byte) {
+	c := t.attempt
 	if !t.headed {
 		t.headed = true
-		h := *t.h
+		h := *t.answerHead
 		c.send(t.n, func() { c.heads(h) })
 	}
 	if len(data) > 0 {
@@ -80,9 +80,9 @@
 	proxy.Rejected: http.StatusServiceUnavailable, proxy.NotFound: http.StatusNotFound, proxy.Unknown: http.StatusBadGateway, proxy.Expired: http.StatusGatewayTimeout,
 }
 
-func (t *trip) finish(m proxy.Action) {
-	c := t.c
-	delete(t.n.trips, t.ex.Request)
+func (t *proxyRequest) finish(m proxy.Action) {
+	c := t.attempt
+	delete(t.n.requests, t.exchange.Request)
 	switch m.Outcome {
 	case proxy.Done:
 		c.send(t.n, func() { c.ended(http.StatusOK, 0) })
@@ -91,7 +91,7 @@
 		c.send(t.n, func() { c.cut() })
 	default:
 		if m.Outcome == proxy.Rejected {
-			t.n.w.site.report.Whys[m.Reason]++
+			t.n.w.site.report.Reasons[m.Reason]++
 		}
 		status := statuses[m.Outcome]
 		t.n.w.site.rules.finished(t, status)
@@ -100,10 +100,10 @@
 }
 
 // orphan is what becomes of a trip whose process ended.
-func (t *trip) orphan() {
-	if t.k != nil {
-		t.c.working = t.k.job != nil
-		t.k.close()
+func (t *proxyRequest) orphan() {
+	if t.conn != nil {
+		t.attempt.working = t.conn.job != nil
+		t.conn.close()
 	}
-	t.c.send(t.n, t.c.cut)
+	t.attempt.send(t.n, t.attempt.cut)
 }
--- a/sim/tripsend.go
+++ b/sim/tripsend.go
@@ -8,37 +8,37 @@
 )
 
 // expiry is when the time of the request is over.
-func (t *trip) expiry() time.Duration {
+func (t *proxyRequest) expiry() time.Duration {
 	at := t.deadline
-	if r := t.ex.Placement.Route; r != nil && r.Timeout > 0 {
+	if r := t.exchange.Placement.Route; r != nil && r.Timeout > 0 {
 		at = min(at, t.arrived+r.Timeout)
 	}
 	return at
 }
 
-func (t *trip) write() {
-	w, d, k := t.n.w, &t.ex.Placement, t.k
+func (t *proxyRequest) write() {
+	w, d, k := t.n.w, &t.exchange.Placement, t.conn
 	at := t.expiry()
 	if at-w.now < time.Millisecond {
 		t.happened(proxy.DeadlinePassed{})
 		return
 	}
-	t.mode, t.h, t.body = asking, nil, nil
+	t.mode, t.answerHead, t.body = asking, nil, nil
 	t.turn++
 	turn := t.turn
-	k.used, k.attempt = true, t.c.id
-	r := &request{
-		try: t.c, n: t.n, attempt: t.c.id, target: d.Instance, after: t.c.last, rank: d.Priority, until: at, sent: w.now,
-		again: t.c.passes > 0, calm: w.site.rules.inTouch(t.n, w.now),
+	k.used, k.attempt = true, t.attempt.id
+	r := &sentRequest{
+		try: t.attempt, n: t.n, attempt: t.attempt.id, target: d.Instance, after: t.attempt.last, rank: d.Priority, until: at, sent: w.now,
+		again: t.attempt.passes > 0, calm: w.site.rules.inTouch(t.n, w.now),
 	}
 	if d.Resumes && t.headed {
 		r.after, _ = strconv.Atoi(t.events.Last)
 	}
-	t.c.passes++
+	t.attempt.passes++
 	w.site.report.take(d)
 	k.up.send(func() { k.to.serve(k, r) })
 	t.n.later(at-w.now+overGrace, func() {
-		if t.turn == turn && t.k == k && t.mode != free {
+		if t.turn == turn && t.conn == k && t.mode != free {
 			t.happened(proxy.DeadlinePassed{})
 		}
 	})
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -21,22 +21,22 @@
 	}
 	n, from := ns[0], w.now
 	w.Say("%s drains", n.Name)
-	n.retire = true
+	n.shuttingDown = true
 	w.Call(n, control.Retire{}, func(control.Answer) {})
-	w.after(retire, func() { n.shut = n.retire })
+	w.after(retire, func() { n.rejecting = n.shuttingDown })
 	departed := false
 	var look func()
 	look = func() {
 		switch {
 		case !n.Alive:
 			n.start()
-		case !n.retire && n.router.Ready(n.local()) == "":
+		case !n.shuttingDown && n.router.Ready(n.local()) == "":
 			w.after(listLag, func() { w.upgrade(ns[1:]) })
 			return
-		case n.shut && !departed && (n.router.Unsent() == 0 || w.now-from > retire+letGo):
+		case n.rejecting && !departed && (n.router.Unsent() == 0 || w.now-from > retire+letGo):
 			departed = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
-		case n.shut && departed && (len(n.asks) == 0 || w.now-from > drainMost):
+		case n.rejecting && departed && (len(n.asks) == 0 || w.now-from > drainMost):
 			n.kill()
 			w.after(300*time.Millisecond, look)
 			return
--- a/sim/world.go
+++ b/sim/world.go
@@ -29,38 +29,38 @@
 	Builds   bool
 	// Older has every other node be of the build before.
 	Older bool
-	Asks  []Ask
+	Asks  []Request
 	From  time.Duration
 	Tune  func(w *World)
-	// Site is the platform that the nodes run on, if any; it takes the place of Shape, Charter, Load and Model.
+	// Site is the platform that the nodes run on, if any; it takes the place of Shape, Config, Load and Model.
 	Site *SiteSpec
 }
 
 // World is a fleet with its surroundings in virtual time. One goroutine runs it.
 type World struct {
 	queue
-	S       Scenario
-	rng     *rand.Rand
-	Net     *Net
-	Nodes   []*Node
-	byAddr  map[string]*Node
-	Reps    []*Rep
-	byRep   map[string]*Rep
-	byURL   map[string]*Rep
-	whim    *rand.Rand
-	trap    func(n *Node, what string)
-	Ran     []ledger.Ran
-	Got     []ledger.Got
-	Audit   *Audit
-	Report  Report
-	Trace   []string
-	answers map[uint64]func(a control.Answer)
-	asks    uint64
-	ready   map[string][]*Node
-	expect  uint64
-	lives   uint64
-	site    *site
-	tune    func(c *control.Config, r *mallowbridge.Config)
+	S              Scenario
+	rng            *rand.Rand
+	Net            *Net
+	Nodes          []*Node
+	byAddr         map[string]*Node
+	Reps           []*FleetReplica
+	replicasByName map[string]*FleetReplica
+	byURL          map[string]*FleetReplica
+	whim           *rand.Rand
+	trap           func(n *Node, what string)
+	Ran            []ledger.Ran
+	Got            []ledger.Got
+	Audit          *Audit
+	Report         Report
+	Trace          []string
+	answers        map[uint64]func(a control.Answer)
+	asks           uint64
+	ready          map[string][]*Node
+	expect         uint64
+	lives          uint64
+	site           *site
+	tune           func(c *control.Config, r *mallowbridge.Config)
 }
 
 const (
@@ -80,19 +80,19 @@
 		s.Shape = s.Site.Shape
 	}
 	if s.Charter == nil {
-		s.Charter = s.Shape.Charter
+		s.Charter = s.Shape.Config
 	}
-	if s.Model.Room == 0 {
+	if s.Model.Capacity == 0 {
 		s.Model = DefaultModel()
-		s.Model.Room = 12
+		s.Model.Capacity = 12
 	}
 	w := &World{
-		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: newNet(s.Seed), byAddr: map[string]*Node{}, byRep: map[string]*Rep{},
-		byURL: map[string]*Rep{}, whim: rand.New(rand.NewPCG(s.Seed, 47)),
+		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: newNet(s.Seed), byAddr: map[string]*Node{}, replicasByName: map[string]*FleetReplica{},
+		byURL: map[string]*FleetReplica{}, whim: rand.New(rand.NewPCG(s.Seed, 47)),
 		answers: map[uint64]func(a control.Answer){}, ready: map[string][]*Node{},
 	}
 	w.Net.Loss, w.Net.Dup = s.Loss, s.Dup
-	w.Report.Kinds, w.Report.Whys = map[string]*KindReport{}, map[string]int{}
+	w.Report.Classes, w.Report.Reasons = map[string]*ClassResult{}, map[string]int{}
 	w.Audit = newAudit(w)
 	for i, ns := range s.Shape.Nodes {
 		w.Nodes = append(w.Nodes, newNode(w, i, ns))
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Rep is the replica of that name, or nil.
-func (w *World) Rep(name string) *Rep { return w.byRep[name] }
+// FleetReplica is the replica of that name, or nil.
+func (w *World) Rep(name string) *FleetReplica { return w.replicasByName[name] }
 
 // Boot starts the nodes, founds the register and puts the first configuration.
 func (w *World) Boot() {
@@ -161,17 +161,17 @@
 func (w *World) platform() {
 	w.ready = map[string][]*Node{}
 	for _, n := range w.Nodes {
-		if n.Alive && !n.frozen && !n.retire && n.router.Ready(n.local()) == "" {
-			w.ready[n.Domain] = append(w.ready[n.Domain], n)
+		if n.Alive && !n.frozen && !n.shuttingDown && n.router.Ready(n.local()) == "" {
+			w.ready[n.Zone] = append(w.ready[n.Zone], n)
 		}
 	}
 	w.after(time.Second, w.platform)
 }
 
-func (w *World) pick(domain string) *Node {
-	ns := w.ready[domain]
+func (w *World) pick(zone string) *Node {
+	ns := w.ready[zone]
 	if len(ns) == 0 {
-		for _, d := range w.S.Shape.Domains {
+		for _, d := range w.S.Shape.Zones {
 			ns = append(ns, w.ready[d]...)
 		}
 	}
@@ -184,7 +184,7 @@
 // Load submits the scenario's requests between the two times.
 func (w *World) Load(from, until time.Duration) {
 	for _, a := range w.S.Asks {
-		w.at(from+a.At, func() { w.submit(a, w.S.Shape.Domains[w.rng.IntN(len(w.S.Shape.Domains))], 0) })
+		w.at(from+a.At, func() { w.submit(a, w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))], 0) })
 	}
 	if len(w.S.Asks) > 0 {
 		return
@@ -197,8 +197,8 @@
 			return
 		}
 		w.at(from+a.At, func() {
-			domain := w.S.Shape.Domains[w.rng.IntN(len(w.S.Shape.Domains))]
-			w.submit(a, domain, 0)
+			zone := w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))]
+			w.submit(a, zone, 0)
 			next()
 		})
 	}
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -13,11 +13,11 @@
 // fewSeeds is how many seeds play each day at one of the sites in turn; with more, each day is played at all of them.
 const fewSeeds = 2
 
-func TestWorstDays(t *testing.T) { playAll(t, WorstDays()) }
+func TestWorstScenarios(t *testing.T) { playAll(t, WorstScenarios()) }
 
-func TestMarathon(t *testing.T) { playAll(t, []Day{Marathon()}) }
+func TestMarathon(t *testing.T) { playAll(t, []SiteScenario{Marathon()}) }
 
-func playAll(t *testing.T, days []Day) {
+func playAll(t *testing.T, days []SiteScenario) {
 	sites := Sites(FewMachines)
 	for i, d := range days {
 		if raced && i > 0 {
@@ -43,7 +43,7 @@
 
 // TestMarathonIsLong counts what a marathon is made of, over some seeds: every kind of trouble, three at a time, 300 changes sent.
 func TestMarathonIsLong(t *testing.T) {
-	onCore, onNodes, onReplicas, plain := marathonKinds()
+	onCore, onNodes, onReplicas, plain := marathonFaults()
 	seen := map[string]int{}
 	for seed := range uint64(40) {
 		s := Marathon().Scenario(AtlasSite(), seed)
@@ -54,8 +54,8 @@
 			seen[f.Kind]++
 		}
 	}
-	for _, kinds := range [][]string{onCore, onNodes, onReplicas, plain} {
-		for _, k := range kinds {
+	for _, classes := range [][]string{onCore, onNodes, onReplicas, plain} {
+		for _, k := range classes {
 			if seen[k] == 0 {
 				t.Errorf("%s never came", k)
 			}
@@ -75,7 +75,7 @@
 }
 
 // quiet is a world whose operators can be asked directly, with two versions acknowledged and one that was only sent.
-func quiet(t *testing.T) (w *World, old, newest, sent *version) {
+func quiet(t *testing.T) (w *World, old, latest, sent *version) {
 	t.Helper()
 	w = New(Scenario{Seed: 1, Site: &[]SiteSpec{TramitesSite()}[0]})
 	make1 := func(revision, base uint64) *version {
@@ -85,10 +85,10 @@
 		w.site.rules.offered(v)
 		return v
 	}
-	old, newest, sent = make1(3, 0), make1(5, 3), make1(7, 5)
-	old.acked, newest.acked = 1, 2
-	old.seen, newest.seen = true, true
-	return w, old, newest, sent
+	old, latest, sent = make1(3, 0), make1(5, 3), make1(7, 5)
+	old.acked, latest.acked = 1, 2
+	old.seen, latest.seen = true, true
+	return w, old, latest, sent
 }
 
 func wantBreach(t *testing.T, w *World, what string) {
@@ -106,29 +106,29 @@
 }
 
 func TestStaleReadIsSeen(t *testing.T) {
-	w, old, newest, sent := quiet(t)
+	w, old, latest, sent := quiet(t)
 	ops := &w.site.ops
-	ops.found(w.Nodes[0], newest.raw, old)
-	ops.found(w.Nodes[0], sent.raw, newest)
+	ops.found(w.Nodes[0], latest.raw, old)
+	ops.found(w.Nodes[0], sent.raw, latest)
 	wantBreach(t, w, "")
-	ops.found(w.Nodes[0], old.raw, newest)
+	ops.found(w.Nodes[0], old.raw, latest)
 	wantBreach(t, w, RuleStale)
 }
 
 func TestRefusedThoughTakenIsSeen(t *testing.T) {
-	w, _, newest, _ := quiet(t)
-	w.site.ops.denied(&order{v: newest, base: 3}, w.Nodes[0])
-	wantBreach(t, w, RuleAgain)
+	w, _, latest, _ := quiet(t)
+	w.site.ops.denied(&order{v: latest, base: 3}, w.Nodes[0])
+	wantBreach(t, w, RuleRepeat)
 }
 
 func TestRefusedThenInForceIsSeen(t *testing.T) {
-	w, _, newest, sent := quiet(t)
+	w, _, latest, sent := quiet(t)
 	rival := &version{revision: 8, base: 5, doc: sent.doc, raw: []byte("other")}
 	w.site.rules.offered(rival)
 	w.site.ops.denied(&order{v: sent, base: 5}, w.Nodes[0])
 	wantBreach(t, w, "")
-	w.site.ops.found(w.Nodes[0], sent.raw, newest)
-	wantBreach(t, w, RuleAgain)
+	w.site.ops.found(w.Nodes[0], sent.raw, latest)
+	wantBreach(t, w, RuleRepeat)
 }
 
 func TestRefusedWithoutRivalIsSeen(t *testing.T) {
@@ -139,51 +139,51 @@
 
 func TestRepeatRefusedIsSeen(t *testing.T) {
 	w, old, _, _ := quiet(t)
-	d := &order{v: old, again: true}
-	w.site.ops.settle(d, w.Nodes[0], acked)
-	w.site.ops.settle(d, w.Nodes[0], unclear)
+	d := &order{v: old, repeated: true}
+	w.site.ops.finishOrder(d, w.Nodes[0], acked)
+	w.site.ops.finishOrder(d, w.Nodes[0], unclear)
 	wantBreach(t, w, "")
-	w.site.ops.settle(d, w.Nodes[0], refused)
-	wantBreach(t, w, RuleAgain)
+	w.site.ops.finishOrder(d, w.Nodes[0], refused)
+	wantBreach(t, w, RuleRepeat)
 }
 
 func TestOneNumberTakenTwiceIsSeen(t *testing.T) {
-	w, _, newest, sent := quiet(t)
+	w, _, latest, sent := quiet(t)
 	twin := &version{revision: 5, base: 3, doc: sent.doc, raw: []byte("twin")}
 	w.site.rules.offered(twin)
-	w.site.ops.settle(&order{v: twin, base: 3}, w.Nodes[0], acked)
+	w.site.ops.finishOrder(&order{v: twin, base: 3}, w.Nodes[0], acked)
 	if len(w.Audit.Breaches) == 0 {
 		t.Error("two changes of one number were taken unseen")
 	}
-	if w.site.rules.sent(5, []byte("neither")) || !w.site.rules.sent(5, newest.raw) {
+	if w.site.rules.sent(5, []byte("neither")) || !w.site.rules.sent(5, latest.raw) {
 		t.Error("the document read back is not compared with the one acknowledged")
 	}
 }
 
 func TestEvacuationThatComesBackIsSeen(t *testing.T) {
-	w, _, newest, _ := quiet(t)
+	w, _, latest, _ := quiet(t)
 	w.site.rules.reopened["a"] = true
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: newest.raw, EvacuatedZones: []string{"b"}}})
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: latest.raw, EvacuatedZones: []string{"b"}}})
 	wantBreach(t, w, "")
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: newest.raw, EvacuatedZones: []string{"a"}}})
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: latest.raw, EvacuatedZones: []string{"a"}}})
 	wantBreach(t, w, RuleKept)
 }
 
-// TestCoreTroublesWaitTheirTurn checks on a marathon that never more machines with a disk are struck than may be lost.
-func TestCoreTroublesWaitTheirTurn(t *testing.T) {
+// TestCoreFaultsWaitTheirTurn checks on a marathon that never more machines with a disk are struck than may be lost.
+func TestCoreFaultsWaitTheirTurn(t *testing.T) {
 	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{GrownAtlasSite(FewMachines)}[0]})
 	for _, n := range w.Nodes {
 		n.Alive = true
 	}
 	s := w.site
 	f := one(Freeze, 0, time.Second, AllCore)
-	if s.waits(&f) || len(f.On) != s.spec.Tolerate {
+	if s.waits(&f) || len(f.On) != s.spec.FaultTolerance {
 		t.Fatalf("struck %v", f.On)
 	}
-	s.rules.harm(w.nodes(f.On), time.Second, false, false)
-	late := one(Freeze, 0, time.Second, AnyCore)
-	if !s.waits(&late) {
-		t.Errorf("struck %v while %v are lost", late.On, f.On)
+	s.rules.recordFault(w.nodes(f.On), time.Second, false, false)
+	overdue := one(Freeze, 0, time.Second, AnyCore)
+	if !s.waits(&overdue) {
+		t.Errorf("struck %v while %v are lost", overdue.On, f.On)
 	}
 	w.now = time.Second + s.spec.Bounds.CatchUp + 1
 	next := one(Freeze, 0, time.Second, AnyCore)
--- a/sim/worstdays.go
+++ b/sim/worstdays.go
@@ -7,9 +7,9 @@
 
 // pressing are the orders that go on through a worst day: changes in quick succession, reads, evacuations and taken changes sent again.
 func pressing(s SiteSpec, rng *rand.Rand, from, until time.Duration) []Fault {
-	domain := s.Shape.Domains[rng.IntN(len(s.Shape.Domains))]
+	zone := s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]
 	return []Fault{
-		one(Rapid, from, until-from), one(Reads, from, until-from), one(Again, from+sec, until-from-sec), one(EvacTurns, from, until-from, domain),
+		one(Rapid, from, until-from), one(Reads, from, until-from), one(Repeats, from+sec, until-from-sec), one(EvacTurns, from, until-from, zone),
 		one(SameNumber, from+2*sec, 3*sec), one(SameNumber, until-5*sec, 3*sec),
 	}
 }
@@ -20,19 +20,19 @@
 // drawn is one of some words.
 func drawn(rng *rand.Rand, words ...string) string { return words[rng.IntN(len(words))] }
 
-// WorstDays are days for the five things that went wrong on the control side, each under orders that never pause.
-func WorstDays() []Day {
-	return append(cutOffDays(), lossDays()...)
+// WorstScenarios are days for the five things that went wrong on the control side, each under orders that never pause.
+func WorstScenarios() []SiteScenario {
+	return append(partitionScenarios(), lossScenarios()...)
 }
 
-func cutOffDays() []Day {
+func partitionScenarios() []SiteScenario {
 	const long = 20 * sec
-	ways := []string{CutCore, CutCoreOut, CutCoreIn, CutControl, CutOneWay, CutIn, CutNode}
-	return []Day{
+	ways := []string{PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionControl, PartitionOneWay, PartitionIn, PartitionNode}
+	return []SiteScenario{
 		{Name: "a control machine is cut off for 20 s", Lasts: 64 * sec, Traffic: few, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := pressing(s, rng, 11*sec, 58*sec)
 			fs = append(fs, one(drawn(rng, ways...), 13*sec, long, AnyCore), one(drawn(rng, ways...), 35*sec, long, AllCore))
-			return append(fs, one(CutIn, 20*sec, long, some(rng, nodeNames(s.Shape)[len(disks(s)):], 2)...))
+			return append(fs, one(PartitionIn, 20*sec, long, some(rng, nodeNames(s.Shape)[len(disks(s)):], 2)...))
 		}},
 		{Name: "a control machine stands still for 20 s", Lasts: 64 * sec, Traffic: few, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := pressing(s, rng, 11*sec, 58*sec)
@@ -50,14 +50,14 @@
 		{Name: "answers go to the wrong caller", Lasts: 50 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := []Fault{one(PutStorm, 12*sec, 30*sec)}
 			for i, how := range some(rng, []string{"late", "surplus", "reset", "silent", "junk", "cut"}, 4) {
-				fs = append(fs, one(Garble, time.Duration(11+8*i)*sec, 8*sec, how))
+				fs = append(fs, one(GarbleAnswers, time.Duration(11+8*i)*sec, 8*sec, how))
 			}
 			for at := 12 * sec; at < 40*sec; at += 4 * sec {
-				offer := s.Offers[rng.IntN(len(s.Offers))].Name
-				fs = append(fs, one(RepFreeze, at, time.Duration(500+rng.IntN(5000))*ms, offer), one(RepBlink, at+sec, 30*ms, offer))
+				service := s.Services[rng.IntN(len(s.Services))].Name
+				fs = append(fs, one(ReplicaFreeze, at, time.Duration(500+rng.IntN(5000))*ms, service), one(ReplicaRestart, at+sec, 30*ms, service))
 				fs = append(fs, one(Freeze, at+2*sec, time.Duration(300+rng.IntN(3500))*ms, some(rng, nodeNames(s.Shape), 1)...))
 			}
-			return append(fs, one(RepFreeze, 14*sec, long, s.Offers[0].Name), one(Freeze, 15*sec, long, some(rng, nodeNames(s.Shape), 1)...))
+			return append(fs, one(ReplicaFreeze, 14*sec, long, s.Services[0].Name), one(Freeze, 15*sec, long, some(rng, nodeNames(s.Shape), 1)...))
 		}},
 	}
 }
@@ -71,12 +71,12 @@
 	return fs
 }
 
-func lossDays() []Day {
-	return []Day{
+func lossScenarios() []SiteScenario {
+	return []SiteScenario{
 		{Name: "a second loss right after a repair", Lasts: 66 * sec, Traffic: few, Close: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := pressing(s, rng, 11*sec, 60*sec)
 			for i := range 12 {
-				kind := drawn(rng, Wipe, Move, Retire, Power, Wipe, Kill, OldDisk)
+				kind := drawn(rng, Wipe, Relocate, Retire, Power, Wipe, Kill, OldDisk)
 				fs = append(fs, one(kind, 12*sec+time.Duration(i)*ms, time.Duration(300+rng.IntN(2000))*ms, AnyCore))
 			}
 			return fs
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -29,10 +29,10 @@
 }
 
 // Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
-func (a *Agent) Once(ctx context.Context, node string, k sim.Ask) ledger.Got {
-	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Kind.Name, Repeatable: k.Kind.Repeatable, Outcome: outcomeLost}
+func (a *Agent) Once(ctx context.Context, node string, k sim.Request) ledger.Got {
+	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Class.Name, Repeatable: k.Class.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Kind.Offer+"/"+k.Kind.Name, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Class.Service+"/"+k.Class.Name, strings.NewReader(body))
 	if err != nil {
 		return g
 	}
@@ -80,7 +80,7 @@
 
 // Run sends n requests at the times that the source gives them, to the nodes in turn, and has took called with each outcome, one at
 // a time. When the context ends, the rest is sent at once and fails.
-func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, took func(g ledger.Got)) {
+func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, elapsed func(g ledger.Got)) {
 	start := time.Now()
 	out := make(chan ledger.Got)
 	for i := range n {
@@ -96,6 +96,6 @@
 		}()
 	}
 	for range n {
-		took(<-out)
+		elapsed(<-out)
 	}
 }
