--- a/standin/replica.go
+++ b/standin/replica.go
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (r *Replica) note(event, request, id string, n int) {
+func (r *Replica) record(event, request, id string, n int) {
 	_ = r.runs.Encode(ledger.Ran{
 		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.engine.Instance, Request: request, AttemptID: id, Event: event, Chunks: n,
 	})
@@ -175,10 +175,10 @@
 	}
 	s.plan, s.ok = r.engine.Admit(r.clock(), attempt, parts, tail)
 	if !s.ok {
-		r.note("refused", request, attempt, 0)
+		r.record("refused", request, attempt, 0)
 		return s
 	}
-	r.note(ledger.EventBegun, request, attempt, 0)
+	r.record(ledger.EventBegun, request, attempt, 0)
 	return s
 }
 
@@ -193,7 +193,7 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
 	ctl, enc := http.NewResponseController(w), json.NewEncoder(w)
-	for i := range s.plan.Pieces {
+	for i := range s.plan.Chunks {
 		if s.fault.CutAt == "piece" && i == s.fault.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
@@ -205,12 +205,12 @@
 			return nil
 		}
 		if enc.Encode(l) != nil || ctl.Flush() != nil || !r.wait(req, s.plan.Every) {
-			r.do(func(r *Replica) { r.note("cut", request, id, i) })
+			r.do(func(r *Replica) { r.record("cut", request, id, i) })
 			return nil
 		}
 	}
-	r.do(func(r *Replica) { r.note(ledger.EventDone, request, id, s.plan.Pieces) })
-	return enc.Encode(mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.engine.Instance, End: true, Chunks: s.plan.Pieces})
+	r.do(func(r *Replica) { r.record(ledger.EventDone, request, id, s.plan.Chunks) })
+	return enc.Encode(mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.engine.Instance, End: true, Chunks: s.plan.Chunks})
 }
 
 func twist(how string, l *mallowbridge.AnswerLine) {
--- a/storage/crash_test.go
+++ b/storage/crash_test.go
@@ -9,8 +9,8 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-// A crashLife tells what must be read back: all that was acknowledged, and all that Open showed before a write that succeeded.
-type crashLife struct {
+// A crashRun tells what must be read back: all that was acknowledged, and all that Open showed before a write that succeeded.
+type crashRun struct {
 	known []string
 	// tried is what was being written when the life ended, or shown before the first write: a beginning of it is there.
 	tried []string
@@ -22,7 +22,7 @@
 )
 
 // live opens the disk and works on it until it stops; failures are recovered from once.
-func live(d *crashDisk, before crashLife, from, rounds int) (crashLife, error) {
+func live(d *crashDisk, before crashRun, from, rounds int) (crashRun, error) {
 	l := before
 	v, slot, entries, err := storage.Open(d, crashLogBytes)
 	if err != nil {
@@ -100,7 +100,7 @@
 	fails int
 }
 
-func (c *crashCheck) after(d *crashDisk, l crashLife, depth int, trace string) {
+func (c *crashCheck) after(d *crashDisk, l crashRun, depth int, trace string) {
 	left := append(d.powerless(), d.killed())
 	for i, disk := range left {
 		how := fmt.Sprintf("%s, power %d", trace, i)
@@ -130,7 +130,7 @@
 }
 
 // from starts another life on a disk, once for each operation at which it may end.
-func (c *crashCheck) from(disk *crashDisk, before crashLife, depth int, trace string) {
+func (c *crashCheck) from(disk *crashDisk, before crashRun, depth int, trace string) {
 	for stop := 0; ; stop++ {
 		d := disk.clone()
 		d.stopAt = stop
@@ -146,23 +146,23 @@
 	}
 }
 
-// TestEachCrashLeavesWhatWasSynced ends a life of rotations and appends at each operation, with and without a failed operation
+// TestEachCrashKeepsWhatWasSynced ends a life of rotations and appends at each operation, with and without a failed operation
 // before that is recovered from, and a second life likewise; each unsynced write and name is kept or lost by itself.
-func TestEachCrashLeavesWhatWasSynced(t *testing.T) {
+func TestEachCrashKeepsWhatWasSynced(t *testing.T) {
 	const rounds = 8
-	whole := newCrashDisk()
-	if _, err := live(whole, crashLife{}, 0, rounds); err != nil {
+	complete := newCrashDisk()
+	if _, err := live(complete, crashRun{}, 0, rounds); err != nil {
 		t.Fatal(err)
 	}
 	c := &crashCheck{t: t, seen: map[string]bool{}}
-	for fail := -1; fail < whole.ops; fail++ {
+	for fail := -1; fail < complete.ops; fail++ {
 		for stop := 0; ; stop++ {
 			if fail >= stop {
 				continue
 			}
 			d := newCrashDisk()
 			d.failAt, d.stopAt = fail, stop
-			l, err := live(d, crashLife{}, 0, rounds)
+			l, err := live(d, crashRun{}, 0, rounds)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -178,25 +178,25 @@
 // TestADamagedSlotIsOutlivedThroughACrash damages the newest slot, whose log is begun, and ends the next life at each operation.
 func TestADamagedSlotIsOutlivedThroughACrash(t *testing.T) {
 	d := newCrashDisk()
-	l, err := live(d, crashLife{}, 0, 5)
+	l, err := live(d, crashRun{}, 0, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	newest := "slot0"
+	latest := "slot0"
 	if len(d.files["log0"].now) == 0 {
-		newest = "slot1"
+		latest = "slot1"
 	}
 	v, _, _, err := storage.Open(d.clone(), crashLogBytes)
 	if err != nil || v.Repair != "" {
 		t.Fatal(err, v.Repair)
 	}
-	rotten := slices.Clone(d.files[newest].now)
+	rotten := slices.Clone(d.files[latest].now)
 	rotten[len(rotten)-1] ^= 0x40
-	d.files[newest] = &crashFile{durable: rotten, now: rotten, named: true}
+	d.files[latest] = &crashFile{durable: rotten, now: rotten, named: true}
 	if v, _, _, err = storage.Open(d.clone(), crashLogBytes); err != nil || v.Repair == "" {
-		t.Fatalf("%s was not made good: %v", newest, err)
+		t.Fatalf("%s was not made good: %v", latest, err)
 	}
 	c := &crashCheck{t: t, seen: map[string]bool{}}
-	c.from(d, l, 1, "damaged "+newest)
+	c.from(d, l, 1, "damaged "+latest)
 	t.Logf("%d disks opened, %d failures", c.opens, c.fails)
 }
--- a/storage/crashdisk_test.go
+++ b/storage/crashdisk_test.go
@@ -44,7 +44,7 @@
 }
 
 // begin counts an operation: cut says that it is the one in which the machine stops.
-func (d *crashDisk) begin() (cut bool, err error) {
+func (d *crashDisk) begin() (powerLost bool, err error) {
 	if d.dead {
 		return false, &crashError{"stopped"}
 	}
@@ -72,12 +72,12 @@
 }
 
 // torn are the contents that an unsynced write of new bytes behind keep may leave besides the whole.
-func torn(keep, fresh []byte) [][]byte {
-	half := len(fresh) / 2
-	zeroed := slices.Clone(fresh)
+func torn(keep, written []byte) [][]byte {
+	half := len(written) / 2
+	zeroed := slices.Clone(written)
 	clear(zeroed[:half])
 	var left [][]byte
-	for _, part := range [][]byte{fresh[:half], zeroed} {
+	for _, part := range [][]byte{written[:half], zeroed} {
 		left = append(left, slices.Concat(keep, part))
 	}
 	return left
@@ -91,19 +91,19 @@
 	return slices.Clone(f.now), true, nil
 }
 
-func (d *crashDisk) put(name string, keep, fresh []byte) error {
-	cut, err := d.begin()
-	if err != nil && !cut && d.dead {
+func (d *crashDisk) put(name string, keep, written []byte) error {
+	powerLost, err := d.begin()
+	if err != nil && !powerLost && d.dead {
 		return err
 	}
 	f := d.file(name)
 	f.set(slices.Clone(keep))
-	f.maybe = append(f.maybe, torn(keep, fresh)...)
+	f.maybe = append(f.maybe, torn(keep, written)...)
 	if err != nil {
-		f.set(slices.Concat(keep, fresh[:len(fresh)/2]))
+		f.set(slices.Concat(keep, written[:len(written)/2]))
 		return err
 	}
-	f.set(slices.Concat(keep, fresh))
+	f.set(slices.Concat(keep, written))
 	return nil
 }
 
--- a/storage/lives_test.go
+++ b/storage/lives_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestHundredsOfLivesOnOneDisk has a disk live on through kills, losses of power and times at which it is full, each at a random
+// TestHundredsOfRestartsOnOneDisk has a disk live on through kills, losses of power and times at which it is full, each at a random
 // operation, over hundreds of rotations.
-func TestHundredsOfLivesOnOneDisk(t *testing.T) {
-	const lives, lifeSeeds = 300, 8
+func TestHundredsOfRestartsOnOneDisk(t *testing.T) {
+	const restarts, lifeSeeds = 300, 8
 	rotations := uint64(0)
 	for seed := range uint64(lifeSeeds) {
 		rng := rand.New(rand.NewPCG(seed, 77))
-		disk, l := newCrashDisk(), crashLife{}
-		for life := range lives {
+		disk, l := newCrashDisk(), crashRun{}
+		for life := range restarts {
 			disk.stopAt = rng.IntN(60)
 			if rng.IntN(3) == 0 {
 				disk.fullFrom = rng.IntN(40)
@@ -31,7 +31,7 @@
 		}
 		rotations += disk.generation()
 	}
-	if t.Logf("%d rotations", rotations); rotations < lifeSeeds*lives {
+	if t.Logf("%d rotations", rotations); rotations < lifeSeeds*restarts {
 		t.Errorf("%d rotations only", rotations)
 	}
 }
@@ -45,7 +45,7 @@
 	return all[rng.IntN(len(all))]
 }
 
-func opens(disk *crashDisk, l crashLife) error {
+func opens(disk *crashDisk, l crashRun) error {
 	got, err := shown(disk.clone())
 	if err != nil {
 		return fmt.Errorf("%s: %w", disk.key(), err)
@@ -55,15 +55,15 @@
 
 // generation is the number in the newest slot: it counts the rotations.
 func (d *crashDisk) generation() uint64 {
-	var newest uint64
+	var latest uint64
 	for _, name := range []string{"slot0", "slot1"} {
 		if f := d.files[name]; f != nil && len(f.now) > 12 {
 			n := uint64(0)
 			for _, b := range f.now[4:12] {
 				n = n<<8 | uint64(b)
 			}
-			newest = max(newest, n)
+			latest = max(latest, n)
 		}
 	}
-	return newest
+	return latest
 }
--- a/storage/mend_test.go
+++ b/storage/mend_test.go
@@ -6,7 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
-func TestAFullDiskIsMendedWhole(t *testing.T) {
+func TestFullDiskIsRepaired(t *testing.T) {
 	for seed := range uint64(20) {
 		d := sim.NewDisk(seed)
 		v, _, err := load(d)
@@ -27,7 +27,7 @@
 		if err = v.Append([][]byte{[]byte("d")}); err != nil {
 			t.Fatal(err)
 		}
-		d.PowerCut()
+		d.PowerLoss()
 		_, all, err := load(d)
 		if err != nil || len(all) != 4 {
 			t.Fatalf("seed %d: %v, %v", seed, all, err)
--- a/storage/open.go
+++ b/storage/open.go
@@ -40,14 +40,14 @@
 	if halves[1].whole && (!halves[0].whole || halves[1].generation > halves[0].generation) {
 		best = 1
 	}
-	newest, other := halves[best], halves[1-best]
-	v.generation = newest.generation
+	latest, other := halves[best], halves[1-best]
+	v.generation = latest.generation
 	var entries [][]byte
-	if err = v.replay(newest.log, &entries); err != nil {
+	if err = v.replay(latest.log, &entries); err != nil {
 		return nil, nil, nil, err
 	}
 	if other.whole || !v.owns(other.log, v.generation+1) {
-		return v, newest.slot, entries, nil
+		return v, latest.slot, entries, nil
 	}
 	v.generation++
 	v.slotDamaged = true
@@ -55,7 +55,7 @@
 	if err = v.replay(other.log, &entries); err != nil {
 		return nil, nil, nil, err
 	}
-	return v, newest.slot, entries, nil
+	return v, latest.slot, entries, nil
 }
 
 func readHalf(disk Disk, i uint64) (half, error) {
@@ -111,8 +111,8 @@
 		if !ok || gen != v.generation {
 			break
 		}
-		batch, whole := split(body)
-		if !whole {
+		batch, complete := split(body)
+		if !complete {
 			return v.damaged("batch at byte %d has bad lengths")
 		}
 		*entries = append(*entries, batch...)
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -56,41 +56,41 @@
 	return bs
 }
 
-func TestPowerCutAtEachWrite(t *testing.T) {
+func TestPowerLossAtEachWrite(t *testing.T) {
 	const n = 40
-	whole := sim.NewDisk(1)
-	write(whole, n)
-	if whole.Writes < 90 {
-		t.Fatalf("only %d writes: the test no longer covers turns", whole.Writes)
+	complete := sim.NewDisk(1)
+	write(complete, n)
+	if complete.Writes < 90 {
+		t.Fatalf("only %d writes: the test no longer covers turns", complete.Writes)
 	}
 	for seed := range uint64(6) {
-		for cut := range whole.Writes {
+		for powerLost := range complete.Writes {
 			d := sim.NewDisk(seed)
-			d.CutAt = cut
+			d.PowerLossAt = powerLost
 			acked := write(d, n)
-			d.PowerCut()
+			d.PowerLoss()
 			_, got, err := load(d)
 			if err != nil {
-				t.Fatalf("seed %d, cut at %d: %v", seed, cut, err)
+				t.Fatalf("seed %d, cut at %d: %v", seed, powerLost, err)
 			}
 			if len(got) < acked || len(got) > acked+1 {
-				t.Fatalf("seed %d, cut at %d: %d acknowledged, %d read", seed, cut, acked, len(got))
+				t.Fatalf("seed %d, cut at %d: %d acknowledged, %d read", seed, powerLost, acked, len(got))
 			}
 			for i, e := range got {
 				if e != fmt.Sprintf("entry-%03d", i) {
-					t.Fatalf("seed %d, cut at %d: entry %d reads %q", seed, cut, i, e)
+					t.Fatalf("seed %d, cut at %d: entry %d reads %q", seed, powerLost, i, e)
 				}
 			}
 		}
 	}
 }
 
-func TestEachDamagedByteIsFoundOrOutlived(t *testing.T) {
+func TestEachDamagedByteIsDetectedOrTolerated(t *testing.T) {
 	const n = 40
 	for _, name := range []string{"slot0", "slot1", "log0", "log1"} {
-		whole := sim.NewDisk(1)
-		write(whole, n)
-		for at := range whole.Size(name) {
+		complete := sim.NewDisk(1)
+		write(complete, n)
+		for at := range complete.Size(name) {
 			d := sim.NewDisk(1)
 			write(d, n)
 			d.Rot(name, at)
--- a/storage/write.go
+++ b/storage/write.go
@@ -34,7 +34,7 @@
 	}
 	name := logName(v.generation)
 	raw := pack(v.generation, join(entries))
-	fresh := v.logBytes == 0
+	written := v.logBytes == 0
 	if err := v.disk.Truncate(name, v.logBytes); err != nil {
 		return v.fail(err)
 	}
@@ -44,7 +44,7 @@
 	if err := v.disk.Sync(name); err != nil {
 		return v.fail(err)
 	}
-	if fresh {
+	if written {
 		if err := v.disk.SyncFolder(); err != nil {
 			return v.fail(err)
 		}
--- a/transport/accept.go
+++ b/transport/accept.go
@@ -10,7 +10,7 @@
 )
 
 func (n *Net) accept() error {
-	room := make(chan struct{}, maxInbound)
+	slots := make(chan struct{}, maxInbound)
 	for {
 		conn, err := n.lis.Accept()
 		if err != nil {
@@ -21,13 +21,13 @@
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			_ = conn.Close()
 			continue
 		}
 		n.t.Go(func() error {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			n.serve(conn)
 			return nil
 		})
@@ -36,13 +36,13 @@
 
 func (n *Net) serve(conn net.Conn) {
 	defer conn.Close()
-	gone := make(chan struct{})
-	defer close(gone)
+	closed := make(chan struct{})
+	defer close(closed)
 	go func() {
 		select {
 		case <-n.t.Dying():
 			_ = conn.Close()
-		case <-gone:
+		case <-closed:
 		}
 	}()
 	r := NewReader(conn)
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -30,13 +30,13 @@
 	Rate     float64
 	HotShare float64
 	Prefixes int
-	Crowds   []sim.Crowd
+	Crowds   []sim.Burst
 	// Index is false where the prefix index finds nothing; RoundRobin places in turn.
 	Index      bool
 	RoundRobin bool
 	Faults     []sim.Fault
 	// Requests are sent instead of generated ones, where there are any.
-	Requests []sim.Ask
+	Requests []sim.Request
 }
 
 // FileError is a file that cannot be used.
@@ -49,11 +49,11 @@
 	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotShare: 0.1, Prefixes: 24, Index: true}
 }
 
-func faultKinds() []string {
+func faultClasses() []string {
 	return []string{
-		sim.Kill, sim.Power, sim.Freeze, sim.CutNode, sim.CutOneWay, sim.CutDomain, sim.SplitCore, sim.Wipe, sim.Move,
-		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.RepCrash, sim.RepDark, sim.Release, sim.Empty,
-		sim.PutStorm, sim.Race, sim.SwapVoters, sim.AllDown, sim.LargePuts, sim.RepTwist, sim.RepBlink, sim.RepSick, sim.CutControl, sim.ClockBack,
+		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.Wipe, sim.Relocate,
+		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.ReplicaCrash, sim.ReplicaUnreachable, sim.Release, sim.EvacuateFault,
+		sim.PutStorm, sim.Race, sim.SwapVoters, sim.AllDown, sim.LargePuts, sim.ReplicaCorrupt, sim.ReplicaRestart, sim.ReplicaFailing, sim.PartitionControl, sim.ClockBack,
 		sim.FreezeAct, sim.Lists, sim.Upgrade,
 	}
 }
@@ -110,7 +110,7 @@
 	p.HotShare = d.Num("hot", p.HotShare, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, sim.Crowd{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Crowds = append(p.Crowds, sim.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
@@ -139,9 +139,9 @@
 
 func readFault(d *config.Decoder, shape sim.Shape, site bool) sim.Fault {
 	f := sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
-	all := faultKinds()
+	all := faultClasses()
 	if site {
-		all = sim.SiteTroubles()
+		all = sim.SiteFaults()
 	}
 	if !slices.Contains(all, f.Kind) {
 		d.AddViolation(d.At("kind"), f.Kind, "one of "+strings.Join(all, ", "))
@@ -153,7 +153,7 @@
 		}
 		f.On = append(f.On, name)
 	}
-	needs := map[string]bool{sim.CutDomain: true, sim.CutControl: true, sim.Empty: true, sim.SwapVoters: true}
+	needs := map[string]bool{sim.PartitionZone: true, sim.PartitionControl: true, sim.EvacuateFault: true, sim.SwapVoters: true}
 	if needs[f.Kind] && len(f.On) == 0 {
 		d.AddViolation(d.At("on"), "empty", "named for "+f.Kind)
 	}
@@ -162,6 +162,6 @@
 }
 
 func inFleet(s sim.Shape, name string) bool {
-	return slices.Contains(s.Domains, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
+	return slices.Contains(s.Zones, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
 		slices.ContainsFunc(s.Nodes, func(n sim.NodeShape) bool { return n.Name == name })
 }
--- a/whatif/plan_test.go
+++ b/whatif/plan_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFlawsOfASitesPlan(t *testing.T) {
+func TestViolationsOfASitePlan(t *testing.T) {
 	_, err := Read("p", []byte(`{"shape":"atlas site","times":2,"config":"x","breakdowns":[{"kind":"replica twists","on":["r1"]}]}`))
 	var bad *config.InvalidError
 	if !errors.As(err, &bad) || len(bad.Violations) != 4 {
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -37,7 +37,7 @@
 	shape, _ := sim.Times(p.Shape, p.Times)
 	s := sim.Scenario{
 		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.RoundRobin,
-		Load: sim.Load{Kinds: shape.Kinds, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.HotShare, Crowds: p.Crowds}, Asks: p.Requests,
+		Load: sim.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.HotShare, Bursts: p.Crowds}, Asks: p.Requests,
 	}
 	if p.Config == nil {
 		return s, nil
@@ -46,10 +46,10 @@
 	if err != nil {
 		return s, err
 	}
-	s.Charter, s.Load.Kinds = p.Config, nil
+	s.Charter, s.Load.Classes = p.Config, nil
 	for _, o := range c.Services {
 		for _, k := range o.Classes {
-			s.Load.Kinds = append(s.Load.Kinds, sim.KindLoad{Offer: o.Name, Name: k.Name, Repeatable: k.Repeatable})
+			s.Load.Classes = append(s.Load.Classes, sim.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Repeatable})
 		}
 	}
 	return s, nil
@@ -122,13 +122,13 @@
 }
 
 func (l *list) outcomes(w *sim.World) {
-	for _, k := range w.S.Load.Kinds {
-		kr := w.Report.Kinds[k.Name]
+	for _, k := range w.S.Load.Classes {
+		kr := w.Report.Classes[k.Name]
 		if kr == nil {
-			kr = &sim.KindReport{}
+			kr = &sim.ClassResult{}
 		}
 		l.count(k.Name+" done", uint64(kr.Done))
-		l.count(k.Name+" denied", uint64(kr.Denied))
+		l.count(k.Name+" denied", uint64(kr.Rejected))
 		l.count(k.Name+" partial", uint64(kr.Partial))
 		l.count(k.Name+" unknown", uint64(kr.Unknown))
 		l.count(k.Name+" lost", uint64(kr.Lost))
@@ -136,18 +136,18 @@
 		l.count(k.Name+" first token p95 ms", uint64(sim.Quantile(kr.Firsts, 0.95)))
 	}
 	total := w.Report.Total()
-	l.count("denied early", uint64(total.Denied)-w.Report.DeniedLate)
-	l.count("denied late", w.Report.DeniedLate)
-	l.count("retries", w.Report.Seconds)
+	l.count("denied early", uint64(total.Rejected)-w.Report.RejectedLate)
+	l.count("denied late", w.Report.RejectedLate)
+	l.count("retries", w.Report.Retries)
 }
 
 func (l *list) prefixes(w *sim.World) {
-	share := func(name string, part uint64) {
+	ratio := func(name string, part uint64) {
 		l.add(name, 100*float64(part)/float64(max(w.Report.PrefixTokens, 1)))
 	}
-	share("prefix found in cache %", w.Report.CachedTokens)
-	share("counted on, confirmed %", w.Report.Confirmed)
-	share("counted on, predicted %", w.Report.Predicted)
+	ratio("prefix found in cache %", w.Report.CachedTokens)
+	ratio("counted on, confirmed %", w.Report.Confirmed)
+	ratio("counted on, predicted %", w.Report.Predicted)
 }
 
 func (l *list) control(w *sim.World) {
--- a/whatif/site.go
+++ b/whatif/site.go
@@ -13,7 +13,7 @@
 	s := sim.Scenario{
 		Seed: seed, Site: &spec, Lasts: lead + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.Index, RoundRob: p.RoundRobin,
 	}
-	s.Load.Crowds = p.Crowds
+	s.Load.Bursts = p.Crowds
 	s.Load.HotShare = p.HotShare
 	return s
 }
@@ -39,7 +39,7 @@
 	part("prompt found in cache %", int(r.Cached))
 	part("counted on, confirmed %", r.Confirmed)
 	part("counted on, predicted %", r.Predicted)
-	l.add("second attempts", float64(r.Seconds))
+	l.add("second attempts", float64(r.Retries))
 	l.add("streams taken up elsewhere", float64(r.Resumed))
 	l.add("refused by replicas", float64(r.Refused))
 	l.add("events late", float64(r.LateEvents))
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -12,11 +12,11 @@
 	"reflect"
 )
 
-type convert func(any) any
+type conversion func(any) any
 
 var (
-	encoders = map[reflect.Type]convert{}
-	decoders = map[reflect.Type]convert{}
+	encoders = map[reflect.Type]conversion{}
+	decoders = map[reflect.Type]conversion{}
 )
 
 // Register has messages of type M sent under a name in the form F.
