--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -168,8 +168,8 @@
 		}
 	}
 	for name, n := range l.nodes {
-		if holder := n.documents.store.BodyBytes(); holder > keptBytes {
-			t.Errorf("%s holds %d bytes of chunks", name, holder)
+		if stored := n.documents.store.BodyBytes(); stored > keptBytes {
+			t.Errorf("%s holds %d bytes of chunks", name, stored)
 		}
 	}
 }
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -16,8 +16,8 @@
 type memory struct{ files map[string][]byte }
 
 func (m *memory) Read(name string) ([]byte, bool, error) {
-	data, matched := m.files[name]
-	return slices.Clone(data), matched, nil
+	data, stored := m.files[name]
+	return slices.Clone(data), stored, nil
 }
 
 func (m *memory) Write(name string, data []byte) error {
--- a/control/failures.go
+++ b/control/failures.go
@@ -24,7 +24,7 @@
 	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Version: n.itemVersion(n.failures), Data: Failures(f)})
 }
 
-// mark orders the news that only this node gives, over its lives.
+// itemVersion orders the items that only this node publishes, over its incarnations.
 func (n *Node) itemVersion(seq uint64) gossip.Version {
 	return gossip.Version{Hi: n.Members.Self.Incarnation, Lo: seq}
 }
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -75,8 +75,8 @@
 // sources are who may have the chunks of a message, in the order in which they are asked. The sender has them; where it is far, or
 // they are many, a near machine with a disk may have them by its vote.
 func (n *Node) sources(r Received, missing int) []string {
-	_, told := r.Msg.(gossip.Update)
-	if !told || (missing <= pullFew && n.near(r.From)) {
+	_, gossiped := r.Msg.(gossip.Update)
+	if !gossiped || (missing <= pullFew && n.near(r.From)) {
 		return []string{r.From}
 	}
 	var addrs []string
--- a/control/join.go
+++ b/control/join.go
@@ -16,9 +16,9 @@
 	neighboursAfter = 1500 * time.Millisecond
 )
 
-// Incarnation is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
+// FirstIncarnation is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
 // number than before, receives its own older member from others and goes above.
-func Inc(now time.Time, chance uint64) uint64 {
+func FirstIncarnation(now time.Time, chance uint64) uint64 {
 	return uint64(now.UnixMilli())<<16 | chance&0xffff
 }
 
--- a/control/node.go
+++ b/control/node.go
@@ -14,7 +14,7 @@
 
 // Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public side) and Zone (its zone) are told to
 // the other nodes. Boot tells one process of a name from the next, Build is the build of its messages (0: transport.Build), Incarnation the first
-// incarnation of its member (see Incarnation), Seed feeds its random choices. Disk is what its disk kept; nil: the node has none.
+// incarnation of its member (see FirstIncarnation), Seed feeds its random choices. Disk is what its disk kept; nil: the node has none.
 type Config struct {
 	Name, Addr, HTTP, Zone string
 	Seeds                  []string
--- a/control/partition_test.go
+++ b/control/partition_test.go
@@ -103,8 +103,8 @@
 		epoch := l.nodes["n0"].Value().Epoch
 		l.cut = cut
 		l.run(4 * time.Second)
-		if holder := l.nodes["n0"].leases.Roles(); len(holder) > 0 {
-			for _, role := range holder {
+		if roles := l.nodes["n0"].leases.Roles(); len(roles) > 0 {
+			for _, role := range roles {
 				if _, ok := l.nodes["n0"].leases.Holds(l.now, role); ok {
 					t.Errorf("%s: holds %s after 4 s", what, role)
 				}
--- a/control/send.go
+++ b/control/send.go
@@ -95,8 +95,8 @@
 
 // buildOf is what a peer said last, else what its member says, bounded by what this node's own build knows of.
 func (n *Node) buildOf(addr string) uint32 {
-	build, missing := n.documents.builds[addr]
-	if missing {
+	build, known := n.documents.builds[addr]
+	if known {
 		return build
 	}
 	build = 1
--- a/control/witness.go
+++ b/control/witness.go
@@ -21,7 +21,7 @@
 	rememberedMost     = 200000
 )
 
-// Witnesses is the outcome of a Witness operation.
+// WitnessVerdict is the outcome of a Witness operation.
 type WitnessVerdict uint8
 
 const (
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -91,7 +91,7 @@
 		Zone:           s.Zone,
 		Seeds:          s.Seeds,
 		Boot:           h.boot,
-		Incarnation:    control.Inc(time.Now(), seed()),
+		Incarnation:    control.FirstIncarnation(time.Now(), seed()),
 		Seed:           seed(),
 		Membership:     membership.Defaults(),
 		Gossip:         gossip.Defaults(),
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -50,11 +50,11 @@
 		one, _ := say("200 OK", "", "hello")(g)
 		return one + one, false
 	}
-	overdue := func(g got) (string, bool) {
+	lateAnswer := func(g got) (string, bool) {
 		other, _ := say("200 OK", "", "other")(g)
 		return strings.ReplaceAll(other, "id2", "id1"), false
 	}
-	replica := newReplica(t, twice, overdue, say("200 OK", "", "right"))
+	replica := newReplica(t, twice, lateAnswer, say("200 OK", "", "right"))
 	m := newStubRouter(unknown, replica.place(safe), replica.place(safe))
 	p, url := serve(t, m)
 	connRequest(t, "first", call(t, url, "id1", "").body, "hello")
@@ -106,9 +106,9 @@
 	connRequest(t, "long", call(t, url, "id2", strings.Repeat("x", 1001)).status, 413)
 
 	replica := newReplica(t)
-	closed := replica.place(unsafe)
-	closed.Addr = "127.0.0.1:1"
-	m = newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, closed)
+	unreachable := replica.place(unsafe)
+	unreachable.Addr = "127.0.0.1:1"
+	m = newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, unreachable)
 	_, url = serve(t, m)
 	connRequest(t, "status", call(t, url, "id1", "").status, 503)
 	connRequest(t, "events", m.notified(), "AttemptEnded(unreached)")
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -32,10 +32,10 @@
 
 func (x *transfer) run(a mallowbridge.Arrive) {
 	in := x.proxy.router.Submit(a)
-	closed := x.r.Context().Done()
+	disconnected := x.r.Context().Done()
 	for !x.exchange.Over() {
 		select {
-		case <-closed:
+		case <-disconnected:
 			x.signal(ClientClosed{})
 		case d, ok := <-in:
 			if !ok {
--- a/scheduler/prefill.go
+++ b/scheduler/prefill.go
@@ -145,8 +145,8 @@
 func (s *Scheduler) batchCost(now time.Duration, req *Request, c choice, home bool) float64 {
 	r, svc := &s.Replicas[c.replica], &s.Services[req.Service]
 	bound := float64(svc.Classes[req.Class].FirstTokenBound)
-	afterDeadline := float64(c.estimate) / max(float64(req.Due-now), bound/8)
-	cost := min(afterDeadline*afterDeadline*afterDeadline, 64) + 0.1*float64(c.estimate)/bound + 0.5*s.fullness(now, c.replica)
+	lateness := float64(c.estimate) / max(float64(req.Due-now), bound/8)
+	cost := min(lateness*lateness*lateness, 64) + 0.1*float64(c.estimate)/bound + 0.5*s.fullness(now, c.replica)
 	if shared := prefixindex.Tokens(req.Parts[:max(len(req.Parts)-1, 0)]) - c.confirmed - c.predicted; shared > 0 && !home {
 		cost += s.cfg.RereadCost * float64(shared) / 1000
 	}
--- a/sim/engine_test.go
+++ b/sim/engine_test.go
@@ -73,10 +73,10 @@
 		return x.first - from
 	}
 	cold := first("a:30000,b:100", 30200)
-	warm := first("a:30000,c:100", 30200)
+	uncached := first("a:30000,c:100", 30200)
 	other := first("c:30000,a:100", 30200)
-	if warm > cold/2 || other < cold*9/10 {
-		t.Errorf("first %s, again %s, other order %s", cold, warm, other)
+	if uncached > cold/2 || other < cold*9/10 {
+		t.Errorf("first %s, again %s, other order %s", cold, uncached, other)
 	}
 	for _, header := range []string{"x:30000", "y:30000", "z:30000"} {
 		first(header, 30200)
--- a/sim/node.go
+++ b/sim/node.go
@@ -96,7 +96,7 @@
 	n.incarnation, n.Alive, n.frozen, n.inbox, n.saving, n.unsent, n.journal = w.lives, true, false, nil, false, nil, nil
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot, Incarnation: control.Inc(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.incarnation,
+		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot, Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.incarnation,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
 	n.serving, n.acceptQueue = false, nil
--- a/sim/replica.go
+++ b/sim/replica.go
@@ -130,14 +130,14 @@
 	r.CachedTokens += uint64(cached)
 	r.PrefixTokens += uint64(total)
 	full := float64(len(r.running)) / float64(r.Capacity)
-	warm := r.coldness(now)
+	slowdown := r.coldness(now)
 	r.running[goID] = true
-	if warm > 0 && len(r.running) > r.Bears(now) {
+	if slowdown > 0 && len(r.running) > r.Bears(now) {
 		r.Floods++
 	}
 	r.note(now)
 	work := r.Base + time.Duration(total+tail-cached)*r.PerToken
-	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + warm)), Every: r.Every, Chunks: r.Chunks, Cached: cached, Tokens: total}
+	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + slowdown)), Every: r.Every, Chunks: r.Chunks, Cached: cached, Tokens: total}
 	at := now + p.First
 	i := len(r.prompts)
 	for i > 0 && r.prompts[i-1].at > at {
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -131,9 +131,9 @@
 	s.rules.recordFault([]*Node{old}, -1, false, false)
 	old.kill()
 	old.removed = true
-	added := s.successor(old)
-	w.after(d, func() { s.start(added) })
-	s.renewSeeds(old, added, d)
+	successor := s.successor(old)
+	w.after(d, func() { s.start(successor) })
+	s.renewSeeds(old, successor, d)
 }
 
 // successor is an empty machine at another address, not started yet.
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -134,14 +134,14 @@
 	default:
 		return s, false
 	}
-	local := 0.0
+	ownRate := 0.0
 	for _, c := range s.Classes {
-		local += c.Rate
+		ownRate += c.Rate
 	}
 	s.Shape.Others = []string{"cut", "junk", "surplus", "late", "reset", "silent", "all"}
 	for i := range s.Classes {
 		if rate > 0 {
-			s.Classes[i].Rate *= rate / local
+			s.Classes[i].Rate *= rate / ownRate
 		}
 		s.Shape.Others = append(s.Shape.Others, s.Classes[i].Name)
 	}
--- a/sim/sitetraffic.go
+++ b/sim/sitetraffic.go
@@ -90,11 +90,11 @@
 		shared = 0
 	}
 	system := shared % c.System
-	local := t.spread(c.Prompt, 1, 8*c.Prompt)
+	unique := t.spread(c.Prompt, 1, 8*c.Prompt)
 	q.prefix = strings.Join([]string{
 		fmt.Sprintf("%s%d:%d", c.Name, system, c.SystemTokens), fmt.Sprintf("%s%d.%d:%d", c.Name, system, shared, c.SharedTokens),
-		fmt.Sprintf("%s:%d", q.id, local),
+		fmt.Sprintf("%s:%d", q.id, unique),
 	}, ",")
 	q.parts, _ = prefixindex.Parse(Prompt, q.prefix)
-	q.prompt = c.SystemTokens + c.SharedTokens + local
+	q.prompt = c.SystemTokens + c.SharedTokens + unique
 }
--- a/storage/write.go
+++ b/storage/write.go
@@ -34,7 +34,7 @@
 	}
 	name := logName(v.generation)
 	raw := pack(v.generation, join(entries))
-	written := v.logBytes == 0
+	empty := v.logBytes == 0
 	if err := v.disk.Truncate(name, v.logBytes); err != nil {
 		return v.fail(err)
 	}
@@ -44,7 +44,7 @@
 	if err := v.disk.Sync(name); err != nil {
 		return v.fail(err)
 	}
-	if written {
+	if empty {
 		if err := v.disk.SyncFolder(); err != nil {
 			return v.fail(err)
 		}
