--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -161,8 +161,8 @@
 var stateFields = map[reflect.Type]map[string]Mechanism{
 	reflect.TypeFor[control.Node](): {
 		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config, "documents": Config,
-		"replicasByName": Config, "grantor": Leases, "leases": Leases, "tasks": LoadGossip, "observations": Probes, "platformStates": ReplicaListings,
-		"replicaList": ReplicaListings, "witness": Witnesses, "routers": QuotaDivision,
+		"replicasByName": Config, "grantor": Leases, "leases": Leases, "health": LoadGossip, "platformStates": ReplicaListings,
+		"replicaList": ReplicaListings, "witness": Witnesses, "serving": QuotaDivision,
 	},
 	reflect.TypeFor[mallowbridge.Router](): {
 		"snapshot": Config, "services": Config, "classes": Config, "replicaIDs": Config, "replicas": Config,
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -12,14 +12,20 @@
 
 const bootstrapStagger = 1500 * time.Millisecond
 
+// bootstrapState is whether this node is founding the register by itself, and when it last began.
+type bootstrapState struct {
+	running bool
+	at      time.Duration
+}
+
 // bootstrapFromSeeds founds the register on a first start: the seeds with a disk become its voters, once all seeds are known.
 // The first seed begins, the others follow at a distance; whoever comes late finds the value of who was first.
 func (n *Node) bootstrapFromSeeds(now time.Duration) {
-	if !n.config.Bootstraps || n.acceptor == nil || n.knownValue() != nil || n.bootstrapping || len(n.config.Seeds) == 0 {
+	if !n.config.Bootstraps || n.acceptor == nil || n.knownValue() != nil || n.bootstrapping.running || len(n.config.Seeds) == 0 {
 		return
 	}
 	at := slices.Index(n.config.Seeds, n.config.Addr)
-	if at < 0 || now-n.startedAt < time.Duration(at)*bootstrapStagger || now-n.bootstrapAt < bootstrapStagger {
+	if at < 0 || now-n.startedAt < time.Duration(at)*bootstrapStagger || now-n.bootstrapping.at < bootstrapStagger {
 		return
 	}
 	var vs []register.Voter
@@ -32,9 +38,9 @@
 			vs = append(vs, register.Voter{Disk: m.Disk, Name: m.Name})
 		}
 	}
-	n.bootstrapping, n.bootstrapAt = true, now
+	n.bootstrapping.running, n.bootstrapping.at = true, now
 	n.logChange("founds", fmt.Sprint(vs))
-	id := n.await(now, func(time.Duration, register.Result) { n.bootstrapping = false })
+	id := n.operations.add(now, func(time.Duration, register.Result) { n.bootstrapping.running = false })
 	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
 	n.proposer.Bootstrap(now, now+bootstrapStagger, id, &register.Value{Fleet: fleet, Voters: vs})
 }
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -52,7 +52,7 @@
 func (r *refill) obeys(name string, most time.Duration) {
 	want := fmt.Sprint("w", r.writes)
 	for from := r.now; r.now-from < most; r.run(time.Millisecond) {
-		if p := r.nodes[name].Snapshot(); p != nil && string(r.nodes[name].Value().Document) == want && r.nodes[name].joined && r.nodes[name].applied == p.Version {
+		if p := r.nodes[name].Snapshot(); p != nil && string(r.nodes[name].Value().Document) == want && r.nodes[name].joining.joined && r.nodes[name].applied == p.Version {
 			return
 		}
 	}
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -151,8 +151,8 @@
 		for range 4 {
 			l.step(Received{From: "a2", Build: chunksBuild, Msg: data(store, thin.DocumentManifest)})
 		}
-		if known := l.n.value != nil; known == paused || len(l.n.neighboursRead) != map[bool]int{false: 2, true: 0}[paused] {
-			t.Errorf("paused %v: value known %v, neighbours read %v", paused, known, l.n.neighboursRead)
+		if known := l.n.value != nil; known == paused || len(l.n.joining.neighboursRead) != map[bool]int{false: 2, true: 0}[paused] {
+			t.Errorf("paused %v: value known %v, neighbours read %v", paused, known, l.n.joining.neighboursRead)
 		}
 	}
 }
--- a/control/command.go
+++ b/control/command.go
@@ -20,7 +20,7 @@
 	switch op := c.Op.(type) {
 	case Put:
 		if _, err := n.config.Read(op.Document); err != nil {
-			n.answer(c.ID, err)
+			n.answer(Answer{ID: c.ID, Err: err})
 			return
 		}
 		if c.Deadline == 0 {
@@ -39,28 +39,24 @@
 		n.replaceVoters(now, c.ID, op)
 	case SetReplicaStates:
 		n.setReplicaStates(now, op)
-		n.answer(c.ID, nil)
+		n.answer(Answer{ID: c.ID})
 	case Witness:
 		n.witness.ask(now, n, c.ID, op)
 	case SetFollowers:
 		n.Members.Update(now, func(m *membership.Member) { m.EmbeddedRouters = op.N })
-		n.answer(c.ID, nil)
+		n.answer(Answer{ID: c.ID})
 	case SetSeeds:
 		n.config.Seeds = op.Addrs
-		n.answer(c.ID, nil)
+		n.answer(Answer{ID: c.ID})
 	case Retire:
 		n.Members.Update(now, func(m *membership.Member) { m.Retiring = true })
-		n.answer(c.ID, nil)
+		n.answer(Answer{ID: c.ID})
 	case Leave:
 		n.leave(now)
-		n.answer(c.ID, nil)
+		n.answer(Answer{ID: c.ID})
 	}
 }
 
-func (n *Node) answer(id uint64, err error) {
-	n.out.Answers = append(n.out.Answers, Answer{ID: id, Err: err})
-}
-
 func (n *Node) votersNamed(names []string) ([]register.Voter, error) {
 	var vs []register.Voter
 	for _, name := range names {
@@ -89,17 +85,17 @@
 		err = &register.ConflictError{Version: n.knownValue().Version}
 	}
 	if err != nil {
-		n.answer(id, err)
+		n.answer(Answer{ID: id, Err: err})
 		return
 	}
 	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
-	n.proposer.Bootstrap(now, now+proposeTimeout, n.await(now, n.replyTo(id, "")), &register.Value{Fleet: fleet, Voters: vs})
+	n.proposer.Bootstrap(now, now+proposeTimeout, n.operations.add(now, n.replyTo(id, "")), &register.Value{Fleet: fleet, Voters: vs})
 }
 
 func (n *Node) replaceVoters(now time.Duration, id uint64, op ReplaceVoters) {
 	vs, err := n.votersNamed(op.Names)
 	if err != nil {
-		n.answer(id, err)
+		n.answer(Answer{ID: id, Err: err})
 		return
 	}
 	n.changeVoters(now, op.ID, vs, n.replyTo(id, ""))
@@ -130,24 +126,11 @@
 	}
 }
 
-// finishVoterChangeAt seats the next voters of the epoch in which a change is known to have been chosen. A later one that was merely
-// accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
-func finishVoterChangeAt(epoch uint64) register.Change {
-	return func(cur *register.Value) (*register.Value, error) {
-		if len(cur.Next) == 0 || cur.Epoch != epoch {
-			return nil, nil
-		}
-		cur.Voters, cur.Next = cur.Next, nil
-		cur.Epoch++
-		return cur, nil
-	}
-}
-
 func (n *Node) leave(now time.Duration) {
-	if n.leaving {
+	if n.serving.leaving {
 		return
 	}
-	n.leaving = true
+	n.serving.leaving = true
 	if n.value != nil {
 		for _, d := range n.leases.Roles() {
 			n.sendToGrantors(n.leases.Release(d, n.value))
--- /dev/null
+++ b/control/effects.go
@@ -0,0 +1,16 @@
+package control
+
+import "github.com/mallowbridge/mallowbridge"
+
+// effects collects what the present Step wants done. The parts of a node share it.
+type effects struct{ out *Out }
+
+func (e *effects) emit(ev mallowbridge.Event) { e.out.Events = append(e.out.Events, ev) }
+
+func (e *effects) logChange(what, detail string) {
+	e.out.Changes = append(e.out.Changes, Change{What: what, Detail: detail})
+}
+
+func (e *effects) answer(a Answer) { e.out.Answers = append(e.out.Answers, a) }
+
+func (e *effects) probe(p Probe) { e.out.Probes = append(e.out.Probes, p) }
--- a/control/stale.go
+++ b/control/errors.go
@@ -5,6 +5,11 @@
 	"time"
 )
 
+// NameError says why a node that an operator named cannot do what was asked.
+type NameError struct{ Name, Why string }
+
+func (e *NameError) Error() string { return e.Name + ": " + e.Why }
+
 // StaleCallError says that an order may have lain here while the process stood still: its caller may have left long ago. It has had no
 // effect.
 type StaleCallError struct{ Gap time.Duration }
--- a/control/failures.go
+++ b/control/failures.go
@@ -20,8 +20,8 @@
 func (Failed) in() {}
 
 func (n *Node) failed(f Failed) {
-	n.failures++
-	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Version: n.itemVersion(n.failures), Data: Failures(f)})
+	n.failureSeq++
+	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Version: n.itemVersion(n.failureSeq), Data: Failures(f)})
 }
 
 // itemVersion orders the items that only this node publishes, over its incarnations.
--- a/control/incident_test.go
+++ b/control/incident_test.go
@@ -18,7 +18,7 @@
 }
 
 func (l *lab) serves(name string) bool {
-	return l.nodes[name].Snapshot() != nil && l.nodes[name].notServing == ""
+	return l.nodes[name].Snapshot() != nil && l.nodes[name].serving.reason == ""
 }
 
 // docs/incidents/inc-3a1a.md: right after a yes all three voters lose power, and one of them its disk; no other disk is there.
@@ -35,7 +35,7 @@
 	l.run(1200 * time.Millisecond)
 	for _, name := range []string{"n4", "n5", "n6", "n7", "n8"} {
 		if !l.serves(name) {
-			t.Errorf("%s does not serve while there are no voters: %q", name, l.nodes[name].notServing)
+			t.Errorf("%s does not serve while there are no voters: %q", name, l.nodes[name].serving.reason)
 		}
 	}
 	for _, name := range []string{"n0", "n1", "n2"} {
--- a/control/join.go
+++ b/control/join.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"cmp"
 	"fmt"
 	"time"
 
@@ -22,18 +23,68 @@
 	return uint64(now.UnixMilli())<<16 | chance&0xffff
 }
 
+// joinState is how far a node is in catching up with its fleet, after a start or a pause.
+type joinState struct {
+	joined        bool
+	startedOverAt time.Duration
+	askedAt       time.Duration
+	// inputAt is when the last input came, 0 before the first.
+	inputAt        time.Duration
+	neighboursRead map[string]bool
+	// servesFrom is when the others have had time to count this node's router in; 0: not joined yet.
+	servesFrom time.Duration
+}
+
+func newJoinState(now time.Duration) joinState {
+	return joinState{startedOverAt: now, askedAt: -time.Hour, neighboursRead: map[string]bool{}}
+}
+
+// restart has the node catch up anew.
+func (j *joinState) restart(now time.Duration) {
+	j.joined, j.startedOverAt, j.servesFrom = false, now, 0
+	j.neighboursRead = map[string]bool{}
+}
+
+// pause is how long no input came before this one.
+func (j *joinState) pause(now time.Duration) time.Duration {
+	last := j.inputAt
+	j.inputAt = now
+	if last == 0 {
+		return 0
+	}
+	return now - last
+}
+
+// askDue tells whether to ask other nodes for what they know, and notes that it is asked.
+func (j *joinState) askDue(now time.Duration) bool {
+	if now-j.askedAt < min(askEvery, askFirst+(now-j.startedOverAt)/4) {
+		return false
+	}
+	j.askedAt = now
+	return true
+}
+
+// servingState is what the node last told its router about serving.
+type servingState struct {
+	leaving bool
+	// reason is why the router may not serve, empty where it may.
+	reason     string
+	reportedAt time.Duration
+	// routers are the names of the routers last told.
+	routers string
+}
+
 func (n *Node) join(now time.Duration) {
-	if n.joined {
+	if n.joining.joined {
 		return
 	}
-	if now-n.askedAt >= min(askEvery, askFirst+(now-n.startedOverAt)/4) {
-		n.askedAt = now
+	if n.joining.askDue(now) {
 		n.greet()
 	}
-	if n.knownValue() != nil && !n.reading {
+	if n.knownValue() != nil && !n.operations.reading {
 		n.read(now, readWithin, false)
 	}
-	if now-n.startedOverAt < neighboursAfter {
+	if now-n.joining.startedOverAt < neighboursAfter {
 		return
 	}
 	others := 0
@@ -42,7 +93,7 @@
 			others++
 		}
 	}
-	if len(n.neighboursRead) > 0 && len(n.neighboursRead) >= min(2, others) {
+	if len(n.joining.neighboursRead) > 0 && len(n.joining.neighboursRead) >= min(2, others) {
 		n.finishJoin(now, "neighbours were read")
 		return
 	}
@@ -84,60 +135,58 @@
 // noticeFreeze starts over at the first input after a pause, before that is taken in: it may have lain in a socket since before the
 // pause, as may the answers to a read.
 func (n *Node) noticeFreeze(now time.Duration) {
-	if pause := now - n.inputAt; n.inputAt > 0 && pause > n.config.Membership.PauseGap {
+	if pause := n.joining.pause(now); pause > n.config.Membership.PauseGap {
 		n.rejoin(now, fmt.Sprintf("%s without an input", pause))
 	}
-	n.inputAt = now
 }
 
 // rejoin starts over as after a start: what this node knows may be old, and others may have taken its share of room.
 // Messages that wait for chunks were sent before.
 func (n *Node) rejoin(now time.Duration, why string) {
-	if n.joined {
+	if n.joining.joined {
 		n.logChange("starts over", why)
 	}
-	n.joined, n.startedOverAt, n.joinDeadline = false, now, 0
-	n.neighboursRead = map[string]bool{}
+	n.joining.restart(now)
 	n.documents.fetches = nil
 }
 
 func (n *Node) finishJoin(now time.Duration, how string) {
-	if n.joined {
+	if n.joining.joined {
 		return
 	}
-	n.joined = true
+	n.joining.joined = true
 	n.logChange("caught up", how)
 	n.applySnapshot(now)
 }
 
 func (n *Node) publishServing(now time.Duration) {
-	n.servingReportedAt = now
+	n.serving.reportedAt = now
 	n.reportServing(now)
 }
 
 // reportServing reports at once when serving becomes possible or impossible.
 func (n *Node) reportServing(now time.Duration) {
 	why := n.notServingReason(now)
-	if why != n.notServing {
-		n.notServing = why
-		n.logChange("serving", map[bool]string{true: "yes", false: why}[why == ""])
+	if why != n.serving.reason {
+		n.serving.reason = why
+		n.logChange("serving", cmp.Or(why, "yes"))
 	}
 	n.emit(mallowbridge.ControlStatus{Why: why})
 }
 
 func (n *Node) notServingReason(now time.Duration) string {
 	switch {
-	case n.leaving:
+	case n.serving.leaving:
 		return "draining"
 	case n.config.ServesIsolated && n.applied > 0:
 		return ""
 	case n.Members.Isolated(now):
 		return "isolated"
-	case !n.joined:
+	case !n.joining.joined:
 		return "catching up"
 	case n.snapshot == nil:
 		return "no configuration yet"
-	case n.joinDeadline == 0 || now < n.joinDeadline:
+	case n.joining.servesFrom == 0 || now < n.joining.servesFrom:
 		return "settling in"
 	}
 	return ""
--- a/control/list.go
+++ b/control/list.go
@@ -63,7 +63,7 @@
 // readList has the platform's list read: by the holder of the lease, and by each node that receives no confirmation.
 func (n *Node) readList(now time.Duration) {
 	l := &n.replicaList
-	if n.config.ListEvery == 0 || n.leaving || l.reading {
+	if n.config.ListEvery == 0 || n.serving.leaving || l.reading {
 		return
 	}
 	due := n.listDue
@@ -86,7 +86,7 @@
 
 // holdsListRole renews or asks for the lease, where this node holds it or is the first by rank.
 func (n *Node) holdsListRole(now time.Duration) bool {
-	if n.value == nil || !n.joined || n.Members.Isolated(now) {
+	if n.value == nil || !n.joining.joined || n.Members.Isolated(now) {
 		return false
 	}
 	_, yes := n.leases.Holds(now, listRole)
--- /dev/null
+++ b/control/messages.go
@@ -0,0 +1,41 @@
+package control
+
+import "github.com/mallowbridge/mallowbridge"
+
+// LoadReports is the gossip item with the load of the replicas of one zone (Zone), as the node named By probed them. Urgent says that a
+// replica went up, down or began to drain since the item before.
+type LoadReports struct {
+	Zone   string
+	By     string
+	Urgent bool
+	Rows   []mallowbridge.LoadReport
+}
+
+// SentOnce says whether the item is pushed to each peer once only; urgent ones are repeated.
+func (u LoadReports) SentOnce() bool { return !u.Urgent }
+
+// ReplicaState is the gossip item with what operators say of a replica: State is "present", "leaving" or "gone".
+type ReplicaState struct {
+	Replica string `json:"replica"`
+	State   string `json:"state"`
+}
+
+// WitnessAsk asks a witness to remember that the router By is about to send the request. Rid numbers the inquiry; with Peek nothing is
+// remembered.
+type WitnessAsk struct {
+	Rid     uint64
+	Request string
+	By      string
+	Peek    bool
+}
+
+// WitnessSay answers the WitnessAsk numbered RequestID. First: no other router has asked about the request. Young: the witness started so recently
+// that it may have forgotten an earlier inquiry.
+type WitnessSay struct {
+	RequestID uint64
+	First     bool
+	Young     bool
+}
+
+// WitnessForget takes back a WitnessAsk that ended without enough answers.
+type WitnessForget WitnessAsk
--- a/control/node.go
+++ b/control/node.go
@@ -38,66 +38,43 @@
 	ServesIsolated bool
 }
 
-type pendingReply struct {
-	ticket uint64
-	send   Send
-}
-
-type completion func(now time.Duration, r register.Result)
-
-// A pendingOp waits for the proposer since it was submitted.
-type pendingOp struct {
-	since time.Duration
-	done  completion
-}
-
-// Node is the control state machine of one node. It is owned by one goroutine; only Step changes it.
+// Node is the control state machine of one node. It is owned by one goroutine; only Step changes it. It wires its parts together: each
+// keeps its own state, and what a step wants done is collected in effects.
 type Node struct {
-	config   Config
-	out      *Out
+	config Config
+	*effects
 	Members  *membership.Detector
 	Gossip   *gossip.Store
 	proposer *register.Proposer
+	// acceptor and grantor are nil on a node without a disk.
 	acceptor *register.Acceptor
 	grantor  *lease.Grantor
 	leases   *lease.Holder
 
-	ticket         uint64
-	pendingReplies []pendingReply
-	pendingSince   time.Duration
-	diskErr        error
-	local          []Received
-	opSeq          uint64
-	pendingOps     map[uint64]pendingOp
-	reading        bool
-
-	value             *register.Value
-	snapshot          *config.Snapshot
-	replicasByName    map[string]config.Replica
-	applied           uint64
-	joined            bool
-	startedOverAt     time.Duration
-	askedAt           time.Duration
-	neighboursRead    map[string]bool
-	joinDeadline      time.Duration
-	leaving           bool
-	notServing        string
-	routers           string
-	servingReportedAt time.Duration
-	inputAt           time.Duration
-	behindSince       time.Duration
-	aheadSince        time.Duration
-	rereadAt          time.Duration
-
-	startedAt     time.Duration
-	bootstrapping bool
-	bootstrapAt   time.Duration
-	replicaList   listReader
-	failures      uint64
+	// value is the latest value of the register known to be chosen, snapshot what its document says, applied the version that the router
+	// goes by.
+	value          *register.Value
+	snapshot       *config.Snapshot
+	replicasByName map[string]config.Replica
+	applied        uint64
+
+	startedAt time.Duration
+	// local are messages of this node to itself, taken in at the end of the step.
+	local []Received
+	// failureSeq numbers this router's reports of failed requests.
+	failureSeq uint64
+
+	disk          durableReplies
+	operations    operations
+	joining       joinState
+	serving       servingState
+	reconciling   reconciliation
+	bootstrapping bootstrapState
 	derived       derived
-
-	tasks          tasks
-	observations   map[string]*observed
+	replicaList   listReader
+	health        healthChecks
+	voters        voterRepair
+	// platformStates is what operators said of replicas here.
 	platformStates map[string]platformState
 	witness        witnessState
 	documents      documents
@@ -115,11 +92,11 @@
 	by := cfg.Name + "/" + cfg.Boot
 	n := &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
-		pendingOps: map[uint64]pendingOp{}, neighboursRead: map[string]bool{}, startedOverAt: now, askedAt: -time.Hour, servingReportedAt: -time.Hour,
-		startedAt: now, bootstrapAt: -time.Hour, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
-		tasks: newTasks(), witness: newWitness(now), observations: map[string]*observed{}, platformStates: map[string]platformState{},
-		documents: newDocuments(),
+		effects: &effects{}, startedAt: now, operations: newOperations(), joining: newJoinState(now), serving: servingState{reportedAt: -time.Hour},
+		bootstrapping: bootstrapState{at: -time.Hour}, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
+		witness: newWitness(now), platformStates: map[string]platformState{}, documents: newDocuments(),
 	}
+	n.health = newHealthChecks(n.effects)
 	if cfg.Disk != nil {
 		self.Disk = cfg.Disk.Register.Disk
 		n.acceptor = &register.Acceptor{State: cfg.Disk.Register}
@@ -146,7 +123,7 @@
 	case Probed:
 		n.onProbed(now, i)
 	case Observation:
-		n.observe(now, i)
+		n.health.observe(now, i)
 	case Failed:
 		n.failed(i)
 	case ListRead:
@@ -159,7 +136,7 @@
 		n.tick(now)
 	}
 	n.flush(now)
-	if n.servingReportedAt > 0 && now-n.servingReportedAt <= n.config.Membership.PauseGap && n.notServingReason(now) != n.notServing {
+	if n.serving.reportedAt > 0 && now-n.serving.reportedAt <= n.config.Membership.PauseGap && n.notServingReason(now) != n.serving.reason {
 		n.reportServing(now)
 	}
 	return out
@@ -181,8 +158,8 @@
 }
 
 func (n *Node) tick(now time.Duration) {
-	if now-n.servingReportedAt > n.config.Membership.PauseGap && n.servingReportedAt > 0 && n.joined {
-		n.rejoin(now, fmt.Sprintf("%s without a tick", now-n.servingReportedAt))
+	if now-n.serving.reportedAt > n.config.Membership.PauseGap && n.serving.reportedAt > 0 && n.joining.joined {
+		n.rejoin(now, fmt.Sprintf("%s without a tick", now-n.serving.reportedAt))
 	}
 	n.proposer.Tick(now)
 	for _, s := range n.Members.Tick(now) {
@@ -199,12 +176,8 @@
 	n.readList(now)
 	n.reconcileAcceptor(now)
 	n.checkDisk(now)
-	n.runTasks(now)
+	n.runSingletonRoles(now)
 	n.witness.tick(now, n)
 	n.tickFetches(now)
 	n.publishServing(now)
 }
-
-func (n *Node) logChange(what, detail string) {
-	n.out.Changes = append(n.out.Changes, Change{What: what, Detail: detail})
-}
--- a/control/orders.go
+++ b/control/orders.go
@@ -29,7 +29,7 @@
 
 // fencedOrder is order for a change that keeps a fence.
 func (n *Node) fencedOrder(now time.Duration, c Command, change register.FencedChange, done completion) {
-	n.proposer.SubmitFenced(now, orderUntil(now, c), n.await(now, done), change)
+	n.proposer.SubmitFenced(now, orderUntil(now, c), n.operations.add(now, done), change)
 }
 
 func orderUntil(now time.Duration, c Command) time.Duration {
--- /dev/null
+++ b/control/outputs.go
@@ -0,0 +1,60 @@
+package control
+
+import (
+	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/register"
+)
+
+// Send is a message to the node at the address To. Msg is a message of this package or a register.Message, lease.Message,
+// membership.Message or gossip.Message: an interface with an unexported method can't unite those of several packages.
+type Send struct {
+	To  string
+	Msg any
+}
+
+// LogEntry is what the journal can hold: Promised, AcceptedEntry, Granted or Opened.
+type LogEntry interface{ logEntry() }
+
+func (Promised) logEntry()      {}
+func (AcceptedEntry) logEntry() {}
+func (Granted) logEntry()       {}
+func (Opened) logEntry()        {}
+
+// LogWrite is an entry to append to the journal. Tickets rise; Persisted names the last one that is durable.
+type LogWrite struct {
+	Ticket uint64
+	Entry  LogEntry
+}
+
+// Answer ends the Command with this ID. Value and Version are the register's value and the revision that the operation made or found; Witnesses
+// answers a Witness. Err is nil on success.
+type Answer struct {
+	ID        uint64
+	Value     *register.Value
+	Version   uint64
+	Witnesses WitnessVerdict
+	Err       error
+}
+
+// Probe is a request for a replica's load. Own: it checks this node's own observation and is not shared with other nodes.
+type Probe struct {
+	Replica, Addr string
+	Local         bool
+}
+
+// Out is what a Step wants done: messages to send, entries to write in order, answers to commands, events for the router, replicas to
+// probe, replicas whose idle connection is to be opened again now (Looks), whether the platform's list of replicas is to be read (List),
+// and changes to log.
+type Out struct {
+	Sends   []Send
+	Writes  []LogWrite
+	Answers []Answer
+	Events  []mallowbridge.Event
+	Probes  []Probe
+	Looks   []string
+	List    bool
+	Changes []Change
+}
+
+// Change is a line for the operators' log.
+type Change struct{ What, Detail string }
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -29,7 +29,7 @@
 	back := l.now
 	ready := func() bool {
 		for _, name := range l.order {
-			if l.nodes[name].Snapshot() == nil || l.nodes[name].notServing != "" || l.rosters[name] == nil {
+			if l.nodes[name].Snapshot() == nil || l.nodes[name].serving.reason != "" || l.rosters[name] == nil {
 				return false
 			}
 		}
--- a/control/status.go
+++ b/control/status.go
@@ -41,7 +41,7 @@
 // Status is the node's state at the time now.
 func (n *Node) Status(now time.Duration) Status {
 	s := Status{
-		Name: n.config.Name, Zone: n.config.Zone, Serving: n.notServing == "" && n.servingReportedAt > 0, NotServing: n.notServing, AppliedVersion: n.applied, Degraded: n.Members.Self.Degraded,
+		Name: n.config.Name, Zone: n.config.Zone, Serving: n.serving.reason == "" && n.serving.reportedAt > 0, NotServing: n.serving.reason, AppliedVersion: n.applied, Degraded: n.Members.Self.Degraded,
 		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, GossipItems: n.Gossip.Len(), EvacuatedZones: []string{}, Leases: []string{},
 	}
 	for _, m := range n.Members.Table.All() {
--- a/control/updates.go
+++ b/control/updates.go
@@ -15,7 +15,7 @@
 
 func (n *Node) onUpdate(now time.Duration, from string, m gossip.Update) {
 	n.mergeItems(now, from, m.Items)
-	n.neighboursRead[from] = true
+	n.joining.neighboursRead[from] = true
 }
 
 func (n *Node) mergeItems(now time.Duration, from string, items []gossip.Item) {
@@ -59,8 +59,6 @@
 	}
 }
 
-func (n *Node) emit(ev mallowbridge.Event) { n.out.Events = append(n.out.Events, ev) }
-
 func (n *Node) publishMembers(now time.Duration) {
 	for _, m := range n.Members.TakeChanges() {
 		n.Gossip.Put(gossip.Item{Key: "m/" + m.Name, Version: gossip.Version{Hi: m.Incarnation, Lo: uint64(m.State)}, Data: m})
@@ -72,17 +70,17 @@
 }
 
 func (n *Node) publishRouters(now time.Duration) {
-	if n.joinDeadline == 0 && n.joined {
-		n.joinDeadline = now + joinDelay
+	if n.joining.servesFrom == 0 && n.joining.joined {
+		n.joining.servesFrom = now + joinDelay
 	}
 	d := n.derive()
-	if d.shared && d.joined == n.joined {
+	if d.shared && d.joined == n.joining.joined {
 		return
 	}
-	d.shared, d.joined = true, n.joined
+	d.shared, d.joined = true, n.joining.joined
 	var names, domains []string
 	for _, m := range n.Members.Table.All() {
-		if !m.Live() || (m.Name == n.config.Name && !n.joined) {
+		if !m.Live() || (m.Name == n.config.Name && !n.joining.joined) {
 			continue
 		}
 		names, domains = append(names, m.Name), append(domains, m.Zone)
@@ -90,8 +88,8 @@
 			names, domains = append(names, m.Name+"#"+strconv.Itoa(i+1)), append(domains, m.Zone)
 		}
 	}
-	if key := strings.Join(names, ","); key != n.routers {
-		n.routers = key
+	if key := strings.Join(names, ","); key != n.serving.routers {
+		n.serving.routers = key
 		n.emit(mallowbridge.Routers{Names: names, Zones: domains})
 	}
 }
@@ -125,7 +123,7 @@
 }
 
 func (n *Node) applySnapshot(now time.Duration) {
-	if !n.joined || n.snapshot == nil || n.snapshot.Version <= n.applied {
+	if !n.joining.joined || n.snapshot == nil || n.snapshot.Version <= n.applied {
 		return
 	}
 	n.applied = n.snapshot.Version
--- a/control/voters.go
+++ b/control/voters.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
@@ -12,14 +11,37 @@
 const VotersChange = "voters change"
 
 const (
-	// voterLostAfter is how long a voter may be out of touch before its seat goes to another disk, where the fleet seats voters itself.
+	// voterLostAfter is how long a voter may be out of touch before another disk replaces it, where the fleet chooses voters itself.
 	voterLostAfter = 2500 * time.Millisecond
 	// voterChangeInterval is the time between two tries of one node to change the voters.
 	voterChangeInterval = time.Second
+	// voterRole ranks the nodes that may change the voters.
+	voterRole = "mend"
 )
 
-// voterPatience is how long a voter may be lost before its seat goes to another disk: fixed where the fleet bears losses by itself
-// (FaultTolerance), else as the operators' document says. 0: seats stay as they are.
+// voterRepair is what a node remembers of the voters: since when each is lost, and when it last tried to change them.
+type voterRepair struct {
+	lostSince map[string]time.Duration
+	changedAt time.Duration
+}
+
+// track notes since when each voter is lost. Every node does, so that whoever is first by rank next need not wait anew.
+func (r *voterRepair) track(now time.Duration, s voterSet) {
+	since := map[string]time.Duration{}
+	for _, v := range s.value.Voters {
+		if s.healthy(v.Disk) {
+			continue
+		}
+		since[v.Disk] = now
+		if before, ok := r.lostSince[v.Disk]; ok {
+			since[v.Disk] = before
+		}
+	}
+	r.lostSince = since
+}
+
+// voterPatience is how long a voter may be lost before another disk replaces it: fixed where the fleet bears losses by itself
+// (FaultTolerance), else as the operators' document says. 0: voters stay as they are.
 func (n *Node) voterPatience() time.Duration {
 	if n.config.FaultTolerance > 0 {
 		return voterLostAfter
@@ -30,23 +52,24 @@
 	return n.snapshot.Config.ReplaceVoter
 }
 
-// maintainVoters keeps the set of voters whole. One node does it, the first by rank; where two believe that they are first, the epoch
+// maintainVoters keeps the set of voters complete. One node does it, the first by rank; where two believe that they are first, the epoch
 // on which each change builds lets one through. A change that was begun is finished before another is thought of.
 func (n *Node) maintainVoters(now time.Duration) {
-	n.trackVoters(now)
-	if !n.ranksFirst("mend", "") || now-n.tasks.votersChangedAt < voterChangeInterval {
+	set := voterSet{value: n.value, members: &n.Members.Table}
+	n.voters.track(now, set)
+	if !n.ranksFirst(voterRole, "") || now-n.voters.changedAt < voterChangeInterval {
 		return
 	}
 	if len(n.value.Next) > 0 {
-		n.tasks.votersChangedAt = now
+		n.voters.changedAt = now
 		n.finishVoters(now, n.value.Epoch)
 		return
 	}
-	next, why := n.nextVoters(now)
+	next, why := set.next(now, n.voters.lostSince, n.voterPatience(), n.config.FaultTolerance)
 	if next == nil {
 		return
 	}
-	n.tasks.votersChangedAt = now
+	n.voters.changedAt = now
 	n.logChange(VotersChange, why)
 	n.proposeUrgent(now, beginVoterChangeAt(n.value.Epoch, next), func(now time.Duration, r register.Result) {
 		if r.Err == nil {
@@ -59,54 +82,6 @@
 	n.proposeUrgent(now, finishVoterChangeAt(epoch), func(time.Duration, register.Result) {})
 }
 
-// nextVoters names the voters that should take over from the present ones, and why; nil: the present ones stay. The order is that of
-// need: a disk that came back empty, a lost voter, one that is about to leave, and a seat that nobody has yet.
-func (n *Node) nextVoters(now time.Duration) ([]register.Voter, string) {
-	patience := n.voterPatience()
-	if patience <= 0 {
-		return nil, ""
-	}
-	for _, v := range n.value.Voters {
-		if m, ok := n.replacedDisk(v); ok {
-			return n.replaceVoter(v, m), "disk of " + v.Name + " came back empty"
-		}
-	}
-	if lost := n.lostVoter(now, patience); lost != "" {
-		if vs := n.votersWithout(lost); vs != nil {
-			return vs, "disk " + lost + " is lost"
-		}
-	}
-	if leaving := n.leavingVoter(); leaving != "" {
-		if vs := n.votersWithout(leaving); vs != nil {
-			return vs, "disk " + leaving + " leaves"
-		}
-	}
-	if len(n.value.Voters) < 2*n.config.FaultTolerance+1 {
-		if vs := n.votersWithout(""); vs != nil {
-			return vs, "a disk joins"
-		}
-	}
-	return nil, ""
-}
-
-// replacedDisk finds the machine of a voter that is back with another disk.
-func (n *Node) replacedDisk(v register.Voter) (membership.Member, bool) {
-	m, ok := n.Members.Table.Get(v.Name)
-	yes := ok && m.Disk != v.Disk && n.spare(m)
-	return m, yes
-}
-
-func (n *Node) replaceVoter(old register.Voter, m membership.Member) []register.Voter {
-	var vs []register.Voter
-	for _, v := range n.value.Voters {
-		if v == old {
-			v = register.Voter{Disk: m.Disk, Name: m.Name}
-		}
-		vs = append(vs, v)
-	}
-	return vs
-}
-
 // beginVoterChangeAt installs the next voters beside the present ones, if the epoch is still the one that the choice was made on.
 func beginVoterChangeAt(epoch uint64, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
@@ -121,3 +96,16 @@
 		return cur, nil
 	}
 }
+
+// finishVoterChangeAt lets the next voters of the epoch in which a change is known to have been chosen take over. A later one that was
+// merely accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
+func finishVoterChangeAt(epoch uint64) register.Change {
+	return func(cur *register.Value) (*register.Value, error) {
+		if len(cur.Next) == 0 || cur.Epoch != epoch {
+			return nil, nil
+		}
+		cur.Voters, cur.Next = cur.Next, nil
+		cur.Epoch++
+		return cur, nil
+	}
+}
--- a/control/witness.go
+++ b/control/witness.go
@@ -170,7 +170,7 @@
 
 func (w *witnessState) close(n *Node, a *inquiry, v WitnessVerdict) {
 	delete(w.inquiries, a.msg.Rid)
-	n.out.Answers = append(n.out.Answers, Answer{ID: a.command, Witnesses: v})
+	n.answer(Answer{ID: a.command, Witnesses: v})
 	if v != TooFew || a.msg.Peek {
 		return
 	}
