--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -5,10 +5,10 @@
 	"runtime"
 	"sync"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -18,7 +18,7 @@
 		gossip.Digest{Versions: []gossip.KeyVersion{{Key: "k", Version: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
 		gossip.Update{Items: []gossip.Item{
 			{Key: "k", Version: gossip.Version{Hi: 1}, Data: membership.Member{Name: "n"}},
-			{Key: "u", Version: gossip.Version{Hi: 1}, Data: control.LoadReports{Zone: "a", Rows: []mallowbridge.LoadReport{{Replica: "r", Running: 1}}}},
+			{Key: "u", Version: gossip.Version{Hi: 1}, Data: control.LoadReports{Zone: "a", Rows: []router.LoadReport{{Replica: "r", Running: 1}}}},
 		}},
 	}
 }
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -148,12 +148,12 @@
 
 // docs/CAPACITY.md reckons with these sizes.
 func TestFramesOfPrefills(t *testing.T) {
-	w, row := transport.NewWriter(), mallowbridge.Prefill{Replica: "r123", Tokens: 5000}
-	if _, err := w.Frame(control.Prefills{Rows: []mallowbridge.Prefill{row}}); err != nil {
+	w, row := transport.NewWriter(), router.Prefill{Replica: "r123", Tokens: 5000}
+	if _, err := w.Frame(control.Prefills{Rows: []router.Prefill{row}}); err != nil {
 		t.Fatal(err)
 	}
 	for rows, want := range map[int]int{1: 27, 2: 38, 4: 60} {
-		frame, err := w.Frame(control.Prefills{Rows: slices.Repeat([]mallowbridge.Prefill{row}, rows)})
+		frame, err := w.Frame(control.Prefills{Rows: slices.Repeat([]router.Prefill{row}, rows)})
 		if err != nil || len(frame) != want {
 			t.Errorf("%d rows take %d bytes, %v, want %d", rows, len(frame), err, want)
 		}
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -4,12 +4,12 @@
 import (
 	"reflect"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 	"github.com/mallowbridge/mallowbridge/sim"
 )
@@ -123,22 +123,22 @@
 		return Register
 	case control.Probed, control.Observation:
 		return Probes
-	case control.Prefills, mallowbridge.Prefill:
+	case control.Prefills, router.Prefill:
 		return Prefills
-	case control.ListRead, mallowbridge.Listing, mallowbridge.ReplicaList:
+	case control.ListRead, router.Listing, router.ReplicaList:
 		return ReplicaListings
 	case control.Command:
 		return ofCommand(v.Op)
-	case mallowbridge.Tick, mallowbridge.ControlStatus:
+	case router.Tick, router.ControlStatus:
 		return RouterTick
-	case mallowbridge.LoadReport, mallowbridge.ReplicaSuspect:
+	case router.LoadReport, router.ReplicaSuspect:
 		return LoadGossip
-	case mallowbridge.Routers:
+	case router.Routers:
 		return QuotaDivision
-	case mallowbridge.SnapshotUpdate:
+	case router.SnapshotUpdate:
 		return Config
-	case mallowbridge.Arrive, mallowbridge.ReadyToSend, mallowbridge.AnswerHead, mallowbridge.AnswerStarted, mallowbridge.AttemptEnded, mallowbridge.ClientDisconnected, mallowbridge.RanElsewhere,
-		mallowbridge.Load, mallowbridge.WrongInstance:
+	case router.Arrive, router.ReadyToSend, router.AnswerHead, router.AnswerStarted, router.AttemptEnded, router.ClientDisconnected, router.RanElsewhere,
+		router.Load, router.WrongInstance:
 		return Requests
 	}
 	return Other
@@ -164,7 +164,7 @@
 		"replicasByName": Config, "grantor": Leases, "leases": Leases, "health": LoadGossip, "platformStates": ReplicaListings,
 		"replicaList": ReplicaListings, "witness": Witnesses, "serving": QuotaDivision,
 	},
-	reflect.TypeFor[mallowbridge.Router](): {
+	reflect.TypeFor[router.Router](): {
 		"snapshot": Config, "services": Config, "classes": Config, "replicaIDs": Config, "replicas": Config,
 		"requestIDs": Requests, "requests": Requests, "alreadyRan": Requests,
 	},
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
@@ -68,19 +68,19 @@
 		c.Services[i].KeepTokens = keep
 	}
 	l := &soloRouter{node: &sim.LightNode{Name: "n1", Zone: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
-	l.node.Router = mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))
-	l.step(mallowbridge.Routers{Names: []string{"n1"}, Zones: []string{"a1"}})
-	l.step(mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}})
+	l.node.Router = router.New(router.Defaults("n1", "b", "a1"))
+	l.step(router.Routers{Names: []string{"n1"}, Zones: []string{"a1"}})
+	l.step(router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}})
 	for i := range soloReplicas {
-		l.step(mallowbridge.LoadReport{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
+		l.step(router.LoadReport{Replica: fmt.Sprintf("r%d", i+1), InstanceID: "i1", Age: time.Hour})
 	}
 	l.now += 5 * time.Second
-	l.step(mallowbridge.Tick{})
+	l.step(router.Tick{})
 	l.costs.Reset()
 	return l
 }
 
-func (l *soloRouter) step(ev mallowbridge.Event) []mallowbridge.Decision {
+func (l *soloRouter) step(ev router.Event) []router.Decision {
 	from := l.clock()
 	ds := l.node.Router.Step(l.now, ev)
 	l.costs.Stepped(l.node, ev, l.clock()-from)
@@ -89,16 +89,16 @@
 
 func (l *soloRouter) request(i int, prefix string) {
 	l.now += soloEvery
-	l.step(mallowbridge.ControlStatus{})
+	l.step(router.ControlStatus{})
 	req := fmt.Sprintf("q-%08d", i)
-	for _, d := range l.step(mallowbridge.Arrive{Request: req, Service: "model1", Class: "fast", Prefix: prefix, Tail: 64}) {
-		if d.Verdict != mallowbridge.Place {
+	for _, d := range l.step(router.Arrive{Request: req, Service: "model1", Class: "fast", Prefix: prefix, Tail: 64}) {
+		if d.Verdict != router.Place {
 			continue
 		}
-		l.step(mallowbridge.ReadyToSend{Request: req, AttemptID: d.AttemptID})
-		l.step(mallowbridge.AnswerHead{Request: req, AttemptID: d.AttemptID, InstanceID: "i1"})
-		l.step(mallowbridge.AnswerStarted{Request: req, AttemptID: d.AttemptID})
-		l.step(mallowbridge.AttemptEnded{Request: req, AttemptID: d.AttemptID, Result: mallowbridge.Completed})
+		l.step(router.ReadyToSend{Request: req, AttemptID: d.AttemptID})
+		l.step(router.AnswerHead{Request: req, AttemptID: d.AttemptID, InstanceID: "i1"})
+		l.step(router.AnswerStarted{Request: req, AttemptID: d.AttemptID})
+		l.step(router.AttemptEnded{Request: req, AttemptID: d.AttemptID, Result: router.Completed})
 		l.done++
 	}
 }
@@ -106,7 +106,7 @@
 // remembered asks one node as a witness for x requests.
 func remembered() Sweep {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
-		n := &sim.LightNode{Name: "n1", Zone: "a1", Router: mallowbridge.New(mallowbridge.Defaults("n1", "b", "a1"))}
+		n := &sim.LightNode{Name: "n1", Zone: "a1", Router: router.New(router.Defaults("n1", "b", "a1"))}
 		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -15,10 +15,10 @@
 	"github.com/uptrace/bunrouter"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/httpapi"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func daemons(app *kingpin.Application, cmds map[string]command) {
@@ -98,7 +98,7 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Loop, func(request string, margin time.Duration, peek bool) mallowbridge.AttemptResult {
+	g := httpapi.New(h.Loop, func(request string, margin time.Duration, peek bool) router.AttemptResult {
 		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: margin, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
@@ -175,7 +175,7 @@
 			continue
 		}
 		unsent := 0
-		h.Loop.Inspect(func(r *mallowbridge.Router) { unsent = r.Unsent() })
+		h.Loop.Inspect(func(r *router.Router) { unsent = r.Unsent() })
 		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
 			departed = true
 			h.Call(control.Leave{})
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // LineError is a line of input that cannot be used.
@@ -45,7 +45,7 @@
 
 type decisionLine struct {
 	AtMs int64 `json:"atMs"`
-	mallowbridge.Decision
+	router.Decision
 }
 
 // longestLine is in bytes.
@@ -53,7 +53,7 @@
 
 // decide drives a router by the events of in and writes its decisions to out.
 func decide(in io.Reader, out io.Writer, self, zone string) error {
-	r := mallowbridge.New(mallowbridge.Defaults(self, "0", zone))
+	r := router.New(router.Defaults(self, "0", zone))
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, longestLine)
 	enc := json.NewEncoder(out)
@@ -85,7 +85,7 @@
 }
 
 // readEventLine reads an event and its time, which is not before the last one's.
-func readEventLine(raw []byte, last int64) (int64, mallowbridge.Event, error) {
+func readEventLine(raw []byte, last int64) (int64, router.Event, error) {
 	var l eventLine
 	var err error
 	if err = strict(raw, &l); err != nil {
@@ -113,19 +113,19 @@
 
 func (e *EventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
-var eventReaders = map[string]func(raw []byte) (mallowbridge.Event, error){
-	"arrive": read[mallowbridge.Arrive], "listing": read[mallowbridge.Listing], "usage": read[mallowbridge.LoadReport],
-	"routers": read[mallowbridge.Routers], "feed": read[mallowbridge.ControlStatus], "leave": read[mallowbridge.ReadyToSend],
-	"head": read[mallowbridge.AnswerHead], "piece": read[mallowbridge.AnswerStarted], "end": read[mallowbridge.AttemptEnded], "hangup": read[mallowbridge.ClientDisconnected],
+var eventReaders = map[string]func(raw []byte) (router.Event, error){
+	"arrive": read[router.Arrive], "listing": read[router.Listing], "usage": read[router.LoadReport],
+	"routers": read[router.Routers], "feed": read[router.ControlStatus], "leave": read[router.ReadyToSend],
+	"head": read[router.AnswerHead], "piece": read[router.AnswerStarted], "end": read[router.AttemptEnded], "hangup": read[router.ClientDisconnected],
 }
 
 // event reads an event by its published name.
-func event(l eventLine) (mallowbridge.Event, error) {
+func event(l eventLine) (router.Event, error) {
 	switch l.Event {
 	case "order":
 		return readSnapshot(l.Data)
 	case "tick":
-		return mallowbridge.Tick{}, nil
+		return router.Tick{}, nil
 	}
 	readEvent, known := eventReaders[l.Event]
 	if !known {
@@ -134,7 +134,7 @@
 	return readEvent(l.Data)
 }
 
-func readSnapshot(raw []byte) (mallowbridge.Event, error) {
+func readSnapshot(raw []byte) (router.Event, error) {
 	var o snapshotLine
 	var err error
 	if err = strict(raw, &o); err != nil {
@@ -144,10 +144,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: o.Version, Config: c, EvacuatedZones: o.EvacuatedZones}}, nil
+	return router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: o.Version, Config: c, EvacuatedZones: o.EvacuatedZones}}, nil
 }
 
-func read[T mallowbridge.Event](raw []byte) (mallowbridge.Event, error) {
+func read[T router.Event](raw []byte) (router.Event, error) {
 	var v T
 	err := strict(raw, &v)
 	return v, err
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -17,12 +17,12 @@
 	"github.com/uptrace/bunrouter"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/platform"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func nodes(app *kingpin.Application, cmds map[string]command) {
@@ -74,7 +74,7 @@
 		},
 	}
 	get := platform.Getter(s.Cloud.Address)
-	h.Host.List = func() ([]mallowbridge.Instance, error) { return platform.List(get) }
+	h.Host.List = func() ([]router.Instance, error) { return platform.List(get) }
 	return h
 }
 
@@ -117,7 +117,7 @@
 		n.tomb.Kill(nil)
 		return err
 	}
-	n.daemon.Loop.Inspect(func(r *mallowbridge.Router) { placement(r, way) })
+	n.daemon.Loop.Inspect(func(r *router.Router) { placement(r, way) })
 	n.daemon.OnSnapshot(func(p *config.Snapshot) { n.limits.Store(&p.Config.Limits) })
 	n.proxy = proxy.New(n.daemon.Loop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
 	n.serve(listeners)
@@ -233,6 +233,6 @@
 		return "draining"
 	}
 	var why string
-	h.Loop.Inspect(func(r *mallowbridge.Router) { why = r.Ready(daemon.Clock()) })
+	h.Loop.Inspect(func(r *router.Router) { why = r.Ready(daemon.Clock()) })
 	return why
 }
--- a/cmd/mallowbridge/placement.go
+++ b/cmd/mallowbridge/placement.go
@@ -1,6 +1,6 @@
 package main
 
-import "github.com/mallowbridge/mallowbridge"
+import "github.com/mallowbridge/mallowbridge/router"
 
 // How replicas are chosen.
 const (
@@ -10,7 +10,7 @@
 )
 
 // placement turns off what a comparison goes without.
-func placement(r *mallowbridge.Router, way string) {
+func placement(r *router.Router, way string) {
 	switch way {
 	case blind:
 		r.IndexOff()
--- a/control/effects.go
+++ b/control/effects.go
@@ -1,11 +1,11 @@
 package control
 
-import "github.com/mallowbridge/mallowbridge"
+import "github.com/mallowbridge/mallowbridge/router"
 
 // effects collects what the present Step wants done. The parts of a node share it.
 type effects struct{ out *Out }
 
-func (e *effects) emit(ev mallowbridge.Event) { e.out.Events = append(e.out.Events, ev) }
+func (e *effects) emit(ev router.Event) { e.out.Events = append(e.out.Events, ev) }
 
 func (e *effects) logChange(what, detail string) {
 	e.out.Changes = append(e.out.Changes, Change{What: what, Detail: detail})
--- a/control/encoding.go
+++ b/control/encoding.go
@@ -1,10 +1,10 @@
 package control
 
 import (
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/chunk"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
@@ -29,7 +29,7 @@
 	Domain string
 	By     string
 	Urgent bool
-	Rows   []mallowbridge.LoadReport
+	Rows   []router.LoadReport
 }
 
 func encodeLoadReports(l LoadReports) encodedLoadReports {
@@ -41,15 +41,15 @@
 }
 
 type encodedReplicaListItem struct {
-	Rows []mallowbridge.EncodedInstance
+	Rows []router.EncodedInstance
 }
 
 func encodeReplicaListItem(r ReplicaListItem) encodedReplicaListItem {
-	return encodedReplicaListItem{Rows: wire.Each(r.Rows, mallowbridge.EncodeInstance)}
+	return encodedReplicaListItem{Rows: wire.Each(r.Rows, router.EncodeInstance)}
 }
 
 func decodeReplicaListItem(f encodedReplicaListItem) ReplicaListItem {
-	return ReplicaListItem{Rows: wire.Each(f.Rows, mallowbridge.EncodedInstance.Decode)}
+	return ReplicaListItem{Rows: wire.Each(f.Rows, router.EncodedInstance.Decode)}
 }
 
 type encodedChunkData struct {
--- a/control/failures.go
+++ b/control/failures.go
@@ -1,12 +1,12 @@
 package control
 
 import (
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Failures is the gossip item with the failed requests that one router reports of replicas.
-type Failures struct{ mallowbridge.Failures }
+type Failures struct{ router.Failures }
 
 // Ephemeral says that the item is worth nothing to a node that starts later.
 func (Failures) Ephemeral() bool { return true }
@@ -15,7 +15,7 @@
 func (Failures) Since() uint32 { return 2 }
 
 // Failed has the other nodes told of failures that this node's router met.
-type Failed struct{ mallowbridge.Failures }
+type Failed struct{ router.Failures }
 
 func (Failed) in() {}
 
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func TestAllNodesHearOfFailures(t *testing.T) {
 	l := newLab(t, 30)
 	l.run(3 * time.Second)
 	for i := range uint64(3) {
-		l.failures = map[string]mallowbridge.Failures{}
-		want := mallowbridge.Failures{By: "n7", Rows: []mallowbridge.Failure{{Replica: "r", N: float64(i + 1)}}}
+		l.failures = map[string]router.Failures{}
+		want := router.Failures{By: "n7", Rows: []router.Failure{{Replica: "r", N: float64(i + 1)}}}
 		l.step("n7", Failed{want})
 		l.run(900 * time.Millisecond)
 		missed := 0
@@ -31,7 +31,7 @@
 // An item that is replaced every second must not keep digests from ever agreeing: each difference costs both sides all marks.
 func TestAReadingOfTheListDoesNotUnsettleDigests(t *testing.T) {
 	l := newLab(t, 24)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(8 * time.Second)
 	l.marks = 0
 	l.run(10 * time.Second)
@@ -42,7 +42,7 @@
 
 func TestRestartedListReaderIsAcceptedAtOnce(t *testing.T) {
 	l := newLab(t, 9)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(6 * time.Second)
 	reader := ""
 	for name, n := range l.lists {
--- a/control/format_test.go
+++ b/control/format_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/lease"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -89,8 +89,8 @@
 	return u
 }
 
-func event(e mallowbridge.Event) mallowbridge.Numbered {
-	return mallowbridge.Numbered{N: 1, Event: e}
+func event(e router.Event) router.Numbered {
+	return router.Numbered{N: 1, Event: e}
 }
 
 // formatMessages are all messages between nodes and to followers, by the name of their file.
@@ -110,11 +110,11 @@
 		"gossip-announcement": filled[gossip.Announcement](),
 		"chunk-pull":          filled[control.ChunkPull](), "chunk-data": filled[control.ChunkData](),
 		"witness-ask": filled[control.WitnessAsk](), "witness-say": filled[control.WitnessSay](), "witness-forget": filled[control.WitnessForget](),
-		"event-welcome": filled[mallowbridge.Welcome](), "event-snapshot": event(mallowbridge.SnapshotUpdate{Snapshot: filled[*config.Snapshot]()}),
-		"event-routers": event(filled[mallowbridge.Routers]()), "event-loadreport": event(filled[mallowbridge.LoadReport]()),
-		"event-listing": event(filled[mallowbridge.Listing]()), "event-feed": event(filled[mallowbridge.ControlStatus]()),
-		"event-suspect": event(filled[mallowbridge.ReplicaSuspect]()), "event-replicalist": event(filled[mallowbridge.ReplicaList]()),
-		"event-failures": event(filled[mallowbridge.Failures]()),
+		"event-welcome": filled[router.Welcome](), "event-snapshot": event(router.SnapshotUpdate{Snapshot: filled[*config.Snapshot]()}),
+		"event-routers": event(filled[router.Routers]()), "event-loadreport": event(filled[router.LoadReport]()),
+		"event-listing": event(filled[router.Listing]()), "event-feed": event(filled[router.ControlStatus]()),
+		"event-suspect": event(filled[router.ReplicaSuspect]()), "event-replicalist": event(filled[router.ReplicaList]()),
+		"event-failures": event(filled[router.Failures]()),
 		"hello":          filled[transport.Hello](),
 	}
 }
@@ -207,7 +207,7 @@
 	loads := filled[control.LoadReports]()
 	row := loads.Rows[0]
 	row.Lag = time.Second
-	loads.Rows = slices.Repeat([]mallowbridge.LoadReport{row}, 50)
+	loads.Rows = slices.Repeat([]router.LoadReport{row}, 50)
 	benchmarkFrames(b, item(loads))
 }
 
--- a/control/healthchecks.go
+++ b/control/healthchecks.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const (
@@ -22,7 +22,7 @@
 
 // replicaRecord is the last load report of a replica, and how many probes in a row it missed.
 type replicaRecord struct {
-	row    mallowbridge.LoadReport
+	row    router.LoadReport
 	since  time.Duration
 	at     time.Duration
 	misses int
@@ -88,14 +88,14 @@
 
 func (h *healthChecks) probeReplica(now time.Duration, r config.Replica) {
 	if h.replicas[r.Name] == nil {
-		h.replicas[r.Name] = &replicaRecord{since: now, row: mallowbridge.LoadReport{Replica: r.Name, Down: true}}
+		h.replicas[r.Name] = &replicaRecord{since: now, row: router.LoadReport{Replica: r.Name, Down: true}}
 	}
 	h.probe(Probe{Replica: r.Name, Addr: r.Addr})
 }
 
 // reports are a zone's load reports as of now, without replicas that have not answered yet and may.
-func (h *healthChecks) reports(now time.Duration, replicas []config.Replica) []mallowbridge.LoadReport {
-	var rows []mallowbridge.LoadReport
+func (h *healthChecks) reports(now time.Duration, replicas []config.Replica) []router.LoadReport {
+	var rows []router.LoadReport
 	for _, r := range replicas {
 		record := h.replicas[r.Name]
 		if record == nil || (record.row.InstanceID == "" && record.misses < missesDown) {
@@ -159,5 +159,5 @@
 		r.since = now
 	}
 	r.misses, r.at = 0, now
-	r.row = mallowbridge.LoadReport{Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Draining, Lag: p.Lag}
+	r.row = router.LoadReport{Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Draining, Lag: p.Lag}
 }
--- a/control/incident_test.go
+++ b/control/incident_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (l *lab) await(what string, within time.Duration, ok func() bool) {
@@ -25,7 +25,7 @@
 func TestAllVotersLosePowerAndOneItsDisk(t *testing.T) {
 	l := newLab(t, 9)
 	l.down["n3"] = true
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(2 * time.Second)
 	if a := l.write("n7", "x"); a.Err != nil {
 		t.Fatal(a.Err)
@@ -60,7 +60,7 @@
 // docs/incidents/inc-d97d.md: a voter loses power after a yes, later all machines do, and those without a disk are back first.
 func TestMachinesWithoutDisksAreBackBeforeTheVoters(t *testing.T) {
 	l := newLab(t, 12)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(2 * time.Second)
 	l.write("n7", "x")
 	l.down["n2"] = true
--- a/control/join.go
+++ b/control/join.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const (
@@ -171,7 +171,7 @@
 		n.serving.reason = why
 		n.logChange("serving", cmp.Or(why, "yes"))
 	}
-	n.emit(mallowbridge.ControlStatus{Why: why})
+	n.emit(router.ControlStatus{Why: why})
 }
 
 func (n *Node) notServingReason(now time.Duration) string {
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const body = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
@@ -37,7 +37,7 @@
 func (l *lone) step(in In) Out {
 	out := l.n.Step(l.now, in)
 	for _, ev := range out.Events {
-		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
+		if o, ok := ev.(router.SnapshotUpdate); ok {
 			l.orders = append(l.orders, o.Snapshot.Version)
 		}
 	}
@@ -116,7 +116,7 @@
 	l.now += 6 * time.Second
 	for _, seq := range []uint64{0, last.Seq} {
 		for _, ev := range l.step(Received{From: "a2", Msg: membership.Ack{Seq: seq}}).Events {
-			if f, ok := ev.(mallowbridge.ControlStatus); ok && f.Why == "" {
+			if f, ok := ev.(router.ControlStatus); ok && f.Why == "" {
 				t.Fatal("serves by what it knew before it was frozen")
 			}
 		}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 type parcel struct {
@@ -32,13 +32,13 @@
 	mail    []parcel
 	answers map[uint64]Answer
 	ids     uint64
-	list    []mallowbridge.Instance
+	list    []router.Instance
 	listBad bool
 	lists   map[string]int
-	rosters map[string][]mallowbridge.Instance
+	rosters map[string][]router.Instance
 	changes []string
 	// failures are the last ones each node heard of, marks the lists of marks sent.
-	failures map[string]mallowbridge.Failures
+	failures map[string]router.Failures
 	marks    int
 	// frozen nodes take nothing; what is sent to them waits until they wake.
 	frozen map[string]bool
@@ -57,7 +57,7 @@
 
 // newSizedLab has so many nodes, the first of them with a disk, over domains in turn; another seed draws everything else anew.
 func newSizedLab(t *testing.T, size, disks, domains, tolerate int, seed uint64) *lab {
-	l := &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]mallowbridge.Instance{}, builds: map[string]uint32{}}
+	l := &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]router.Instance{}, builds: map[string]uint32{}}
 	for i := range size {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
@@ -107,10 +107,10 @@
 		l.readList(name)
 	}
 	for _, ev := range out.Events {
-		if r, ok := ev.(mallowbridge.ReplicaList); ok {
+		if r, ok := ev.(router.ReplicaList); ok {
 			l.rosters[name] = r.Rows
 		}
-		if f, ok := ev.(mallowbridge.Failures); ok && l.failures != nil {
+		if f, ok := ev.(router.Failures); ok && l.failures != nil {
 			l.failures[name] = f
 		}
 	}
--- a/control/list.go
+++ b/control/list.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
@@ -26,7 +26,7 @@
 )
 
 // ReplicaListItem is the gossip item with the platform's list of replicas as one node read it. It is published only when it changes.
-type ReplicaListItem struct{ Rows []mallowbridge.Instance }
+type ReplicaListItem struct{ Rows []router.Instance }
 
 // Size is about the bytes that the item takes in a message.
 func (r ReplicaListItem) Size() int { return 96 * len(r.Rows) }
@@ -45,7 +45,7 @@
 
 // ListRead is what a reading of the platform's list brought.
 type ListRead struct {
-	Rows []mallowbridge.Instance
+	Rows []router.Instance
 	Err  error
 }
 
@@ -126,7 +126,7 @@
 	if !ok || !sameInstances(it.Data.(ReplicaListItem).Rows, r.Rows) {
 		version.Hi++
 		n.Gossip.Put(gossip.Item{Key: replicaListKey, Version: version, Data: ReplicaListItem{Rows: r.Rows}})
-		n.emit(mallowbridge.ReplicaList{Rows: r.Rows})
+		n.emit(router.ReplicaList{Rows: r.Rows})
 	} else {
 		version = it.Version
 	}
@@ -134,8 +134,8 @@
 }
 
 // sameInstances ignores how long a replica stays cold, but not whether it is.
-func sameInstances(a, b []mallowbridge.Instance) bool {
-	return slices.EqualFunc(a, b, func(x, y mallowbridge.Instance) bool {
+func sameInstances(a, b []router.Instance) bool {
+	return slices.EqualFunc(a, b, func(x, y router.Instance) bool {
 		if (x.WarmingUp > 0) != (y.WarmingUp > 0) {
 			return false
 		}
@@ -144,7 +144,7 @@
 	})
 }
 
-func (n *Node) onReplicaListItem(r ReplicaListItem) { n.emit(mallowbridge.ReplicaList{Rows: r.Rows}) }
+func (n *Node) onReplicaListItem(r ReplicaListItem) { n.emit(router.ReplicaList{Rows: r.Rows}) }
 
 func (n *Node) onListConfirmation(now time.Duration, _ ListConfirmation) {
 	n.replicaList.confirmedAt = now
--- a/control/messages.go
+++ b/control/messages.go
@@ -1,6 +1,6 @@
 package control
 
-import "github.com/mallowbridge/mallowbridge"
+import "github.com/mallowbridge/mallowbridge/router"
 
 // LoadReports is the gossip item with the load of the replicas of one zone (Zone), as the node named By probed them. Urgent says that a
 // replica went up, down or began to drain since the item before.
@@ -8,7 +8,7 @@
 	Zone   string
 	By     string
 	Urgent bool
-	Rows   []mallowbridge.LoadReport
+	Rows   []router.LoadReport
 }
 
 // SentOnce says whether the item is pushed to each peer once only; urgent ones are repeated.
--- a/control/observations.go
+++ b/control/observations.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // ConnectionState is what became of a node's own idle connection to a replica.
@@ -53,10 +53,10 @@
 	seen.state, seen.at = i.State, now
 	switch i.State {
 	case Closed:
-		h.emit(mallowbridge.ReplicaSuspect{Replica: i.Replica})
+		h.emit(router.ReplicaSuspect{Replica: i.Replica})
 	case Down:
 		if before != Down {
-			h.emit(mallowbridge.LoadReport{Replica: i.Replica, Down: true})
+			h.emit(router.LoadReport{Replica: i.Replica, Down: true})
 		}
 	case Up:
 		h.observeInstance(now, seen, i.Probed)
@@ -70,14 +70,14 @@
 			seen.since = record.since
 		}
 	}
-	h.emit(mallowbridge.LoadReport{
+	h.emit(router.LoadReport{
 		Replica: p.Replica, InstanceID: p.InstanceID, Running: p.Running, Leaving: p.Draining, Own: true, Lag: p.Lag, Age: now - seen.since,
 	})
 }
 
 // accepts compares another node's report on a replica with this node's own observation, and has the replica at addr checked again where
 // they differ.
-func (h *healthChecks) accepts(now time.Duration, r mallowbridge.LoadReport, addr string) bool {
+func (h *healthChecks) accepts(now time.Duration, r router.LoadReport, addr string) bool {
 	seen := h.observations[r.Replica]
 	if seen == nil || seen.state == 0 {
 		return true
--- a/control/outputs.go
+++ b/control/outputs.go
@@ -1,8 +1,8 @@
 package control
 
 import (
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Send is a message to the node at the address To. Msg is a message of this package or a register.Message, lease.Message,
@@ -49,7 +49,7 @@
 	Sends   []Send
 	Writes  []LogWrite
 	Answers []Answer
-	Events  []mallowbridge.Event
+	Events  []router.Event
 	Probes  []Probe
 	Looks   []string
 	List    bool
--- a/control/prefill.go
+++ b/control/prefill.go
@@ -1,9 +1,9 @@
 package control
 
-import "github.com/mallowbridge/mallowbridge"
+import "github.com/mallowbridge/mallowbridge/router"
 
 // Prefills tells other nodes which long prompts were sent to which replicas.
-type Prefills struct{ Rows []mallowbridge.Prefill }
+type Prefills struct{ Rows []router.Prefill }
 
 // Since is the first build that reads the message.
 func (Prefills) Since() uint32 { return 2 }
--- a/control/replicastates.go
+++ b/control/replicastates.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/gossip"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const conflictWindow = time.Second
@@ -32,7 +32,7 @@
 
 func (n *Node) publishReplicaState(version gossip.Version, l ReplicaState) {
 	if n.Gossip.Put(gossip.Item{Key: "p/" + l.Replica, Version: version, Data: l}) {
-		n.emit(mallowbridge.Listing{Replica: l.Replica, State: l.State})
+		n.emit(router.Listing{Replica: l.Replica, State: l.State})
 	}
 }
 
@@ -44,5 +44,5 @@
 		n.publishReplicaState(version, t.row)
 		return
 	}
-	n.emit(mallowbridge.Listing{Replica: l.Replica, State: l.State})
+	n.emit(router.Listing{Replica: l.Replica, State: l.State})
 }
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func TestAFleetKilledAtOnceServesSoonAfterItIsBack(t *testing.T) {
 	l := newLab(t, 11)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(2 * time.Second)
 	if a := l.write("n7", "x"); a.Err != nil {
 		t.Fatal(a.Err)
@@ -44,7 +44,7 @@
 
 func TestFewReadTheListWhenAllStartAtOnce(t *testing.T) {
 	l := newLab(t, 40)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(900 * time.Millisecond)
 	sum := 0
 	for _, n := range l.lists {
--- a/control/updates.go
+++ b/control/updates.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (n *Node) onUpdate(now time.Duration, from string, m gossip.Update) {
@@ -90,7 +90,7 @@
 	}
 	if key := strings.Join(names, ","); key != n.serving.routers {
 		n.serving.routers = key
-		n.emit(mallowbridge.Routers{Names: names, Zones: domains})
+		n.emit(router.Routers{Names: names, Zones: domains})
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	n.applied = n.snapshot.Version
 	n.logChange("obeys", fmt.Sprintf("mark %d", n.applied))
-	n.emit(mallowbridge.SnapshotUpdate{Snapshot: n.snapshot})
+	n.emit(router.SnapshotUpdate{Snapshot: n.snapshot})
 	n.replay(now)
 }
 
@@ -136,7 +136,7 @@
 	for _, service := range n.snapshot.Config.Services {
 		for _, r := range service.Replicas {
 			if state, ok := gossiped[ReplicaState](n, "p/"+r.Name); ok {
-				n.emit(mallowbridge.Listing{Replica: state.Replica, State: state.State})
+				n.emit(router.Listing{Replica: state.Replica, State: state.State})
 			}
 		}
 	}
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (l *lab) voters() []string {
@@ -118,12 +118,12 @@
 
 func TestTheListIsReadByOneAndKnownToAll(t *testing.T) {
 	l := newLab(t, 9)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(3 * time.Second)
 	for name := range l.lists {
 		l.lists[name] = 0
 	}
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o", Draining: true}}
+	l.list = []router.Instance{{ID: "i1", Service: "o", Draining: true}}
 	l.run(1500 * time.Millisecond)
 	for _, name := range l.order {
 		if r := l.rosters[name]; len(r) != 1 || !r[0].Draining {
@@ -153,7 +153,7 @@
 
 func TestNodeWithoutConfirmationsReadsTheList(t *testing.T) {
 	l := newLab(t, 9)
-	l.list = []mallowbridge.Instance{{ID: "i1", Service: "o"}}
+	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(3 * time.Second)
 	for _, name := range l.order {
 		l.down[name] = name != "n8"
--- a/control/witness.go
+++ b/control/witness.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
@@ -65,12 +65,12 @@
 }
 
 // WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
-func WitnessOutcome(a Answer) mallowbridge.AttemptResult {
+func WitnessOutcome(a Answer) router.AttemptResult {
 	switch {
 	case a.Err != nil || a.Witnesses == TooFew:
-		return mallowbridge.Unwitnessed
+		return router.Unwitnessed
 	case a.Witnesses == AskedBefore:
-		return mallowbridge.Suppressed
+		return router.Suppressed
 	}
 	return ""
 }
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 type fleet struct {
@@ -54,11 +54,11 @@
 	}
 }
 
-func (f *fleet) ask(at, request string) (mallowbridge.AttemptResult, time.Duration) {
+func (f *fleet) ask(at, request string) (router.AttemptResult, time.Duration) {
 	return f.order(at, Witness{Request: request})
 }
 
-func (f *fleet) order(at string, op Witness) (mallowbridge.AttemptResult, time.Duration) {
+func (f *fleet) order(at string, op Witness) (router.AttemptResult, time.Duration) {
 	request := op.Request
 	f.asked++
 	id, from := f.asked, f.now
@@ -85,10 +85,10 @@
 	if how, _ := f.ask("n0", "q1"); how != "" {
 		t.Errorf("the same router again: %q", how)
 	}
-	if how, _ := f.ask("n7", "q1"); how != mallowbridge.Suppressed {
+	if how, _ := f.ask("n7", "q1"); how != router.Suppressed {
 		t.Errorf("another router: %q", how)
 	}
-	if how, _ := f.order("n7", Witness{Request: "q1", Peek: true}); how != mallowbridge.Suppressed {
+	if how, _ := f.order("n7", Witness{Request: "q1", Peek: true}); how != router.Suppressed {
 		t.Errorf("another router that peeks: %q", how)
 	}
 	if how, _ := f.order("n7", Witness{Request: "q0", Peek: true}); how != "" {
@@ -108,7 +108,7 @@
 	if how, took := f.ask(set[3].Name, "q3"); how != "" && took < witnessTimeout {
 		t.Errorf("gave up after %s", took)
 	}
-	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != mallowbridge.Unwitnessed || took < witnessTimeout || took > 2*witnessTimeout {
+	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != router.Unwitnessed || took < witnessTimeout || took > 2*witnessTimeout {
 		t.Errorf("three of six are silent: %q after %s", how, took)
 	}
 	f.mute = map[string]bool{}
--- a/daemon/coalesce.go
+++ b/daemon/coalesce.go
@@ -3,23 +3,23 @@
 import (
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // A coalescer passes events from the owner of control state to the router and never makes the former wait: an event that a later one
 // replaces is dropped.
 type coalescer struct {
-	in  chan mallowbridge.Event
-	out chan mallowbridge.Event
+	in  chan router.Event
+	out chan router.Event
 }
 
 type queued struct {
 	key string
-	ev  mallowbridge.Event
+	ev  router.Event
 }
 
-func newCoalescer(t *tomb.Tomb, to func(ev mallowbridge.Event)) *coalescer {
-	v := &coalescer{in: make(chan mallowbridge.Event), out: make(chan mallowbridge.Event)}
+func newCoalescer(t *tomb.Tomb, to func(ev router.Event)) *coalescer {
+	v := &coalescer{in: make(chan router.Event), out: make(chan router.Event)}
 	t.Go(func() error { return v.run(t) })
 	t.Go(func() error {
 		for {
@@ -37,8 +37,8 @@
 func (v *coalescer) run(t *tomb.Tomb) error {
 	var q []queued
 	for {
-		var out chan mallowbridge.Event
-		var first mallowbridge.Event
+		var out chan router.Event
+		var first router.Event
 		if len(q) > 0 {
 			out, first = v.out, q[0].ev
 		}
@@ -53,7 +53,7 @@
 	}
 }
 
-func enqueue(q []queued, ev mallowbridge.Event) []queued {
+func enqueue(q []queued, ev router.Event) []queued {
 	key := keyOf(ev)
 	for i := range q {
 		if q[i].key == key {
@@ -65,29 +65,29 @@
 }
 
 // keyOf names what a later event of the same key makes void; its order is the order for a newcomer.
-func keyOf(ev mallowbridge.Event) string {
+func keyOf(ev router.Event) string {
 	switch e := ev.(type) {
-	case mallowbridge.SnapshotUpdate:
+	case router.SnapshotUpdate:
 		return "0"
-	case mallowbridge.Routers:
+	case router.Routers:
 		return "1"
-	case mallowbridge.LoadReport:
+	case router.LoadReport:
 		return "2" + e.Replica
-	case mallowbridge.Listing:
+	case router.Listing:
 		return "3" + e.Replica
-	case mallowbridge.ReplicaList:
+	case router.ReplicaList:
 		return "1r"
-	case mallowbridge.ControlStatus:
+	case router.ControlStatus:
 		return "4"
-	case mallowbridge.ReplicaSuspect:
+	case router.ReplicaSuspect:
 		return "5" + e.Replica
-	case mallowbridge.Failures:
+	case router.Failures:
 		return "6" + e.By
 	}
 	return ""
 }
 
-func (h *Daemon) notify(ev mallowbridge.Event) {
+func (h *Daemon) notify(ev router.Event) {
 	select {
 	case h.coalescer.in <- ev:
 	case <-h.Tomb.Dying():
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -6,29 +6,29 @@
 
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func TestABusyMarketNeverStopsControl(t *testing.T) {
-	tb, busy, took := &tomb.Tomb{}, make(chan struct{}), make(chan mallowbridge.Event, 4096)
-	v := newCoalescer(tb, func(ev mallowbridge.Event) {
+	tb, busy, took := &tomb.Tomb{}, make(chan struct{}), make(chan router.Event, 4096)
+	v := newCoalescer(tb, func(ev router.Event) {
 		<-busy
 		took <- ev
 	})
 	for i := range 20000 {
-		v.in <- mallowbridge.LoadReport{Replica: fmt.Sprint(i % 50), Running: i}
-		v.in <- mallowbridge.ReplicaSuspect{Replica: "7"}
+		v.in <- router.LoadReport{Replica: fmt.Sprint(i % 50), Running: i}
+		v.in <- router.ReplicaSuspect{Replica: "7"}
 	}
 	close(busy)
 	last := map[string]int{}
 	n := 0
 	for last["49"] != 19999 {
 		n++
-		if u, ok := (<-took).(mallowbridge.LoadReport); ok {
+		if u, ok := (<-took).(router.LoadReport); ok {
 			last[u.Replica] = u.Running
 		}
 	}
@@ -44,12 +44,12 @@
 func TestFollowerOfManyReplicasGetsAllState(t *testing.T) {
 	fs := newFollowers(&Daemon{})
 	for i := range 3000 {
-		fs.tell(mallowbridge.LoadReport{Replica: fmt.Sprint(i)})
+		fs.tell(router.LoadReport{Replica: fmt.Sprint(i)})
 	}
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	fs.join(f, nil)
-	fs.tell(mallowbridge.ControlStatus{})
-	if last := (<-f.q).(mallowbridge.Numbered); len(f.first) != 3001 || last.N != 3000 {
+	fs.tell(router.ControlStatus{})
+	if last := (<-f.q).(router.Numbered); len(f.first) != 3001 || last.N != 3000 {
 		t.Errorf("%d at the start, then number %d", len(f.first), last.N)
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -6,15 +6,15 @@
 	"github.com/phuslu/log"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
 const (
 	ticks       = 50 * time.Millisecond
-	routerTicks = mallowbridge.Idle
+	routerTicks = router.Idle
 	// isolatedFeedTimeout keeps the scheduler serving over a freeze, where serving by an old snapshot is allowed.
 	isolatedFeedTimeout = time.Minute
 )
@@ -25,7 +25,7 @@
 	// Tomb ends all goroutines of the daemon.
 	Tomb *tomb.Tomb
 	Log  *log.Logger
-	Loop *mallowbridge.RouterLoop
+	Loop *router.Loop
 	Net  *transport.Net
 	// FrontendID names this process of the node in answers to clients.
 	FrontendID string
@@ -39,7 +39,7 @@
 	unsubscribe chan *follower
 	snapshots   chan *config.Snapshot
 	looks       chan string
-	prefills    chan mallowbridge.Prefill
+	prefills    chan router.Prefill
 	coalescer   *coalescer
 	node        *control.Node
 	journal     *control.Journal
@@ -105,13 +105,13 @@
 		h.Net.Send(s.To, s.Msg)
 	}
 	for _, ev := range out.Events {
-		if p, is := ev.(mallowbridge.Prefill); is {
+		if p, is := ev.(router.Prefill); is {
 			h.Loop.NotifyIfIdle(p)
 			continue
 		}
 		h.notify(ev)
 		fs.tell(ev)
-		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
+		if o, ok := ev.(router.SnapshotUpdate); ok {
 			h.offerSnapshot(o.Snapshot)
 			if h.onSnapshot != nil {
 				h.onSnapshot(o.Snapshot)
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -23,18 +23,18 @@
 type followers struct {
 	daemon *Daemon
 	all    []*follower
-	last   map[string]mallowbridge.Event
+	last   map[string]router.Event
 }
 
 func newFollowers(h *Daemon) *followers {
-	return &followers{daemon: h, last: map[string]mallowbridge.Event{}}
+	return &followers{daemon: h, last: map[string]router.Event{}}
 }
 
-func (fs *followers) tell(ev mallowbridge.Event) {
+func (fs *followers) tell(ev router.Event) {
 	switch e := ev.(type) {
-	case mallowbridge.Failures:
-	case mallowbridge.ReplicaSuspect:
-		delete(fs.last, keyOf(mallowbridge.LoadReport{Replica: e.Replica}))
+	case router.Failures:
+	case router.ReplicaSuspect:
+		delete(fs.last, keyOf(router.LoadReport{Replica: e.Replica}))
 	default:
 		fs.last[keyOf(ev)] = ev
 	}
@@ -43,9 +43,9 @@
 	}
 }
 
-func (f *follower) send(ev mallowbridge.Event) {
+func (f *follower) send(ev router.Event) {
 	select {
-	case f.q <- mallowbridge.Numbered{N: f.n, Event: ev}:
+	case f.q <- router.Numbered{N: f.n, Event: ev}:
 	default:
 	}
 	f.n++
@@ -58,9 +58,9 @@
 	}
 	for f.id = 1; taken[f.id]; f.id++ {
 	}
-	f.first = append(f.first, mallowbridge.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Zone: fs.daemon.Settings.Zone, Boot: fs.daemon.boot})
+	f.first = append(f.first, router.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Zone: fs.daemon.Settings.Zone, Boot: fs.daemon.boot})
 	for _, key := range sortedKeys(fs.last) {
-		f.first = append(f.first, mallowbridge.Numbered{N: f.n, Event: fs.last[key]})
+		f.first = append(f.first, router.Numbered{N: f.n, Event: fs.last[key]})
 		f.n++
 	}
 	close(f.ready)
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func address(t *testing.T) string {
@@ -51,8 +52,8 @@
 	}
 	tb := &tomb.Tomb{}
 	marks, names := make(chan uint64, 64), make(chan string, 64)
-	mallowbridge.Follow(tb, addr, "program", func(w mallowbridge.Welcome) { names <- w.Self }, func(ev mallowbridge.Event) {
-		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
+	mallowbridge.Follow(tb, addr, "program", func(w router.Welcome) { names <- w.Self }, func(ev router.Event) {
+		if o, ok := ev.(router.SnapshotUpdate); ok {
 			marks <- o.Snapshot.Version
 		}
 	})
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const (
@@ -18,7 +18,7 @@
 	probeBytes   = 64 << 10
 )
 
-func sortedKeys(m map[string]mallowbridge.Event) []string {
+func sortedKeys(m map[string]router.Event) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -8,8 +8,8 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Settings are the daemon's settings file and command line: the role ("core" or "edge") and name of the node, the addresses of the node
@@ -28,7 +28,7 @@
 	// Read reads the operators' document; nil: config.Documents.Read.
 	Read config.Reader
 	// List reads the platform's list of replicas every ListEvery; nil: there is none.
-	List      func() ([]mallowbridge.Instance, error)
+	List      func() ([]router.Instance, error)
 	ListEvery time.Duration
 	// FaultTolerance, Bootstraps and ServesIsolated: see control.Config.
 	FaultTolerance             int
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -10,11 +10,11 @@
 	"github.com/phuslu/log"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/storage"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
@@ -44,7 +44,7 @@
 	if cfg.Disk, err = h.openDisk(); err != nil {
 		return nil, err
 	}
-	h.Loop = mallowbridge.NewRouterLoop(t, mallowbridge.New(h.routerConfig()), Clock, routerTicks)
+	h.Loop = router.NewLoop(t, router.New(h.routerConfig()), Clock, routerTicks)
 	h.Loop.OnPrefill(h.forwardPrefill)
 	h.coalescer = newCoalescer(t, h.Loop.Notify)
 	h.node = control.New(Clock(), cfg)
@@ -77,7 +77,7 @@
 		unsubscribe: make(chan *follower),
 		snapshots:   make(chan *config.Snapshot, 1),
 		looks:       make(chan string, 64),
-		prefills:    make(chan mallowbridge.Prefill, prefillQueue),
+		prefills:    make(chan router.Prefill, prefillQueue),
 		boot:        boot,
 	}
 }
@@ -103,9 +103,9 @@
 	}
 }
 
-func (h *Daemon) routerConfig() mallowbridge.Config {
+func (h *Daemon) routerConfig() router.Config {
 	s := h.Settings
-	cfg := mallowbridge.Defaults(s.Name, h.boot, s.Zone)
+	cfg := router.Defaults(s.Name, h.boot, s.Zone)
 	cfg.Scheduler.QueueLimit = s.Backlog
 	if s.Host.ServesIsolated {
 		cfg.Scheduler.FeedTimeout = isolatedFeedTimeout
--- a/doc.go
+++ b/doc.go
@@ -1,4 +1,6 @@
-// Package mallowbridge is a router for replicas of a language model that a program can embed. A Router takes typed events (arrivals,
-// answers, changes of replicas, configurations) and returns decisions: which replica serves which request, and which requests are
-// rejected. A RouterLoop is the goroutine that owns a Router; Follow and Embed connect it to the node's daemon.
+// Package mallowbridge lets a program embed a router for replicas of a language model. Embed connects a Router to the daemon of its
+// node: it gets the same configurations, replicas and fleet as the daemon, and its share of shared bounds. The program sends the requests
+// itself, as the Router decides, and tells it what happened.
+//
+// A Router is safe for concurrent use. It ends with its tomb.
 package mallowbridge
--- a/embed.go
+++ b/embed.go
@@ -6,16 +6,18 @@
 	"time"
 
 	"gopkg.in/tomb.v2"
+
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Embed gives a caller's program its own router, which follows the daemon at addr (host:port) until the tomb dies. name is unique among
 // the daemon's followers; zone is used until the daemon has told its own.
-func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) *RouterLoop {
+func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) *Router {
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
 		panic(err)
 	}
-	l := NewRouterLoop(t, New(Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, Idle)
-	Follow(t, addr, name, func(w Welcome) { l.Notify(w) }, l.Notify)
+	l := router.NewLoop(t, router.New(router.Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, router.Idle)
+	Follow(t, addr, name, func(w router.Welcome) { l.Notify(w) }, l.Notify)
 	return l
 }
--- a/follow.go
+++ b/follow.go
@@ -8,18 +8,10 @@
 	"github.com/gravitational/trace"
 	"gopkg.in/tomb.v2"
 
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// Welcome is a daemon's first event on a connection: its name, its zone and what is new at each of its starts.
-type Welcome struct{ Self, Zone, Boot string }
-
-// Numbered is an event with its place in the order, from 0 on each connection.
-type Numbered struct {
-	N     uint64
-	Event Event
-}
-
 // GapError says that events of a daemon were lost on the way.
 type GapError struct{ Got, Want uint64 }
 
@@ -36,7 +28,7 @@
 
 // Follow keeps one connection to the daemon at addr until the tomb dies, and passes on its snapshot, then its changes, to feed. A lost
 // connection or a gap starts over with a new snapshot; start is called for each.
-func Follow(t *tomb.Tomb, addr, name string, start func(w Welcome), feed func(ev Event)) {
+func Follow(t *tomb.Tomb, addr, name string, start func(w router.Welcome), feed func(ev router.Event)) {
 	t.Go(func() error {
 		for t.Alive() {
 			_ = followOnce(t, addr, name, start, feed)
@@ -49,7 +41,7 @@
 	})
 }
 
-func followOnce(t *tomb.Tomb, addr, name string, start func(w Welcome), feed func(ev Event)) error {
+func followOnce(t *tomb.Tomb, addr, name string, start func(w router.Welcome), feed func(ev router.Event)) error {
 	conn, err := net.DialTimeout("tcp", addr, followRetry)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -72,7 +64,7 @@
 }
 
 // readEvents passes on what comes until the connection ends or an event is missing.
-func readEvents(conn net.Conn, r *transport.Reader, start func(w Welcome), feed func(ev Event)) error {
+func readEvents(conn net.Conn, r *transport.Reader, start func(w router.Welcome), feed func(ev router.Event)) error {
 	for due := uint64(0); ; {
 		_ = conn.SetReadDeadline(time.Now().Add(followTimeout))
 		msg, err := r.Next()
@@ -80,9 +72,9 @@
 			return err
 		}
 		switch m := msg.(type) {
-		case Welcome:
+		case router.Welcome:
 			start(m)
-		case Numbered:
+		case router.Numbered:
 			if m.N != due {
 				return trace.Wrap(&GapError{Got: m.N, Want: due})
 			}
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -10,12 +10,12 @@
 
 	"github.com/uptrace/bunrouter"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // AskWitnesses tells how an attempt ends before it is sent, or "" when it may be sent. spare is how long the witnesses may take
 // without harm; poll asks early, for a request that has no attempt yet.
-type AskWitnesses func(request string, margin time.Duration, poll bool) mallowbridge.AttemptResult
+type AskWitnesses func(request string, margin time.Duration, poll bool) router.AttemptResult
 
 // Limits bound what clients may send and how long replicas and clients may take.
 type Limits struct {
@@ -50,7 +50,7 @@
 // Frontend serves requests to offers: POST /v1/offers/:offer/:kind. Each request runs in its own goroutine and asks the node's router
 // through its RouterLoop.
 type Frontend struct {
-	router  *mallowbridge.RouterLoop
+	router  *router.Loop
 	witness AskWitnesses
 	limits  Limits
 	// NodeID is the node's name and boot, which answers carry in X-Node.
@@ -62,8 +62,8 @@
 }
 
 // New gives a frontend that is open.
-func New(router *mallowbridge.RouterLoop, witness AskWitnesses, limits Limits) *Frontend {
-	return &Frontend{router: router, witness: witness, limits: limits, slots: make(chan struct{}, limits.MaxStreams)}
+func New(loop *router.Loop, witness AskWitnesses, limits Limits) *Frontend {
+	return &Frontend{router: loop, witness: witness, limits: limits, slots: make(chan struct{}, limits.MaxStreams)}
 }
 
 // StopAdmitting has new requests rejected from now on.
@@ -136,26 +136,26 @@
 
 func (f *Frontend) bad(x *Exchange, status int, why string) bool {
 	f.Counters.Bad.Add(1)
-	f.answer(x, status, Answer{Outcome: mallowbridge.OutcomeBad, Why: why}, 0)
+	f.answer(x, status, Answer{Outcome: router.OutcomeBad, Why: why}, 0)
 	return true
 }
 
 func (f *Frontend) reject(x *Exchange, why string, after time.Duration) bool {
 	f.Counters.Rejected.Add(1)
-	f.answer(x, http.StatusServiceUnavailable, Answer{Outcome: mallowbridge.OutcomeRejected, Why: why}, after)
+	f.answer(x, http.StatusServiceUnavailable, Answer{Outcome: router.OutcomeRejected, Why: why}, after)
 	return true
 }
 
 func (f *Frontend) rejectRepeated(x *Exchange, why string) bool {
 	f.Counters.RejectedRepeated.Add(1)
-	f.answer(x, http.StatusConflict, Answer{Outcome: mallowbridge.OutcomeRepeat, Why: why}, 0)
+	f.answer(x, http.StatusConflict, Answer{Outcome: router.OutcomeRepeat, Why: why}, 0)
 	return true
 }
 
 // turnAway rejects a request that was not passed to the router, unless this node sent it before.
 func (f *Frontend) turnAway(x *Exchange, why string) bool {
 	had := ""
-	f.router.Inspect(func(r *mallowbridge.Router) { had = r.AlreadyRan(x.r.Param("offer"), x.r.Param("kind"), x.request) })
+	f.router.Inspect(func(r *router.Router) { had = r.AlreadyRan(x.r.Param("offer"), x.r.Param("kind"), x.request) })
 	if had != "" {
 		return f.rejectRepeated(x, had)
 	}
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -16,10 +16,10 @@
 	"github.com/uptrace/bunrouter"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/ledger"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/sim"
 	"github.com/mallowbridge/mallowbridge/standin"
 )
@@ -28,7 +28,7 @@
 	t     *testing.T
 	addrs []string
 	logs  [2]bytes.Buffer
-	desk  *mallowbridge.RouterLoop
+	desk  *router.Loop
 	gate  *httpapi.Frontend
 	srv   *httptest.Server
 	tomb  *tomb.Tomb
@@ -36,9 +36,9 @@
 }
 
 func (r *rig) later(d time.Duration) {
-	r.desk.Inspect(func(*mallowbridge.Router) {})
+	r.desk.Inspect(func(*router.Router) {})
 	r.now.Add(int64(d))
-	r.desk.Notify(mallowbridge.ControlStatus{})
+	r.desk.Notify(router.ControlStatus{})
 }
 
 func newRig(t *testing.T, first bool) *rig {
@@ -61,16 +61,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk = mallowbridge.NewRouterLoop(r.tomb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), clock, time.Millisecond)
-	for _, ev := range []mallowbridge.Event{
-		mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}}, mallowbridge.Routers{Names: []string{"n1"}}, mallowbridge.ControlStatus{},
-		mallowbridge.LoadReport{Replica: "r1", InstanceID: "i1"}, mallowbridge.LoadReport{Replica: "r2", InstanceID: "i2"},
+	r.desk = router.NewLoop(r.tomb, router.New(router.Defaults("n1", "b", "a")), clock, time.Millisecond)
+	for _, ev := range []router.Event{
+		router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}}, router.Routers{Names: []string{"n1"}}, router.ControlStatus{},
+		router.LoadReport{Replica: "r1", InstanceID: "i1"}, router.LoadReport{Replica: "r2", InstanceID: "i2"},
 	} {
 		r.desk.Notify(ev)
 	}
 	r.later(3 * time.Second)
-	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) mallowbridge.AttemptResult {
-		return map[bool]mallowbridge.AttemptResult{true: "", false: mallowbridge.Suppressed}[first]
+	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) router.AttemptResult {
+		return map[bool]router.AttemptResult{true: "", false: router.Suppressed}[first]
 	}, httpapi.DefaultLimits(4096, 2))
 	r.gate.NodeID = "n1.b"
 	mux := bunrouter.New()
@@ -179,8 +179,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Notify(mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 2, Config: c}})
-	r.desk.Notify(mallowbridge.LoadReport{Replica: "r9", InstanceID: "i9"})
+	r.desk.Notify(router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 2, Config: c}})
+	r.desk.Notify(router.LoadReport{Replica: "r9", InstanceID: "i9"})
 	r.later(3 * time.Second)
 	if g := r.ask("once", "q1"); g.Outcome != "done" {
 		t.Errorf("%s, though nothing had left for the dead replica", g.Outcome)
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -5,8 +5,8 @@
 
 	"github.com/uptrace/bunrouter"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 type healthAnswer struct {
@@ -25,7 +25,7 @@
 func (o *Operations) readiness(w http.ResponseWriter, _ bunrouter.Request) error {
 	why := "draining"
 	if o.Frontend.Open() {
-		o.Frontend.router.Inspect(func(r *mallowbridge.Router) { why = r.Ready(o.Clock()) })
+		o.Frontend.router.Inspect(func(r *router.Router) { why = r.Ready(o.Clock()) })
 	}
 	if why != "" {
 		w.Header().Set("Retry-After", "1")
@@ -42,12 +42,12 @@
 
 func (o *Operations) counters(w http.ResponseWriter, _ bunrouter.Request) error {
 	c := map[string]uint64{}
-	router := o.Router
+	loop := o.Router
 	if o.Frontend != nil {
 		o.Frontend.count(c)
-		router = o.Frontend.router
+		loop = o.Frontend.router
 	}
-	router.Inspect(func(r *mallowbridge.Router) { count(c, r) })
+	loop.Inspect(func(r *router.Router) { count(c, r) })
 	if o.Extra != nil {
 		for k, v := range o.Extra() {
 			c[k] = v
@@ -64,7 +64,7 @@
 	c["gate.bad"], c["gate.hangups"], c["gate.breaks"] = n.Bad.Load(), n.Hangups.Load(), n.Breaks.Load()
 }
 
-func count(c map[string]uint64, r *mallowbridge.Router) {
+func count(c map[string]uint64, r *router.Router) {
 	m := r.Counters()
 	h, t := r.IndexStats()
 	early, stale := r.Alerts()
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -10,10 +10,10 @@
 
 	"github.com/uptrace/bunrouter"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Control is the node's control side: the daemon. Call gives an operation and waits for its answer; Look calls look in the goroutine that
@@ -28,7 +28,7 @@
 type Operations struct {
 	Control  Control
 	Frontend *Frontend
-	Router   *mallowbridge.RouterLoop
+	Router   *router.Loop
 	Clock    func() time.Duration
 	Extra    func() map[string]uint64
 }
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -11,7 +11,7 @@
 	"net/url"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // headBytes bounds the head of a replica's answer.
@@ -20,17 +20,17 @@
 // replicaConn is one attempt at a replica: a connection of its own, whose goroutine reports to the session what happens on it.
 type replicaConn struct {
 	frontend  *Frontend
-	placement mallowbridge.Decision
+	placement router.Decision
 	exchange  *Exchange
-	events    chan mallowbridge.ConnectionEvent
-	orders    chan mallowbridge.ActionKind
+	events    chan router.ConnectionEvent
+	orders    chan router.ActionKind
 	quit      chan struct{}
 }
 
 // connect starts an attempt; stop ends it at once.
-func (f *Frontend) connect(x *Exchange, place mallowbridge.Decision) *replicaConn {
+func (f *Frontend) connect(x *Exchange, place router.Decision) *replicaConn {
 	c := &replicaConn{
-		frontend: f, placement: place, exchange: x, events: make(chan mallowbridge.ConnectionEvent), orders: make(chan mallowbridge.ActionKind, 2), quit: make(chan struct{}),
+		frontend: f, placement: place, exchange: x, events: make(chan router.ConnectionEvent), orders: make(chan router.ActionKind, 2), quit: make(chan struct{}),
 	}
 	go c.run()
 	return c
@@ -39,7 +39,7 @@
 func (c *replicaConn) stop() { close(c.quit) }
 
 // report gives the session an event; it is not ok once the attempt was stopped.
-func (c *replicaConn) report(s mallowbridge.ConnectionEvent) bool {
+func (c *replicaConn) report(s router.ConnectionEvent) bool {
 	select {
 	case c.events <- s:
 		return true
@@ -51,7 +51,7 @@
 func (c *replicaConn) run() {
 	conn, err := net.DialTimeout("tcp", c.placement.Addr, c.frontend.limits.Dial)
 	if err != nil {
-		c.report(mallowbridge.ConnectResult{AttemptID: c.placement.AttemptID})
+		c.report(router.ConnectResult{AttemptID: c.placement.AttemptID})
 		return
 	}
 	done := make(chan struct{})
@@ -63,7 +63,7 @@
 		}
 		_ = conn.Close()
 	}()
-	if !c.report(mallowbridge.ConnectResult{AttemptID: c.placement.AttemptID, OK: true}) {
+	if !c.report(router.ConnectResult{AttemptID: c.placement.AttemptID, OK: true}) {
 		return
 	}
 	c.perform(conn)
@@ -74,13 +74,13 @@
 	for {
 		select {
 		case order := <-c.orders:
-			if order == mallowbridge.Write {
+			if order == router.Write {
 				_ = c.sendAndRead(conn)
-				c.report(mallowbridge.ConnectionLost{AttemptID: c.placement.AttemptID})
+				c.report(router.ConnectionLost{AttemptID: c.placement.AttemptID})
 				return
 			}
 			how := c.frontend.witness(c.exchange.request, c.placement.SpareTime, false)
-			if !c.report(mallowbridge.WitnessesAnswered{AttemptID: c.placement.AttemptID, Result: how}) {
+			if !c.report(router.WitnessesAnswered{AttemptID: c.placement.AttemptID, Result: how}) {
 				return
 			}
 		case <-c.quit:
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	replied := mallowbridge.Replied{AttemptID: c.placement.AttemptID, Attempt: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
+	replied := router.Replied{AttemptID: c.placement.AttemptID, Attempt: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
 	if !c.report(replied) {
 		return nil
 	}
@@ -133,11 +133,11 @@
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		var l mallowbridge.AnswerLine
+		var l router.AnswerLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return err
 		}
-		if !c.report(mallowbridge.AnswerRead{AttemptID: c.placement.AttemptID, Line: l}) {
+		if !c.report(router.AnswerRead{AttemptID: c.placement.AttemptID, Line: l}) {
 			return nil
 		}
 	}
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // bytesPerToken reckons the tokens of a body.
@@ -16,10 +16,10 @@
 type session struct {
 	frontend *Frontend
 	exchange *Exchange
-	request  mallowbridge.RequestFlow
+	request  router.RequestFlow
 	conn     *replicaConn
 	began    bool
-	polled   chan mallowbridge.AttemptResult
+	polled   chan router.AttemptResult
 	enc      *json.Encoder
 	ctl      *http.ResponseController
 }
@@ -27,35 +27,35 @@
 // route is the last filter: it runs the request to its end.
 func (f *Frontend) route(x *Exchange) bool {
 	s := &session{
-		frontend: f, exchange: x, request: mallowbridge.RequestFlow{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
-		polled: make(chan mallowbridge.AttemptResult, 1),
+		frontend: f, exchange: x, request: router.RequestFlow{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
+		polled: make(chan router.AttemptResult, 1),
 	}
 	defer s.drop()
 	defer func() { _ = s.ctl.SetWriteDeadline(time.Time{}) }()
-	s.run(f.router.Submit(mallowbridge.Arrive{
+	s.run(f.router.Submit(router.Arrive{
 		Request: x.request, Service: x.r.Param("offer"), Class: x.r.Param("kind"), Prefix: x.prefix, Tail: len(x.body) / bytesPerToken,
 	}))
 	return true
 }
 
-func (s *session) run(decisions <-chan mallowbridge.Decision) {
+func (s *session) run(decisions <-chan router.Decision) {
 	for final := false; !final; {
-		var events chan mallowbridge.ConnectionEvent
+		var events chan router.ConnectionEvent
 		if s.conn != nil {
 			events = s.conn.events
 		}
 		select {
 		case <-s.exchange.r.Context().Done():
 			s.frontend.Counters.Hangups.Add(1)
-			s.perform(s.request.Happened(mallowbridge.ClientClosed{}))
+			s.perform(s.request.Happened(router.ClientClosed{}))
 			return
 		case d, ok := <-decisions:
 			if !ok {
-				d = mallowbridge.Decision{Verdict: mallowbridge.Unknown, Reason: "node is stopping"}
+				d = router.Decision{Verdict: router.Unknown, Reason: "node is stopping"}
 			}
 			final = s.perform(s.request.Decided(d))
 		case how := <-s.polled:
-			final = s.perform(s.request.Happened(mallowbridge.WitnessesAnswered{Result: how}))
+			final = s.perform(s.request.Happened(router.WitnessesAnswered{Result: how}))
 		case event := <-events:
 			final = s.perform(s.request.Happened(event))
 		}
@@ -70,25 +70,25 @@
 }
 
 // perform does the moves in order and tells whether the request has ended.
-func (s *session) perform(actions []mallowbridge.Action) bool {
+func (s *session) perform(actions []router.Action) bool {
 	for _, m := range actions {
 		switch m.Kind {
-		case mallowbridge.Connect:
+		case router.Connect:
 			s.conn = s.frontend.connect(s.exchange, m.Placement)
-		case mallowbridge.AskWitnesses, mallowbridge.Write:
+		case router.AskWitnesses, router.Write:
 			s.conn.orders <- m.Kind
-		case mallowbridge.AskWitnessesEarly:
+		case router.AskWitnessesEarly:
 			go func() { s.polled <- s.frontend.witness(s.exchange.request, 0, true) }()
-		case mallowbridge.Disconnect:
+		case router.Disconnect:
 			s.drop()
-		case mallowbridge.NotifyRouter:
-			if e, ok := m.Event.(mallowbridge.AttemptEnded); ok && e.Result == mallowbridge.Failed {
+		case router.NotifyRouter:
+			if e, ok := m.Event.(router.AttemptEnded); ok && e.Result == router.Failed {
 				s.frontend.Counters.Breaks.Add(1)
 			}
 			s.frontend.router.Notify(m.Event)
-		case mallowbridge.PassLine:
+		case router.PassLine:
 			s.pass(m)
-		case mallowbridge.Finish:
+		case router.Finish:
 			s.close(m.Placement, m.Outcome)
 			return true
 		}
@@ -96,28 +96,28 @@
 	return false
 }
 
-func (s *session) close(d mallowbridge.Decision, outcome string) {
+func (s *session) close(d router.Decision, outcome string) {
 	f, x := s.frontend, s.exchange
 	switch outcome {
-	case mallowbridge.OutcomeBad:
+	case router.OutcomeBad:
 		f.bad(x, http.StatusNotFound, d.Reason)
-	case mallowbridge.OutcomeRepeat:
+	case router.OutcomeRepeat:
 		f.rejectRepeated(x, d.Reason)
-	case mallowbridge.OutcomeRejected:
+	case router.OutcomeRejected:
 		f.reject(x, d.Reason, d.RetryAfter)
-	case mallowbridge.OutcomeUnknown:
+	case router.OutcomeUnknown:
 		f.Counters.Unknown.Add(1)
 		f.answer(x, http.StatusBadGateway, Answer{Outcome: outcome, Attempt: d.AttemptID, Why: d.Reason}, d.RetryAfter)
-	case mallowbridge.OutcomePartial:
+	case router.OutcomePartial:
 		f.Counters.Partial.Add(1)
 		panic(http.ErrAbortHandler)
-	case mallowbridge.OutcomeDone:
+	case router.OutcomeDone:
 		f.Counters.Done.Add(1)
 	}
 }
 
 // pass sends a line to the client. A client that does not take it is gone.
-func (s *session) pass(m mallowbridge.Action) {
+func (s *session) pass(m router.Action) {
 	if !s.began {
 		s.began = true
 		h := s.exchange.w.Header()
@@ -128,7 +128,7 @@
 	}
 	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.Write))
 	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
-		s.perform(s.request.Happened(mallowbridge.ClientClosed{}))
+		s.perform(s.request.Happened(router.ClientClosed{}))
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/proxy/action.go
+++ b/proxy/action.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // ActionKind names a step that an exchange asks for.
@@ -51,7 +51,7 @@
 // Action is one step for the transfer: Event belongs to NotifyRouter; Outcome, Reason and RetryAfter (when the client may come back) to Finish.
 type Action struct {
 	Kind       ActionKind
-	Event      mallowbridge.Event
+	Event      router.Event
 	Outcome    Outcome
 	Reason     string
 	RetryAfter time.Duration
@@ -73,7 +73,7 @@
 	Foreign, NotRun, Open, Bare bool
 	Stream                      bool
 	Instance                    string
-	Load                        *mallowbridge.Load
+	Load                        *router.Load
 }
 
 // Begun tells that the head is passed on before the answer is whole.
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (x *transfer) replied(resp *http.Response) Replied {
@@ -30,7 +30,7 @@
 	x.stream = s.Stream
 	if v := first(resp.Header, h.Load); v != "" && h.ParseLoad != nil {
 		if running, queued, slots, ok := h.ParseLoad(v); ok {
-			s.Load = &mallowbridge.Load{Replica: place.Replica, Running: running, Queued: queued, Slots: slots}
+			s.Load = &router.Load{Replica: place.Replica, Running: running, Queued: queued, Slots: slots}
 		}
 	}
 	return s
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -6,16 +6,16 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 var (
 	safe    = &config.Route{Repeatable: true, Timeout: time.Minute, Priority: 3}
 	unsafe  = &config.Route{Timeout: time.Minute}
 	streams = &config.Route{Streaming: true, Resumable: true, Timeout: time.Minute}
-	unknown = mallowbridge.Decision{Verdict: mallowbridge.Unknown}
-	partial = mallowbridge.Decision{Verdict: mallowbridge.Partial}
+	unknown = router.Decision{Verdict: router.Unknown}
+	partial = router.Decision{Verdict: router.Partial}
 )
 
 func TestPassesBytesAndKeepsConnections(t *testing.T) {
@@ -23,26 +23,26 @@
 	m := newStubRouter(unknown, replica.place(safe))
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "some body")
-	connRequest(t, "status", r.status, 200)
-	connRequest(t, "body", r.body, "hello")
-	connRequest(t, "seal", r.header.Get("X-Seal")+r.header.Get("X-Own")+r.header.Get("Content-Type"), "s1v")
-	connRequest(t, "events", m.notified(), "ReadyToSend Load AnswerHead AttemptEnded(whole)")
+	want(t, "status", r.status, 200)
+	want(t, "body", r.body, "hello")
+	want(t, "seal", r.header.Get("X-Seal")+r.header.Get("X-Own")+r.header.Get("Content-Type"), "s1v")
+	want(t, "events", m.notified(), "ReadyToSend Load AnswerHead AttemptEnded(whole)")
 	a := <-m.arrived
-	connRequest(t, "arrival", a.Host+" "+a.Path+" "+a.Timeout.String(), "some.example /a/b%2Fc 1m0s")
+	want(t, "arrival", a.Host+" "+a.Path+" "+a.Timeout.String(), "some.example /a/b%2Fc 1m0s")
 	g := <-replica.got
-	connRequest(t, "request line", strings.SplitN(g.raw, "\r\n", 2)[0], "POST /a/b%2Fc?x=1%20y HTTP/1.1")
-	connRequest(t, "host", g.req.Host, "Some.example:80")
-	connRequest(t, "body", g.body, "some body")
-	connRequest(t, "target and rank", g.req.Header.Get("X-Target")+" "+g.req.Header.Get("X-Rank"), "i1 3")
+	want(t, "request line", strings.SplitN(g.raw, "\r\n", 2)[0], "POST /a/b%2Fc?x=1%20y HTTP/1.1")
+	want(t, "host", g.req.Host, "Some.example:80")
+	want(t, "body", g.body, "some body")
+	want(t, "target and rank", g.req.Header.Get("X-Target")+" "+g.req.Header.Get("X-Rank"), "i1 3")
 	left, err := strconv.Atoi(g.req.Header.Get("X-Wait-Ms"))
 	if err != nil || left > 60000 || left < 40000 {
 		t.Errorf("deadline is %q", g.req.Header.Get("X-Wait-Ms"))
 	}
 	r = call(t, url, "id2", "")
-	connRequest(t, "answer", strconv.Itoa(r.status)+r.body, "500bad")
-	connRequest(t, "connection", (<-replica.got).conn, 1)
-	connRequest(t, "reused", p.Counters.Reused.Load(), 1)
-	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole)")
+	want(t, "answer", strconv.Itoa(r.status)+r.body, "500bad")
+	want(t, "connection", (<-replica.got).conn, 1)
+	want(t, "reused", p.Counters.Reused.Load(), 1)
+	want(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole)")
 }
 
 func TestSurplusAnswerIsNotTakenForTheNext(t *testing.T) {
@@ -57,10 +57,10 @@
 	replica := newReplica(t, twice, lateAnswer, say("200 OK", "", "right"))
 	m := newStubRouter(unknown, replica.place(safe), replica.place(safe))
 	p, url := serve(t, m)
-	connRequest(t, "first", call(t, url, "id1", "").body, "hello")
-	connRequest(t, "second", call(t, url, "id2", "").body, "right")
-	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AttemptEnded(broken) ReadyToSend AnswerHead AttemptEnded(whole)")
-	connRequest(t, "connections", len(replica.conn), 3)
+	want(t, "first", call(t, url, "id1", "").body, "hello")
+	want(t, "second", call(t, url, "id2", "").body, "right")
+	want(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AttemptEnded(broken) ReadyToSend AnswerHead AttemptEnded(whole)")
+	want(t, "connections", len(replica.conn), 3)
 	if p.Counters.Surplus.Load()+p.Counters.Stale.Load() < 2 {
 		t.Errorf("surplus %d, stale %d", p.Counters.Surplus.Load(), p.Counters.Stale.Load())
 	}
@@ -77,9 +77,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			replica := newReplica(t, func(got) (string, bool) { return bytes, true })
-			m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: time.Second}, replica.place(unsafe))
+			m := newStubRouter(router.Decision{Verdict: router.Reject, RetryAfter: time.Second}, replica.place(unsafe))
 			_, url := serve(t, m)
-			connRequest(t, "status", call(t, url, "id1", "").status, 502)
+			want(t, "status", call(t, url, "id1", "").status, 502)
 			if kinds := m.notified(); !strings.HasSuffix(kinds, "AttemptEnded(broken)") {
 				t.Errorf("events %s", kinds)
 			}
@@ -90,39 +90,39 @@
 func TestRefusedIsNotRun(t *testing.T) {
 	full := newReplica(t, say("503 Full", "X-Not-Run: full\r\n", "no"))
 	other := newReplica(t, say("421 Other", "", ""))
-	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: 250 * time.Millisecond}, full.place(unsafe), other.place(unsafe))
+	m := newStubRouter(router.Decision{Verdict: router.Reject, RetryAfter: 250 * time.Millisecond}, full.place(unsafe), other.place(unsafe))
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	connRequest(t, "answer", strconv.Itoa(r.status)+" "+r.header.Get("Retry-After"), "503 0.25")
-	connRequest(t, "events", m.notified(), "ReadyToSend AttemptEnded(refused) ReadyToSend WrongInstance AttemptEnded(refused)")
-	connRequest(t, "counted", p.Counters.Refused.Load()*10+p.Counters.Misplaced.Load(), 21)
+	want(t, "answer", strconv.Itoa(r.status)+" "+r.header.Get("Retry-After"), "503 0.25")
+	want(t, "events", m.notified(), "ReadyToSend AttemptEnded(refused) ReadyToSend WrongInstance AttemptEnded(refused)")
+	want(t, "counted", p.Counters.Refused.Load()*10+p.Counters.Misplaced.Load(), 21)
 }
 
 func TestRejectedUnreachedNotFoundAndTooLong(t *testing.T) {
-	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true})
+	m := newStubRouter(router.Decision{Verdict: router.Reject, Bad: true})
 	_, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	connRequest(t, "answer", strconv.Itoa(r.status)+r.header.Get("Retry-After"), "404")
-	connRequest(t, "long", call(t, url, "id2", strings.Repeat("x", 1001)).status, 413)
+	want(t, "answer", strconv.Itoa(r.status)+r.header.Get("Retry-After"), "404")
+	want(t, "long", call(t, url, "id2", strings.Repeat("x", 1001)).status, 413)
 
 	replica := newReplica(t)
 	unreachable := replica.place(unsafe)
 	unreachable.Addr = "127.0.0.1:1"
-	m = newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, unreachable)
+	m = newStubRouter(router.Decision{Verdict: router.Reject}, unreachable)
 	_, url = serve(t, m)
-	connRequest(t, "status", call(t, url, "id1", "").status, 503)
-	connRequest(t, "events", m.notified(), "AttemptEnded(unreached)")
+	want(t, "status", call(t, url, "id1", "").status, 503)
+	want(t, "events", m.notified(), "AttemptEnded(unreached)")
 }
 
 func TestReplicaFailureIsPassedOnAndReported(t *testing.T) {
 	for status, failed := range map[string]bool{"500 Oops": true, "504 Late": false, "404 None": false, "200 OK": false} {
 		replica := newReplica(t, say(status, "", "whole"))
-		m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, replica.place(unsafe))
+		m := newStubRouter(router.Decision{Verdict: router.Reject}, replica.place(unsafe))
 		_, url := serve(t, m)
 		r := call(t, url, "id1", "")
-		connRequest(t, "answer", strconv.Itoa(r.status)+" "+r.body, status[:3]+" whole")
+		want(t, "answer", strconv.Itoa(r.status)+" "+r.body, status[:3]+" whole")
 		<-m.events
-		if h, ok := (<-m.events).(mallowbridge.AnswerHead); !ok || h.Failed != failed {
+		if h, ok := (<-m.events).(router.AnswerHead); !ok || h.Failed != failed {
 			t.Errorf("%s: told as failed: %v", status, h.Failed)
 		}
 	}
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -11,19 +11,19 @@
 
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // plain is a router that places every request at once on the same replica.
 type plain struct {
-	place mallowbridge.Decision
-	subs  chan map[string]chan mallowbridge.Decision
+	place router.Decision
+	subs  chan map[string]chan router.Decision
 }
 
-func (m *plain) Submit(a mallowbridge.Arrive) <-chan mallowbridge.Decision {
-	out := make(chan mallowbridge.Decision, 4)
+func (m *plain) Submit(a router.Arrive) <-chan router.Decision {
+	out := make(chan router.Decision, 4)
 	all := <-m.subs
 	all[a.Request] = out
 	m.subs <- all
@@ -31,12 +31,12 @@
 	return out
 }
 
-func (m *plain) Notify(ev mallowbridge.Event) {
+func (m *plain) Notify(ev router.Event) {
 	all := <-m.subs
 	switch e := ev.(type) {
-	case mallowbridge.ReadyToSend:
-		all[e.Request] <- mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: e.AttemptID}
-	case mallowbridge.AttemptEnded:
+	case router.ReadyToSend:
+		all[e.Request] <- router.Decision{Verdict: router.Send, AttemptID: e.AttemptID}
+	case router.AttemptEnded:
 		delete(all, e.Request)
 	}
 	m.subs <- all
@@ -84,9 +84,9 @@
 const bodyBytes = 2000
 
 func benchmark(b *testing.B, route *config.Route, answer string, last string) {
-	m := &plain{subs: make(chan map[string]chan mallowbridge.Decision, 1)}
-	m.place = mallowbridge.Decision{Verdict: mallowbridge.Place, AttemptID: "g", Addr: echo(b, answer), Replica: "r", Instance: "i1", Route: route}
-	m.subs <- map[string]chan mallowbridge.Decision{}
+	m := &plain{subs: make(chan map[string]chan router.Decision, 1)}
+	m.place = router.Decision{Verdict: router.Place, AttemptID: "g", Addr: echo(b, answer), Replica: "r", Instance: "i1", Route: route}
+	m.subs <- map[string]chan router.Decision{}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/proxy/clients_test.go
+++ b/proxy/clients_test.go
@@ -16,12 +16,12 @@
 	r := h.accept(t)
 	for _, c := range []struct{ id, body string }{{"id1", "one"}, {"id2", "two"}, {"id3", ""}} {
 		g := r.request(t)
-		connRequest(t, "sent", g.req.Header.Get("X-Attempt")+" "+g.body, c.id+" "+c.body)
+		want(t, "sent", g.req.Header.Get("X-Attempt")+" "+g.body, c.id+" "+c.body)
 		r.reply(t, g, "200 OK", "", "to "+c.id)
-		connRequest(t, "answer", u.answer(t, "POST").body, "to "+c.id)
+		want(t, "answer", u.answer(t, "POST").body, "to "+c.id)
 	}
 	waitIdle(t, p)
-	connRequest(t, "requests", p.Counters.Requests.Load(), 3)
+	want(t, "requests", p.Counters.Requests.Load(), 3)
 }
 
 // TestBytesBehindARequestAreNoPartOfIt: what follows a request's body is no request of its own kind, and reaches no replica.
@@ -33,12 +33,12 @@
 	u.say(t, "surplus \x01\r\n\r\n")
 	r := h.accept(t)
 	g := r.request(t)
-	connRequest(t, "body", g.body, "body")
+	want(t, "body", g.body, "body")
 	r.reply(t, g, "200 OK", "", "one")
-	connRequest(t, "first", u.answer(t, "POST").body, "one")
-	connRequest(t, "surplus", u.answer(t, "GET").status, 400)
+	want(t, "first", u.answer(t, "POST").body, "one")
+	want(t, "surplus", u.answer(t, "GET").status, 400)
 	waitIdle(t, p)
-	connRequest(t, "requests", p.Counters.Requests.Load(), 1)
+	want(t, "requests", p.Counters.Requests.Load(), 1)
 }
 
 // TestAClientThatClosesGetsNothing: a client that closes, or closes its sending half, has given the request up; it is not sent again.
@@ -58,8 +58,8 @@
 			_ = end(u)
 			r.ended(t)
 			waitIdle(t, p)
-			connRequest(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
-			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
+			want(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
+			want(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
@@ -76,6 +76,6 @@
 	}
 	r.reply(t, got{req: idRequest("id1")}, "200 OK", "Connection: close\r\n", "early")
 	_ = r.Close()
-	connRequest(t, "status", u.answer(t, "POST").status, 502)
-	connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
+	want(t, "status", u.answer(t, "POST").status, 502)
+	want(t, "dialled", p.Counters.Dials.Load(), 1)
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // phase is how far the attempt under way has come.
@@ -23,7 +23,7 @@
 // Exchange takes one request through: decisions and signals go in, moves come out.
 type Exchange struct {
 	Request   string
-	Placement mallowbridge.Decision
+	Placement router.Decision
 	// CannotResume tells that what was passed on cannot be taken up at another replica.
 	CannotResume bool
 	phase        phase
@@ -47,7 +47,7 @@
 	e.actions = append(e.actions, m)
 }
 
-func (e *Exchange) notify(ev mallowbridge.Event) { e.do(Action{Kind: NotifyRouter, Event: ev}) }
+func (e *Exchange) notify(ev router.Event) { e.do(Action{Kind: NotifyRouter, Event: ev}) }
 
 func (e *Exchange) takeActions() []Action {
 	if len(e.actions) == 0 {
@@ -88,54 +88,54 @@
 	e.do(Action{Kind: Finish, Outcome: o, Reason: why, RetryAfter: after})
 }
 
-func (e *Exchange) end(how mallowbridge.AttemptResult) {
-	if how == mallowbridge.Failed {
+func (e *Exchange) end(how router.AttemptResult) {
+	if how == router.Failed {
 		e.abandonAttempt()
 	}
 	e.phase = none
-	e.notify(mallowbridge.AttemptEnded{Request: e.Request, AttemptID: e.Placement.AttemptID, Result: how})
+	e.notify(router.AttemptEnded{Request: e.Request, AttemptID: e.Placement.AttemptID, Result: how})
 }
 
 // repeats tells whether a request that may have run may be written again.
-func repeats(d mallowbridge.Decision) bool { return d.Resumes || mayRepeat(d.Route) }
+func repeats(d router.Decision) bool { return d.Resumes || mayRepeat(d.Route) }
 
 func mayRepeat(r *config.Route) bool { return r != nil && (r.Repeatable || r.Resumable) }
 
 // Decided takes a decision of the router and gives the moves to carry out, in order.
-func (e *Exchange) Decided(d mallowbridge.Decision) []Action {
-	if e.over || (e.phase != none && d.AttemptID != "" && d.AttemptID != e.Placement.AttemptID && d.Verdict != mallowbridge.Place) {
+func (e *Exchange) Decided(d router.Decision) []Action {
+	if e.over || (e.phase != none && d.AttemptID != "" && d.AttemptID != e.Placement.AttemptID && d.Verdict != router.Place) {
 		return nil
 	}
 	switch d.Verdict {
-	case mallowbridge.Place:
+	case router.Place:
 		if (e.began && (e.CannotResume || e.flat || !d.Resumes)) || (e.mayHaveRun() && !repeats(d)) {
-			e.notify(mallowbridge.ClientDisconnected{Request: e.Request})
+			e.notify(router.ClientDisconnected{Request: e.Request})
 			e.finish(Unknown, "", 0)
 			break
 		}
 		e.abandonAttempt()
 		e.Placement, e.phase = d, connecting
 		e.do(Action{Kind: Connect})
-	case mallowbridge.Send:
+	case router.Send:
 		if e.phase == connected {
 			e.phase = written
 			e.do(Action{Kind: Write})
 		}
-	case mallowbridge.CancelBeforeSend:
+	case router.CancelBeforeSend:
 		if e.phase == connecting || e.phase == connected {
 			e.phase = none
 			e.do(Action{Kind: ReleaseConnection})
 		}
-	case mallowbridge.Reject:
+	case router.Reject:
 		e.reject(d)
-	case mallowbridge.Unknown, mallowbridge.Partial:
+	case router.Unknown, router.Partial:
 		e.finish(Unknown, d.Reason, d.RetryAfter)
 	}
 	return e.takeActions()
 }
 
 // denied keeps the promise of a 503: a request that may have run is not called denied.
-func (e *Exchange) reject(d mallowbridge.Decision) {
+func (e *Exchange) reject(d router.Decision) {
 	switch {
 	case e.mayHaveRun() || d.Repeat:
 		e.finish(Unknown, d.Reason, d.RetryAfter)
@@ -152,7 +152,7 @@
 // Closed is called when no more decisions will come.
 func (e *Exchange) Closed() []Action {
 	if !e.over {
-		e.reject(mallowbridge.Decision{Reason: "node is stopping"})
+		e.reject(router.Decision{Reason: "node is stopping"})
 	}
 	return e.takeActions()
 }
@@ -164,21 +164,21 @@
 	}
 	switch s := s.(type) {
 	case ClientClosed:
-		e.notify(mallowbridge.ClientDisconnected{Request: e.Request})
+		e.notify(router.ClientDisconnected{Request: e.Request})
 		e.finish(ClientGone, "", 0)
 	case DeadlinePassed:
 		e.deadlinePassed(s)
 	case Connected:
 		if e.phase == connecting {
 			e.phase = connected
-			e.notify(mallowbridge.ReadyToSend{Request: e.Request, AttemptID: e.Placement.AttemptID})
+			e.notify(router.ReadyToSend{Request: e.Request, AttemptID: e.Placement.AttemptID})
 		}
 	case Unconnected:
 		e.unconnected(s)
 	case Unwritten:
 		if e.phase == written {
 			e.do(Action{Kind: Disconnect})
-			e.end(mallowbridge.Unreached)
+			e.end(router.Unreached)
 		}
 	case Replied:
 		if e.phase == written {
@@ -186,7 +186,7 @@
 		}
 	case Begun:
 		if e.phase == passing {
-			e.notify(mallowbridge.AnswerStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
+			e.notify(router.AnswerStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
 			e.began, e.flat = true, !e.stream
 		}
 	case Ended:
@@ -194,10 +194,10 @@
 	case ConnectionLost:
 		switch e.phase {
 		case written, passing:
-			e.end(mallowbridge.Failed)
+			e.end(router.Failed)
 		case draining:
 			e.do(Action{Kind: Disconnect})
-			e.end(mallowbridge.Refused)
+			e.end(router.Refused)
 		}
 	}
 	return e.takeActions()
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 var kinds = map[proxy.ActionKind]string{
@@ -19,8 +19,8 @@
 	for _, m := range actions {
 		switch m.Kind {
 		case proxy.NotifyRouter:
-			name := strings.TrimPrefix(fmt.Sprintf("%T", m.Event), "mallowbridge.")
-			if e, ok := m.Event.(mallowbridge.AttemptEnded); ok {
+			name := strings.TrimPrefix(fmt.Sprintf("%T", m.Event), "router.")
+			if e, ok := m.Event.(router.AttemptEnded); ok {
 				name += "(" + string(e.Result) + ")"
 			}
 			all = append(all, name)
@@ -33,16 +33,16 @@
 	return strings.Join(all, " ")
 }
 
-func place(id string) mallowbridge.Decision {
-	return mallowbridge.Decision{Verdict: mallowbridge.Place, AttemptID: id, Route: unsafe, Instance: "i1"}
+func place(id string) router.Decision {
+	return router.Decision{Verdict: router.Place, AttemptID: id, Route: unsafe, Instance: "i1"}
 }
 
-func send(id string) mallowbridge.Decision {
-	return mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: id}
+func send(id string) router.Decision {
+	return router.Decision{Verdict: router.Send, AttemptID: id}
 }
 
 func TestExchangeSteps(t *testing.T) {
-	deny := mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: time.Second}
+	deny := router.Decision{Verdict: router.Reject, RetryAfter: time.Second}
 	repeated := place("b")
 	repeated.Route = safe
 	onward := place("b")
@@ -57,11 +57,11 @@
 			"connect|ReadyToSend|write|AnswerHead pass|AttemptEnded(whole) finish1"},
 		{"long answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.Replied{Status: 200}, proxy.Begun{}, proxy.Ended{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
-		{"recalled", []any{place("a"), proxy.Connected{}, mallowbridge.Decision{Verdict: mallowbridge.CancelBeforeSend, AttemptID: "a"}, send("a"), deny},
+		{"recalled", []any{place("a"), proxy.Connected{}, router.Decision{Verdict: router.CancelBeforeSend, AttemptID: "a"}, send("a"), deny},
 			"connect|ReadyToSend|park||finish2"},
 		{"denied before", []any{deny}, "finish2"},
-		{"no path", []any{mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true}}, "finish3"},
-		{"had its go elsewhere", []any{mallowbridge.Decision{Verdict: mallowbridge.Reject, Repeat: true}}, "finish4"},
+		{"no path", []any{router.Decision{Verdict: router.Reject, Bad: true}}, "finish3"},
+		{"had its go elsewhere", []any{router.Decision{Verdict: router.Reject, Repeat: true}}, "finish4"},
 		{"lost, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, deny},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
 		{"denied while it may run", []any{place("a"), proxy.Connected{}, send("a"), deny}, "connect|ReadyToSend|write|drop finish4"},
@@ -94,14 +94,14 @@
 			for _, s := range c.steps {
 				said = append(said, show(step(&e, s)))
 			}
-			connRequest(t, "moves", strings.Join(said, "|"), c.want)
+			want(t, "moves", strings.Join(said, "|"), c.want)
 		})
 	}
 }
 
 func step(e *proxy.Exchange, s any) []proxy.Action {
 	switch s := s.(type) {
-	case mallowbridge.Decision:
+	case router.Decision:
 		return e.Decided(s)
 	case proxy.Signal:
 		return e.Happened(s)
@@ -115,7 +115,7 @@
 	sends, writes, finishes int
 	open, written, passing  bool
 	began, mayRun           bool
-	place                   mallowbridge.Decision
+	place                   router.Decision
 	steps                   []any
 	moves                   [][]proxy.Action
 }
@@ -129,7 +129,7 @@
 }
 
 func (j *judge) step(e *proxy.Exchange, s any) {
-	if d, ok := s.(mallowbridge.Decision); ok && d.Verdict == mallowbridge.Send {
+	if d, ok := s.(router.Decision); ok && d.Verdict == router.Send {
 		j.sends++
 	}
 	wasWritten, wasPassing := j.written, j.passing
@@ -138,7 +138,7 @@
 	if len(actions) > 0 && j.finishes > 0 {
 		j.fail("moves after the end")
 	}
-	if d, ok := s.(mallowbridge.Decision); ok && d.Verdict == mallowbridge.Place {
+	if d, ok := s.(router.Decision); ok && d.Verdict == router.Place {
 		j.place = d
 	}
 	r, replied := s.(proxy.Replied)
@@ -179,8 +179,8 @@
 		}
 		j.passing = true
 	case proxy.NotifyRouter:
-		if end, ok := m.Event.(mallowbridge.AttemptEnded); ok {
-			j.mayRun = j.mayRun || (j.written && end.Result != mallowbridge.Refused && end.Result != mallowbridge.Unreached)
+		if end, ok := m.Event.(router.AttemptEnded); ok {
+			j.mayRun = j.mayRun || (j.written && end.Result != router.Refused && end.Result != router.Unreached)
 			j.open, j.written, j.passing = false, false, false
 		}
 	case proxy.Finish:
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	waitIdle(t, p)
-	connRequest(t, "held", p.Reserved(), 0)
+	want(t, "held", p.Reserved(), 0)
 }
 
 // TestSlowReaderIsNotDisconnected reads at a tenth of the stall time's pace for many stall times.
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 	}
-	connRequest(t, "cut", p.Counters.Hangups.Load(), 0)
+	want(t, "cut", p.Counters.Hangups.Load(), 0)
 }
 
 // TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request lives.
@@ -102,9 +102,9 @@
 			u := dial(t, addr)
 			u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\n"+c.head+"\r\n"+c.part)
 			r := u.answer(t, "POST")
-			connRequest(t, "answer", fmt.Sprint(r.status, r.header.Get("Connection")), "408close")
+			want(t, "answer", fmt.Sprint(r.status, r.header.Get("Connection")), "408close")
 			waitIdle(t, p)
-			connRequest(t, "arrivals and held", int64(len(m.arrived))+p.Reserved(), 0)
+			want(t, "arrivals and held", int64(len(m.arrived))+p.Reserved(), 0)
 		})
 	}
 }
@@ -124,7 +124,7 @@
 			t.Fatal("sent", sent, err)
 		}
 	}
-	connRequest(t, "status", u.answer(t, "POST").status, 408)
+	want(t, "status", u.answer(t, "POST").status, 408)
 }
 
 func TestBudget(t *testing.T) {
@@ -145,18 +145,18 @@
 			second.say(t, "4e20\r\n"+strings.Repeat("y", 20000)+"\r\n")
 		}
 		r := second.answer(t, "POST")
-		connRequest(t, "second", fmt.Sprint(r.status, r.header.Get("Retry-After")), "5030.25")
+		want(t, "second", fmt.Sprint(r.status, r.header.Get("Retry-After")), "5030.25")
 	}
-	connRequest(t, "arrivals", len(m.arrived), 0)
-	connRequest(t, "full", p.Counters.Full.Load(), 2)
+	want(t, "arrivals", len(m.arrived), 0)
+	want(t, "full", p.Counters.Full.Load(), 2)
 	u.reply(t, g, "200 OK", "", "done")
-	connRequest(t, "first", first.answer(t, "POST").body, "done")
+	want(t, "first", first.answer(t, "POST").body, "done")
 	first.ask(t, "POST", "id3", "", strings.Repeat("x", 80<<10))
 	u = &up{TCPConn: u.TCPConn, in: u.in}
 	u.reply(t, u.request(t), "200 OK", "", strings.Repeat("z", 200<<10))
-	connRequest(t, "long answer", len(first.answer(t, "POST").body), 200<<10)
+	want(t, "long answer", len(first.answer(t, "POST").body), 200<<10)
 	waitIdle(t, p)
-	connRequest(t, "held", p.Reserved(), 0)
+	want(t, "held", p.Reserved(), 0)
 }
 
 // TestReplicaThatDoesNotReadOn has small windows, and reads only once TCP_USER_TIMEOUT alone has ended the other, equal request.
@@ -178,8 +178,8 @@
 		users, hands = append(users, c), append(hands, h)
 	}
 	patient, hasty := hands[0].accept(t), hands[1].accept(t)
-	connRequest(t, "hasty", users[1].answer(t, "POST").status, 502)
+	want(t, "hasty", users[1].answer(t, "POST").status, 502)
 	hasty.reset()
 	patient.reply(t, patient.request(t), "200 OK", "", "late")
-	connRequest(t, "patient", users[0].answer(t, "POST").body, "late")
+	want(t, "patient", users[0].answer(t, "POST").body, "late")
 }
--- a/proxy/foreign_test.go
+++ b/proxy/foreign_test.go
@@ -20,7 +20,7 @@
 		u.say(t, plain)
 		r := h.accept(t)
 		r.reply(t, got{req: idRequest("other")}, "200 OK", "", "other's")
-		connRequest(t, "status", u.answer(t, "GET").status, 502)
+		want(t, "status", u.answer(t, "GET").status, 502)
 	})
 	t.Run("nameless", func(t *testing.T) {
 		h := newHand(t)
@@ -31,7 +31,7 @@
 			r := h.accept(t)
 			r.request(t)
 			r.say(t, answer(body))
-			connRequest(t, "answer", u.answer(t, "GET").body, body)
+			want(t, "answer", u.answer(t, "GET").body, body)
 		}
 	})
 	t.Run("nameless after a named one", func(t *testing.T) {
@@ -41,12 +41,12 @@
 		u.ask(t, "GET", "id1", "", "")
 		r := h.accept(t)
 		r.reply(t, r.request(t), "200 OK", "", "one")
-		connRequest(t, "first", u.answer(t, "GET").body, "one")
+		want(t, "first", u.answer(t, "GET").body, "one")
 		u.say(t, plain)
 		r = h.accept(t)
 		r.request(t)
 		r.say(t, answer("two"))
-		connRequest(t, "second", u.answer(t, "GET").body, "two")
+		want(t, "second", u.answer(t, "GET").body, "two")
 	})
 }
 
@@ -63,10 +63,10 @@
 	overdue := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n", len(complete)-len(inner))
 	r.request(t)
 	r.say(t, overdue)
-	connRequest(t, "first", u.answer(t, "HEAD").status, 200)
+	want(t, "first", u.answer(t, "HEAD").status, 200)
 	u.ask(t, "GET", "id2", "", "")
 	r.request(t)
 	r.say(t, overdue+complete)
 	second := u.answer(t, "GET")
-	connRequest(t, "second", fmt.Sprint(second.status, second.body == "only a part"), "502 false")
+	want(t, "second", fmt.Sprint(second.status, second.body == "only a part"), "502 false")
 }
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -43,15 +43,15 @@
 		})
 		r := h.accept(t)
 		g := r.request(t)
-		connRequest(t, "sent", g.req.Header.Get("X-Attempt"), "id2")
+		want(t, "sent", g.req.Header.Get("X-Attempt"), "id2")
 		left, _ := strconv.Atoi(g.req.Header.Get("X-Wait-Ms"))
 		if most := int((time.Minute - frozen*9/10).Milliseconds()); left > most {
 			t.Errorf("told %d ms, of which %s are over", left, frozen)
 		}
 		r.reply(t, g, "200 OK", "", "two")
-		connRequest(t, "in time", inTime.answer(t, method).body, "two")
+		want(t, "in time", inTime.answer(t, method).body, "two")
 		got := over.answer(t, method)
-		connRequest(t, "over", fmt.Sprint(got.status == 503 || got.status == 408, got.header.Get("Retry-After") != ""), "true true")
+		want(t, "over", fmt.Sprint(got.status == 503 || got.status == 408, got.header.Get("Retry-After") != ""), "true true")
 		waitIdle(t, p)
 		tb.Kill(nil)
 		_ = tb.Wait()
@@ -75,13 +75,13 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", "", "one")
-			connRequest(t, "first", u.answer(t, "GET").body, "one")
+			want(t, "first", u.answer(t, "GET").body, "one")
 			p.OnDial(func() { freeze(300 * time.Millisecond) })
 			m.end = r.reset
 			u.ask(t, "GET", "id2", "X-Wait-Ms: "+c.wait+"\r\n", "")
 			r = h.accept(t)
 			if c.most == 0 {
-				connRequest(t, "answer", u.answer(t, "GET").status, c.status)
+				want(t, "answer", u.answer(t, "GET").status, c.status)
 				if _, err := r.in.ReadByte(); err != io.EOF {
 					t.Errorf("the replica read a byte or %v", err)
 				}
@@ -92,7 +92,7 @@
 				t.Errorf("told %d ms, not at most %d", left, c.most)
 			}
 			r.reply(t, g, "200 OK", "", "two")
-			connRequest(t, "answer", u.answer(t, "GET").status, c.status)
+			want(t, "answer", u.answer(t, "GET").status, c.status)
 		})
 	}
 }
@@ -110,12 +110,12 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", "", "one")
-			connRequest(t, "first", u.answer(t, "GET").body, "one")
+			want(t, "first", u.answer(t, "GET").body, "one")
 			m.end = func() { freeze(400 * time.Millisecond) }
 			u.ask(t, "GET", "id2", "", "")
 			next := h.accept(t)
 			next.reply(t, next.request(t), "200 OK", "", "two")
-			connRequest(t, "second", u.answer(t, "GET").body, "two")
+			want(t, "second", u.answer(t, "GET").body, "two")
 		})
 	}
 }
@@ -134,9 +134,9 @@
 			freeze(time.Second)
 			text, _ := say("200 OK", "", "late")(g)
 			_, _ = r.Write([]byte(text))
-			connRequest(t, "status", u.answer(t, "GET").status, 504)
+			want(t, "status", u.answer(t, "GET").status, 504)
 			waitIdle(t, p)
-			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
+			want(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -10,9 +10,9 @@
 	"strings"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // anything gives any decision or signal, by three bytes.
@@ -21,15 +21,15 @@
 	route := []*config.Route{safe, unsafe, streams}[b%3]
 	switch kind % 16 {
 	case 0, 1:
-		return mallowbridge.Decision{Verdict: mallowbridge.Place, AttemptID: id, Route: route, Resumes: b&16 > 0, Instance: "i1"}
+		return router.Decision{Verdict: router.Place, AttemptID: id, Route: route, Resumes: b&16 > 0, Instance: "i1"}
 	case 2, 3:
-		return mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: id}
+		return router.Decision{Verdict: router.Send, AttemptID: id}
 	case 4:
-		return mallowbridge.Decision{Verdict: mallowbridge.CancelBeforeSend, AttemptID: id}
+		return router.Decision{Verdict: router.CancelBeforeSend, AttemptID: id}
 	case 5:
-		return mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: b&8 > 0, Repeat: b&16 > 0}
+		return router.Decision{Verdict: router.Reject, Bad: b&8 > 0, Repeat: b&16 > 0}
 	case 6:
-		return mallowbridge.Decision{Verdict: []mallowbridge.Verdict{mallowbridge.Unknown, mallowbridge.Partial, mallowbridge.Cancel, mallowbridge.Done}[b%4], AttemptID: id}
+		return router.Decision{Verdict: []router.Verdict{router.Unknown, router.Partial, router.Cancel, router.Done}[b%4], AttemptID: id}
 	case 7, 8:
 		return proxy.Connected{}
 	case 9:
@@ -174,8 +174,8 @@
 		for i := range 3 {
 			text := fmt.Sprintf("id: %d%sdata: x%s%s", i, end, end, end)
 			out := connListener(t, &e, []byte(text), func(int) int { return 1 })
-			connRequest(t, "event", string(out), text)
-			connRequest(t, "last", e.Last, i)
+			want(t, "event", string(out), text)
+			want(t, "last", e.Last, i)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 		f.Add([]byte(text))
 	}
 	h := newHand(f)
-	m := newStubRouter(mallowbridge.Decision{Verdict: mallowbridge.Reject}, h.place(streams))
+	m := newStubRouter(router.Decision{Verdict: router.Reject}, h.place(streams))
 	set := proxy.Defaults()
 	set.HoldBytes = 4 << 10
 	_, addr := front(f, m, set, config.Limits{})
--- a/proxy/hand_test.go
+++ b/proxy/hand_test.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const patience = 20 * time.Second
@@ -36,8 +36,8 @@
 	return &hand{lis: lis.(*net.TCPListener)}
 }
 
-func (h *hand) place(route *config.Route) mallowbridge.Decision {
-	return mallowbridge.Decision{Addr: h.lis.Addr().String(), Replica: "r", Instance: "i1", Route: route}
+func (h *hand) place(route *config.Route) router.Decision {
+	return router.Decision{Addr: h.lis.Addr().String(), Replica: "r", Instance: "i1", Route: route}
 }
 
 func (h *hand) accept(t testing.TB) *up {
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -67,9 +67,9 @@
 	return p
 }
 
-func (p *Proxy) arrive(x *transfer) mallowbridge.Arrive {
+func (p *Proxy) arrive(x *transfer) router.Arrive {
 	h := x.r.Header
-	a := mallowbridge.Arrive{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
+	a := router.Arrive{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
 	a.Prefix, a.Model = first(h, p.headers.Prefix), first(h, p.headers.Model)
 	if v := first(h, p.headers.Tokens); v != "" && p.headers.ParseTokens != nil {
 		a.Tokens, a.MaxAnswerTokens = p.headers.ParseTokens(v)
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -38,15 +38,15 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", c.keep, "one")
-			connRequest(t, "first", u.answer(t, "GET").body, "one")
+			want(t, "first", u.answer(t, "GET").body, "one")
 			u.ask(t, "GET", "id2", "", "")
 			if c.dials == 2 {
 				r.ended(t)
 				r = h.accept(t)
 			}
 			r.reply(t, r.request(t), "200 OK", "", "two")
-			connRequest(t, "second", u.answer(t, "GET").body, "two")
-			connRequest(t, "dials", p.Counters.Dials.Load(), c.dials)
+			want(t, "second", u.answer(t, "GET").body, "two")
+			want(t, "dials", p.Counters.Dials.Load(), c.dials)
 		})
 	}
 }
@@ -60,7 +60,7 @@
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
 	r.reply(t, r.request(t), "200 OK", "", "one")
-	connRequest(t, "first", u.answer(t, "GET").body, "one")
+	want(t, "first", u.answer(t, "GET").body, "one")
 	r.ended(t)
 }
 
@@ -80,7 +80,7 @@
 				text += extra
 			}
 			r.say(t, text)
-			connRequest(t, "first", u.answer(t, "GET").body, "one")
+			want(t, "first", u.answer(t, "GET").body, "one")
 			switch when {
 			case "at once":
 				r.ended(t)
@@ -99,8 +99,8 @@
 				r.say(t, extra)
 			}
 			r.reply(t, g, "200 OK", "", "two")
-			connRequest(t, "second", u.answer(t, "GET").body, "two")
-			connRequest(t, "surplus or stale", p.Counters.Surplus.Load()+p.Counters.Stale.Load(), 1)
+			want(t, "second", u.answer(t, "GET").body, "two")
+			want(t, "surplus or stale", p.Counters.Surplus.Load()+p.Counters.Stale.Load(), 1)
 		})
 	}
 }
@@ -158,8 +158,8 @@
 			}
 			<-pause.C
 		}
-		connRequest(t, young.String(), statuses[http.StatusOK], answered)
-		connRequest(t, "others", statuses[http.StatusGatewayTimeout], 6-answered)
+		want(t, young.String(), statuses[http.StatusOK], answered)
+		want(t, "others", statuses[http.StatusGatewayTimeout], 6-answered)
 		waitIdle(t, p)
 	}
 }
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -34,8 +34,8 @@
 			if c.reset {
 				r.reset()
 			}
-			connRequest(t, "status", u.answer(t, "POST").status, c.status)
-			connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
+			want(t, "status", u.answer(t, "POST").status, c.status)
+			want(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
@@ -102,7 +102,7 @@
 			}
 			seen[id] = true
 		}
-		connRequest(t, "answered or unknown", count[200]+count[502], callers*calls)
+		want(t, "answered or unknown", count[200]+count[502], callers*calls)
 		t.Logf("bound %v: %d of %d lost", young, count[502], callers*calls)
 	}
 }
--- a/proxy/orders_test.go
+++ b/proxy/orders_test.go
@@ -100,7 +100,7 @@
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
 	r.reply(t, r.request(t), "200 OK", "", "one")
-	connRequest(t, name+": first", u.answer(t, "GET").body, "one")
+	want(t, name+": first", u.answer(t, "GET").body, "one")
 	r.play(before)
 	reads, proved, answers := make(chan struct{}, 9), make(chan bool, 9), make(chan bool, 9)
 	go serveOrder(r, later, reads, proved, answers)
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
-var deny = mallowbridge.Decision{Verdict: mallowbridge.Reject, RetryAfter: time.Second}
+var deny = router.Decision{Verdict: router.Reject, RetryAfter: time.Second}
 
 func TestBodiesAndAnswersOfAnyLength(t *testing.T) {
 	for _, n := range []int{0, 1, 8 << 10, 64 << 10, 64<<10 + 1, 1 << 20} {
@@ -35,17 +35,17 @@
 					c.ask(t, "PUT", "id1", "", text)
 				}
 				r := c.answer(t, "PUT")
-				connRequest(t, "status", r.status, 200)
+				want(t, "status", r.status, 200)
 				g := <-replica.got
 				if g.body != text || r.body != text[:n] {
 					t.Errorf("%d bytes came, %d came back", len(g.body), len(r.body))
 				}
 				if len(text) > 0 {
-					connRequest(t, "length", g.req.ContentLength, len(text))
+					want(t, "length", g.req.ContentLength, len(text))
 				}
-				connRequest(t, "encoding", len(g.req.TransferEncoding), 0)
+				want(t, "encoding", len(g.req.TransferEncoding), 0)
 				waitIdle(t, p)
-				connRequest(t, "held", p.Reserved(), 0)
+				want(t, "held", p.Reserved(), 0)
 			})
 		}
 	}
@@ -69,16 +69,16 @@
 	if _, err = resp.Body.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AnswerStarted")
+	want(t, "events", m.notified(), "ReadyToSend AnswerHead AnswerStarted")
 	u.reset()
 	if _, err = resp.Body.Read(make([]byte, 64<<10)); err == nil {
 		for err == nil {
 			_, err = resp.Body.Read(make([]byte, 64<<10))
 		}
 	}
-	connRequest(t, "end", err.Error(), "unexpected EOF")
+	want(t, "end", err.Error(), "unexpected EOF")
 	waitIdle(t, p)
-	connRequest(t, "aborted", p.Counters.Aborted.Load(), 1)
+	want(t, "aborted", p.Counters.Aborted.Load(), 1)
 }
 
 func TestAnswersWithoutBodies(t *testing.T) {
@@ -96,10 +96,10 @@
 			u := dial(t, addr)
 			u.ask(t, c.method, "id1", "", "")
 			r := u.answer(t, c.method)
-			connRequest(t, "answer", fmt.Sprint(r.status, r.header.Get("Content-Length"), r.body), strings.ReplaceAll(c.want, " ", ""))
+			want(t, "answer", fmt.Sprint(r.status, r.header.Get("Content-Length"), r.body), strings.ReplaceAll(c.want, " ", ""))
 			u.ask(t, "GET", "id2", "", "")
-			connRequest(t, "next", u.answer(t, "GET").body, "next")
-			connRequest(t, "reused", p.Counters.Reused.Load(), 1)
+			want(t, "next", u.answer(t, "GET").body, "next")
+			want(t, "reused", p.Counters.Reused.Load(), 1)
 		})
 	}
 }
@@ -120,7 +120,7 @@
 			t.Errorf("%s reached the client", name)
 		}
 	}
-	connRequest(t, "kept", fmt.Sprint(g.req.Header["X-Two"], r.header["X-Two"], r.header["Keep-Alive"]), "[a b] [a b] [timeout=59]")
+	want(t, "kept", fmt.Sprint(g.req.Header["X-Two"], r.header["X-Two"], r.header["Keep-Alive"]), "[a b] [a b] [timeout=59]")
 }
 
 func TestConnectionCap(t *testing.T) {
@@ -135,44 +135,44 @@
 	g := u.request(t)
 	second := dial(t, addr)
 	second.ask(t, "GET", "id2", "", "")
-	connRequest(t, "second", second.answer(t, "GET").status, 503)
-	connRequest(t, "events", m.notified(), "ReadyToSend AttemptEnded(refused)")
+	want(t, "second", second.answer(t, "GET").status, 503)
+	want(t, "events", m.notified(), "ReadyToSend AttemptEnded(refused)")
 	u.reply(t, g, "200 OK", "", "one")
-	connRequest(t, "first", c.answer(t, "GET").body, "one")
+	want(t, "first", c.answer(t, "GET").body, "one")
 	second.ask(t, "GET", "id3", "", "")
 	u.reply(t, u.request(t), "200 OK", "", "three")
-	connRequest(t, "third", second.answer(t, "GET").body, "three")
-	connRequest(t, "capped and dialled", p.Counters.Capped.Load()*10+p.Counters.Dials.Load(), 11)
+	want(t, "third", second.answer(t, "GET").body, "three")
+	want(t, "capped and dialled", p.Counters.Capped.Load()*10+p.Counters.Dials.Load(), 11)
 }
 
 func TestDecisionsThatEnd(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		last mallowbridge.Decision
+		last router.Decision
 		want string
 		back string
 	}{
-		{"closed", mallowbridge.Decision{}, "503 denied", "0.25"},
+		{"closed", router.Decision{}, "503 denied", "0.25"},
 		{"denied", deny, "503 denied", "1"},
-		{"unknown", mallowbridge.Decision{Verdict: mallowbridge.Unknown, RetryAfter: time.Second}, "502 unknown", "1"},
-		{"bad", mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true}, "404 not found", ""},
+		{"unknown", router.Decision{Verdict: router.Unknown, RetryAfter: time.Second}, "502 unknown", "1"},
+		{"bad", router.Decision{Verdict: router.Reject, Bad: true}, "404 not found", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, addr := usual(t, ends{c.last})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
 			r := u.answer(t, "GET")
-			connRequest(t, "answer", strconv.Itoa(r.status)+" "+strings.Split(r.body, `"`)[3], c.want)
-			connRequest(t, "retry", r.header.Get("Retry-After"), c.back)
+			want(t, "answer", strconv.Itoa(r.status)+" "+strings.Split(r.body, `"`)[3], c.want)
+			want(t, "retry", r.header.Get("Retry-After"), c.back)
 		})
 	}
 }
 
 // ends gives one decision at most and closes.
-type ends struct{ d mallowbridge.Decision }
+type ends struct{ d router.Decision }
 
-func (e ends) Submit(mallowbridge.Arrive) <-chan mallowbridge.Decision {
-	out := make(chan mallowbridge.Decision, 1)
+func (e ends) Submit(router.Arrive) <-chan router.Decision {
+	out := make(chan router.Decision, 1)
 	if e.d.Verdict != "" {
 		out <- e.d
 	}
@@ -180,7 +180,7 @@
 	return out
 }
 
-func (e ends) Notify(mallowbridge.Event) {}
+func (e ends) Notify(router.Event) {}
 
 func TestTimeRunsOut(t *testing.T) {
 	h := newHand(t)
@@ -190,8 +190,8 @@
 	c.ask(t, "GET", "id1", "X-Wait-Ms: 50\r\n", "")
 	u := h.accept(t)
 	u.request(t)
-	connRequest(t, "status", c.answer(t, "GET").status, 504)
+	want(t, "status", c.answer(t, "GET").status, 504)
 	u.ended(t)
-	connRequest(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
-	connRequest(t, "expired", p.Counters.Expired.Load(), 1)
+	want(t, "events", m.notified(), "ReadyToSend ClientDisconnected")
+	want(t, "expired", p.Counters.Expired.Load(), 1)
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// Router decides where requests go. *mallowbridge.RouterLoop is one.
+// Router decides where requests go. *router.RouterLoop is one.
 type Router interface {
-	Submit(a mallowbridge.Arrive) <-chan mallowbridge.Decision
-	Notify(ev mallowbridge.Event)
+	Submit(a router.Arrive) <-chan router.Decision
+	Notify(ev router.Event)
 }
 
 // Headers are the names that clients and replicas use, and how to read their values. An empty name is not used.
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -4,14 +4,14 @@
 	"cmp"
 	"net/http"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (e *Exchange) deadlinePassed(s DeadlinePassed) {
 	if s.Unwritten && e.phase == written {
 		e.phase = connected
 	}
-	e.notify(mallowbridge.ClientDisconnected{Request: e.Request})
+	e.notify(router.ClientDisconnected{Request: e.Request})
 	if e.mayHaveRun() {
 		e.finish(Expired, "out of time", 0)
 	} else {
@@ -23,18 +23,18 @@
 	switch {
 	case e.phase != connecting:
 	case s.Capped:
-		e.end(mallowbridge.Refused)
+		e.end(router.Refused)
 	default:
-		e.end(mallowbridge.Unreached)
+		e.end(router.Unreached)
 	}
 }
 
 func (e *Exchange) ended() {
 	switch e.phase {
 	case draining:
-		e.end(mallowbridge.Refused)
+		e.end(router.Refused)
 	case passing:
-		e.end(mallowbridge.Completed)
+		e.end(router.Completed)
 		e.finish(Done, "", 0)
 	}
 }
@@ -46,24 +46,24 @@
 
 func (e *Exchange) replied(s Replied) {
 	if s.Foreign {
-		e.end(mallowbridge.Failed)
+		e.end(router.Failed)
 		return
 	}
 	if s.Load != nil {
 		e.notify(*s.Load)
 	}
 	if s.Status == http.StatusMisdirectedRequest {
-		e.notify(mallowbridge.WrongInstance{Replica: e.Placement.Replica})
+		e.notify(router.WrongInstance{Replica: e.Placement.Replica})
 	}
 	switch {
 	case s.NotRun || s.Status == http.StatusMisdirectedRequest:
 		e.phase = draining
 		e.do(Action{Kind: DiscardAnswer})
 	case s.Open, s.Bare && s.Status/100 == 2, e.began && !s.Stream, promises(s.Status):
-		e.end(mallowbridge.Failed)
+		e.end(router.Failed)
 	default:
 		e.phase, e.stream = passing, s.Stream
-		e.notify(mallowbridge.AnswerHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: failure(s.Status)})
+		e.notify(router.AnswerHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: failure(s.Status)})
 		e.do(Action{Kind: PassAnswer})
 	}
 }
--- a/proxy/reset_test.go
+++ b/proxy/reset_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const part = "HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s\r\nContent-Length: 50\r\n\r\n"
@@ -31,7 +31,7 @@
 		{name: "within a refusal", said: "HTTP/1.1 503 Full\r\nX-Attempt: id1\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhalf", route: unsafe, status: 503, heard: "ReadyToSend AttemptEnded(refused)"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h, places := newHand(t), []mallowbridge.Decision{}
+			h, places := newHand(t), []router.Decision{}
 			places = append(places, h.place(c.route))
 			if c.replaced {
 				places = append(places, h.place(c.route))
@@ -56,9 +56,9 @@
 				next.reply(t, next.request(t), "200 OK", "", "whole")
 			}
 			got := u.answer(t, "GET")
-			connRequest(t, "answer", fmt.Sprint(got.status, got.err != nil), fmt.Sprint(c.status, c.cut))
+			want(t, "answer", fmt.Sprint(got.status, got.err != nil), fmt.Sprint(c.status, c.cut))
 			waitIdle(t, p)
-			connRequest(t, "events", m.notified(), c.heard)
+			want(t, "events", m.notified(), c.heard)
 		})
 	}
 }
@@ -79,8 +79,8 @@
 	end func()
 }
 
-func (e *early) Notify(ev mallowbridge.Event) {
-	if _, ok := ev.(mallowbridge.ReadyToSend); ok && e.end != nil {
+func (e *early) Notify(ev router.Event) {
+	if _, ok := ev.(router.ReadyToSend); ok && e.end != nil {
 		e.end()
 		e.end = nil
 	}
@@ -111,7 +111,7 @@
 			u.ask(t, "GET", "id1", "", "")
 			r := h.accept(t)
 			r.reply(t, r.request(t), "200 OK", "", "one")
-			connRequest(t, "first", u.answer(t, "GET").body, "one")
+			want(t, "first", u.answer(t, "GET").body, "one")
 			end := func() { c.end(r) }
 			if c.late {
 				m.end = end
@@ -121,13 +121,13 @@
 			u.ask(t, "GET", "id2", "", "")
 			next := h.accept(t)
 			next.reply(t, next.request(t), "200 OK", "", "two")
-			connRequest(t, "second", u.answer(t, "GET").body, "two")
-			connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AnswerHead AttemptEnded(whole)")
-			connRequest(t, "stale and dialled", p.Counters.Stale.Load()*10+p.Counters.Dials.Load(), 12)
+			want(t, "second", u.answer(t, "GET").body, "two")
+			want(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AnswerHead AttemptEnded(whole)")
+			want(t, "stale and dialled", p.Counters.Stale.Load()*10+p.Counters.Dials.Load(), 12)
 			next.reset()
 			_ = h.lis.Close()
 			u.ask(t, "GET", "id3", "", "")
-			connRequest(t, "third", u.answer(t, "GET").status, 503)
+			want(t, "third", u.answer(t, "GET").status, 503)
 			if notified := m.notified(); !strings.HasSuffix(notified, "AttemptEnded(unreached)") {
 				t.Errorf("events %s", notified)
 			}
@@ -144,7 +144,7 @@
 		u.ask(t, "GET", "id1", "", "")
 		r := h.accept(t)
 		r.reply(t, r.request(t), "200 OK", "", body)
-		connRequest(t, "answer", u.answer(t, "GET").body, body)
+		want(t, "answer", u.answer(t, "GET").body, body)
 	}
 }
 
@@ -157,11 +157,11 @@
 	u.ask(t, "GET", "id1", "", "")
 	r := h.accept(t)
 	r.reply(t, r.request(t), "200 OK", "", "one")
-	connRequest(t, "first", u.answer(t, "GET").body, "one")
+	want(t, "first", u.answer(t, "GET").body, "one")
 	u.ask(t, "GET", "id2", "", "")
 	r.request(t)
 	r.reset()
-	connRequest(t, "second", u.answer(t, "GET").status, 502)
-	connRequest(t, "dialled", p.Counters.Dials.Load(), 1)
-	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AttemptEnded(broken)")
+	want(t, "second", u.answer(t, "GET").status, 502)
+	want(t, "dialled", p.Counters.Dials.Load(), 1)
+	want(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole) ReadyToSend AttemptEnded(broken)")
 }
--- a/proxy/retryafter_test.go
+++ b/proxy/retryafter_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // TestEachDenialSaysWhenToComeBack: a request that was given up without having run is answered at once, with the time to come back.
@@ -13,7 +13,7 @@
 	closed := newHand(t).place(unsafe)
 	closed.Addr = "127.0.0.1:1"
 	short := &config.Route{Timeout: 1}
-	bare := mallowbridge.Decision{Verdict: mallowbridge.Reject}
+	bare := router.Decision{Verdict: router.Reject}
 	for name, c := range map[string]struct {
 		market proxy.Router
 		method string
@@ -31,23 +31,23 @@
 			u := dial(t, addr)
 			u.ask(t, c.method, "id1", c.extra, "")
 			r := u.answer(t, c.method)
-			connRequest(t, "status", r.status, c.status)
-			connRequest(t, "Retry-After", r.header.Get("Retry-After"), "0.25")
+			want(t, "status", r.status, c.status)
+			want(t, "Retry-After", r.header.Get("Retry-After"), "0.25")
 		})
 	}
 }
 
 // TestWhatMayHaveRunIsNotDenied: no decision that comes after the write, and none that is missing, makes a denial of it.
 func TestWhatMayHaveRunIsNotDenied(t *testing.T) {
-	for name, last := range map[string]mallowbridge.Decision{
-		"denied": deny, "bad": {Verdict: mallowbridge.Reject, Bad: true}, "unknown": unknown, "placed again": {Verdict: mallowbridge.Place, AttemptID: "z", Route: unsafe},
+	for name, last := range map[string]router.Decision{
+		"denied": deny, "bad": {Verdict: router.Reject, Bad: true}, "unknown": unknown, "placed again": {Verdict: router.Place, AttemptID: "z", Route: unsafe},
 	} {
 		t.Run(name, func(t *testing.T) {
 			replica := newReplica(t, func(got) (string, bool) { return "", true })
 			_, addr := usual(t, newStubRouter(last, replica.place(unsafe)))
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
-			connRequest(t, "status", u.answer(t, "GET").status, 502)
+			want(t, "status", u.answer(t, "GET").status, 502)
 		})
 	}
 }
--- a/proxy/rig_test.go
+++ b/proxy/rig_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 var names = proxy.Headers{
@@ -29,31 +29,31 @@
 
 // market answers each request with the next places, and what is left when they are spent.
 type stubRouter struct {
-	places  []mallowbridge.Decision
-	last    mallowbridge.Decision
-	events  chan mallowbridge.Event
-	arrived chan mallowbridge.Arrive
+	places  []router.Decision
+	last    router.Decision
+	events  chan router.Event
+	arrived chan router.Arrive
 	subs    chan map[string]*sub
 }
 
 type sub struct {
-	out    chan mallowbridge.Decision
-	places []mallowbridge.Decision
+	out    chan router.Decision
+	places []router.Decision
 	seq    int
 }
 
-func newStubRouter(last mallowbridge.Decision, places ...mallowbridge.Decision) *stubRouter {
+func newStubRouter(last router.Decision, places ...router.Decision) *stubRouter {
 	m := &stubRouter{
-		places: places, last: last, events: make(chan mallowbridge.Event, 1000), arrived: make(chan mallowbridge.Arrive, 100),
+		places: places, last: last, events: make(chan router.Event, 1000), arrived: make(chan router.Arrive, 100),
 		subs: make(chan map[string]*sub, 1),
 	}
 	m.subs <- map[string]*sub{}
 	return m
 }
 
-func (m *stubRouter) Submit(a mallowbridge.Arrive) <-chan mallowbridge.Decision {
+func (m *stubRouter) Submit(a router.Arrive) <-chan router.Decision {
 	m.arrived <- a
-	s := &sub{out: make(chan mallowbridge.Decision, 64), places: m.places}
+	s := &sub{out: make(chan router.Decision, 64), places: m.places}
 	all := <-m.subs
 	all[a.Request] = s
 	m.next(s)
@@ -66,20 +66,20 @@
 	if len(s.places) > 0 {
 		d, s.places = s.places[0], s.places[1:]
 		s.seq++
-		d.Verdict, d.AttemptID = mallowbridge.Place, fmt.Sprint("go", s.seq)
+		d.Verdict, d.AttemptID = router.Place, fmt.Sprint("go", s.seq)
 	}
 	s.out <- d
 }
 
-func (m *stubRouter) Notify(ev mallowbridge.Event) {
+func (m *stubRouter) Notify(ev router.Event) {
 	m.events <- ev
 	all := <-m.subs
 	defer func() { m.subs <- all }()
 	switch e := ev.(type) {
-	case mallowbridge.ReadyToSend:
-		all[e.Request].out <- mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: e.AttemptID}
-	case mallowbridge.AttemptEnded:
-		if e.Result != mallowbridge.Completed {
+	case router.ReadyToSend:
+		all[e.Request].out <- router.Decision{Verdict: router.Send, AttemptID: e.AttemptID}
+	case router.AttemptEnded:
+		if e.Result != router.Completed {
 			m.next(all[e.Request])
 		}
 	}
@@ -91,8 +91,8 @@
 	for {
 		select {
 		case ev := <-m.events:
-			kind := strings.TrimPrefix(fmt.Sprintf("%T", ev), "mallowbridge.")
-			if e, ok := ev.(mallowbridge.AttemptEnded); ok {
+			kind := strings.TrimPrefix(fmt.Sprintf("%T", ev), "router.")
+			if e, ok := ev.(router.AttemptEnded); ok {
 				kind += "(" + string(e.Result) + ")"
 			}
 			all = append(all, kind)
@@ -166,8 +166,8 @@
 	}
 }
 
-func (r *replica) place(route *config.Route) mallowbridge.Decision {
-	return mallowbridge.Decision{Addr: r.addr, Replica: r.addr, Instance: "i1", Route: route, Priority: route.Priority}
+func (r *replica) place(route *config.Route) router.Decision {
+	return router.Decision{Addr: r.addr, Replica: r.addr, Instance: "i1", Route: route, Priority: route.Priority}
 }
 
 func say(status, extra, body string) script {
@@ -224,7 +224,7 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
-func connRequest(t *testing.T, what string, got, want any) {
+func want(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%s is %q, not %q", what, fmt.Sprint(got), fmt.Sprint(want))
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -57,11 +57,11 @@
 			p.Shutdown(c.grace)
 			u.ask(t, c.method, "id1", c.extra, c.body)
 			r := u.answer(t, c.method)
-			connRequest(t, "answer", fmt.Sprint(r.status, r.header["Connection"], r.header["Retry-After"]), "503 [close] [0.01]")
+			want(t, "answer", fmt.Sprint(r.status, r.header["Connection"], r.header["Retry-After"]), "503 [close] [0.01]")
 			u.shutSoon(t)
 			waitIdle(t, p)
-			connRequest(t, "arrivals", len(m.arrived), 0)
-			connRequest(t, "counted", p.Counters.ShuttingDown.Load(), 1)
+			want(t, "arrivals", len(m.arrived), 0)
+			want(t, "counted", p.Counters.ShuttingDown.Load(), 1)
 		})
 	}
 }
@@ -74,6 +74,6 @@
 	p.Shutdown(time.Minute)
 	u.ask(t, "GET", "id1", "X-Wait-Ms: 30000\r\n", "")
 	r := u.answer(t, "GET")
-	connRequest(t, "answer", fmt.Sprint(r.status, " ", r.body, r.header["Connection"]), "200 one[close]")
+	want(t, "answer", fmt.Sprint(r.status, " ", r.body, r.header["Connection"]), "200 one[close]")
 	waitIdle(t, p)
 }
--- a/proxy/shutdownconns_test.go
+++ b/proxy/shutdownconns_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Requests that come while a proxy shuts down are served within the grace period only where they say how long they may take.
@@ -40,19 +40,19 @@
 	p.Shutdown(grace)
 	open.ask(t, "GET", "id1", soon, "")
 	r := open.answer(t, "GET")
-	connRequest(t, "answer", fmt.Sprint(r.body, r.header["Connection"], r.header["Keep-Alive"]), "one[close] []")
+	want(t, "answer", fmt.Sprint(r.body, r.header["Connection"], r.header["Keep-Alive"]), "one[close] []")
 	open.shutSoon(t)
 	open = dial(t, addr)
 	open.ask(t, "GET", "id2", soon, "")
 	r = open.answer(t, "GET")
-	connRequest(t, "stream", fmt.Sprint(r.body, r.header["Connection"]), "id: 1\ndata: a\n\n[close]")
+	want(t, "stream", fmt.Sprint(r.body, r.header["Connection"]), "id: 1\ndata: a\n\n[close]")
 	open.shutSoon(t)
 	p, addr = front(t, ends{deny}, lingering(time.Hour), config.Limits{})
 	p.Shutdown(grace)
 	open = dial(t, addr)
 	open.ask(t, "GET", "id4", soon, "")
 	r = open.answer(t, "GET")
-	connRequest(t, "refusal", fmt.Sprint(r.status, r.header["Connection"]), "503 [close]")
+	want(t, "refusal", fmt.Sprint(r.status, r.header["Connection"]), "503 [close]")
 }
 
 func TestShutdownClosesIdleConnectionsOnly(t *testing.T) {
@@ -64,7 +64,7 @@
 	resting.ask(t, "GET", "id1", "", "")
 	r1 := h.accept(t)
 	r1.reply(t, r1.request(t), "200 OK", "", "one")
-	connRequest(t, "resting", resting.answer(t, "GET").body, "one")
+	want(t, "resting", resting.answer(t, "GET").body, "one")
 	asking.ask(t, "GET", "id2", "", "")
 	g2 := r1.request(t)
 	reading.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id3\r\nX-Wait-Ms: 1000\r\nContent-Le")
@@ -75,14 +75,14 @@
 	resting.shutSoon(t)
 	r1.reply(t, g2, "200 OK", "", "two")
 	got := asking.answer(t, "GET")
-	connRequest(t, "asking", fmt.Sprint(got.body, got.header["Connection"]), "two[close]")
+	want(t, "asking", fmt.Sprint(got.body, got.header["Connection"]), "two[close]")
 	reading.say(t, "ngth: 4\r\n\r\nbo")
 	reading.say(t, "dy")
 	r1.reply(t, r1.request(t), "200 OK", "", "three")
-	connRequest(t, "reading", reading.answer(t, "POST").body, "three")
+	want(t, "reading", reading.answer(t, "POST").body, "three")
 	quiet.ask(t, "GET", "id4", soon, "")
 	r1.reply(t, r1.request(t), "200 OK", "", "four")
-	connRequest(t, "quiet", quiet.answer(t, "GET").body, "four")
+	want(t, "quiet", quiet.answer(t, "GET").body, "four")
 	waitIdle(t, p)
 }
 
@@ -101,11 +101,11 @@
 	other.ask(t, "GET", "id0", "", "")
 	o := h.accept(t)
 	o.reply(t, o.request(t), "200 OK", "", "idle")
-	connRequest(t, "other", other.answer(t, "GET").body, "idle")
+	want(t, "other", other.answer(t, "GET").body, "idle")
 	p.Shutdown(grace)
 	other.shutSoon(t)
 	r.say(t, "7\r\nid: 2\n\n\r\n0\r\n\r\n")
-	connRequest(t, "stream", u.answer(t, "GET").body, "id: 1\n\nid: 2\n\n")
+	want(t, "stream", u.answer(t, "GET").body, "id: 1\n\nid: 2\n\n")
 	u.shutSoon(t)
 }
 
@@ -114,13 +114,13 @@
 	const n = 64
 	for range 5 {
 		m := newStubRouter(deny)
-		m.arrived, m.events = make(chan mallowbridge.Arrive, 4*n), make(chan mallowbridge.Event, 16*n)
+		m.arrived, m.events = make(chan router.Arrive, 4*n), make(chan router.Event, 16*n)
 		p, addr := front(t, m, lingering(time.Millisecond), config.Limits{})
 		var users []*user
 		for range n {
 			u := dial(t, addr)
 			u.ask(t, "GET", "id", "", "")
-			connRequest(t, "before", u.answer(t, "GET").status, 503)
+			want(t, "before", u.answer(t, "GET").status, 503)
 			users = append(users, u)
 		}
 		go p.Shutdown(grace)
@@ -140,7 +140,7 @@
 			}
 		}
 		waitIdle(t, p)
-		connRequest(t, "arrivals", len(m.arrived)-n, answered)
+		want(t, "arrivals", len(m.arrived)-n, answered)
 	}
 }
 
@@ -152,9 +152,9 @@
 		_, addr := front(t, newStubRouter(deny, replica.place(unsafe)), proxy.Defaults(), config.Limits{Idle: idle})
 		u := dial(t, addr)
 		u.ask(t, "GET", "id1", "", "")
-		connRequest(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), advertised)
+		want(t, idle.String(), fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), advertised)
 		u.ask(t, "GET", "id2", "Connection: close\r\n", "")
-		connRequest(t, "when closing", fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), "[]")
+		want(t, "when closing", fmt.Sprint(u.answer(t, "GET").header["Keep-Alive"]), "[]")
 	}
 }
 
@@ -162,6 +162,6 @@
 	_, addr := front(t, ends{deny}, proxy.Defaults(), config.Limits{Idle: 50 * time.Millisecond})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
-	connRequest(t, "status", u.answer(t, "GET").status, 503)
+	want(t, "status", u.answer(t, "GET").status, 503)
 	u.shutSoon(t)
 }
--- a/proxy/splice_test.go
+++ b/proxy/splice_test.go
@@ -20,19 +20,14 @@
 	m := newStubRouter(partial, first.place(streams), second.place(streams))
 	_, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	connRequest(t, "error", r.err, error(nil))
-	connRequest(t, "body", r.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
+	want(t, "error", r.err, error(nil))
+	want(t, "body", r.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 }
 
-// TestALongAnswerIsNotTakenUpByAStream cuts an answer that is no stream after a part of it was passed on. A second replica's stream must
+// TestLongAnswerIsNotResumedByAStream cuts an answer that is no stream after a part of it was passed on. A second replica's stream must
 // not follow it.
-func TestALongAnswerIsNotTakenUpByAStream(t *testing.T) {
-	const reserved = 9000
-	first := newReplica(t, func(g got) (string, bool) {
-		complete, _ := say("500 Oops", "", strings.Repeat("x", 2*reserved))(g)
-		return complete[:len(complete)-reserved], true
-	})
-	second := newReplica(t, stream(true, "id: 1\ndata: a\n\n"))
+func TestLongAnswerIsNotResumedByAStream(t *testing.T) {
+	first, second := newHand(t), newReplica(t, stream(true, "id: 1\ndata: a\n\n"))
 	onward := second.place(streams)
 	onward.Resumes = true
 	set := proxy.Defaults()
@@ -40,8 +35,15 @@
 	_, addr := front(t, newStubRouter(partial, first.place(streams), onward), set, config.Limits{})
 	u := dial(t, addr)
 	u.ask(t, "GET", "id1", "", "")
+	conn := first.accept(t)
+	conn.request(t)
+	conn.say(t, "HTTP/1.1 500 Oops\r\nX-Attempt: id1\r\nContent-Length: 18000\r\n\r\n"+strings.Repeat("x", 9000))
+	if _, err := u.in.Peek(1); err != nil {
+		t.Fatal(err)
+	}
+	_ = conn.Close()
 	r := u.answer(t, "GET")
-	connRequest(t, "status", r.status, 500)
+	want(t, "status", r.status, 500)
 	if r.err == nil || strings.Contains(r.body, "data") {
 		t.Errorf("the answer ended with %q, error %v", r.body[max(0, len(r.body)-20):], r.err)
 	}
@@ -64,8 +66,8 @@
 			onward.Resumes = true
 			_, url := serve(t, newStubRouter(partial, first.place(streams), onward))
 			r := call(t, url, "id1", "")
-			connRequest(t, "events", fmt.Sprint(strings.Count(r.body, "data: a"), strings.Count(r.body, "data: b")), "1 1")
-			connRequest(t, "cut", r.err != nil, c.cut)
+			want(t, "events", fmt.Sprint(strings.Count(r.body, "data: a"), strings.Count(r.body, "data: b")), "1 1")
+			want(t, "cut", r.err != nil, c.cut)
 		})
 	}
 }
@@ -93,7 +95,7 @@
 func TestEventsBeforeALongOneAreGivenOut(t *testing.T) {
 	e := proxy.Events{Bound: 20}
 	complete, err := e.Feed([]byte("id: 1\ndata: a\n\nid: 2\ndata: too long for the bound"))
-	connRequest(t, "given and counted", string(complete)+e.Last, "id: 1\ndata: a\n\n1")
+	want(t, "given and counted", string(complete)+e.Last, "id: 1\ndata: a\n\n1")
 	if err == nil {
 		t.Error("a long event was taken")
 	}
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 var (
@@ -75,7 +75,7 @@
 func (w *world) restore(route *config.Route) Exchange {
 	k := w.exchange
 	e := Exchange{Request: "q", CannotResume: k.stuck, stream: k.stream, flat: k.flat, began: k.began, mayHaveRunBefore: k.mayRun, over: k.over, phase: k.phase}
-	e.Placement = mallowbridge.Decision{AttemptID: k.place.attempt, Resumes: k.place.resumes, Route: route}
+	e.Placement = router.Decision{AttemptID: k.place.attempt, Resumes: k.place.resumes, Route: route}
 	return e
 }
 
@@ -103,24 +103,24 @@
 
 // routerEvents are decisions: placed, placed again, from the start or after the last event, let go, called back, refused, given up.
 // decided is the event that the router decides d.
-func decided(name string, d mallowbridge.Decision) event {
+func decided(name string, d router.Decision) event {
 	return event{name, func(e *Exchange, w *world) ([]Action, bool) {
 		d := d
 		switch d.Verdict {
-		case mallowbridge.Place:
+		case router.Place:
 			if int(w.attempts) == *statesAttempts || (d.Resumes && !e.Placement.Route.Resumable) {
 				return nil, false
 			}
 			w.attempts++
 			d.AttemptID, d.Route = fmt.Sprint("go", w.attempts), e.Placement.Route
-		case mallowbridge.Send:
+		case router.Send:
 			if d.AttemptID == "" {
 				d.AttemptID = e.Placement.AttemptID
 			}
 			if d.AttemptID == e.Placement.AttemptID {
 				w.sends = 1
 			}
-		case mallowbridge.CancelBeforeSend:
+		case router.CancelBeforeSend:
 			d.AttemptID = e.Placement.AttemptID
 		}
 		return e.Decided(d), true
@@ -129,15 +129,15 @@
 
 func routerEvents() []event {
 	return []event{
-		decided("placed", mallowbridge.Decision{Verdict: mallowbridge.Place}),
-		decided("placed to go on", mallowbridge.Decision{Verdict: mallowbridge.Place, Resumes: true}),
-		decided("let go", mallowbridge.Decision{Verdict: mallowbridge.Send}),
-		decided("another let go", mallowbridge.Decision{Verdict: mallowbridge.Send, AttemptID: "go0"}),
-		decided("called back", mallowbridge.Decision{Verdict: mallowbridge.CancelBeforeSend}),
-		decided("denied", mallowbridge.Decision{Verdict: mallowbridge.Reject}),
-		decided("no route", mallowbridge.Decision{Verdict: mallowbridge.Reject, Bad: true}),
-		decided("denied as a repeat", mallowbridge.Decision{Verdict: mallowbridge.Reject, Repeat: true}),
-		decided("given up", mallowbridge.Decision{Verdict: mallowbridge.Unknown}),
+		decided("placed", router.Decision{Verdict: router.Place}),
+		decided("placed to go on", router.Decision{Verdict: router.Place, Resumes: true}),
+		decided("let go", router.Decision{Verdict: router.Send}),
+		decided("another let go", router.Decision{Verdict: router.Send, AttemptID: "go0"}),
+		decided("called back", router.Decision{Verdict: router.CancelBeforeSend}),
+		decided("denied", router.Decision{Verdict: router.Reject}),
+		decided("no route", router.Decision{Verdict: router.Reject, Bad: true}),
+		decided("denied as a repeat", router.Decision{Verdict: router.Reject, Repeat: true}),
+		decided("given up", router.Decision{Verdict: router.Unknown}),
 		{"router ends", func(e *Exchange, _ *world) ([]Action, bool) { return e.Closed(), true }},
 	}
 }
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // replies tells what an answer proves: whether it is this request's, and whether it says that nothing ran.
@@ -75,7 +75,7 @@
 	case PassAnswer:
 		return w.pass(name)
 	case NotifyRouter:
-		if end, ok := m.Event.(mallowbridge.AttemptEnded); ok {
+		if end, ok := m.Event.(router.AttemptEnded); ok {
 			return w.told(end)
 		}
 	case Finish:
@@ -128,8 +128,8 @@
 // exchangeResumes tells whether the newest place goes on after the last event passed on, all of which had ids.
 func (w *world) exchangeResumes() bool { return w.exchange.place.resumes && !w.exchange.stuck }
 
-func (w *world) told(end mallowbridge.AttemptEnded) string {
-	if (end.Result == mallowbridge.Unreached || end.Result == mallowbridge.Refused) && w.current == truthMayRun {
+func (w *world) told(end router.AttemptEnded) string {
+	if (end.Result == router.Unreached || end.Result == router.Refused) && w.current == truthMayRun {
 		return "the router is told that nothing ran, but it may have"
 	}
 	w.open = false
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -10,9 +10,9 @@
 
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func TestStreamIsTakenUpElsewhere(t *testing.T) {
@@ -23,12 +23,12 @@
 	m := newStubRouter(partial, first.place(streams), repeated)
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	connRequest(t, "error", r.err, error(nil))
-	connRequest(t, "body", r.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n")
-	connRequest(t, "seal", r.header.Get("X-Seal"), "s-id: 1")
-	connRequest(t, "last event", (<-second.got).req.Header.Get("Last-Event-Id"), "2")
-	connRequest(t, "events", m.notified(), "ReadyToSend AnswerHead AnswerStarted AttemptEnded(broken) ReadyToSend AnswerHead AnswerStarted AttemptEnded(whole)")
-	connRequest(t, "resumed", p.Counters.Resumed.Load(), 1)
+	want(t, "error", r.err, error(nil))
+	want(t, "body", r.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n")
+	want(t, "seal", r.header.Get("X-Seal"), "s-id: 1")
+	want(t, "last event", (<-second.got).req.Header.Get("Last-Event-Id"), "2")
+	want(t, "events", m.notified(), "ReadyToSend AnswerHead AnswerStarted AttemptEnded(broken) ReadyToSend AnswerHead AnswerStarted AttemptEnded(whole)")
+	want(t, "resumed", p.Counters.Resumed.Load(), 1)
 }
 
 func TestTruncatedStreamLooksTruncated(t *testing.T) {
@@ -36,11 +36,11 @@
 	m := newStubRouter(partial, first.place(streams))
 	p, url := serve(t, m)
 	r := call(t, url, "id1", "")
-	connRequest(t, "body", r.body, "id: 1\ndata: a\n\n")
+	want(t, "body", r.body, "id: 1\ndata: a\n\n")
 	if r.err == nil {
 		t.Error("the stream ended as if whole")
 	}
-	connRequest(t, "aborted", p.Counters.Aborted.Load(), 1)
+	want(t, "aborted", p.Counters.Aborted.Load(), 1)
 }
 
 func TestStreamPassesOnAsItComesAndHangupClosesTheReplica(t *testing.T) {
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	defer lis.Close()
-	m := newStubRouter(partial, mallowbridge.Decision{Addr: lis.Addr().String(), Route: streams})
+	m := newStubRouter(partial, router.Decision{Addr: lis.Addr().String(), Route: streams})
 	_, url := serve(t, m)
 	client, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	if err != nil {
@@ -79,7 +79,7 @@
 		t.Error("replica read more")
 	}
 	for ev := range m.events {
-		if _, ok := ev.(mallowbridge.ClientDisconnected); ok {
+		if _, ok := ev.(router.ClientDisconnected); ok {
 			return
 		}
 	}
@@ -103,12 +103,12 @@
 	tb := &tomb.Tomb{}
 	proxy.Serve(tb, lis, p, func() config.Limits { return <-limits })
 	url := "http://" + lis.Addr().String()
-	connRequest(t, "first", call(t, url, "id1", "").body, "one")
-	connRequest(t, "long head", call(t, url, strings.Repeat("x", 20000), "").status, 431)
+	want(t, "first", call(t, url, "id1", "").body, "one")
+	want(t, "long head", call(t, url, strings.Repeat("x", 20000), "").status, 431)
 	p.Shutdown(grace)
 	r := call(t, url, "id2", "")
-	connRequest(t, "second", r.body, "two")
+	want(t, "second", r.body, "two")
 	waitIdle(t, p)
 	tb.Kill(nil)
-	connRequest(t, "end", tb.Wait(), error(nil))
+	want(t, "end", tb.Wait(), error(nil))
 }
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // transfer carries out the moves of one exchange, all in the goroutine of the handler.
@@ -30,7 +30,7 @@
 	events   Events
 }
 
-func (x *transfer) run(a mallowbridge.Arrive) {
+func (x *transfer) run(a router.Arrive) {
 	in := x.proxy.router.Submit(a)
 	disconnected := x.r.Context().Done()
 	for !x.exchange.Over() {
@@ -73,16 +73,16 @@
 	x.exchange.recycle(actions)
 }
 
-func (x *transfer) notify(ev mallowbridge.Event) {
+func (x *transfer) notify(ev router.Event) {
 	switch e := ev.(type) {
-	case mallowbridge.AttemptEnded:
+	case router.AttemptEnded:
 		switch e.Result {
-		case mallowbridge.Failed:
+		case router.Failed:
 			x.proxy.Counters.Broken.Add(1)
-		case mallowbridge.Refused:
+		case router.Refused:
 			x.proxy.Counters.Refused.Add(1)
 		}
-	case mallowbridge.WrongInstance:
+	case router.WrongInstance:
 		x.proxy.Counters.Misplaced.Add(1)
 	}
 	x.proxy.router.Notify(ev)
--- a/actions.go
+++ b/router/actions.go
@@ -1,4 +1,4 @@
-package mallowbridge
+package router
 
 // ActionKind says what the I/O around a RequestFlow has to do.
 type ActionKind uint8
--- a/classes_test.go
+++ b/router/classes_test.go
@@ -1,4 +1,4 @@
-package mallowbridge
+package router
 
 func (r *Router) Rows() int { return len(r.scheduler.Replicas) }
 
--- a/decisions.go
+++ b/router/decisions.go
@@ -1,4 +1,4 @@
-package mallowbridge
+package router
 
 import (
 	"time"
--- a/loop.go
+++ b/router/loop.go
@@ -1,4 +1,4 @@
-package mallowbridge
+package router
 
 import (
 	"time"
@@ -14,8 +14,8 @@
 	done      chan struct{}
 }
 
-// RouterLoop owns one Router in one goroutine; events go in by NotifyRouter, a request's decisions come back on its own channel.
-type RouterLoop struct {
+// Loop owns one Router in one goroutine; events go in by NotifyRouter, a request's decisions come back on its own channel.
+type Loop struct {
 	tomb        *tomb.Tomb
 	clock       func() time.Duration
 	inbox       chan loopMessage
@@ -34,9 +34,9 @@
 // loopQueue is how many events may wait for the loop.
 const loopQueue = 1024
 
-// NewRouterLoop starts the goroutine, which ends with the tomb; it sleeps until the router needs the time, and never longer than every.
-func NewRouterLoop(t *tomb.Tomb, r *Router, clock func() time.Duration, every time.Duration) *RouterLoop {
-	l := &RouterLoop{
+// NewLoop starts the goroutine, which ends with the tomb; it sleeps until the router needs the time, and never longer than every.
+func NewLoop(t *tomb.Tomb, r *Router, clock func() time.Duration, every time.Duration) *Loop {
+	l := &Loop{
 		tomb: t, clock: clock, inbox: make(chan loopMessage, loopQueue), router: r, subscribers: map[string]chan Decision{}, every: every,
 		Failures: make(chan Failures, 1),
 	}
@@ -44,7 +44,7 @@
 	return l
 }
 
-func (l *RouterLoop) run() error {
+func (l *Loop) run() error {
 	wake := time.NewTimer(l.every)
 	defer wake.Stop()
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (l *RouterLoop) reportFailures() {
+func (l *Loop) reportFailures() {
 	f, found := l.router.Failures(l.clock())
 	if !found {
 		return
@@ -79,7 +79,7 @@
 const shortestPause = time.Millisecond
 
 // pause is how long the loop may sleep.
-func (l *RouterLoop) pause() time.Duration {
+func (l *Loop) pause() time.Duration {
 	now := l.clock()
 	at, found := l.router.Next(now)
 	if !found {
@@ -88,7 +88,7 @@
 	return min(max(at-now, shortestPause), l.every)
 }
 
-func (l *RouterLoop) handle(m loopMessage) {
+func (l *Loop) handle(m loopMessage) {
 	if m.inspect != nil {
 		m.inspect(l.router)
 		close(m.done)
@@ -104,7 +104,7 @@
 }
 
 // subscribe gives a request its channel, or rejects it where its id runs already.
-func (l *RouterLoop) subscribe(e Arrive, decisions chan Decision) bool {
+func (l *Loop) subscribe(e Arrive, decisions chan Decision) bool {
 	if l.subscribers[e.Request] != nil {
 		decisions <- e.rejected(runningHere, true)
 		close(decisions)
@@ -114,14 +114,14 @@
 	return true
 }
 
-func (l *RouterLoop) endRequest(request string) {
+func (l *Loop) endRequest(request string) {
 	if decisions := l.subscribers[request]; decisions != nil {
 		delete(l.subscribers, request)
 		close(decisions)
 	}
 }
 
-func (l *RouterLoop) deliver(decisions []Decision) {
+func (l *Loop) deliver(decisions []Decision) {
 	for _, one := range decisions {
 		if one.UnreadTokens > 0 && l.announce != nil {
 			l.announce(Prefill{Replica: one.Replica, Tokens: one.UnreadTokens})
@@ -133,7 +133,7 @@
 }
 
 // deliverTo ends a request whose decisions nobody reads.
-func (l *RouterLoop) deliverTo(subscriber chan Decision, one Decision) {
+func (l *Loop) deliverTo(subscriber chan Decision, one Decision) {
 	select {
 	case subscriber <- one:
 	default:
@@ -147,7 +147,7 @@
 }
 
 // post hands a message to the loop. One that was queued after the loop had ended is discarded by its sender.
-func (l *RouterLoop) post(m loopMessage) bool {
+func (l *Loop) post(m loopMessage) bool {
 	select {
 	case l.inbox <- m:
 	case <-l.tomb.Dying():
@@ -160,7 +160,7 @@
 }
 
 // discardInbox ends the requests and looks that still wait once the tomb is dying.
-func (l *RouterLoop) discardInbox() {
+func (l *Loop) discardInbox() {
 	for {
 		select {
 		case m := <-l.inbox:
@@ -181,12 +181,12 @@
 }
 
 // OnPrefill has tell called for each prompt that other routers should know of; it must not wait.
-func (l *RouterLoop) OnPrefill(tell func(p Prefill)) {
+func (l *Loop) OnPrefill(tell func(p Prefill)) {
 	l.Inspect(func(*Router) { l.announce = tell })
 }
 
 // NotifyIfIdle gives an event that is worth nothing later: a loop that is busy doesn't get it.
-func (l *RouterLoop) NotifyIfIdle(ev Event) {
+func (l *Loop) NotifyIfIdle(ev Event) {
 	select {
 	case l.inbox <- loopMessage{event: ev}:
 	default:
@@ -194,13 +194,13 @@
 }
 
 // Notify gives an event; it waits while the loop is behind, and drops the event once the loop has ended.
-func (l *RouterLoop) Notify(ev Event) { l.post(loopMessage{event: ev}) }
+func (l *Loop) Notify(ev Event) { l.post(loopMessage{event: ev}) }
 
 // decisionBuffer is how many decisions of a request may wait to be read.
 const decisionBuffer = 64
 
 // Submit gives the channel of a request's decisions; it is closed after the last, and early when nobody reads it.
-func (l *RouterLoop) Submit(a Arrive) <-chan Decision {
+func (l *Loop) Submit(a Arrive) <-chan Decision {
 	sub := make(chan Decision, decisionBuffer)
 	if !l.post(loopMessage{event: a, decisions: sub}) {
 		close(sub)
@@ -209,7 +209,7 @@
 }
 
 // Inspect calls look in the loop's goroutine and waits for it; look must not wait for the loop. It is not called once the loop has ended.
-func (l *RouterLoop) Inspect(look func(r *Router)) {
+func (l *Loop) Inspect(look func(r *Router)) {
 	done := make(chan struct{})
 	if !l.post(loopMessage{inspect: look, done: done}) {
 		return
--- a/loop_test.go
+++ b/router/loop_test.go
@@ -1,4 +1,4 @@
-package mallowbridge_test
+package router_test
 
 import (
 	"fmt"
@@ -7,23 +7,23 @@
 
 	"gopkg.in/tomb.v2"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func TestDecisionsThatNobodyReadsEndInAClosedChannel(t *testing.T) {
-	r := router(t, replica("d1", "both", "a", 1))
+	r := newRouter(t, replica("d1", "both", "a", 1))
 	tb := &tomb.Tomb{}
-	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled }, time.Hour)
-	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", Tail: 5})
+	d := router.NewLoop(tb, r, func() time.Duration { return settled }, time.Hour)
+	decisions := d.Submit(router.Arrive{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", Tail: 5})
 	first := <-decisions
 	for i := range 200 {
-		d.Notify(mallowbridge.ReadyToSend{Request: "q", AttemptID: fmt.Sprint("n1.b.", 100+i)})
+		d.Notify(router.ReadyToSend{Request: "q", AttemptID: fmt.Sprint("n1.b.", 100+i)})
 	}
-	if first.Verdict != mallowbridge.Place {
+	if first.Verdict != router.Place {
 		t.Fatal(first)
 	}
 	running := 0
-	d.Inspect(func(r *mallowbridge.Router) { running = r.Running() })
+	d.Inspect(func(r *router.Router) { running = r.Running() })
 	n := 0
 	for range decisions {
 		n++
@@ -40,11 +40,11 @@
 func TestADeskSleepsUntilTheRouterNeedsTheTime(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a")))), &tomb.Tomb{}
 	start := time.Now()
-	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled + time.Since(start) }, time.Hour)
-	decisions := d.Submit(mallowbridge.Arrive{Request: "q", Host: "h.example", Path: "/x"})
+	d := router.NewLoop(tb, r, func() time.Duration { return settled + time.Since(start) }, time.Hour)
+	decisions := d.Submit(router.Arrive{Request: "q", Host: "h.example", Path: "/x"})
 	select {
 	case x := <-decisions:
-		if x.Verdict != mallowbridge.Reject || x.RejectedLate || time.Since(start) < 100*time.Millisecond {
+		if x.Verdict != router.Reject || x.RejectedLate || time.Since(start) < 100*time.Millisecond {
 			t.Errorf("%+v after %v", x, time.Since(start))
 		}
 	case <-time.After(5 * time.Second):
@@ -58,15 +58,15 @@
 
 func TestRouterLoopExchangesLongPrompts(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a")), &tomb.Tomb{}
-	d := mallowbridge.NewRouterLoop(tb, r, func() time.Duration { return settled }, time.Hour)
-	announced := make(chan mallowbridge.Prefill, 8)
-	d.OnPrefill(func(p mallowbridge.Prefill) { announced <- p })
+	d := router.NewLoop(tb, r, func() time.Duration { return settled }, time.Hour)
+	announced := make(chan router.Prefill, 8)
+	d.OnPrefill(func(p router.Prefill) { announced <- p })
 	ask := func(id string, tokens int) string {
-		return (<-d.Submit(mallowbridge.Arrive{Request: id, Host: "h.example", Path: "/x", Tokens: tokens})).Replica
+		return (<-d.Submit(router.Arrive{Request: id, Host: "h.example", Path: "/x", Tokens: tokens})).Replica
 	}
 	ask("short", 100)
 	first := ask("long", 20000)
-	d.Inspect(func(*mallowbridge.Router) {})
+	d.Inspect(func(*router.Router) {})
 	if len(announced) != 1 {
 		t.Fatalf("told of %d prompts", len(announced))
 	}
@@ -74,8 +74,8 @@
 		t.Errorf("told %+v of a prompt at %s", p, first)
 	}
 	other := map[string]string{"i1": "i2", "i2": "i1"}[first]
-	d.NotifyIfIdle(mallowbridge.Prefill{Replica: other, Tokens: 60000})
-	d.NotifyIfIdle(mallowbridge.Prefill{Replica: "unknown", Tokens: 60000})
+	d.NotifyIfIdle(router.Prefill{Replica: other, Tokens: 60000})
+	d.NotifyIfIdle(router.Prefill{Replica: "unknown", Tokens: 60000})
 	if at := ask("after", 15000); at != first {
 		t.Errorf("placed at %s, where another router has sent a long prompt", at)
 	}
@@ -89,11 +89,11 @@
 func TestEachSubmissionEndsThoughTheLoopHasEnded(t *testing.T) {
 	for range 50 {
 		tb := &tomb.Tomb{}
-		loop := mallowbridge.NewRouterLoop(tb, mallowbridge.New(mallowbridge.Defaults("n1", "b", "a")), func() time.Duration { return 0 }, time.Hour)
+		loop := router.NewLoop(tb, router.New(router.Defaults("n1", "b", "a")), func() time.Duration { return 0 }, time.Hour)
 		tb.Kill(nil)
 		_ = tb.Wait()
 		select {
-		case <-loop.Submit(mallowbridge.Arrive{Request: "q"}):
+		case <-loop.Submit(router.Arrive{Request: "q"}):
 		case <-time.After(time.Second):
 			t.Fatal("a request waits though the loop has ended")
 		}
--- a/route_test.go
+++ b/router/route_test.go
@@ -1,12 +1,12 @@
-package mallowbridge_test
+package router_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func routes(version uint64, rs ...config.Route) *config.Snapshot {
@@ -31,25 +31,25 @@
 	return config.WeightedService{Service: service, Weight: 1}
 }
 
-func row(id, service string) mallowbridge.Instance {
-	return mallowbridge.Instance{ID: id, Service: service, Addr: "10.0.0.1:1", Zone: "a", Model: "m", Weights: "1", Capacity: 8}
+func row(id, service string) router.Instance {
+	return router.Instance{ID: id, Service: service, Addr: "10.0.0.1:1", Zone: "a", Model: "m", Weights: "1", Capacity: 8}
 }
 
-func routed(p *config.Snapshot, rows ...mallowbridge.Instance) *mallowbridge.Router {
-	r := mallowbridge.New(mallowbridge.Defaults("n1", "b", "a"))
-	r.Step(0, mallowbridge.ReplicaList{Rows: rows})
-	r.Step(0, mallowbridge.SnapshotUpdate{Snapshot: p})
-	r.Step(0, mallowbridge.Routers{Names: []string{"n1"}, Zones: []string{"a"}})
-	r.Step(settled, mallowbridge.ControlStatus{})
+func routed(p *config.Snapshot, rows ...router.Instance) *router.Router {
+	r := router.New(router.Defaults("n1", "b", "a"))
+	r.Step(0, router.ReplicaList{Rows: rows})
+	r.Step(0, router.SnapshotUpdate{Snapshot: p})
+	r.Step(0, router.Routers{Names: []string{"n1"}, Zones: []string{"a"}})
+	r.Step(settled, router.ControlStatus{})
 	return r
 }
 
-func get(r *mallowbridge.Router, now time.Duration, id, path string) []mallowbridge.Decision {
-	r.Step(now, mallowbridge.ControlStatus{})
-	return r.Step(now, mallowbridge.Arrive{Request: id, Host: "h.example:80", Path: path, Prefix: "ab:300,cd:100", Tokens: 500})
+func get(r *router.Router, now time.Duration, id, path string) []router.Decision {
+	r.Step(now, router.ControlStatus{})
+	return r.Step(now, router.Arrive{Request: id, Host: "h.example:80", Path: path, Prefix: "ab:300,cd:100", Tokens: 500})
 }
 
-func one(t *testing.T, ds []mallowbridge.Decision, v mallowbridge.Verdict) mallowbridge.Decision {
+func one(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
 	t.Helper()
 	if len(ds) != 1 || ds[0].Verdict != v {
 		t.Fatalf("%+v, want %s", ds, v)
@@ -60,26 +60,26 @@
 func TestTheLongestPrefixIsTaken(t *testing.T) {
 	p := routes(1, route("short", "/a/", all("a")), route("long", "/a/b/", all("b")))
 	r := routed(p, row("i1", "a"), row("i2", "b"))
-	d := one(t, get(r, settled, "q1", "/a/b/c"), mallowbridge.Place)
+	d := one(t, get(r, settled, "q1", "/a/b/c"), router.Place)
 	if d.Instance != "i2" || d.Route != &p.Config.Routes[1] || d.Deadline != settled+3*time.Second || d.MaxConns != 80 {
 		t.Errorf("%+v", d)
 	}
-	if d = one(t, get(r, settled, "q2", "/a/c"), mallowbridge.Place); d.Instance != "i1" {
+	if d = one(t, get(r, settled, "q2", "/a/c"), router.Place); d.Instance != "i1" {
 		t.Errorf("%+v", d)
 	}
 	for _, path := range []string{"/", "/b/", "/a"} {
-		if d = one(t, get(r, settled, "q3", path), mallowbridge.Reject); !d.Bad {
+		if d = one(t, get(r, settled, "q3", path), router.Reject); !d.Bad {
 			t.Errorf("%s: %+v", path, d)
 		}
 	}
 }
 
 func TestSplitsFollowTheirWeights(t *testing.T) {
-	big, rows := 0, []mallowbridge.Instance{row("i1", "a"), row("i2", "b")}
+	big, rows := 0, []router.Instance{row("i1", "a"), row("i2", "b")}
 	rows[0].Capacity, rows[1].Capacity = 4000, 4000
 	r := routed(routes(1, route("k", "/", config.WeightedService{Service: "a", Weight: 90}, config.WeightedService{Service: "b", Weight: 10})), rows...)
 	for i := range 2000 {
-		if one(t, get(r, settled, fmt.Sprint(i), "/x"), mallowbridge.Place).Instance == "i1" {
+		if one(t, get(r, settled, fmt.Sprint(i), "/x"), router.Place).Instance == "i1" {
 			big++
 		}
 	}
@@ -93,7 +93,7 @@
 	if ds := get(r, settled, "q", "/x"); len(ds) > 0 {
 		t.Fatalf("%+v", ds)
 	}
-	d := one(t, r.Step(settled+time.Millisecond, mallowbridge.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", all("a")))}), mallowbridge.Reject)
+	d := one(t, r.Step(settled+time.Millisecond, router.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", all("a")))}), router.Reject)
 	if d.Bad || d.RejectedLate {
 		t.Errorf("%+v", d)
 	}
@@ -101,38 +101,38 @@
 
 func TestRosterChanges(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"))
-	d := one(t, get(r, settled, "q1", "/x"), mallowbridge.Place)
-	r.Step(settled, mallowbridge.ReadyToSend{Request: "q1", AttemptID: d.AttemptID})
-	r.Step(settled, mallowbridge.AnswerHead{Request: "q1", AttemptID: d.AttemptID})
-	r.Step(settled, mallowbridge.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: mallowbridge.Completed})
+	d := one(t, get(r, settled, "q1", "/x"), router.Place)
+	r.Step(settled, router.ReadyToSend{Request: "q1", AttemptID: d.AttemptID})
+	r.Step(settled, router.AnswerHead{Request: "q1", AttemptID: d.AttemptID})
+	r.Step(settled, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
 	at := settled + 100*time.Millisecond
-	if d = one(t, get(r, at, "q2", "/x"), mallowbridge.Place); d.Confirmed != 400 {
+	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.Confirmed != 400 {
 		t.Errorf("kept parts: %+v", d)
 	}
 	newer := row("i1", "a")
 	newer.Weights = "2"
-	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{newer}})
-	if d = one(t, get(r, at, "q3", "/x"), mallowbridge.Place); d.Confirmed+d.Predicted != 0 {
+	r.Step(at, router.ReplicaList{Rows: []router.Instance{newer}})
+	if d = one(t, get(r, at, "q3", "/x"), router.Place); d.Confirmed+d.Predicted != 0 {
 		t.Errorf("kept parts of other weights: %+v", d)
 	}
-	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{row("i0", "a")}, Age: time.Second})
-	if d = one(t, get(r, at, "q4", "/x"), mallowbridge.Place); d.Instance != "i1" {
+	r.Step(at, router.ReplicaList{Rows: []router.Instance{row("i0", "a")}, Age: time.Second})
+	if d = one(t, get(r, at, "q4", "/x"), router.Place); d.Instance != "i1" {
 		t.Errorf("an older roster came into force: %+v", d)
 	}
 	leaving := newer
 	leaving.Draining = true
-	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{leaving, row("i2", "a")}})
+	r.Step(at, router.ReplicaList{Rows: []router.Instance{leaving, row("i2", "a")}})
 	for i := range 4 {
-		if d = one(t, get(r, at, fmt.Sprint("l", i), "/x"), mallowbridge.Place); d.Instance != "i2" {
+		if d = one(t, get(r, at, fmt.Sprint("l", i), "/x"), router.Place); d.Instance != "i2" {
 			t.Errorf("placed on one that is leaving: %+v", d)
 		}
 	}
-	r.Step(at, mallowbridge.WrongInstance{Replica: "i2"})
-	r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{leaving, row("i2", "a")}})
+	r.Step(at, router.WrongInstance{Replica: "i2"})
+	r.Step(at, router.ReplicaList{Rows: []router.Instance{leaving, row("i2", "a")}})
 	if ds := get(r, at, "q5", "/x"); len(ds) != 0 {
 		t.Errorf("placed where another instance answers: %+v", ds)
 	}
-	d = one(t, r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{row("i3", "a")}}), mallowbridge.Place)
+	d = one(t, r.Step(at, router.ReplicaList{Rows: []router.Instance{row("i3", "a")}}), router.Place)
 	if d.Instance != "i3" || d.Request != "q5" {
 		t.Errorf("%+v", d)
 	}
@@ -142,11 +142,11 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i0", "a"))
 	for i := range 50 {
 		at := settled + time.Duration(i)*20*time.Second
-		r.Step(at, mallowbridge.ReplicaList{Rows: []mallowbridge.Instance{row(fmt.Sprint("i", i), "a")}})
-		if d := one(t, get(r, at, fmt.Sprint("q", i), "/x"), mallowbridge.Place); d.Instance != fmt.Sprint("i", i) {
+		r.Step(at, router.ReplicaList{Rows: []router.Instance{row(fmt.Sprint("i", i), "a")}})
+		if d := one(t, get(r, at, fmt.Sprint("q", i), "/x"), router.Place); d.Instance != fmt.Sprint("i", i) {
 			t.Fatalf("%d: %+v", i, d)
 		}
-		r.Step(at, mallowbridge.ClientDisconnected{Request: fmt.Sprint("q", i)})
+		r.Step(at, router.ClientDisconnected{Request: fmt.Sprint("q", i)})
 	}
 	if r.Rows() > 3 {
 		t.Errorf("%d rows for one replica", r.Rows())
@@ -157,10 +157,10 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i", "a"))
 	for i := range 50 {
 		name := fmt.Sprint("k", i)
-		r.Step(settled, mallowbridge.SnapshotUpdate{Snapshot: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
-		d := one(t, get(r, settled, name, "/"+name+"/"), mallowbridge.Place)
-		r.Step(settled, mallowbridge.ReadyToSend{Request: name, AttemptID: d.AttemptID})
-		r.Step(settled, mallowbridge.AttemptEnded{Request: name, AttemptID: d.AttemptID, Result: mallowbridge.Completed})
+		r.Step(settled, router.SnapshotUpdate{Snapshot: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
+		d := one(t, get(r, settled, name, "/"+name+"/"), router.Place)
+		r.Step(settled, router.ReadyToSend{Request: name, AttemptID: d.AttemptID})
+		r.Step(settled, router.AttemptEnded{Request: name, AttemptID: d.AttemptID, Result: router.Completed})
 	}
 	if r.Kinds() > 3 {
 		t.Errorf("%d kinds for one route", r.Kinds())
@@ -175,9 +175,9 @@
 		t.Fatalf("placed in an emptied domain: %+v", ds)
 	}
 	n := 0
-	for i, d := range r.Step(settled, mallowbridge.SnapshotUpdate{Snapshot: routes(2, route("k", "/", all("a")))}) {
+	for i, d := range r.Step(settled, router.SnapshotUpdate{Snapshot: routes(2, route("k", "/", all("a")))}) {
 		n += i + 1
-		one(t, []mallowbridge.Decision{d}, mallowbridge.Place)
+		one(t, []router.Decision{d}, router.Place)
 	}
 	for i := range 7 {
 		n += len(get(r, settled, fmt.Sprint("q1", i), "/x"))
@@ -190,14 +190,14 @@
 // One router's 421 is enough for all: the instance that was named is gone.
 func TestReplacedInstanceIsKnownToAllRouters(t *testing.T) {
 	p := routes(1, route("r", "/", all("a")))
-	rows := []mallowbridge.Instance{row("i1", "a"), row("i2", "a")}
+	rows := []router.Instance{row("i1", "a"), row("i2", "a")}
 	one, two := routed(p, rows...), routed(p, rows...)
 	if f, found := one.Failures(settled); found {
 		t.Fatalf("%+v", f)
 	}
-	one.Step(settled, mallowbridge.WrongInstance{Replica: "i2"})
+	one.Step(settled, router.WrongInstance{Replica: "i2"})
 	f, found := one.Failures(settled)
-	if !found || len(f.Rows) != 1 || f.Rows[0] != (mallowbridge.Failure{Replica: "i2", Gone: true}) {
+	if !found || len(f.Rows) != 1 || f.Rows[0] != (router.Failure{Replica: "i2", Gone: true}) {
 		t.Fatalf("%+v", f)
 	}
 	f.By = "n2"
@@ -216,8 +216,8 @@
 	r.RoundRobin()
 	at := map[string]int{}
 	for i := range 4 {
-		ds := r.Step(settled, mallowbridge.Arrive{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", Tokens: 3100})
-		at[one(t, ds, mallowbridge.Place).Replica]++
+		ds := r.Step(settled, router.Arrive{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", Tokens: 3100})
+		at[one(t, ds, router.Place).Replica]++
 	}
 	if at["i1"] != 2 || at["i2"] != 2 {
 		t.Error(at)
--- a/router.go
+++ b/router/router.go
@@ -1,4 +1,4 @@
-package mallowbridge
+package router
 
 import (
 	"time"
@@ -52,7 +52,7 @@
 }
 
 // Router is the routing state machine of one node or embedding program. It turns events into calls of the scheduler and the
-// scheduler's actions into decisions, by name instead of index. It does no I/O and is not safe for concurrent use; a RouterLoop owns it. All
+// scheduler's actions into decisions, by name instead of index. It does no I/O and is not safe for concurrent use; a Loop owns it. All
 // times are on the caller's clock, since its start.
 type Router struct {
 	cfg       Config
--- a/router_test.go
+++ b/router/router_test.go
@@ -1,58 +1,58 @@
-package mallowbridge_test
+package router_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const settled = 3 * time.Second
 
-func router(t *testing.T, replicas string) *mallowbridge.Router {
+func newRouter(t *testing.T, replicas string) *router.Router {
 	t.Helper()
-	r := mallowbridge.New(mallowbridge.Defaults("n1", "b", "a"))
+	r := router.New(router.Defaults("n1", "b", "a"))
 	order(t, r, 1, replicas)
-	r.Step(0, mallowbridge.Routers{Names: []string{"n1"}, Zones: []string{"a"}})
+	r.Step(0, router.Routers{Names: []string{"n1"}, Zones: []string{"a"}})
 	for _, name := range []string{"p1", "p2", "d1", "d2"} {
-		r.Step(0, mallowbridge.LoadReport{Replica: name, InstanceID: name + ".1"})
+		r.Step(0, router.LoadReport{Replica: name, InstanceID: name + ".1"})
 	}
-	r.Step(settled, mallowbridge.ControlStatus{})
+	r.Step(settled, router.ControlStatus{})
 	return r
 }
 
-func order(t *testing.T, r *mallowbridge.Router, version uint64, replicas string, emptied ...string) {
+func order(t *testing.T, r *router.Router, version uint64, replicas string, emptied ...string) {
 	t.Helper()
 	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","cold":{"rampMs":0},"replicas":[` + replicas + `],"kinds":[{"name":"k"}]}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(0, mallowbridge.SnapshotUpdate{Snapshot: &config.Snapshot{Version: version, Config: c, EvacuatedZones: emptied}})
+	r.Step(0, router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: version, Config: c, EvacuatedZones: emptied}})
 }
 
 func replica(name, role, domain string, port int) string {
 	return fmt.Sprintf(`{"name":%q,"role":%q,"domain":%q,"addr":"127.0.0.1:%d"}`, name, role, domain, port)
 }
 
-func loopMessage(t *testing.T, r *mallowbridge.Router, now time.Duration, id string) mallowbridge.Decision {
+func loopMessage(t *testing.T, r *router.Router, now time.Duration, id string) router.Decision {
 	t.Helper()
-	ds := r.Step(now, mallowbridge.Arrive{Request: id, Service: "o", Class: "k", Prefix: "sys/4000", Tail: 5})
-	if len(ds) != 1 || ds[0].Verdict != mallowbridge.Place {
+	ds := r.Step(now, router.Arrive{Request: id, Service: "o", Class: "k", Prefix: "sys/4000", Tail: 5})
+	if len(ds) != 1 || ds[0].Verdict != router.Place {
 		t.Fatalf("%+v", ds)
 	}
 	return ds[0]
 }
 
-func answer(r *mallowbridge.Router, now time.Duration, d mallowbridge.Decision) {
-	r.Step(now, mallowbridge.ReadyToSend{Request: d.Request, AttemptID: d.AttemptID})
-	r.Step(now, mallowbridge.AnswerHead{Request: d.Request, AttemptID: d.AttemptID, InstanceID: d.Replica + ".1"})
-	r.Step(now, mallowbridge.AttemptEnded{Request: d.Request, AttemptID: d.AttemptID, Result: mallowbridge.Completed})
+func answer(r *router.Router, now time.Duration, d router.Decision) {
+	r.Step(now, router.ReadyToSend{Request: d.Request, AttemptID: d.AttemptID})
+	r.Step(now, router.AnswerHead{Request: d.Request, AttemptID: d.AttemptID, InstanceID: d.Replica + ".1"})
+	r.Step(now, router.AttemptEnded{Request: d.Request, AttemptID: d.AttemptID, Result: router.Completed})
 }
 
 func TestSplitRolesKeepHoldingsAtThePrefillReplica(t *testing.T) {
-	r := router(t, replica("p1", "prefill", "a", 1)+","+replica("p2", "prefill", "a", 2)+","+replica("d1", "decode", "a", 3)+","+replica("d2", "decode", "a", 4))
+	r := newRouter(t, replica("p1", "prefill", "a", 1)+","+replica("p2", "prefill", "a", 2)+","+replica("d1", "decode", "a", 3)+","+replica("d2", "decode", "a", 4))
 	one := loopMessage(t, r, settled, "q1")
 	if one.Prefill == "" || one.Replica[0] != 'd' || one.Confirmed+one.Predicted != 0 {
 		t.Fatalf("%+v", one)
@@ -69,33 +69,33 @@
 
 func TestVersionsOnlyRise(t *testing.T) {
 	a, b := replica("p1", "both", "a", 1), replica("d1", "both", "b", 2)
-	r := router(t, a+","+b)
+	r := newRouter(t, a+","+b)
 	order(t, r, 5, a+","+b, "a")
 	order(t, r, 4, a+","+b)
 	if r.Version() != 5 {
 		t.Errorf("mark %d", r.Version())
 	}
-	r.Step(settled+3*time.Second, mallowbridge.ControlStatus{})
+	r.Step(settled+3*time.Second, router.ControlStatus{})
 	if d := loopMessage(t, r, settled+3*time.Second, "q1"); d.Replica != "d1" {
 		t.Errorf("placed in an emptied domain: %+v", d)
 	}
 }
 
 func TestALibraryWithoutItsDaemonDenies(t *testing.T) {
-	r := router(t, replica("p1", "both", "a", 1))
-	ds := r.Step(settled+2*time.Second, mallowbridge.Arrive{Request: "q1", Service: "o", Class: "k"})
-	if len(ds) != 1 || ds[0].Verdict != mallowbridge.Reject || ds[0].RetryAfter < time.Second {
+	r := newRouter(t, replica("p1", "both", "a", 1))
+	ds := r.Step(settled+2*time.Second, router.Arrive{Request: "q1", Service: "o", Class: "k"})
+	if len(ds) != 1 || ds[0].Verdict != router.Reject || ds[0].RetryAfter < time.Second {
 		t.Errorf("%+v", ds)
 	}
 }
 
 func TestANewInstanceHoldsNothing(t *testing.T) {
-	r := router(t, replica("p1", "both", "a", 1))
+	r := newRouter(t, replica("p1", "both", "a", 1))
 	answer(r, settled+100*time.Millisecond, loopMessage(t, r, settled, "q1"))
 	if d := loopMessage(t, r, settled+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
 		t.Fatalf("%+v", d)
 	}
-	r.Step(settled+300*time.Millisecond, mallowbridge.LoadReport{Replica: "p1", InstanceID: "p1.2"})
+	r.Step(settled+300*time.Millisecond, router.LoadReport{Replica: "p1", InstanceID: "p1.2"})
 	if d := loopMessage(t, r, settled+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
 		t.Errorf("%+v", d)
 	}
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ledger"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // FleetReplica is a simulated replica with its connections. Dark: it answers nothing; Unhealthy: it breaks each answer; CorruptAnswers: it spoils a line in one
@@ -91,7 +91,7 @@
 }
 
 // twist spoils one line of some answers: it is lost, repeated, or of another go or instance. An answer is whole only if all are right.
-func (r *FleetReplica) twist(c *fleetConn, l *mallowbridge.AnswerLine) bool {
+func (r *FleetReplica) twist(c *fleetConn, l *router.AnswerLine) bool {
 	if r.CorruptAnswers == 0 || r.w.whim.IntN(r.CorruptAnswers) > 0 {
 		return true
 	}
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ledger"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 type fleetRequest struct {
@@ -16,7 +16,7 @@
 	try      int
 	at       time.Duration
 	got      ledger.Got
-	flow     mallowbridge.RequestFlow
+	flow     router.RequestFlow
 	conn     *fleetConn
 	attempts int
 	over     bool
@@ -25,7 +25,7 @@
 type fleetConn struct {
 	request *fleetRequest
 	replica *FleetReplica
-	place   mallowbridge.Decision
+	place   router.Decision
 	open    bool
 	sent    bool
 	chunk   int
@@ -39,7 +39,7 @@
 
 func (w *World) submit(a Request, zone string, try int) {
 	n := w.pick(zone)
-	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.now, flow: mallowbridge.RequestFlow{Request: a.Request}}
+	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.now, flow: router.RequestFlow{Request: a.Request}}
 	f.got = ledger.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
@@ -55,15 +55,15 @@
 			f.got.Node = n.frontendID
 			w.Report.Arrived++
 			if n.rejecting {
-				f.end(mallowbridge.OutcomeRejected)
+				f.end(router.OutcomeRejected)
 				return
 			}
 			if n.asks[a.Request] != nil {
-				f.end(mallowbridge.OutcomeRepeat)
+				f.end(router.OutcomeRepeat)
 				return
 			}
 			n.asks[a.Request] = f
-			n.decide(n.router.Step(n.local(), mallowbridge.Arrive{
+			n.decide(n.router.Step(n.local(), router.Arrive{
 				Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens,
 			}))
 		})
@@ -80,7 +80,7 @@
 	f.got.Outcome = outcome
 	f.w.Got = append(f.w.Got, f.got)
 	f.w.Report.take(f)
-	if f.w.S.Resend && f.try == 0 && !f.began() && (outcome == "lost" || outcome == mallowbridge.OutcomeUnknown) {
+	if f.w.S.Resend && f.try == 0 && !f.began() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
 		f.w.after(time.Second, func() { f.w.submit(f.ask, f.domain, 1) })
 	}
 }
@@ -88,7 +88,7 @@
 func (f *fleetRequest) orphan() {
 	f.drop()
 	if f.began() {
-		f.end(mallowbridge.OutcomePartial)
+		f.end(router.OutcomePartial)
 		return
 	}
 	f.end("lost")
@@ -112,10 +112,10 @@
 	}
 }
 
-func (n *Node) decide(ds []mallowbridge.Decision) {
+func (n *Node) decide(ds []router.Decision) {
 	for _, d := range ds {
 		if d.UnreadTokens > 0 && n.w.site != nil {
-			n.step(control.Prefills{Rows: []mallowbridge.Prefill{{Replica: d.Replica, Tokens: d.UnreadTokens}}})
+			n.step(control.Prefills{Rows: []router.Prefill{{Replica: d.Replica, Tokens: d.UnreadTokens}}})
 		}
 		if f := n.asks[d.Request]; f != nil {
 			f.do(f.flow.Decided(d))
@@ -126,29 +126,29 @@
 	}
 }
 
-func (f *fleetRequest) do(actions []mallowbridge.Action) {
-	var next []mallowbridge.Decision
+func (f *fleetRequest) do(actions []router.Action) {
+	var next []router.Decision
 	for _, m := range actions {
 		switch m.Kind {
-		case mallowbridge.Connect:
+		case router.Connect:
 			f.dial(m.Placement)
-		case mallowbridge.AskWitnesses:
+		case router.AskWitnesses:
 			f.vouch(f.conn)
-		case mallowbridge.AskWitnessesEarly:
+		case router.AskWitnessesEarly:
 			f.glance()
-		case mallowbridge.Write:
+		case router.Write:
 			f.attempts++
 			f.w.Audit.sent(f, f.conn)
 			f.conn.travel()
-		case mallowbridge.Disconnect:
+		case router.Disconnect:
 			f.drop()
-		case mallowbridge.NotifyRouter:
+		case router.NotifyRouter:
 			next = append(next, f.n.router.Step(f.n.local(), m.Event)...)
-		case mallowbridge.PassLine:
+		case router.PassLine:
 			f.pass(m.Line)
-		case mallowbridge.Finish:
+		case router.Finish:
 			delete(f.n.asks, f.ask.Request)
-			if m.Outcome == mallowbridge.OutcomeRejected {
+			if m.Outcome == router.OutcomeRejected {
 				f.w.Report.Reasons[m.Placement.Reason]++
 				f.w.Report.RejectedLate += uint64(map[bool]int{true: 1}[m.Placement.RejectedLate])
 			}
@@ -158,7 +158,7 @@
 	f.n.decide(next)
 }
 
-func (f *fleetRequest) pass(l mallowbridge.AnswerLine) {
+func (f *fleetRequest) pass(l router.AnswerLine) {
 	if l.Chunk == nil {
 		return
 	}
@@ -168,7 +168,7 @@
 	f.got.Chunks = append(f.got.Chunks, l.Text)
 }
 
-func (c *fleetConn) happened(in mallowbridge.ConnectionEvent) {
+func (c *fleetConn) happened(in router.ConnectionEvent) {
 	f := c.request
 	f.n.live(func() {
 		if f.conn == c && !f.over {
@@ -182,7 +182,7 @@
 	return net.blocked(c.request.n.Addr, c.replica.addr()) || net.blocked(c.replica.addr(), c.request.n.Addr)
 }
 
-func (f *fleetRequest) dial(d mallowbridge.Decision) {
+func (f *fleetRequest) dial(d router.Decision) {
 	w := f.w
 	r := w.replicasByName[d.Replica]
 	c := &fleetConn{request: f, replica: r, place: d, open: true}
@@ -191,17 +191,17 @@
 	w.Report.Predicted += uint64(d.Predicted)
 	w.Report.Confirmed += uint64(d.Confirmed)
 	if c.cutOff() {
-		f.n.later(dialFor, func() { c.happened(mallowbridge.ConnectResult{AttemptID: d.AttemptID}) })
+		f.n.later(dialFor, func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID}) })
 		return
 	}
-	f.n.later(2*w.Net.delay(f.n.Zone == r.Zone), func() { c.happened(mallowbridge.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
+	f.n.later(2*w.Net.delay(f.n.Zone == r.Zone), func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
 }
 
 func (f *fleetRequest) glance() {
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
 			if !f.over && f.n.asks[f.ask.Request] == f {
-				f.do(f.flow.Happened(mallowbridge.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
+				f.do(f.flow.Happened(router.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
 			}
 		})
 	})
@@ -209,6 +209,6 @@
 
 func (f *fleetRequest) vouch(c *fleetConn) {
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, SpareTime: c.place.SpareTime}, func(a control.Answer) {
-		c.happened(mallowbridge.WitnessesAnswered{AttemptID: c.place.AttemptID, Result: control.WitnessOutcome(a)})
+		c.happened(router.WitnessesAnswered{AttemptID: c.place.AttemptID, Result: control.WitnessOutcome(a)})
 	})
 }
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // An Instance is one life of a replica at an address.
@@ -120,9 +120,9 @@
 	}
 }
 
-func (i *Instance) load() *mallowbridge.Load {
+func (i *Instance) load() *router.Load {
 	running, waiting, slots := i.engine.Load()
-	return &mallowbridge.Load{Replica: i.ID, Running: running, Queued: waiting, Slots: slots}
+	return &router.Load{Replica: i.ID, Running: running, Queued: waiting, Slots: slots}
 }
 
 func (i *Instance) head(r *sentRequest, status int) *head {
@@ -171,8 +171,8 @@
 	k.reply(packet{head: h, end: true})
 }
 
-func (i *Instance) row(at time.Duration) mallowbridge.Instance {
-	r := mallowbridge.Instance{
+func (i *Instance) row(at time.Duration) router.Instance {
+	r := router.Instance{
 		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
 	}
 	if i.warmupUntil > 0 && i.warmupFrom <= at {
--- a/sim/lightcluster.go
+++ b/sim/lightcluster.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -36,7 +36,7 @@
 type Meter interface {
 	// Sent is one message of one node to another: its frame on a connection that has carried its kind before.
 	Sent(from, to *LightNode, msg any, frame int, encode, decode time.Duration)
-	// Stepped is one input (control.In or mallowbridge.Event) and the real time that the machine took for it.
+	// Stepped is one input (control.In or router.Event) and the real time that the machine took for it.
 	Stepped(n *LightNode, in any, elapsed time.Duration)
 	// Asked is one question to a replica for its usage.
 	Asked(n *LightNode)
@@ -215,7 +215,7 @@
 	h.after(h.net.delay(from.Zone == to.Zone), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
-func (n *LightNode) obeys(o mallowbridge.SnapshotUpdate) {
+func (n *LightNode) obeys(o router.SnapshotUpdate) {
 	for version := n.version + 1; version <= o.Snapshot.Version; version++ {
 		n.h.obeyed[version]++
 		n.h.inForce(version)
--- a/sim/lightnode.go
+++ b/sim/lightnode.go
@@ -5,13 +5,13 @@
 	"net/http"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // LightNode is one node's two real machines, Control and Router, with a disk where the shape gives it one.
@@ -21,7 +21,7 @@
 	Addr      string
 	Zone      string
 	Control   *control.Node
-	Router    *mallowbridge.Router
+	Router    *router.Router
 	Disk      *Disk
 	journal   *control.Journal
 	saving    bool
@@ -36,7 +36,7 @@
 type lightRequest struct {
 	ask  Request
 	at   time.Duration
-	flow mallowbridge.RequestFlow
+	flow router.RequestFlow
 	due  time.Duration
 	on   string
 }
@@ -60,14 +60,14 @@
 		cfg.Disk = &kept
 	}
 	n.Control = control.New(h.now, cfg)
-	n.Router = mallowbridge.New(mallowbridge.Defaults(n.Name, cfg.Boot, n.Zone))
+	n.Router = router.New(router.Defaults(n.Name, cfg.Boot, n.Zone))
 	n.tick()
 }
 
 func (n *LightNode) tick() {
 	n.h.after(tickEvery, n.tick)
 	n.step(control.Tick{})
-	n.event(mallowbridge.Tick{})
+	n.event(router.Tick{})
 }
 
 func (n *LightNode) step(in control.In) {
@@ -77,7 +77,7 @@
 	n.carry(out)
 }
 
-func (n *LightNode) event(ev mallowbridge.Event) {
+func (n *LightNode) event(ev router.Event) {
 	start := n.h.S.Clock()
 	ds := n.Router.Step(n.h.now, ev)
 	n.h.S.Meter.Stepped(n, ev, n.h.S.Clock()-start)
@@ -99,7 +99,7 @@
 	n.save()
 	for _, ev := range out.Events {
 		n.event(ev)
-		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
+		if o, ok := ev.(router.SnapshotUpdate); ok {
 			n.watch(o.Snapshot)
 			n.obeys(o)
 		}
@@ -162,41 +162,41 @@
 }
 
 func (n *LightNode) submit(a Request) {
-	g := &lightRequest{ask: a, at: n.h.now, flow: mallowbridge.RequestFlow{Request: a.Request}}
+	g := &lightRequest{ask: a, at: n.h.now, flow: router.RequestFlow{Request: a.Request}}
 	n.asks[a.Request] = g
-	n.event(mallowbridge.Arrive{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens})
+	n.event(router.Arrive{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens})
 }
 
-func (n *LightNode) move(g *lightRequest, actions []mallowbridge.Action) {
+func (n *LightNode) move(g *lightRequest, actions []router.Action) {
 	for _, m := range actions {
 		switch m.Kind {
-		case mallowbridge.Connect:
+		case router.Connect:
 			g.on, g.due = m.Placement.Replica, 0
-			n.h.after(2*n.trip(g.on), func() { n.happened(g, mallowbridge.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
-		case mallowbridge.AskWitnesses:
+			n.h.after(2*n.trip(g.on), func() { n.happened(g, router.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
+		case router.AskWitnesses:
 			n.h.call(n, control.Witness{Request: g.ask.Request, SpareTime: m.Placement.SpareTime}, func(a control.Answer) {
-				n.happened(g, mallowbridge.WitnessesAnswered{AttemptID: m.Placement.AttemptID, Result: control.WitnessOutcome(a)})
+				n.happened(g, router.WitnessesAnswered{AttemptID: m.Placement.AttemptID, Result: control.WitnessOutcome(a)})
 			})
-		case mallowbridge.AskWitnessesEarly:
+		case router.AskWitnessesEarly:
 			n.h.call(n, control.Witness{Request: g.ask.Request, Peek: true}, func(a control.Answer) {
-				n.happened(g, mallowbridge.WitnessesAnswered{Result: control.WitnessOutcome(a)})
+				n.happened(g, router.WitnessesAnswered{Result: control.WitnessOutcome(a)})
 			})
-		case mallowbridge.Write:
+		case router.Write:
 			n.h.after(n.trip(g.on), func() { n.admitted(g, m.Placement.AttemptID) })
-		case mallowbridge.NotifyRouter:
+		case router.NotifyRouter:
 			n.event(m.Event)
-		case mallowbridge.Finish:
+		case router.Finish:
 			delete(n.asks, g.ask.Request)
 			n.h.Ends[m.Outcome]++
 		}
 	}
 }
 
-func (n *LightNode) happened(g *lightRequest, w mallowbridge.ConnectionEvent) {
+func (n *LightNode) happened(g *lightRequest, w router.ConnectionEvent) {
 	n.move(g, g.flow.Happened(w))
 }
 
-func (n *LightNode) back(g *lightRequest, at time.Duration, w mallowbridge.ConnectionEvent) {
+func (n *LightNode) back(g *lightRequest, at time.Duration, w router.ConnectionEvent) {
 	g.due = max(g.due, at+n.trip(g.on))
 	n.h.at(g.due, func() { n.happened(g, w) })
 }
@@ -206,18 +206,18 @@
 	parts, _ := prefixindex.Parse(Prompt, g.ask.Prefix)
 	plan, ok := r.Admit(n.h.now, id, parts, g.ask.TailTokens)
 	if !ok {
-		n.back(g, n.h.now, mallowbridge.Replied{AttemptID: id, Attempt: id, Status: http.StatusTooManyRequests})
+		n.back(g, n.h.now, router.Replied{AttemptID: id, Attempt: id, Status: http.StatusTooManyRequests})
 		return
 	}
 	at := n.h.now + plan.First
-	n.back(g, at, mallowbridge.Replied{AttemptID: id, Attempt: id, Status: http.StatusOK})
+	n.back(g, at, router.Replied{AttemptID: id, Attempt: id, Status: http.StatusOK})
 	n.h.Firsts = append(n.h.Firsts, at-g.at)
 	for i := range plan.Chunks {
 		text := ledger.Piece(g.ask.Request, id, i)
-		n.back(g, at+time.Duration(i)*plan.Every, mallowbridge.AnswerRead{AttemptID: id, Line: mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
+		n.back(g, at+time.Duration(i)*plan.Every, router.AnswerRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
 	end := at + time.Duration(plan.Chunks-1)*plan.Every
-	n.back(g, end, mallowbridge.AnswerRead{AttemptID: id, Line: mallowbridge.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
+	n.back(g, end, router.AnswerRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
 	n.h.at(end, func() { r.Release(n.h.now, id) })
 }
 
--- a/sim/node.go
+++ b/sim/node.go
@@ -5,10 +5,10 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -31,7 +31,7 @@
 	skew        time.Duration
 	wall        time.Duration
 	node        *control.Node
-	router      *mallowbridge.Router
+	router      *router.Router
 	journal     *control.Journal
 	Disk        *Disk
 	slow        time.Duration
@@ -99,7 +99,7 @@
 		Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.incarnation,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
-	rc := mallowbridge.Defaults(n.Name, boot, n.Zone)
+	rc := router.Defaults(n.Name, boot, n.Zone)
 	if w.site != nil {
 		w.site.configure(&cfg, &rc)
 	}
@@ -110,7 +110,7 @@
 	n.node = control.New(n.local(), cfg)
 	n.frontendID = n.Name + "." + boot
 	rc.Scheduler.RoundRobin = w.S.RoundRob
-	n.router = mallowbridge.New(rc)
+	n.router = router.New(rc)
 	if w.S.IndexOff || w.S.RoundRob {
 		n.router.IndexOff()
 	}
@@ -157,7 +157,7 @@
 		n.novel()
 		n.step(control.Tick{})
 		if w.site == nil {
-			n.decide(n.router.Step(n.local(), mallowbridge.Tick{}))
+			n.decide(n.router.Step(n.local(), router.Tick{}))
 		}
 	}
 	n.tick()
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (n *Node) carry(out control.Out) {
@@ -20,7 +20,7 @@
 	}
 	for _, ev := range out.Events {
 		n.decide(n.turn(ev))
-		if o, ok := ev.(mallowbridge.SnapshotUpdate); ok {
+		if o, ok := ev.(router.SnapshotUpdate); ok {
 			w.Audit.obeys(n)
 			n.watch(o.Snapshot)
 		}
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const maxPredictions = 2 * time.Second
@@ -38,7 +38,7 @@
 	a.counted(f.n, f.ask.Request, c.place, keys, tokens, func(key predictionKey) bool { return a.proof(f.n, c.keeper(), key) })
 }
 
-func (a *Audit) counted(n *Node, who string, place mallowbridge.Decision, keys []predictionKey, tokens []int, proved func(key predictionKey) bool) {
+func (a *Audit) counted(n *Node, who string, place router.Decision, keys []predictionKey, tokens []int, proved func(key predictionKey) bool) {
 	sure, all, certain := 0, 0, true
 	for i, key := range keys {
 		proof := proved(key)
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // A trip takes one try through a node: it carries out the moves of proxy's exchange, one after the other, as proxy's transfer does.
@@ -25,7 +25,7 @@
 	turn       int
 	headed     bool
 	flowing    bool
-	queued     []mallowbridge.Decision
+	queued     []router.Decision
 }
 
 // A mode is what the trip waits for; meanwhile decisions wait, too.
@@ -59,7 +59,7 @@
 	t.deadline = n.w.now + c.patience
 	n.requests[name] = t
 	q := c.request
-	a := mallowbridge.Arrive{Request: name, Host: siteHost, Path: c.path, Timeout: c.patience}
+	a := router.Arrive{Request: name, Host: siteHost, Path: c.path, Timeout: c.patience}
 	if q.class.Streaming {
 		a.Prefix, a.Model, a.Tokens, a.MaxAnswerTokens = q.prefix, Prompt, q.prompt, q.events*s.stride(q.class.Service)
 	}
@@ -67,7 +67,7 @@
 	return t
 }
 
-func (t *proxyRequest) decided(d mallowbridge.Decision) {
+func (t *proxyRequest) decided(d router.Decision) {
 	if t.mode != free {
 		t.queued = append(t.queued, d)
 		return
@@ -87,7 +87,7 @@
 }
 
 func (t *proxyRequest) do(actions []proxy.Action) {
-	var next []mallowbridge.Decision
+	var next []router.Decision
 	for _, m := range actions {
 		switch m.Kind {
 		case proxy.Connect:
--- a/sim/site.go
+++ b/sim/site.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // A site is the platform around the nodes of a world: it lists replicas, hands user agents to nodes, and its operators write documents.
@@ -66,7 +66,7 @@
 }
 
 // configure makes a node's settings those of the ordinary path.
-func (s *site) configure(c *control.Config, r *mallowbridge.Config) {
+func (s *site) configure(c *control.Config, r *router.Config) {
 	c.Read, c.ListEvery, c.FaultTolerance, c.Bootstraps, c.ServesIsolated = readDocument, time.Second, s.spec.FaultTolerance, s.first, true
 	c.Seeds = slices.Clone(s.seeds)
 	r.Scheduler.QueueLimit, r.Scheduler.FeedTimeout = 1024, time.Minute
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -4,9 +4,9 @@
 	"net/http"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/proxy"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const (
@@ -54,7 +54,7 @@
 }
 
 // turn gives the router an event and sees to it that it is woken when it needs the time.
-func (n *Node) turn(ev mallowbridge.Event) []mallowbridge.Decision {
+func (n *Node) turn(ev router.Event) []router.Decision {
 	ds := n.router.Step(n.local(), ev)
 	if n.w.site == nil {
 		return ds
@@ -67,7 +67,7 @@
 }
 
 func (n *Node) arm() {
-	wait := mallowbridge.Idle
+	wait := router.Idle
 	if at, found := n.router.Next(n.local()); found {
 		wait = min(max(at-n.local(), time.Millisecond), wait)
 	}
@@ -79,7 +79,7 @@
 	n.later(wait, func() {
 		if n.w.now >= n.wakes && n.wakes > 0 {
 			n.wakes = 0
-			n.decide(n.turn(mallowbridge.Tick{}))
+			n.decide(n.turn(router.Tick{}))
 		}
 	})
 }
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // ClassReport counts the requests of one class. Firsts are times to the first event, in milliseconds.
@@ -33,7 +33,7 @@
 	requested, served                    int
 }
 
-func (r *SiteReport) take(d *mallowbridge.Decision) {
+func (r *SiteReport) take(d *router.Decision) {
 	r.Confirmed += d.Confirmed
 	r.Predicted += d.Predicted
 }
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // A request is what a node sends to a replica.
@@ -29,7 +29,7 @@
 	stream   bool
 	notRun   bool
 	shut     bool
-	load     *mallowbridge.Load
+	load     *router.Load
 }
 
 // A packet is a piece of an answer: head, data, its end, or what is none.
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -3,9 +3,9 @@
 import (
 	"net/http"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const chunkBytes = 120
@@ -19,7 +19,7 @@
 	w.after(w.Net.delay(f.n.Zone == r.Zone), func() {
 		if !r.Up {
 			if c.open {
-				c.happened(mallowbridge.ConnectionLost{AttemptID: c.place.AttemptID})
+				c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID})
 			}
 			return
 		}
@@ -31,7 +31,7 @@
 		if !ok {
 			r.record("refused", f.ask.Request, c.place.AttemptID, 0)
 			c.back(func() {
-				c.happened(mallowbridge.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusTooManyRequests})
+				c.happened(router.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusTooManyRequests})
 			})
 			return
 		}
@@ -53,7 +53,7 @@
 	if r.conns[c.place.AttemptID] == c {
 		delete(r.conns, c.place.AttemptID)
 		r.model.Release(c.request.w.now, c.place.AttemptID)
-		c.back(func() { c.happened(mallowbridge.ConnectionLost{AttemptID: c.place.AttemptID}) })
+		c.back(func() { c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID}) })
 	}
 }
 
@@ -82,10 +82,10 @@
 	}
 	if i == 0 {
 		c.back(func() {
-			c.happened(mallowbridge.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusOK})
+			c.happened(router.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusOK})
 		})
 	}
-	l := mallowbridge.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.Piece(f.ask.Request, c.place.AttemptID, i)}
+	l := router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.Piece(f.ask.Request, c.place.AttemptID, i)}
 	if c.corrupted || r.twist(c, &l) {
 		c.line(l)
 	}
@@ -96,15 +96,15 @@
 	r.record("done", f.ask.Request, c.place.AttemptID, c.chunk)
 	r.model.Release(w.now, c.place.AttemptID)
 	delete(r.conns, c.place.AttemptID)
-	c.line(mallowbridge.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
+	c.line(router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
 }
 
-func (c *fleetConn) line(l mallowbridge.AnswerLine) {
+func (c *fleetConn) line(l router.AnswerLine) {
 	c.back(func() {
 		if l.Chunk != nil && *l.Chunk == 0 {
 			c.request.w.Audit.proved(c, l.InstanceID)
 		}
-		c.happened(mallowbridge.AnswerRead{AttemptID: c.place.AttemptID, Line: l})
+		c.happened(router.AnswerRead{AttemptID: c.place.AttemptID, Line: l})
 	})
 }
 
@@ -114,7 +114,7 @@
 	}
 	c.request.w.after(c.request.w.Net.delay(true), func() {
 		if c.open {
-			c.happened(mallowbridge.ConnectionLost{AttemptID: c.place.AttemptID})
+			c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID})
 		}
 	})
 }
--- a/sim/world.go
+++ b/sim/world.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ledger"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 // Scenario is what is to be played. Lasts is its length, Loss and Dup the shares of messages between nodes that are lost and doubled.
@@ -60,7 +60,7 @@
 	expect         uint64
 	lives          uint64
 	site           *site
-	tune           func(c *control.Config, r *mallowbridge.Config)
+	tune           func(c *control.Config, r *router.Config)
 }
 
 const (
