--- a/standin/agent.go
+++ b/standin/agent.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge"
 	"github.com/mallowbridge/mallowbridge/ledger"
+	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
@@ -59,7 +59,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		var l mallowbridge.AnswerLine
+		var l router.AnswerLine
 		if json.Unmarshal(lines.Bytes(), &l) != nil {
 			return g
 		}
