--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -11,7 +11,7 @@
 	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/router"
 	"github.com/mallowbridge/mallowbridge/scheduler"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
 // Mechanism is what a cost is for.
@@ -175,7 +175,7 @@
 }
 
 // State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
-func State(n *sim.LightNode) map[Mechanism]uint64 {
+func State(n *light.Node) map[Mechanism]uint64 {
 	bytes := map[Mechanism]uint64{}
 	w := newSizer()
 	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
 // Cost is what one mechanism cost one node.
@@ -27,19 +27,19 @@
 
 // Costs are a fleet's, by node and mechanism.
 type Costs struct {
-	by    map[*sim.LightNode]map[Mechanism]*Cost
-	peers map[[2]*sim.LightNode]bool
+	by    map[*light.Node]map[Mechanism]*Cost
+	peers map[[2]*light.Node]bool
 }
 
 // NewCosts gives empty costs; it is the meter of a simulated fleet.
 func NewCosts() *Costs {
-	return &Costs{by: map[*sim.LightNode]map[Mechanism]*Cost{}, peers: map[[2]*sim.LightNode]bool{}}
+	return &Costs{by: map[*light.Node]map[Mechanism]*Cost{}, peers: map[[2]*light.Node]bool{}}
 }
 
 // Reset forgets what was counted, but not who spoke with whom.
-func (c *Costs) Reset() { c.by = map[*sim.LightNode]map[Mechanism]*Cost{} }
+func (c *Costs) Reset() { c.by = map[*light.Node]map[Mechanism]*Cost{} }
 
-func (c *Costs) of(n *sim.LightNode, m Mechanism) *Cost {
+func (c *Costs) of(n *light.Node, m Mechanism) *Cost {
 	if c.by[n] == nil {
 		c.by[n] = map[Mechanism]*Cost{}
 	}
@@ -53,7 +53,7 @@
 func Region(zone string) string { return zone[:1] }
 
 // Sent counts a message of frame bytes, and what its encoding and decoding took.
-func (c *Costs) Sent(from, to *sim.LightNode, msg any, frame int, encode, decode time.Duration) {
+func (c *Costs) Sent(from, to *light.Node, msg any, frame int, encode, decode time.Duration) {
 	m := ofMessage(msg)
 	s, r := c.of(from, m), c.of(to, m)
 	s.Sent, r.Received = s.Sent+1, r.Received+1
@@ -65,22 +65,22 @@
 	if Region(from.Zone) != Region(to.Zone) {
 		s.AcrossRegions += uint64(frame)
 	}
-	c.peers[[2]*sim.LightNode{from, to}] = true
+	c.peers[[2]*light.Node{from, to}] = true
 }
 
 // Stepped counts the time that a machine took for an input.
-func (c *Costs) Stepped(n *sim.LightNode, in any, elapsed time.Duration) {
+func (c *Costs) Stepped(n *light.Node, in any, elapsed time.Duration) {
 	c.of(n, ofInput(in)).Step += elapsed
 }
 
 // Asked counts a probe of a replica.
-func (c *Costs) Asked(n *sim.LightNode) { c.of(n, Probes).Probes++ }
+func (c *Costs) Asked(n *light.Node) { c.of(n, Probes).Probes++ }
 
 // Wrote counts an entry that was synced to disk.
-func (c *Costs) Wrote(n *sim.LightNode) { c.of(n, Register).Writes++ }
+func (c *Costs) Wrote(n *light.Node) { c.of(n, Register).Writes++ }
 
 // Total of a node, over the mechanisms that want is true for.
-func (c *Costs) Total(n *sim.LightNode, want func(m Mechanism) bool) Cost {
+func (c *Costs) Total(n *light.Node, want func(m Mechanism) bool) Cost {
 	var t Cost
 	for m, cost := range c.by[n] {
 		if want(m) {
@@ -91,10 +91,10 @@
 }
 
 // Of is what one mechanism cost one node.
-func (c *Costs) Of(n *sim.LightNode, m Mechanism) Cost { return *c.of(n, m) }
+func (c *Costs) Of(n *light.Node, m Mechanism) Cost { return *c.of(n, m) }
 
 // Peers are how many nodes this one sent to so far.
-func (c *Costs) Peers(n *sim.LightNode) int {
+func (c *Costs) Peers(n *light.Node) int {
 	var count int
 	for p := range c.peers {
 		if p[0] == n {
--- a/capacity/point.go
+++ b/capacity/point.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
 // Role is a kind of node.
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *Result) reads(n *sim.LightNode) reads {
+func (r *Result) reads(n *light.Node) reads {
 	v := reads{}
 	for m, c := range r.Costs.by[n] {
 		v.add(m, c.reads(r.Plan.Measured))
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -3,7 +3,10 @@
 import (
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/light"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // Plan is one fleet to be measured.
@@ -49,7 +52,7 @@
 type Result struct {
 	Plan   Plan
 	Costs  *Costs
-	Nodes  []*sim.LightNode
+	Nodes  []*light.Node
 	Ready  int
 	Puts   []time.Duration
 	Firsts []time.Duration
@@ -66,11 +69,11 @@
 
 // Run boots the fleet, lets it settle for Warm and counts for Measured.
 func (p Plan) Run() Result {
-	shape := sim.LightShape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
+	shape := light.Shape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
 	plan := p.hollow(&shape)
 	r := Result{Plan: p, Costs: NewCosts(), Body: len(shape.Config)}
 	plan.Shape, plan.Meter = shape, r.Costs
-	h := sim.NewLightCluster(plan)
+	h := light.New(plan)
 	h.Boot()
 	warm := p.Warm + p.bootSpread()
 	h.Run(p.bootSpread() + min(8*time.Second, p.Warm/2))
@@ -82,7 +85,7 @@
 	h.Change()
 	h.Run(warm + p.Measured)
 	for _, n := range h.Nodes {
-		if n.Router.Ready(h.Now()) == "" {
+		if n.Router.Ready(h.Now) == "" {
 			r.Ready++
 		}
 	}
@@ -91,22 +94,22 @@
 }
 
 // hollow is the simulator's plan for a shape, whose configuration it pads.
-func (p Plan) hollow(shape *sim.Shape) sim.LightPlan {
+func (p Plan) hollow(shape *shape.Shape) light.Plan {
 	plain := *shape
 	if p.ConfigBytes > 0 {
-		shape.Config = sim.LightDocument(plain, 0, p.ConfigBytes)
+		shape.Config = light.Document(plain, 0, p.ConfigBytes)
 	}
-	m := sim.DefaultModel()
-	m.Capacity = sim.LightCapacity
-	plan := sim.LightPlan{
+	m := replica.DefaultModel()
+	m.Capacity = light.Capacity
+	plan := light.Plan{
 		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
-		Body: func(n int) []byte { return sim.LightDocument(plain, n, p.ConfigBytes) },
+		Body: func(n int) []byte { return light.Document(plain, n, p.ConfigBytes) },
 	}
 	if p.Changes > 0 {
 		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
 	}
 	if p.Rate > 0 {
-		src := sim.NewSource(sim.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
+		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
 		plan.Next = src.Next
 	}
 	return plan
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/router"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
 const (
@@ -41,7 +41,7 @@
 		for i := range int(x) {
 			l.request(i, of(i))
 		}
-		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Measured: time.Second}, Costs: l.costs, Nodes: []*sim.LightNode{l.node}}
+		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Measured: time.Second}, Costs: l.costs, Nodes: []*light.Node{l.node}}
 		each := l.costs.Of(l.node, Requests).Step / time.Duration(max(l.done, 1))
 		l.costs.Reset()
 		l.costs.of(l.node, Requests).Step = each
@@ -51,7 +51,7 @@
 
 // A soloRouter is given what its daemon and its connections would tell it.
 type soloRouter struct {
-	node  *sim.LightNode
+	node  *light.Node
 	costs *Costs
 	clock func() time.Duration
 	now   time.Duration
@@ -59,7 +59,7 @@
 }
 
 func newSoloRouter(clock func() time.Duration, keep int) *soloRouter {
-	shape := sim.LightShape(1, soloReplicas, 0, 1, []string{"a1"})
+	shape := light.Shape(1, soloReplicas, 0, 1, []string{"a1"})
 	c, err := config.Read(shape.Config)
 	if err != nil {
 		panic(err)
@@ -67,7 +67,7 @@
 	for i := range c.Services {
 		c.Services[i].KeepTokens = keep
 	}
-	l := &soloRouter{node: &sim.LightNode{Name: "n1", Zone: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
+	l := &soloRouter{node: &light.Node{Name: "n1", Zone: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = router.New(router.Defaults("n1", "b", "a1"))
 	l.step(router.Routers{Names: []string{"n1"}, Zones: []string{"a1"}})
 	l.step(router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}})
@@ -106,7 +106,7 @@
 // remembered asks one node as a witness for x requests.
 func remembered() Sweep {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
-		n := &sim.LightNode{Name: "n1", Zone: "a1", Router: router.New(router.Defaults("n1", "b", "a1"))}
+		n := &light.Node{Name: "n1", Zone: "a1", Router: router.New(router.Defaults("n1", "b", "a1"))}
 		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
@@ -117,7 +117,7 @@
 		}
 		c := costs.of(n, Witnesses)
 		c.Step /= time.Duration(x)
-		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Measured: time.Second}, Costs: costs, Nodes: []*sim.LightNode{n}}
+		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Measured: time.Second}, Costs: costs, Nodes: []*light.Node{n}}
 		return r.Points("remembered", x), fmt.Sprintf("%s of CPU for each", c.Step)
 	}}
 }
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -21,23 +21,24 @@
 
 	"github.com/mallowbridge/mallowbridge/daemon"
 	"github.com/mallowbridge/mallowbridge/ledger"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 	"github.com/mallowbridge/mallowbridge/standin"
 )
 
 func standIns(app *kingpin.Application, cmds map[string]command) {
-	replica(app, cmds)
+	standinReplica(app, cmds)
 	clients(app, cmds)
 	check(app, cmds)
 }
 
-func replica(app *kingpin.Application, cmds map[string]command) {
+func standinReplica(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("replica", "Run a stand-in replica, for rehearsals.")
 	name := c.Flag("name", "Name of the replica.").Required().String()
 	addr := c.Flag("http", "IP:port to serve.").Required().String()
 	model := c.Flag("model", "Model that it serves.").Default("m1").String()
 	path := c.Flag("ledger", "File that gets a line for each run.").String()
-	m := sim.DefaultModel()
+	m := replica.DefaultModel()
 	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Capacity)
 	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.Keep)
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Chunks)
@@ -83,7 +84,7 @@
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
-		standin.NewAgent(*nodes).Run(context.Background(), sim.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
+		standin.NewAgent(*nodes).Run(context.Background(), workload.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
 			_ = enc.Encode(g)
 			sums[g.Outcome]++
 			if g.Outcome == "done" {
@@ -95,13 +96,13 @@
 	}
 }
 
-func clientLoad(rate, hotShare float64, service string, repeatable, once []string) sim.Load {
-	load := sim.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
+func clientLoad(rate, hotShare float64, service string, repeatable, once []string) workload.Load {
+	load := workload.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
 	for _, k := range repeatable {
-		load.Classes = append(load.Classes, sim.ClassLoad{Service: service, Name: k, Repeatable: true})
+		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: true})
 	}
 	for _, k := range once {
-		load.Classes = append(load.Classes, sim.ClassLoad{Service: service, Name: k})
+		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k})
 	}
 	return load
 }
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -47,11 +47,11 @@
 func reload(h *daemon.Daemon, file string, old platform.Settings, lg *log.Logger) platform.Settings {
 	s, err := platform.ReadSettings(file)
 	if err != nil {
-		lg.Warn().Err(err).Msg("settings are flawed, the old ones stay")
+		lg.Warn().Err(err).Msg("settings invalid, keeping the previous ones")
 		return old
 	}
 	h.Call(control.SetSeeds{Addrs: s.InternalSeeds()})
-	lg.Info().Msg("settings read anew")
+	lg.Info().Msg("settings reloaded")
 	return s
 }
 
--- a/cmd/mallowbridge/whatif.go
+++ b/cmd/mallowbridge/whatif.go
@@ -7,6 +7,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 	"github.com/mallowbridge/mallowbridge/whatif"
 )
 
@@ -14,10 +15,10 @@
 	c := app.Command("whatif", "Answer what-if questions: run a fleet in virtual time, by one plan or two side by side.").Alias("muse")
 	files := c.Arg("plan", "Plan (JSON), or two to compare; none is the calm fleet.").Strings()
 	seeds := c.Flag("seeds", "Seeds, instead of the plans' own.").Int()
-	shape := c.Flag("shape", "Fleet when no plan is given: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
+	shapeName := c.Flag("shape", "Fleet when no plan is given: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	harFile := c.Flag("har", "Take the load from this HAR file.").String()
 	cmds["whatif"] = func(_ io.Reader, out io.Writer) error {
-		plans, err := loadPlans(*files, *shape)
+		plans, err := loadPlans(*files, *shapeName)
 		if err != nil {
 			return err
 		}
@@ -62,10 +63,10 @@
 	c := app.Command("recovery", "Break one thing at a time in a simulated fleet and time how long the fleet takes to notice, hand over, obey, return.").Alias("gauge")
 	seeds := c.Flag("seeds", "Seeds.").Default("50").Uint64()
 	first := c.Flag("seed", "First seed.").Default("1").Uint64()
-	shape := c.Flag("shape", "Fleet: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
+	shapeName := c.Flag("shape", "Fleet: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	cmds["recovery"] = func(_ io.Reader, out io.Writer) error {
-		sh, _ := sim.ShapeOf(*shape)
-		fmt.Fprintf(out, "%-36s %8s %8s %8s\n", fmt.Sprintf("%s, ms over %d seeds from %d", *shape, *seeds, *first), "p50", "p95", "max")
+		sh, _ := shape.Named(*shapeName)
+		fmt.Fprintf(out, "%-36s %8s %8s %8s\n", fmt.Sprintf("%s, ms over %d seeds from %d", *shapeName, *seeds, *first), "p50", "p95", "max")
 		for _, r := range sim.Measure(sh, *first, *seeds) {
 			fmt.Fprintf(out, "%-36s %8d %8d %8d\n", r.Name, sim.Quantile(r.Ms, 0.5), sim.Quantile(r.Ms, 0.95), sim.Quantile(r.Ms, 1))
 		}
@@ -78,7 +79,7 @@
 	if file == "" {
 		return nil
 	}
-	shape, _ := sim.ShapeOf(p.Shape)
+	shape, _ := shape.Named(p.Shape)
 	asks, unused, err := whatif.ReadHAR(file, shape.Classes)
 	if err != nil {
 		return err
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -90,11 +91,9 @@
 // mender runs until someone begins a change of the voters, and names the one.
 func (r *refill) mender() string {
 	seen := len(r.changes)
-	var name string
 	for range 3000 {
 		for _, c := range r.changes[seen:] {
-			var what string
-			if _, err := fmt.Sscanf(c, "%s voters %s", &name, &what); err == nil && what == "change" {
+			if name, begun := strings.CutSuffix(c, " "+string(ChangeVotersBegun)); begun {
 				return name
 			}
 		}
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -174,7 +174,7 @@
 	}
 	same.LogManifest = nil
 	if err := same.SetOrderLogs(memory); err != nil {
-		n.logChange("memory of orders rejected", err.Error())
+		n.logChange(ChangeOrderLogRejected, err.Error())
 		return nil, false
 	}
 	return same, true
@@ -191,7 +191,7 @@
 	case errors.As(err, &missing):
 		n.fetch(now, r, parts, missing.Names, waits)
 	default:
-		n.logChange("document rejected", err.Error())
+		n.logChange(ChangeDocumentRejected, err.Error())
 	}
 	return nil, false
 }
--- a/control/durablereplies.go
+++ b/control/durablereplies.go
@@ -86,13 +86,13 @@
 func (n *Node) onPersisted(now time.Duration, s Persisted) {
 	if s.Err != nil {
 		n.disk.fail(s.Err)
-		n.logChange("disk broke down", s.Err.Error())
+		n.logChange(ChangeDiskFailed, s.Err.Error())
 		n.setDegraded(now, true)
 		return
 	}
 	if n.disk.err != nil && s.Repaired {
 		n.disk.err = nil
-		n.logChange("disk works again", "")
+		n.logChange(ChangeDiskRecovered, "")
 	}
 	for _, reply := range n.disk.release(now, s.Ticket) {
 		n.send(reply.To, reply.Msg)
@@ -109,10 +109,10 @@
 	if n.Members.Self.Degraded == degraded {
 		return
 	}
-	fitness := "fit"
+	health := "healthy"
 	if degraded {
-		fitness = "unfit"
+		health = "degraded"
 	}
-	n.logChange("disk fitness", fitness)
+	n.logChange(ChangeDiskHealth, health)
 	n.Members.Update(now, func(m *membership.Member) { m.Degraded = degraded })
 }
--- a/control/effects.go
+++ b/control/effects.go
@@ -7,7 +7,7 @@
 
 func (e *effects) emit(ev router.Event) { e.out.Events = append(e.out.Events, ev) }
 
-func (e *effects) logChange(what, detail string) {
+func (e *effects) logChange(what ChangeKind, detail string) {
 	e.out.Changes = append(e.out.Changes, Change{What: what, Detail: detail})
 }
 
--- a/control/join.go
+++ b/control/join.go
@@ -144,7 +144,7 @@
 // Messages that wait for chunks were sent before.
 func (n *Node) rejoin(now time.Duration, why string) {
 	if n.joining.joined {
-		n.logChange("starts over", why)
+		n.logChange(ChangeRejoining, why)
 	}
 	n.joining.restart(now)
 	n.documents.fetches = nil
@@ -155,7 +155,7 @@
 		return
 	}
 	n.joining.joined = true
-	n.logChange("caught up", how)
+	n.logChange(ChangeJoined, how)
 	n.applySnapshot(now)
 }
 
@@ -169,7 +169,7 @@
 	why := n.notServingReason(now)
 	if why != n.serving.reason {
 		n.serving.reason = why
-		n.logChange("serving", cmp.Or(why, "yes"))
+		n.logChange(ChangeServing, cmp.Or(why, "yes"))
 	}
 	n.emit(router.ControlStatus{Why: why})
 }
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/disk"
 )
 
 // TestANewDiskThatIsFullIsMendedLater: a machine whose disk came back empty starts while the disk takes no bytes, and writes its state
 // once it does.
 func TestANewDiskThatIsFullIsMendedLater(t *testing.T) {
-	d := sim.NewDisk(1)
+	d := disk.New(1)
 	d.Full = true
 	k, err := control.OpenJournal(d, "fresh")
 	if err != nil {
@@ -46,7 +46,7 @@
 // TestAJournalOverHundredsOfChangesKeepsThem writes values that have nothing in common through many rotations, with a restart after each
 // hundred.
 func TestAJournalOverHundredsOfChangesKeepsThem(t *testing.T) {
-	d := sim.NewDisk(2)
+	d := disk.New(2)
 	for life := range 5 {
 		k, err := control.OpenJournal(d, "fresh")
 		if err != nil {
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/disk"
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
@@ -44,7 +44,7 @@
 }
 
 // opened reads the disk and returns the number of the document that was accepted last.
-func opened(t *testing.T, d *sim.Disk) (*control.Journal, int) {
+func opened(t *testing.T, d *disk.Disk) (*control.Journal, int) {
 	t.Helper()
 	k, err := control.OpenJournal(d, "disk")
 	if err != nil {
@@ -68,7 +68,7 @@
 	const changes = 20
 	turned := false
 	for cut := 1; cut < 2*changes+20; cut++ {
-		d := sim.NewDisk(uint64(cut))
+		d := disk.New(uint64(cut))
 		k, _ := opened(t, d)
 		d.PowerLossAt = d.Writes + cut
 		kept := 0
@@ -97,7 +97,7 @@
 }
 
 func TestFullDiskLosesNothingThatWasAcknowledged(t *testing.T) {
-	d := sim.NewDisk(1)
+	d := disk.New(1)
 	k, _ := opened(t, d)
 	for i := 1; i <= 5; i++ {
 		if err := k.Append(accepted(i)); err != nil {
@@ -126,7 +126,7 @@
 
 // The log grows by what changes, and the disk stays within a few times the document.
 func TestDiskHoldsWhatChanges(t *testing.T) {
-	d := sim.NewDisk(1)
+	d := disk.New(1)
 	k, _ := opened(t, d)
 	size := func() int {
 		var bytes int
@@ -171,7 +171,7 @@
 		Promised *control.Promised
 		Accepted *oldAcceptedEntry
 	}
-	d := sim.NewDisk(1)
+	d := disk.New(1)
 	if _, number := opened(t, d); number != 0 {
 		t.Fatal("not empty")
 	}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, c := range out.Changes {
-		l.changes = append(l.changes, name+" "+c.What)
+		l.changes = append(l.changes, name+" "+string(c.What))
 	}
 	for _, a := range out.Answers {
 		l.answers[a.ID] = a
--- a/control/outputs.go
+++ b/control/outputs.go
@@ -56,5 +56,29 @@
 	Changes []Change
 }
 
+// ChangeKind says what happened to a node; it stands in the operators' log under the key what.
+type ChangeKind string
+
+// The kinds of changes. That of a member is "member " and its state.
+const (
+	ChangeBootstrap             ChangeKind = "bootstrapping register"
+	ChangeConfigurationApplied  ChangeKind = "configuration applied"
+	ChangeConfigurationRejected ChangeKind = "configuration rejected"
+	ChangeDiskFailed            ChangeKind = "disk failed"
+	ChangeDiskHealth            ChangeKind = "disk health"
+	ChangeDiskRecovered         ChangeKind = "disk recovered"
+	ChangeDocumentRejected      ChangeKind = "document rejected"
+	ChangeJoined                ChangeKind = "joined"
+	ChangeOrderLogRejected      ChangeKind = "order log rejected"
+	ChangeRejoining             ChangeKind = "rejoining"
+	ChangeServing               ChangeKind = "serving"
+	ChangeVoters                ChangeKind = "voters"
+	// ChangeVotersBegun says that this node begins to replace voters; the simulator waits for it.
+	ChangeVotersBegun ChangeKind = "replacing voters"
+)
+
 // Change is a line for the operators' log.
-type Change struct{ What, Detail string }
+type Change struct {
+	What   ChangeKind
+	Detail string
+}
--- a/control/updates.go
+++ b/control/updates.go
@@ -63,7 +63,7 @@
 	for _, m := range n.Members.TakeChanges() {
 		n.Gossip.Put(gossip.Item{Key: "m/" + m.Name, Version: gossip.Version{Hi: m.Incarnation, Lo: uint64(m.State)}, Data: m})
 		if m.Name != n.config.Name {
-			n.logChange("member "+m.State.String(), m.Name)
+			n.logChange(ChangeKind("member "+m.State.String()), m.Name)
 		}
 	}
 	n.publishRouters(now)
@@ -100,7 +100,7 @@
 	}
 	c, err := n.config.Read(v.Document)
 	if err != nil && len(v.Document) > 0 {
-		n.logChange("snapshot rejected", err.Error())
+		n.logChange(ChangeConfigurationRejected, err.Error())
 		return
 	}
 	old := n.value
@@ -108,7 +108,7 @@
 	n.proposer.LearnChosen(v)
 	n.Gossip.Put(gossip.Item{Key: "c", Version: gossip.Version{Hi: v.Version, Lo: v.Epoch}, Data: v})
 	if old == nil || !register.SameVoters(old, v) {
-		n.logChange("voters", fmt.Sprintf("%v, next %v", v.Voters, v.Next))
+		n.logChange(ChangeVoters, fmt.Sprintf("%v, next %v", v.Voters, v.Next))
 	}
 	if len(v.Document) > 0 {
 		n.snapshot = &config.Snapshot{Version: v.Version, Config: c, EvacuatedZones: v.EvacuatedZones}
@@ -127,7 +127,7 @@
 		return
 	}
 	n.applied = n.snapshot.Version
-	n.logChange("obeys", fmt.Sprintf("mark %d", n.applied))
+	n.logChange(ChangeConfigurationApplied, fmt.Sprintf("version %d", n.applied))
 	n.emit(router.SnapshotUpdate{Snapshot: n.snapshot})
 	n.replay(now)
 }
--- a/control/voters.go
+++ b/control/voters.go
@@ -7,9 +7,6 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// VotersChange is the Change that a node tells of when it begins to replace voters; the simulator waits for it.
-const VotersChange = "voters change"
-
 const (
 	// voterLostAfter is how long a voter may be out of touch before another disk replaces it, where the fleet chooses voters itself.
 	voterLostAfter = 2500 * time.Millisecond
@@ -70,7 +67,7 @@
 		return
 	}
 	n.voters.changedAt = now
-	n.logChange(VotersChange, why)
+	n.logChange(ChangeVotersBegun, why)
 	n.proposeUrgent(now, beginVoterChangeAt(n.value.Epoch, next), func(now time.Duration, r register.Result) {
 		if r.Err == nil {
 			n.finishVoters(now, r.Value.Epoch)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -129,6 +129,6 @@
 	}
 	h.lookNow(out.Looks)
 	for _, c := range out.Changes {
-		h.Log.Info().Str("what", c.What).Str("detail", c.Detail).Msg("change")
+		h.Log.Info().Str("what", string(c.What)).Str("detail", c.Detail).Msg("change")
 	}
 }
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -20,7 +20,8 @@
 	"github.com/mallowbridge/mallowbridge/httpapi"
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/router"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 	"github.com/mallowbridge/mallowbridge/standin"
 )
 
@@ -44,7 +45,7 @@
 func newRig(t *testing.T, first bool) *rig {
 	r := &rig{t: t, tomb: &tomb.Tomb{}}
 	clock := func() time.Duration { return time.Duration(r.now.Load()) }
-	m := sim.DefaultModel()
+	m := replica.DefaultModel()
 	m.Base, m.PerToken, m.Every, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
 	reps := ""
 	for i := range 2 {
@@ -98,8 +99,8 @@
 
 func (r *rig) ask(kind, id string) ledger.Got {
 	a := standin.NewAgent(nil)
-	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), sim.Request{
-		Request: id, Prefix: "p/100", TailTokens: 8, Class: sim.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
+	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), workload.Request{
+		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
--- a/sim/answers.go
+++ b/sim/answers.go
@@ -4,14 +4,16 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"github.com/mallowbridge/mallowbridge/sim/engine"
 )
 
 // job makes the request's work; what is taken up is read as a longer prompt.
-func (i *Instance) job(k *socket, r *sentRequest) *job {
+func (i *Instance) job(k *socket, r *sentRequest) *engine.Job {
 	q := r.try.request
 	stride := max(i.service.Stride, 1)
-	j := &job{parts: q.parts, prompt: max(q.prompt+r.after*stride, 1), out: max((q.events-r.after)*stride, 1), work: q.work, priority: r.rank, until: r.until}
-	run := fmt.Sprintf("%s.%d", i.ID, i.engine.seq+1)
+	j := &engine.Job{Parts: q.parts, Prompt: max(q.prompt+r.after*stride, 1), Out: max((q.events-r.after)*stride, 1), Work: q.work, Priority: r.rank, Until: r.until}
+	run := fmt.Sprintf("%s.%d", i.ID, i.engine.Seq+1)
 	headed := false
 	bad := ""
 	if g := i.garble; g.every > 0 && i.s.rng.IntN(g.every) == 0 {
@@ -21,9 +23,9 @@
 	if q.class.Streaming && q.events > 1 {
 		at = 1 + i.s.rng.IntN(q.events)
 	}
-	j.overdue = func() { i.refuse(k, r) }
-	j.begun = func() { i.s.rules.began(i, r) }
-	j.event = func(n int, last bool) {
+	j.Overdue = func() { i.refuse(k, r) }
+	j.Begun = func() { i.s.rules.began(i, r) }
+	j.Event = func(n int, last bool) {
 		n += r.after
 		p := packet{data: q.data(n, run), end: last}
 		if !headed {
@@ -44,7 +46,7 @@
 }
 
 // spoil sends what a replica in trouble sends in the place of this packet, and tells whether the answer is over.
-func (i *Instance) spoil(k *socket, j *job, how string, p packet) bool {
+func (i *Instance) spoil(k *socket, j *engine.Job, how string, p packet) bool {
 	w := i.s.w
 	k.harm()
 	switch how {
@@ -61,7 +63,7 @@
 		if how == "late" {
 			wait = time.Duration(i.s.rng.Int64N(int64(300 * time.Millisecond)))
 		}
-		w.after(wait, func() { k.reply(repeated) })
+		w.After(wait, func() { k.reply(repeated) })
 		return true
 	case "cut":
 		p.data, p.end, p.reset = p.data[:len(p.data)/2], false, true
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -98,10 +98,10 @@
 
 // late tells whether a node acts against a fact longer than it may; gos that only a cut excuses are counted.
 func (a *Audit) late(n *Node, f versionFact, within time.Duration) bool {
-	if a.w.now-f.at <= within {
+	if a.w.Now-f.at <= within {
 		return false
 	}
-	if a.w.now-a.known(n, f) <= within {
+	if a.w.Now-a.known(n, f) <= within {
 		a.Exempt++
 		return false
 	}
@@ -114,7 +114,7 @@
 		a.Story = slices.Clone(a.w.Trace[max(0, len(a.w.Trace)-storyLines):])
 	}
 	if len(a.Breaches) < 50 {
-		a.Breaches = append(a.Breaches, ledger.Breach{What: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.now, detail)})
+		a.Breaches = append(a.Breaches, ledger.Breach{What: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.Now, detail)})
 	}
 }
 
@@ -122,7 +122,7 @@
 	a.same(v)
 	if v.Version > a.highest {
 		a.highest = v.Version
-		a.versions = append(a.versions, versionFact{at: a.w.now, version: v.Version, zone: n.Zone})
+		a.versions = append(a.versions, versionFact{at: a.w.Now, version: v.Version, zone: n.Zone})
 		a.w.Say("accepted mark %d", v.Version)
 	}
 }
@@ -138,13 +138,13 @@
 func (a *Audit) emptied(n *Node, zone string, yes bool) {
 	delete(a.evacuatedAt, zone)
 	if yes {
-		a.evacuatedAt[zone] = versionFact{at: a.w.now, zone: n.Zone}
+		a.evacuatedAt[zone] = versionFact{at: a.w.Now, zone: n.Zone}
 	}
 }
 
 func (a *Audit) leaves(n *Node, replica string) {
 	if _, ok := a.drainedAt[replica]; !ok {
-		a.drainedAt[replica] = versionFact{at: a.w.now, zone: n.Zone}
+		a.drainedAt[replica] = versionFact{at: a.w.Now, zone: n.Zone}
 	}
 }
 
@@ -153,7 +153,7 @@
 func (a *Audit) due(n *Node) uint64 {
 	for i := len(a.versions) - 1; i >= 0; i-- {
 		f := a.versions[i]
-		if a.w.now-f.at > orderWithin && a.w.now-a.known(n, f) > orderWithin {
+		if a.w.Now-f.at > orderWithin && a.w.Now-a.known(n, f) > orderWithin {
 			return f.version
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 func (a *Audit) sent(f *fleetRequest, c *fleetConn) {
-	now, n := a.w.now, f.n
+	now, n := a.w.Now, f.n
 	version, due := n.router.Version(), a.due(n)
 	if version < due {
 		a.breach(OldSnapshot, n.Name, fmt.Sprintf("mark %d, due %d", version, due))
@@ -200,7 +200,7 @@
 
 func (a *Audit) begun(r *FleetReplica) {
 	if r.model.Floods > 0 {
-		a.breach(Flooded, r.Name, fmt.Sprintf("%d running, bears %d, cold for %s", len(r.model.running), r.model.Bears(a.w.now), a.w.now-r.model.startedAt))
+		a.breach(Flooded, r.Name, fmt.Sprintf("%d running, bears %d, cold for %s", len(r.model.Running), r.model.Bears(a.w.Now), a.w.Now-r.model.StartedAt))
 		a.w.Report.Floods += r.model.Floods
 		r.model.Floods = 0
 	}
@@ -219,11 +219,11 @@
 			by[d] = n.Name
 		}
 	}
-	a.w.after(100*time.Millisecond, a.checkLeases)
+	a.w.After(100*time.Millisecond, a.checkLeases)
 }
 
 func (a *Audit) obeys(n *Node) {
-	a.orders[n.Name] = append(a.orders[n.Name], versionAt{at: a.w.now, version: n.router.Version()})
+	a.orders[n.Name] = append(a.orders[n.Name], versionAt{at: a.w.Now, version: n.router.Version()})
 }
 
 // Obeyed tells for each accepted mark how long the slowest node took to obey it or a later one.
@@ -232,7 +232,7 @@
 	for _, s := range a.versions {
 		var slowest int64
 		for _, n := range a.w.Nodes {
-			elapsed := (a.w.now - s.at).Milliseconds()
+			elapsed := (a.w.Now - s.at).Milliseconds()
 			for _, o := range a.orders[n.Name] {
 				if o.version >= s.version {
 					elapsed = max((o.at - s.at).Milliseconds(), 0)
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -5,6 +5,7 @@
 
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 	"github.com/mallowbridge/mallowbridge/transport"
 	"github.com/mallowbridge/mallowbridge/wire"
 )
@@ -18,10 +19,10 @@
 func init() { wire.RegisterPlain("xx", Novelty{}) }
 
 func (n *Node) novel() {
-	if n.build <= transport.Build || n.w.now/time.Second == (n.w.now-tickEvery)/time.Second {
+	if n.build <= transport.Build || n.w.Now/time.Second == (n.w.Now-shape.TickEvery)/time.Second {
 		return
 	}
-	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Version: gossip.Version{Hi: uint64(n.w.now)}, Data: Novelty{Text: n.Name}})
+	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Version: gossip.Version{Hi: uint64(n.w.Now)}, Data: Novelty{Text: n.Name}})
 }
 
 // foreign tells whether this node's build would fail to read the message, or to make sense of it.
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -54,7 +54,7 @@
 
 // change has one document after the other taken, with looks at what differs.
 func (o *operators) change(until, gap time.Duration, vary func(c *config.Config)) {
-	if o.s.w.now >= until {
+	if o.s.w.Now >= until {
 		return
 	}
 	base := o.base()
@@ -62,7 +62,7 @@
 		if ok && base != nil {
 			o.looks(base, v)
 		}
-		o.s.w.after(gap, func() { o.change(until, gap, vary) })
+		o.s.w.After(gap, func() { o.change(until, gap, vary) })
 	})
 }
 
@@ -80,7 +80,7 @@
 			})
 		}
 	}
-	o.s.w.after(gap, func() { o.race(times-1, gap) })
+	o.s.w.After(gap, func() { o.race(times-1, gap) })
 }
 
 // flawed sends documents that must not be taken, each flawed in another way.
@@ -116,7 +116,7 @@
 	o.rng.Shuffle(len(paths), func(i, j int) { paths[i], paths[j] = paths[j], paths[i] })
 	paths = append(paths[:min(len(paths), 3)], prefixOf("never")+"x")
 	for _, d := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, o.s.spec.Bounds.Apply + 50*time.Millisecond} {
-		o.s.w.after(d, func() {
+		o.s.w.After(d, func() {
 			for _, n := range o.s.w.Nodes {
 				for _, path := range paths {
 					o.s.lookAt(n, path, is.revision)
@@ -148,10 +148,10 @@
 	}
 	s.load.n++
 	q := &clientRequest{
-		s: s, id: fmt.Sprintf("look%d", s.load.n), class: &s.probeClass, path: path, domain: n.Zone, at: s.w.now, deadline: s.w.now + time.Second, events: 1, prompt: 1,
+		s: s, id: fmt.Sprintf("look%d", s.load.n), class: &s.probeClass, path: path, domain: n.Zone, at: s.w.Now, deadline: s.w.Now + time.Second, events: 1, prompt: 1,
 		work: 5 * time.Millisecond, attempts: 1,
 	}
-	c := &clientAttempt{request: q, id: q.id, n: n, path: path, sent: s.w.now, patience: time.Second, probe: &configurationProbe{revision: revision}}
+	c := &clientAttempt{request: q, id: q.id, n: n, path: path, sent: s.w.Now, patience: time.Second, probe: &configurationProbe{revision: revision}}
 	s.rules.submitted(c)
 	c.start()
 }
--- a/sim/client.go
+++ b/sim/client.go
@@ -75,7 +75,7 @@
 func (q *clientRequest) submit() {
 	s := q.s
 	q.attempts++
-	c := &clientAttempt{request: q, id: fmt.Sprintf("%s.%d", q.id, q.attempts), path: q.path, sent: s.w.now, patience: q.deadline - s.w.now, last: q.last}
+	c := &clientAttempt{request: q, id: fmt.Sprintf("%s.%d", q.id, q.attempts), path: q.path, sent: s.w.Now, patience: q.deadline - s.w.Now, last: q.last}
 	if c.n = s.pick(q.domain); c.n == nil {
 		q.failed(c, 0, false)
 		return
@@ -86,16 +86,16 @@
 
 func (c *clientAttempt) start() {
 	w := c.request.s.w
-	w.after(clientDelay, c.reach)
-	w.after(min(time.Second, c.patience/3), func() {
+	w.After(clientDelay, c.reach)
+	w.After(min(time.Second, c.patience/3), func() {
 		if !c.read && !c.over && (c.request.class.Repeatable || !c.n.Alive) {
 			c.over = true
 			c.request.failed(c, 0, true)
 		}
 	})
-	w.after(c.patience, func() { c.hangup() })
+	w.After(c.patience, func() { c.hangup() })
 	if c.request.class.Streaming {
-		c.request.lastEventAt = w.now
+		c.request.lastEventAt = w.Now
 		c.watch()
 	}
 }
@@ -113,7 +113,7 @@
 	n.live(func() {
 		n.accept(func() {
 			if !c.over {
-				c.read, c.readAt = true, n.w.now
+				c.read, c.readAt = true, n.w.Now
 				n.takeAttempt(c)
 			}
 		})
@@ -124,12 +124,12 @@
 func (c *clientAttempt) watch() {
 	q := c.request
 	most := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.Gap)
-	quiet := q.s.w.now - q.lastEventAt
+	quiet := q.s.w.Now - q.lastEventAt
 	if quiet >= most {
 		c.hangup()
 	}
 	if !c.over {
-		q.s.w.after(max(most-quiet, time.Millisecond), c.watch)
+		q.s.w.After(max(most-quiet, time.Millisecond), c.watch)
 	}
 }
 
@@ -142,7 +142,7 @@
 	c.request.s.rules.ended(c, "gave up")
 	c.request.done(false)
 	n := c.n
-	c.request.s.w.after(clientDelay, func() {
+	c.request.s.w.After(clientDelay, func() {
 		if t := c.proxied; t != nil && n.Alive && n.incarnation == t.life {
 			n.live(func() {
 				if !t.exchange.Over() {
@@ -156,8 +156,8 @@
 // send carries what a node sends to the user agent, in order.
 func (c *clientAttempt) send(_ *Node, do func()) {
 	w := c.request.s.w
-	c.due = max(c.due, w.now+clientDelay)
-	w.at(c.due, func() {
+	c.due = max(c.due, w.Now+clientDelay)
+	w.At(c.due, func() {
 		if !c.over {
 			do()
 		}
@@ -166,13 +166,13 @@
 
 // failed tries again where that is allowed and there is time.
 func (q *clientRequest) failed(c *clientAttempt, after time.Duration, unrun bool) {
-	left := q.deadline - q.s.w.now
+	left := q.deadline - q.s.w.Now
 	repeated := q.class.Repeatable || unrun
 	if c.status == http.StatusNotFound || !repeated || q.attempts > 1 || left < 50*time.Millisecond || (q.last > 0 && !q.class.Resumable) || c.probe != nil {
 		q.done(false)
 		return
 	}
-	q.s.w.after(min(after, left/3)+time.Millisecond, q.submit)
+	q.s.w.After(min(after, left/3)+time.Millisecond, q.submit)
 }
 
 func (q *clientRequest) done(served bool) {
--- a/sim/config.go
+++ b/sim/config.go
@@ -5,22 +5,22 @@
 	"fmt"
 	"math/rand/v2"
 	"strings"
+
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 const largeBytes = 1000 << 10
 
-type doc = map[string]any
-
 // varied makes configurations that change what traffic does: replicas, rooms, roles, domains and kinds come and go.
 func (w *World) varied(large bool) []byte {
 	w.asks++
-	var d doc
+	var d shape.Doc
 	if err := json.Unmarshal(w.S.Charter, &d); err != nil {
 		panic(err)
 	}
 	d["replaceLostVoterMs"] = 15000 + w.asks
 	for _, o := range d["offers"].([]any) {
-		w.vary(o.(doc))
+		w.vary(o.(shape.Doc))
 	}
 	if large {
 		d["offers"] = append(d["offers"].([]any), padding()...)
@@ -32,14 +32,14 @@
 	return body
 }
 
-func (w *World) vary(service doc) {
+func (w *World) vary(service shape.Doc) {
 	rng := w.whim
 	reps := service["replicas"].([]any)
 	rng.Shuffle(len(reps), func(i, j int) { reps[i], reps[j] = reps[j], reps[i] })
 	reps = reps[:len(reps)-rng.IntN(4)]
 	split := rng.IntN(6) == 0
 	for i, r := range reps {
-		replica := r.(doc)
+		replica := r.(shape.Doc)
 		if rng.IntN(8) == 0 {
 			replica["room"] = 6 + rng.IntN(7)
 		}
@@ -52,7 +52,7 @@
 	}
 	service["replicas"] = reps
 	classes := service["kinds"].([]any)
-	if second := classes[1].(doc); rng.IntN(3) == 0 {
+	if second := classes[1].(shape.Doc); rng.IntN(3) == 0 {
 		second["repeatable"] = false
 	}
 	if rng.IntN(12) == 0 {
@@ -70,12 +70,12 @@
 	for i := 0; size < largeBytes; i++ {
 		var reps, classes []any
 		for j := range 12 {
-			reps = append(reps, doc{"name": fmt.Sprintf("pad-%d-%d", i, j), "addr": fmt.Sprintf("10.9.%d.%d:9000", i, j), "domain": string(rune('a' + rng.IntN(3)))})
+			reps = append(reps, shape.Doc{"name": fmt.Sprintf("pad-%d-%d", i, j), "addr": fmt.Sprintf("10.9.%d.%d:9000", i, j), "domain": string(rune('a' + rng.IntN(3)))})
 		}
 		for j := range 48 {
-			classes = append(classes, doc{"name": fmt.Sprintf("%s-%d", long, j), "firstTokenMs": 1000 + rng.IntN(9000)})
+			classes = append(classes, shape.Doc{"name": fmt.Sprintf("%s-%d", long, j), "firstTokenMs": 1000 + rng.IntN(9000)})
 		}
-		o := doc{"name": fmt.Sprintf("pad-%d", i), "model": "m1", "replicas": reps, "kinds": classes}
+		o := shape.Doc{"name": fmt.Sprintf("pad-%d", i), "model": "m1", "replicas": reps, "kinds": classes}
 		raw, err := json.Marshal(o)
 		if err != nil {
 			panic(err)
--- a/sim/controlcalls.go
+++ b/sim/controlcalls.go
@@ -14,7 +14,7 @@
 	w.answers[id] = done
 	incarnation := n.incarnation
 	n.step(control.Command{ID: id, Op: op})
-	w.after(6*time.Second, func() {
+	w.After(6*time.Second, func() {
 		if w.answers[id] != nil && (n.incarnation != incarnation || !n.Alive) {
 			delete(w.answers, id)
 			done(control.Answer{ID: id, Err: &NodeDownError{Node: n.Name}})
--- a/sim/disk.go
+++ b/sim/disk/disk.go
@@ -1,14 +1,17 @@
-package sim
+// Package disk is a simulated storage.Disk that loses or tears what was not synced when the power goes, and fails when it is told to. A
+// Disk is owned by one goroutine.
+package disk
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 )
 
-// DiskError says why a simulated disk refused an operation.
-type DiskError struct{ What string }
+// OpError says why a simulated disk refused an operation.
+type OpError struct{ What string }
 
-func (e *DiskError) Error() string { return "disk: " + e.What }
+func (e *OpError) Error() string { return "disk: " + e.What }
 
 type file struct {
 	kept, now []byte
@@ -26,18 +29,18 @@
 	PowerLossAt int
 }
 
-// NewDisk makes an empty disk.
-func NewDisk(seed uint64) *Disk {
+// New makes an empty disk.
+func New(seed uint64) *Disk {
 	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, PowerLossAt: -1}
 }
 
 func (d *Disk) spent() error {
 	d.Writes++
 	if d.PowerLossAt >= 0 && d.Writes > d.PowerLossAt {
-		return &DiskError{What: "power is gone"}
+		return &OpError{What: "power is gone"}
 	}
 	if d.Full {
-		return &DiskError{What: "no space left"}
+		return &OpError{What: "no space left"}
 	}
 	return nil
 }
@@ -58,7 +61,7 @@
 	return d.files[name]
 }
 
-// Write replaces a file. It fails with a DiskError, as the other operations that write do.
+// Write replaces a file. It fails with a OpError, as the other operations that write do.
 func (d *Disk) Write(name string, data []byte) error {
 	if err := d.spent(); err != nil {
 		return err
@@ -92,7 +95,7 @@
 		return err
 	}
 	if d.BadSync {
-		return &DiskError{What: "sync failed"}
+		return &OpError{What: "sync failed"}
 	}
 	f := d.get(name)
 	f.kept = slices.Clone(f.now)
@@ -112,7 +115,7 @@
 
 // PowerLoss leaves of each file what a power cut may leave, and makes the disk sound again.
 func (d *Disk) PowerLoss() {
-	for _, name := range sortedKeys(d.files) {
+	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		f := d.files[name]
 		if !f.named && d.rng.IntN(2) == 0 {
 			delete(d.files, name)
--- a/sim/document.go
+++ b/sim/document.go
@@ -10,6 +10,7 @@
 
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 // A site's operators write a charter.Config as JSON: routes, offers whose replicas are discovered, limits and a revision.
@@ -72,7 +73,7 @@
 	c.Revision = 1
 	for _, o := range s.Services {
 		c.Services = append(c.Services, config.Service{
-			Name: o.Name, Model: Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
+			Name: o.Name, Model: shape.Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
 			KeepTokens: o.Memory, Stride: o.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictions,
 		})
 	}
--- a/sim/engine.go
+++ b/sim/engine/engine.go
@@ -1,4 +1,6 @@
-package sim
+// Package engine models a batching replica of the users' platform: prompts are read in chunks between the tokens of others, running
+// requests and cached parts share its memory, and the least urgent are preempted. An Engine is owned by one goroutine.
+package engine
 
 import (
 	"slices"
@@ -6,11 +8,12 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/sim/eventqueue"
 )
 
-// EngineSpec describes a replica that runs its requests in one batch. Without Step it generates nothing, and each request takes its
+// Spec describes a replica that runs its requests in one batch. Without Step it generates nothing, and each request takes its
 // own time of work.
-type EngineSpec struct {
+type Spec struct {
 	Slots int
 	Queue int
 	// Setup passes before a request joins the queue.
@@ -26,18 +29,18 @@
 	Stride int
 }
 
-// Engine runs the requests of one replica as an EngineSpec says. Prompted and Cached count tokens of prompts and those found in the cache.
+// Engine runs the requests of one replica as an Spec says. Prompted and Cached count tokens of prompts and those found in the cache.
 type Engine struct {
-	EngineSpec
-	q *queue
+	Spec
+	q *eventqueue.Queue
 	// Slow multiplies the time that everything takes.
 	Slow       func() float64
 	cache      prefixCache
-	queued     []*job
-	running    []*job
+	queued     []*Job
+	running    []*Job
 	arriving   int
 	heldTokens int
-	seq        int
+	Seq        int
 	stepping   bool
 	dead       bool
 
@@ -45,9 +48,9 @@
 	Prompted, Cached             uint64
 }
 
-// NewEngine makes an engine that lives by the clock of the queue.
-func NewEngine(q *queue, s EngineSpec) *Engine {
-	return &Engine{EngineSpec: s, q: q, Slow: func() float64 { return 1 }, cache: newPrefixCache()}
+// New makes an engine that lives by the clock of the queue.
+func New(q *eventqueue.Queue, s Spec) *Engine {
+	return &Engine{Spec: s, q: q, Slow: func() float64 { return 1 }, cache: newPrefixCache()}
 }
 
 // Load is what a replica tells of itself in answers.
@@ -56,17 +59,17 @@
 }
 
 // Take lets a job in, or turns it away when the queue is full or it is larger than the memory.
-func (e *Engine) Take(j *job) bool {
+func (e *Engine) Take(j *Job) bool {
 	full := len(e.running) >= e.Slots || len(e.queued)+e.arriving > 0
-	if (full && len(e.queued)+e.arriving >= e.Queue) || (e.Memory > 0 && j.prompt+j.out > e.Memory) {
+	if (full && len(e.queued)+e.arriving >= e.Queue) || (e.Memory > 0 && j.Prompt+j.Out > e.Memory) {
 		e.Refused++
 		return false
 	}
 	e.Admitted++
-	e.seq++
-	j.seq = e.seq
+	e.Seq++
+	j.seq = e.Seq
 	e.arriving++
-	e.q.after(e.Setup, func() {
+	e.q.After(e.Setup, func() {
 		e.arriving--
 		if j.abandoned || e.dead {
 			return
@@ -77,28 +80,28 @@
 	return true
 }
 
-func (e *Engine) join(j *job) {
+func (e *Engine) join(j *Job) {
 	at := sort.Search(len(e.queued), func(i int) bool {
 		o := e.queued[i]
-		return o.priority > j.priority || (o.priority == j.priority && o.seq > j.seq)
+		return o.Priority > j.Priority || (o.Priority == j.Priority && o.seq > j.seq)
 	})
 	e.queued = slices.Insert(e.queued, at, j)
 }
 
 // Drop forgets a job whose connection closed.
-func (e *Engine) Drop(j *job) {
+func (e *Engine) Drop(j *Job) {
 	if j.abandoned {
 		return
 	}
 	j.abandoned = true
-	e.queued = slices.DeleteFunc(e.queued, func(o *job) bool { return o == j })
+	e.queued = slices.DeleteFunc(e.queued, func(o *Job) bool { return o == j })
 	e.leave(j)
 	e.kick()
 }
 
-func (e *Engine) leave(j *job) {
+func (e *Engine) leave(j *Job) {
 	n := len(e.running)
-	e.running = slices.DeleteFunc(e.running, func(o *job) bool { return o == j })
+	e.running = slices.DeleteFunc(e.running, func(o *Job) bool { return o == j })
 	if len(e.running) < n {
 		e.heldTokens -= j.heldTokens
 		j.heldTokens = 0
@@ -122,10 +125,10 @@
 func (e *Engine) admit() {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
 		j := e.queued[0]
-		if j.until > 0 && e.q.now >= j.until && !j.started {
+		if j.Until > 0 && e.q.Now >= j.Until && !j.started {
 			e.queued = e.queued[1:]
 			j.abandoned = true
-			j.overdue()
+			j.Overdue()
 			continue
 		}
 		if !e.fits(j) {
@@ -137,13 +140,13 @@
 			e.labour(j)
 			continue
 		}
-		cached := min(e.cache.hit(j.parts), j.prompt-1)
-		e.cache.touch(j.parts)
+		cached := min(e.cache.hit(j.Parts), j.Prompt-1)
+		e.cache.touch(j.Parts)
 		if !j.joined {
 			j.joined, j.cached = true, cached
-			e.Prompted, e.Cached = e.Prompted+uint64(prefixindex.Tokens(j.parts)), e.Cached+uint64(cached)
+			e.Prompted, e.Cached = e.Prompted+uint64(prefixindex.Tokens(j.Parts)), e.Cached+uint64(cached)
 		}
-		j.unread = j.prompt - cached + j.made
+		j.unread = j.Prompt - cached + j.made
 		j.heldTokens = j.unread
 		e.heldTokens += j.heldTokens
 		e.cache.evict(max(e.Memory-e.heldTokens, 0))
@@ -151,19 +154,19 @@
 }
 
 // fits leaves room for what the batch goes on to make.
-func (e *Engine) fits(j *job) bool {
-	return e.Memory == 0 || len(e.running) == 0 || e.heldTokens+j.prompt+j.made <= e.Memory-e.Memory/64
+func (e *Engine) fits(j *Job) bool {
+	return e.Memory == 0 || len(e.running) == 0 || e.heldTokens+j.Prompt+j.made <= e.Memory-e.Memory/64
 }
 
-func (e *Engine) labour(j *job) {
+func (e *Engine) labour(j *Job) {
 	j.start()
-	e.q.after(time.Duration(float64(j.work)*e.Slow()), func() {
+	e.q.After(time.Duration(float64(j.Work)*e.Slow()), func() {
 		if j.abandoned || e.dead {
 			return
 		}
 		e.leave(j)
 		j.abandoned = true
-		j.event(1, true)
+		j.Event(1, true)
 		e.kick()
 	})
 }
@@ -177,7 +180,7 @@
 	}
 	d := float64(e.Step) + float64(len(e.running)-1)*float64(e.PerSlot) + float64(read)/e.Prefill*float64(time.Millisecond)
 	batch := slices.Clone(e.running)
-	e.q.after(time.Duration(d*e.Slow()), func() {
+	e.q.After(time.Duration(d*e.Slow()), func() {
 		if e.dead {
 			return
 		}
@@ -191,7 +194,7 @@
 }
 
 // advance reads a piece of a prompt, or makes a token; the last piece brings the first token.
-func (e *Engine) advance(j *job) {
+func (e *Engine) advance(j *Job) {
 	if j.abandoned || j.heldTokens == 0 {
 		return
 	}
@@ -200,7 +203,7 @@
 		if j.unread > 0 || j.reading == 0 {
 			return
 		}
-		added := min(e.cache.keep(j.parts), j.heldTokens-1)
+		added := min(e.cache.keep(j.Parts), j.heldTokens-1)
 		j.heldTokens -= added
 		e.heldTokens -= added
 	}
@@ -208,22 +211,22 @@
 	j.made++
 	j.heldTokens++
 	e.heldTokens++
-	last := j.made >= j.out
+	last := j.made >= j.Out
 	if last {
 		e.leave(j)
 		j.abandoned = true
 	}
 	if last || j.made%e.Stride == 0 {
-		j.event((j.made+e.Stride-1)/e.Stride, last)
+		j.Event((j.made+e.Stride-1)/e.Stride, last)
 	}
 }
 
 // preempt puts the newest of the least urgent back when memory has run out, to be read anew.
 func (e *Engine) preempt() {
 	for e.heldTokens > e.Memory && len(e.running) > 1 {
-		worst := slices.MaxFunc(e.running, func(a, b *job) int {
-			if a.priority != b.priority {
-				return a.priority - b.priority
+		worst := slices.MaxFunc(e.running, func(a, b *Job) int {
+			if a.Priority != b.Priority {
+				return a.Priority - b.Priority
 			}
 			return a.seq - b.seq
 		})
--- a/sim/engine_test.go
+++ b/sim/engine/engine_test.go
@@ -1,10 +1,11 @@
-package sim
+package engine
 
 import (
 	"testing"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/sim/eventqueue"
 )
 
 type timed struct {
@@ -12,27 +13,32 @@
 	events             int
 }
 
-func newTestEngine(s EngineSpec) (*queue, *Engine) {
-	q := &queue{}
-	return q, NewEngine(q, s)
+func newTestEngine(s Spec) (*eventqueue.Queue, *Engine) {
+	q := &eventqueue.Queue{}
+	return q, New(q, s)
 }
 
-func (x *timed) job(q *queue, header string, prompt, out, rank int) *job {
-	parts, _ := prefixindex.Parse(Prompt, header)
-	return &job{
-		parts: parts, prompt: prompt, out: out, priority: rank, begun: func() { x.begun = q.now }, overdue: func() {},
-		event: func(_ int, last bool) {
+func (x *timed) job(q *eventqueue.Queue, header string, prompt, out, rank int) *Job {
+	parts, _ := prefixindex.Parse("m1", header)
+	return &Job{
+		Parts: parts, Prompt: prompt, Out: out, Priority: rank, Begun: func() { x.begun = q.Now }, Overdue: func() {},
+		Event: func(_ int, last bool) {
 			if x.events++; x.events == 1 {
-				x.first = q.now
+				x.first = q.Now
 			}
 			if last {
-				x.last = q.now
+				x.last = q.Now
 			}
 		},
 	}
 }
 
-func spec() EngineSpec { return llmService("o", 1, 100000).EngineSpec }
+func spec() Spec {
+	return Spec{
+		Slots: 128, Queue: 384, Setup: 31 * time.Millisecond, Step: 3410 * time.Microsecond, PerSlot: 97 * time.Microsecond, Prefill: 112,
+		Chunk: 1024, Memory: 100000, Stride: 6,
+	}
+}
 
 func TestTokensComeMoreSlowlyInALargerBatch(t *testing.T) {
 	spans := map[int]time.Duration{}
@@ -42,7 +48,7 @@
 		for i := range xs {
 			e.Take(xs[i].job(q, "", 100, 600, 0))
 		}
-		q.run(time.Minute)
+		q.Run(time.Minute)
 		spans[n] = xs[0].last - xs[0].first
 	}
 	if spans[64] < 2*spans[1] {
@@ -54,10 +60,10 @@
 	q, e := newTestEngine(spec())
 	var short, long timed
 	e.Take(short.job(q, "", 100, 60, 0))
-	q.run(100 * time.Millisecond)
+	q.Run(100 * time.Millisecond)
 	alone := short.first
 	e.Take(long.job(q, "", 50000, 6, 0))
-	q.run(10 * time.Second)
+	q.Run(10 * time.Second)
 	if short.last-alone < 300*time.Millisecond || long.first < 500*time.Millisecond {
 		t.Errorf("short from %s to %s, long from %s", alone, short.last, long.first)
 	}
@@ -67,16 +73,16 @@
 	q, e := newTestEngine(spec())
 	first := func(header string, prompt int) time.Duration {
 		var x timed
-		from := q.now
+		from := q.Now
 		e.Take(x.job(q, header, prompt, 1, 0))
-		q.run(q.now + 10*time.Second)
+		q.Run(q.Now + 10*time.Second)
 		return x.first - from
 	}
 	cold := first("a:30000,b:100", 30200)
-	uncached := first("a:30000,c:100", 30200)
+	cached := first("a:30000,c:100", 30200)
 	other := first("c:30000,a:100", 30200)
-	if uncached > cold/2 || other < cold*9/10 {
-		t.Errorf("first %s, again %s, other order %s", cold, uncached, other)
+	if cached > cold/2 || other < cold*9/10 {
+		t.Errorf("first %s, again %s, other order %s", cold, cached, other)
 	}
 	for _, header := range []string{"x:30000", "y:30000", "z:30000"} {
 		first(header, 30200)
@@ -93,7 +99,7 @@
 	var urgent, patient timed
 	e.Take(urgent.job(q, "", 400, 500, 0))
 	e.Take(patient.job(q, "", 400, 500, 5))
-	q.run(time.Minute)
+	q.Run(time.Minute)
 	if e.Preempted == 0 || urgent.last == 0 || patient.last < urgent.last {
 		t.Errorf("preempted %d, urgent ends at %s, patient at %s", e.Preempted, urgent.last, patient.last)
 	}
@@ -104,16 +110,16 @@
 }
 
 func TestAFullQueueRefuses(t *testing.T) {
-	q, e := newTestEngine(EngineSpec{Slots: 2, Queue: 3})
+	q, e := newTestEngine(Spec{Slots: 2, Queue: 3})
 	taken := 0
 	for range 8 {
 		var x timed
 		j := x.job(q, "", 1, 1, 0)
-		j.work = time.Second
+		j.Work = time.Second
 		if e.Take(j) {
 			taken++
 		}
-		q.run(q.now)
+		q.Run(q.Now)
 	}
 	if running, waiting, _ := e.Load(); taken != 5 || running != 2 || waiting != 3 {
 		t.Errorf("%d taken, %d run, %d wait", taken, running, waiting)
--- a/sim/prefixcache.go
+++ b/sim/engine/prefixcache.go
@@ -1,4 +1,4 @@
-package sim
+package engine
 
 import (
 	"container/list"
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -85,7 +85,7 @@
 		for _, n := range ns {
 			incarnation := n.incarnation
 			n.freeze()
-			w.after(f.For, func() {
+			w.After(f.For, func() {
 				if n.incarnation == incarnation {
 					n.thaw()
 				}
@@ -98,8 +98,8 @@
 	case PartitionZone, PartitionControl:
 		w.isolate(w.nodes(w.inDomain(f.On[0])), f.For, true, f.Kind == PartitionZone, f.On[0])
 	case FreezeAct:
-		w.trap = func(n *Node, what string) {
-			if what == control.VotersChange {
+		w.trap = func(n *Node, what control.ChangeKind) {
+			if what == control.ChangeVotersBegun {
 				w.trap = nil
 				w.Break(Fault{Kind: Freeze, On: []string{n.Name}, For: f.For})
 			}
@@ -129,14 +129,14 @@
 		n.stall, n.slow = false, 0
 		switch f.Kind {
 		case ClockBack:
-			n.wall = -w.now - f.For
+			n.wall = -w.Now - f.For
 		case Relocate:
 			delete(w.byAddr, n.Addr)
 			n.Addr += "9"
 			w.byAddr[n.Addr] = n
 		}
 		if f.For >= 0 {
-			w.after(f.For, func() { n.start() })
+			w.After(f.For, func() { n.start() })
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr })
 	}
 	replica := func(addr string) bool { return len(addr) > 4 && addr[:4] == "rep/" }
-	heal := w.Net.partition(func(from, to string) bool {
+	heal := w.Net.Partition(func(from, to string) bool {
 		if !replicas && (replica(from) || replica(to)) {
 			return false
 		}
@@ -168,9 +168,9 @@
 		return a != b && (both || a)
 	})
 	if len(zone) > 0 {
-		w.Audit.partitions = append(w.Audit.partitions, partitionSpan{zone: zone[0], from: w.now, until: w.now + d})
+		w.Audit.partitions = append(w.Audit.partitions, partitionSpan{zone: zone[0], from: w.Now, until: w.Now + d})
 	}
-	w.after(d, func() {
+	w.After(d, func() {
 		w.Say("cut heals")
 		heal()
 	})
@@ -180,8 +180,8 @@
 	in := func(addr string) bool {
 		return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr })
 	}
-	heal := w.Net.partition(func(from, to string) bool { return in(from) && in(to) })
-	w.after(d, heal)
+	heal := w.Net.Partition(func(from, to string) bool { return in(from) && in(to) })
+	w.After(d, heal)
 }
 
 func (w *World) ail(f Fault, ns []*Node) {
@@ -199,7 +199,7 @@
 		case BadDisk:
 			n.Disk.BadSync = true
 		}
-		w.after(f.For, func() {
+		w.After(f.For, func() {
 			n.slow, n.stall = 0, false
 			n.Disk.Full, n.Disk.BadSync = false, false
 			if f.Kind == FullDisk || f.Kind == BadDisk {
@@ -223,28 +223,28 @@
 // breakDown has a fault strike the replica, and end.
 func (r *FleetReplica) breakDown(f Fault) {
 	w := r.w
-	restart := func() { r.start(w.now) }
+	restart := func() { r.start(w.Now) }
 	switch f.Kind {
 	case ReplicaFailing:
 		r.Unhealthy = true
-		w.after(f.For, func() { r.Unhealthy = false })
+		w.After(f.For, func() { r.Unhealthy = false })
 	case ReplicaCorrupt:
 		r.CorruptAnswers = 40
-		w.after(f.For, func() { r.CorruptAnswers = 0 })
+		w.After(f.For, func() { r.CorruptAnswers = 0 })
 	case ReplicaUnreachable:
 		r.Dark = true
-		w.after(f.For, func() {
+		w.After(f.For, func() {
 			r.Dark = false
 			r.crash()
-			w.after(2*time.Second, restart)
+			w.After(2*time.Second, restart)
 		})
 	case ReplicaRestart:
 		r.crash()
-		w.after(30*time.Millisecond, restart)
+		w.After(30*time.Millisecond, restart)
 	default:
 		r.crash()
 		if f.For >= 0 {
-			w.after(f.For, restart)
+			w.After(f.For, restart)
 		}
 	}
 }
--- a/sim/faultwindows.go
+++ b/sim/faultwindows.go
@@ -11,7 +11,7 @@
 
 // harm notes trouble on machines; that of a machine with a disk unsettles the core at its begin and end, that of most of them all through.
 func (r *rules) recordFault(ns []*Node, d time.Duration, planned, slows bool) {
-	now := r.s.w.now
+	now := r.s.w.Now
 	until := now + d
 	if d < 0 {
 		until = never
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -9,6 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
 )
 
 // FleetReplica is a simulated replica with its connections. Dark: it answers nothing; Unhealthy: it breaks each answer; CorruptAnswers: it spoils a line in one
@@ -26,7 +27,7 @@
 	CorruptAnswers int
 	incarnations   uint64
 	watchers       []func()
-	model          *Replica
+	model          *replica.Replica
 	conns          map[string]*fleetConn
 }
 
@@ -52,8 +53,8 @@
 	if r.incarnations++; r.model != nil {
 		r.before = r.model.Instance
 	}
-	r.Up, r.Draining, r.since, r.CorruptAnswers = true, false, r.w.now, 0
-	r.model = NewReplica(r.w.S.Model, fmt.Sprintf("%s.%d", r.Name, r.incarnations), born)
+	r.Up, r.Draining, r.since, r.CorruptAnswers = true, false, r.w.Now, 0
+	r.model = replica.NewReplica(r.w.S.Model, fmt.Sprintf("%s.%d", r.Name, r.incarnations), born)
 }
 
 func (r *FleetReplica) crash() {
@@ -86,7 +87,7 @@
 
 func (r *FleetReplica) record(event, req, id string, n int) {
 	r.w.Ran = append(r.w.Ran, ledger.Ran{
-		AtMs: r.w.now.Milliseconds(), Replica: r.Name, Instance: r.model.Instance, Request: req, AttemptID: id, Event: event, Chunks: n,
+		AtMs: r.w.Now.Milliseconds(), Replica: r.Name, Instance: r.model.Instance, Request: req, AttemptID: id, Event: event, Chunks: n,
 	})
 }
 
@@ -118,7 +119,7 @@
 		}
 	}
 	if len(alive) == 0 {
-		w.after(time.Second, func() { w.list(name, state) })
+		w.After(time.Second, func() { w.list(name, state) })
 		return
 	}
 	n := alive[w.rng.IntN(len(alive))]
@@ -134,13 +135,13 @@
 func (w *World) release(names []string, each time.Duration) {
 	for i, name := range names {
 		r := w.replicasByName[name]
-		w.after(time.Duration(i)*each, func() {
+		w.After(time.Duration(i)*each, func() {
 			r.Draining = true
-			w.after(500*time.Millisecond, func() { w.list(name, "leaving") })
-			w.after(4500*time.Millisecond, func() { r.crash() })
-			w.after(6500*time.Millisecond, func() {
-				r.start(w.now)
-				w.after(500*time.Millisecond, func() { w.list(name, "present") })
+			w.After(500*time.Millisecond, func() { w.list(name, "leaving") })
+			w.After(4500*time.Millisecond, func() { r.crash() })
+			w.After(6500*time.Millisecond, func() {
+				r.start(w.Now)
+				w.After(500*time.Millisecond, func() { w.list(name, "present") })
 			})
 		})
 	}
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -6,12 +6,14 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 type fleetRequest struct {
 	w        *World
 	n        *Node
-	ask      Request
+	ask      workload.Request
 	domain   string
 	try      int
 	at       time.Duration
@@ -29,7 +31,7 @@
 	open    bool
 	sent    bool
 	chunk   int
-	plan    Plan
+	plan    replica.Plan
 	due     time.Duration
 
 	corrupted bool
@@ -37,16 +39,16 @@
 
 const dialFor = 500 * time.Millisecond
 
-func (w *World) submit(a Request, zone string, try int) {
+func (w *World) submit(a workload.Request, zone string, try int) {
 	n := w.pick(zone)
-	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.now, flow: router.RequestFlow{Request: a.Request}}
-	f.got = ledger.Got{AtMs: w.now.Milliseconds(), Request: a.Request, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
+	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.Now, flow: router.RequestFlow{Request: a.Request}}
+	f.got = ledger.Got{AtMs: w.Now.Milliseconds(), Request: a.Request, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
 	}
 	f.got.Node = n.frontendID
-	w.after(w.Net.delay(true), func() {
+	w.After(w.Net.Delay(true), func() {
 		if !n.Alive {
 			f.end("lost")
 			return
@@ -81,7 +83,7 @@
 	f.w.Got = append(f.w.Got, f.got)
 	f.w.Report.take(f)
 	if f.w.S.Resend && f.try == 0 && !f.began() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
-		f.w.after(time.Second, func() { f.w.submit(f.ask, f.domain, 1) })
+		f.w.After(time.Second, func() { f.w.submit(f.ask, f.domain, 1) })
 	}
 }
 
@@ -102,10 +104,10 @@
 	}
 	c.open = false
 	if c.sent {
-		f.w.after(f.w.Net.delay(true), func() {
+		f.w.After(f.w.Net.Delay(true), func() {
 			if c.replica.conns[c.place.AttemptID] == c {
 				delete(c.replica.conns, c.place.AttemptID)
-				c.replica.model.Release(f.w.now, c.place.AttemptID)
+				c.replica.model.Release(f.w.Now, c.place.AttemptID)
 				c.replica.record("cut", f.ask.Request, c.place.AttemptID, c.chunk)
 			}
 		})
@@ -163,7 +165,7 @@
 		return
 	}
 	if f.got.FirstMs == 0 {
-		f.got.FirstMs = max((f.w.now - f.at).Milliseconds(), 1)
+		f.got.FirstMs = max((f.w.Now - f.at).Milliseconds(), 1)
 	}
 	f.got.Chunks = append(f.got.Chunks, l.Text)
 }
@@ -179,7 +181,7 @@
 
 func (c *fleetConn) cutOff() bool {
 	net := c.request.w.Net
-	return net.blocked(c.request.n.Addr, c.replica.addr()) || net.blocked(c.replica.addr(), c.request.n.Addr)
+	return net.Blocked(c.request.n.Addr, c.replica.addr()) || net.Blocked(c.replica.addr(), c.request.n.Addr)
 }
 
 func (f *fleetRequest) dial(d router.Decision) {
@@ -194,7 +196,7 @@
 		f.n.later(dialFor, func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID}) })
 		return
 	}
-	f.n.later(2*w.Net.delay(f.n.Zone == r.Zone), func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
+	f.n.later(2*w.Net.Delay(f.n.Zone == r.Zone), func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
 }
 
 func (f *fleetRequest) glance() {
--- a/sim/fleetscenarios.go
+++ b/sim/fleetscenarios.go
@@ -5,13 +5,16 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // FleetScenario is a named way to disturb a fleet. Whole: every request must be served all the same. Change, if any, alters the scenario.
 type FleetScenario struct {
 	Name       string
 	NoFailures bool
-	Faults     func(s Shape, rng *rand.Rand) []Fault
+	Faults     func(s shape.Shape, rng *rand.Rand) []Fault
 	Change     func(s *Scenario)
 }
 
@@ -35,7 +38,7 @@
 	return names
 }
 
-func nodeNames(s Shape) []string {
+func nodeNames(s shape.Shape) []string {
 	var names []string
 	for _, n := range s.Nodes {
 		names = append(names, n.Name)
@@ -43,8 +46,8 @@
 	return names
 }
 
-func fixed(fs ...Fault) func(Shape, *rand.Rand) []Fault {
-	return func(Shape, *rand.Rand) []Fault { return fs }
+func fixed(fs ...Fault) func(shape.Shape, *rand.Rand) []Fault {
+	return func(shape.Shape, *rand.Rand) []Fault { return fs }
 }
 
 // FleetScenarios are all scenes that the tests play.
@@ -57,27 +60,27 @@
 		{Name: "calm", Faults: fixed()},
 		{Name: "crowd and hot key", Faults: fixed(), Change: func(s *Scenario) {
 			s.Load.HotShare = 0.4
-			s.Load.Bursts = []Burst{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
+			s.Load.Bursts = []workload.Burst{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
 		}},
-		{Name: "replicas crash", Faults: func(_ Shape, rng *rand.Rand) []Fault {
+		{Name: "replicas crash", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 6 {
 				fs = append(fs, one(ReplicaCrash, time.Duration(9+3*i)*sec, 3*sec, some(rng, replicaNames(), 2)...))
 			}
 			return append(fs, one(ReplicaCrash, 20*sec, -1, some(rng, replicaNames(), 2)...))
 		}},
-		{Name: "replicas go dark", Faults: func(_ Shape, rng *rand.Rand) []Fault {
+		{Name: "replicas go dark", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(ReplicaUnreachable, 10*sec, 12*sec, some(rng, replicaNames(), 3)...), one(ReplicaUnreachable, 20*sec, 10*sec, some(rng, replicaNames(), 3)...)}
 		}},
 		{Name: "rolling release", Faults: fixed(one(Release, 10*sec, 0, replicaNames()...)), Change: func(s *Scenario) { s.Lasts = 90 * sec }},
-		{Name: "our processes are killed", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "our processes are killed", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 8 {
 				fs = append(fs, one(Kill, time.Duration(9+3*i)*sec, 2500*time.Millisecond, some(rng, nodeNames(s), 2)...))
 			}
 			return fs
 		}},
-		{Name: "machines freeze and wake", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "machines freeze and wake", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 8 {
 				d := time.Duration(800+rng.IntN(7000)) * time.Millisecond
@@ -86,7 +89,7 @@
 			}
 			return append(fs, one(PutStorm, 10*sec, 15*sec))
 		}},
-		{Name: "domain is lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "domain is lost", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			d := s.Zones[rng.IntN(len(s.Zones))]
 			var reps []string
 			for i, r := range replicaNames() {
@@ -96,13 +99,13 @@
 			}
 			return []Fault{one(Power, 12*sec, 15*sec, namesIn(s, d)...), one(ReplicaCrash, 12*sec, 15*sec, reps...)}
 		}},
-		{Name: "domain emptied and restored", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "domain emptied and restored", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(EvacuateFault, 12*sec, 10*sec, s.Zones[rng.IntN(len(s.Zones))]), one(Freeze, 11*sec, 8*sec, some(rng, nodeNames(s), 2)...)}
 		}},
 	}
 }
 
-func namesIn(s Shape, zone string) []string {
+func namesIn(s shape.Shape, zone string) []string {
 	var names []string
 	for _, n := range s.Nodes {
 		if n.Zone == zone {
@@ -114,7 +117,7 @@
 
 func controlScenarios() []FleetScenario {
 	return []FleetScenario{
-		{Name: "power lost just after yes", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "power lost just after yes", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 20*sec))
 			for i := range 10 {
@@ -122,7 +125,7 @@
 			}
 			return fs
 		}},
-		{Name: "a second, later loss", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "a second, later loss", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 26*sec))
 			for i := range 5 {
@@ -133,7 +136,7 @@
 			}
 			return fs
 		}},
-		{Name: "disks slow, stall, fill", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "disks slow, stall, fill", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			fs = append(fs, one(PutStorm, 9*sec, 22*sec))
 			for i, k := range []string{SlowDisk, StallDisk, FullDisk, BadDisk} {
@@ -142,10 +145,10 @@
 			return fs
 		}},
 		{Name: "core is split", Faults: fixed(one(SplitCore, 12*sec, 10*sec, "n1", "n2", "n3"), one(Race, 10*sec, 16*sec))},
-		{Name: "domain is cut off", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "domain is cut off", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PartitionZone, 12*sec, 10*sec, s.Zones[rng.IntN(len(s.Zones))]), one(PutStorm, 10*sec, 15*sec)}
 		}},
-		{Name: "single machines are cut off", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "single machines are cut off", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 5 {
 				fs = append(fs, one(PartitionNode, time.Duration(10+5*i)*sec, 4*sec, some(rng, nodeNames(s), 1)...))
@@ -153,10 +156,10 @@
 			}
 			return append(fs, one(PutStorm, 10*sec, 15*sec))
 		}},
-		{Name: "core comes back empty elsewhere", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "core comes back empty elsewhere", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 9*sec, 60*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...), one(Relocate, 52*sec, 2*sec, some(rng, s.Voters, 1)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 100 * sec }},
-		{Name: "voters are swapped", Faults: func(s Shape, _ *rand.Rand) []Fault {
+		{Name: "voters are swapped", Faults: func(s shape.Shape, _ *rand.Rand) []Fault {
 			first, second := []string{"n2", "n3"}, []string{"n1", "n3"}
 			if s.Nodes[3].Disk {
 				first, second = append(first, "n4"), append(second, "n4")
@@ -167,15 +170,15 @@
 		{Name: "operators race", Faults: fixed(one(Race, 9*sec, 20*sec)), Change: func(s *Scenario) { s.Loss, s.Dup = 0.02, 0.02 }},
 		{Name: "configurations at their size limit", Faults: fixed(one(LargePuts, 9*sec, 8*sec), one(Power, 13*sec, 2*sec, "n2"))},
 		{Name: "all machines lose power", Faults: fixed(one(PutStorm, 9*sec, 6*sec), one(AllDown, 14*sec, 3*sec))},
-		{Name: "last fault at day's end", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "last fault at day's end", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 10*sec, 20*sec), one(Wipe, 35*sec, -1, some(rng, s.Voters, 1)...)}
 		}},
 	}
 }
 
 // Scenario is the scene played on a shape with a seed.
-func (sc FleetScenario) Scenario(sh Shape, seed uint64) Scenario {
-	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: Load{Classes: sh.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
+func (sc FleetScenario) Scenario(sh shape.Shape, seed uint64) Scenario {
+	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: workload.Load{Classes: sh.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
 	s.Faults = sc.Faults(sh, rand.New(rand.NewPCG(seed, 37)))
 	if sc.Change != nil {
 		sc.Change(&s)
--- a/sim/fleetscenarios_test.go
+++ b/sim/fleetscenarios_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 var (
@@ -21,14 +23,14 @@
 		t.Run(testName(scenario.Name), func(t *testing.T) {
 			t.Parallel()
 			eachSeed(func(seed uint64) {
-				rehearseParallel(t, scenario, Tramites(), seed)
-				rehearseParallel(t, scenario, Atlas(), seed)
+				rehearseParallel(t, scenario, shape.Tramites(), seed)
+				rehearseParallel(t, scenario, shape.Atlas(), seed)
 			})
 		})
 	}
 }
 
-func rehearseParallel(t *testing.T, scenario FleetScenario, shape Shape, seed uint64) {
+func rehearseParallel(t *testing.T, scenario FleetScenario, shape shape.Shape, seed uint64) {
 	t.Helper()
 	t.Run(fmt.Sprint(shape.Name, "/", seed), func(t *testing.T) {
 		t.Parallel()
@@ -36,7 +38,7 @@
 	})
 }
 
-func rehearse(t *testing.T, sc FleetScenario, sh Shape, seed uint64) {
+func rehearse(t *testing.T, sc FleetScenario, sh shape.Shape, seed uint64) {
 	w := Run(sc.Scenario(sh, seed))
 	if w.trap != nil {
 		t.Error("the act in which a node was to freeze never came")
@@ -74,7 +76,7 @@
 	sc := scenes[len(scenes)-1]
 	var runs [2]string
 	for i := range runs {
-		w := Run(sc.Scenario(Atlas(), 7))
+		w := Run(sc.Scenario(shape.Atlas(), 7))
 		runs[i] = fmt.Sprint(w.Ran, w.Got, w.Net.Sent)
 	}
 	if runs[0] != runs[1] {
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/engine"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 // An Instance is one life of a replica at an address.
@@ -16,7 +18,7 @@
 	Zone        string
 	service     *ServiceSpec
 	pace        float64
-	engine      *Engine
+	engine      *engine.Engine
 	up, dark    bool
 	startedAt   time.Duration
 	leaves      time.Duration
@@ -46,11 +48,11 @@
 func (s *site) launch(o *ServiceSpec, zone, addr string, pace float64, warm bool) *Instance {
 	s.born++
 	i := &Instance{
-		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Zone: zone, service: o, pace: pace, engine: NewEngine(&s.w.queue, o.EngineSpec),
-		up: true, startedAt: s.w.now, leaves: never, ends: never,
+		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Zone: zone, service: o, pace: pace, engine: engine.New(&s.w.Queue, o.Spec),
+		up: true, startedAt: s.w.Now, leaves: never, ends: never,
 	}
 	i.engine.Slow = func() float64 {
-		if s.w.now < i.warmupUntil {
+		if s.w.Now < i.warmupUntil {
 			return i.pace * 2
 		}
 		return i.pace
@@ -66,14 +68,14 @@
 }
 
 func (i *Instance) chill() {
-	if i.s.w.now >= i.warmupUntil {
-		i.warmupFrom = i.s.w.now
+	if i.s.w.Now >= i.warmupUntil {
+		i.warmupFrom = i.s.w.Now
 	}
-	i.warmupUntil = i.s.w.now + i.service.WarmupTime
+	i.warmupUntil = i.s.w.Now + i.service.WarmupTime
 }
 
 func (i *Instance) warmingUp() bool {
-	return i.service.WarmupRate > 0 && i.s.w.now < i.warmupUntil
+	return i.service.WarmupRate > 0 && i.s.w.Now < i.warmupUntil
 }
 
 // drain has the list show that the instance leaves; it serves on for a little more than it must.
@@ -81,9 +83,9 @@
 	if !i.up || i.leaves != never {
 		return
 	}
-	i.leaves = i.s.w.now
+	i.leaves = i.s.w.Now
 	i.s.w.Say("%s at %s drains", i.ID, i.Addr)
-	i.s.w.after(listBehind+i.s.spec.Bounds.Drain+500*time.Millisecond, func() { i.end(false) })
+	i.s.w.After(listBehind+i.s.spec.Bounds.Drain+500*time.Millisecond, func() { i.end(false) })
 }
 
 // end is the end of a life: planned, or as a crash, which the list notices late.
@@ -91,7 +93,7 @@
 	if !i.up {
 		return
 	}
-	i.up, i.ends, i.lost = false, i.s.w.now, crash
+	i.up, i.ends, i.lost = false, i.s.w.Now, crash
 	i.s.w.Say("%s at %s ends, crash: %v", i.ID, i.Addr, crash)
 	i.engine.Stop()
 	i.s.tallied(i)
@@ -144,7 +146,7 @@
 		return
 	}
 	i.s.rules.arrived(i, r)
-	i.arrivals = append(i.arrivals, arrival{sent: r.sent, at: w.now})
+	i.arrivals = append(i.arrivals, arrival{sent: r.sent, at: w.Now})
 	if i.warmingUp() && i.recent() > 3*int(i.service.WarmupRate)+warmupSlack {
 		i.end(true)
 		return
@@ -159,7 +161,7 @@
 
 func (i *Instance) recent() int {
 	var n int
-	for x := len(i.arrivals) - 1; x >= 0 && i.s.w.now-i.arrivals[x].at < time.Second; x-- {
+	for x := len(i.arrivals) - 1; x >= 0 && i.s.w.Now-i.arrivals[x].at < time.Second; x-- {
 		n++
 	}
 	return n
@@ -173,7 +175,7 @@
 
 func (i *Instance) row(at time.Duration) router.Instance {
 	r := router.Instance{
-		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
+		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
 	}
 	if i.warmupUntil > 0 && i.warmupFrom <= at {
 		r.WarmingUp = max(i.warmupUntil-at, 0)
--- a/sim/lightcluster.go
+++ b/sim/light/cluster.go
@@ -1,4 +1,6 @@
-package sim
+// Package light is a fleet of lightweight nodes: only their state machines, without clients' rules or audits, so that hundreds fit in one
+// process. It measures what control costs at several sizes (docs/CAPACITY.md).
+package light
 
 import (
 	"bytes"
@@ -10,18 +12,24 @@
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/disk"
+	"github.com/mallowbridge/mallowbridge/sim/eventqueue"
+	"github.com/mallowbridge/mallowbridge/sim/network"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// LightPlan is a fleet whose state machines are real and whose surroundings are the least that they need: nothing is audited
+// Plan is a fleet whose state machines are real and whose surroundings are the least that they need: nothing is audited
 // and nothing breaks, so that a fleet of hundreds fits into one process.
-type LightPlan struct {
+type Plan struct {
 	Seed  uint64
-	Shape Shape
-	Model Model
+	Shape shape.Shape
+	Model replica.Model
 	Meter Meter
 	// Next gives the load, in order of time; nil: none.
-	Next func() Request
+	Next func() workload.Request
 	// PutEvery is the time between changes of configuration; 0: only the first. Body gives the n-th.
 	PutEvery time.Duration
 	Body     func(n int) []byte
@@ -35,27 +43,27 @@
 // Meter sees what the machines of a hollow fleet do.
 type Meter interface {
 	// Sent is one message of one node to another: its frame on a connection that has carried its kind before.
-	Sent(from, to *LightNode, msg any, frame int, encode, decode time.Duration)
+	Sent(from, to *Node, msg any, frame int, encode, decode time.Duration)
 	// Stepped is one input (control.In or router.Event) and the real time that the machine took for it.
-	Stepped(n *LightNode, in any, elapsed time.Duration)
+	Stepped(n *Node, in any, elapsed time.Duration)
 	// Asked is one question to a replica for its usage.
-	Asked(n *LightNode)
+	Asked(n *Node)
 	// Wrote is one entry to be synced to a node's disk.
-	Wrote(n *LightNode)
+	Wrote(n *Node)
 }
 
-// LightCluster is a fleet that runs a LightPlan.
-type LightCluster struct {
-	queue
-	S       LightPlan
+// Cluster is a fleet that runs a Plan.
+type Cluster struct {
+	eventqueue.Queue
+	S       Plan
 	rng     *rand.Rand
-	net     *Net
+	net     *network.Net
 	pipe    *transport.Writer
 	buf     bytes.Buffer
 	out     *transport.Reader
-	Nodes   []*LightNode
-	byAddr  map[string]*LightNode
-	reps    map[string]*Replica
+	Nodes   []*Node
+	byAddr  map[string]*Node
+	reps    map[string]*replica.Replica
 	where   map[string]string
 	answers map[uint64]func(a control.Answer)
 	ids     uint64
@@ -70,19 +78,19 @@
 	Firsts []time.Duration
 }
 
-// NewLightCluster makes the fleet; nothing runs yet.
-func NewLightCluster(p LightPlan) *LightCluster {
-	h := &LightCluster{
-		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: newNet(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*LightNode{},
-		reps: map[string]*Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
+// New makes the fleet; nothing runs yet.
+func New(p Plan) *Cluster {
+	h := &Cluster{
+		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: network.New(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*Node{},
+		reps: map[string]*replica.Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
 		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Ends: map[string]int{},
 	}
 	h.out = transport.NewReader(&h.buf)
 	h.net.Far = max(h.net.Far, p.Far)
 	for i, s := range p.Shape.Nodes {
-		n := &LightNode{h: h, Name: s.Name, Zone: s.Zone, Addr: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255), watchers: map[string]bool{}, asks: map[string]*lightRequest{}}
+		n := &Node{h: h, Name: s.Name, Zone: s.Zone, Addr: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255), watchers: map[string]bool{}, asks: map[string]*request{}}
 		if s.Disk {
-			n.Disk = NewDisk(p.Seed*1000 + uint64(i))
+			n.Disk = disk.New(p.Seed*1000 + uint64(i))
 		}
 		h.Nodes = append(h.Nodes, n)
 		h.byAddr[n.Addr] = n
@@ -90,31 +98,25 @@
 	return h
 }
 
-// Now is the virtual time since the fleet was made.
-func (h *LightCluster) Now() time.Duration { return h.now }
-
-// Run runs the fleet until that time.
-func (h *LightCluster) Run(until time.Duration) { h.run(until) }
-
 // Boot starts all nodes within a third of a second, founds the register and puts the first configuration.
-func (h *LightCluster) Boot() {
+func (h *Cluster) Boot() {
 	c, err := config.Read(h.S.Shape.Config)
 	if err != nil {
 		panic(err)
 	}
 	for _, o := range c.Services {
 		for _, r := range o.Replicas {
-			h.reps[r.Name], h.where[r.Name] = NewReplica(h.S.Model, r.Name+".1", -time.Hour), r.Zone
+			h.reps[r.Name], h.where[r.Name] = replica.NewReplica(h.S.Model, r.Name+".1", -time.Hour), r.Zone
 		}
 	}
 	for i, n := range h.Nodes {
 		n.upgradeAt = h.S.Roll * time.Duration(i) / time.Duration(len(h.Nodes))
-		h.after(time.Duration(i)*300*time.Millisecond/time.Duration(len(h.Nodes)), n.start)
+		h.After(time.Duration(i)*300*time.Millisecond/time.Duration(len(h.Nodes)), n.start)
 	}
-	h.after(time.Second, h.found)
+	h.After(time.Second, h.found)
 }
 
-func (h *LightCluster) node(name string) *LightNode {
+func (h *Cluster) node(name string) *Node {
 	for _, n := range h.Nodes {
 		if n.Name == name {
 			return n
@@ -123,26 +125,26 @@
 	return nil
 }
 
-func (h *LightCluster) call(n *LightNode, op control.Op, done func(a control.Answer)) {
+func (h *Cluster) call(n *Node, op control.Op, done func(a control.Answer)) {
 	h.ids++
 	h.answers[h.ids] = done
 	n.step(control.Command{ID: h.ids, Op: op})
 }
 
-func (h *LightCluster) found() {
+func (h *Cluster) found() {
 	n := h.node(h.S.Shape.Voters[0])
 	h.call(n, control.Bootstrap{Names: h.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
-			h.after(300*time.Millisecond, h.found)
+			h.After(300*time.Millisecond, h.found)
 			return
 		}
 		h.put(n, 0, h.S.Shape.Config)
 	})
 }
 
-func (h *LightCluster) put(n *LightNode, expect uint64, body []byte) {
+func (h *Cluster) put(n *Node, expect uint64, body []byte) {
 	h.puts++
-	at := h.now
+	at := h.Now
 	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Document: body}, func(a control.Answer) {
 		if a.Err == nil {
 			h.offered[a.Value.Version] = at
@@ -152,7 +154,7 @@
 }
 
 // Change puts a configuration every PutEvery from half of that on, each at another node.
-func (h *LightCluster) Change() {
+func (h *Cluster) Change() {
 	if h.S.PutEvery == 0 {
 		return
 	}
@@ -160,32 +162,32 @@
 	next = func() {
 		n := h.Nodes[h.puts%len(h.Nodes)]
 		h.put(n, n.Router.Version(), h.S.Body(h.puts))
-		h.after(h.S.PutEvery, next)
+		h.After(h.S.PutEvery, next)
 	}
-	h.after(h.S.PutEvery/2, next)
+	h.After(h.S.PutEvery/2, next)
 }
 
-func (h *LightCluster) inForce(version uint64) {
+func (h *Cluster) inForce(version uint64) {
 	at, known := h.offered[version]
 	if known && h.obeyed[version] == len(h.Nodes) {
-		h.Puts = append(h.Puts, h.now-at)
+		h.Puts = append(h.Puts, h.Now-at)
 		delete(h.offered, version)
 	}
 }
 
 // Load submits the requests of Next from now until then, each to a node at random.
-func (h *LightCluster) Load(until time.Duration) {
+func (h *Cluster) Load(until time.Duration) {
 	if h.S.Next == nil {
 		return
 	}
-	from := h.now
+	from := h.Now
 	var next func()
 	next = func() {
 		a := h.S.Next()
 		if from+a.At >= until {
 			return
 		}
-		h.at(from+a.At, func() {
+		h.At(from+a.At, func() {
 			h.Nodes[h.rng.IntN(len(h.Nodes))].submit(a)
 			next()
 		})
@@ -193,7 +195,7 @@
 	next()
 }
 
-func (h *LightCluster) carry(from *LightNode, s control.Send) {
+func (h *Cluster) carry(from *Node, s control.Send) {
 	to := h.byAddr[s.To]
 	if to == nil || to.Control == nil {
 		return
@@ -212,10 +214,10 @@
 		panic(err)
 	}
 	h.S.Meter.Sent(from, to, s.Msg, len(frame), encoded, decoded)
-	h.after(h.net.delay(from.Zone == to.Zone), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
+	h.After(h.net.Delay(from.Zone == to.Zone), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
-func (n *LightNode) obeys(o router.SnapshotUpdate) {
+func (n *Node) obeys(o router.SnapshotUpdate) {
 	for version := n.version + 1; version <= o.Snapshot.Version; version++ {
 		n.h.obeyed[version]++
 		n.h.inForce(version)
--- a/sim/measure.go
+++ b/sim/measure.go
@@ -5,6 +5,8 @@
 
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/membership"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // Measurement is a name and the times measured under it, in milliseconds.
@@ -14,13 +16,13 @@
 }
 
 type measurement struct {
-	shape   Shape
+	shape   shape.Shape
 	seed    uint64
 	results []Measurement
 }
 
 // Measure breaks one thing at a time in a calm fleet under load and times how long the fleet takes, for each seed.
-func Measure(shape Shape, from, seeds uint64) []Measurement {
+func Measure(shape shape.Shape, from, seeds uint64) []Measurement {
 	g := &measurement{shape: shape}
 	for g.seed = from; g.seed < from+seeds; g.seed++ {
 		g.lost("killed", func(n *Node) { n.kill() })
@@ -39,18 +41,18 @@
 }
 
 func (g *measurement) world() *World {
-	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: Load{Classes: g.shape.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}})
+	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: workload.Load{Classes: g.shape.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}})
 	w.Boot()
 	w.Load(5*time.Second, 4*time.Minute)
-	w.run(12 * time.Second)
+	w.Run(12 * time.Second)
 	return w
 }
 
 func (g *measurement) read(name string, w *World, from time.Duration, until func() bool) {
-	for !until() && w.now < from+30*time.Second {
-		w.run(w.now + 5*time.Millisecond)
+	for !until() && w.Now < from+30*time.Second {
+		w.Run(w.Now + 5*time.Millisecond)
 	}
-	g.add(name, (w.now - from).Milliseconds())
+	g.add(name, (w.Now - from).Milliseconds())
 }
 
 func (g *measurement) add(name string, ms int64) {
@@ -75,7 +77,7 @@
 func (g *measurement) lost(how string, harm func(n *Node)) {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
-	from := w.now
+	from := w.Now
 	harm(n)
 	dead := func(o *Node) bool {
 		m, _ := o.node.Members.Table.Get(n.Name)
@@ -88,34 +90,34 @@
 func (g *measurement) alone() {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
-	from := w.now
+	from := w.Now
 	w.isolate([]*Node{n}, 6*time.Second, true, false)
 	g.read("cut off: it denies", w, from, func() bool { return n.router.Ready(n.local()) != "" })
-	w.run(from + 6*time.Second)
-	g.read("cut healed: it serves", w, w.now, func() bool { return n.router.Ready(n.local()) == "" })
+	w.Run(from + 6*time.Second)
+	g.read("cut healed: it serves", w, w.Now, func() bool { return n.router.Ready(n.local()) == "" })
 }
 
 func (g *measurement) wakes() {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	n.freeze()
-	w.run(w.now + 6*time.Second)
+	w.Run(w.Now + 6*time.Second)
 	n.thaw()
-	w.run(w.now + 100*time.Millisecond)
-	g.read("woken: it serves", w, w.now-100*time.Millisecond, func() bool { return n.router.Ready(n.local()) == "" })
+	w.Run(w.Now + 100*time.Millisecond)
+	g.read("woken: it serves", w, w.Now-100*time.Millisecond, func() bool { return n.router.Ready(n.local()) == "" })
 }
 
 func (g *measurement) orders() {
 	w := g.world()
 	version := uint64(0)
-	from := w.now
+	from := w.Now
 	w.Put(w.someNode(), w.Nodes[0].router.Version(), w.varied(false), func(a control.Answer) {
 		if a.Err == nil {
 			version = a.Value.Version
 		}
 	})
 	g.read("put: accepted", w, from, func() bool { return version > 0 })
-	g.read("put: all nodes obey, after yes", w, w.now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Version() >= version }) })
+	g.read("put: all nodes obey, after yes", w, w.Now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Version() >= version }) })
 }
 
 func (g *measurement) handover() {
@@ -135,7 +137,7 @@
 	if n == nil {
 		return
 	}
-	from := w.now
+	from := w.Now
 	n.kill()
 	g.read("duty: held by another", w, from, func() bool { return holder() != nil })
 }
@@ -145,12 +147,12 @@
 	r := w.Reps[w.rng.IntN(len(w.Reps))]
 	old := r.model.Instance
 	r.crash()
-	from := w.now
+	from := w.Now
 	doubts := func(o *Node) bool { return o.router.Trusts(r.Name) != old }
 	g.read("replica crashed: all nodes see it", w, from, func() bool { return w.others(nil, true, doubts) })
-	w.run(w.now + time.Second)
-	from = w.now
-	r.start(w.now)
+	w.Run(w.Now + time.Second)
+	from = w.Now
+	r.start(w.Now)
 	g.read("replica is back: all nodes see it", w, from, func() bool {
 		return w.others(nil, true, func(o *Node) bool { return o.router.Trusts(r.Name) == r.model.Instance })
 	})
@@ -164,12 +166,12 @@
 			n.Disk.PowerLoss()
 		}
 	}
-	w.run(w.now + 5*time.Second)
-	from := w.now
+	w.Run(w.Now + 5*time.Second)
+	from := w.Now
 	for _, n := range w.Nodes {
-		w.after(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
+		w.After(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
 	}
 	ready := func(n *Node) bool { return n.router.Ready(n.local()) == "" }
 	g.read("full stop: first node serves", w, from, func() bool { return w.others(nil, false, ready) })
-	g.read("full stop: all nodes serve", w, from, func() bool { return w.now > from+time.Second && w.others(nil, true, ready) })
+	g.read("full stop: all nodes serve", w, from, func() bool { return w.Now > from+time.Second && w.others(nil, true, ready) })
 }
--- a/sim/mixedscenarios.go
+++ b/sim/mixedscenarios.go
@@ -3,9 +3,12 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-func reps(s Shape, zone string) []string {
+func reps(s shape.Shape, zone string) []string {
 	var names []string
 	for i, r := range replicaNames() {
 		if s.Zones[i%len(s.Zones)] == zone {
@@ -21,13 +24,13 @@
 
 func buildAndReplicaScenarios() []FleetScenario {
 	return []FleetScenario{
-		{Name: "our nodes are upgraded one by one", NoFailures: true, Faults: func(s Shape, _ *rand.Rand) []Fault {
+		{Name: "our nodes are upgraded one by one", NoFailures: true, Faults: func(s shape.Shape, _ *rand.Rand) []Fault {
 			return []Fault{one(Upgrade, 9*sec, 0, nodeNames(s)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 80 * sec }},
-		{Name: "neighbouring builds are mixed", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "neighbouring builds are mixed", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 9*sec, 20*sec), one(Kill, 12*sec, 2*sec, some(rng, nodeNames(s), 3)...), one(PartitionZone, 20*sec, 5*sec, s.Zones[rng.IntN(len(s.Zones))])}
 		}, Change: func(s *Scenario) { s.Builds = true }},
-		{Name: "one order while machines freeze", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "one order while machines freeze", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 5 {
 				at := time.Duration(9000+6000*i+rng.IntN(400)) * time.Millisecond
@@ -35,27 +38,27 @@
 			}
 			return fs
 		}, Change: func(s *Scenario) { s.Load.Rate = 150 }},
-		{Name: "a release that breaks each answer", Faults: func(_ Shape, rng *rand.Rand) []Fault {
+		{Name: "a release that breaks each answer", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(ReplicaFailing, 9*sec, 25*sec, some(rng, replicaNames(), 9)...)}
 		}, Change: func(s *Scenario) { s.Load.Rate = 40 }},
-		{Name: "replicas answer wrongly", Faults: func(_ Shape, rng *rand.Rand) []Fault {
+		{Name: "replicas answer wrongly", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(ReplicaCorrupt, 9*sec, 25*sec, some(rng, replicaNames(), 9)...)}
 		}},
-		{Name: "replicas restart at once", Faults: func(_ Shape, rng *rand.Rand) []Fault {
+		{Name: "replicas restart at once", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 12 {
 				fs = append(fs, one(ReplicaRestart, time.Duration(9000+2200*i+rng.IntN(900))*time.Millisecond, 0, some(rng, replicaNames(), 3)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Bursts = []Burst{{From: 12 * sec, Until: 30 * sec, Times: 2.5}} }},
-		{Name: "replicas flap", Faults: func(_ Shape, rng *rand.Rand) []Fault {
+		}, Change: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 12 * sec, Until: 30 * sec, Times: 2.5}} }},
+		{Name: "replicas flap", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 30 {
 				fs = append(fs, one(ReplicaCrash, time.Duration(9000+900*i)*time.Millisecond, 400*time.Millisecond, some(rng, replicaNames(), 5)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Bursts = []Burst{{From: 8 * sec, Until: 38 * sec, Times: 3}} }},
-		{Name: "probers die while replicas restart", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		}, Change: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 8 * sec, Until: 38 * sec, Times: 3}} }},
+		{Name: "probers die while replicas restart", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 6 {
 				at := time.Duration(9+4*i) * sec
@@ -63,25 +66,25 @@
 				fs = append(fs, one(ReplicaCrash, at+time.Duration(300+rng.IntN(2500))*time.Millisecond, 300*time.Millisecond, some(rng, replicaNames(), 4)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Bursts = []Burst{{From: 9 * sec, Until: 36 * sec, Times: 1.5}} }},
+		}, Change: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 9 * sec, Until: 36 * sec, Times: 1.5}} }},
 	}
 }
 
 func zoneAndPowerScenarios() []FleetScenario {
 	return []FleetScenario{
-		{Name: "platform lists late and out of order", Faults: func(_ Shape, _ *rand.Rand) []Fault {
+		{Name: "platform lists late and out of order", Faults: func(_ shape.Shape, _ *rand.Rand) []Fault {
 			return []Fault{one(Lists, 9*sec, 25*sec), one(PutStorm, 12*sec, 12*sec)}
 		}},
-		{Name: "release while a domain empties", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "release while a domain empties", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			d := s.Zones[rng.IntN(len(s.Zones))]
 			return []Fault{one(Release, 10*sec, 0, append(some(rng, reps(s, d), 3), some(rng, replicaNames(), 3)...)...), one(EvacuateFault, 14*sec, 15*sec, d),
 				one(Kill, 15*sec, 2*sec, some(rng, nodeNames(s), 2)...)}
 		}},
-		{Name: "domain is cut from other nodes", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "domain is cut from other nodes", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PartitionControl, 12*sec, 12*sec, s.Zones[rng.IntN(len(s.Zones))]), one(ReplicaCrash, 17*sec, 500*time.Millisecond, some(rng, replicaNames(), 3)...),
 				one(Release, 14*sec, 0, some(rng, replicaNames(), 2)...)}
 		}},
-		{Name: "clocks are set back", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "clocks are set back", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			back := some(rng, nodeNames(s), 4)
 			var fs []Fault
 			for i := range 7 {
@@ -89,14 +92,14 @@
 			}
 			return append(fs, one(PutStorm, 9*sec, 25*sec), one(Lists, 9*sec, 20*sec))
 		}},
-		{Name: "core freezes in an act", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "core freezes in an act", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(FreezeAct, 9*sec, 7*sec), one(PutStorm, 9*sec, 50*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...)}
 		}, Change: func(s *Scenario) { s.Lasts = 70 * sec }},
-		{Name: "day ends with a domain lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "day ends with a domain lost", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			d := s.Zones[rng.IntN(3)]
 			return []Fault{one(PutStorm, 10*sec, 29900*time.Millisecond), one(Wipe, 39900*time.Millisecond, -1, namesIn(s, d)...), one(ReplicaCrash, 39900*time.Millisecond, -1, reps(s, d)...)}
 		}},
-		{Name: "day ends with all power and one disk lost", Faults: func(s Shape, rng *rand.Rand) []Fault {
+		{Name: "day ends with all power and one disk lost", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 10*sec, 30*sec), one(AllDown, 40*sec, -1), one(Wipe, 41*sec, -1, some(rng, s.Voters, 1)...)}
 		}},
 		{Name: "everything at once", Faults: everyFleetFault, Change: func(s *Scenario) { s.Lasts, s.Loss = 70*sec, 0.01 }},
@@ -104,7 +107,7 @@
 }
 
 // everyFleetFault strikes with a fault of any kind every two seconds.
-func everyFleetFault(s Shape, rng *rand.Rand) []Fault {
+func everyFleetFault(s shape.Shape, rng *rand.Rand) []Fault {
 	var fs []Fault
 	fs = append(fs, one(PutStorm, 9*sec, 40*sec))
 	classes := []string{Kill, Power, Freeze, PartitionNode, PartitionOneWay, ReplicaCrash, ReplicaUnreachable, SlowDisk, StallDisk}
--- a/sim/net.go
+++ b/sim/network/net.go
@@ -1,4 +1,6 @@
-package sim
+// Package network is the simulated network between control nodes: it delays, loses and doubles messages, partitions nodes, and carries
+// each message through the frames that real nodes write and read. A Net is owned by one goroutine.
+package network
 
 import (
 	"bytes"
@@ -22,7 +24,7 @@
 	Loss, Dup    float64
 	Near, Far    time.Duration
 	Jitter       time.Duration
-	partitions   map[int]func(from, to string) bool
+	Partitions   map[int]func(from, to string) bool
 	partitionSeq int
 	Sent         uint64
 	Bytes        uint64
@@ -30,22 +32,25 @@
 	CrossKind    map[string]uint64
 }
 
-func newNet(seed uint64) *Net {
+// New makes a network that loses nothing; seed draws its delays.
+func New(seed uint64) *Net {
 	return &Net{
 		rng: rand.New(rand.NewPCG(seed, 29)), links: map[[2]string]*link{}, Near: 300 * time.Microsecond, Far: 3 * time.Millisecond,
-		Jitter: 2 * time.Millisecond, partitions: map[int]func(from, to string) bool{}, CrossKind: map[string]uint64{},
+		Jitter: 2 * time.Millisecond, Partitions: map[int]func(from, to string) bool{}, CrossKind: map[string]uint64{},
 	}
 }
 
-func (n *Net) partition(blocked func(from, to string) bool) func() {
+// Partition blocks messages from one address to another until the function that it returns is called.
+func (n *Net) Partition(blocked func(from, to string) bool) func() {
 	n.partitionSeq++
 	id := n.partitionSeq
-	n.partitions[id] = blocked
-	return func() { delete(n.partitions, id) }
+	n.Partitions[id] = blocked
+	return func() { delete(n.Partitions, id) }
 }
 
-func (n *Net) blocked(from, to string) bool {
-	for _, c := range n.partitions {
+// Blocked tells whether a partition keeps messages from one address to another.
+func (n *Net) Blocked(from, to string) bool {
+	for _, c := range n.Partitions {
 		if c(from, to) {
 			return true
 		}
@@ -53,7 +58,8 @@
 	return false
 }
 
-func (n *Net) delay(near bool) time.Duration {
+// Delay draws how long a message takes one way, within a zone (near) or between two.
+func (n *Net) Delay(near bool) time.Duration {
 	d := n.Far
 	if near {
 		d = n.Near
@@ -81,7 +87,9 @@
 	return same, len(frame)
 }
 
-func (n *Net) carry(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
+// Carry takes a message over the network: what arrives of it, none, one or two, as it is read from its frames, and after what delays.
+// Bytes between zones are counted under its kind.
+func (n *Net) Carry(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
 	same, size := n.copy(from, to, msg)
 	n.Sent++
 	n.Bytes += uint64(size)
@@ -89,12 +97,12 @@
 		n.CrossBytes += uint64(size)
 		n.CrossKind[kind] += uint64(size)
 	}
-	if n.blocked(from, to) || n.rng.Float64() < n.Loss {
+	if n.Blocked(from, to) || n.rng.Float64() < n.Loss {
 		return nil, nil
 	}
-	copies, delays := []any{same}, []time.Duration{n.delay(near)}
+	copies, delays := []any{same}, []time.Duration{n.Delay(near)}
 	if n.rng.Float64() < n.Dup {
-		copies, delays = append(copies, same), append(delays, n.delay(near)+50*time.Millisecond)
+		copies, delays = append(copies, same), append(delays, n.Delay(near)+50*time.Millisecond)
 	}
 	return copies, delays
 }
--- a/sim/node.go
+++ b/sim/node.go
@@ -9,6 +9,8 @@
 	"github.com/mallowbridge/mallowbridge/gossip"
 	"github.com/mallowbridge/mallowbridge/membership"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/disk"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
@@ -33,7 +35,7 @@
 	node        *control.Node
 	router      *router.Router
 	journal     *control.Journal
-	Disk        *Disk
+	Disk        *disk.Disk
 	slow        time.Duration
 	stall       bool
 	saving      bool
@@ -53,7 +55,7 @@
 	removed     bool
 }
 
-func newNode(w *World, i int, s NodeShape) *Node {
+func newNode(w *World, i int, s shape.Node) *Node {
 	n := &Node{
 		w: w, Name: s.Name, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1), Zone: s.Zone,
 		skew: time.Duration(w.rng.Int64N(int64(100 * time.Hour))),
@@ -66,15 +68,15 @@
 		n.build = transport.Build - 1
 	}
 	if s.Disk {
-		n.Disk = NewDisk(w.S.Seed*100 + uint64(i))
+		n.Disk = disk.New(w.S.Seed*100 + uint64(i))
 	}
 	w.byAddr[n.Addr] = n
 	return n
 }
 
-func (n *Node) local() time.Duration { return n.skew + n.w.now }
+func (n *Node) local() time.Duration { return n.skew + n.w.Now }
 
-func (n *Node) unixMs() uint64 { return uint64((w0 + n.w.now + n.wall) / time.Millisecond) }
+func (n *Node) unixMs() uint64 { return uint64((w0 + n.w.Now + n.wall) / time.Millisecond) }
 
 const w0 = 1_700_000_000 * time.Second
 
@@ -118,7 +120,7 @@
 	n.startTicking()
 	if w.site != nil {
 		n.arm()
-		n.open(w.now)
+		n.open(w.Now)
 	}
 }
 
@@ -150,7 +152,7 @@
 		if n.incarnation != incarnation || !n.Alive {
 			return
 		}
-		w.after(tickEvery, n.tick)
+		w.After(shape.TickEvery, n.tick)
 		if n.frozen {
 			return
 		}
@@ -179,7 +181,7 @@
 
 func (n *Node) later(d time.Duration, do func()) {
 	incarnation := n.incarnation
-	n.w.after(d, func() {
+	n.w.After(d, func() {
 		if n.incarnation == incarnation {
 			n.live(do)
 		}
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -51,9 +51,9 @@
 			w.Audit.breach(Unreadable, to.Name, fmt.Sprintf("%T from %s", s.Msg, n.Name))
 			continue
 		}
-		msgs, delays := w.Net.carry(n.Addr, s.To, n.Zone == to.Zone, s.Msg, fmt.Sprintf("%T", s.Msg))
+		msgs, delays := w.Net.Carry(n.Addr, s.To, n.Zone == to.Zone, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
-			w.after(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.speaks(), Msg: m}) })
+			w.After(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.speaks(), Msg: m}) })
 		}
 	}
 }
--- a/sim/operatorjudge.go
+++ b/sim/operatorjudge.go
@@ -10,12 +10,12 @@
 		o.repeated(d, n, f)
 		return
 	}
-	w.Say("order %d is settled: %v after %s", d.base, f, w.now-d.from)
+	w.Say("order %d is settled: %v after %s", d.base, f, w.Now-d.from)
 	if v != nil {
 		o.judgeVersion(d, n, f)
 	}
-	if f != acked && o.owedAnswer(d) && w.now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.now) {
-		o.s.rules.breach(RuleAcks, fmt.Sprint(d.base), "not within %s", w.now-d.from)
+	if f != acked && o.owedAnswer(d) && w.Now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.Now) {
+		o.s.rules.breach(RuleAcks, fmt.Sprint(d.base), "not within %s", w.Now-d.from)
 	}
 	if f == acked && o.acked != nil {
 		then := o.acked
@@ -42,7 +42,7 @@
 	case f == acked && v.flawed:
 		o.s.rules.breach(RuleTaken, fmt.Sprint(v.revision), "flawed, and taken by %s", n.Name)
 	case f == acked:
-		v.acked = o.s.w.now
+		v.acked = o.s.w.Now
 		o.s.report.Puts++
 		o.rival(v, d)
 		o.taken = append(o.taken, d)
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -68,7 +68,7 @@
 const callAnew = time.Second
 
 func (o *operators) send(d *order) {
-	d.from, d.until = o.s.w.now, o.s.w.now+o.s.spec.Bounds.Ack+2*time.Second
+	d.from, d.until = o.s.w.Now, o.s.w.Now+o.s.spec.Bounds.Ack+2*time.Second
 	if d.forced {
 		d.until = never
 	}
@@ -84,14 +84,14 @@
 	if d.over {
 		return
 	}
-	if w.now >= d.until {
+	if w.Now >= d.until {
 		o.finishOrder(d, nil, unclear)
 		return
 	}
 	d.calls++
 	call := d.calls
 	next := func(wait time.Duration) {
-		w.after(wait, func() {
+		w.After(wait, func() {
 			if call == d.calls {
 				o.try(d, min(2*pause, time.Second))
 			}
@@ -102,14 +102,14 @@
 		next(pause)
 		return
 	}
-	sent := w.now
-	w.after(clientDelay, func() {
+	sent := w.Now
+	w.After(clientDelay, func() {
 		if o.gated(n) {
 			d.unclear = true
 			return
 		}
 		w.Call(n, o.callOf(d), func(a control.Answer) {
-			late := w.now-sent > callAnew || call != d.calls
+			late := w.Now-sent > callAnew || call != d.calls
 			if o.answered(d, n, a, late) {
 				next(pause)
 			}
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -14,29 +14,29 @@
 	case EvacuateFault:
 		n := w.someNode()
 		w.Evacuate(n, f.On[0], false, func(control.Answer) {})
-		w.after(f.For, func() { w.Evacuate(w.someNode(), f.On[0], true, func(control.Answer) {}) })
+		w.After(f.For, func() { w.Evacuate(w.someNode(), f.On[0], true, func(control.Answer) {}) })
 	case Lists:
-		w.lists(w.now+f.For, map[string]string{}, 0)
+		w.lists(w.Now+f.For, map[string]string{}, 0)
 	case SwapVoters:
 		w.Call(w.someNode(), control.ReplaceVoters{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
 	case PutStorm:
-		w.putStorm(w.now+f.For, 1, 120*time.Millisecond, false)
+		w.putStorm(w.Now+f.For, 1, 120*time.Millisecond, false)
 	case Race:
-		w.putStorm(w.now+f.For, 4, 120*time.Millisecond, false)
+		w.putStorm(w.Now+f.For, 4, 120*time.Millisecond, false)
 	case LargePuts:
-		w.putStorm(w.now+f.For, 1, 1500*time.Millisecond, true)
+		w.putStorm(w.Now+f.For, 1, 1500*time.Millisecond, true)
 	}
 }
 
 // putStorm puts some configurations at a time, again and again until end.
 func (w *World) putStorm(end time.Duration, atOnce int, interval time.Duration, large bool) {
-	if w.now >= end {
+	if w.Now >= end {
 		return
 	}
 	for range atOnce {
 		w.Put(w.someNode(), w.expect, w.varied(large), w.putAnswered)
 	}
-	w.after(interval, func() { w.putStorm(end, atOnce, interval, large) })
+	w.After(interval, func() { w.putStorm(end, atOnce, interval, large) })
 }
 
 func (w *World) putAnswered(a control.Answer) {
@@ -72,25 +72,25 @@
 // lists is a platform that tells changes late and out of order to any node, contradicts itself within the travel of news,
 // repeats all it knows now and then, and names replicas that nobody has.
 func (w *World) lists(end time.Duration, states map[string]string, round int) {
-	if w.now >= end {
+	if w.Now >= end {
 		for _, name := range sortedKeys(states) {
 			states[name] = "present"
 		}
 	}
-	if w.now >= end+5*time.Second {
+	if w.Now >= end+5*time.Second {
 		return
 	}
-	if at := w.Reps[w.whim.IntN(len(w.Reps))].Name; w.now < end && w.whim.IntN(2) == 0 {
+	if at := w.Reps[w.whim.IntN(len(w.Reps))].Name; w.Now < end && w.whim.IntN(2) == 0 {
 		states[at] = []string{"leaving", "gone", "present", "leaving"}[w.whim.IntN(4)]
 		state := states[at]
 		w.list(at, "present")
-		w.after(time.Duration(10+w.whim.IntN(60))*time.Millisecond, func() { w.list(at, state) })
+		w.After(time.Duration(10+w.whim.IntN(60))*time.Millisecond, func() { w.list(at, state) })
 	}
 	states["nobody"] = "present"
 	for _, name := range sortedKeys(states) {
-		if state := states[name]; round%6 == 5 || w.now >= end {
-			w.after(time.Duration(w.whim.Int64N(int64(900*time.Millisecond))), func() { w.list(name, state) })
+		if state := states[name]; round%6 == 5 || w.Now >= end {
+			w.After(time.Duration(w.whim.Int64N(int64(900*time.Millisecond))), func() { w.list(name, state) })
 		}
 	}
-	w.after(800*time.Millisecond, func() { w.lists(end, states, round+1) })
+	w.After(800*time.Millisecond, func() { w.lists(end, states, round+1) })
 }
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -6,6 +6,7 @@
 
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 const maxPredictions = 2 * time.Second
@@ -23,7 +24,7 @@
 }
 
 func (c *fleetConn) keys() ([]predictionKey, []int) {
-	parts, _ := prefixindex.Parse(Prompt, c.request.ask.Prefix)
+	parts, _ := prefixindex.Parse(shape.Prompt, c.request.ask.Prefix)
 	var tokens []int
 	var keys []predictionKey
 	for _, p := range parts {
@@ -42,7 +43,7 @@
 	sure, all, certain := 0, 0, true
 	for i, key := range keys {
 		proof := proved(key)
-		if !proof && a.w.now >= a.predictions[key] {
+		if !proof && a.w.Now >= a.predictions[key] {
 			break
 		}
 		certain = certain && proof
@@ -59,7 +60,7 @@
 	}
 	_, t := n.router.IndexStats()
 	for _, key := range keys {
-		a.predictions[key] = max(a.predictions[key], a.w.now+min(t, maxPredictions))
+		a.predictions[key] = max(a.predictions[key], a.w.Now+min(t, maxPredictions))
 	}
 }
 
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -7,6 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge/proxy"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 // A trip takes one try through a node: it carries out the moves of proxy's exchange, one after the other, as proxy's transfer does.
@@ -52,16 +53,16 @@
 	s := n.w.site
 	n.requestSeq++
 	name := n.frontendID + "-" + strconv.Itoa(n.requestSeq)
-	t := &proxyRequest{n: n, life: n.incarnation, attempt: c, arrived: n.w.now, exchange: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
+	t := &proxyRequest{n: n, life: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
 	if c.last > 0 {
 		t.events.Last = strconv.Itoa(c.last)
 	}
-	t.deadline = n.w.now + c.patience
+	t.deadline = n.w.Now + c.patience
 	n.requests[name] = t
 	q := c.request
 	a := router.Arrive{Request: name, Host: siteHost, Path: c.path, Timeout: c.patience}
 	if q.class.Streaming {
-		a.Prefix, a.Model, a.Tokens, a.MaxAnswerTokens = q.prefix, Prompt, q.prompt, q.events*s.stride(q.class.Service)
+		a.Prefix, a.Model, a.Tokens, a.MaxAnswerTokens = q.prefix, shape.Prompt, q.prompt, q.events*s.stride(q.class.Service)
 	}
 	n.decide(n.turn(a))
 	return t
@@ -116,7 +117,7 @@
 	t.guessed()
 	t.mode = connecting
 	t.turn++
-	k, capped := t.n.pool.kept(w.now, d.Instance, t.attempt.id, d.MaxConns)
+	k, capped := t.n.pool.kept(w.Now, d.Instance, t.attempt.id, d.MaxConns)
 	switch {
 	case capped:
 		t.connectedAfter(0, func() proxy.Signal { return proxy.Unconnected{Capped: true} })
@@ -139,11 +140,11 @@
 	case i == nil:
 		t.connectedAfter(time.Millisecond, failed)
 		return
-	case i.dark || w.Net.blocked(t.n.Addr, i.addr()) || w.Net.blocked(i.addr(), t.n.Addr):
+	case i.dark || w.Net.Blocked(t.n.Addr, i.addr()) || w.Net.Blocked(i.addr(), t.n.Addr):
 		t.connectedAfter(dialMost, failed)
 		return
 	}
-	t.connectedAfter(2*w.Net.delay(t.n.Zone == i.Zone)+time.Millisecond, func() proxy.Signal {
+	t.connectedAfter(2*w.Net.Delay(t.n.Zone == i.Zone)+time.Millisecond, func() proxy.Signal {
 		k := newSocket(t.n, i, d.Instance)
 		if !i.accept(k) {
 			return failed()
@@ -173,7 +174,7 @@
 		return
 	}
 	if k.t = nil; !k.used {
-		k.until = t.n.w.now + defaultIdleTimeout
+		k.until = t.n.w.Now + defaultIdleTimeout
 	}
 	t.n.pool.park(k)
 }
--- a/sim/proxyrequestend.go
+++ b/sim/proxyrequestend.go
@@ -58,7 +58,7 @@
 		t.drop()
 		return
 	}
-	t.conn.until = t.n.w.now + advertisedIdle
+	t.conn.until = t.n.w.Now + advertisedIdle
 	t.park()
 }
 
--- a/sim/proxyrequestsend.go
+++ b/sim/proxyrequestsend.go
@@ -19,7 +19,7 @@
 func (t *proxyRequest) write() {
 	w, d, k := t.n.w, &t.exchange.Placement, t.conn
 	at := t.expiry()
-	if at-w.now < time.Millisecond {
+	if at-w.Now < time.Millisecond {
 		t.happened(proxy.DeadlinePassed{})
 		return
 	}
@@ -28,8 +28,8 @@
 	turn := t.turn
 	k.used, k.attempt = true, t.attempt.id
 	r := &sentRequest{
-		try: t.attempt, n: t.n, attempt: t.attempt.id, target: d.Instance, after: t.attempt.last, rank: d.Priority, until: at, sent: w.now,
-		again: t.attempt.passes > 0, calm: w.site.rules.inTouch(t.n, w.now),
+		try: t.attempt, n: t.n, attempt: t.attempt.id, target: d.Instance, after: t.attempt.last, rank: d.Priority, until: at, sent: w.Now,
+		again: t.attempt.passes > 0, calm: w.site.rules.inTouch(t.n, w.Now),
 	}
 	if d.Resumes && t.headed {
 		r.after, _ = strconv.Atoi(t.events.Last)
@@ -37,7 +37,7 @@
 	t.attempt.passes++
 	w.site.report.take(d)
 	k.up.send(func() { k.to.serve(k, r) })
-	t.n.later(at-w.now+overGrace, func() {
+	t.n.later(at-w.Now+overGrace, func() {
 		if t.turn == turn && t.conn == k && t.mode != free {
 			t.happened(proxy.DeadlinePassed{})
 		}
--- a/sim/reader.go
+++ b/sim/reader.go
@@ -33,7 +33,7 @@
 
 func (c *clientAttempt) event(text string) {
 	q := c.request
-	now := q.s.w.now
+	now := q.s.w.Now
 	var n, events int
 	var id, run string
 	if _, err := fmt.Sscanf(text, "id: %d\ndata: %s %s %d", &n, &id, &run, &events); err != nil || id != q.id {
@@ -67,7 +67,7 @@
 			c.fault = "another body: " + strconv.Quote(string(c.text))
 		}
 		if q.first == 0 {
-			q.first = q.s.w.now
+			q.first = q.s.w.Now
 		}
 		q.s.rules.ended(c, "done")
 		q.done(c.fault == "")
--- a/sim/replica.go
+++ b/sim/replica/replica.go
@@ -1,4 +1,6 @@
-package sim
+// Package replica models one replica of the product's own interface: how many requests it serves at once, how long each takes, and what
+// its prefix cache keeps. The simulator, the lightweight fleet and the stand-in replica share it. A Replica is owned by one goroutine.
+package replica
 
 import (
 	"container/list"
@@ -7,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-// Model is how a replica serves: Room requests at a time, Keep tokens of prefixes in its cache; the first token takes Base and PerToken for
+// Model is how a replica serves: Capacity requests at a time, Keep tokens of prefixes in its cache; the first token takes Base and PerToken for
 // each token not cached, more when it is full or cold (for WarmupTime after its start), then Chunks come one Every so often. Its usage figures
 // lag behind by UsageLag.
 type Model struct {
@@ -53,12 +55,12 @@
 type Replica struct {
 	Model
 	Instance  string
-	startedAt time.Duration
+	StartedAt time.Duration
 	kept      map[prefixindex.Key]*list.Element
 	order     *list.List
 	tokens    int
 	prompts   []promptReading
-	running   map[string]bool
+	Running   map[string]bool
 	history   []sample
 
 	Admitted, Refused, Floods  uint64
@@ -68,15 +70,15 @@
 // NewReplica makes an instance that started at now.
 func NewReplica(m Model, instance string, now time.Duration) *Replica {
 	return &Replica{
-		Model: m, Instance: instance, startedAt: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), running: map[string]bool{},
+		Model: m, Instance: instance, StartedAt: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), Running: map[string]bool{},
 	}
 }
 
 func (r *Replica) coldness(now time.Duration) float64 {
-	if r.WarmupTime <= 0 || now-r.startedAt >= r.WarmupTime {
+	if r.WarmupTime <= 0 || now-r.StartedAt >= r.WarmupTime {
 		return 0
 	}
-	return 1 - float64(now-r.startedAt)/float64(r.WarmupTime)
+	return 1 - float64(now-r.StartedAt)/float64(r.WarmupTime)
 }
 
 // Bears is how many requests the replica may run at now, by how cold it is.
@@ -113,7 +115,7 @@
 // Admit takes an attempt with its prefix's parts and the tokens after them; ok is false where the replica is full.
 func (r *Replica) Admit(now time.Duration, goID string, parts []prefixindex.Part, tail int) (p Plan, ok bool) {
 	r.settle(now)
-	if len(r.running) >= r.Capacity {
+	if len(r.Running) >= r.Capacity {
 		r.Refused++
 		return p, false
 	}
@@ -129,10 +131,10 @@
 	total := prefixindex.Tokens(parts)
 	r.CachedTokens += uint64(cached)
 	r.PrefixTokens += uint64(total)
-	full := float64(len(r.running)) / float64(r.Capacity)
+	full := float64(len(r.Running)) / float64(r.Capacity)
 	slowdown := r.coldness(now)
-	r.running[goID] = true
-	if slowdown > 0 && len(r.running) > r.Bears(now) {
+	r.Running[goID] = true
+	if slowdown > 0 && len(r.Running) > r.Bears(now) {
 		r.Floods++
 	}
 	r.note(now)
@@ -148,7 +150,7 @@
 }
 
 func (r *Replica) note(now time.Duration) {
-	r.history = append(r.history, sample{at: now, n: len(r.running)})
+	r.history = append(r.history, sample{at: now, n: len(r.Running)})
 	if len(r.history) > 4096 {
 		r.history = append([]sample(nil), r.history[2048:]...)
 	}
@@ -156,8 +158,8 @@
 
 // Release ends an attempt.
 func (r *Replica) Release(now time.Duration, goID string) {
-	if r.running[goID] {
-		delete(r.running, goID)
+	if r.Running[goID] {
+		delete(r.Running, goID)
 		r.note(now)
 	}
 }
--- a/sim/report.go
+++ b/sim/report.go
@@ -122,7 +122,7 @@
 
 func (w *World) finish() {
 	w.collect()
-	w.Net.partitions = map[int]func(from, to string) bool{}
+	w.Net.Partitions = map[int]func(from, to string) bool{}
 	w.Net.Loss, w.Net.Dup = 0, 0
 	for _, n := range w.Nodes {
 		n.thaw()
@@ -135,15 +135,15 @@
 	for _, r := range w.Reps {
 		r.Dark = false
 		if !r.Up {
-			r.start(w.now)
+			r.start(w.Now)
 		}
 	}
-	from := w.now
+	from := w.Now
 	for _, n := range w.Nodes {
-		w.after(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
+		w.After(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
 	}
 	w.await(from, func() { w.dayEnd() })
-	w.run(from + returnWithin + 8*time.Second)
+	w.Run(from + returnWithin + 8*time.Second)
 	if w.Report.ReturnMs == 0 {
 		w.Audit.breach(NoReturn, "fleet", "nothing served after a full stop")
 	}
@@ -157,13 +157,13 @@
 			ready++
 		}
 	}
-	if ready < len(w.Nodes) && w.now-from < returnWithin+4*time.Second {
-		w.after(100*time.Millisecond, func() { w.await(from, then) })
+	if ready < len(w.Nodes) && w.Now-from < returnWithin+4*time.Second {
+		w.After(100*time.Millisecond, func() { w.await(from, then) })
 		return
 	}
-	w.Report.ReturnMs = (w.now - from).Milliseconds()
-	if w.now-from > returnWithin {
-		w.Audit.breach(NoReturn, "fleet", fmt.Sprintf("%d of %d nodes serve after %s", ready, len(w.Nodes), w.now-from))
+	w.Report.ReturnMs = (w.Now - from).Milliseconds()
+	if w.Now-from > returnWithin {
+		w.Audit.breach(NoReturn, "fleet", fmt.Sprintf("%d of %d nodes serve after %s", ready, len(w.Nodes), w.Now-from))
 	}
 	then()
 }
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -63,13 +63,13 @@
 
 func (r *rules) submitted(c *clientAttempt) {
 	for _, service := range r.offers(c.path) {
-		r.requests[service] = append(r.requests[service], r.s.w.now)
+		r.requests[service] = append(r.requests[service], r.s.w.Now)
 	}
 }
 
 // arrived judges a request at a replica that takes it for its own.
 func (r *rules) arrived(i *Instance, q *sentRequest) {
-	now, n := r.s.w.now, q.n
+	now, n := r.s.w.Now, q.n
 	r.config(i, q)
 	if at := i.shown(); q.calm && at < now && r.s.since(at) > r.s.spec.Bounds.Drain {
 		r.breach(RuleDrain, i.ID, "%s, %s after the list showed it", n.Name, now-at)
@@ -90,7 +90,7 @@
 	if !i.warmingUp() {
 		return
 	}
-	now, count := r.s.w.now, 1
+	now, count := r.s.w.Now, 1
 	for x := len(i.arrivals) - 1; x >= 0 && now-i.arrivals[x].at < time.Second; x-- {
 		if now-i.arrivals[x].sent < time.Second && i.arrivals[x].at >= i.warmupFrom {
 			count++
@@ -113,7 +113,7 @@
 
 // second judges a further arrival of one request against those asked for in this window, the one before, or between.
 func (r *rules) second(service string) {
-	now := r.s.w.now
+	now := r.s.w.Now
 	r.retries[service] = append(r.retries[service], now)
 	r.s.report.Retries++
 	most := 0
@@ -142,12 +142,12 @@
 // made notes that a replica produced its n-th event.
 func (r *rules) made(q *sentRequest, n int) {
 	c := q.try
-	c.eventsMade, c.madeAt = n, r.s.w.now
+	c.eventsMade, c.madeAt = n, r.s.w.Now
 }
 
 // passed counts events that came later to the user agent than they may.
 func (r *rules) passed(c *clientAttempt, n int) {
-	if n == c.eventsMade && r.s.w.now-c.madeAt > passWithin {
+	if n == c.eventsMade && r.s.w.Now-c.madeAt > passWithin {
 		r.s.report.LateEvents++
 	}
 }
@@ -184,7 +184,7 @@
 	if how != "cut" || !c.read || c.harmed {
 		return
 	}
-	now := r.s.w.now
+	now := r.s.w.Now
 	since, planned := r.leaving(c.n.Name, c.readAt, now)
 	if !planned || r.unplanned(c.readAt, now) || (now > since+grace/2 && c.working && c.sent <= since+excusedFor) {
 		return
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -28,7 +28,7 @@
 }
 
 func (r *rules) offered(v *version) {
-	v.offered, v.routes = r.s.w.now, map[string]*config.Route{}
+	v.offered, v.routes = r.s.w.Now, map[string]*config.Route{}
 	r.versions = append(r.versions, v)
 }
 
@@ -131,7 +131,7 @@
 		r.breach(RuleConfig, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, latest.revision, due)
 	}
 	slack := backSlack
-	if !r.still(n.Name, c.sent, r.s.w.now) {
+	if !r.still(n.Name, c.sent, r.s.w.Now) {
 		slack *= 8
 	}
 	f := r.lowestVersions[n.incarnation]
@@ -139,14 +139,14 @@
 		r.breach(RuleBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, latest.revision, f.revision)
 	}
 	if least.revision > f.revision {
-		r.lowestVersions[n.incarnation] = versionFloor{revision: least.revision, at: r.s.w.now}
+		r.lowestVersions[n.incarnation] = versionFloor{revision: least.revision, at: r.s.w.Now}
 	}
 }
 
 // unknown judges a node's word that there is no such route.
 func (r *rules) unknown(c *clientAttempt, n *Node) {
 	least, latest, _ := r.handled(func(v *version) bool { return v.route(c.path) == nil })
-	q := &sentRequest{n: n, sent: r.s.w.now, calm: r.inTouch(n, r.s.w.now)}
+	q := &sentRequest{n: n, sent: r.s.w.Now, calm: r.inTouch(n, r.s.w.Now)}
 	bound, must := r.within(n, q, r.s.spec.Bounds.Apply)
 	if latest == nil {
 		if must && r.due(c.sent, bound) > 0 {
--- a/sim/run.go
+++ b/sim/run.go
@@ -10,16 +10,16 @@
 		s.Tune(w)
 	}
 	for _, f := range s.Faults {
-		w.at(f.At, func() { w.Break(f) })
+		w.At(f.At, func() { w.Break(f) })
 	}
 	if w.site != nil {
 		w.site.traffic(s.Lasts - 3*time.Second)
-		w.run(s.Lasts)
+		w.Run(s.Lasts)
 		w.site.finish()
 		return w
 	}
 	w.Load(max(s.From, 5*time.Second), s.Lasts-10*time.Second)
-	w.run(s.Lasts)
+	w.Run(s.Lasts)
 	w.finish()
 	return w
 }
--- a/sim/shape.go
+++ b/sim/shape/shape.go
@@ -1,12 +1,26 @@
-package sim
+// Package shape holds the machines, zones, services and first configuration of the simulated fleets. Shapes are values.
+package shape
 
 import (
 	"encoding/json"
 	"fmt"
+	"time"
+
+	"github.com/mallowbridge/mallowbridge/sim/workload"
+)
+
+const (
+	// Prompt is the model that all services serve.
+	Prompt = "m1"
+	// TickEvery is how often a control node gets a tick.
+	TickEvery = 50 * time.Millisecond
 )
 
-// NodeShape is one machine of a shape; Disk: it has one and can be a voter.
-type NodeShape struct {
+// Doc is a JSON object.
+type Doc = map[string]any
+
+// Node is one machine of a shape; Disk: it has one and can be a voter.
+type Node struct {
 	Name string `json:"name"`
 	Zone string `json:"domain"`
 	Disk bool   `json:"disk"`
@@ -15,11 +29,11 @@
 // Shape is a fleet: its machines, first voters, zones, the one offer with its kinds of request, and its first configuration (Config).
 type Shape struct {
 	Name    string
-	Nodes   []NodeShape
+	Nodes   []Node
 	Voters  []string
 	Zones   []string
 	Service string
-	Classes []ClassLoad
+	Classes []workload.ClassLoad
 	Config  []byte
 	// Others are what else faults may name: a site's offers and classes, and how answers are garbled.
 	Others []string
@@ -49,19 +63,19 @@
 	return s, false
 }
 
-// ShapeOf finds a shape by name.
-func ShapeOf(name string) (Shape, bool) { return Times(name, 1) }
+// Named finds a shape by name.
+func Named(name string) (Shape, bool) { return Times(name, 1) }
 
 func shape(k int, name, service string, nodes, cores int, domains, classes []string, cross float64) Shape {
 	s := Shape{Name: name, Voters: []string{"n1", "n2", "n3"}, Zones: domains, Service: service}
 	for i := range k * nodes {
 		d := domains[i%len(domains)]
-		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Zone: d, Disk: i < cores})
+		s.Nodes = append(s.Nodes, Node{Name: fmt.Sprintf("n%d", i+1), Zone: d, Disk: i < cores})
 	}
 	bounds := []int{1500, 3000, 6000}
 	var ks, rs []map[string]any
 	for i, k := range classes {
-		s.Classes = append(s.Classes, ClassLoad{Service: service, Name: k, Repeatable: i < 2})
+		s.Classes = append(s.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: i < 2})
 		ks = append(ks, map[string]any{
 			"name": k, "value": []int{10, 5, 8}[i], "urgency": 3 - i, "firstTokenMs": bounds[i], "repeatable": i < 2,
 		})
--- a/sim/site.go
+++ b/sim/site.go
@@ -57,10 +57,10 @@
 		s.seeds = append(s.seeds, n.Addr)
 	}
 	for _, n := range w.Nodes {
-		w.after(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), n.start)
+		w.After(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), n.start)
 	}
-	w.after(2*time.Second, func() { s.first = false })
-	w.after(600*time.Millisecond, s.ops.open)
+	w.After(2*time.Second, func() { s.first = false })
+	w.After(600*time.Millisecond, s.ops.open)
 	s.poll()
 	w.Audit.checkLeases()
 }
@@ -100,7 +100,7 @@
 	for _, zone := range s.spec.Shape.Zones {
 		s.entries[zone] = s.pollZone(zone)
 	}
-	s.w.after(time.Second, s.poll)
+	s.w.After(time.Second, s.poll)
 }
 
 // pollZone gives the machines of a zone that receive clients: those that are in, or all where that is under half of them.
--- a/sim/siteevacuate.go
+++ b/sim/siteevacuate.go
@@ -29,7 +29,7 @@
 			delete(r.evacs, zone)
 			r.reopened[zone] = true
 		case ok:
-			r.evacs[zone] = &evacuation{acked: o.s.w.now}
+			r.evacs[zone] = &evacuation{acked: o.s.w.Now}
 		}
 		then()
 	}})
@@ -45,11 +45,11 @@
 
 // turns evacuates a domain and takes it back, again and again; each order follows the one before as soon as that is settled.
 func (o *operators) turns(zone string, until time.Duration, back bool) {
-	if o.s.w.now >= until && !back {
+	if o.s.w.Now >= until && !back {
 		return
 	}
 	o.evacuateThen(zone, back, func() {
 		pause := time.Duration(o.rng.Int64N(int64(longestStay)))
-		o.s.w.after(pause, func() { o.turns(zone, until, !back) })
+		o.s.w.After(pause, func() { o.turns(zone, until, !back) })
 	})
 }
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/control"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 // Troubles of a site beyond those of any fleet. On names nodes, domains or classes, or begins with the share of replicas.
@@ -47,7 +48,7 @@
 	case OldDisk, Retire:
 		s.comeBack(f, ns)
 	case ListDown:
-		s.downs = append(s.downs, window{from: s.w.now, until: s.w.now + f.For})
+		s.downs = append(s.downs, window{from: s.w.Now, until: s.w.Now + f.For})
 	default:
 		if !s.giveOrders(f) {
 			s.injectTrafficFault(f)
@@ -57,12 +58,12 @@
 
 // giveOrders has the operators do what the fault says; false where it isn't theirs.
 func (s *site) giveOrders(f Fault) bool {
-	now := s.w.now
+	now := s.w.Now
 	switch f.Kind {
 	case EvacuateFault:
 		for _, zone := range f.On {
 			s.ops.evacuate(zone, false)
-			s.w.after(f.For, func() { s.ops.evacuate(zone, true) })
+			s.w.After(f.For, func() { s.ops.evacuate(zone, true) })
 		}
 	case PutStorm:
 		s.ops.change(now+f.For, 330*time.Millisecond, s.ops.vary)
@@ -87,7 +88,7 @@
 	for _, n := range ns {
 		incarnation := n.incarnation
 		n.freeze()
-		s.w.after(d, func() {
+		s.w.After(d, func() {
 			if n.incarnation == incarnation {
 				n.thaw()
 			}
@@ -106,7 +107,7 @@
 		if f.Kind == SlowDisk {
 			n.slow = slowSync
 		}
-		s.w.after(f.For, func() {
+		s.w.After(f.For, func() {
 			n.slow, n.stall, n.Disk.Full = 0, false, false
 			if n.Alive {
 				n.save()
@@ -124,7 +125,7 @@
 		n.dark = f.Kind == Power || f.Kind == AllDown
 		n.kill()
 		if f.Kind == ClockBack {
-			n.wall = -s.w.now - f.For
+			n.wall = -s.w.Now - f.For
 		}
 		if n.Disk != nil && f.Kind != Kill && f.Kind != ClockBack {
 			n.Disk.PowerLoss()
@@ -134,7 +135,7 @@
 		}
 		n.stall, n.slow = false, 0
 		if f.For >= 0 {
-			s.w.after(f.For+time.Duration(s.w.rng.Int64N(int64(300*time.Millisecond))), func() { s.start(n) })
+			s.w.After(f.For+time.Duration(s.w.rng.Int64N(int64(300*time.Millisecond))), func() { s.start(n) })
 		}
 	}
 }
@@ -157,14 +158,14 @@
 	old.kill()
 	old.removed = true
 	successor := s.successor(old)
-	w.after(d, func() { s.start(successor) })
+	w.After(d, func() { s.start(successor) })
 	s.renewSeeds(old, successor, d)
 }
 
 // successor is an empty machine at another address, not started yet.
 func (s *site) successor(old *Node) *Node {
 	w := s.w
-	added := newNode(w, len(w.Nodes), NodeShape{Name: old.Name + "b", Zone: old.Zone, Disk: old.Disk != nil})
+	added := newNode(w, len(w.Nodes), shape.Node{Name: old.Name + "b", Zone: old.Zone, Disk: old.Disk != nil})
 	added.wall = 0
 	w.Nodes = append(w.Nodes, added)
 	return added
@@ -173,7 +174,7 @@
 // renewSeeds tells the nodes the address of a successor some time after its start.
 func (s *site) renewSeeds(old, added *Node, d time.Duration) {
 	w := s.w
-	w.after(d+seedLag, func() {
+	w.After(d+seedLag, func() {
 		for i, a := range s.seeds {
 			if a == old.Addr {
 				s.seeds[i] = added.Addr
@@ -191,14 +192,14 @@
 func (s *site) isolate(ns []*Node, d time.Duration, whole bool) {
 	s.rules.recordFault(ns, d, false, false)
 	in := func(addr string) bool { return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr }) }
-	heal := s.w.Net.partition(func(from, to string) bool {
+	heal := s.w.Net.Partition(func(from, to string) bool {
 		a, b := in(from), in(to)
 		if !whole && (s.w.byAddr[from] == nil || s.w.byAddr[to] == nil) {
 			return false
 		}
 		return a || b
 	})
-	s.w.after(d, heal)
+	s.w.After(d, heal)
 }
 
 const stopGap = 1300 * time.Millisecond
@@ -213,10 +214,10 @@
 		s.rollingRestart(ns[1:])
 		return
 	}
-	from, incarnation := w.now, n.incarnation
+	from, incarnation := w.Now, n.incarnation
 	w.Say("%s is told to stop", n.Name)
 	s.rules.recordFault([]*Node{n}, grace+time.Second, true, false)
-	n.shuttingDown, n.shutdownAt = true, w.now
+	n.shuttingDown, n.shutdownAt = true, w.Now
 	w.Call(n, control.Retire{}, func(control.Answer) {})
 	left := false
 	var look func()
@@ -224,18 +225,18 @@
 		switch {
 		case n.incarnation != incarnation:
 			return
-		case w.now-from > schedule.ExitAfter(), left && len(n.requests) == 0:
+		case w.Now-from > schedule.ExitAfter(), left && len(n.requests) == 0:
 			n.kill()
 			if !n.removed {
-				w.after(300*time.Millisecond, n.start)
+				w.After(300*time.Millisecond, n.start)
 			}
-			w.after(stopGap, func() { s.rollingRestart(ns[1:]) })
+			w.After(stopGap, func() { s.rollingRestart(ns[1:]) })
 			return
-		case !left && w.now-from > schedule.LeaveAfter():
+		case !left && w.Now-from > schedule.LeaveAfter():
 			left = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
 		}
-		w.after(50*time.Millisecond, look)
+		w.After(50*time.Millisecond, look)
 	}
 	look()
 }
--- a/sim/sitelist.go
+++ b/sim/sitelist.go
@@ -16,7 +16,7 @@
 // readable tells whether the list can be read.
 func (s *site) readable() bool {
 	for _, d := range s.downs {
-		if s.w.now >= d.from && s.w.now < d.until {
+		if s.w.Now >= d.from && s.w.Now < d.until {
 			return false
 		}
 	}
@@ -25,9 +25,9 @@
 
 // since tells how long the list could be read after that moment.
 func (s *site) since(at time.Duration) time.Duration {
-	d := s.w.now - at
+	d := s.w.Now - at
 	for _, x := range s.downs {
-		d -= max(min(x.until, s.w.now)-max(x.from, at), 0)
+		d -= max(min(x.until, s.w.Now)-max(x.from, at), 0)
 	}
 	return d
 }
@@ -38,15 +38,15 @@
 func (n *Node) list() {
 	w, s := n.w, n.w.site
 	give := func(r control.ListRead) {
-		n.later(2*w.Net.delay(false), func() { n.step(r) })
+		n.later(2*w.Net.Delay(false), func() { n.step(r) })
 	}
 	s.report.Lists++
-	if !s.readable() || w.Net.blocked(n.Addr, platformAddr) || w.Net.blocked(platformAddr, n.Addr) {
+	if !s.readable() || w.Net.Blocked(n.Addr, platformAddr) || w.Net.Blocked(platformAddr, n.Addr) {
 		n.later(800*time.Millisecond, func() { n.step(control.ListRead{Err: &ListError{Why: "no answer"}}) })
 		return
 	}
-	s.calls = append(s.calls, w.now)
-	for len(s.calls) > 0 && w.now-s.calls[0] >= time.Second {
+	s.calls = append(s.calls, w.Now)
+	for len(s.calls) > 0 && w.Now-s.calls[0] >= time.Second {
 		s.calls = s.calls[1:]
 	}
 	if len(s.calls) > s.spec.ListRate {
@@ -54,7 +54,7 @@
 		give(control.ListRead{Err: &ListError{Why: "called too often"}})
 		return
 	}
-	at := w.now - listBehind
+	at := w.Now - listBehind
 	var r control.ListRead
 	for _, i := range s.instances {
 		if i.listed(at) {
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -28,7 +28,7 @@
 
 // takeAttempt begins a client's request, or refuses it as a proxy does that shuts down.
 func (n *Node) takeAttempt(c *clientAttempt) {
-	if !n.shuttingDown || schedule.Admits(n.w.now-n.shutdownAt, c.patience) {
+	if !n.shuttingDown || schedule.Admits(n.w.Now-n.shutdownAt, c.patience) {
 		c.proxied = n.begin(c)
 		return
 	}
@@ -41,7 +41,7 @@
 const refusedAfter = 10 * time.Millisecond
 
 func (n *Node) open(from time.Duration) {
-	if n.router.Ready(n.local()) != "" && n.w.now-from < openWithin {
+	if n.router.Ready(n.local()) != "" && n.w.Now-from < openWithin {
 		n.later(openPoll, func() { n.open(from) })
 		return
 	}
@@ -71,13 +71,13 @@
 	if at, found := n.router.Next(n.local()); found {
 		wait = min(max(at-n.local(), time.Millisecond), wait)
 	}
-	at := n.w.now + wait
-	if n.wakes > n.w.now && n.wakes <= at {
+	at := n.w.Now + wait
+	if n.wakes > n.w.Now && n.wakes <= at {
 		return
 	}
 	n.wakes = at
 	n.later(wait, func() {
-		if n.w.now >= n.wakes && n.wakes > 0 {
+		if n.w.Now >= n.wakes && n.wakes > 0 {
 			n.wakes = 0
 			n.decide(n.turn(router.Tick{}))
 		}
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -27,7 +27,7 @@
 
 func (o *operators) loses() bool {
 	for _, l := range o.losses {
-		if o.s.w.now >= l.from && o.s.w.now < l.until {
+		if o.s.w.Now >= l.from && o.s.w.Now < l.until {
 			return o.rng.Float64() < l.ratio
 		}
 	}
@@ -115,11 +115,11 @@
 
 // read asks a node for the configuration and judges it by what was acknowledged before the call.
 func (o *operators) read(n *Node) {
-	sent := o.s.w.now
+	sent := o.s.w.Now
 	due := o.s.rules.newest()
-	o.s.w.after(clientDelay, func() {
+	o.s.w.After(clientDelay, func() {
 		o.s.w.Call(n, control.Get{}, func(a control.Answer) {
-			if a.Err != nil || a.Value == nil || o.s.w.now-sent > callAnew {
+			if a.Err != nil || a.Value == nil || o.s.w.Now-sent > callAnew {
 				return
 			}
 			o.found(n, a.Value.Document, due)
@@ -146,18 +146,18 @@
 // reads asks one node after the other for the configuration.
 func (o *operators) reads(until, gap time.Duration) {
 	w := o.s.w
-	if w.now >= until {
+	if w.Now >= until {
 		return
 	}
 	if n := w.Nodes[o.rng.IntN(len(w.Nodes))]; n.Alive {
 		o.read(n)
 	}
-	w.after(gap, func() { o.reads(until, gap) })
+	w.After(gap, func() { o.reads(until, gap) })
 }
 
 // rapid sends a change each gap, with up to mostUnderWay of them not settled.
 func (o *operators) rapid(until, gap time.Duration, count int) {
-	if o.s.w.now >= until {
+	if o.s.w.Now >= until {
 		return
 	}
 	base := o.base()
@@ -170,7 +170,7 @@
 			}
 		})
 	}
-	o.s.w.after(gap, func() { o.rapid(until, gap, count+1) })
+	o.s.w.After(gap, func() { o.rapid(until, gap, count+1) })
 }
 
 // sameNumber has two operators pick one number for different changes of the same version.
@@ -188,26 +188,26 @@
 			}, nil)
 		}
 	}
-	o.s.w.after(gap, func() { o.sameNumber(times-1, gap) })
+	o.s.w.After(gap, func() { o.sameNumber(times-1, gap) })
 }
 
 // again sends changes anew that were acknowledged at any time before.
 func (o *operators) again(until, gap time.Duration) {
-	if o.s.w.now >= until {
+	if o.s.w.Now >= until {
 		return
 	}
 	if len(o.taken) > 0 {
 		old := o.taken[o.rng.IntN(len(o.taken))]
 		o.send(&order{op: old.op, v: old.v, base: old.base, repeated: true})
 	}
-	o.s.w.after(gap, func() { o.again(until, gap) })
+	o.s.w.After(gap, func() { o.again(until, gap) })
 }
 
 // repeated judges the answer to a change that was taken before: never a refusal.
 func (o *operators) repeated(d *order, n *Node, f fate) {
 	o.s.report.Repeats++
 	if f == refused {
-		o.s.rules.breach(RuleRepeat, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.now-d.v.acked)
+		o.s.rules.breach(RuleRepeat, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.Now-d.v.acked)
 	}
 }
 
--- a/sim/sitepartitions.go
+++ b/sim/sitepartitions.go
@@ -46,7 +46,7 @@
 	if !n.Alive || n.frozen {
 		return true
 	}
-	now := s.w.now
+	now := s.w.Now
 	return slices.ContainsFunc(s.rules.faults, func(t *fault) bool {
 		return t.node == n.Name && t.from <= now && t.until+s.spec.Bounds.CatchUp > now
 	})
@@ -71,7 +71,7 @@
 	spare := s.spec.FaultTolerance - lost
 	if spare <= 0 || len(fit) == 0 {
 		later := *f
-		s.w.after(waitTurn, func() { s.strike(later) })
+		s.w.After(waitTurn, func() { s.strike(later) })
 		return true
 	}
 	if f.On[0] == AnyCore {
@@ -92,10 +92,10 @@
 		n := s.w.byAddr[addr]
 		return n != nil && !in(addr) && (!core || n.Disk != nil)
 	}
-	heal := s.w.Net.partition(func(from, to string) bool {
+	heal := s.w.Net.Partition(func(from, to string) bool {
 		return outward && in(from) && other(to) || inward && other(from) && in(to)
 	})
-	s.w.after(f.For, heal)
+	s.w.After(f.For, heal)
 }
 
 // comeBack has machines return as what they were before, or an empty one in their place.
@@ -112,7 +112,7 @@
 // restore takes a copy of a disk, and later starts the machine from it.
 func (s *site) restore(n *Node, d time.Duration) {
 	old := n.Disk.Copy()
-	s.w.after(d, func() {
+	s.w.After(d, func() {
 		if !n.Alive || n.removed {
 			return
 		}
@@ -120,7 +120,7 @@
 		n.kill()
 		n.Disk.PowerLoss()
 		n.Disk.Restore(old)
-		s.w.after(time.Second, func() { s.start(n) })
+		s.w.After(time.Second, func() { s.start(n) })
 	})
 }
 
@@ -132,7 +132,7 @@
 	added := s.successor(old)
 	s.start(added)
 	s.renewSeeds(old, added, 0)
-	s.w.after(d, func() {
+	s.w.After(d, func() {
 		old.removed = true
 		s.rollingRestart([]*Node{old})
 	})
@@ -144,12 +144,12 @@
 		k.harm()
 	}
 	i.dark = true
-	s.w.after(d, func() { i.dark = false })
+	s.w.After(d, func() { i.dark = false })
 }
 
 // press has operators press in one of the ways of a trouble.
 func (o *operators) press(f Fault) {
-	now := o.s.w.now
+	now := o.s.w.Now
 	until := now + f.For
 	switch f.Kind {
 	case AckLost:
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -12,7 +12,7 @@
 	case BurstFault:
 		s.burst(f)
 	case HotKey:
-		s.load.surges = append(s.load.surges, loadSurge{from: s.w.now, until: s.w.now + f.For, class: 1, times: 1, hot: 0.28})
+		s.load.surges = append(s.load.surges, loadSurge{from: s.w.Now, until: s.w.Now + f.For, class: 1, times: 1, hot: 0.28})
 	case ReplicaCrash, ReplicaUnreachable, ReplicaRestart:
 		most := 2
 		if len(f.On) > 0 && slices.Contains(s.spec.Shape.Zones, f.On[0]) {
@@ -44,7 +44,7 @@
 // burst multiplies the traffic of the classes that the fault names, or a little that of all streams.
 func (s *site) burst(f Fault) {
 	for i, c := range s.spec.Classes {
-		surge := loadSurge{from: s.w.now, until: s.w.now + f.For, class: i, times: 1.5}
+		surge := loadSurge{from: s.w.Now, until: s.w.Now + f.For, class: i, times: 1.5}
 		named := slices.Contains(f.On, c.Name)
 		if named {
 			surge.times = 3
@@ -66,7 +66,7 @@
 	}
 	for _, i := range s.chosen(Fault{}, on) {
 		i.garble = garbling{every: every, how: how}
-		s.w.after(f.For, func() { i.garble = garbling{} })
+		s.w.After(f.For, func() { i.garble = garbling{} })
 	}
 }
 
@@ -95,16 +95,16 @@
 	}
 	if f.Kind == ReplicaUnreachable {
 		i.dark = true
-		s.w.after(f.For, func() {
+		s.w.After(f.For, func() {
 			i.dark = false
 			i.end(true)
-			s.w.after(time.Second, repeated)
+			s.w.After(time.Second, repeated)
 		})
 		return
 	}
 	i.end(true)
 	if f.For >= 0 {
-		s.w.after(f.For, repeated)
+		s.w.After(f.For, repeated)
 	}
 }
 
@@ -115,14 +115,14 @@
 	}
 	old, w := is[0], s.w
 	old.drain()
-	w.after(2*time.Second, func() { s.launch(old.service, old.Zone, s.address(old.service), old.pace, true) })
-	w.after(time.Second, func() { s.renew(is[1:]) })
+	w.After(2*time.Second, func() { s.launch(old.service, old.Zone, s.address(old.service), old.pace, true) })
+	w.After(time.Second, func() { s.renew(is[1:]) })
 }
 
 // address gives one that a replica, of another offer if possible, held before and that is free long enough; or a new one.
 func (s *site) address(o *ServiceSpec) string {
 	free := func(i *Instance) bool {
-		return !i.up && s.at[i.Addr] == i && s.w.now-i.ends > reuseAfter && i.service != o
+		return !i.up && s.at[i.Addr] == i && s.w.Now-i.ends > reuseAfter && i.service != o
 	}
 	if at := slices.IndexFunc(s.instances, free); at >= 0 {
 		return s.instances[at].Addr
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -108,8 +108,8 @@
 			s.tallied(i)
 		}
 	}
-	s.kept(s.w.now + s.spec.Bounds.Touch)
-	s.w.run(s.w.now + s.spec.Bounds.Touch + 3*time.Second)
+	s.kept(s.w.Now + s.spec.Bounds.Touch)
+	s.w.Run(s.w.Now + s.spec.Bounds.Touch + 3*time.Second)
 	if s.report.after > 0 && (s.report.requested == 0 || 4*s.report.served < s.report.requested) {
 		s.rules.breach(RuleRecover, "fleet", "%d of %d served", s.report.served, s.report.requested)
 	}
@@ -122,11 +122,11 @@
 func (s *site) kept(until time.Duration) {
 	w := s.w
 	n := w.Nodes[s.ops.rng.IntN(len(w.Nodes))]
-	if w.now > until {
+	if w.Now > until {
 		s.rules.breach(RuleKept, "document", "nobody gives it")
 		return
 	}
-	repeated := func() { w.after(200*time.Millisecond, func() { s.kept(until) }) }
+	repeated := func() { w.After(200*time.Millisecond, func() { s.kept(until) }) }
 	if !n.Alive {
 		repeated()
 		return
--- a/sim/sitescenarios.go
+++ b/sim/sitescenarios.go
@@ -41,7 +41,7 @@
 		at := s.Lasts
 		s.Lasts += 20 * sec
 		s.Tune = func(w *World) {
-			w.at(at, func() { w.site.closing(func(acked string) []Fault { return d.Close(spec, rng, acked) }) })
+			w.At(at, func() { w.site.closing(func(acked string) []Fault { return d.Close(spec, rng, acked) }) })
 		}
 	}
 	return s
@@ -60,7 +60,7 @@
 	s.ops.acked = func(n *Node) {
 		for _, f := range faults(n.Name) {
 			s.w.Break(f)
-			s.report.after = max(s.report.after, s.w.now+f.For+s.spec.Bounds.Recover)
+			s.report.after = max(s.report.after, s.w.Now+f.For+s.spec.Bounds.Recover)
 		}
 	}
 	s.ops.put(s.ops.vary, nil)
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -3,12 +3,15 @@
 import (
 	"fmt"
 	"time"
+
+	"github.com/mallowbridge/mallowbridge/sim/engine"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 // ServiceSpec is a group of alike replicas that the platform lists.
 type ServiceSpec struct {
 	Name string
-	EngineSpec
+	engine.Spec
 	Replicas int
 	// MaxConns is how many connections a replica takes from all nodes together.
 	MaxConns   int
@@ -36,7 +39,7 @@
 
 // SiteSpec is what a platform brings.
 type SiteSpec struct {
-	Shape    Shape
+	Shape    shape.Shape
 	Services []ServiceSpec
 	Classes  []TrafficClass
 	// Far is the time between domains, one way.
@@ -72,7 +75,7 @@
 func llmService(name string, replicas, memory int) ServiceSpec {
 	return ServiceSpec{
 		Name: name, Replicas: replicas, MaxConns: 640, WarmupTime: 3 * time.Second, WarmupRate: 20, Pace: []float64{1, 1, 1.3},
-		EngineSpec: EngineSpec{
+		Spec: engine.Spec{
 			Slots: 128, Queue: 384, Setup: 31 * time.Millisecond, Step: 3410 * time.Microsecond, PerSlot: 97 * time.Microsecond, Prefill: 112,
 			Chunk: 1024, Memory: memory, Stride: 6,
 		},
@@ -80,7 +83,7 @@
 }
 
 func plainService(name string, replicas int) ServiceSpec {
-	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Pace: []float64{1}, EngineSpec: EngineSpec{Slots: 6, Queue: 24}}
+	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Pace: []float64{1}, Spec: engine.Spec{Slots: 6, Queue: 24}}
 }
 
 func classes(llm, plain string, names [3]string, scale float64, aim, work, deadline time.Duration) []TrafficClass {
@@ -160,13 +163,13 @@
 }
 
 // siteNodes are machines over domains in turn, the first of each with a disk; three of those are the seeds.
-func siteNodes(name string, nodes, domains, disks int) Shape {
-	s := Shape{Name: name}
+func siteNodes(name string, nodes, domains, disks int) shape.Shape {
+	s := shape.Shape{Name: name}
 	for i := range domains {
 		s.Zones = append(s.Zones, string(rune('a'+i)))
 	}
 	for i := range nodes {
-		s.Nodes = append(s.Nodes, NodeShape{Name: fmt.Sprintf("n%d", i+1), Zone: s.Zones[i%domains], Disk: i < disks})
+		s.Nodes = append(s.Nodes, shape.Node{Name: fmt.Sprintf("n%d", i+1), Zone: s.Zones[i%domains], Disk: i < disks})
 	}
 	return s
 }
--- a/sim/sitetraffic.go
+++ b/sim/sitetraffic.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/prefixindex"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 // swell is more traffic, or traffic on one key, for a while.
@@ -35,14 +36,14 @@
 		if c.Streaming {
 			t.surges = append(t.surges, loadSurge{until: until, class: i, times: 1, hot: s.w.S.Load.HotShare})
 		}
-		s.w.at(trafficFrom, func() { t.next(i, until) })
+		s.w.At(trafficFrom, func() { t.next(i, until) })
 	}
 }
 
 func (t *traffic) rate(class int) (r, hot float64) {
 	r = t.s.spec.Classes[class].Rate
 	for _, x := range t.surges {
-		if x.class == class && t.s.w.now >= x.from && t.s.w.now < x.until {
+		if x.class == class && t.s.w.Now >= x.from && t.s.w.Now < x.until {
 			r, hot = r*x.times, max(hot, x.hot)
 		}
 	}
@@ -51,11 +52,11 @@
 
 func (t *traffic) next(class int, until time.Duration) {
 	w := t.s.w
-	if w.now >= until {
+	if w.Now >= until {
 		return
 	}
 	r, hot := t.rate(class)
-	w.after(time.Duration(t.rng.ExpFloat64()/r*float64(time.Second)), func() {
+	w.After(time.Duration(t.rng.ExpFloat64()/r*float64(time.Second)), func() {
 		t.want(class, hot).submit()
 		t.next(class, until)
 	})
@@ -72,8 +73,8 @@
 	t.n++
 	domains := s.spec.Shape.Zones
 	q := &clientRequest{
-		s: s, id: fmt.Sprintf("q%d", t.n), class: c, path: prefixOf(c.Name) + "x", domain: domains[t.rng.IntN(len(domains))], at: s.w.now,
-		deadline: s.w.now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.Work), 0.5, 7*int(c.Work))),
+		s: s, id: fmt.Sprintf("q%d", t.n), class: c, path: prefixOf(c.Name) + "x", domain: domains[t.rng.IntN(len(domains))], at: s.w.Now,
+		deadline: s.w.Now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.Work), 0.5, 7*int(c.Work))),
 	}
 	if c.Streaming {
 		q.events = t.spread(c.Events, 0.44, 3*c.Events)
@@ -95,6 +96,6 @@
 		fmt.Sprintf("%s%d:%d", c.Name, system, c.SystemTokens), fmt.Sprintf("%s%d.%d:%d", c.Name, system, shared, c.SharedTokens),
 		fmt.Sprintf("%s:%d", q.id, unique),
 	}, ",")
-	q.parts, _ = prefixindex.Parse(Prompt, q.prefix)
+	q.parts, _ = prefixindex.Parse(shape.Prompt, q.prefix)
 	q.prompt = c.SystemTokens + c.SharedTokens + unique
 }
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/engine"
 )
 
 // A request is what a node sends to a replica.
@@ -68,23 +69,23 @@
 func (p *pipe) pump() {
 	w := p.s.w
 	for len(p.held) > 0 && !p.broken {
-		if w.Net.blocked(p.from, p.to) || w.Net.blocked(p.to, p.from) || p.stuck() {
+		if w.Net.Blocked(p.from, p.to) || w.Net.Blocked(p.to, p.from) || p.stuck() {
 			if p.since == 0 {
-				p.since = w.now
+				p.since = w.Now
 			}
-			if w.now-p.since > userTimeout {
+			if w.Now-p.since > userTimeout {
 				p.broken, p.held = true, nil
 				p.fail()
 				return
 			}
-			w.after(50*time.Millisecond, p.pump)
+			w.After(50*time.Millisecond, p.pump)
 			return
 		}
 		p.since = 0
 		do := p.held[0]
 		p.held = p.held[1:]
-		p.due = max(p.due, w.now+w.Net.delay(p.near))
-		w.at(p.due, do)
+		p.due = max(p.due, w.Now+w.Net.Delay(p.near))
+		w.At(p.due, do)
 	}
 }
 
@@ -100,7 +101,7 @@
 	stale    bool
 	used     bool
 	until    time.Duration
-	job      *job
+	job      *engine.Job
 }
 
 func newSocket(n *Node, to *Instance, key string) *socket {
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -6,6 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
 const chunkBytes = 120
@@ -16,7 +17,7 @@
 	if f.n.Zone != r.Zone {
 		w.Report.StreamCross += uint64(300 + 4*f.ask.TailTokens)
 	}
-	w.after(w.Net.delay(f.n.Zone == r.Zone), func() {
+	w.After(w.Net.Delay(f.n.Zone == r.Zone), func() {
 		if !r.Up {
 			if c.open {
 				c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID})
@@ -26,8 +27,8 @@
 		if c.cutOff() {
 			return
 		}
-		parts, _ := prefixindex.Parse(Prompt, f.ask.Prefix)
-		plan, ok := r.model.Admit(w.now, c.place.AttemptID, parts, f.ask.TailTokens)
+		parts, _ := prefixindex.Parse(shape.Prompt, f.ask.Prefix)
+		plan, ok := r.model.Admit(w.Now, c.place.AttemptID, parts, f.ask.TailTokens)
 		if !ok {
 			r.record("refused", f.ask.Request, c.place.AttemptID, 0)
 			c.back(func() {
@@ -41,10 +42,10 @@
 		c.plan = plan
 		inst := r.model.Instance
 		if r.Unhealthy {
-			w.after(plan.First/4, c.spoil)
+			w.After(plan.First/4, c.spoil)
 			return
 		}
-		w.after(plan.First, func() { c.emit(inst) })
+		w.After(plan.First, func() { c.emit(inst) })
 	})
 }
 
@@ -52,7 +53,7 @@
 	r := c.replica
 	if r.conns[c.place.AttemptID] == c {
 		delete(r.conns, c.place.AttemptID)
-		r.model.Release(c.request.w.now, c.place.AttemptID)
+		r.model.Release(c.request.w.Now, c.place.AttemptID)
 		c.back(func() { c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID}) })
 	}
 }
@@ -62,8 +63,8 @@
 	if c.replica.Dark || c.cutOff() {
 		return
 	}
-	c.due = max(c.due, w.now+w.Net.delay(c.request.n.Zone == c.replica.Zone))
-	w.at(c.due, func() {
+	c.due = max(c.due, w.Now+w.Net.Delay(c.request.n.Zone == c.replica.Zone))
+	w.At(c.due, func() {
 		if c.open {
 			do()
 		}
@@ -90,11 +91,11 @@
 		c.line(l)
 	}
 	if c.chunk < c.plan.Chunks {
-		w.after(c.plan.Every, func() { c.emit(inst) })
+		w.After(c.plan.Every, func() { c.emit(inst) })
 		return
 	}
 	r.record("done", f.ask.Request, c.place.AttemptID, c.chunk)
-	r.model.Release(w.now, c.place.AttemptID)
+	r.model.Release(w.Now, c.place.AttemptID)
 	delete(r.conns, c.place.AttemptID)
 	c.line(router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
 }
@@ -112,7 +113,7 @@
 	if !c.open {
 		return
 	}
-	c.request.w.after(c.request.w.Net.delay(true), func() {
+	c.request.w.After(c.request.w.Net.Delay(true), func() {
 		if c.open {
 			c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID})
 		}
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -19,11 +19,11 @@
 	if len(ns) == 0 {
 		return
 	}
-	n, from := ns[0], w.now
+	n, from := ns[0], w.Now
 	w.Say("%s drains", n.Name)
 	n.shuttingDown = true
 	w.Call(n, control.Retire{}, func(control.Answer) {})
-	w.after(retire, func() { n.rejecting = n.shuttingDown })
+	w.After(retire, func() { n.rejecting = n.shuttingDown })
 	departed := false
 	var look func()
 	look = func() {
@@ -31,17 +31,17 @@
 		case !n.Alive:
 			n.start()
 		case !n.shuttingDown && n.router.Ready(n.local()) == "":
-			w.after(listLag, func() { w.upgrade(ns[1:]) })
+			w.After(listLag, func() { w.upgrade(ns[1:]) })
 			return
-		case n.rejecting && !departed && (n.router.Unsent() == 0 || w.now-from > retire+letGo):
+		case n.rejecting && !departed && (n.router.Unsent() == 0 || w.Now-from > retire+letGo):
 			departed = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
-		case n.rejecting && departed && (len(n.asks) == 0 || w.now-from > drainMost):
+		case n.rejecting && departed && (len(n.asks) == 0 || w.Now-from > drainMost):
 			n.kill()
-			w.after(300*time.Millisecond, look)
+			w.After(300*time.Millisecond, look)
 			return
 		}
-		w.after(drainLook, look)
+		w.After(drainLook, look)
 	}
 	look()
 }
--- a/sim/watcher.go
+++ b/sim/watcher.go
@@ -14,12 +14,12 @@
 )
 
 func (r *FleetReplica) report() control.Probed {
-	running, lag := r.model.Usage(r.w.now)
+	running, lag := r.model.Usage(r.w.Now)
 	return control.Probed{Replica: r.Name, OK: true, InstanceID: r.model.Instance, Running: running, Draining: r.Draining, Lag: lag}
 }
 
 func (n *Node) cutFrom(r *FleetReplica) bool {
-	return n.w.Net.blocked(n.Addr, r.addr()) || n.w.Net.blocked(r.addr(), n.Addr)
+	return n.w.Net.Blocked(n.Addr, r.addr()) || n.w.Net.Blocked(r.addr(), n.Addr)
 }
 
 func (n *Node) watch(p *config.Snapshot) {
@@ -45,7 +45,7 @@
 func (e *watcher) after(d time.Duration, do func()) {
 	e.turn++
 	turn := e.turn
-	e.n.w.after(d, func() {
+	e.n.w.After(d, func() {
 		if e.turn == turn && e.n.incarnation == e.incarnation && e.n.Alive {
 			do()
 		}
@@ -67,7 +67,7 @@
 	} else {
 		e.after(nap, repeated)
 	}
-	n.later(2*n.w.Net.delay(n.Zone == r.Zone), func() { n.step(sight) })
+	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(sight) })
 }
 
 // stare notices when the replica of that life is gone: at once by its reset, and by keep-alive where a cut held that back.
@@ -90,7 +90,7 @@
 		return
 	}
 	e.open = false
-	n.later(n.w.Net.delay(n.Zone == r.Zone), func() {
+	n.later(n.w.Net.Delay(n.Zone == r.Zone), func() {
 		n.step(control.Observation{State: control.Closed, Probed: control.Probed{Replica: r.Name}})
 		e.look(watchRetryAfter)
 	})
@@ -110,5 +110,5 @@
 	}
 	res := r.report()
 	res.Local = p.Local
-	n.later(2*n.w.Net.delay(n.Zone == r.Zone), func() { n.step(res) })
+	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(res) })
 }
--- a/sim/load.go
+++ b/sim/workload/load.go
@@ -1,4 +1,5 @@
-package sim
+// Package workload draws the requests of simulated clients. A Source is owned by one goroutine.
+package workload
 
 import (
 	"fmt"
--- a/sim/world.go
+++ b/sim/world.go
@@ -8,6 +8,11 @@
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/router"
+	"github.com/mallowbridge/mallowbridge/sim/eventqueue"
+	"github.com/mallowbridge/mallowbridge/sim/network"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // Scenario is what is to be played. Lasts is its length, Loss and Dup the shares of messages between nodes that are lost and doubled.
@@ -15,10 +20,10 @@
 // the next build. Asks, if any, take the place of Load; From is when the load begins. Tune is called after Boot.
 type Scenario struct {
 	Seed     uint64
-	Shape    Shape
+	Shape    shape.Shape
 	Charter  []byte
-	Load     Load
-	Model    Model
+	Load     workload.Load
+	Model    replica.Model
 	Lasts    time.Duration
 	Faults   []Fault
 	Loss     float64
@@ -29,7 +34,7 @@
 	Builds   bool
 	// Older has every other node be of the build before.
 	Older bool
-	Asks  []Request
+	Asks  []workload.Request
 	From  time.Duration
 	Tune  func(w *World)
 	// Site is the platform that the nodes run on, if any; it takes the place of Shape, Config, Load and Model.
@@ -38,17 +43,17 @@
 
 // World is a fleet with its surroundings in virtual time. One goroutine runs it.
 type World struct {
-	queue
+	eventqueue.Queue
 	S              Scenario
 	rng            *rand.Rand
-	Net            *Net
+	Net            *network.Net
 	Nodes          []*Node
 	byAddr         map[string]*Node
 	Reps           []*FleetReplica
 	replicasByName map[string]*FleetReplica
 	byURL          map[string]*FleetReplica
 	whim           *rand.Rand
-	trap           func(n *Node, what string)
+	trap           func(n *Node, what control.ChangeKind)
 	Ran            []ledger.Ran
 	Got            []ledger.Got
 	Audit          *Audit
@@ -63,17 +68,11 @@
 	tune           func(c *control.Config, r *router.Config)
 }
 
-const (
-	traceLines = 800
-	// Prompt is the model that all offers serve.
-	Prompt = "m1"
-)
+const traceLines = 800
 
 // Verbose keeps the whole trace instead of its newest lines.
 var Verbose bool
 
-const tickEvery = 50 * time.Millisecond
-
 // New makes the fleet of a scenario; nothing runs yet.
 func New(s Scenario) *World {
 	if s.Site != nil {
@@ -83,11 +82,11 @@
 		s.Charter = s.Shape.Config
 	}
 	if s.Model.Capacity == 0 {
-		s.Model = DefaultModel()
+		s.Model = replica.DefaultModel()
 		s.Model.Capacity = 12
 	}
 	w := &World{
-		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: newNet(s.Seed), byAddr: map[string]*Node{}, replicasByName: map[string]*FleetReplica{},
+		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: network.New(s.Seed), byAddr: map[string]*Node{}, replicasByName: map[string]*FleetReplica{},
 		byURL: map[string]*FleetReplica{}, whim: rand.New(rand.NewPCG(s.Seed, 47)),
 		answers: map[uint64]func(a control.Answer){}, ready: map[string][]*Node{},
 	}
@@ -107,7 +106,7 @@
 
 // Say adds a line to the trace.
 func (w *World) Say(format string, args ...any) {
-	w.Trace = append(w.Trace, fmt.Sprintf("%8.3fs ", w.now.Seconds())+fmt.Sprintf(format, args...))
+	w.Trace = append(w.Trace, fmt.Sprintf("%8.3fs ", w.Now.Seconds())+fmt.Sprintf(format, args...))
 	if len(w.Trace) > traceLines && !Verbose {
 		w.Trace = w.Trace[len(w.Trace)-traceLines/2:]
 	}
@@ -130,9 +129,9 @@
 		return
 	}
 	for _, n := range w.Nodes {
-		w.after(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), func() { n.start() })
+		w.After(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), func() { n.start() })
 	}
-	w.after(time.Second, func() { w.found() })
+	w.After(time.Second, func() { w.found() })
 	w.platform()
 	w.Audit.checkLeases()
 }
@@ -141,7 +140,7 @@
 	w.Call(w.Node(w.S.Shape.Voters[0]), control.Bootstrap{Names: w.S.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			w.Say("found: %v", a.Err)
-			w.after(300*time.Millisecond, w.found)
+			w.After(300*time.Millisecond, w.found)
 			return
 		}
 		w.Put(w.Node(w.S.Shape.Voters[0]), 0, w.S.Charter, func(a control.Answer) {
@@ -159,7 +158,7 @@
 			w.ready[n.Zone] = append(w.ready[n.Zone], n)
 		}
 	}
-	w.after(time.Second, w.platform)
+	w.After(time.Second, w.platform)
 }
 
 func (w *World) pick(zone string) *Node {
@@ -178,19 +177,19 @@
 // Load submits the scenario's requests between the two times.
 func (w *World) Load(from, until time.Duration) {
 	for _, a := range w.S.Asks {
-		w.at(from+a.At, func() { w.submit(a, w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))], 0) })
+		w.At(from+a.At, func() { w.submit(a, w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))], 0) })
 	}
 	if len(w.S.Asks) > 0 {
 		return
 	}
-	src := NewSource(w.S.Load, w.S.Seed, fmt.Sprintf("q%d", w.S.Seed))
+	src := workload.NewSource(w.S.Load, w.S.Seed, fmt.Sprintf("q%d", w.S.Seed))
 	var next func()
 	next = func() {
 		a := src.Next()
 		if from+a.At >= until {
 			return
 		}
-		w.at(from+a.At, func() {
+		w.At(from+a.At, func() {
 			zone := w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))]
 			w.submit(a, zone, 0)
 			next()
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -188,7 +188,7 @@
 	if !s.waits(&overdue) {
 		t.Errorf("struck %v while %v are lost", overdue.On, f.On)
 	}
-	w.now = time.Second + s.spec.Bounds.CatchUp + 1
+	w.Now = time.Second + s.spec.Bounds.CatchUp + 1
 	next := one(Freeze, 0, time.Second, AnyCore)
 	if s.waits(&next) || len(next.On) != 1 {
 		t.Errorf("struck %v after the others are back", next.On)
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -10,7 +10,7 @@
 
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/router"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // outcomeLost is what a client notes of a request that it heard nothing of.
@@ -29,7 +29,7 @@
 }
 
 // Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
-func (a *Agent) Once(ctx context.Context, node string, k sim.Request) ledger.Got {
+func (a *Agent) Once(ctx context.Context, node string, k workload.Request) ledger.Got {
 	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Class.Name, Repeatable: k.Class.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Class.Service+"/"+k.Class.Name, strings.NewReader(body))
@@ -80,7 +80,7 @@
 
 // Run sends n requests at the times that the source gives them, to the nodes in turn, and has took called with each outcome, one at
 // a time. When the context ends, the rest is sent at once and fails.
-func (a *Agent) Run(ctx context.Context, src *sim.Source, n int, elapsed func(g ledger.Got)) {
+func (a *Agent) Run(ctx context.Context, src *workload.Source, n int, elapsed func(g ledger.Got)) {
 	start := time.Now()
 	out := make(chan ledger.Got)
 	for i := range n {
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -14,7 +14,7 @@
 
 	"github.com/mallowbridge/mallowbridge/ledger"
 	"github.com/mallowbridge/mallowbridge/prefixindex"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/replica"
 )
 
 // Fault is what a replica is told to do wrong, by POST /faults.
@@ -44,16 +44,16 @@
 	name   string
 	model  string
 	clock  func() time.Duration
-	engine *sim.Replica
+	engine *replica.Replica
 	fault  Fault
 	runs   *json.Encoder
 	jobs   chan job
 }
 
 // NewReplica starts a replica that writes its ledger to runs. model names the model that prompts are hashed with.
-func NewReplica(t *tomb.Tomb, name, model, instance string, engine sim.Model, runs io.Writer, clock func() time.Duration) *Replica {
+func NewReplica(t *tomb.Tomb, name, model, instance string, engine replica.Model, runs io.Writer, clock func() time.Duration) *Replica {
 	r := &Replica{
-		t: t, name: name, model: model, clock: clock, engine: sim.NewReplica(engine, instance, clock()),
+		t: t, name: name, model: model, clock: clock, engine: replica.NewReplica(engine, instance, clock()),
 		runs: json.NewEncoder(runs), jobs: make(chan job),
 	}
 	t.Go(func() error {
@@ -133,7 +133,7 @@
 
 // start is how a run begins: admitted or not, and with which fault.
 type start struct {
-	plan  sim.Plan
+	plan  replica.Plan
 	ok    bool
 	fault Fault
 }
--- a/storage/repair_test.go
+++ b/storage/repair_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/disk"
 )
 
 func TestFullDiskIsRepaired(t *testing.T) {
 	for seed := range uint64(20) {
-		d := sim.NewDisk(seed)
+		d := disk.New(seed)
 		v, _, err := load(d)
 		if err != nil || v.Rotate([]byte("a")) != nil || v.Append([][]byte{[]byte("b")}) != nil {
 			t.Fatal(err)
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"testing"
 
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/disk"
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-func load(d *sim.Disk) (*storage.Store, []string, error) {
+func load(d *disk.Disk) (*storage.Store, []string, error) {
 	v, slot, entries, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
@@ -25,7 +25,7 @@
 	return v, all, nil
 }
 
-func write(d *sim.Disk, n int) int {
+func write(d *disk.Disk, n int) int {
 	v, all, err := load(d)
 	if err != nil {
 		return 0
@@ -58,14 +58,14 @@
 
 func TestPowerLossAtEachWrite(t *testing.T) {
 	const n = 40
-	complete := sim.NewDisk(1)
+	complete := disk.New(1)
 	write(complete, n)
 	if complete.Writes < 90 {
 		t.Fatalf("only %d writes: the test no longer covers turns", complete.Writes)
 	}
 	for seed := range uint64(6) {
 		for powerLost := range complete.Writes {
-			d := sim.NewDisk(seed)
+			d := disk.New(seed)
 			d.PowerLossAt = powerLost
 			acked := write(d, n)
 			d.PowerLoss()
@@ -88,10 +88,10 @@
 func TestEachDamagedByteIsDetectedOrTolerated(t *testing.T) {
 	const n = 40
 	for _, name := range []string{"slot0", "slot1", "log0", "log1"} {
-		complete := sim.NewDisk(1)
+		complete := disk.New(1)
 		write(complete, n)
 		for at := range complete.Size(name) {
-			d := sim.NewDisk(1)
+			d := disk.New(1)
 			write(d, n)
 			d.Rot(name, at)
 			_, got, err := load(d)
@@ -115,7 +115,7 @@
 }
 
 func TestNothingIsWrittenAfterAFailedSync(t *testing.T) {
-	d := sim.NewDisk(1)
+	d := disk.New(1)
 	write(d, 3)
 	v, _, err := load(d)
 	if err != nil {
@@ -159,7 +159,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	d := sim.NewDisk(1)
+	d := disk.New(1)
 	write(d, 12)
 	var raws [4][]byte
 	for i, name := range []string{"slot0", "slot1", "log0", "log1"} {
@@ -167,7 +167,7 @@
 	}
 	f.Add(raws[0], raws[1], raws[2], raws[3])
 	f.Fuzz(func(t *testing.T, s0, s1, l0, l1 []byte) {
-		d := sim.NewDisk(1)
+		d := disk.New(1)
 		for name, raw := range map[string][]byte{"slot0": s0, "slot1": s1, "log0": l0, "log1": l1} {
 			if len(raw) > 0 && d.Write(name, raw) != nil {
 				t.Fatal("write")
--- a/whatif/har.go
+++ b/whatif/har.go
@@ -14,7 +14,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/mallowbridge/mallowbridge/prefixindex"
-	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // bytesPerToken reckons the tokens of a body.
@@ -22,7 +22,7 @@
 
 // ReadHAR reads the requests of a recorded HAR file that were made of these kinds, at their own times from the first. unused names the
 // entries that cannot be used and why; the error is a *FileError.
-func ReadHAR(path string, classes []sim.ClassLoad) (asks []sim.Request, unused []string, err error) {
+func ReadHAR(path string, classes []workload.ClassLoad) (asks []workload.Request, unused []string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, trace.Wrap(&FileError{Path: path, Why: err.Error()})
@@ -48,13 +48,13 @@
 	for i := range asks {
 		asks[i].At -= time.Duration(start.UnixNano())
 	}
-	slices.SortStableFunc(asks, func(a, b sim.Request) int { return int(a.At - b.At) })
+	slices.SortStableFunc(asks, func(a, b workload.Request) int { return int(a.At - b.At) })
 	return asks, unused, nil
 }
 
 // entry reads one request, or says why it cannot be used.
-func entry(e *har.Entry, classes []sim.ClassLoad) (time.Time, sim.Request, string) {
-	var a sim.Request
+func entry(e *har.Entry, classes []workload.ClassLoad) (time.Time, workload.Request, string) {
+	var a workload.Request
 	var at time.Time
 	if e == nil || e.Request == nil {
 		return at, a, "has no request"
@@ -70,7 +70,7 @@
 	if len(f) != 4 || f[0] != "v1" || f[1] != "offers" {
 		return at, a, "path is " + u.Path
 	}
-	k := slices.IndexFunc(classes, func(k sim.ClassLoad) bool { return k.Service == f[2] && k.Name == f[3] })
+	k := slices.IndexFunc(classes, func(k workload.ClassLoad) bool { return k.Service == f[2] && k.Name == f[3] })
 	if k < 0 {
 		return at, a, "no such offer and kind: " + f[2] + "/" + f[3]
 	}
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -12,6 +12,8 @@
 
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // Plan is one what-if experiment: a fleet, its load, what breaks, and how many seeds it is run with.
@@ -30,13 +32,13 @@
 	Rate     float64
 	HotShare float64
 	Prefixes int
-	Crowds   []sim.Burst
+	Crowds   []workload.Burst
 	// Index is false where the prefix index finds nothing; RoundRobin places in turn.
 	Index      bool
 	RoundRobin bool
 	Faults     []sim.Fault
 	// Requests are sent instead of generated ones, where there are any.
-	Requests []sim.Request
+	Requests []workload.Request
 }
 
 // FileError is a file that cannot be used.
@@ -83,7 +85,7 @@
 		p.Shape = s
 	}
 	p.Times = d.Int("times", 1, 1, 16)
-	shape, ok := sim.Times(p.Shape, p.Times)
+	shape, ok := shape.Times(p.Shape, p.Times)
 	spec, site := sim.SiteOf(p.Shape, 0)
 	switch {
 	case site:
@@ -110,7 +112,7 @@
 	p.HotShare = d.Num("hot", p.HotShare, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, sim.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
@@ -137,7 +139,7 @@
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
-func readFault(d *config.Decoder, shape sim.Shape, site bool) sim.Fault {
+func readFault(d *config.Decoder, shape shape.Shape, site bool) sim.Fault {
 	f := sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := faultClasses()
 	if site {
@@ -161,7 +163,7 @@
 	return f
 }
 
-func inFleet(s sim.Shape, name string) bool {
+func inFleet(s shape.Shape, name string) bool {
 	return slices.Contains(s.Zones, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
-		slices.ContainsFunc(s.Nodes, func(n sim.NodeShape) bool { return n.Name == name })
+		slices.ContainsFunc(s.Nodes, func(n shape.Node) bool { return n.Name == name })
 }
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -11,6 +11,8 @@
 
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/sim"
+	"github.com/mallowbridge/mallowbridge/sim/shape"
+	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
 // figure is one number of a run, by the name that the report gives it.
@@ -34,10 +36,10 @@
 	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
 		return p.site(seed, spec), nil
 	}
-	shape, _ := sim.Times(p.Shape, p.Times)
+	shape, _ := shape.Times(p.Shape, p.Times)
 	s := sim.Scenario{
 		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.RoundRobin,
-		Load: sim.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.HotShare, Bursts: p.Crowds}, Asks: p.Requests,
+		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.HotShare, Bursts: p.Crowds}, Asks: p.Requests,
 	}
 	if p.Config == nil {
 		return s, nil
@@ -49,7 +51,7 @@
 	s.Charter, s.Load.Classes = p.Config, nil
 	for _, o := range c.Services {
 		for _, k := range o.Classes {
-			s.Load.Classes = append(s.Load.Classes, sim.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Repeatable})
+			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Repeatable})
 		}
 	}
 	return s, nil
