--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -2,11 +2,19 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 
 	"github.com/gravitational/trace"
 )
 
+// The causes of a DeltaError, besides parts that lie outside the base.
+var (
+	ErrOtherBase = errors.New("made for another document")
+	ErrTooLong   = errors.New("too long")
+	ErrOtherHash = errors.New("the result has another hash")
+)
+
 // Delta describes a document by what differs from another, the base: it holds the parts that the base lacks, and where in the base the
 // others are. It reads without the boundaries that made it. Its fields are part of the format on disk.
 type Delta struct {
@@ -22,15 +30,18 @@
 }
 
 // DeltaError says why a delta makes no document.
-type DeltaError struct{ Why string }
+type DeltaError struct{ Cause error }
 
-func (e *DeltaError) Error() string { return "bad delta: " + e.Why }
+func (e *DeltaError) Error() string { return "bad delta: " + e.Cause.Error() }
 
 func sum(body []byte) []byte {
 	name := NameOf(body)
 	return name[:]
 }
 
+// Unwrap gives the cause.
+func (e *DeltaError) Unwrap() error { return e.Cause }
+
 // Index knows where the chunks of a document are, so that differences from it can be made.
 type Index struct {
 	body   []byte
@@ -98,15 +109,15 @@
 // isn't what the delta was made of.
 func (d Delta) Apply(base []byte) ([]byte, error) {
 	if !bytes.Equal(d.Base, sum(base)) {
-		return nil, trace.Wrap(&DeltaError{Why: "made for another document"})
+		return nil, trace.Wrap(&DeltaError{Cause: ErrOtherBase})
 	}
 	size := 0
 	for i, p := range d.Parts {
 		if p.From < 0 || p.Length < 0 || p.From > len(base) || p.Length > len(base)-p.From {
-			return nil, trace.Wrap(&DeltaError{Why: fmt.Sprintf("part %d lies outside the base", i)})
+			return nil, trace.Wrap(&DeltaError{Cause: fmt.Errorf("part %d lies outside the base", i)})
 		}
 		if size += len(p.New) + p.Length; size > MaxDocument {
-			return nil, trace.Wrap(&DeltaError{Why: "too long"})
+			return nil, trace.Wrap(&DeltaError{Cause: ErrTooLong})
 		}
 	}
 	next := make([]byte, 0, size)
@@ -118,7 +129,7 @@
 		next = append(next, base[p.From:p.From+p.Length]...)
 	}
 	if !bytes.Equal(d.Sum, sum(next)) {
-		return nil, trace.Wrap(&DeltaError{Why: "the result has another hash"})
+		return nil, trace.Wrap(&DeltaError{Cause: ErrOtherHash})
 	}
 	return next, nil
 }
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -41,24 +41,27 @@
 }
 
 // ManifestError says that a manifest describes no document.
-type ManifestError struct{ Why string }
+type ManifestError struct{ Cause error }
 
-func (e *ManifestError) Error() string { return "bad manifest: " + e.Why }
+func (e *ManifestError) Error() string { return "bad manifest: " + e.Cause.Error() }
 
 // Check returns a *ManifestError where the manifest can't describe a document.
 func (m *Manifest) Check() error {
 	count := len(m.Segments) / NameBytes
 	switch {
 	case len(m.Segments)%NameBytes != 0:
-		return trace.Wrap(&ManifestError{Why: fmt.Sprintf("%d bytes of names", len(m.Segments))})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes of names", len(m.Segments))})
 	case m.Size < 1 || m.Size > MaxDocument:
-		return trace.Wrap(&ManifestError{Why: fmt.Sprintf("%d bytes in all", m.Size)})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes in all", m.Size)})
 	case m.Size < count || m.Size > count*segmentMost*Largest:
-		return trace.Wrap(&ManifestError{Why: fmt.Sprintf("%d bytes in %d segments", m.Size, count)})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes in %d segments", m.Size, count)})
 	}
 	return nil
 }
 
+// Unwrap gives the cause.
+func (e *ManifestError) Unwrap() error { return e.Cause }
+
 // Key is the same for manifests that are the same.
 func (m *Manifest) Key() Name {
 	size := binary.BigEndian.AppendUint64(nil, uint64(m.Size))
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -17,11 +17,11 @@
 
 // LineError is a line of input that cannot be used.
 type LineError struct {
-	Line int
-	Why  string
+	Line  int
+	Cause error
 }
 
-func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Why) }
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Cause.Error()) }
 
 func tools(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("decide", "Read events as JSON lines and write decisions as JSON lines.")
@@ -30,6 +30,9 @@
 	cmds["decide"] = func(in io.Reader, out io.Writer) error { return decide(in, out, *self, *domain) }
 }
 
+// Unwrap gives the cause.
+func (e *LineError) Unwrap() error { return e.Cause }
+
 // The names in JSON below are published; order is a snapshot, mark its version, emptied the evacuated zones.
 type eventLine struct {
 	AtMs  *int64          `json:"atMs"`
@@ -62,7 +65,7 @@
 		n++
 		atMs, ev, err := readEventLine(sc.Bytes(), last)
 		if err != nil {
-			return trace.Wrap(&LineError{Line: n, Why: err.Error()})
+			return trace.Wrap(&LineError{Line: n, Cause: err})
 		}
 		last = atMs
 		for _, d := range r.Step(time.Duration(last)*time.Millisecond, ev) {
@@ -72,7 +75,7 @@
 		}
 	}
 	if sc.Err() != nil {
-		return trace.Wrap(&LineError{Line: n + 1, Why: sc.Err().Error()})
+		return trace.Wrap(&LineError{Line: n + 1, Cause: sc.Err()})
 	}
 	return nil
 }
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -176,7 +176,7 @@
 	for n := 1; sc.Scan(); n++ {
 		var row T
 		if err := json.Unmarshal(sc.Bytes(), &row); err != nil {
-			return nil, trace.Wrap(&LineError{Line: n, Why: name + ": " + err.Error()})
+			return nil, trace.Wrap(&LineError{Line: n, Cause: fmt.Errorf("%s: %w", name, err)})
 		}
 		rows = append(rows, row)
 	}
--- a/control/command.go
+++ b/control/command.go
@@ -63,18 +63,18 @@
 		m, ok := n.Members.Table.Get(name)
 		switch {
 		case !ok:
-			return nil, &NameError{Name: name, Why: "no such node is known"}
+			return nil, &NameError{Name: name, Cause: ErrUnknownNode}
 		case m.Disk == "":
-			return nil, &NameError{Name: name, Why: "has no disk"}
+			return nil, &NameError{Name: name, Cause: ErrNoDisk}
 		case !m.Live():
-			return nil, &NameError{Name: name, Why: "is " + m.State.String()}
+			return nil, &NameError{Name: name, Cause: &StateError{State: m.State}}
 		case slices.ContainsFunc(vs, func(v register.Voter) bool { return v.Disk == m.Disk }):
-			return nil, &NameError{Name: name, Why: "is named twice"}
+			return nil, &NameError{Name: name, Cause: ErrNamedTwice}
 		}
 		vs = append(vs, register.Voter{Disk: m.Disk, Name: name})
 	}
 	if len(vs) == 0 {
-		return nil, &NameError{Name: "voters", Why: "must be named"}
+		return nil, &NameError{Name: "voters", Cause: ErrNoneNamed}
 	}
 	return vs, nil
 }
--- a/control/errors.go
+++ b/control/errors.go
@@ -1,14 +1,20 @@
 package control
 
 import (
+	"errors"
 	"fmt"
 	"time"
+
+	"github.com/mallowbridge/mallowbridge/membership"
 )
 
 // NameError says why a node that an operator named cannot do what was asked.
-type NameError struct{ Name, Why string }
+type NameError struct {
+	Name  string
+	Cause error
+}
 
-func (e *NameError) Error() string { return e.Name + ": " + e.Why }
+func (e *NameError) Error() string { return e.Name + ": " + e.Cause.Error() }
 
 // StaleCallError says that an order may have lain here while the process stood still: its caller may have left long ago. It has had no
 // effect.
@@ -17,3 +23,20 @@
 func (e *StaleCallError) Error() string {
 	return fmt.Sprintf("this process stood still for %s and takes no order that may have come before; nothing was changed", e.Gap)
 }
+
+// Unwrap gives the cause.
+func (e *NameError) Unwrap() error { return e.Cause }
+
+// The causes of a NameError.
+var (
+	ErrUnknownNode = errors.New("no such node is known")
+	ErrUnknownZone = errors.New("no such domain")
+	ErrNoDisk      = errors.New("has no disk")
+	ErrNamedTwice  = errors.New("is named twice")
+	ErrNoneNamed   = errors.New("must be named")
+)
+
+// StateError says that a node isn't alive.
+type StateError struct{ State membership.State }
+
+func (e *StateError) Error() string { return "is " + e.State.String() }
--- a/control/journal.go
+++ b/control/journal.go
@@ -48,7 +48,7 @@
 
 func decode(file string, raw []byte, v any) error {
 	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(v); err != nil {
-		return trace.Wrap(&storage.UnreadableError{File: file, Why: err.Error()})
+		return trace.Wrap(&storage.UnreadableError{File: file, Cause: err})
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 	var err error
 	e.Accepted.Value.Document, err = e.Document.Apply(k.document())
 	if err != nil {
-		return trace.Wrap(&storage.UnreadableError{File: "log", Why: err.Error()})
+		return trace.Wrap(&storage.UnreadableError{File: "log", Cause: err})
 	}
 	return nil
 }
--- a/control/messages.go
+++ b/control/messages.go
@@ -14,10 +14,10 @@
 // SentOnce says whether the item is pushed to each peer once only; urgent ones are repeated.
 func (u LoadReports) SentOnce() bool { return !u.Urgent }
 
-// ReplicaState is the gossip item with what operators say of a replica: State is "present", "leaving" or "gone".
+// ReplicaState is the gossip item with what operators say of a replica: State is one of the router's listing states.
 type ReplicaState struct {
-	Replica string `json:"replica"`
-	State   string `json:"state"`
+	Replica string              `json:"replica"`
+	State   router.ListingState `json:"state"`
 }
 
 // WitnessAsk asks a witness to remember that the router By is about to send the request. Rid numbers the inquiry; with Peek nothing is
--- a/control/replicastates.go
+++ b/control/replicastates.go
@@ -14,7 +14,7 @@
 	at  time.Duration
 }
 
-func (l ReplicaState) draining() bool { return l.State == "leaving" || l.State == "gone" }
+func (l ReplicaState) draining() bool { return l.State == router.Draining || l.State == router.Removed }
 
 func (n *Node) setReplicaStates(now time.Duration, op SetReplicaStates) {
 	for _, l := range op.Rows {
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -49,16 +49,19 @@
 }
 
 // FileError says why the settings file cannot be read.
-type FileError struct{ Path, Why string }
+type FileError struct {
+	Path  string
+	Cause error
+}
 
-func (e *FileError) Error() string { return "settings file " + e.Path + ": " + e.Why }
+func (e *FileError) Error() string { return "settings file " + e.Path + ": " + e.Cause.Error() }
 
 // ReadSettings reads a settings file. It fails with a FileError or a config.InvalidError.
 func ReadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	var s Settings
 	if err != nil {
-		return s, trace.Wrap(&FileError{Path: path, Why: err.Error()})
+		return s, trace.Wrap(&FileError{Path: path, Cause: err})
 	}
 	d, err := config.Open(raw)
 	if err != nil {
@@ -77,6 +80,9 @@
 	return s, d.Err()
 }
 
+// Unwrap gives the cause.
+func (e *FileError) Unwrap() error { return e.Cause }
+
 // Check fills in defaults and checks the settings. It fails with a config.InvalidError that lists all flaws.
 func Check(in Settings) (Settings, error) {
 	s := in.withDefaults()
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -176,7 +176,7 @@
 		known := false
 		o.Control.Look(func(n *control.Node) { known = n.Knows(name) })
 		if !known {
-			return fail(w, &control.NameError{Name: name, Why: "no such domain"})
+			return fail(w, &control.NameError{Name: name, Cause: control.ErrUnknownZone})
 		}
 		return o.answer(w, o.Control.Call(control.Evacuate{ID: id, Zone: name, Restore: restore}))
 	}
@@ -216,9 +216,9 @@
 	}
 	op := control.SetReplicaStates{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
-		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: e.Str("state", true, 16)}
-		if l.State != "present" && l.State != "leaving" && l.State != "gone" && l.State != "" {
-			e.AddViolation(e.At("state"), l.State, "present, leaving or gone")
+		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: router.ListingState(e.Str("state", true, 16))}
+		if !l.State.Known() {
+			e.AddViolation(e.At("state"), string(l.State), "present, leaving or gone")
 		}
 		e.Close()
 		op.Rows = append(op.Rows, l)
--- a/router/events.go
+++ b/router/events.go
@@ -38,10 +38,28 @@
 	Snapshot *config.Snapshot
 }
 
-// Listing is what operators say of a replica of the document: "present", "leaving" or "gone".
+// ListingState is what operators say of a replica. Its values are published.
+type ListingState string
+
+// The states of listings; the empty one is Present.
+const (
+	Present  ListingState = "present"
+	Draining ListingState = "leaving"
+	Removed  ListingState = "gone"
+)
+
+// leaves tells whether the replica gets no new requests.
+func (s ListingState) leaves() bool { return s == Draining || s == Removed }
+
+// Known tells whether the state is one of the three, or empty.
+func (s ListingState) Known() bool {
+	return s == "" || s == Present || s == Draining || s == Removed
+}
+
+// Listing is what operators say of a replica of the document.
 type Listing struct {
-	Replica string `json:"replica"`
-	State   string `json:"state"`
+	Replica string       `json:"replica"`
+	State   ListingState `json:"state"`
 }
 
 // Instance is one life of a replica, as the platform lists it.
--- a/router/reports.go
+++ b/router/reports.go
@@ -6,11 +6,6 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-const (
-	stateLeaving = "leaving"
-	stateRemoved = "gone"
-)
-
 // takeReplicaReport takes in what is heard of a replica that the router knows.
 func (r *Router) takeReplicaReport(now time.Duration, ev Event) {
 	switch e := ev.(type) {
@@ -45,8 +40,8 @@
 	}
 	r.replicas[id].platformState = e.State
 	row := &r.scheduler.Replicas[id]
-	row.Leaving = e.State == stateLeaving || e.State == stateRemoved
-	if e.State == stateRemoved {
+	row.Leaving = e.State.leaves()
+	if e.State == Removed {
 		row.Up = false
 		r.replicas[id].instance = ""
 		r.scheduler.Index.Reset(id, 0)
@@ -87,7 +82,7 @@
 		r.scheduler.ConfirmInstance(now-e.Lag, now-e.Age, id)
 	}
 	row.Up = true
-	row.Leaving = e.Leaving || entry.platformState == stateLeaving || entry.platformState == stateRemoved
+	row.Leaving = e.Leaving || entry.platformState.leaves()
 	r.scheduler.Report(now-e.Lag, id, e.Running)
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -30,8 +30,8 @@
 // replicaEntry is what the router knows of a replica beside the scheduler's row of the same index.
 type replicaEntry struct {
 	name, addr, instance string
-	// platformState is what operators said of it: "present", "leaving" or "gone".
-	platformState string
+	// platformState is what operators said of it.
+	platformState ListingState
 
 	// discovered: it came from the platform's list, where it was listedAs; removedSince is when the list left it out, else 0.
 	discovered   bool
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -111,7 +111,7 @@
 	return true
 }
 
-func (w *World) list(name, state string) {
+func (w *World) list(name string, state router.ListingState) {
 	var alive []*Node
 	for _, n := range w.Nodes {
 		if n.Alive && !n.frozen {
@@ -124,7 +124,7 @@
 	}
 	n := alive[w.rng.IntN(len(alive))]
 	w.Say("platform lists %s as %s at %s", name, state, n.Name)
-	if state == "present" {
+	if state == router.Present {
 		w.Audit.back(name)
 	} else {
 		w.Audit.leaves(n, name)
@@ -137,11 +137,11 @@
 		r := w.replicasByName[name]
 		w.After(time.Duration(i)*each, func() {
 			r.Draining = true
-			w.After(500*time.Millisecond, func() { w.list(name, "leaving") })
+			w.After(500*time.Millisecond, func() { w.list(name, router.Draining) })
 			w.After(4500*time.Millisecond, func() { r.crash() })
 			w.After(6500*time.Millisecond, func() {
 				r.start(w.Now)
-				w.After(500*time.Millisecond, func() { w.list(name, "present") })
+				w.After(500*time.Millisecond, func() { w.list(name, router.Present) })
 			})
 		})
 	}
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -7,6 +7,7 @@
 
 	"github.com/mallowbridge/mallowbridge/control"
 	"github.com/mallowbridge/mallowbridge/register"
+	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (w *World) order(f Fault, _ []*Node) {
@@ -16,7 +17,7 @@
 		w.Evacuate(n, f.On[0], false, func(control.Answer) {})
 		w.After(f.For, func() { w.Evacuate(w.someNode(), f.On[0], true, func(control.Answer) {}) })
 	case Lists:
-		w.lists(w.Now+f.For, map[string]string{}, 0)
+		w.lists(w.Now+f.For, map[string]router.ListingState{}, 0)
 	case SwapVoters:
 		w.Call(w.someNode(), control.ReplaceVoters{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
 	case PutStorm:
@@ -71,22 +72,22 @@
 
 // lists is a platform that tells changes late and out of order to any node, contradicts itself within the travel of news,
 // repeats all it knows now and then, and names replicas that nobody has.
-func (w *World) lists(end time.Duration, states map[string]string, round int) {
+func (w *World) lists(end time.Duration, states map[string]router.ListingState, round int) {
 	if w.Now >= end {
 		for _, name := range sortedKeys(states) {
-			states[name] = "present"
+			states[name] = router.Present
 		}
 	}
 	if w.Now >= end+5*time.Second {
 		return
 	}
 	if at := w.Reps[w.whim.IntN(len(w.Reps))].Name; w.Now < end && w.whim.IntN(2) == 0 {
-		states[at] = []string{"leaving", "gone", "present", "leaving"}[w.whim.IntN(4)]
+		states[at] = []router.ListingState{router.Draining, router.Removed, router.Present, router.Draining}[w.whim.IntN(4)]
 		state := states[at]
-		w.list(at, "present")
+		w.list(at, router.Present)
 		w.After(time.Duration(10+w.whim.IntN(60))*time.Millisecond, func() { w.list(at, state) })
 	}
-	states["nobody"] = "present"
+	states["nobody"] = router.Present
 	for _, name := range sortedKeys(states) {
 		if state := states[name]; round%6 == 5 || w.Now >= end {
 			w.After(time.Duration(w.whim.Int64N(int64(900*time.Millisecond))), func() { w.list(name, state) })
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -26,10 +26,13 @@
 }
 
 // FolderError is returned for a folder that cannot be made.
-type FolderError struct{ Path, Why string }
+type FolderError struct {
+	Path  string
+	Cause error
+}
 
 // Error implements error.
-func (e *FolderError) Error() string { return "data folder " + e.Path + ": " + e.Why }
+func (e *FolderError) Error() string { return "data folder " + e.Path + ": " + e.Cause.Error() }
 
 // Folder is a Disk in the file system. It keeps its files open.
 type Folder struct {
@@ -37,10 +40,13 @@
 	open map[string]*os.File
 }
 
+// Unwrap gives the cause.
+func (e *FolderError) Unwrap() error { return e.Cause }
+
 // OpenFolder makes the folder if it is missing.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, trace.Wrap(&FolderError{Path: path, Why: err.Error()})
+		return nil, trace.Wrap(&FolderError{Path: path, Cause: err})
 	}
 	return &Folder{path: path, open: map[string]*os.File{}}, nil
 }
--- a/storage/open.go
+++ b/storage/open.go
@@ -62,12 +62,12 @@
 	raw, there, err := disk.Read(slotName(i))
 	var h half
 	if err != nil {
-		return h, trace.Wrap(&UnreadableError{File: slotName(i), Why: err.Error()})
+		return h, trace.Wrap(&UnreadableError{File: slotName(i), Cause: err})
 	}
 	h.slotThere = there
 	h.log, h.logThere, err = disk.Read(logName(i))
 	if err != nil {
-		return h, trace.Wrap(&UnreadableError{File: logName(i), Why: err.Error()})
+		return h, trace.Wrap(&UnreadableError{File: logName(i), Cause: err})
 	}
 	gen, body, size, ok := unpack(raw)
 	h.generation, h.slot = gen, body
@@ -94,7 +94,7 @@
 		v.Repair = "both slots are torn and no log was begun: a first write was cut"
 		return v, nil, nil, nil
 	}
-	return nil, nil, nil, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Why: "no valid slot, yet more than a first write"})
+	return nil, nil, nil, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Cause: ErrNoValidSlot})
 }
 
 func (*Store) owns(log []byte, gen uint64) bool {
@@ -127,5 +127,5 @@
 }
 
 func (v *Store) damaged(why string) error {
-	return trace.Wrap(&UnreadableError{File: logName(v.generation), Why: fmt.Sprintf(why, v.logBytes)})
+	return trace.Wrap(&UnreadableError{File: logName(v.generation), Cause: fmt.Errorf(why, v.logBytes)})
 }
--- a/storage/store.go
+++ b/storage/store.go
@@ -2,26 +2,39 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
 
 	"github.com/gravitational/trace"
 )
 
+// ErrNoValidSlot says that a disk holds more than a first write, and no slot of it can be read.
+var ErrNoValidSlot = errors.New("no valid slot, yet more than a first write")
+
 // UnreadableError is returned by Open for a file whose damage would lose entries that were synced.
-type UnreadableError struct{ File, Why string }
+type UnreadableError struct {
+	File  string
+	Cause error
+}
 
 // Error implements error.
-func (e *UnreadableError) Error() string { return e.File + " cannot be read: " + e.Why }
+func (e *UnreadableError) Error() string { return e.File + " cannot be read: " + e.Cause.Error() }
 
 // BrokenError is returned by each write after a failed one, until Recover succeeds.
-type BrokenError struct{ Cause string }
+type BrokenError struct{ Cause error }
 
 // Error implements error.
 func (e *BrokenError) Error() string {
-	return "disk broke down earlier, nothing more is written: " + e.Cause
+	return "disk broke down earlier, nothing more is written: " + e.Cause.Error()
 }
 
+// Unwrap gives the cause.
+func (e *BrokenError) Unwrap() error { return e.Cause }
+
+// Unwrap gives the cause.
+func (e *UnreadableError) Unwrap() error { return e.Cause }
+
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 const (
@@ -81,7 +94,7 @@
 
 func (v *Store) fail(err error) error {
 	if v.broken == nil {
-		v.broken = trace.Wrap(&BrokenError{Cause: err.Error()})
+		v.broken = trace.Wrap(&BrokenError{Cause: err})
 	}
 	return v.broken
 }
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/gob"
+	"errors"
 	"fmt"
 	"io"
 
@@ -12,6 +13,11 @@
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
+var (
+	errNotOneMessage = errors.New("not one message")
+	errNoHello       = errors.New("no hello")
+)
+
 // Build is raised with the messages between nodes; neighbouring builds speak with each other. MaxFrame bounds a message in bytes.
 const (
 	Build    = 3
@@ -34,9 +40,9 @@
 }
 
 // UnreadableError says that a frame holds no message of a known kind.
-type UnreadableError struct{ Cause string }
+type UnreadableError struct{ Cause error }
 
-func (e *UnreadableError) Error() string { return "frame cannot be read: " + e.Cause }
+func (e *UnreadableError) Error() string { return "frame cannot be read: " + e.Cause.Error() }
 
 // BuildError says that the builds of two nodes are too far apart.
 type BuildError struct{ Ours, Theirs uint32 }
@@ -45,6 +51,9 @@
 	return fmt.Sprintf("build %d does not speak with build %d", e.Ours, e.Theirs)
 }
 
+// Unwrap gives the cause.
+func (e *UnreadableError) Unwrap() error { return e.Cause }
+
 // Speak returns a *BuildError unless the builds are the same or neighbours.
 func Speak(ours, theirs uint32) error {
 	if theirs+1 < ours || theirs > ours+1 {
@@ -72,7 +81,7 @@
 	w.buf.Write([]byte{0, 0, 0, 0})
 	form := wire.Encode(msg)
 	if err := w.enc.Encode(&form); err != nil {
-		return nil, trace.Wrap(&UnreadableError{Cause: err.Error()})
+		return nil, trace.Wrap(&UnreadableError{Cause: err})
 	}
 	n := w.buf.Len() - 4
 	if n > MaxFrame {
@@ -113,15 +122,15 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			msg, err = nil, trace.Wrap(&UnreadableError{Cause: fmt.Sprint(p)})
+			msg, err = nil, trace.Wrap(&UnreadableError{Cause: fmt.Errorf("panic: %v", p)})
 		}
 	}()
 	var form any
 	if err = r.dec.Decode(&form); err != nil {
-		return nil, trace.Wrap(&UnreadableError{Cause: err.Error()})
+		return nil, trace.Wrap(&UnreadableError{Cause: err})
 	}
 	if form == nil || r.body.Len() > 0 {
-		return nil, trace.Wrap(&UnreadableError{Cause: "not one message"})
+		return nil, trace.Wrap(&UnreadableError{Cause: errNotOneMessage})
 	}
 	return wire.Decode(form), nil
 }
--- a/transport/net.go
+++ b/transport/net.go
@@ -214,7 +214,7 @@
 	}
 	theirs, ok := msg.(Hello)
 	if !ok {
-		return theirs, trace.Wrap(&UnreadableError{Cause: "no hello"})
+		return theirs, trace.Wrap(&UnreadableError{Cause: errNoHello})
 	}
 	return theirs, Speak(self.Build, theirs.Build)
 }
--- a/whatif/har.go
+++ b/whatif/har.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"net/url"
@@ -17,6 +18,8 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
+var errNoHAR = errors.New("is no HAR file")
+
 // bytesPerToken reckons the tokens of a body.
 const bytesPerToken = 4
 
@@ -25,11 +28,11 @@
 func ReadHAR(path string, classes []workload.ClassLoad) (asks []workload.Request, unused []string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, trace.Wrap(&FileError{Path: path, Why: err.Error()})
+		return nil, nil, trace.Wrap(&FileError{Path: path, Cause: err})
 	}
 	var file har.HAR
 	if err = json.Unmarshal(raw, &file); err != nil || file.Log == nil {
-		return nil, nil, trace.Wrap(&FileError{Path: path, Why: "is no HAR file"})
+		return nil, nil, trace.Wrap(&FileError{Path: path, Cause: errNoHAR})
 	}
 	var start time.Time
 	for i, e := range file.Log.Entries {
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -42,15 +42,21 @@
 }
 
 // FileError is a file that cannot be used.
-type FileError struct{ Path, Why string }
+type FileError struct {
+	Path  string
+	Cause error
+}
 
-func (e *FileError) Error() string { return e.Path + ": " + e.Why }
+func (e *FileError) Error() string { return e.Path + ": " + e.Cause.Error() }
 
 // Default is a calm fleet under usual load.
 func Default(name string) Plan {
 	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotShare: 0.1, Prefixes: 24, Index: true}
 }
 
+// Unwrap gives the cause.
+func (e *FileError) Unwrap() error { return e.Cause }
+
 func faultClasses() []string {
 	return []string{
 		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.Wipe, sim.Relocate,
@@ -65,7 +71,7 @@
 	raw, err := os.ReadFile(path)
 	var p Plan
 	if err != nil {
-		return p, trace.Wrap(&FileError{Path: path, Why: err.Error()})
+		return p, trace.Wrap(&FileError{Path: path, Cause: err})
 	}
 	if p, err = Read(strings.TrimSuffix(filepath.Base(path), ".json"), raw); err != nil {
 		return p, err
