--- a/modelcheck/cluster_test.go
+++ b/modelcheck/cluster_test.go
@@ -45,7 +45,7 @@
 
 // Steps before an exploration.
 var (
-	// aIsReplaced loses disk a and has the first proposer voter slot the one that its machine came back with.
+	// aIsReplaced loses disk a and has the first proposer make a voter of the one that its machine came back with.
 	aIsReplaced = []string{"disk a is lost", "p1 begins to replace voter a", everything}
 	// halfBegun has a planned change of voters accepted by the new disk alone, and its proposer restart.
 	halfBegun = []string{
--- a/modelcheck/mutations_test.go
+++ b/modelcheck/mutations_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// beginAlone voter slots the next voters without a time in which both sets must agree.
+// beginAlone installs the next voters without a time in which both sets must agree.
 func beginAlone(epoch uint64, voters []register.Voter) register.Change {
 	begin := control.BeginVoterChange(epoch, voters)
 	return func(cur *register.Value) (*register.Value, error) {
--- a/register/backoff.go
+++ b/register/backoff.go
@@ -40,13 +40,13 @@
 		return
 	}
 	p.tries++
-	p.phase, p.deadline = waiting, now
+	p.phase, p.nextActionAt = waiting, now
 }
 
 // retry pauses before another round after a lost one.
 func (p *Proposer) retry(now time.Duration) {
 	p.tries++
-	p.phase, p.deadline = waiting, now+p.backoff()
+	p.phase, p.nextActionAt = waiting, now+p.backoff()
 }
 
 // pause leaves whoever won about the one more trip that it needs, and then parts the losers by a random time. It grows to a few trips
--- a/register/clone.go
+++ b/register/clone.go
@@ -41,7 +41,7 @@
 
 // FireTimer has the wait of the present phase end now, at time zero.
 func (p *Proposer) FireTimer() {
-	p.deadline = 0
+	p.nextActionAt = 0
 	p.Tick(0)
 }
 
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -94,7 +94,7 @@
 	ballot        Ballot
 	highestBallot uint64
 	requestID     uint64
-	deadline      time.Duration
+	nextActionAt  time.Duration
 	tries         int
 	cheapRead     bool
 	promises      map[string]Promise
@@ -218,12 +218,11 @@
 		p.highestBallot++
 	}
 	p.ballot = Ballot{N: p.highestBallot, By: p.By}
-	p.phase, p.deadline, p.askedAt = preparing, now+p.RoundTimeout, now
+	p.phase, p.nextActionAt, p.askedAt = preparing, now+p.RoundTimeout, now
 	if p.cheapRead {
-		p.deadline = now + min(cheapReadTimeout<<min(p.tries, 8), p.RoundTimeout)
+		p.nextActionAt = now + min(cheapReadTimeout<<min(p.tries, 8), p.RoundTimeout)
 	}
-	p.promises, p.acceptedBy = map[string]Promise{}, map[string]bool{}
-	p.asked = map[string]bool{}
+	p.promises, p.acceptedBy, p.asked = map[string]Promise{}, map[string]bool{}, map[string]bool{}
 	p.prepareAt(p.voters.All())
 }
 
@@ -239,7 +238,7 @@
 // Tick acts on what is due at now: deadlines, rounds without a majority, and pauses before another try.
 func (p *Proposer) Tick(now time.Duration) {
 	p.expireQueue(now)
-	if p.current == nil || p.expired(now) || now < p.deadline {
+	if p.current == nil || p.expired(now) || now < p.nextActionAt {
 		return
 	}
 	switch p.phase {
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if p.hasQuorum() {
-		p.deadline = min(p.deadline, now+stragglerWait)
+		p.nextActionAt = min(p.nextActionAt, now+stragglerWait)
 	}
 }
 
@@ -170,7 +170,7 @@
 
 func (p *Proposer) proposeValue(now time.Duration, v *Value, changed bool) {
 	p.requestID++
-	p.phase, p.deadline, p.proposed = accepting, now+p.RoundTimeout, v
+	p.phase, p.nextActionAt, p.proposed = accepting, now+p.RoundTimeout, v
 	p.acceptedBy = map[string]bool{}
 	if changed {
 		p.current.proposed, p.current.proposedBallot = true, p.ballot
