--- a/.ci/namedresults/main.go
+++ b/.ci/namedresults/main.go
@@ -1,4 +1,4 @@
-// Namedresults finds functions that name a result where the name tells nothing apart: a name is kept where two results have one type,
+// Command namedresults finds functions that name a result where the name tells nothing apart: a name is kept where two results have one type,
 // where a deferred function sets it, or where the doc comment says what it is.
 //
 // Usage, from the repository's root: go run ./.ci/namedresults. It prints each place and exits with 1 if there are any.
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -201,6 +201,6 @@
 		if !known {
 			m = Other
 		}
-		bytes[m] += uint64(f.Type.Size()) + w.heldBy(v.Field(i))
+		bytes[m] += uint64(f.Type.Size()) + w.reachable(v.Field(i))
 	}
 }
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -52,20 +52,20 @@
 // Region of a zone is its first letter.
 func Region(zone string) string { return zone[:1] }
 
-// Sent counts a message of frame bytes, and what its encoding and decoding took.
-func (c *Costs) Sent(from, to *light.Node, msg any, frame int, encode, decode time.Duration) {
-	m := ofMessage(msg)
-	s, r := c.of(from, m), c.of(to, m)
+// Sent counts a message, its bytes, and what its encoding and decoding took.
+func (c *Costs) Sent(t light.Transfer) {
+	m := ofMessage(t.Msg)
+	s, r := c.of(t.From, m), c.of(t.To, m)
 	s.Sent, r.Received = s.Sent+1, r.Received+1
-	s.BytesSent, r.BytesReceived = s.BytesSent+uint64(frame), r.BytesReceived+uint64(frame)
-	s.Frames, r.Frames = s.Frames+encode, r.Frames+decode
-	if from.Zone != to.Zone {
-		s.AcrossZones += uint64(frame)
+	s.BytesSent, r.BytesReceived = s.BytesSent+uint64(t.FrameBytes), r.BytesReceived+uint64(t.FrameBytes)
+	s.Frames, r.Frames = s.Frames+t.Encode, r.Frames+t.Decode
+	if t.From.Zone != t.To.Zone {
+		s.AcrossZones += uint64(t.FrameBytes)
 	}
-	if Region(from.Zone) != Region(to.Zone) {
-		s.AcrossRegions += uint64(frame)
+	if Region(t.From.Zone) != Region(t.To.Zone) {
+		s.AcrossRegions += uint64(t.FrameBytes)
 	}
-	c.peers[[2]*light.Node{from, to}] = true
+	c.peers[[2]*light.Node{t.From, t.To}] = true
 }
 
 // Stepped counts the time that a machine took for an input.
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -36,14 +36,14 @@
 		found := false
 		for i, m := range heaviest(ps, what.measure) {
 			found = true
-			if err := draw(p, ps, fs, m, what.measure, "mean", plotutil.Color(i)); err != nil {
+			if err := (plottedSeries{m, what.measure, "mean", plotutil.Color(i)}).draw(p, ps, fs); err != nil {
 				return err
 			}
 		}
 		if !found {
 			continue
 		}
-		if err := draw(p, ps, fs, All, what.measure, "worst", color.Black); err != nil {
+		if err := (plottedSeries{All, what.measure, "worst", color.Black}).draw(p, ps, fs); err != nil {
 			return err
 		}
 		file := filepath.Join(dir, s.Name+"-"+what.name+".svg")
@@ -77,26 +77,35 @@
 	return ms[:min(maxSeries, len(ms))]
 }
 
-func draw(p *plot.Plot, ps []Point, fs []Fit, m Mechanism, what Measure, of string, c color.Color) error {
+// A plottedSeries is the mean or the worst of one measure, of one mechanism.
+type plottedSeries struct {
+	mechanism Mechanism
+	measure   Measure
+	of        string
+	color     color.Color
+}
+
+// draw adds the points of the plottedSeries and the line fitted to them.
+func (s plottedSeries) draw(p *plot.Plot, ps []Point, fs []Fit) error {
 	var xys plotter.XYs
 	for _, pt := range ps {
-		if pt.Role == Any && pt.Mechanism == m && pt.Measure == what {
-			xys = append(xys, plotter.XY{X: pt.X, Y: map[string]float64{"mean": pt.Mean, "worst": pt.Worst}[of]})
+		if pt.Role == Any && pt.Mechanism == s.mechanism && pt.Measure == s.measure {
+			xys = append(xys, plotter.XY{X: pt.X, Y: map[string]float64{"mean": pt.Mean, "worst": pt.Worst}[s.of]})
 		}
 	}
 	dots, err := plotter.NewScatter(xys)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	dots.Color, dots.Radius = c, vg.Points(2.5)
+	dots.Color, dots.Radius = s.color, vg.Points(2.5)
 	p.Add(dots)
-	p.Legend.Add(string(m)+", "+of, dots)
+	p.Legend.Add(string(s.mechanism)+", "+s.of, dots)
 	for _, f := range fs {
-		if f.Role != Any || f.Mechanism != m || f.Measure != what || f.Of != of {
+		if f.Role != Any || f.Mechanism != s.mechanism || f.Measure != s.measure || f.Of != s.of {
 			continue
 		}
 		line := plotter.NewFunction(f.At)
-		line.Color, line.XMin, line.XMax = c, f.From, f.To
+		line.Color, line.XMin, line.XMax = s.color, f.From, f.To
 		p.Add(line)
 	}
 	return nil
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -93,7 +93,7 @@
 	return r
 }
 
-// lightweight is the simulator's plan for a shape, whose configuration it pads.
+// hollow is the simulator's plan for a shape, whose configuration it pads.
 func (p Plan) hollow(shape *shape.Shape) light.Plan {
 	plain := *shape
 	if p.ConfigBytes > 0 {
@@ -109,7 +109,7 @@
 		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
 	}
 	if p.Rate > 0 {
-		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: 0}, p.Seed, "q")
+		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: 0}, p.Seed, "q")
 		plan.Next = src.Next
 	}
 	return plan
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -10,7 +10,7 @@
 // Size is what a value and all it holds take, as reckoned by its types: maps are taken at seven eighths of their slots.
 func Size(v any) uint64 {
 	r := reflect.ValueOf(v)
-	return uint64(r.Type().Size()) + newSizer().heldBy(r)
+	return uint64(r.Type().Size()) + newSizer().reachable(r)
 }
 
 func (w *sizer) firstSeen(p uintptr) bool {
@@ -57,14 +57,14 @@
 	mapGroup = 8
 )
 
-// reachableFrom is what a value holds beyond itself.
-func (w *sizer) heldBy(v reflect.Value) uint64 {
+// reachable is what a value holds beyond itself.
+func (w *sizer) reachable(v reflect.Value) uint64 {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() || !w.firstSeen(v.Pointer()) {
 			return 0
 		}
-		return allocated(v.Type().Elem().Size()) + w.heldBy(v.Elem())
+		return allocated(v.Type().Elem().Size()) + w.reachable(v.Elem())
 	case reflect.Interface:
 		return w.interfaceBytes(v)
 	case reflect.String:
@@ -87,9 +87,9 @@
 	}
 	e := v.Elem()
 	if e.Kind() == reflect.Pointer || e.Kind() == reflect.Map {
-		return w.heldBy(e)
+		return w.reachable(e)
 	}
-	return allocated(e.Type().Size()) + w.heldBy(e)
+	return allocated(e.Type().Size()) + w.reachable(e)
 }
 
 // partsBytes adds up what the fields of a struct or the items of an array hold.
@@ -99,7 +99,7 @@
 	}
 	var bytes uint64
 	for i := range n {
-		bytes += w.heldBy(part(i))
+		bytes += w.reachable(part(i))
 	}
 	return bytes
 }
@@ -113,7 +113,7 @@
 		return bytes
 	}
 	for i := range v.Len() {
-		bytes += w.heldBy(v.Index(i))
+		bytes += w.reachable(v.Index(i))
 	}
 	return bytes
 }
@@ -131,10 +131,10 @@
 	keys, vals := !flat(v.Type().Key()), !flat(v.Type().Elem())
 	for it := v.MapRange(); (keys || vals) && it.Next(); {
 		if keys {
-			bytes += w.heldBy(it.Key())
+			bytes += w.reachable(it.Key())
 		}
 		if vals {
-			bytes += w.heldBy(it.Value())
+			bytes += w.reachable(it.Value())
 		}
 	}
 	return bytes
--- a/capacity/note.go
+++ b/capacity/summary.go
@@ -15,8 +15,8 @@
 	return s[min(int(q*float64(len(s))), len(s)-1)]
 }
 
-// Note says in a line how the fleet did.
-func (r *Result) Note() string {
+// Summary says in a line how the fleet did.
+func (r *Result) Summary() string {
 	line := fmt.Sprintf("%d of %d nodes serve, %d replicas, %.0f requests/s, configuration of %d bytes", r.Ready, r.Plan.Nodes, r.Plan.Replicas, r.Plan.Rate, r.Body)
 	for _, how := range slices.Sorted(maps.Keys(r.Ends)) {
 		line += fmt.Sprintf(", %s %d", how, r.Ends[how])
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -34,7 +34,7 @@
 		if p.ConfigBytes > 0 {
 			x = float64(r.Body)
 		}
-		return r.Points(name, x), r.Note()
+		return r.Points(name, x), r.Summary()
 	}}
 }
 
@@ -80,13 +80,13 @@
 }
 
 // Run measures the sweep's points; said hears of each run as it ends, with all points up to then.
-func (s Sweep) Run(said func(x float64, note string, ps []Point) error) error {
+func (s Sweep) Run(said func(x float64, summary string, ps []Point) error) error {
 	clock := ThreadClock()
 	var ps []Point
 	for _, x := range s.Xs {
-		some, note := s.run(clock, x)
+		some, summary := s.run(clock, x)
 		ps = append(ps, some...)
-		if err := said(x, note, ps); err != nil {
+		if err := said(x, summary, ps); err != nil {
 			return err
 		}
 	}
--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -57,7 +57,7 @@
 func TestChunksJoinToTheDocument(t *testing.T) {
 	for _, size := range []int{0, 1, minimum, minimum + 1, Largest, Largest + 1, 300000} {
 		for _, document := range [][]byte{noise(1, size), make([]byte, size)} {
-			chunks := Cut(document)
+			chunks := Split(document)
 			if !bytes.Equal(bytes.Join(chunks, nil), document) {
 				t.Fatalf("%d bytes don't come back", size)
 			}
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestOneChangedRouteMakesFewNewChunks(t *testing.T) {
+func TestChangedRouteMakesFewNewChunks(t *testing.T) {
 	base := routes(2500, -1)
 	s := NewStore(4, 4, 8<<20)
 	old := s.Manifest(base)
@@ -83,7 +83,7 @@
 			t.Errorf("route %d makes %d pieces and %d of %d bytes new", changed, chunks, bytes, old.Size)
 		}
 	}
-	if mean := old.Size / len(Cut(base)); mean < 2<<10 || mean > 4<<10 {
+	if mean := old.Size / len(Split(base)); mean < 2<<10 || mean > 4<<10 {
 		t.Errorf("chunks have %d bytes on average", mean)
 	}
 	if len(old.Segments) > 512 {
@@ -95,7 +95,7 @@
 	from, to := NewStore(4, 4, 8<<20), NewStore(4, 4, 8<<20)
 	document := routes(300, -1)
 	m := from.Manifest(document)
-	if _, chunks := fetched(t, from, to, m, document); chunks != len(Cut(document))+len(m.Segments)/NameBytes {
+	if _, chunks := fetched(t, from, to, m, document); chunks != len(Split(document))+len(m.Segments)/NameBytes {
 		t.Errorf("%d pieces came", chunks)
 	}
 	if to.Put([]byte("nobody asked for this")) {
@@ -190,8 +190,8 @@
 			t.Fatalf("%d bytes, not %d", len(body), size)
 		}
 		at := 0
-		for _, segment := range split(names) {
-			for _, name := range split(s.Get(segment)) {
+		for _, segment := range splitNames(names) {
+			for _, name := range splitNames(s.Get(segment)) {
 				data := s.Get(name)
 				if !bytes.HasPrefix(body[at:], data) {
 					t.Fatalf("a chunk isn't in its place, %d", at)
--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -53,7 +53,7 @@
 func NewIndex(body []byte) *Index {
 	x := &Index{body: body, sum: sum(body), places: map[Name]int{}}
 	at := 0
-	for _, data := range Cut(body) {
+	for _, data := range Split(body) {
 		x.places[NameOf(data)] = at
 		at += len(data)
 	}
@@ -73,7 +73,7 @@
 	then := &Index{body: next, sum: sum(next), places: map[Name]int{}}
 	d := Delta{Base: x.sum, Sum: then.sum}
 	at := 0
-	for _, data := range Cut(next) {
+	for _, data := range Split(next) {
 		name := NameOf(data)
 		then.places[name] = at
 		at += len(data)
--- a/chunk/delta_test.go
+++ b/chunk/delta_test.go
@@ -37,16 +37,16 @@
 func TestDeltaOfOneRouteIsSmall(t *testing.T) {
 	base := routes(2500, -1)
 	d, _ := NewIndex(base).Difference(routes(2500, 1250))
-	fresh := 0
+	added := 0
 	for _, p := range d.Parts {
-		fresh += len(p.New)
+		added += len(p.New)
 	}
-	if fresh > len(base)/20 {
-		t.Errorf("%d of %d bytes are new", fresh, len(base))
+	if added > len(base)/20 {
+		t.Errorf("%d of %d bytes are new", added, len(base))
 	}
 }
 
-func TestDeltaOfAnotherBaseIsRefused(t *testing.T) {
+func TestDeltaOfAnotherBaseIsRejected(t *testing.T) {
 	base := routes(50, -1)
 	d, _ := NewIndex(base).Difference(routes(50, 7))
 	var bad *DeltaError
@@ -64,10 +64,10 @@
 	base := routes(60, -1)
 	f.Add(0, 100, 50, 20, []byte("new"), true)
 	f.Add(-1, 1<<40, 0, 0, []byte{}, false)
-	f.Fuzz(func(t *testing.T, from, length, second, most int, fresh []byte, right bool) {
-		d := Delta{Base: sum(base), Sum: sum(fresh), Parts: []Part{{From: from, Length: length}, {New: fresh}, {From: second, Length: most}}}
+	f.Fuzz(func(t *testing.T, from, length, second, most int, added []byte, right bool) {
+		d := Delta{Base: sum(base), Sum: sum(added), Parts: []Part{{From: from, Length: length}, {New: added}, {From: second, Length: most}}}
 		if right {
-			d.Parts = []Part{{New: fresh}}
+			d.Parts = []Part{{New: added}}
 		}
 		next, err := d.Apply(base)
 		var bad *DeltaError
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -68,8 +68,8 @@
 	return NameOf(append(size, m.Segments...))
 }
 
-// split divides joined names.
-func split(joined []byte) []Name {
+// splitNames divides joined names.
+func splitNames(joined []byte) []Name {
 	names := make([]Name, 0, len(joined)/NameBytes)
 	for ; len(joined) >= NameBytes; joined = joined[NameBytes:] {
 		names = append(names, Name(joined))
--- a/chunk/fresh.go
+++ b/chunk/missing.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Fresh are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
+// Missing are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
 // aren't all in the store.
-func (s *Store) Fresh(m, base *Manifest, bytes int) [][]byte {
+func (s *Store) Missing(m, base *Manifest, bytes int) [][]byte {
 	if _, err := s.Body(base); err != nil {
 		return nil
 	}
@@ -33,7 +33,7 @@
 // all are the names of a document's segments and chunks.
 func (d *document) all() []Name { return slices.Concat(d.segments, d.names) }
 
-// With takes pieces in as far as the document lacks them, and returns it as Body does.
+// With takes chunks in as far as the document lacks them, and returns it as Body does.
 func (s *Store) With(m *Manifest, chunks [][]byte) ([]byte, error) {
 	body, err := s.Body(m)
 	for range 2 {
--- a/chunk/cut.go
+++ b/chunk/split.go
@@ -30,14 +30,14 @@
 	return table
 }()
 
-// Cut divides a document at boundaries that depend on the bytes around them alone, so that a change moves only boundaries near it. The
+// Split divides a document at boundaries that depend on the bytes around them alone, so that a change moves only boundaries near it. The
 // chunks are parts of document, not copies.
-func Cut(document []byte) [][]byte { return cut(document, minimum, Largest, mask) }
+func Split(document []byte) [][]byte { return split(document, minimum, Largest, mask) }
 
-// CutFine is Cut with chunks of 512 bytes at most.
-func CutFine(list []byte) [][]byte { return cut(list, fineMinimum, fineLargest, fineMask) }
+// SplitFine is Split with chunks of 512 bytes at most.
+func SplitFine(list []byte) [][]byte { return split(list, fineMinimum, fineLargest, fineMask) }
 
-func cut(document []byte, least, most int, mask uint64) [][]byte {
+func split(document []byte, least, most int, mask uint64) [][]byte {
 	var chunks [][]byte
 	for len(document) > 0 {
 		end := boundary(document, least, most, mask)
--- a/chunk/store.go
+++ b/chunk/store.go
@@ -52,12 +52,12 @@
 }
 
 // Manifest takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
-func (s *Store) Manifest(body []byte) *Manifest { return s.manifest(body, Cut) }
+func (s *Store) Manifest(body []byte) *Manifest { return s.manifest(body, Split) }
 
 // FineManifest is Manifest for a short list, in fine chunks.
-func (s *Store) FineManifest(list []byte) *Manifest { return s.manifest(list, CutFine) }
+func (s *Store) FineManifest(list []byte) *Manifest { return s.manifest(list, SplitFine) }
 
-func (s *Store) manifest(body []byte, cut func(document []byte) [][]byte) *Manifest {
+func (s *Store) manifest(body []byte, split func(document []byte) [][]byte) *Manifest {
 	if len(body) == 0 {
 		return &Manifest{}
 	}
@@ -67,7 +67,7 @@
 			return d.manifest
 		}
 	}
-	chunks := cut(body)
+	chunks := split(body)
 	joined := make([]byte, 0, len(chunks)*NameBytes)
 	for _, data := range chunks {
 		name := NameOf(data)
@@ -177,7 +177,7 @@
 			return d
 		}
 	}
-	d := &document{key: key, manifest: m, segments: split(m.Segments)}
+	d := &document{key: key, manifest: m, segments: splitNames(m.Segments)}
 	s.recent = append(s.recent, d)
 	s.use(d.segments)
 	s.shrink()
@@ -190,7 +190,7 @@
 		return
 	}
 	for _, segment := range d.segments {
-		d.names = append(d.names, split(s.chunks[segment].data)...)
+		d.names = append(d.names, splitNames(s.chunks[segment].data)...)
 	}
 	s.use(d.names)
 }
--- a/cmd/mallowbridge/main_test.go
+++ b/cmd/mallowbridge/main_test.go
@@ -2,12 +2,15 @@
 
 import (
 	"fmt"
+	"io"
+	"net/http"
 	"net/netip"
 	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
 	"strconv"
+	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -31,7 +34,7 @@
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"await": await, "awaitmatch": awaitMatch, "config": writeConfig, "signal": send, "nodeconfig": nodeConfig,
+			"await": await, "awaitmatch": awaitMatch, "config": writeConfig, "signal": send, "nodeconfig": nodeConfig, "awaitunready": awaitUnready,
 		},
 	})
 }
@@ -61,6 +64,24 @@
 	}
 }
 
+// awaitUnready waits until the readiness interface at an address answers 503 for a reason, which is its body.
+func awaitUnready(ts *testscript.TestScript, _ bool, args []string) {
+	reason, addr := args[0], args[1]
+	for end := time.Now().Add(60 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		resp, err := http.Get("http://" + addr + "/")
+		if err == nil {
+			body, _ := io.ReadAll(resp.Body)
+			_ = resp.Body.Close()
+			if resp.StatusCode == http.StatusServiceUnavailable && strings.TrimSpace(string(body)) == reason {
+				return
+			}
+		}
+		if time.Now().After(end) {
+			ts.Fatalf("%s is not unready for %q: %v", addr, reason, err)
+		}
+	}
+}
+
 func send(ts *testscript.TestScript, _ bool, args []string) {
 	for _, c := range ts.BackgroundCmds() {
 		if slices.Contains(c.Args, args[1]) {
--- a/cmd/mallowbridge/operate.go
+++ b/cmd/mallowbridge/operate.go
@@ -25,16 +25,24 @@
 
 var client = &http.Client{Timeout: 10 * time.Second}
 
-// call sends one operator's call and prints the answer.
-func call(out io.Writer, method, at, path, change string, body []byte) error {
-	req, err := http.NewRequest(method, "http://"+at+path, bytes.NewReader(body))
+// An operatorRequest is one call of the operators' interface of the node at an address.
+type operatorRequest struct {
+	method, address, path string
+	// change is the id under which the call may be repeated; one is drawn where it is empty and the call changes something.
+	change string
+	body   []byte
+}
+
+// send makes the call and prints the answer.
+func (r operatorRequest) send(out io.Writer) error {
+	req, err := http.NewRequest(r.method, "http://"+r.address+r.path, bytes.NewReader(r.body))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if change == "" && method != http.MethodGet {
-		change = strconv.FormatInt(time.Now().UnixNano(), 36)
+	if r.change == "" && r.method != http.MethodGet {
+		r.change = strconv.FormatInt(time.Now().UnixNano(), 36)
 	}
-	req.Header.Set("X-Change-Id", change)
+	req.Header.Set("X-Change-Id", r.change)
 	resp, err := client.Do(req)
 	if err != nil {
 		return trace.Wrap(err)
@@ -88,7 +96,9 @@
 }
 
 func getPath(path string) operatorCall {
-	return func(out io.Writer, at, _ string) error { return call(out, http.MethodGet, at, path, "", nil) }
+	return func(out io.Writer, at, _ string) error {
+		return operatorRequest{method: http.MethodGet, address: at, path: path}.send(out)
+	}
 }
 
 func (o operatorCommands) put() {
@@ -99,7 +109,7 @@
 		if err != nil {
 			return trace.ConvertSystemError(err)
 		}
-		return call(out, http.MethodPut, at, "/v1/config?expect="+strconv.FormatUint(expect, 10), change, raw)
+		return operatorRequest{method: http.MethodPut, address: at, path: "/v1/config?expect=" + strconv.FormatUint(expect, 10), change: change, body: raw}.send(out)
 	})
 	c.Flag("expect", "Version that the configuration has now.").Required().Uint64Var(&expect)
 	c.Arg("file", "Configuration (JSON).").Required().ExistingFileVar(&file)
@@ -109,7 +119,7 @@
 func (o operatorCommands) evacuation(name, help, verb string) *kingpin.CmdClause {
 	var zone string
 	c := o.add(name, help, func(out io.Writer, at, change string) error {
-		return call(out, http.MethodPost, at, "/v1/domains/"+url.PathEscape(zone)+"/"+verb, change, nil)
+		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/domains/" + url.PathEscape(zone) + "/" + verb, change: change}.send(out)
 	})
 	c.Arg("domain", "Name of the zone.").Required().StringVar(&zone)
 	return c
@@ -127,7 +137,7 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		return call(out, http.MethodPost, at, "/v1/"+verb, change, raw)
+		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/" + verb, change: change, body: raw}.send(out)
 	})
 	c.Arg("node", "Names of nodes with a disk.").Required().StringsVar(&names)
 	return c
@@ -154,7 +164,7 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		return call(out, http.MethodPost, at, "/v1/replicas", change, raw)
+		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/replicas", change: change, body: raw}.send(out)
 	})
 	c.Arg("state", "present, leaving or gone.").Required().EnumVar(&state, "present", "leaving", "gone")
 	c.Arg("replica", "Names of replicas.").Required().StringsVar(&names)
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -44,7 +44,7 @@
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Chunks)
 	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.WarmupTime)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
-		w, err := standin.Ledger(*path)
+		w, err := standin.OpenRunLog(*path)
 		if err != nil {
 			return err
 		}
@@ -54,7 +54,9 @@
 		}
 		t := &tomb.Tomb{}
 		instance := *name + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-		standin.NewReplica(t, *name, *model, instance, m, w, daemon.Clock).Serve(lis)
+		standin.NewReplica(t, standin.ReplicaOptions{
+			Name: *name, Model: *model, Instance: instance, Engine: m, Runs: w, Clock: daemon.Clock,
+		}).Serve(lis)
 		stop := make(chan os.Signal, 1)
 		signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 		<-stop
@@ -76,7 +78,7 @@
 	tag := c.Flag("tag", "Front of the request ids; new for each run.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
 	path := c.Flag("ledger", "File that gets a line for each request.").String()
 	cmds["client"] = func(_ io.Reader, out io.Writer) error {
-		w, err := standin.Ledger(*path)
+		w, err := standin.OpenRunLog(*path)
 		if err != nil {
 			return err
 		}
@@ -96,8 +98,8 @@
 	}
 }
 
-func clientLoad(rate, hotShare float64, service string, repeatable, once []string) workload.Load {
-	load := workload.Load{Rate: rate, Prefixes: 24, HotShare: hotShare}
+func clientLoad(rate, hotRatio float64, service string, repeatable, once []string) workload.Load {
+	load := workload.Load{Rate: rate, Prefixes: 24, HotRatio: hotRatio}
 	for _, k := range repeatable {
 		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: true})
 	}
--- a/config/documents.go
+++ b/config/documents.go
@@ -36,7 +36,7 @@
 		case f.Name == replaceField:
 			c.ReplaceVoter, ok = replaceVoter(f.Value)
 		case f.Name == servicesField && f.List:
-			c.Services, ok = offers(f.Items)
+			c.Services, ok = readServices(f.Items)
 		default:
 			ok = false
 		}
@@ -57,8 +57,8 @@
 	return patience, d.Err() == nil
 }
 
-// services reads those that are new, and looks for names that occur twice in all.
-func offers(items []*Item) ([]Service, bool) {
+// readServices reads the services that are new, and looks for names that occur twice among all.
+func readServices(items []*Item) ([]Service, bool) {
 	if len(items) > maxServices {
 		return nil, false
 	}
--- a/config/splitcache.go
+++ b/config/splitcache.go
@@ -1,6 +1,6 @@
 package config
 
-// place is what no two routes may share.
+// routeKey is what no two routes may share.
 type routeKey struct{ host, prefix string }
 
 // remembered are the routes that were read last, by what must not occur twice.
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -23,17 +23,17 @@
 		}
 		r.boot(r.victim, false)
 		from := r.now
-		r.obeys(r.victim, 2*time.Second)
+		r.applies(r.victim, 2*time.Second)
 		t.Logf("back with its disk wiped %v: obeys after %s, %d changes", wiped, r.now-from, r.writes)
-		if took := r.until(r.shape.within); took > r.shape.within {
-			t.Errorf("not full after %s", took)
+		if elapsed := r.until(r.shape.within); elapsed > r.shape.within {
+			t.Errorf("not full after %s", elapsed)
 		}
 		r.next()
 	}
 }
 
-// TestAMemberWithHigherBallotsDisturbsNobody restarts a voter whose disk promised to ballots that nobody else has heard of.
-func TestAMemberWithHigherBallotsDisturbsNobody(t *testing.T) {
+// TestMemberWithHigherBallotsDisturbsNobody restarts a voter whose disk promised to ballots that nobody else has heard of.
+func TestMemberWithHigherBallotsDisturbsNobody(t *testing.T) {
 	r := newRefill(t, fleetShapes[0], 5)
 	r.down[r.victim] = true
 	r.run(500 * time.Millisecond)
@@ -41,16 +41,16 @@
 	r.boot(r.victim, false)
 	from := r.now
 	r.change()
-	took := r.now - from
-	t.Logf("a change beside it takes %s", took)
-	if took > time.Second {
-		t.Errorf("a change takes %s", took)
+	elapsed := r.now - from
+	t.Logf("a change beside it takes %s", elapsed)
+	if elapsed > time.Second {
+		t.Errorf("a change takes %s", elapsed)
 	}
 	r.until(r.shape.within)
 	r.next()
 }
 
-func (r *refill) obeys(name string, most time.Duration) {
+func (r *refill) applies(name string, most time.Duration) {
 	want := fmt.Sprint("w", r.writes)
 	for from := r.now; r.now-from < most; r.run(time.Millisecond) {
 		if p := r.nodes[name].Snapshot(); p != nil && string(r.nodes[name].Value().Document) == want && r.nodes[name].joining.joined && r.nodes[name].applied == p.Version {
@@ -60,9 +60,9 @@
 	r.t.Errorf("%s does not obey %s after %s", name, want, most)
 }
 
-// TestTheOneThatChangesTheVotersDies has the node that moves a leaving voter's voter slot go at each millisecond of the change, and the
+// TestNodeThatChangesVotersDies has the node that moves a leaving voter's voter slot go at each millisecond of the change, and the
 // voter with it.
-func TestTheOneThatChangesTheVotersDies(t *testing.T) {
+func TestNodeThatChangesVotersDies(t *testing.T) {
 	played := 0
 	for at := range 60 {
 		r := newRefill(t, fleetShapes[1], uint64(11+at%3))
@@ -102,11 +102,11 @@
 	return ""
 }
 
-// TestASpareIsLostJustAfterItWasSeated: what it was to hold must still be there, and its voter slot goes on to the next.
-func TestASpareIsLostJustAfterItWasSeated(t *testing.T) {
+// TestStandbyIsLostJustAfterItBecameVoter: what it was to hold must still be there, and its voter slot goes on to the next.
+func TestStandbyIsLostJustAfterItBecameVoter(t *testing.T) {
 	for at := range 30 {
 		r := newRefill(t, fleetShapes[1], uint64(20+at))
-		seated := r.spare()
+		seated := r.standby()
 		r.call(r.victim, Retire{})
 		if r.mender() == "" {
 			t.Fatal("nobody moves the seat")
@@ -122,10 +122,10 @@
 	}
 }
 
-func (r *refill) spare() string {
+func (r *refill) standby() string {
 	var name string
 	for _, name = range r.order {
-		if r.disks[name] != "" && !isVoter(r.newest().Voters, r.disks[name]) {
+		if r.disks[name] != "" && !isVoter(r.latest().Voters, r.disks[name]) {
 			return name
 		}
 	}
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestAVoterSetBackToAnOlderCopy: one voter was away when a change was confirmed, another comes back with an older copy of its disk,
+// TestVoterDiskSetBack: one voter was away when a change was confirmed, another comes back with an older copy of its disk,
 // and the third is lost. The two make a majority that never heard of the change.
-func TestAVoterSetBackToAnOlderCopy(t *testing.T) {
+func TestVoterDiskSetBack(t *testing.T) {
 	r := newRefill(t, fleetShapes[0], 9)
 	older := *r.nodes["n1"].acceptor
 	r.down["n2"] = true
--- a/control/checkzones.go
+++ b/control/checkzones.go
@@ -29,14 +29,14 @@
 // without a lease.
 func (n *Node) checkZone(now time.Duration, zone string) {
 	role := "probe/" + zone
-	token, held := n.leases.Holds(now, role)
+	token, holds := n.leases.Holds(now, role)
 	overdue := n.health.overdue(now, zone)
 	never := n.health.zone(zone).reportedAt == 0
-	if held || ((never || overdue > takeoverAfter) && n.ranksFirst(role, zone)) {
+	if holds || ((never || overdue > takeoverAfter) && n.ranksFirst(role, zone)) {
 		n.sendToGrantors(n.leases.Acquire(now, role, n.value))
 	}
 	switch {
-	case held:
+	case holds:
 		n.checkReplicas(now, zone, packToken(token))
 	case overdue > probeWithoutLeaseAfter && n.ranksFirst(role, zone):
 		n.checkReplicas(now, zone, n.health.zone(zone).token)
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -89,16 +89,16 @@
 	}
 	store := n.documents.store
 	if same.DocumentManifest != nil && len(n.value.Document) > 0 {
-		same.DocumentManifest = n.withFresh(same.DocumentManifest, store.Manifest(n.value.Document))
+		same.DocumentManifest = n.addMissingChunks(same.DocumentManifest, store.Manifest(n.value.Document))
 	}
 	if same.LogManifest != nil {
-		same.LogManifest = n.withFresh(same.LogManifest, store.FineManifest(n.value.OrderLogs()))
+		same.LogManifest = n.addMissingChunks(same.LogManifest, store.FineManifest(n.value.OrderLogs()))
 	}
 	return same
 }
 
-func (n *Node) withFresh(m, base *chunk.Manifest) *chunk.Manifest {
-	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.Fresh(m, base, offeredBytes)}
+func (n *Node) addMissingChunks(m, base *chunk.Manifest) *chunk.Manifest {
+	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.Missing(m, base, offeredBytes)}
 }
 
 // stripMessage is the message as a neighbour that reads manifests gets it.
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -20,11 +20,11 @@
 	for i := range register.KeptOrders {
 		l.put("n3", []byte(fmt.Sprint("the memory of orders is full, ", i)))
 	}
-	whole := document(1, -1)
-	if a := l.put("n3", whole); a.Err != nil {
+	complete := document(1, -1)
+	if a := l.put("n3", complete); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(whole, applyWithin)
+	l.obeyed(complete, applyWithin)
 	l.run(5 * time.Second)
 	if kept := len(l.nodes["n3"].value.EditLog); kept < 6*register.KeptOrders {
 		t.Errorf("the memory of orders has %d bytes: the test proves little", kept)
@@ -40,33 +40,33 @@
 		l.run(3 * time.Second)
 	}
 	for _, zone := range []string{"0", "1", "2"} {
-		share := float64(m.into(zone)) / changes / float64(len(whole))
-		t.Logf("zone %s: %d bytes a change, %.2f %% of the document; %v", zone, m.into(zone)/changes, 100*share, m.kinds)
-		if share > 0.05 {
-			t.Errorf("a change sends %.2f %% of the document into zone %s", 100*share, zone)
+		ratio := float64(m.into(zone)) / changes / float64(len(complete))
+		t.Logf("zone %s: %d bytes a change, %.2f %% of the document; %v", zone, m.into(zone)/changes, 100*ratio, m.kinds)
+		if ratio > 0.05 {
+			t.Errorf("a change sends %.2f %% of the document into zone %s", 100*ratio, zone)
 		}
 	}
 }
 
-func TestZoneGetsADocumentAboutOnce(t *testing.T) {
+func TestDocumentEntersAZoneAboutOnce(t *testing.T) {
 	l := newLab(t, 30)
 	l.run(6 * time.Second)
 	m := l.meter()
-	whole := document(1, -1)
-	if a := l.put("n3", whole); a.Err != nil {
+	complete := document(1, -1)
+	if a := l.put("n3", complete); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	t.Logf("in force after %v", l.obeyed(whole, applyWithin))
+	t.Logf("in force after %v", l.obeyed(complete, applyWithin))
 	l.run(3 * time.Second)
 	for _, zone := range []string{"0", "1", "2"} {
-		t.Logf("zone %s: %d bytes of %d", zone, m.into(zone), len(whole))
-		if m.into(zone) > len(whole)*3/2 {
-			t.Errorf("%d bytes came into zone %s for a document of %d", m.into(zone), zone, len(whole))
+		t.Logf("zone %s: %d bytes of %d", zone, m.into(zone), len(complete))
+		if m.into(zone) > len(complete)*3/2 {
+			t.Errorf("%d bytes came into zone %s for a document of %d", m.into(zone), zone, len(complete))
 		}
 	}
 }
 
-func TestVoterWithoutTheChunksNeverVotesYes(t *testing.T) {
+func TestVoterWithoutChunksNeverAccepts(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
 	base := document(1, -1)
@@ -180,11 +180,11 @@
 func TestRestartedNodesFetchInTheirZone(t *testing.T) {
 	l := newDiskLab(t, 36)
 	l.run(6 * time.Second)
-	whole := document(1, -1)
-	if a := l.put("n3", whole); a.Err != nil {
+	complete := document(1, -1)
+	if a := l.put("n3", complete); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(whole, applyWithin)
+	l.obeyed(complete, applyWithin)
 	l.run(2 * time.Second)
 	m := l.meter()
 	for i := 4; i < 36; i++ {
@@ -195,9 +195,9 @@
 		l.boot(fmt.Sprint("n", i), false)
 	}
 	l.run(time.Second)
-	l.obeyed(whole, 3*time.Second)
+	l.obeyed(complete, 3*time.Second)
 	for _, zone := range []string{"0", "1", "2"} {
-		if m.into(zone) > len(whole)/4 {
+		if m.into(zone) > len(complete)/4 {
 			t.Errorf("%d bytes came into zone %s for a document that a machine there has", m.into(zone), zone)
 		}
 	}
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -179,21 +179,21 @@
 	l.t.Helper()
 	from := l.now
 	for l.now < from+within {
-		behind := slices.ContainsFunc(l.order, func(name string) bool { return !l.down[name] && !l.obeys(name, raw) })
+		behind := slices.ContainsFunc(l.order, func(name string) bool { return !l.down[name] && !l.applied(name, raw) })
 		if !behind {
 			return l.now - from
 		}
 		l.run(5 * time.Millisecond)
 	}
 	for _, name := range l.order {
-		if !l.down[name] && !l.obeys(name, raw) {
+		if !l.down[name] && !l.applied(name, raw) {
 			l.t.Errorf("%s doesn't obey after %v", name, within)
 		}
 	}
 	return within
 }
 
-func (l *lab) obeys(name string, raw []byte) bool {
+func (l *lab) applied(name string, raw []byte) bool {
 	n := l.nodes[name]
 	return n.value != nil && bytes.Equal(n.value.Document, raw) && n.applied == n.value.Version
 }
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -87,24 +87,24 @@
 	return values
 }
 
-func count(t *testing.T, old bool, v *register.Value, thin, whole int) (newThin, newWhole int) {
+func count(t *testing.T, old bool, v *register.Value, thin, complete int) (newThin, newWhole int) {
 	switch {
 	case v == nil:
 	case !v.Complete() && old, v.DocumentManifest != nil && len(v.Document) > 0, v.LogManifest != nil && len(v.EditLog)+len(v.OrderLog) > 0:
 		t.Error("a manifest to or from an older build, or beside a document")
 	case v.DocumentManifest != nil:
-		return thin + 1, whole
+		return thin + 1, complete
 	case len(v.Document) > register.MaxInlineDocument:
 		if !old {
 			t.Error("a whole document between builds that know manifests")
 		}
-		return thin, whole + 1
+		return thin, complete + 1
 	}
-	return thin, whole
+	return thin, complete
 }
 
 // Chunks that nobody asked for, or that were changed on the way, take no room and make no document.
-func TestChangedChunkIsNotTaken(t *testing.T) {
+func TestModifiedChunkIsRejected(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
 	spoil := true
@@ -131,7 +131,7 @@
 }
 
 // The machines with a disk are asked first; where they don't answer, or lack the pieces, the one that told of the document is.
-func TestNextHolderIsAskedInTurn(t *testing.T) {
+func TestNextChunkSourceIsAskedInTurn(t *testing.T) {
 	for _, how := range []string{"silent", "lacking"} {
 		l := newLab(t, 18)
 		l.run(6 * time.Second)
@@ -159,7 +159,7 @@
 }
 
 // Updates that waited for chunks through a pause bring nobody up to date: they were sent before it.
-func TestWhatWaitedThroughAPauseIsDropped(t *testing.T) {
+func TestMessagesWaitingThroughPauseAreDropped(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		l := newLone()
 		l.run(500 * time.Millisecond)
--- a/control/contention_test.go
+++ b/control/contention_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestAnOrderThatWasOutbidWaitsForNoTick: an idle node's ballot is old, so that its first round is refused.
-func TestAnOrderThatWasOutbidWaitsForNoTick(t *testing.T) {
+// TestPreemptedOrderRetriesBeforeNextTick: an idle node's ballot is old, so that its first round is refused.
+func TestPreemptedOrderRetriesBeforeNextTick(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(1500 * time.Millisecond)
 	for i := range 5 {
@@ -28,13 +28,13 @@
 	if a := l.write("n6", "second"); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	if took := l.now - begun; took >= tick-2*time.Millisecond {
-		t.Errorf("an order took %v", took)
+	if elapsed := l.now - begun; elapsed >= tick-2*time.Millisecond {
+		t.Errorf("an order took %v", elapsed)
 	}
 }
 
-// TestAChangeOfVotersGoesBeforeQueuedOrders at the same node.
-func TestAChangeOfVotersGoesBeforeQueuedOrders(t *testing.T) {
+// TestVoterChangeGoesBeforeQueuedOrders at the same node.
+func TestVoterChangeGoesBeforeQueuedOrders(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(1500 * time.Millisecond)
 	const orders = 20
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func TestAllNodesHearOfFailures(t *testing.T) {
+func TestFailuresReachAllNodes(t *testing.T) {
 	l := newLab(t, 30)
 	l.run(3 * time.Second)
 	for i := range uint64(3) {
@@ -29,14 +29,14 @@
 }
 
 // An item that is replaced every second must not keep digests from ever agreeing: each difference costs both sides all versions.
-func TestAReadingOfTheListDoesNotUnsettleDigests(t *testing.T) {
+func TestListConfirmationsStayOutOfDigests(t *testing.T) {
 	l := newLab(t, 24)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(8 * time.Second)
-	l.marks = 0
+	l.digests = 0
 	l.run(10 * time.Second)
-	if l.marks > 24 {
-		t.Errorf("%d lists of marks in 10 s of calm", l.marks)
+	if l.digests > 24 {
+		t.Errorf("%d lists of marks in 10 s of calm", l.digests)
 	}
 }
 
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -51,12 +51,12 @@
 	if waits && len(f.pending) < maxPending {
 		f.pending = append(f.pending, r)
 	}
-	f.offer(n.sources(r, len(missing)))
+	f.addSources(n.sources(r, len(missing)))
 	n.pull(now, f, missing)
 }
 
-// offer puts holders that a later message names before those known, where it names another first.
-func (f *fetch) offer(sources []string) {
+// addSources puts holders that a later message names before those known, where it names another one first.
+func (f *fetch) addSources(sources []string) {
 	first, rest := sources, f.sources
 	if len(rest) > 0 && rest[0] == first[0] {
 		first, rest = rest, first
@@ -114,13 +114,13 @@
 	var answer ChunkData
 	bytes := 0
 	for names := m.Names; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
-		piece := n.documents.store.Get(chunk.Name(names))
-		if piece == nil {
+		data := n.documents.store.Get(chunk.Name(names))
+		if data == nil {
 			answer.Missing = append(answer.Missing, names[:chunk.NameBytes]...)
 			continue
 		}
-		answer.Chunks = append(answer.Chunks, piece)
-		if bytes += len(piece); bytes >= chunkBatchBytes {
+		answer.Chunks = append(answer.Chunks, data)
+		if bytes += len(data); bytes >= chunkBatchBytes {
 			n.send(from, answer)
 			answer, bytes = ChunkData{}, 0
 		}
@@ -138,9 +138,9 @@
 }
 
 func (n *Node) onChunkData(now time.Duration, from string, m ChunkData) {
-	for _, piece := range m.Chunks {
-		delete(n.documents.requestedAt, chunk.NameOf(piece))
-		n.documents.store.Put(piece)
+	for _, data := range m.Chunks {
+		delete(n.documents.requestedAt, chunk.NameOf(data))
+		n.documents.store.Put(data)
 	}
 	lacks := map[chunk.Name]bool{}
 	for names := m.Missing; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -40,7 +40,7 @@
 	p := register.NewProposer(by, 1)
 	p.Learn(h.first)
 	h.ids++
-	p.Submit(h.now, time.Hour, h.ids, change, false)
+	p.Submit(h.now, time.Hour, h.ids, change)
 	return p
 }
 
@@ -86,9 +86,9 @@
 	return putChange(Put{ID: body, Expect: base, Document: []byte(body)})
 }
 
-// TestALateFinishDoesNotSplitTheVoters: a change of voters that one disk accepted was never chosen; a finish that was meant for an
+// TestLateFinishDoesNotSplitVoters: a change of voters that one disk accepted was never chosen; a finish that was meant for an
 // earlier change must leave it alone, or both the old voters and the new ones choose by themselves.
-func TestALateFinishDoesNotSplitTheVoters(t *testing.T) {
+func TestLateFinishDoesNotSplitVoters(t *testing.T) {
 	h := newHandRegister(t)
 	begin := h.proposer("p1", beginVoterChangeAt(0, votersOf("a", "b", "d")))
 	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
--- a/control/firstanswer_test.go
+++ b/control/firstanswer_test.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// TestTheFirstAnswerOfALifeWaitsForTheDisk: what was read at the start may not outlive a loss of power until it is synced.
-func TestTheFirstAnswerOfALifeWaitsForTheDisk(t *testing.T) {
+// TestFirstReplyAfterStartWaitsForSync: what was read at the start may not outlive a loss of power until it is synced.
+func TestFirstReplyAfterStartWaitsForSync(t *testing.T) {
 	kept := &DiskState{Register: register.State{Disk: "d", Accepted: register.Ballot{N: 4, By: "x"}, Value: &register.Value{Version: 7}}}
 	n := New(0, Config{Name: "n0", Addr: "n0", Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, Disk: kept})
 	look := Received{From: "n1", Msg: register.Prepare{RequestID: 1, Disk: "d", ReadOnly: true}}
--- a/control/formatdisk_test.go
+++ b/control/formatdisk_test.go
@@ -110,11 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, slot, entries, err := storage.Open(folder, 1<<20)
+	_, contents, err := storage.Open(folder, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return append([][]byte{slot}, entries...)
+	return append([][]byte{contents.Snapshot}, contents.Entries...)
 }
 
 // TestFormerBuildsDiskIsWrittenOn appends to a disk of the former build, and reads both builds' entries.
--- a/control/freeze_test.go
+++ b/control/freeze_test.go
@@ -7,9 +7,9 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// TestAReadFromBeforeAFreezeCatchesUpNobody freezes a starting node for 8 s while the answers to its first read are under way. They
+// TestReadFromBeforePauseDoesNotJoin freezes a starting node for 8 s while the answers to its first read are under way. They
 // wait in its sockets; what they tell was replaced meanwhile, and must not be obeyed.
-func TestAReadFromBeforeAFreezeCatchesUpNobody(t *testing.T) {
+func TestReadFromBeforePauseDoesNotJoin(t *testing.T) {
 	for _, name := range []string{"n0", "n1", "n2", "n3"} {
 		l := newLab(t, 8)
 		l.run(2 * time.Second)
--- a/control/incident_test.go
+++ b/control/incident_test.go
@@ -58,7 +58,7 @@
 }
 
 // docs/incidents/inc-d97d.md: a voter loses power after a yes, later all machines do, and those without a disk are back first.
-func TestMachinesWithoutDisksAreBackBeforeTheVoters(t *testing.T) {
+func TestDisklessMachinesRestartBeforeVoters(t *testing.T) {
 	l := newLab(t, 12)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(2 * time.Second)
--- a/control/join.go
+++ b/control/join.go
@@ -114,7 +114,7 @@
 
 func (n *Node) greet() {
 	sent := map[string]bool{n.config.Addr: true}
-	versions := n.Gossip.Digest(true)
+	versions := n.Gossip.ReplyDigest()
 	for _, s := range n.config.Seeds {
 		if !sent[s] {
 			sent[s] = true
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestNoPictureIsObeyedBeforeItWasRead(t *testing.T) {
+func TestNoSnapshotIsAppliedBeforeARead(t *testing.T) {
 	l := newLone()
 	l.tell("a2", 1)
 	l.run(20 * time.Second)
--- a/control/journal.go
+++ b/control/journal.go
@@ -56,7 +56,7 @@
 // OpenJournal reads what the disk kept, or begins a new disk under freshID. A new disk that takes no bytes yet is opened as well: Append
 // fails until Recover has succeeded.
 func OpenJournal(disk storage.Disk, newID string) (*Journal, error) {
-	v, slot, entries, err := storage.Open(disk, logBytes)
+	v, contents, err := storage.Open(disk, logBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -66,11 +66,11 @@
 		return k, k.initialize()
 	}
 	var state encodedDiskState
-	if err = decode("slot", slot, &state); err != nil {
+	if err = decode("slot", contents.Snapshot, &state); err != nil {
 		return nil, err
 	}
 	k.state = state.decode()
-	for _, raw := range entries {
+	for _, raw := range contents.Entries {
 		var form encodedEntry
 		if err = decode("log", raw, &form); err != nil {
 			return nil, err
@@ -94,7 +94,7 @@
 // Repair says what was damaged and made good at the opening; empty for a sound disk.
 func (k *Journal) Repair() string { return k.store.Repair }
 
-// found writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
+// initialize writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
 func (k *Journal) initialize() error {
 	var broken *storage.BrokenError
 	var err error
@@ -135,7 +135,7 @@
 	}
 }
 
-// body is the document of the value accepted last.
+// document is the document of the value accepted last.
 func (k *Journal) document() []byte {
 	if v := k.state.Register.Value; v != nil {
 		return v.Document
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -11,9 +11,9 @@
 	"github.com/mallowbridge/mallowbridge/sim/disk"
 )
 
-// TestANewDiskThatIsFullIsMendedLater: a machine whose disk came back empty starts while the disk takes no bytes, and writes its state
+// TestNewFullDiskIsRepairedLater: a machine whose disk came back empty starts while the disk takes no bytes, and writes its state
 // once it does.
-func TestANewDiskThatIsFullIsMendedLater(t *testing.T) {
+func TestNewFullDiskIsRepairedLater(t *testing.T) {
 	d := disk.New(1)
 	d.Full = true
 	k, err := control.OpenJournal(d, "fresh")
@@ -43,22 +43,22 @@
 	return raw
 }
 
-// TestAJournalOverHundredsOfChangesKeepsThem writes values that have nothing in common through many rotations, with a restart after each
+// TestJournalKeepsHundredsOfChanges writes values that have nothing in common through many rotations, with a restart after each
 // hundred.
-func TestAJournalOverHundredsOfChangesKeepsThem(t *testing.T) {
+func TestJournalKeepsHundredsOfChanges(t *testing.T) {
 	d := disk.New(2)
-	for life := range 5 {
+	for incarnation := range 5 {
 		k, err := control.OpenJournal(d, "fresh")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if kept := k.State().Register; life > 0 && (kept.Value == nil || kept.Value.Version != uint64(100*life) || !bytes.Equal(kept.Value.Document, noise(uint64(100*life)))) {
-			t.Fatalf("life %d: kept %+v", life, kept)
+		if kept := k.State().Register; incarnation > 0 && (kept.Value == nil || kept.Value.Version != uint64(100*incarnation) || !bytes.Equal(kept.Value.Document, noise(uint64(100*incarnation)))) {
+			t.Fatalf("life %d: kept %+v", incarnation, kept)
 		}
 		for i := range 100 {
-			version := uint64(100*life + i + 1)
+			version := uint64(100*incarnation + i + 1)
 			v := &register.Value{Version: version, Document: noise(version)}
-			at := register.Ballot{N: version, By: fmt.Sprint(life)}
+			at := register.Ballot{N: version, By: fmt.Sprint(incarnation)}
 			if err = k.Append([]control.LogWrite{{Entry: control.Promised{Ballot: at}}, {Entry: control.AcceptedEntry{Ballot: at, Value: v}}}); err != nil {
 				t.Fatal(err)
 			}
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestFullDiskLosesNothingThatWasAcknowledged(t *testing.T) {
+func TestFullDiskLosesNothingAcknowledged(t *testing.T) {
 	d := disk.New(1)
 	k, _ := opened(t, d)
 	for i := 1; i <= 5; i++ {
@@ -125,7 +125,7 @@
 }
 
 // The log grows by what changes, and the disk stays within a few times the document.
-func TestDiskHoldsWhatChanges(t *testing.T) {
+func TestDiskHoldsOnlyChanges(t *testing.T) {
 	d := disk.New(1)
 	k, _ := opened(t, d)
 	size := func() int {
@@ -175,7 +175,7 @@
 	if _, number := opened(t, d); number != 0 {
 		t.Fatal("not empty")
 	}
-	s, _, _, err := storage.Open(d, 1<<20)
+	s, _, err := storage.Open(d, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -39,11 +39,11 @@
 	changes []string
 	// failures are the last ones each node heard of, versions the lists of versions sent.
 	failures map[string]router.Failures
-	marks    int
+	digests  int
 	// frozen nodes take nothing; what is sent to them waits until they wake.
 	frozen map[string]bool
 	// zones and tolerate are those of every node.
-	domains  int
+	zones    int
 	tolerate int
 	// sent sees each message, and tells whether it is lost; builds are those of nodes that run another one.
 	sent   func(from, to string, msg any) bool
@@ -53,15 +53,17 @@
 	folders  map[string]*memory
 }
 
-func newLab(t *testing.T, size int) *lab { return newSizedLab(t, size, 4, 3, 1, 0) }
+func newLab(t *testing.T, size int) *lab {
+	return newSizedLab(t, fleetShape{nodes: size, zones: 3, disks: 4, tolerate: 1}, 0)
+}
 
-// newSizedLab has so many nodes, the first of them with a disk, over zones in turn; another seed draws everything else anew.
-func newSizedLab(t *testing.T, size, disks, domains, tolerate int, seed uint64) *lab {
-	l := &lab{t: t, domains: domains, tolerate: tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]router.Instance{}, builds: map[string]uint32{}}
-	for i := range size {
+// newSizedLab has the nodes of the shape over its zones in turn; another seed draws everything else anew.
+func newSizedLab(t *testing.T, shape fleetShape, seed uint64) *lab {
+	l := &lab{t: t, zones: shape.zones, tolerate: shape.tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]router.Instance{}, builds: map[string]uint32{}}
+	for i := range shape.nodes {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
-		if i < disks {
+		if i < shape.disks {
 			l.disks[name] = "disk-" + name
 		}
 	}
@@ -76,7 +78,7 @@
 	fmt.Sscanf(name, "n%d", &at)
 	l.ids++
 	cfg := Config{
-		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Zone: fmt.Sprint(at % l.domains), Incarnation: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
+		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Zone: fmt.Sprint(at % l.zones), Incarnation: l.ids << 20, Seed: l.ids, Seeds: []string{"n0", "n1", "n2"},
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, FaultTolerance: l.tolerate, Bootstraps: first, ServesIsolated: true,
 		Build: l.builds[name],
 	}
@@ -125,7 +127,7 @@
 func (l *lab) sendAll(name string, sends []Send) {
 	for _, s := range sends {
 		if _, ok := s.Msg.(gossip.Digest); ok {
-			l.marks++
+			l.digests++
 		}
 		if l.sent != nil && l.sent(name, s.To, s.Msg) {
 			continue
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -21,7 +21,7 @@
 	l.run(4 * time.Second)
 }
 
-func TestTheMemoryOfOrdersOutlivesLossesOfDisksAndPower(t *testing.T) {
+func TestOrderLogsSurviveLossOfDisksAndPower(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	for i := range 5 {
@@ -82,7 +82,7 @@
 }
 
 // Eight orders under way at once, each on a zone of its own, are all acknowledged within a second, and none by a second call.
-func TestEvacuationsUnderWayTogetherAreAcknowledged(t *testing.T) {
+func TestConcurrentEvacuationsAreAcknowledged(t *testing.T) {
 	for seed := range 20 {
 		l := newLab(t, 6)
 		l.run(2*time.Second + time.Duration(seed)*7*time.Millisecond)
--- a/control/observations.go
+++ b/control/observations.go
@@ -84,7 +84,7 @@
 	}
 	same := !r.Down && seen.instance == r.InstanceID
 	if seen.state != Up {
-		if !r.Down && seen.askAgain(now) {
+		if !r.Down && seen.recheckDue(now) {
 			h.out.Looks = append(h.out.Looks, r.Replica)
 		}
 		return !same || now-seen.at > localObservationTTL
@@ -93,14 +93,14 @@
 		seen.since = min(seen.since, now-r.Age)
 		return true
 	}
-	if seen.askAgain(now) && addr != "" {
+	if seen.recheckDue(now) && addr != "" {
 		h.probe(Probe{Replica: r.Replica, Addr: addr, Local: true})
 	}
 	return false
 }
 
-// askAgain tells whether the replica may be checked now, and notes that it is.
-func (o *observation) askAgain(now time.Duration) bool {
+// recheckDue tells whether the replica may be checked now, and notes that it is.
+func (o *observation) recheckDue(now time.Duration) bool {
 	if now-o.askedAt <= localProbeRetry {
 		return false
 	}
--- a/control/operations.go
+++ b/control/operations.go
@@ -38,7 +38,7 @@
 }
 
 func (n *Node) propose(now, within time.Duration, change register.Change, done completion) {
-	n.proposer.Submit(now, now+within, n.operations.add(now, done), change, false)
+	n.proposer.Submit(now, now+within, n.operations.add(now, done), change)
 }
 
 // proposeUrgent is for changes of voters, which must not starve behind operators' orders.
@@ -53,7 +53,7 @@
 
 // readAll reads all voters, and brings those that lag to the latest value.
 func (n *Node) readAll(now, within time.Duration) {
-	n.proposer.Submit(now, now+within, n.operations.add(now, n.readBegun()), nil, true)
+	n.proposer.SubmitFull(now, now+within, n.operations.add(now, n.readBegun()), nil)
 }
 
 func (n *Node) readBegun() completion {
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -28,7 +28,7 @@
 	return errors.As(err, &conflict)
 }
 
-func TestAnOrderThatWasTakenIsNeverRefused(t *testing.T) {
+func TestAppliedOrderIsNeverRejected(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	const changes = 700
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAnOldEvacuationDoesNotUndoALaterOne(t *testing.T) {
+func TestOldEvacuationDoesNotUndoLaterOne(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestReadsAreAnsweredWhileTheirCallerWaits(t *testing.T) {
+func TestReadsAreAnsweredWithinCallersTimeout(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	l.write("n4", "x")
@@ -90,13 +90,13 @@
 		if a := l.call("n5", op); !errors.As(a.Err, &none) {
 			t.Errorf("%d: %v", i, a.Err)
 		}
-		if took := l.now - at; took > 950*time.Millisecond {
-			t.Errorf("%d was answered after %s", i, took)
+		if elapsed := l.now - at; elapsed > 950*time.Millisecond {
+			t.Errorf("%d was answered after %s", i, elapsed)
 		}
 	}
 }
 
-func TestOrdersThatWaitedAreAnsweredTogether(t *testing.T) {
+func TestQueuedOrdersAreAnsweredTogether(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	for name := range l.disks {
--- a/control/overlap_test.go
+++ b/control/overlap_test.go
@@ -36,7 +36,7 @@
 
 func (r *refill) otherVoter() string {
 	var name string
-	for _, v := range r.newest().Voters {
+	for _, v := range r.latest().Voters {
 		if v.Name != r.victim {
 			name = v.Name
 		}
@@ -49,13 +49,13 @@
 func TestMachinesAreStoppedInTurn(t *testing.T) {
 	for _, shape := range fleetShapes[:2] {
 		r := newRefill(t, shape, 7)
-		epoch := r.newest().Epoch
+		epoch := r.latest().Epoch
 		for range 2 {
 			for at := range shape.disks {
 				r.restart(fmt.Sprint("n", at))
 			}
 		}
-		t.Logf("%s: %d epochs over %d restarts", shape.name, r.newest().Epoch-epoch, 2*shape.disks)
+		t.Logf("%s: %d epochs over %d restarts", shape.name, r.latest().Epoch-epoch, 2*shape.disks)
 		r.until(shape.within)
 		r.next()
 	}
--- a/control/partition_test.go
+++ b/control/partition_test.go
@@ -28,7 +28,7 @@
 	l.mail = append(holder, l.mail...)
 }
 
-func settled(t *testing.T, size int) *lab {
+func convergedLab(t *testing.T, size int) *lab {
 	l := newLab(t, size)
 	l.run(2 * time.Second)
 	if a := l.call("n4", onBase(0, 1)); a.Err != nil {
@@ -47,8 +47,8 @@
 		if a.Err == nil || isConflict(a.Err) {
 			l.t.Errorf("call %d at %s: %v, %v", i, at, a.Value, a.Err)
 		}
-		if took := l.now - from; took > 950*time.Millisecond {
-			l.t.Errorf("call %d at %s was answered after %s", i, at, took)
+		if elapsed := l.now - from; elapsed > 950*time.Millisecond {
+			l.t.Errorf("call %d at %s was answered after %s", i, at, elapsed)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		"is heard and hears none": func(from, to string) bool { return to == "n5" && from != "n5" },
 	} {
 		t.Log(what)
-		l := settled(t, 6)
+		l := convergedLab(t, 6)
 		l.cut = cut
 		l.denied("n5")
 		l.run(5 * time.Second)
@@ -78,7 +78,7 @@
 }
 
 func TestNodeWithoutVotersRoutesByGossipAndRejectsReads(t *testing.T) {
-	l := settled(t, 8)
+	l := convergedLab(t, 8)
 	l.cut = func(from, to string) bool {
 		return (from == "n5" && l.disks[to] != "") || (to == "n5" && l.disks[from] != "")
 	}
@@ -99,7 +99,7 @@
 		"hears and isn't heard":   func(from, to string) bool { return from == "n0" && to != "n0" },
 		"is heard and hears none": func(from, to string) bool { return to == "n0" && from != "n0" },
 	} {
-		l := settled(t, 8)
+		l := convergedLab(t, 8)
 		epoch := l.nodes["n0"].Value().Epoch
 		l.cut = cut
 		l.run(4 * time.Second)
@@ -116,8 +116,8 @@
 	}
 }
 
-func TestOrdersThatLayThroughAFreezeHaveNoEffect(t *testing.T) {
-	l := settled(t, 6)
+func TestOrdersDelayedByPauseHaveNoEffect(t *testing.T) {
+	l := convergedLab(t, 6)
 	l.ids += 3
 	for i, op := range []Op{onBase(1, 2), Evacuate{ID: "e", Zone: "z"}} {
 		l.step("n5", Command{ID: l.ids - uint64(i), Op: op})
@@ -137,7 +137,7 @@
 
 // A voter that took an order's offer just before it froze must not bring it back over a later one.
 func TestProposalDelayedAtFrozenVoterIsSuperseded(t *testing.T) {
-	l := settled(t, 6)
+	l := convergedLab(t, 6)
 	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
@@ -157,9 +157,9 @@
 }
 
 // The caller of the old order is given ten seconds here, so that nothing but the fence keeps it from taking effect.
-func TestAnEvacuationIsFencedByALaterOne(t *testing.T) {
+func TestEvacuationIsFencedByLaterOne(t *testing.T) {
 	for what, first := range map[string]bool{"later order changes nothing": false, "later order restores": true} {
-		l := settled(t, 6)
+		l := convergedLab(t, 6)
 		if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
@@ -218,7 +218,7 @@
 		t.Fatal(err)
 	}
 	next.LogScoped("z", "b", true)
-	if again, err := change(next.Clone(), &fence); err != nil || again != nil {
-		t.Errorf("%v %v", again, err)
+	if repeated, err := change(next.Clone(), &fence); err != nil || repeated != nil {
+		t.Errorf("%v %v", repeated, err)
 	}
 }
--- a/control/receive.go
+++ b/control/receive.go
@@ -60,7 +60,7 @@
 	}
 	for _, m := range n.Members.Table.All() {
 		if m.Addr == r.From && m.State == membership.Dead {
-			n.send(r.From, n.Gossip.Digest(true))
+			n.send(r.From, n.Gossip.ReplyDigest())
 		}
 	}
 }
--- a/control/refill_test.go
+++ b/control/refill_test.go
@@ -13,12 +13,12 @@
 )
 
 // The grown shapes take minutes and are played from ten seeds on.
-var refillSeeds = flag.Int("refill", 2, "seeds a shape and kind of loss in TestTheSetIsFullAgainBeforeTheNextLoss; grown shapes from 10 on")
+var refillSeeds = flag.Int("refill", 2, "seeds a shape and kind of loss in TestVoterSetIsRepairedBeforeTheNextLoss; grown shapes from 10 on")
 
 // A fleetShape is a deployment: so many nodes over zones, of which the first disks have one.
 type fleetShape struct {
-	name                            string
-	nodes, domains, disks, tolerate int
+	name                          string
+	nodes, zones, disks, tolerate int
 	// within is the bound after which a loss no longer counts.
 	within time.Duration
 }
@@ -38,20 +38,20 @@
 }
 
 func newRefill(t *testing.T, shape fleetShape, seed uint64) *refill {
-	r := &refill{lab: newSizedLab(t, shape.nodes, shape.disks, shape.domains, shape.tolerate, seed+1), shape: shape, rng: rand.New(rand.NewPCG(seed, 5))}
+	r := &refill{lab: newSizedLab(t, shape, seed+1), shape: shape, rng: rand.New(rand.NewPCG(seed, 5))}
 	r.run(8 * time.Second)
 	if _, full := r.full(); !full {
 		t.Fatalf("%s, seed %d: never full at first", shape.name, seed)
 	}
 	r.change()
 	r.run(time.Duration(r.rng.Int64N(int64(time.Second)/1e6)) * time.Millisecond)
-	voters := r.newest().Voters
+	voters := r.latest().Voters
 	r.victim = voters[r.rng.IntN(len(voters))].Name
 	return r
 }
 
-// newest is the newest value that a node in touch knows to be chosen.
-func (r *refill) newest() *register.Value {
+// latest is the newest value that a node in touch knows to be chosen.
+func (r *refill) latest() *register.Value {
 	var v *register.Value
 	for _, name := range r.order {
 		if known := r.nodes[name].Value(); !r.down[name] && known.Newer(v) {
@@ -71,7 +71,7 @@
 
 // full says whether as many voters as there should be are in touch, mean to stay and hold the newest value; and who does not.
 func (r *refill) full() (string, bool) {
-	v := r.newest()
+	v := r.latest()
 	if v == nil || len(v.Next) > 0 || len(v.Voters) != 2*r.shape.tolerate+1 {
 		return "voters change", false
 	}
@@ -99,7 +99,7 @@
 		r.run(10 * time.Millisecond)
 	}
 	why, _ := r.full()
-	r.t.Errorf("%s, %s lost: not full after %s: %s, %v", r.shape.name, r.victim, most, why, r.newest().Voters)
+	r.t.Errorf("%s, %s lost: not full after %s: %s, %v", r.shape.name, r.victim, most, why, r.latest().Voters)
 	return most
 }
 
@@ -114,7 +114,7 @@
 
 // next strikes as many voters as may be lost at once, with their disks, and reads back what was acknowledged.
 func (r *refill) next() {
-	voters := r.newest().Voters
+	voters := r.latest().Voters
 	for _, at := range r.rng.Perm(len(voters))[:r.shape.tolerate] {
 		r.wipe(voters[at].Name)
 	}
@@ -158,22 +158,22 @@
 func (r *refill) stop() time.Duration {
 	r.call(r.victim, Retire{})
 	from := r.now
-	var took time.Duration
+	var elapsed time.Duration
 	if r.spares() > 0 {
-		took = r.until(saidByes)
+		elapsed = r.until(saidByes)
 	}
 	r.change()
 	r.run(from + saidByes - r.now)
 	r.call(r.victim, Leave{})
 	r.run(50 * time.Millisecond)
 	r.down[r.victim] = true
-	return took
+	return elapsed
 }
 
 func (r *refill) spares() int {
 	var count int
 	for name, disk := range r.disks {
-		if !isVoter(r.newest().Voters, disk) && !r.down[name] {
+		if !isVoter(r.latest().Voters, disk) && !r.down[name] {
 			count++
 		}
 	}
@@ -200,19 +200,19 @@
 // playAll plays a loss with each seed, followed by another one, and logs how long the set was not complete.
 func (l voterLoss) playAll(t *testing.T, shape fleetShape) {
 	t.Helper()
-	var took []time.Duration
+	var elapsed []time.Duration
 	for seed := range uint64(*refillSeeds) {
 		r := newRefill(t, shape, seed)
 		if l.name == "SIGTERM, for good" && r.spares() == 0 {
 			continue
 		}
-		took = append(took, l.play(r))
+		elapsed = append(elapsed, l.play(r))
 		r.next()
 	}
-	if len(took) == 0 {
+	if len(elapsed) == 0 {
 		return
 	}
-	slices.Sort(took)
-	t.Logf("%-15s %-28s %d seeds: half within %4d ms, all within %4d ms", shape.name, l.name, len(took),
-		took[len(took)/2].Milliseconds(), took[len(took)-1].Milliseconds())
+	slices.Sort(elapsed)
+	t.Logf("%-15s %-28s %d seeds: half within %4d ms, all within %4d ms", shape.name, l.name, len(elapsed),
+		elapsed[len(elapsed)/2].Milliseconds(), elapsed[len(elapsed)-1].Milliseconds())
 }
--- a/control/repairers_test.go
+++ b/control/repairers_test.go
@@ -40,7 +40,7 @@
 
 const repairDisks = 6
 
-var menderSeeds = flag.Int("menders", 150, "seeds of TestSeveralThatChangeTheVotersAtOnce")
+var menderSeeds = flag.Int("menders", 150, "seeds of TestConcurrentVoterChanges")
 
 func newRepairWorld(t *testing.T, seed uint64) *repairWorld {
 	w := &repairWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
@@ -69,7 +69,7 @@
 	body := fmt.Sprint(w.ids)
 	within := w.now + time.Duration(100+w.rng.IntN(1500))*time.Millisecond
 	a.busy[w.ids] = body
-	a.proposer.Submit(w.now, within, w.ids, w.wish(a, body), false)
+	a.proposer.Submit(w.now, within, w.ids, w.wish(a, body))
 }
 
 func (w *repairWorld) wish(a *repairActor, body string) register.Change {
@@ -81,9 +81,9 @@
 	}
 	vs := append([]register.Voter{}, a.known.Voters...)
 	for {
-		fresh := fmt.Sprint("d", w.rng.IntN(repairDisks))
-		if !isVoter(vs, fresh) {
-			vs[w.rng.IntN(len(vs))] = register.Voter{Disk: fresh, Name: fresh}
+		added := fmt.Sprint("d", w.rng.IntN(repairDisks))
+		if !isVoter(vs, added) {
+			vs[w.rng.IntN(len(vs))] = register.Voter{Disk: added, Name: added}
 			return beginVoterChangeAt(a.known.Epoch, vs)
 		}
 	}
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestSeveralThatChangeTheVotersAtOnce: no version is confirmed twice, which one that was lost would be.
-func TestSeveralThatChangeTheVotersAtOnce(t *testing.T) {
+// TestConcurrentVoterChanges: no version is confirmed twice, which one that was lost would be.
+func TestConcurrentVoterChanges(t *testing.T) {
 	const steps = 6000
 	seeds := *menderSeeds
 	epochs, versions := uint64(0), uint64(0)
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func TestAFleetKilledAtOnceServesSoonAfterItIsBack(t *testing.T) {
+func TestFleetKilledAtOnceServesSoonAfterRestart(t *testing.T) {
 	l := newLab(t, 11)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(2 * time.Second)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestFewReadTheListWhenAllStartAtOnce(t *testing.T) {
+func TestFewNodesReadTheListWhenAllStart(t *testing.T) {
 	l := newLab(t, 40)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(900 * time.Millisecond)
--- a/control/voterinterrupt_test.go
+++ b/control/voterinterrupt_test.go
@@ -45,15 +45,15 @@
 	if !confirmed(h.accept(order, accepts, confirmedBy...)) {
 		t.Fatal("the order was not confirmed")
 	}
-	h.move(begun, finished)
+	h.changeVoters(begun, finished)
 	delete(h.disks, lost)
 	if got := h.readAll(); got != "order" {
 		t.Fatalf("confirmed by %v, begun at %v, finished at %v, %s lost: reads %q", confirmedBy, begun, finished, lost, got)
 	}
 }
 
-// move begins the change and, where that was chosen, finishes it.
-func (h *handRegister) move(begins, finishes []string) {
+// changeVoters begins the change and, where that was chosen, finishes it.
+func (h *handRegister) changeVoters(begins, finishes []string) {
 	begin := h.proposer("m", beginVoterChangeAt(0, votersOf("a", "b", "d")))
 	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
 	done := h.accept(begin, accepts, begins...)
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestFirstSeedIsDownWhenTheRegisterIsFounded(t *testing.T) {
+func TestBootstrapWithFirstSeedDown(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(200 * time.Millisecond)
 	l.down["n0"] = true
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestNoSecondRegisterIsFoundedOnEmptyDisks(t *testing.T) {
+func TestNoSecondBootstrapOnEmptyDisks(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(2 * time.Second)
 	l.write("n7", "first")
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestEmptiedVotersAreMadeGoodBeforeTheNextLoss(t *testing.T) {
+func TestWipedVotersAreReplacedBeforeTheNextLoss(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(2 * time.Second)
 	for i, name := range []string{"n1", "n0", "n2", "n1", "n3"} {
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestALostVoterIsReplacedByAnIdleDisk(t *testing.T) {
+func TestLostVoterIsReplacedByStandbyDisk(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(2 * time.Second)
 	l.write("n7", "x")
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestAnEditThatFailsChangesNothing(t *testing.T) {
+func TestFailedEditChangesNothing(t *testing.T) {
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	l.write("n4", "x")
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestTheListIsReadByOneAndKnownToAll(t *testing.T) {
+func TestListIsReadByOneNodeAndKnownToAll(t *testing.T) {
 	l := newLab(t, 9)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
 	l.run(3 * time.Second)
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -32,9 +32,9 @@
 	return f
 }
 
-func (f *fleet) boot(i int, life uint64) {
+func (f *fleet) boot(i int, incarnation uint64) {
 	name := fmt.Sprint("n", i)
-	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(life), Zone: fmt.Sprint(i % 3), Incarnation: life, Seed: life, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
+	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(incarnation), Zone: fmt.Sprint(i % 3), Incarnation: incarnation, Seed: incarnation, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 	for _, o := range f.nodes {
 		f.nodes[name].Members.Merge(f.now, o.Members.Self)
 	}
@@ -79,8 +79,8 @@
 func TestWitnesses(t *testing.T) {
 	f := newFleet(t, 12)
 	f.now = 11 * time.Minute
-	if how, took := f.ask("n0", "q1"); how != "" || took != 0 {
-		t.Errorf("the first asker: %q after %s", how, took)
+	if how, elapsed := f.ask("n0", "q1"); how != "" || elapsed != 0 {
+		t.Errorf("the first asker: %q after %s", how, elapsed)
 	}
 	if how, _ := f.ask("n0", "q1"); how != "" {
 		t.Errorf("the same router again: %q", how)
@@ -101,15 +101,15 @@
 	for _, m := range set[:2] {
 		f.mute[m.Name] = true
 	}
-	if how, took := f.ask(set[3].Name, "q2"); how != "" || took != 0 {
-		t.Errorf("two of six are silent: %q after %s", how, took)
+	if how, elapsed := f.ask(set[3].Name, "q2"); how != "" || elapsed != 0 {
+		t.Errorf("two of six are silent: %q after %s", how, elapsed)
 	}
 	f.mute[set[2].Name] = true
-	if how, took := f.ask(set[3].Name, "q3"); how != "" && took < witnessTimeout {
-		t.Errorf("gave up after %s", took)
+	if how, elapsed := f.ask(set[3].Name, "q3"); how != "" && elapsed < witnessTimeout {
+		t.Errorf("gave up after %s", elapsed)
 	}
-	if how, took := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != router.Unwitnessed || took < witnessTimeout || took > 2*witnessTimeout {
-		t.Errorf("three of six are silent: %q after %s", how, took)
+	if how, elapsed := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != router.Unwitnessed || elapsed < witnessTimeout || elapsed > 2*witnessTimeout {
+		t.Errorf("three of six are silent: %q after %s", how, elapsed)
 	}
 	f.mute = map[string]bool{}
 	if how, _ := f.ask(set[4].Name, "q2b"+find(f, set[:3])); how != "" {
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -11,7 +11,7 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-func TestACallIsAnsweredThoughTheControlLoopIsStuck(t *testing.T) {
+func TestCallIsAnsweredWhileControlLoopIsBlocked(t *testing.T) {
 	h := &Daemon{Tomb: &tomb.Tomb{}, calls: make(chan call)}
 	overdue := make(chan time.Time, 1)
 	overdue <- time.Time{}
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -13,11 +13,11 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func TestABusyMarketNeverStopsControl(t *testing.T) {
-	tb, busy, took := &tomb.Tomb{}, make(chan struct{}), make(chan router.Event, 4096)
+func TestBusyRouterNeverBlocksControl(t *testing.T) {
+	tb, busy, elapsed := &tomb.Tomb{}, make(chan struct{}), make(chan router.Event, 4096)
 	v := newCoalescer(tb, func(ev router.Event) {
 		<-busy
-		took <- ev
+		elapsed <- ev
 	})
 	for i := range 20000 {
 		v.in <- router.LoadReport{Replica: fmt.Sprint(i % 50), Running: i}
@@ -28,7 +28,7 @@
 	n := 0
 	for last["49"] != 19999 {
 		n++
-		if u, ok := (<-took).(router.LoadReport); ok {
+		if u, ok := (<-elapsed).(router.LoadReport); ok {
 			last[u.Replica] = u.Running
 		}
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestAStalledDiskHoldsBackNoMoreThanIsWaitedFor(t *testing.T) {
+func TestStalledDiskBoundsPendingReplies(t *testing.T) {
 	n := control.New(0, control.Config{
 		Name: "n1", Addr: "a", Boot: "b", Zone: "d", Disk: &control.DiskState{Register: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -112,7 +112,7 @@
 		h.notify(ev)
 		fs.tell(ev)
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			h.offerSnapshot(o.Snapshot)
+			h.sendSnapshot(o.Snapshot)
 			if h.onSnapshot != nil {
 				h.onSnapshot(o.Snapshot)
 			}
--- a/daemon/document.go
+++ b/daemon/document.go
@@ -33,13 +33,22 @@
 	return a.Value.Document, nil
 }
 
-// Evacuate empties a zone, or takes that back.
-func (d Documents) Evacuate(ctx context.Context, id, zone string, restore bool) error {
+// Evacuate empties a zone.
+func (d Documents) Evacuate(ctx context.Context, id, zone string) error {
+	return d.changeZone(ctx, control.Evacuate{ID: id, Zone: zone})
+}
+
+// Restore takes the evacuation of a zone back.
+func (d Documents) Restore(ctx context.Context, id, zone string) error {
+	return d.changeZone(ctx, control.Evacuate{ID: id, Zone: zone, Restore: true})
+}
+
+func (d Documents) changeZone(ctx context.Context, op control.Evacuate) error {
 	deadline, err := d.Daemon.Gate.Admit(ctx, 0)
 	if err != nil {
 		return err
 	}
-	return d.Daemon.CallBy(deadline, control.Evacuate{ID: id, Zone: zone, Restore: restore}).Err
+	return d.Daemon.CallBy(deadline, op).Err
 }
 
 // OnSnapshot has see called with each snapshot that comes into force, by the owner of control state: it must not wait.
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -1,7 +1,9 @@
 package daemon
 
 import (
+	"maps"
 	"net"
+	"slices"
 	"strconv"
 	"time"
 
@@ -59,7 +61,7 @@
 	for f.id = 1; taken[f.id]; f.id++ {
 	}
 	f.first = append(f.first, router.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Zone: fs.daemon.Settings.Zone, Boot: fs.daemon.boot})
-	for _, key := range sortedKeys(fs.last) {
+	for _, key := range slices.Sorted(maps.Keys(fs.last)) {
 		f.first = append(f.first, router.Numbered{N: f.n, Event: fs.last[key]})
 		f.n++
 	}
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -42,7 +42,7 @@
 
 const document = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
-func TestLibraryFollowsItsDaemonThroughARestart(t *testing.T) {
+func TestFollowerSurvivesDaemonRestart(t *testing.T) {
 	addr, data := address(t), t.TempDir()
 	h, stop := daemon(t, addr, data)
 	for h.Call(control.Bootstrap{Names: []string{"n1"}}).Err != nil {
@@ -51,27 +51,27 @@
 		t.Fatal(a)
 	}
 	tb := &tomb.Tomb{}
-	marks, names := make(chan uint64, 64), make(chan string, 64)
+	versions, names := make(chan uint64, 64), make(chan string, 64)
 	mallowbridge.Follow(tb, addr, "program", func(w router.Welcome) { names <- w.Self }, func(ev router.Event) {
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			marks <- o.Snapshot.Version
+			versions <- o.Snapshot.Version
 		}
 	})
 	if name := <-names; name != "n1#1" {
 		t.Errorf("it is called %s", name)
 	}
-	if m := <-marks; m != 1 {
+	if m := <-versions; m != 1 {
 		t.Errorf("the picture has mark %d", m)
 	}
 	if a := h.Call(control.Put{ID: "two", Expect: 1, Document: []byte(document)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	if m := <-marks; m != 2 {
+	if m := <-versions; m != 2 {
 		t.Errorf("the change has mark %d", m)
 	}
 	stop()
 	_, stop = daemon(t, addr, data)
-	if m := <-marks; m != 2 {
+	if m := <-versions; m != 2 {
 		t.Errorf("from its disk the daemon gives mark %d", m)
 	}
 	tb.Kill(nil)
--- a/daemon/frozen_test.go
+++ b/daemon/frozen_test.go
@@ -29,12 +29,14 @@
 
 func (*gated) Get(context.Context) ([]byte, error) { return []byte(`{}`), nil }
 
-func (f *gated) Evacuate(ctx context.Context, _, _ string, _ bool) error {
+func (f *gated) Evacuate(ctx context.Context, _, _ string) error {
 	_, err := f.Edit(ctx, "", 0, 0, nil)
 	return err
 }
 
-func TestAnOrderOnAConnectionKeptThroughAFreezeIsDeniedAndItsConnectionClosed(t *testing.T) {
+func (f *gated) Restore(ctx context.Context, id, zone string) error { return f.Evacuate(ctx, id, zone) }
+
+func TestOrderOnConnectionFromBeforePauseIsRejectedAndClosed(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
--- a/daemon/gate_test.go
+++ b/daemon/gate_test.go
@@ -34,7 +34,7 @@
 	return errors.As(err, &stale)
 }
 
-func TestOrdersOnConnectionsOfBeforeAFreezeAreDenied(t *testing.T) {
+func TestOrdersOnConnectionsFromBeforePauseAreRejected(t *testing.T) {
 	for _, ticked := range []bool{false, true} {
 		g, h := gateAt(time.Hour)
 		h.run(g, time.Second)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestConnectionsThatWaitedToBeAcceptedAreDenied(t *testing.T) {
+func TestConnectionsAcceptedLateAreRejected(t *testing.T) {
 	for _, ticked := range []bool{false, true} {
 		g, h := gateAt(time.Hour)
 		h.run(g, time.Second)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAFreezeWhileABodyIsReadDeniesTheOrder(t *testing.T) {
+func TestPauseWhileReadingBodyRejectsOrder(t *testing.T) {
 	g, h := gateAt(time.Hour)
 	ctx := opened(g)
 	h.run(g, time.Second)
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -4,24 +4,19 @@
 	"context"
 	"encoding/json"
 	"io"
-	"maps"
 	"net/http"
-	"slices"
 	"time"
 
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/router"
 )
 
 const (
+	// probeTimeout bounds a probe of a replica, from the dial to the end of the answer.
 	probeTimeout = 400 * time.Millisecond
-	probeBytes   = 64 << 10
+	// probeBytes is how much of an answer is read.
+	probeBytes = 64 << 10
 )
 
-func sortedKeys(m map[string]router.Event) []string {
-	return slices.Sorted(maps.Keys(m))
-}
-
 var prober = &http.Client{
 	Transport:     &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// offerSnapshot leaves the newest snapshot for the watchers and never waits for them.
-func (h *Daemon) offerSnapshot(p *config.Snapshot) {
+// sendSnapshot leaves the newest snapshot for the watchers and never waits for them.
+func (h *Daemon) sendSnapshot(p *config.Snapshot) {
 	select {
 	case <-h.snapshots:
 	default:
--- a/daemon/watch_test.go
+++ b/daemon/watch_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestARestartIsSeenByTheConnectionThatEnds(t *testing.T) {
+func TestRestartIsDetectedByClosedConnection(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestAReplicaThatKeepsNoConnectionsIsNotDoubtedForEver(t *testing.T) {
+func TestReplicaWithoutKeepAliveIsNotSuspectedForever(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/gossip/digest.go
+++ b/gossip/digest.go
@@ -5,7 +5,7 @@
 	if m.Hash == s.hash && m.N == s.durable {
 		return nil
 	}
-	return []Send{{To: from, Msg: s.Digest(true)}}
+	return []Send{{To: from, Msg: s.ReplyDigest()}}
 }
 
 // OnDigest sends what is newer here and asks for what is newer there.
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -26,16 +26,16 @@
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0.2)
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
-		took, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
-		worst = max(worst, took)
+		elapsed, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
+		worst = max(worst, elapsed)
 		if !all {
-			t.Errorf("seed %d: not everywhere after %s", seed, took)
+			t.Errorf("seed %d: not everywhere after %s", seed, elapsed)
 		}
 	}
 	t.Log("worst:", worst)
 }
 
-func TestDigestsRepairAfterACut(t *testing.T) {
+func TestDigestsRepairAfterPartition(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0)
@@ -46,17 +46,17 @@
 			t.Fatalf("seed %d: the cut lets items through", seed)
 		}
 		m.partitioned = nil
-		took, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
-		worst = max(worst, took)
+		elapsed, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
+		worst = max(worst, elapsed)
 		if !all {
-			t.Errorf("seed %d: not everywhere after %s", seed, took)
+			t.Errorf("seed %d: not everywhere after %s", seed, elapsed)
 		}
 	}
 	t.Log("worst:", worst)
 }
 
 // Without digests a push that was lost is never made good: the two tests above rest on them.
-func TestWithoutDigestsAnItemStaysBehindACut(t *testing.T) {
+func TestItemIsMissingWithoutDigests(t *testing.T) {
 	cfg := Defaults()
 	cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
 	m := newMesh(cfg, 1, 0)
@@ -72,7 +72,7 @@
 func TestEphemeralItemsStayOutOfDigests(t *testing.T) {
 	a, b := New(Defaults(), 1), New(Defaults(), 2)
 	a.Put(Item{Key: "e", Version: Version{Lo: 1}, Data: brief("v")})
-	if d := a.Digest(false); len(d.Versions) > 0 {
+	if d := a.Digest(); len(d.Versions) > 0 {
 		t.Errorf("digest: %v", d)
 	}
 	sum := Checksum{Hash: a.hash, N: a.durable}
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestALargeItemIsPulledOncePerAnnouncer(t *testing.T) {
+func TestLargeItemIsPulledOncePerAnnouncer(t *testing.T) {
 	for seed := range uint64(seeds) {
 		cfg := Defaults()
 		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
@@ -118,8 +118,8 @@
 	for _, at := range append(rng.Perm(len(items)), rng.Perm(len(items))...) {
 		two.Merge(items[at], false)
 	}
-	if one.hash != two.hash || one.durable != two.durable || !reflect.DeepEqual(one.Digest(false), two.Digest(false)) {
-		t.Errorf("seed %d: stores differ: %v %v", seed, one.Digest(false), two.Digest(false))
+	if one.hash != two.hash || one.durable != two.durable || !reflect.DeepEqual(one.Digest(), two.Digest()) {
+		t.Errorf("seed %d: stores differ: %v %v", seed, one.Digest(), two.Digest())
 	}
 	for key, version := range latest {
 		if !holds(key, version)(one) {
@@ -143,7 +143,7 @@
 }
 
 // With no digests at all, the first push brings an item to every zone.
-func TestAPushReachesEveryZone(t *testing.T) {
+func TestPushReachesEveryZone(t *testing.T) {
 	for seed := range uint64(seeds) {
 		cfg := Defaults()
 		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
@@ -164,14 +164,14 @@
 }
 
 // One digest repairs both sides.
-func TestADigestRepairsBothSides(t *testing.T) {
+func TestDigestRepairsBothSides(t *testing.T) {
 	a, b := New(Defaults(), 1), New(Defaults(), 2)
 	a.Put(Item{Key: "old", Version: Version{Lo: 2}, Data: text("v")})
 	a.Put(Item{Key: "a", Version: Version{Lo: 1}, Data: text("v")})
 	b.Put(Item{Key: "old", Version: Version{Lo: 1}, Data: text("v")})
 	b.Put(Item{Key: "b", Version: Version{Lo: 1}, Data: text("v")})
 	brings, asks := 0, 0
-	for _, s := range b.OnDigest("a", a.Digest(false)) {
+	for _, s := range b.OnDigest("a", a.Digest()) {
 		switch msg := s.Msg.(type) {
 		case Update:
 			for _, it := range msg.Items {
@@ -187,7 +187,7 @@
 			}
 		}
 	}
-	if brings != 1 || asks != 2 || !reflect.DeepEqual(a.Digest(false), b.Digest(false)) {
-		t.Errorf("%d brought, %d asked for: %v %v", brings, asks, a.Digest(false), b.Digest(false))
+	if brings != 1 || asks != 2 || !reflect.DeepEqual(a.Digest(), b.Digest()) {
+		t.Errorf("%d brought, %d asked for: %v %v", brings, asks, a.Digest(), b.Digest())
 	}
 }
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -196,10 +196,16 @@
 	return keys
 }
 
+// ReplyDigest is the digest of this store as the answer to a peer's.
+func (s *Store) ReplyDigest() Digest {
+	m := s.Digest()
+	m.Reply = true
+	return m
+}
+
 // Digest is that of this store.
-func (s *Store) Digest(reply bool) Digest {
+func (s *Store) Digest() Digest {
 	var m Digest
-	m.Reply = reply
 	for _, k := range s.keys() {
 		m.Versions = append(m.Versions, KeyVersion{Key: k, Version: s.items[k].Version})
 	}
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -53,7 +53,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		standin.NewReplica(r.tomb, fmt.Sprintf("r%d", i+1), "m", fmt.Sprintf("i%d", i+1), m, &r.logs[i], clock).Serve(lis)
+		standin.NewReplica(r.tomb, standin.ReplicaOptions{
+			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Runs: &r.logs[i], Clock: clock,
+		}).Serve(lis)
 		r.addrs = append(r.addrs, lis.Addr().String())
 		reps += fmt.Sprintf(`,{"name":"r%d","addr":"%s","domain":"%c"}`, i+1, lis.Addr(), 'a'+i)
 	}
@@ -122,22 +124,22 @@
 	return runs
 }
 
-func TestEachStageOfABrokenGo(t *testing.T) {
+func TestEachStageOfAFailedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		fault       standin.Fault
 		again, once string
 	}{
 		{"sound", standin.Fault{}, "done", "done"},
-		{"cut before it runs", standin.Fault{CutAt: "read"}, "done", "unknown"},
-		{"cut after it began", standin.Fault{CutAt: "begun"}, "done", "unknown"},
-		{"cut before the first piece", standin.Fault{CutAt: "piece"}, "done", "unknown"},
-		{"cut after two pieces", standin.Fault{CutAt: "piece", CutAfter: 2}, "partial", "partial"},
-		{"ends without an end mark", standin.Fault{Twist: "end", CutAfter: 3}, "partial", "partial"},
-		{"another go's id", standin.Fault{Twist: "go", CutAfter: 2}, "partial", "partial"},
+		{"cut before it runs", standin.Fault{DisconnectAt: "read"}, "done", "unknown"},
+		{"cut after it began", standin.Fault{DisconnectAt: "begun"}, "done", "unknown"},
+		{"cut before the first piece", standin.Fault{DisconnectAt: "piece"}, "done", "unknown"},
+		{"cut after two pieces", standin.Fault{DisconnectAt: "piece", DisconnectAfter: 2}, "partial", "partial"},
+		{"ends without an end mark", standin.Fault{Twist: "end", DisconnectAfter: 3}, "partial", "partial"},
+		{"another go's id", standin.Fault{Twist: "go", DisconnectAfter: 2}, "partial", "partial"},
 		{"another go's id at once", standin.Fault{Twist: "go"}, "done", "unknown"},
-		{"another instance", standin.Fault{Twist: "instance", CutAfter: 2}, "partial", "partial"},
-		{"a piece is skipped", standin.Fault{Twist: "skip", CutAfter: 2}, "partial", "partial"},
+		{"another instance", standin.Fault{Twist: "instance", DisconnectAfter: 2}, "partial", "partial"},
+		{"a piece is skipped", standin.Fault{Twist: "skip", DisconnectAfter: 2}, "partial", "partial"},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			for kind, want := range map[string]string{"again": c.again, "once": c.once} {
@@ -164,7 +166,7 @@
 	}
 }
 
-func TestUnreachedReplicaCostsNoGo(t *testing.T) {
+func TestUnreachedReplicaCostsNoAttempt(t *testing.T) {
 	r := newRig(t, true)
 	for i := range 6 {
 		r.ask("again", fmt.Sprintf("warm-%d", i))
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -59,8 +59,8 @@
 	o.Watch(r)
 	r.GET("/v1/config", o.get)
 	r.PUT("/v1/config", o.put)
-	r.POST("/v1/domains/:domain/empty", o.zone(false))
-	r.POST("/v1/domains/:domain/restore", o.zone(true))
+	r.POST("/v1/domains/:domain/empty", o.zone(control.Evacuate{}))
+	r.POST("/v1/domains/:domain/restore", o.zone(control.Evacuate{Restore: true}))
 	r.POST("/v1/found", o.voters(func(_ string, names []string) control.Op { return control.Bootstrap{Names: names} }))
 	r.POST("/v1/voters", o.voters(func(id string, names []string) control.Op { return control.ReplaceVoters{ID: id, Names: names} }))
 	r.POST("/v1/replicas", o.replicas)
@@ -110,7 +110,7 @@
 	return reply(w, status, t)
 }
 
-func flaw(path, val, bound string) error {
+func violation(path, val, bound string) error {
 	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}}
 }
 
@@ -118,7 +118,7 @@
 func (*Operations) changeID(r bunrouter.Request) (string, error) {
 	id := r.Header.Get("X-Change-Id")
 	if !clean(id, 128) {
-		return "", flaw("X-Change-Id", strconv.Quote(id), "1 to 128 printable bytes, the same when a change is repeated")
+		return "", violation("X-Change-Id", strconv.Quote(id), "1 to 128 printable bytes, the same when a change is repeated")
 	}
 	return id, nil
 }
@@ -154,7 +154,7 @@
 	}
 	expect, err := strconv.ParseUint(r.URL.Query().Get("expect"), 10, 64)
 	if err != nil {
-		return fail(w, flaw("?expect", strconv.Quote(r.URL.Query().Get("expect")), "the mark this change expects"))
+		return fail(w, violation("?expect", strconv.Quote(r.URL.Query().Get("expect")), "the mark this change expects"))
 	}
 	raw, err := body(w, r)
 	if err != nil {
@@ -166,7 +166,8 @@
 	return o.answer(w, o.Control.Call(control.Put{ID: id, Expect: expect, Document: raw}))
 }
 
-func (o *Operations) zone(restore bool) bunrouter.HandlerFunc {
+// zone answers a call on one zone; kind is the order without its zone and id.
+func (o *Operations) zone(kind control.Evacuate) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
@@ -178,7 +179,9 @@
 		if !known {
 			return fail(w, &control.NameError{Name: name, Cause: control.ErrUnknownZone})
 		}
-		return o.answer(w, o.Control.Call(control.Evacuate{ID: id, Zone: name, Restore: restore}))
+		op := kind
+		op.ID, op.Zone = id, name
+		return o.answer(w, o.Control.Call(op))
 	}
 }
 
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -69,7 +69,7 @@
 	c.perform(conn)
 }
 
-// obey asks the witnesses and sends the request as the session orders, and ends with the answer.
+// perform asks the witnesses and sends the request as the session orders, and ends with the answer.
 func (c *replicaConn) perform(conn net.Conn) {
 	for {
 		select {
--- a/lease/clone_test.go
+++ b/lease/clone_test.go
@@ -9,7 +9,7 @@
 )
 
 // A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
-func TestFingerprintsKnowEveryField(t *testing.T) {
+func TestFingerprintsCoverEveryField(t *testing.T) {
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Holder]():   5,
 		reflect.TypeFor[Lease]():    8,
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestNeverTwoHolders(t *testing.T) {
-	held := 0
+	heldSteps := 0
 	for seed := range uint64(150) {
 		r := newRig(seed)
 		for r.now = 0; r.now < 2*time.Minute; r.now += 10 * ms {
@@ -102,11 +102,11 @@
 			if len(holders) > 1 {
 				t.Fatalf("seed %d at %s: %v hold it, epoch %d", seed, r.now, holders, r.seats.Epoch)
 			}
-			held += len(holders)
+			heldSteps += len(holders)
 		}
 	}
-	if held < 150*3000 {
-		t.Errorf("held in %d steps only", held)
+	if heldSteps < 150*3000 {
+		t.Errorf("held in %d steps only", heldSteps)
 	}
 }
 
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -123,7 +123,7 @@
 	return s
 }
 
-func (s *storm) trouble() {
+func (s *storm) injectFault() {
 	if s.rng.IntN(500) == 0 {
 		s.reseat()
 	}
@@ -143,7 +143,7 @@
 	var current int
 	for s.now = 0; s.now < time.Minute; s.now += 10 * ms {
 		s.step()
-		s.trouble()
+		s.injectFault()
 		var holders []string
 		for i, h := range s.holders {
 			if s.frozen[i] <= s.now && s.rng.IntN(5) == 0 {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -45,7 +45,7 @@
 	FirstMs int64 `json:"firstMs,omitempty"`
 }
 
-// Piece is the text of an answer's piece i, as stand-in replicas write it, so that the checker sees whose it is.
-func Piece(request, attempt string, i int) string {
+// ChunkText is the text of an answer's piece i, as stand-in replicas write it, so that the checker sees whose it is.
+func ChunkText(request, attempt string, i int) string {
 	return request + "|" + attempt + "|" + strconv.Itoa(i)
 }
--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -71,7 +71,7 @@
 	t.Log("worst:", worst)
 }
 
-func TestAMemberThatWasPausedDeclaresNobodyDead(t *testing.T) {
+func TestPausedMemberDeclaresNobodyDead(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		f.run(3*time.Second + time.Duration(seed)*fleetTick)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestARefutationWins(t *testing.T) {
+func TestRefutationWins(t *testing.T) {
 	me := Member{Name: "a", Zone: "z"}
 	k := New(Defaults(), me, 1, 0)
 	other := New(Defaults(), Member{Name: "b", Zone: "z"}, 2, 0)
--- a/membership/faults_test.go
+++ b/membership/faults_test.go
@@ -12,7 +12,7 @@
 }
 
 // A pause that is longer than PauseGap and shorter than IsolatedAfter: the answers are lost, and the others aren't to blame.
-func TestAMemberThatWakesSuspectsNobody(t *testing.T) {
+func TestThawedMemberSuspectsNobody(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		f.run(3*time.Second + time.Duration(seed)*fleetTick)
@@ -39,7 +39,7 @@
 }
 
 // Where only the way between two members is cut, helpers answer for both.
-func TestHelpersReachAroundACut(t *testing.T) {
+func TestHelpersReachAroundAPartition(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		by := Watchers(f.all["n4"].Self, f.all["n4"].Table.All())[0]
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -132,7 +132,11 @@
 		c.proposers[o.proposer].SubmitUrgent(0, noDeadline, o.id, change)
 		return
 	}
-	c.proposers[o.proposer].Submit(0, noDeadline, o.id, change, full)
+	if full {
+		c.proposers[o.proposer].SubmitFull(0, noDeadline, o.id, change)
+		return
+	}
+	c.proposers[o.proposer].Submit(0, noDeadline, o.id, change)
 }
 
 // enter notes an operation that begins.
--- a/modelcheck/disk.go
+++ b/modelcheck/disk.go
@@ -70,9 +70,9 @@
 func (c *Cluster) sync(at int) {
 	d := &c.disks[at]
 	d.synced = d.acceptor.State
-	held := d.unsynced
+	pending := d.unsynced
 	d.unsynced = nil
-	for _, m := range held {
+	for _, m := range pending {
 		c.reply(m)
 	}
 }
--- a/modelcheck/evacuate.go
+++ b/modelcheck/evacuate.go
@@ -71,9 +71,9 @@
 	return c.calls[attempts*order].state == over
 }
 
-// leaves are the callers that may give up now. By the contract they do so after their call's deadline. An early one may leave as soon
+// callerLeaves are the callers that may give up now. By the contract they do so after their call's deadline. An early one may leave as soon
 // as its order has read a quorum.
-func (c *Cluster) leaves(events []Event) []Event {
+func (c *Cluster) callerLeaves(events []Event) []Event {
 	for _, o := range c.open {
 		if o.order < 0 || !c.plan.Orders[o.order].evacuates() || c.calls[o.id].state != waits {
 			continue
--- a/modelcheck/evacuate_test.go
+++ b/modelcheck/evacuate_test.go
@@ -91,7 +91,7 @@
 	},
 }
 
-func TestEachEvacuationMechanismTakenOutBreaksAnInvariant(t *testing.T) {
+func TestRemovedEvacuationMechanismBreaksAnInvariant(t *testing.T) {
 	for name, m := range evacuationMutations {
 		t.Run(name, func(t *testing.T) {
 			m.plan.Rules = RealRules()
--- a/modelcheck/explore_test.go
+++ b/modelcheck/explore_test.go
@@ -79,7 +79,7 @@
 }
 
 // The counts of a real world don't depend on how many goroutines share the work.
-func TestAnExplorationIsTheSameForAnyNumberOfWorkers(t *testing.T) {
+func TestExplorationIsTheSameForAnyNumberOfWorkers(t *testing.T) {
 	plan := worlds["two orders on one base"].plan
 	plan.Rules = RealRules()
 	one, four := Explore(NewCluster(plan), Bounds{Workers: 1}), Explore(NewCluster(plan), Bounds{Workers: 4})
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -33,7 +33,7 @@
 	return v.epoch < o.epoch || (v.epoch == o.epoch && v.taken < o.taken)
 }
 
-// told is a version that a caller was told of, and a hash of all that the value holds.
+// acknowledged is a version that a caller was told of, and a hash of all that the value holds.
 type acknowledged struct {
 	version
 	hash uint64
@@ -193,11 +193,11 @@
 	default:
 		return nil
 	}
-	held := order.recorded(r.Value)
+	pending := order.recorded(r.Value)
 	switch {
-	case p.refused && p.confirmed, p.refused && held:
+	case p.refused && p.confirmed, p.refused && pending:
 		return &InvariantError{Invariant: "what was taken is never refused", How: "order " + order.ID}
-	case p.confirmed && !held:
+	case p.confirmed && !pending:
 		return &InvariantError{Invariant: "what was confirmed is recorded", How: "order " + order.ID}
 	}
 	return c.oneOnABase(o.order)
--- a/modelcheck/leases_test.go
+++ b/modelcheck/leases_test.go
@@ -32,16 +32,16 @@
 	fast = [holders]int{1050, 1050}
 	mix  = [holders]int{950, 1050}
 
-	wholeTerm = []time.Duration{lease.TTL}
+	fullTerm = []time.Duration{lease.TTL}
 )
 
 var leaseWorlds = map[string]LeasePlan{
 	"restart of a grantor": {
-		Epochs: oneEpoch(), Steps: wholeTerm, HolderRate: even, GrantorRate: even,
+		Epochs: oneEpoch(), Steps: fullTerm, HolderRate: even, GrantorRate: even,
 		Budget: LeaseBudget{Acquires: 2, Advances: 1, Restarts: 1},
 	},
 	"slow holders, fast grantors": {
-		Epochs: oneEpoch(), Steps: wholeTerm, HolderRate: slow, GrantorRate: fast,
+		Epochs: oneEpoch(), Steps: fullTerm, HolderRate: slow, GrantorRate: fast,
 		Budget: LeaseBudget{Acquires: 2, Advances: 2},
 	},
 	"every second": {
@@ -53,7 +53,7 @@
 		Budget: LeaseBudget{Acquires: 1, Advances: 3, Restarts: 1, Doubles: 1},
 	},
 	"queued grants": {
-		Epochs: oneEpoch(), Steps: wholeTerm, HolderRate: slow, GrantorRate: fast, Queued: true,
+		Epochs: oneEpoch(), Steps: fullTerm, HolderRate: slow, GrantorRate: fast, Queued: true,
 		Budget: LeaseBudget{Acquires: 1, Advances: 2},
 	},
 	"change of voters at once": {
@@ -61,15 +61,15 @@
 		Budget: LeaseBudget{Acquires: 1},
 	},
 	"change of voters": {
-		Epochs: oneChange(), Steps: wholeTerm, HolderRate: slow, GrantorRate: fast,
+		Epochs: oneChange(), Steps: fullTerm, HolderRate: slow, GrantorRate: fast,
 		Budget: LeaseBudget{Acquires: 1, Advances: 1},
 	},
 	"change of voters, half known for a term": {
-		Epochs: oneChange(), Steps: wholeTerm, HolderRate: even, GrantorRate: even,
+		Epochs: oneChange(), Steps: fullTerm, HolderRate: even, GrantorRate: even,
 		Budget: LeaseBudget{Acquires: 1, Advances: 1},
 	},
 	"change of voters, long over": {
-		Epochs: oneChange(), Steps: wholeTerm, HolderRate: even, GrantorRate: even,
+		Epochs: oneChange(), Steps: fullTerm, HolderRate: even, GrantorRate: even,
 		Budget: LeaseBudget{Acquires: 1, Advances: 1},
 	},
 	"change of voters and a restart": {
@@ -176,7 +176,7 @@
 	},
 }
 
-func TestEachLeaseMechanismTakenOutBreaksAnInvariant(t *testing.T) {
+func TestRemovedLeaseMechanismBreaksAnInvariant(t *testing.T) {
 	for name, m := range leaseMutations {
 		t.Run(name, func(t *testing.T) {
 			plan := leaseWorlds[m.world]
--- a/modelcheck/mutations_test.go
+++ b/modelcheck/mutations_test.go
@@ -110,7 +110,7 @@
 	},
 	"accepted value is not proposed again": {
 		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Timers: 1}},
-		mutate: func(r *Rules) { r.OnPromise = hidesAccepted(founding(three, 3)) },
+		mutate: func(r *Rules) { r.OnPromise = hidesAccepted(bootstrapOrder(three, 3)) },
 	},
 	"voters change without joint quorums": {
 		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{{ID: "x", Home: 1}}, Budget: Budget{Timers: 1, Replacements: 1}},
@@ -145,14 +145,14 @@
 	},
 }
 
-func founding(disks []string, voters int) *register.Value {
+func bootstrapOrder(disks []string, voters int) *register.Value {
 	return NewCluster(Plan{Disks: disks, Voters: voters, Rules: RealRules()}).first
 }
 
 // mutationStates bounds the search for a mutation's fault.
 const mutationStates = 400_000
 
-func TestEachMechanismTakenOutBreaksAnInvariant(t *testing.T) {
+func TestRemovedMechanismBreaksAnInvariant(t *testing.T) {
 	for name, m := range mutations {
 		t.Run(name, func(t *testing.T) {
 			m.plan.Rules = RealRules()
--- a/modelcheck/rounds_test.go
+++ b/modelcheck/rounds_test.go
@@ -51,7 +51,7 @@
 
 // What is found a prepare at a time must be found by rounds as well, or the reduction hides faults. Worlds whose disks write later, and
 // the one that answers before the write, are not explored by rounds.
-func TestEachMechanismTakenOutBreaksAnInvariantByRounds(t *testing.T) {
+func TestRemovedMechanismBreaksAnInvariantByRounds(t *testing.T) {
 	for _, some := range []map[string]mutation{mutations, evacuationMutations, mutationsByRounds} {
 		for name, m := range some {
 			if m.plan.Journal {
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -33,7 +33,7 @@
 	events = c.networkEvents(events)
 	events = c.orderEvents(events)
 	if c.left.Leaves > 0 {
-		events = c.leaves(events)
+		events = c.callerLeaves(events)
 	}
 	events = c.proposerEvents(events)
 	return c.diskEvents(events)
--- a/prefixindex/chain.go
+++ b/prefixindex/chain.go
@@ -47,8 +47,8 @@
 	var parts []Part
 	for _, f := range fields {
 		f = strings.TrimSpace(f)
-		cut := strings.LastIndexAny(f, "/:")
-		id, num := f[:max(cut, 0)], f[cut+1:]
+		separator := strings.LastIndexAny(f, "/:")
+		id, num := f[:max(separator, 0)], f[separator+1:]
 		n, bad := strconv.Atoi(num)
 		if id == "" || strings.Contains(id, "/") || len(id) > maxPartName || bad != nil || n < 1 || n > maxPartTokens {
 			return nil, &HeaderError{Part: f, Bound: "id/tokens or id:tokens with 1 to 1048576 tokens"}
--- a/prefixindex/chain_test.go
+++ b/prefixindex/chain_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestPartsInEitherWriting(t *testing.T) {
+func TestPrefixHeaderSyntaxes(t *testing.T) {
 	a, b := parts(t, "5c1e07a2/800, 91bd3f06/410"), parts(t, "5c1e07a2:800,91bd3f06:410")
 	if len(a) != 2 || len(b) != 2 || a[0] != b[0] || a[1] != b[1] || Tokens(b) != 1210 {
 		t.Errorf("%+v, %+v", a, b)
--- a/prefixindex/index_test.go
+++ b/prefixindex/index_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTwoPredictionsOfOnePartDoNotTouch(t *testing.T) {
+func TestPredictionsOfOnePartAreIndependent(t *testing.T) {
 	x := fresh()
 	ps := parts(t, "sys/300")
 	x.Predict(0, 0, 1, ps)
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -7,8 +7,6 @@
 	"os"
 	"strconv"
 	"time"
-
-	"github.com/mallowbridge/mallowbridge/router"
 )
 
 func (x *transfer) replied(resp *http.Response) Replied {
@@ -29,14 +27,15 @@
 	s.Stream = place.Route != nil && place.Route.Streaming && isEventStream(resp)
 	x.stream = s.Stream
 	if v := first(resp.Header, h.Load); v != "" && h.ParseLoad != nil {
-		if running, queued, slots, ok := h.ParseLoad(v); ok {
-			s.Load = &router.Load{Replica: place.Replica, Running: running, Queued: queued, Slots: slots}
+		if load, ok := h.ParseLoad(v); ok {
+			load.Replica = place.Replica
+			s.Load = &load
 		}
 	}
 	return s
 }
 
-// settle ends the use of a connection whose answer was read whole.
+// recycleConnection ends the use of a connection whose answer was read whole.
 func (x *transfer) recycleConnection() {
 	c := x.conn
 	if c == nil {
@@ -73,7 +72,7 @@
 	x.signal(Ended{})
 }
 
-// lost tells why a connection failed after the request was written to it.
+// connectionLost tells why a connection failed after the request was written to it.
 func (x *transfer) connectionLost(err error) {
 	switch {
 	case x.r.Context().Err() != nil:
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -45,7 +45,7 @@
 	want(t, "events", m.notified(), "ReadyToSend AnswerHead AttemptEnded(whole)")
 }
 
-func TestSurplusAnswerIsNotTakenForTheNext(t *testing.T) {
+func TestSurplusAnswerIsNotTakenForNextAnswer(t *testing.T) {
 	twice := func(g got) (string, bool) {
 		one, _ := say("200 OK", "", "hello")(g)
 		return one + one, false
@@ -80,8 +80,8 @@
 			m := newStubRouter(router.Decision{Verdict: router.Reject, RetryAfter: time.Second}, replica.place(unsafe))
 			_, url := serve(t, m)
 			want(t, "status", call(t, url, "id1", "").status, 502)
-			if kinds := m.notified(); !strings.HasSuffix(kinds, "AttemptEnded(broken)") {
-				t.Errorf("events %s", kinds)
+			if classes := m.notified(); !strings.HasSuffix(classes, "AttemptEnded(broken)") {
+				t.Errorf("events %s", classes)
 			}
 		})
 	}
@@ -98,6 +98,30 @@
 	want(t, "counted", p.Counters.Refused.Load()*10+p.Counters.Misplaced.Load(), 21)
 }
 
+// TestEachAttemptIsToldWhatIsLeft sends a request on to a second replica after the first has held it for a while.
+func TestEachAttemptIsToldWhatIsLeft(t *testing.T) {
+	const held = 50 * time.Millisecond
+	slow := newReplica(t, func(g got) (string, bool) {
+		time.Sleep(held)
+		return say("503 Full", "X-Not-Run: full\r\n", "no")(g)
+	})
+	next := newReplica(t, say("200 OK", "", "yes"))
+	m := newStubRouter(router.Decision{Verdict: router.Reject}, slow.place(unsafe), next.place(unsafe))
+	_, url := serve(t, m)
+	want(t, "answer", call(t, url, "id1", "").status, 200)
+	left := func(r *replica) time.Duration {
+		ms, err := strconv.Atoi((<-r.got).req.Header.Get("X-Wait-Ms"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return time.Duration(ms) * time.Millisecond
+	}
+	first, second := left(slow), left(next)
+	if first > time.Minute || first <= 0 || second > first-held || second <= 0 {
+		t.Errorf("of a minute, the first replica was told %s, and the second, %s later, %s", first, held, second)
+	}
+}
+
 func TestRejectedUnreachedNotFoundAndTooLong(t *testing.T) {
 	m := newStubRouter(router.Decision{Verdict: router.Reject, Bad: true})
 	_, url := serve(t, m)
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -60,11 +60,11 @@
 				in, turn := bufio.NewReaderSize(c, 64<<10), [][]byte{[]byte(answer), []byte(strings.Replace(answer, "id1", "id2", 1))}
 				for n := 0; ; n++ {
 					for {
-						line, err := in.ReadSlice('\n')
+						text, err := in.ReadSlice('\n')
 						if err != nil {
 							return
 						}
-						if len(line) == 2 {
+						if len(text) == 2 {
 							break
 						}
 					}
@@ -110,11 +110,11 @@
 			b.Fatal(err)
 		}
 		for {
-			line, err := in.ReadSlice('\n')
+			text, err := in.ReadSlice('\n')
 			if err != nil {
 				b.Fatal(err)
 			}
-			if bytes.Equal(line, end) {
+			if bytes.Equal(text, end) {
 				break
 			}
 		}
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -13,8 +13,8 @@
 
 // Take reserves n more bytes. What is alone may be larger than the bound.
 func (b *Budget) Take(n int) bool {
-	held := b.reserved.Add(int64(n))
-	if b.Bound > 0 && held > b.Bound && held != int64(n) {
+	total := b.reserved.Add(int64(n))
+	if b.Bound > 0 && total > b.Bound && total != int64(n) {
 		b.reserved.Add(-int64(n))
 		return false
 	}
@@ -27,7 +27,7 @@
 // Reserved is how many bytes are reserved.
 func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
-// share is what one request holds of the budget.
+// reservation is what one request holds of the budget.
 type reservation struct {
 	budget *Budget
 	bytes  int
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -109,7 +109,7 @@
 	return err
 }
 
-// shut ends the wait for the next request. Bytes that come at the same moment stay unread, so the client learns that it may send again.
+// closeIdle ends the wait for the next request. Bytes that come at the same moment stay unread, so the client learns that it may send again.
 func (c *client) closeIdle() {
 	if c.state.CompareAndSwap(stateIdle, stateClosing) {
 		_ = c.TCPConn.SetReadDeadline(longAgo)
@@ -176,7 +176,7 @@
 	return c.TCPConn.Close()
 }
 
-// admit takes a client's connection in.
+// accept takes a client's connection in.
 func (p *Proxy) accept(nc net.Conn, keep []string) net.Conn {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestAReadRequestOutlivesTheShutting: bytes of a request that were read just as the connection was shut keep it going.
-func TestAReadRequestOutlivesTheShutting(t *testing.T) {
+// TestReadRequestOutlivesClosing: bytes of a request that were read just as the connection was shut keep it going.
+func TestReadRequestOutlivesClosing(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/proxy/clients_test.go
+++ b/proxy/clients_test.go
@@ -24,8 +24,8 @@
 	want(t, "requests", p.Counters.Requests.Load(), 3)
 }
 
-// TestBytesBehindARequestAreNoPartOfIt: what follows a request's body is no request of its own kind, and reaches no replica.
-func TestBytesBehindARequestAreNoPartOfIt(t *testing.T) {
+// TestBytesBehindARequestAreNotPartOfIt: what follows a request's body is no request of its own kind, and reaches no replica.
+func TestBytesBehindARequestAreNotPartOfIt(t *testing.T) {
 	h := newHand(t)
 	p, addr := usual(t, newStubRouter(deny, h.place(unsafe)))
 	u := dial(t, addr)
@@ -41,8 +41,8 @@
 	want(t, "requests", p.Counters.Requests.Load(), 1)
 }
 
-// TestAClientThatClosesGetsNothing: a client that closes, or closes its sending half, has given the request up; it is not sent again.
-func TestAClientThatClosesGetsNothing(t *testing.T) {
+// TestRequestOfClosedClientIsNotRetried: a client that closes, or closes its sending half, has given the request up; it is not sent again.
+func TestRequestOfClosedClientIsNotRetried(t *testing.T) {
 	for name, end := range map[string]func(u *user) error{
 		"closes": (*user).Close, "half-closes": func(u *user) error { return u.CloseWrite() },
 		"resets": func(u *user) error { _ = u.SetLinger(0); return u.Close() },
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestAnAnswerBeforeTheBodyWasTaken: a replica that answers and resets while a long body is being written may have run the request.
-func TestAnAnswerBeforeTheBodyWasTaken(t *testing.T) {
+// TestAnswerBeforeBodyWasRead: a replica that answers and resets while a long body is being written may have run the request.
+func TestAnswerBeforeBodyWasRead(t *testing.T) {
 	h := newHand(t)
 	p, addr := usual(t, newStubRouter(deny, h.place(unsafe), h.place(unsafe)))
 	u := dial(t, addr)
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -58,7 +58,7 @@
 	return actions
 }
 
-// spent gives moves that were carried out back, so that their room serves the next ones.
+// recycle gives actions that were carried out back, so that their memory serves the next ones.
 func (e *Exchange) recycle(actions []Action) {
 	if e.actions == nil && actions != nil {
 		clear(actions)
@@ -66,7 +66,7 @@
 	}
 }
 
-// ran tells whether the request may have run: only an attempt that was never written, or one that a replica refused, has not.
+// mayHaveRun tells whether the request may have run: only an attempt that was never written, or one that a replica refused, has not.
 func (e *Exchange) mayHaveRun() bool {
 	return e.mayHaveRunBefore || e.phase == written || e.phase == passing
 }
@@ -134,7 +134,7 @@
 	return e.takeActions()
 }
 
-// denied keeps the promise of a 503: a request that may have run is not called denied.
+// reject keeps the promise of a 503: a request that may have run is not called rejected.
 func (e *Exchange) reject(d router.Decision) {
 	switch {
 	case e.mayHaveRun() || d.Repeat:
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -147,14 +147,14 @@
 		j.written = false
 	}
 	for _, m := range actions {
-		j.move(m, s, wasPassing)
+		j.checkAction(m, s, wasPassing)
 	}
 	if _, ok := s.(proxy.Begun); ok && wasPassing && j.finishes == 0 {
 		j.began = true
 	}
 }
 
-func (j *judge) move(m proxy.Action, s any, wasPassing bool) {
+func (j *judge) checkAction(m proxy.Action, s any, wasPassing bool) {
 	switch m.Kind {
 	case proxy.Connect:
 		if j.open {
--- a/proxy/expire.go
+++ b/proxy/expire.go
@@ -8,11 +8,11 @@
 func (p *Pool) plan() {
 	if !p.expiring {
 		p.expiring = true
-		time.AfterFunc(expireEvery, p.sweep)
+		time.AfterFunc(expireEvery, p.expire)
 	}
 }
 
-func (p *Pool) sweep() {
+func (p *Pool) expire() {
 	now := time.Now()
 	all := <-p.owner
 	p.expiring = false
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -72,7 +72,7 @@
 	want(t, "cut", p.Counters.Hangups.Load(), 0)
 }
 
-// TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request incarnations.
+// TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request lives.
 func TestSlowReaderEndsWithItsRequest(t *testing.T) {
 	set := proxy.Defaults()
 	set.Stall, set.HoldBytes = 300*time.Millisecond, 4<<20
--- a/proxy/foreign_test.go
+++ b/proxy/foreign_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestAnswersWithAnotherIDReachNobody: an answer that names an id is not the answer to a request without one, and two requests without
+// TestAnswersWithAnotherIDAreDropped: an answer that names an id is not the answer to a request without one, and two requests without
 // one do not share a connection, as a late answer to the first could not be told from the second's.
-func TestAnswersWithAnotherIDReachNobody(t *testing.T) {
+func TestAnswersWithAnotherIDAreDropped(t *testing.T) {
 	const plain = "GET /a HTTP/1.1\r\nHost: h.example\r\n\r\n"
 	answer := func(body string) string {
 		text, _ := say("200 OK", "", body)(got{req: idRequest("")})
@@ -50,9 +50,9 @@
 	})
 }
 
-// TestALateAnswerToHEADIsNotReadOver: its length counts bytes that do not follow. Reading over so many of the answer that is due leaves
+// TestLateAnswerToHEADIsNotSkipped: its length counts bytes that do not follow. Reading over so many of the answer that is due leaves
 // its body, which here looks like an answer.
-func TestALateAnswerToHEADIsNotReadOver(t *testing.T) {
+func TestLateAnswerToHEADIsNotSkipped(t *testing.T) {
 	h := newHand(t)
 	_, addr := usual(t, newStubRouter(unknown, h.place(unsafe)))
 	u := dial(t, addr)
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -17,9 +17,9 @@
 // freeze stands for a machine that stands still.
 func freeze(d time.Duration) { <-time.After(d) }
 
-// TestARequestThatLayInTheSocketCountsItsTime: this machine stood still while a request lay in its socket. Its time counts from when it
+// TestTimeInSocketCounts: this machine stood still while a request lay in its socket. Its time counts from when it
 // came, so one that is over is not sent to a replica, and one that is not is told what is left.
-func TestARequestThatLayInTheSocketCountsItsTime(t *testing.T) {
+func TestTimeInSocketCounts(t *testing.T) {
 	const frozen = 600 * time.Millisecond
 	for _, method := range []string{"GET", "POST"} {
 		h := newHand(t)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestAConnectionThatAgedBeforeTheLeaveIsNotUsed: this machine stands still between taking a kept connection and the leave to send.
-func TestAConnectionThatAgedBeforeTheLeaveIsNotUsed(t *testing.T) {
+// TestConnectionThatExpiredBeforeSendIsNotUsed: this machine stands still between taking a kept connection and the leave to send.
+func TestConnectionThatExpiredBeforeSendIsNotUsed(t *testing.T) {
 	for name, route := range map[string]*config.Route{"once": unsafe, "repeatable": safe} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestAnAnswerThatCameWhileFrozenIsSentOnce: the replica answered while this machine stood still past the request's time. The client hears
+// TestAnswerReceivedWhileFrozenIsSentOnce: the replica answered while this machine stood still past the request's time. The client hears
 // that answer or a 504, and the request is not sent again, repeatable or not.
-func TestAnAnswerThatCameWhileFrozenIsSentOnce(t *testing.T) {
+func TestAnswerReceivedWhileFrozenIsSentOnce(t *testing.T) {
 	for name, route := range map[string]*config.Route{"once": unsafe, "repeatable": safe} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -101,10 +101,10 @@
 	}
 }
 
-func connListener(t *testing.T, e *proxy.Events, text []byte, cut func(left int) int) []byte {
+func connListener(t *testing.T, e *proxy.Events, text []byte, split func(left int) int) []byte {
 	var out []byte
 	for len(text) > 0 {
-		n := min(max(cut(len(text)), 1), len(text))
+		n := min(max(split(len(text)), 1), len(text))
 		complete, err := e.Feed(text[:n])
 		if err != nil {
 			t.Fatal(err)
@@ -147,12 +147,12 @@
 		from, text := 0, strings.Join(events, "")
 		for {
 			rest := strings.Join(events[from:], "")
-			cut := rnd.IntN(len(rest) + 1)
+			split := rnd.IntN(len(rest) + 1)
 			if rnd.IntN(4) == 0 {
-				cut = len(rest)
+				split = len(rest)
 			}
-			out = append(out, connListener(t, &e, []byte(rest[:cut]), func(int) int { return 1 + rnd.IntN(40) })...)
-			if cut == len(rest) {
+			out = append(out, connListener(t, &e, []byte(rest[:split]), func(int) int { return 1 + rnd.IntN(40) })...)
+			if split == len(rest) {
 				out = append(out, e.Rest()...)
 				break
 			}
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -32,8 +32,8 @@
 		x.refuse(err)
 		return
 	}
-	if took := time.Since(x.arrived); a.Timeout > 0 && took > slowUpload {
-		a.Timeout = max(a.Timeout-took, time.Millisecond)
+	if elapsed := time.Since(x.arrived); a.Timeout > 0 && elapsed > slowUpload {
+		a.Timeout = max(a.Timeout-elapsed, time.Millisecond)
 	}
 	if !x.deadline.IsZero() && !time.Now().Before(x.deadline) {
 		x.signal(DeadlinePassed{})
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestIdleConnectionsAreSwept(t *testing.T) {
+func TestIdleConnectionsExpire(t *testing.T) {
 	h := newHand(t)
 	set := proxy.Defaults()
 	set.Idle = 100 * time.Millisecond
@@ -135,9 +135,9 @@
 	return h
 }
 
-// TestForgottenConnections pauses for 100 ms between requests to a replica that forgets connections after 50: with the bound on their
+// TestAbandonedConnections pauses for 100 ms between requests to a replica that forgets connections after 50: with the bound on their
 // age each request is answered, without it every second one (the one between goes on a new connection) runs out of time.
-func TestForgottenConnections(t *testing.T) {
+func TestAbandonedConnections(t *testing.T) {
 	for young, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
 		set := proxy.Defaults()
 		set.IdleNonRepeatable = young
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -14,9 +14,9 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// TestAPartlyWrittenRequestMayHaveRun ends a connection, or the request's time, after some bytes of a long request left: it is neither
+// TestPartlyWrittenRequestMayHaveRun ends a connection, or the request's time, after some bytes of a long request left: it is neither
 // denied nor sent again.
-func TestAPartlyWrittenRequestMayHaveRun(t *testing.T) {
+func TestPartlyWrittenRequestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait   string
 		reset  bool
@@ -70,9 +70,9 @@
 	return h
 }
 
-// TestLostToAnIdleClose counts what a replica that closes idle connections costs requests that may not be repeated, with and without a
+// TestRequestLostToIdleClose counts what a replica that closes idle connections costs requests that may not be repeated, with and without a
 // bound on the connections' age. Whatever is lost is called unknown, and nothing runs twice.
-func TestLostToAnIdleClose(t *testing.T) {
+func TestRequestLostToIdleClose(t *testing.T) {
 	const callers, calls, idle, deaf = 16, 12, 200 * time.Millisecond, 20 * time.Millisecond
 	for _, young := range []time.Duration{time.Hour, idle / 2} {
 		ran := make(chan string, callers*calls)
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -86,7 +86,7 @@
 	x.signal(ClientClosed{})
 }
 
-// bound keeps a client that reads ever so slowly from holding a replica's place for longer than the request incarnations.
+// bound keeps a client that reads ever so slowly from holding a replica's place for longer than the request lives.
 func (x *transfer) bound() {
 	if at := x.expiry(); !at.IsZero() && !x.bounded {
 		x.bounded = true
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -70,7 +70,7 @@
 	return err
 }
 
-// want is what a request asks of a connection.
+// connRequest is what a request asks of a connection.
 type connRequest struct {
 	key     key
 	conns   int
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -38,7 +38,8 @@
 	Priority string
 
 	ParseTokens func(value string) (prompt, most int)
-	ParseLoad   func(value string) (running, queued, slots int, ok bool)
+	// ParseLoad reads the value of Load; the replica stays empty. Not ok where it cannot be read.
+	ParseLoad func(value string) (router.Load, bool)
 }
 
 func (h Headers) canonical() Headers {
--- a/proxy/reset_test.go
+++ b/proxy/reset_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestSameAttemptTakesAnotherConnection: a second copy of its answer could not be told from the answer.
-func TestSameAttemptTakesAnotherConnection(t *testing.T) {
+// TestRepeatedAttemptTakesAnotherConnection: a second copy of its answer could not be told from the answer.
+func TestRepeatedAttemptTakesAnotherConnection(t *testing.T) {
 	h := newHand(t)
 	_, addr := usual(t, newStubRouter(deny, h.place(safe)))
 	u := dial(t, addr)
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestDiesAfterTheWrite closes a kept connection as the request reaches it: it may have run, so it is called unknown.
-func TestDiesAfterTheWrite(t *testing.T) {
+// TestReplicaDiesAfterTheWrite closes a kept connection as the request reaches it: it may have run, so it is called unknown.
+func TestReplicaDiesAfterTheWrite(t *testing.T) {
 	h := newHand(t)
 	m := newStubRouter(deny, h.place(unsafe))
 	p, addr := usual(t, m)
--- a/proxy/retryafter_test.go
+++ b/proxy/retryafter_test.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// TestEachDenialSaysWhenToComeBack: a request that was given up without having run is answered at once, with the time to come back.
-func TestEachDenialSaysWhenToComeBack(t *testing.T) {
+// TestEachRejectionHasRetryAfter: a request that was given up without having run is answered at once, with the time to come back.
+func TestEachRejectionHasRetryAfter(t *testing.T) {
 	closed := newHand(t).place(unsafe)
 	closed.Addr = "127.0.0.1:1"
 	short := &config.Route{Timeout: 1}
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestWhatMayHaveRunIsNotDenied: no decision that comes after the write, and none that is missing, makes a denial of it.
-func TestWhatMayHaveRunIsNotDenied(t *testing.T) {
+// TestExchangeThatMayHaveRunIsNotRejected: no decision that comes after the write, and none that is missing, makes a denial of it.
+func TestExchangeThatMayHaveRunIsNotRejected(t *testing.T) {
 	for name, last := range map[string]router.Decision{
 		"denied": deny, "bad": {Verdict: router.Reject, Bad: true}, "unknown": unknown, "placed again": {Verdict: router.Place, AttemptID: "z", Route: unsafe},
 	} {
--- a/proxy/rig_test.go
+++ b/proxy/rig_test.go
@@ -21,13 +21,14 @@
 var names = proxy.Headers{
 	Attempt: "X-Attempt", Target: "X-Target", NotExecuted: "X-Not-Run", Load: "X-Load", Deadline: "X-Wait-Ms", Prefix: "X-Prefix",
 	Model: "X-Model", Tokens: "X-Tokens", Seal: "X-Seal", Instance: "X-Instance", Priority: "X-Rank",
-	ParseLoad: func(v string) (running, queued, slots int, ok bool) {
-		n, err := fmt.Sscanf(v, "%d,%d,%d", &running, &queued, &slots)
-		return running, queued, slots, n == 3 && err == nil
+	ParseLoad: func(v string) (router.Load, bool) {
+		var l router.Load
+		n, err := fmt.Sscanf(v, "%d,%d,%d", &l.Running, &l.Queued, &l.Slots)
+		return l, n == 3 && err == nil
 	},
 }
 
-// market answers each request with the next places, and what is left when they are spent.
+// stubRouter answers each request with the next places, and what is left when they are spent.
 type stubRouter struct {
 	places  []router.Decision
 	last    router.Decision
@@ -85,7 +86,7 @@
 	}
 }
 
-// heard gives the kinds of the events so far.
+// notified gives the kinds of the events so far.
 func (m *stubRouter) notified() string {
 	var all []string
 	for {
@@ -231,7 +232,7 @@
 	}
 }
 
-// settled waits until nothing runs: the last bytes of an answer reach the client a little before the proxy knows that they left.
+// waitIdle waits until nothing runs: the last bytes of an answer reach the client a little before the proxy knows that they left.
 func waitIdle(t *testing.T, p *proxy.Proxy) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); p.Running() > 0; runtime.Gosched() {
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// exchange writes the request once and reads its answer.
+// sendAndRead writes the request once and reads its answer.
 func (x *transfer) sendAndRead() {
 	if s := x.send(); s != nil {
 		x.signal(s)
@@ -108,7 +108,7 @@
 	return true
 }
 
-// anew gives the headers that are written anew; left is how many milliseconds the request has.
+// rewrittenHeaders gives the headers that are written anew; left is how many milliseconds the request has.
 func (x *transfer) rewrittenHeaders(left int64) fields {
 	h, d := &x.proxy.headers, &x.exchange.Placement
 	var set fields
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -14,7 +14,7 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// feed is a listener that is handed its connections.
+// connListener is a listener that is handed its connections.
 type connListener struct {
 	addr  net.Addr
 	conns chan net.Conn
--- a/proxy/splice_test.go
+++ b/proxy/splice_test.go
@@ -12,9 +12,9 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// TestAPartialEventIsNotSplicedIntoTheNextAnswer cuts a stream within its first event: nothing was passed on, so the second attempt begins
+// TestPartialEventIsNotJoinedToNextAnswer cuts a stream within its first event: nothing was passed on, so the second attempt begins
 // anew, without the bytes of the first.
-func TestAPartialEventIsNotSplicedIntoTheNextAnswer(t *testing.T) {
+func TestPartialEventIsNotJoinedToNextAnswer(t *testing.T) {
 	first := newReplica(t, stream(false, "id: 1\ndata: from the first"))
 	second := newReplica(t, stream(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"))
 	m := newStubRouter(partial, first.place(streams), second.place(streams))
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestAnEventWithoutIDIsNotRepeated takes up a stream at a replica that begins anew. Where its first event has no id, nobody knows
+// TestEventWithoutIDIsNotRepeated takes up a stream at a replica that begins anew. Where its first event has no id, nobody knows
 // whether the client has it: the answer is cut rather than repeated.
-func TestAnEventWithoutIDIsNotRepeated(t *testing.T) {
+func TestEventWithoutIDIsNotRepeated(t *testing.T) {
 	for name, c := range map[string]struct {
 		again []string
 		cut   bool
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestEventsBeforeALongOneAreGivenOut: an id that counts as given out must have been, or a stream that is taken up after it loses its event.
-func TestEventsBeforeALongOneAreGivenOut(t *testing.T) {
+// TestEventsBeforeALongOneArePassedOn: an id that counts as given out must have been, or a stream that is taken up after it loses its event.
+func TestEventsBeforeALongOneArePassedOn(t *testing.T) {
 	e := proxy.Events{Bound: 20}
 	complete, err := e.Feed([]byte("id: 1\ndata: a\n\nid: 2\ndata: too long for the bound"))
 	want(t, "given and counted", string(complete)+e.Last, "id: 1\ndata: a\n\n1")
@@ -100,3 +100,15 @@
 		t.Error("a long event was taken")
 	}
 }
+
+// TestVersionLineOfAnEventIsPassedOn has events that begin with a line which is no field of the standard, also where a stream is resumed.
+func TestVersionLineOfAnEventIsPassedOn(t *testing.T) {
+	first := newReplica(t, stream(false, "x-weight-versions: 7\nid: 1\ndata: a\n\n", "x-weight-versions: 8\nid: 2\nda"))
+	second := newReplica(t, stream(true, "x-weight-versions: 8\nid: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"))
+	repeated := second.place(streams)
+	repeated.Resumes = true
+	_, url := serve(t, newStubRouter(partial, first.place(streams), repeated))
+	r := call(t, url, "id1", "")
+	want(t, "error", r.err, error(nil))
+	want(t, "body", r.body, "x-weight-versions: 7\nid: 1\ndata: a\n\nx-weight-versions: 8\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
+}
--- a/proxy/sse.go
+++ b/proxy/sse.go
@@ -54,12 +54,12 @@
 		if e.skipsNewline() {
 			continue
 		}
-		line, ok := e.line()
+		text, ok := e.line()
 		if !ok {
 			break
 		}
-		if len(line) > 0 {
-			e.field(line)
+		if len(text) > 0 {
+			e.field(text)
 			continue
 		}
 		out, err = e.endEvent(out)
@@ -112,21 +112,18 @@
 
 // line gives the next whole line without its end. A CR that is the last byte so far ends a line only where the line before it ended in
 // a CR alone: else its LF is on the way, and an event is not to be cut in two.
-func (e *Events) line() (line []byte, ok bool) {
-	line = e.buf[e.seen:]
-	if n := bytes.IndexByte(line, '\n'); n >= 0 {
-		line, ok = line[:n], true
+func (e *Events) line() ([]byte, bool) {
+	text, _, found := bytes.Cut(e.buf[e.seen:], []byte{'\n'})
+	if n := bytes.IndexByte(text, '\r'); n >= 0 {
+		text, found = text[:n], true
 	}
-	if n := bytes.IndexByte(line, '\r'); n >= 0 {
-		line, ok = line[:n], true
-	}
-	if !ok {
+	if !found {
 		return nil, false
 	}
-	end := e.seen + len(line) + 1
+	end := e.seen + len(text) + 1
 	if e.buf[end-1] != '\r' {
 		e.seen, e.lone = end, false
-		return line, true
+		return text, true
 	}
 	if e.cr = end == len(e.buf); e.cr && !e.lone {
 		e.cr = false
@@ -136,7 +133,7 @@
 		end++
 	}
 	e.seen = end
-	return line, true
+	return text, true
 }
 
 // Rest is what came after the last whole event.
@@ -154,8 +151,8 @@
 	e.cr, e.lone, e.hasID, e.plain = false, false, false, false
 }
 
-func (e *Events) field(line []byte) {
-	name, value, _ := bytes.Cut(line, []byte{':'})
+func (e *Events) field(text []byte) {
+	name, value, _ := bytes.Cut(text, []byte{':'})
 	e.plain = e.plain || len(name) > 0
 	if string(name) == "id" {
 		e.id = append(e.id[:0], bytes.TrimPrefix(value, []byte{' '})...)
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -101,7 +101,7 @@
 	return w.late || !overdue
 }
 
-// routerEvents are decisions: placed, placed again, from the start or after the last event, let go, called back, refused, given up.
+// decided are decisions: placed, placed again, from the start or after the last event, let go, called back, refused, given up.
 // decided is the event that the router decides d.
 func decided(name string, d router.Decision) event {
 	return event{name, func(e *Exchange, w *world) ([]Action, bool) {
@@ -195,13 +195,13 @@
 func TestExchangeStates(t *testing.T) {
 	for name, route := range statesRoutes {
 		t.Run(name, func(t *testing.T) {
-			states, steps, deepest, breach := explore(route, *statesDepth)
-			if breach != "" {
-				t.Fatal(breach)
+			x := explore(route, *statesDepth)
+			if x.breach != "" {
+				t.Fatal(x.breach)
 			}
-			t.Logf("%d states, %d steps, none new after %d events", states, steps, deepest)
-			if deepest == *statesDepth {
-				t.Errorf("not all: %d events were not enough", deepest)
+			t.Logf("%d states, %d steps, none new after %d events", x.states, x.steps, x.depth)
+			if x.depth == *statesDepth {
+				t.Errorf("not all: %d events were not enough", x.depth)
 			}
 		})
 	}
--- a/proxy/statesexplore_test.go
+++ b/proxy/statesexplore_test.go
@@ -2,20 +2,26 @@
 
 import "github.com/mallowbridge/mallowbridge/config"
 
-// explore looks at every order of events to the depth, and gives the first breach with the shortest order that leads to it. It ends
-// sooner, all told, where no world is new.
-func explore(route *config.Route, depth int) (states, steps, deepest int, breach string) {
+// An exploration is what explore saw: breach is the first broken rule, with the shortest order of events that leads to it, or "".
+type exploration struct {
+	states, steps, depth int
+	breach               string
+}
+
+// explore looks at every order of events to the depth. It ends sooner where no world is new.
+func explore(route *config.Route, depth int) exploration {
 	x := explorer{route: route, events: append(routerEvents(), connectionEvents()...), nodes: []node{{}}, seen: map[world]bool{{}: true}}
+	deepest := 0
 	for from := 0; deepest < depth && from < len(x.nodes); deepest++ {
 		until := len(x.nodes)
 		for at := from; at < until; at++ {
-			if breach = x.expand(at); breach != "" {
-				return len(x.nodes), x.steps, deepest, breach
+			if breach := x.expand(at); breach != "" {
+				return exploration{states: len(x.nodes), steps: x.steps, depth: deepest, breach: breach}
 			}
 		}
 		from = until
 	}
-	return len(x.nodes), x.steps, deepest, ""
+	return exploration{states: len(x.nodes), steps: x.steps, depth: deepest}
 }
 
 // explorer visits the states of an exchange, each once.
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, m := range actions {
-		if breach := w.move(route, before, name, m); breach != "" {
+		if breach := w.applyAction(route, before, name, m); breach != "" {
 			return breach
 		}
 	}
@@ -54,7 +54,7 @@
 	w.current, w.passingStream, w.sends = truthUntouched, false, 0
 }
 
-func (w *world) move(route *config.Route, before phase, name string, m Action) string {
+func (w *world) applyAction(route *config.Route, before phase, name string, m Action) string {
 	switch m.Kind {
 	case Connect:
 		return w.connect()
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -15,7 +15,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func TestStreamIsTakenUpElsewhere(t *testing.T) {
+func TestStreamResumesAtAnotherReplica(t *testing.T) {
 	first := newReplica(t, stream(false, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\nid: 3\ndata"))
 	second := newReplica(t, stream(true, "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"))
 	repeated := second.place(streams)
@@ -43,7 +43,7 @@
 	want(t, "aborted", p.Counters.Aborted.Load(), 1)
 }
 
-func TestStreamPassesOnAsItComesAndHangupClosesTheReplica(t *testing.T) {
+func TestStreamIsPassedOnAndDisconnectClosesReplica(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/register/backoff.go
+++ b/register/backoff.go
@@ -26,7 +26,7 @@
 	p.next(now)
 }
 
-// measure notes how long a majority took to answer.
+// measureRoundTrip notes how long a majority took to answer.
 func (p *Proposer) measureRoundTrip(now time.Duration) {
 	measured := (roundTripWeight*p.roundTrip + now - p.askedAt) / (roundTripWeight + 1)
 	p.roundTrip = min(max(measured, minRoundTrip), maxRoundTrip)
@@ -40,16 +40,16 @@
 		return
 	}
 	p.tries++
-	p.phase, p.nextActionAt = waiting, now
+	p.phase, p.nextActionAt = backingOff, now
 }
 
 // retry pauses before another round after a lost one.
 func (p *Proposer) retry(now time.Duration) {
 	p.tries++
-	p.phase, p.nextActionAt = waiting, now+p.backoff()
+	p.phase, p.nextActionAt = backingOff, now+p.backoff()
 }
 
-// pause leaves whoever won about the one more trip that it needs, and then parts the losers by a random time. It grows to a few trips
+// backoff leaves whoever won about the one more trip that it needs, and then parts the losers by a random time. It grows to a few trips
 // only: an order that has lost often must not wait longer than those that come after it.
 func (p *Proposer) backoff() time.Duration {
 	if p.urgent() {
--- a/register/bootstrap_test.go
+++ b/register/bootstrap_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// bootstrap is a duel in which x's bootstrap was accepted everywhere and its answers were lost, and y has made a change since.
-func founding(t *testing.T) *duel {
+// bootstrapValue is the value of a duel in which x's bootstrap was accepted everywhere and its answers were lost, and y has made a change since.
+func bootstrapValue(t *testing.T) *duel {
 	d := &duel{t: t, disks: map[string]*Acceptor{}, reach: map[string]bool{}, x: NewProposer("x", 1), y: NewProposer("y", 2)}
 	var vs []Voter
 	for _, disk := range []string{"a", "b", "c"} {
@@ -34,15 +34,15 @@
 }
 
 func TestRepeatedBootstrapKeepsLaterChanges(t *testing.T) {
-	d := founding(t)
+	d := bootstrapValue(t)
 	if err := d.end(d.x); err != nil {
 		t.Errorf("its own founding: %v", err)
 	}
 	d.holds("theirs")
 }
 
-func TestAFoundingThatLearnsOfARegisterKeepsWhatIsThere(t *testing.T) {
-	d := founding(t)
+func TestBootstrapKeepsExistingRegister(t *testing.T) {
+	d := bootstrapValue(t)
 	z := NewProposer("z", 3)
 	z.Bootstrap(d.now, d.now+time.Hour, 1, &Value{Fleet: "g", Voters: d.x.voters.Voters})
 	d.only()
@@ -59,8 +59,8 @@
 }
 
 // A register that is known by news stands on other disks than a late bootstrap would ask: these are empty, and must stay so.
-func TestAFoundingOnOtherDisksThanTheRegistersEndsOnceThatIsKnown(t *testing.T) {
-	d := founding(t)
+func TestBootstrapOnOtherDisksEndsOnceRegisterIsKnown(t *testing.T) {
+	d := bootstrapValue(t)
 	var others []Voter
 	for _, disk := range []string{"d", "e", "f"} {
 		d.disks[disk] = &Acceptor{State{Disk: disk}}
--- a/register/clone.go
+++ b/register/clone.go
@@ -37,7 +37,7 @@
 func (p *Proposer) Queued() bool { return len(p.queue) > 0 }
 
 // Backing tells whether the proposer waits before its next ballot.
-func (p *Proposer) Backing() bool { return p.phase == waiting }
+func (p *Proposer) Backing() bool { return p.phase == backingOff }
 
 // FireTimer has the wait of the present phase end now, at time zero.
 func (p *Proposer) FireTimer() {
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -8,7 +8,7 @@
 )
 
 // A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
-func TestFingerprintsKnowEveryField(t *testing.T) {
+func TestFingerprintsCoverEveryField(t *testing.T) {
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Proposer]():    22,
 		reflect.TypeFor[operation]():   10,
@@ -33,7 +33,7 @@
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	p := NewProposer("p", 1)
 	p.Learn(first)
-	p.Submit(0, time.Hour, 1, nil, false)
+	p.Submit(0, time.Hour, 1, nil)
 	sends, _ := p.TakeOutput()
 	before := p.AppendFingerprint(nil)
 	c := p.Clone()
--- a/register/cluster_test.go
+++ b/register/cluster_test.go
@@ -104,7 +104,7 @@
 	sends, results := p.TakeOutput()
 	for _, s := range sends {
 		if s.Disk != c.frozen {
-			c.after(c.link(), func() { c.obey(p, s) })
+			c.after(c.link(), func() { c.apply(p, s) })
 		}
 	}
 	for _, r := range results {
@@ -114,8 +114,8 @@
 	}
 }
 
-// obey has a disk handle a request, and answer when all that was written until then is synced.
-func (c *cluster) obey(p *Proposer, s Send) {
+// apply has a disk handle a request, and answer when all that was written until then is synced.
+func (c *cluster) apply(p *Proposer, s Send) {
 	d := c.disks[s.Disk]
 	var answer func()
 	var write bool
@@ -140,20 +140,20 @@
 
 // write starts a sync, or joins the one that follows the one that runs.
 func (d *slowDisk) write(c *cluster) {
-	took := c.between(2*time.Millisecond, 5*time.Millisecond)
+	elapsed := c.between(2*time.Millisecond, 5*time.Millisecond)
 	if c.now >= d.syncing {
 		d.syncing = d.synced
 	}
 	switch {
 	case c.now >= d.synced:
-		d.syncing, d.synced = c.now+took, c.now+took
+		d.syncing, d.synced = c.now+elapsed, c.now+elapsed
 	case d.synced == d.syncing:
-		d.synced = d.syncing + took
+		d.synced = d.syncing + elapsed
 	}
 }
 
 // submit has a proposer run a change; done is called with its result and with how long it took.
-func (c *cluster) submit(p *Proposer, within time.Duration, urgent bool, done func(r Result, took time.Duration)) {
+func (c *cluster) submit(p *Proposer, within time.Duration, urgent bool, done func(r Result, elapsed time.Duration)) {
 	c.ids++
 	begun, id := c.now, c.ids
 	c.done[id] = func(r Result) { done(r, c.now-begun) }
@@ -161,7 +161,7 @@
 	if urgent {
 		p.SubmitUrgent(c.now, c.now+within, id, change)
 	} else {
-		p.Submit(c.now, c.now+within, id, change, false)
+		p.Submit(c.now, c.now+within, id, change)
 	}
 	c.carry(p)
 }
@@ -184,9 +184,9 @@
 }
 
 // quantile sorts the times and gives the one below which the share lies.
-func quantile(times []time.Duration, share float64) time.Duration {
+func quantile(times []time.Duration, ratio float64) time.Duration {
 	slices.Sort(times)
-	return times[min(len(times)-1, int(share*float64(len(times))))]
+	return times[min(len(times)-1, int(ratio*float64(len(times))))]
 }
 
 func report(t *testing.T, what string, times []time.Duration) {
--- a/register/contention_test.go
+++ b/register/contention_test.go
@@ -12,8 +12,8 @@
 // urgentBound is how long a change of voters may take behind operators' orders: well within the 4 s in which a repaired set must be whole.
 const urgentBound = time.Second
 
-// TestAChangeOfVotersIsNotStarvedByOrders: one proposer with an urgent change against proposers that never rest.
-func TestAChangeOfVotersIsNotStarvedByOrders(t *testing.T) {
+// TestVoterChangeIsNotStarvedByOrders: one proposer with an urgent change against proposers that never rest.
+func TestVoterChangeIsNotStarvedByOrders(t *testing.T) {
 	for _, rivals := range []int{4, 8} {
 		for _, frozen := range []string{"", "c"} {
 			t.Run(fmt.Sprintf("%d rivals, frozen %q", rivals, frozen), func(t *testing.T) { urgentAgainst(t, rivals, frozen) })
@@ -30,26 +30,26 @@
 			c.load(p)
 		}
 		c.runUntil(300*time.Millisecond + c.between(0, 100*time.Millisecond))
-		took, over := 4*time.Second, false
-		c.submit(c.proposers[0], took, true, func(r Result, spent time.Duration) {
+		elapsed, over := 4*time.Second, false
+		c.submit(c.proposers[0], elapsed, true, func(r Result, spent time.Duration) {
 			over = true
 			if r.Err == nil {
-				took = spent
+				elapsed = spent
 			}
 		})
 		for !over {
 			c.runUntil(c.now + ticks)
 		}
-		times = append(times, took)
-		if took > urgentBound {
-			t.Errorf("seed %d: %v", seed, took)
+		times = append(times, elapsed)
+		if elapsed > urgentBound {
+			t.Errorf("seed %d: %v", seed, elapsed)
 		}
 	}
 	report(t, "urgent change", times)
 }
 
-// TestAnOrderStarvesUnderNoStorm: ten orders a second at random nodes, while one of three voters may be frozen.
-func TestAnOrderStarvesUnderNoStorm(t *testing.T) {
+// TestOrdersDoNotStarveInAStorm: ten orders a second at random nodes, while one of three voters may be frozen.
+func TestOrdersDoNotStarveInAStorm(t *testing.T) {
 	for _, frozen := range []string{"", "c"} {
 		t.Run(fmt.Sprintf("frozen %q", frozen), func(t *testing.T) { storm(t, frozen) })
 	}
@@ -64,8 +64,8 @@
 	// orderBound is in which an order of a storm must be confirmed; evacuationPatience the deadline of an evacuation.
 	orderBound         = 4 * time.Second
 	evacuationPatience = 850 * time.Millisecond
-	// evacuationShare of the evacuations that meet a storm must be confirmed within their second.
-	evacuationShare = 0.98
+	// evacuationRatio of the evacuations that meet a storm must be confirmed within their second.
+	evacuationRatio = 0.98
 )
 
 func storm(t *testing.T, frozen string) {
@@ -79,7 +79,7 @@
 	if most := quantile(s.orders, 0.99); most > mostOrdersBound {
 		t.Errorf("one order of a hundred took %v", most)
 	}
-	if float64(s.failed) > (1-evacuationShare)*float64(len(s.evacuations)) {
+	if float64(s.failed) > (1-evacuationRatio)*float64(len(s.evacuations)) {
 		t.Error("too many evacuations were not confirmed within a second")
 	}
 }
@@ -95,11 +95,11 @@
 	c := newCluster(seed, 8)
 	c.frozen = frozen
 	for range stormOrders {
-		c.submit(c.proposers[c.rng.IntN(8)], orderBound, false, func(r Result, took time.Duration) {
+		c.submit(c.proposers[c.rng.IntN(8)], orderBound, false, func(r Result, elapsed time.Duration) {
 			if r.Err != nil {
-				t.Errorf("seed %d: an order ends with %v after %v", seed, r.Err, took)
+				t.Errorf("seed %d: an order ends with %v after %v", seed, r.Err, elapsed)
 			}
-			s.orders = append(s.orders, took)
+			s.orders = append(s.orders, elapsed)
 		})
 		if c.rng.IntN(10) == 0 {
 			c.after(c.between(0, stormGap), func() { s.evacuate(c) })
@@ -110,28 +110,28 @@
 }
 
 func (s *stormReport) evacuate(c *cluster) {
-	c.submit(c.proposers[c.rng.IntN(8)], evacuationPatience, false, func(r Result, took time.Duration) {
-		if r.Err != nil || took > time.Second {
+	c.submit(c.proposers[c.rng.IntN(8)], evacuationPatience, false, func(r Result, elapsed time.Duration) {
+		if r.Err != nil || elapsed > time.Second {
 			s.failed++
 		}
-		s.evacuations = append(s.evacuations, took)
+		s.evacuations = append(s.evacuations, elapsed)
 	})
 }
 
 // atOnceBound is in which each of eight orders that begin together is confirmed.
 const atOnceBound = time.Second
 
-// TestEightOrdersAtOnceAreAllConfirmedSoon: eight proposers begin at the same time.
-func TestEightOrdersAtOnceAreAllConfirmedSoon(t *testing.T) {
+// TestEightConcurrentOrdersAreConfirmedSoon: eight proposers begin at the same time.
+func TestEightConcurrentOrdersAreConfirmedSoon(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(clusterSeeds) {
 		c := newCluster(seed, 8)
 		for _, p := range c.proposers {
-			c.submit(p, orderBound, false, func(r Result, took time.Duration) {
+			c.submit(p, orderBound, false, func(r Result, elapsed time.Duration) {
 				if r.Err != nil {
-					t.Errorf("seed %d: %v after %v", seed, r.Err, took)
+					t.Errorf("seed %d: %v after %v", seed, r.Err, elapsed)
 				}
-				times = append(times, took)
+				times = append(times, elapsed)
 			})
 		}
 		c.runUntil(5 * time.Second)
--- a/register/exposed_test.go
+++ b/register/exposed_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestExposedAndThenOvertaken(t *testing.T) {
+func TestProposedAndThenSuperseded(t *testing.T) {
 	for _, c := range []struct {
 		row    string
 		accept []string
@@ -27,7 +27,7 @@
 		d := newDuel(t)
 		if c.accept == nil {
 			d.only(c.sees...)
-			d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"), false)
+			d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"))
 		} else {
 			d.expose(0, c.accept...)
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAnOvertakenOrderNeverComesBack(t *testing.T) {
+func TestSupersededOrderNeverReturns(t *testing.T) {
 	for _, order := range [][]string{{"a", "b"}, {"a", "c"}, {"b", "c"}} {
 		d := newDuel(t)
 		d.expose(0, "a")
@@ -67,10 +67,10 @@
 	}
 }
 
-func TestARefusalStandsOnAChosenValue(t *testing.T) {
+func TestRejectionBuildsOnChosenValue(t *testing.T) {
 	// y's order is at one disk only: x must not be refused by it before it is chosen.
 	d := newDuel(t)
-	d.y.Submit(d.now, d.now+patience, 9, take(0, "theirs"), false)
+	d.y.Submit(d.now, d.now+patience, 9, take(0, "theirs"))
 	sends, _ := d.y.TakeOutput()
 	for _, s := range sends {
 		r, _ := d.disks[s.Disk].Prepare(s.Msg.(Prepare))
@@ -92,10 +92,10 @@
 	}
 }
 
-func TestAFrozenProposerDoesNotGoOnAfterItsDeadline(t *testing.T) {
+func TestFrozenProposerStopsAtItsDeadline(t *testing.T) {
 	d := newDuel(t)
-	d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"), false)
-	d.x.Submit(d.now, d.now+patience, 10, take(0, "queued"), false)
+	d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"))
+	d.x.Submit(d.now, d.now+patience, 10, take(0, "queued"))
 	sends, _ := d.x.TakeOutput()
 	var overdue []Promise
 	for _, s := range sends {
@@ -117,9 +117,9 @@
 	}
 }
 
-func TestAChangeThatWasChosenIsAcknowledgedAfterItsDeadline(t *testing.T) {
+func TestChosenChangeIsAcknowledgedAfterItsDeadline(t *testing.T) {
 	d := newDuel(t)
-	d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"), false)
+	d.x.Submit(d.now, d.now+patience, 9, take(0, "mine"))
 	sends, _ := d.x.TakeOutput()
 	for _, s := range sends {
 		r, _ := d.disks[s.Disk].Prepare(s.Msg.(Prepare))
@@ -136,11 +136,11 @@
 	}
 }
 
-func TestWhatWaitsBehindALongOperationIsAnsweredInTime(t *testing.T) {
+func TestQueuedOperationIsAnsweredInTime(t *testing.T) {
 	d := newDuel(t)
 	d.only()
-	d.x.Submit(d.now, d.now+4*time.Second, 1, take(0, "long"), false)
-	d.x.Submit(d.now, d.now+patience, 2, nil, false)
+	d.x.Submit(d.now, d.now+4*time.Second, 1, take(0, "long"))
+	d.x.Submit(d.now, d.now+patience, 2, nil)
 	if fateOf(d.end(d.x)) != "503 unchanged" || d.last.ID != 2 || d.now > patience+200*time.Millisecond {
 		t.Errorf("%+v at %s", d.last, d.now)
 	}
@@ -148,7 +148,7 @@
 
 func TestExpiredOperationAsksNobody(t *testing.T) {
 	d := newDuel(t)
-	d.x.Submit(d.now, d.now, 2, take(0, "late"), false)
+	d.x.Submit(d.now, d.now, 2, take(0, "late"))
 	if sends, results := d.x.TakeOutput(); len(sends) != 0 || len(results) != 1 || fateOf(results[0].Err) != "503 unchanged" {
 		t.Errorf("%v %v", sends, results)
 	}
--- a/register/forgottenorder_test.go
+++ b/register/forgottenorder_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestADiskThatWentBackLosesNothingThatIsKnown: of three voters one lacks the newest value, one is set back to an older copy of its
+// TestDiskSetBackLosesNothingKnown: of three voters one lacks the newest value, one is set back to an older copy of its
 // files. The two make a majority that has never heard of what was confirmed; who knows it is chosen does not read or build on less.
-func TestADiskThatWentBackLosesNothingThatIsKnown(t *testing.T) {
+func TestDiskSetBackLosesNothingKnown(t *testing.T) {
 	voters := []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}
 	old := &Value{Fleet: "f", Version: 1, Voters: voters}
 	confirmed := &Value{Fleet: "f", Version: 2, Voters: voters}
@@ -18,7 +18,7 @@
 		}
 		p := NewProposer("p", 1)
 		p.LearnChosen(confirmed)
-		p.Submit(0, time.Second, 1, change, false)
+		p.Submit(0, time.Second, 1, change)
 		r := runAlone(p, disks)
 		if r == nil || r.Err != nil || r.Value.Version < confirmed.Version {
 			t.Fatalf("%+v", r)
--- a/register/incarnations_test.go
+++ b/register/incarnations_test.go
@@ -14,7 +14,7 @@
 	var promises []Promise
 	for _, p := range []*Proposer{before, after} {
 		p.Learn(first)
-		p.Submit(0, time.Hour, 1, take(0, p.By), false)
+		p.Submit(0, time.Hour, 1, take(0, p.By))
 	}
 	sends, _ := before.TakeOutput()
 	for _, s := range sends {
--- a/register/manifest_test.go
+++ b/register/manifest_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestMemoryOfOrdersComesBack(t *testing.T) {
+func TestOrderLogsRoundTrip(t *testing.T) {
 	for _, v := range []*Value{{}, {EditLog: EditLog("edits")}, {OrderLog: OrderLog("recent")}, {EditLog: make(EditLog, 4000), OrderLog: OrderLog("recent")}} {
 		back := &Value{EditLog: EditLog("others"), OrderLog: OrderLog("others")}
 		if err := back.SetOrderLogs(v.OrderLogs()); err != nil || !reflect.DeepEqual(back, v) {
--- a/register/orderlog.go
+++ b/register/orderlog.go
@@ -141,7 +141,7 @@
 	return &ForgottenError{Base: expect, Current: v.Version}
 }
 
-// before is the version that was current when the order was taken: all later versions were made by it or by later entries.
+// versionBefore is the version that was current when the order was taken: all later versions were made by it or by later entries.
 func (o loggedOrder) versionBefore() uint64 {
 	if o.raised {
 		return o.version - 1
--- a/register/orderlog_test.go
+++ b/register/orderlog_test.go
@@ -41,8 +41,8 @@
 		{"another on a forgotten base", 0, "x", false, "503"},
 		{"ahead of the current one", current + 1, "x", false, "412"},
 	} {
-		if took := v.AppliedEdit(c.base, c.id); took != c.took {
-			t.Errorf("%s: taken %v", c.what, took)
+		if elapsed := v.AppliedEdit(c.base, c.id); elapsed != c.took {
+			t.Errorf("%s: taken %v", c.what, elapsed)
 		}
 		if say := refused(v.Refusal(c.base, current)); !c.took && say != c.say {
 			t.Errorf("%s: %s, not %s", c.what, say, c.say)
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -73,7 +73,7 @@
 	idle phase = iota
 	preparing
 	accepting
-	waiting
+	backingOff
 )
 
 // cheapReadTimeout is the first wait for a look's answers, which cost the voters nothing; it doubles up to RoundTimeout.
@@ -135,27 +135,6 @@
 	p.Learn(v)
 }
 
-// Submit queues an operation: a read where change is nil. It is answered soon after deadline at the latest; a change that wasn't proposed to
-// voters before its deadline never is. A full operation asks all voters and brings those that lag to the newest value.
-func (p *Proposer) Submit(now, deadline time.Duration, id uint64, change Change, full bool) {
-	p.queue = append(p.queue, &operation{id: id, change: unfenced(change), deadline: deadline, full: full})
-	p.next(now)
-}
-
-// SubmitFenced queues a change that keeps a fence; otherwise like Submit.
-func (p *Proposer) SubmitFenced(now, deadline time.Duration, id uint64, change FencedChange) {
-	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline})
-	p.next(now)
-}
-
-// Bootstrap queues the bootstrap of the register with its first value; all voters named there must answer.
-func (p *Proposer) Bootstrap(now, deadline time.Duration, id uint64, first *Value) {
-	change := func(_ *Value) (*Value, error) { return first, nil }
-	p.queue = append(p.queue, &operation{id: id, change: unfenced(change), deadline: deadline, bootstrapValue: first})
-	p.voters = first
-	p.next(now)
-}
-
 // TakeOutput takes what is to be sent and what has ended since the last call.
 func (p *Proposer) TakeOutput() ([]Send, []Result) {
 	sends, results := p.sends, p.results
@@ -242,7 +221,7 @@
 		return
 	}
 	switch p.phase {
-	case waiting:
+	case backingOff:
 		p.prepare(now)
 	case preparing, accepting:
 		p.finishRound(now)
--- a/register/readonly_test.go
+++ b/register/readonly_test.go
@@ -10,7 +10,7 @@
 	d := newDuel(t)
 	d.expose(0, "a")
 	d.only("a", "b", "c")
-	d.y.Submit(d.now, d.now+patience, 7, nil, false)
+	d.y.Submit(d.now, d.now+patience, 7, nil)
 	looks, _ := d.y.TakeOutput()
 	for _, s := range looks {
 		if m := s.Msg.(Prepare); !m.ReadOnly {
@@ -33,8 +33,8 @@
 	}
 }
 
-// move makes a change of voters, the whole of it or only its first half.
-func (d *duel) move(complete bool, disks ...string) {
+// changeVoters makes a change of voters, the whole of it or only its first half.
+func (d *duel) changeVoters(complete bool, disks ...string) {
 	var next []Voter
 	for _, disk := range disks {
 		if d.disks[disk] == nil {
@@ -54,7 +54,7 @@
 		return cur, nil
 	}
 	for _, change := range []Change{begin, finish} {
-		d.x.Submit(d.now, d.now+patience, 3, change, false)
+		d.x.Submit(d.now, d.now+patience, 3, change)
 		if err := d.end(d.x); err != nil {
 			d.t.Fatal(err)
 		}
@@ -86,23 +86,23 @@
 		d.only(all...)
 		d.reach[away] = false
 		if len(d.x.voters.Next) == 0 {
-			d.move(rng.IntN(3) > 0, all[at[0]], all[at[1]], all[at[2]])
+			d.changeVoters(rng.IntN(3) > 0, all[at[0]], all[at[1]], all[at[2]])
 		}
 		text := fmt.Sprint("t", version)
-		d.x.Submit(d.now, d.now+patience, 4, take(version, text), false)
+		d.x.Submit(d.now, d.now+patience, 4, take(version, text))
 		if err := d.end(d.x); err != nil {
 			mustBeUnavailable(t, err)
 			break
 		}
 		version, confirmed = version+1, text
 		if len(d.x.voters.Next) > 0 {
-			d.x.Submit(d.now, d.now+patience, 5, seatNext, false)
+			d.x.Submit(d.now, d.now+patience, 5, seatNext)
 			_ = d.end(d.x)
 		}
 	}
 	d.only(all...)
 	d.reach[all[rng.IntN(len(all))]] = rng.IntN(2) == 0
-	stale.Submit(d.now, d.now+2*time.Second, 6, nil, false)
+	stale.Submit(d.now, d.now+2*time.Second, 6, nil)
 	if err := d.end(stale); err == nil && confirmed != "" && d.last.Value.Version < version {
 		t.Fatalf("seed %d: read %q, %q was confirmed", seed, d.last.Value.Document, confirmed)
 	}
--- a/register/refused_test.go
+++ b/register/refused_test.go
@@ -4,7 +4,7 @@
 
 // x's order stands on y's, and both are at one disk alone. x is refused by a majority that has seen neither: what it proposed must not
 // be found and proposed again afterwards. Found by the model checker.
-func TestWhatWasOfferedAndThenRefusedStaysOut(t *testing.T) {
+func TestRejectedProposalIsNeverChosen(t *testing.T) {
 	d := newDuel(t)
 	z := NewProposer("z", 3)
 	z.Learn(d.x.voters)
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -172,7 +172,11 @@
 			return cur, nil
 		}
 	}
-	l.props[i].Submit(l.now, l.now+2*time.Second, l.id, change, l.rng.IntN(4) == 0)
+	submit := l.props[i].Submit
+	if l.rng.IntN(4) == 0 {
+		submit = l.props[i].SubmitFull
+	}
+	submit(l.now, l.now+2*time.Second, l.id, change)
 }
 
 func (l *lab) reseat() {
@@ -188,14 +192,14 @@
 		}
 		cur.Next, cur.Epoch = next, cur.Epoch+1
 		return cur, nil
-	}, false)
+	})
 	p.Submit(l.now, l.now+2*time.Second, l.id, func(cur *Value) (*Value, error) {
 		if len(cur.Next) == 0 {
 			return nil, nil
 		}
 		cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
 		return cur, nil
-	}, false)
+	})
 }
 
 func (l *lab) run() int {
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -40,7 +40,7 @@
 	return Quorum(p.voters, func(d string) bool { _, ok := p.promises[d]; return ok })
 }
 
-// best is the value to build on: the one with the highest ballot, or the newest that is known to be chosen if that is newer still.
+// baseValue is the value to build on: the one with the highest ballot, or the newest that is known to be chosen if that is newer still.
 func (p *Proposer) baseValue() *Value {
 	v := p.highestAccepted()
 	if p.knowsNewer(v) {
@@ -90,7 +90,7 @@
 	p.current.bootstrapValue, p.current.change = nil, unfenced(confirmBootstrap(first.Fleet))
 }
 
-// bootstrapped is a bootstrap that finds a register: done where it is its own.
+// confirmBootstrap is a bootstrap that finds a register: done where it is its own.
 func confirmBootstrap(fleet string) Change {
 	return func(cur *Value) (*Value, error) {
 		if cur.Fleet == fleet {
@@ -130,13 +130,13 @@
 	p.proposeValue(now, next, next != base)
 }
 
-// settled says that what was read is chosen, and that nothing which the operation itself proposed can still be: it was proposed under no
+// decided says that what was read is chosen, and that nothing which the operation itself proposed can still be: it was proposed under no
 // higher ballot. Otherwise a disk that holds the proposal may have it proposed again, after the operation was refused.
 func (p *Proposer) decided() bool {
 	return p.chosenByMajority() && !p.highestAcceptedBallot().Less(p.current.proposedBallot)
 }
 
-// agreed says that a majority answered with one value, which is then chosen, and that nothing newer is known.
+// chosenByMajority says that a majority answered with one value, which is then chosen, and that nothing newer is known.
 func (p *Proposer) chosenByMajority() bool {
 	if p.knowsNewer(p.highestAccepted()) {
 		return false
--- a/register/starve_test.go
+++ b/register/starve_test.go
@@ -53,7 +53,7 @@
 	r.send()
 }
 
-// TestAChangeIsNotStarvedByOthers lets a rival change the register every 40 to 60 ms, as operators of a storm do at other nodes. A change
+// TestChangeIsNotStarvedByOthers lets a rival change the register every 40 to 60 ms, as operators of a storm do at other nodes. A change
 // that needs 20 ms once its ballot is high enough must be taken soon, or a change of voters waits until the next loss.
 func TestChangeIsNotStarvedByOthers(t *testing.T) {
 	const every, within = 40, time.Second
@@ -70,7 +70,7 @@
 		r.x.Submit(r.now, r.now+4*time.Second, 7, func(cur *Value) (*Value, error) {
 			cur.Epoch++
 			return cur, nil
-		}, false)
+		})
 		r.last = Result{}
 		for i := 1; r.last.ID == 0; i++ {
 			r.step()
@@ -79,8 +79,8 @@
 				changes++
 			}
 		}
-		if took := r.now - from; r.last.Err != nil || took > within {
-			t.Errorf("seed %d: %v after %s, with %d changes of the rival", seed, r.last.Err, took, changes)
+		if elapsed := r.now - from; r.last.Err != nil || elapsed > within {
+			t.Errorf("seed %d: %v after %s, with %d changes of the rival", seed, r.last.Err, elapsed, changes)
 		}
 	}
 }
--- a/register/voters_test.go
+++ b/register/voters_test.go
@@ -27,7 +27,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func TestCheckerSeesALostWrite(t *testing.T) {
+func TestCheckerDetectsLostWrite(t *testing.T) {
 	ops := []porcupine.Operation{
 		{ClientId: 1, Input: op{put: true, body: "x"}, Call: 0, Output: result{mark: 1}, Return: 1},
 		{ClientId: 2, Input: op{}, Call: 2, Output: result{}, Return: 3},
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestEmptiedVoterDoesNotVoteAsItsOldSelf(t *testing.T) {
+func TestWipedVoterDoesNotVoteUnderItsOldID(t *testing.T) {
 	a := &Acceptor{State{Disk: "new"}}
 	if r, write := a.Prepare(Prepare{Disk: "old", Ballot: Ballot{N: 1}}); r.Disk != "" || write {
 		t.Error("promised for another disk")
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -97,15 +97,15 @@
 
 // AlreadyRan tells why a request that is sent again must not be rejected as not run, or "". The HTTP interface asks before it rejects
 // a request without passing it to the router.
-func (r *Router) AlreadyRan(offer, kind, request string) string {
+func (r *Router) AlreadyRan(serviceName, className, request string) string {
 	if _, twice := r.requestIDs[request]; twice {
 		return runningHere
 	}
-	service, known := r.services[offer]
+	service, known := r.services[serviceName]
 	if !known {
 		return ""
 	}
-	class, known := r.classes[service][classKey{name: kind}]
+	class, known := r.classes[service][classKey{name: className}]
 	if !known || r.scheduler.Services[service].Classes[class].Repeatable {
 		return ""
 	}
--- a/router/events.go
+++ b/router/events.go
@@ -48,8 +48,8 @@
 	Removed  ListingState = "gone"
 )
 
-// leaves tells whether the replica gets no new requests.
-func (s ListingState) leaves() bool { return s == Draining || s == Removed }
+// draining tells whether the replica gets no new requests.
+func (s ListingState) draining() bool { return s == Draining || s == Removed }
 
 // Known tells whether the state is one of the three, or empty.
 func (s ListingState) Known() bool {
--- a/router/loop.go
+++ b/router/loop.go
@@ -66,8 +66,8 @@
 }
 
 func (l *Loop) reportFailures() {
-	f, found := l.router.Failures(l.clock())
-	if !found {
+	f, known := l.router.Failures(l.clock())
+	if !known {
 		return
 	}
 	select {
@@ -81,8 +81,8 @@
 // pause is how long the loop may sleep.
 func (l *Loop) pause() time.Duration {
 	now := l.clock()
-	at, found := l.router.Next(now)
-	if !found {
+	at, known := l.router.Next(now)
+	if !known {
 		return l.every
 	}
 	return min(max(at-now, shortestPause), l.every)
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -10,10 +10,10 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func TestDecisionsThatNobodyReadsEndInAClosedChannel(t *testing.T) {
+func TestUnreadDecisionsCloseTheChannel(t *testing.T) {
 	r := newRouter(t, replica("d1", "both", "a", 1))
 	tb := &tomb.Tomb{}
-	d := router.NewLoop(tb, r, func() time.Duration { return settled }, time.Hour)
+	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
 	decisions := d.Submit(router.Arrive{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", Tail: 5})
 	first := <-decisions
 	for i := range 200 {
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestADeskSleepsUntilTheRouterNeedsTheTime(t *testing.T) {
+func TestLoopSleepsUntilRouterIsDue(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a")))), &tomb.Tomb{}
 	start := time.Now()
-	d := router.NewLoop(tb, r, func() time.Duration { return settled + time.Since(start) }, time.Hour)
+	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime + time.Since(start) }, time.Hour)
 	decisions := d.Submit(router.Arrive{Request: "q", Host: "h.example", Path: "/x"})
 	select {
 	case x := <-decisions:
@@ -58,7 +58,7 @@
 
 func TestRouterLoopExchangesLongPrompts(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a")), &tomb.Tomb{}
-	d := router.NewLoop(tb, r, func() time.Duration { return settled }, time.Hour)
+	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
 	announced := make(chan router.Prefill, 8)
 	d.OnPrefill(func(p router.Prefill) { announced <- p })
 	ask := func(id string, tokens int) string {
@@ -86,7 +86,7 @@
 }
 
 // A request that comes while the loop ends, or after, must not wait for ever for decisions that nobody makes.
-func TestEachSubmissionEndsThoughTheLoopHasEnded(t *testing.T) {
+func TestSubmitEndsAfterTheLoopEnded(t *testing.T) {
 	for range 50 {
 		tb := &tomb.Tomb{}
 		loop := router.NewLoop(tb, router.New(router.Defaults("n1", "b", "a")), func() time.Duration { return 0 }, time.Hour)
--- a/router/reports.go
+++ b/router/reports.go
@@ -40,7 +40,7 @@
 	}
 	r.replicas[id].platformState = e.State
 	row := &r.scheduler.Replicas[id]
-	row.Leaving = e.State.leaves()
+	row.Leaving = e.State.draining()
 	if e.State == Removed {
 		row.Up = false
 		r.replicas[id].instance = ""
@@ -82,7 +82,7 @@
 		r.scheduler.ConfirmInstance(now-e.Lag, now-e.Age, id)
 	}
 	row.Up = true
-	row.Leaving = e.Leaving || entry.platformState.leaves()
+	row.Leaving = e.Leaving || entry.platformState.draining()
 	r.scheduler.Report(now-e.Lag, id, e.Running)
 }
 
--- a/router/route_test.go
+++ b/router/route_test.go
@@ -40,7 +40,7 @@
 	r.Step(0, router.ReplicaList{Rows: rows})
 	r.Step(0, router.SnapshotUpdate{Snapshot: p})
 	r.Step(0, router.Routers{Names: []string{"n1"}, Zones: []string{"a"}})
-	r.Step(settled, router.ControlStatus{})
+	r.Step(convergeTime, router.ControlStatus{})
 	return r
 }
 
@@ -57,18 +57,18 @@
 	return ds[0]
 }
 
-func TestTheLongestPrefixIsTaken(t *testing.T) {
+func TestLongestPathPrefixMatches(t *testing.T) {
 	p := routes(1, route("short", "/a/", all("a")), route("long", "/a/b/", all("b")))
 	r := routed(p, row("i1", "a"), row("i2", "b"))
-	d := one(t, get(r, settled, "q1", "/a/b/c"), router.Place)
-	if d.Instance != "i2" || d.Route != &p.Config.Routes[1] || d.Deadline != settled+3*time.Second || d.MaxConns != 80 {
+	d := one(t, get(r, convergeTime, "q1", "/a/b/c"), router.Place)
+	if d.Instance != "i2" || d.Route != &p.Config.Routes[1] || d.Deadline != convergeTime+3*time.Second || d.MaxConns != 80 {
 		t.Errorf("%+v", d)
 	}
-	if d = one(t, get(r, settled, "q2", "/a/c"), router.Place); d.Instance != "i1" {
+	if d = one(t, get(r, convergeTime, "q2", "/a/c"), router.Place); d.Instance != "i1" {
 		t.Errorf("%+v", d)
 	}
 	for _, path := range []string{"/", "/b/", "/a"} {
-		if d = one(t, get(r, settled, "q3", path), router.Reject); !d.Bad {
+		if d = one(t, get(r, convergeTime, "q3", path), router.Reject); !d.Bad {
 			t.Errorf("%s: %+v", path, d)
 		}
 	}
@@ -79,7 +79,7 @@
 	rows[0].Capacity, rows[1].Capacity = 4000, 4000
 	r := routed(routes(1, route("k", "/", config.WeightedService{Service: "a", Weight: 90}, config.WeightedService{Service: "b", Weight: 10})), rows...)
 	for i := range 2000 {
-		if one(t, get(r, settled, fmt.Sprint(i), "/x"), router.Place).Instance == "i1" {
+		if one(t, get(r, convergeTime, fmt.Sprint(i), "/x"), router.Place).Instance == "i1" {
 			big++
 		}
 	}
@@ -88,24 +88,24 @@
 	}
 }
 
-func TestARouteRemovedWhileARequestWaits(t *testing.T) {
+func TestRouteRemovedWhileRequestIsQueued(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))))
-	if ds := get(r, settled, "q", "/x"); len(ds) > 0 {
+	if ds := get(r, convergeTime, "q", "/x"); len(ds) > 0 {
 		t.Fatalf("%+v", ds)
 	}
-	d := one(t, r.Step(settled+time.Millisecond, router.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", all("a")))}), router.Reject)
+	d := one(t, r.Step(convergeTime+time.Millisecond, router.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", all("a")))}), router.Reject)
 	if d.Bad || d.RejectedLate {
 		t.Errorf("%+v", d)
 	}
 }
 
-func TestRosterChanges(t *testing.T) {
+func TestReplicaListChanges(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"))
-	d := one(t, get(r, settled, "q1", "/x"), router.Place)
-	r.Step(settled, router.ReadyToSend{Request: "q1", AttemptID: d.AttemptID})
-	r.Step(settled, router.AnswerHead{Request: "q1", AttemptID: d.AttemptID})
-	r.Step(settled, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
-	at := settled + 100*time.Millisecond
+	d := one(t, get(r, convergeTime, "q1", "/x"), router.Place)
+	r.Step(convergeTime, router.ReadyToSend{Request: "q1", AttemptID: d.AttemptID})
+	r.Step(convergeTime, router.AnswerHead{Request: "q1", AttemptID: d.AttemptID})
+	r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
+	at := convergeTime + 100*time.Millisecond
 	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.Confirmed != 400 {
 		t.Errorf("kept parts: %+v", d)
 	}
@@ -141,7 +141,7 @@
 func TestRowsOfRemovedInstancesAreReused(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i0", "a"))
 	for i := range 50 {
-		at := settled + time.Duration(i)*20*time.Second
+		at := convergeTime + time.Duration(i)*20*time.Second
 		r.Step(at, router.ReplicaList{Rows: []router.Instance{row(fmt.Sprint("i", i), "a")}})
 		if d := one(t, get(r, at, fmt.Sprint("q", i), "/x"), router.Place); d.Instance != fmt.Sprint("i", i) {
 			t.Fatalf("%d: %+v", i, d)
@@ -157,10 +157,10 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i", "a"))
 	for i := range 50 {
 		name := fmt.Sprint("k", i)
-		r.Step(settled, router.SnapshotUpdate{Snapshot: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
-		d := one(t, get(r, settled, name, "/"+name+"/"), router.Place)
-		r.Step(settled, router.ReadyToSend{Request: name, AttemptID: d.AttemptID})
-		r.Step(settled, router.AttemptEnded{Request: name, AttemptID: d.AttemptID, Result: router.Completed})
+		r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
+		d := one(t, get(r, convergeTime, name, "/"+name+"/"), router.Place)
+		r.Step(convergeTime, router.ReadyToSend{Request: name, AttemptID: d.AttemptID})
+		r.Step(convergeTime, router.AttemptEnded{Request: name, AttemptID: d.AttemptID, Result: router.Completed})
 	}
 	if r.Kinds() > 3 {
 		t.Errorf("%d kinds for one route", r.Kinds())
@@ -171,16 +171,16 @@
 	p := routes(1, route("k", "/", all("a")))
 	p.EvacuatedZones = []string{"a"}
 	r := routed(p, row("i", "a"))
-	if ds := get(r, settled, "q0", "/x"); len(ds) > 0 {
+	if ds := get(r, convergeTime, "q0", "/x"); len(ds) > 0 {
 		t.Fatalf("placed in an emptied domain: %+v", ds)
 	}
 	n := 0
-	for i, d := range r.Step(settled, router.SnapshotUpdate{Snapshot: routes(2, route("k", "/", all("a")))}) {
+	for i, d := range r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(2, route("k", "/", all("a")))}) {
 		n += i + 1
 		one(t, []router.Decision{d}, router.Place)
 	}
 	for i := range 7 {
-		n += len(get(r, settled, fmt.Sprint("q1", i), "/x"))
+		n += len(get(r, convergeTime, fmt.Sprint("q1", i), "/x"))
 	}
 	if n != 1 {
 		t.Errorf("%d starts at once on a replica that may be cold", n)
@@ -192,18 +192,18 @@
 	p := routes(1, route("r", "/", all("a")))
 	rows := []router.Instance{row("i1", "a"), row("i2", "a")}
 	one, two := routed(p, rows...), routed(p, rows...)
-	if f, found := one.Failures(settled); found {
+	if f, known := one.Failures(convergeTime); known {
 		t.Fatalf("%+v", f)
 	}
-	one.Step(settled, router.WrongInstance{Replica: "i2"})
-	f, found := one.Failures(settled)
-	if !found || len(f.Rows) != 1 || f.Rows[0] != (router.Failure{Replica: "i2", Gone: true}) {
+	one.Step(convergeTime, router.WrongInstance{Replica: "i2"})
+	f, known := one.Failures(convergeTime)
+	if !known || len(f.Rows) != 1 || f.Rows[0] != (router.Failure{Replica: "i2", Gone: true}) {
 		t.Fatalf("%+v", f)
 	}
 	f.By = "n2"
-	two.Step(settled, f)
+	two.Step(convergeTime, f)
 	for i := range 8 {
-		for _, d := range get(two, settled+time.Duration(i), fmt.Sprint("q", i), "/") {
+		for _, d := range get(two, convergeTime+time.Duration(i), fmt.Sprint("q", i), "/") {
 			if d.Instance == "i2" {
 				t.Fatalf("%+v", d)
 			}
@@ -216,7 +216,7 @@
 	r.RoundRobin()
 	at := map[string]int{}
 	for i := range 4 {
-		ds := r.Step(settled, router.Arrive{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", Tokens: 3100})
+		ds := r.Step(convergeTime, router.Arrive{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", Tokens: 3100})
 		at[one(t, ds, router.Place).Replica]++
 	}
 	if at["i1"] != 2 || at["i2"] != 2 {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-const settled = 3 * time.Second
+const convergeTime = 3 * time.Second
 
 func newRouter(t *testing.T, replicas string) *router.Router {
 	t.Helper()
@@ -19,7 +19,7 @@
 	for _, name := range []string{"p1", "p2", "d1", "d2"} {
 		r.Step(0, router.LoadReport{Replica: name, InstanceID: name + ".1"})
 	}
-	r.Step(settled, router.ControlStatus{})
+	r.Step(convergeTime, router.ControlStatus{})
 	return r
 }
 
@@ -53,16 +53,16 @@
 
 func TestSplitRolesKeepHoldingsAtThePrefillReplica(t *testing.T) {
 	r := newRouter(t, replica("p1", "prefill", "a", 1)+","+replica("p2", "prefill", "a", 2)+","+replica("d1", "decode", "a", 3)+","+replica("d2", "decode", "a", 4))
-	one := loopMessage(t, r, settled, "q1")
+	one := loopMessage(t, r, convergeTime, "q1")
 	if one.Prefill == "" || one.Replica[0] != 'd' || one.Confirmed+one.Predicted != 0 {
 		t.Fatalf("%+v", one)
 	}
-	two := loopMessage(t, r, settled+50*time.Millisecond, "q2")
+	two := loopMessage(t, r, convergeTime+50*time.Millisecond, "q2")
 	if two.Prefill != one.Prefill || two.Predicted != 4000 || two.Confirmed != 0 {
 		t.Errorf("in the gap: %+v", two)
 	}
-	answer(r, settled+100*time.Millisecond, one)
-	if three := loopMessage(t, r, settled+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
+	answer(r, convergeTime+100*time.Millisecond, one)
+	if three := loopMessage(t, r, convergeTime+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
 		t.Errorf("after the answer: %+v", three)
 	}
 }
@@ -75,28 +75,28 @@
 	if r.Version() != 5 {
 		t.Errorf("mark %d", r.Version())
 	}
-	r.Step(settled+3*time.Second, router.ControlStatus{})
-	if d := loopMessage(t, r, settled+3*time.Second, "q1"); d.Replica != "d1" {
+	r.Step(convergeTime+3*time.Second, router.ControlStatus{})
+	if d := loopMessage(t, r, convergeTime+3*time.Second, "q1"); d.Replica != "d1" {
 		t.Errorf("placed in an emptied domain: %+v", d)
 	}
 }
 
-func TestALibraryWithoutItsDaemonDenies(t *testing.T) {
+func TestRouterWithoutSnapshotRejects(t *testing.T) {
 	r := newRouter(t, replica("p1", "both", "a", 1))
-	ds := r.Step(settled+2*time.Second, router.Arrive{Request: "q1", Service: "o", Class: "k"})
+	ds := r.Step(convergeTime+2*time.Second, router.Arrive{Request: "q1", Service: "o", Class: "k"})
 	if len(ds) != 1 || ds[0].Verdict != router.Reject || ds[0].RetryAfter < time.Second {
 		t.Errorf("%+v", ds)
 	}
 }
 
-func TestANewInstanceHoldsNothing(t *testing.T) {
+func TestNewInstanceHoldsNoPrefixes(t *testing.T) {
 	r := newRouter(t, replica("p1", "both", "a", 1))
-	answer(r, settled+100*time.Millisecond, loopMessage(t, r, settled, "q1"))
-	if d := loopMessage(t, r, settled+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
+	answer(r, convergeTime+100*time.Millisecond, loopMessage(t, r, convergeTime, "q1"))
+	if d := loopMessage(t, r, convergeTime+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
 		t.Fatalf("%+v", d)
 	}
-	r.Step(settled+300*time.Millisecond, router.LoadReport{Replica: "p1", InstanceID: "p1.2"})
-	if d := loopMessage(t, r, settled+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
+	r.Step(convergeTime+300*time.Millisecond, router.LoadReport{Replica: "p1", InstanceID: "p1.2"})
+	if d := loopMessage(t, r, convergeTime+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/scheduler/choose.go
+++ b/scheduler/choose.go
@@ -42,13 +42,13 @@
 	c := choice{replica: -1, cost: math.Inf(1), estimate: time.Duration(math.MaxInt64)}
 	home, least := s.home(req, svc), time.Duration(math.MaxInt64)
 	s.Counters.Visited += uint64(len(svc.Replicas))
-	var found bool
+	var known bool
 	for _, id := range svc.Replicas {
 		r := &s.Replicas[id]
 		if !r.available(now) || (svc.SplitRoles && r.Role == rolePrefill) {
 			continue
 		}
-		found = true
+		known = true
 		one := choice{replica: id}
 		one.confirmed, one.predicted = s.Index.Lookup(now, id, req.Parts)
 		one.estimate = s.estimate(now, req, id, one.confirmed, one.predicted)
@@ -66,7 +66,7 @@
 		}
 	}
 	c.leastEstimate = least
-	return c, found
+	return c, known
 }
 
 // slotCost weighs a replica that runs each request in a slot of its own; a unit is the bound on the first token.
@@ -96,18 +96,18 @@
 
 func (s *Scheduler) chooseInTurn(now time.Duration, req *Request, svc *Service) (choice, bool) {
 	c := choice{replica: -1}
-	var found bool
+	var known bool
 	for i := range svc.Replicas {
 		id := svc.Replicas[(s.nextInTurn+i)%len(svc.Replicas)]
 		if !s.Replicas[id].available(now) {
 			continue
 		}
-		found = true
+		known = true
 		if s.freeSlots(now, id) > 0 {
 			s.nextInTurn += i + 1
 			confirmed, predicted := s.Index.Lookup(now, id, req.Parts)
 			return choice{replica: id, confirmed: confirmed, predicted: predicted, estimate: s.estimate(now, req, id, 0, 0)}, true
 		}
 	}
-	return c, found
+	return c, known
 }
--- a/scheduler/home_test.go
+++ b/scheduler/home_test.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-func TestAllDomainsAgreeOnTheHomeOfASharedPart(t *testing.T) {
+func TestAllZonesAgreeOnHomeOfSharedPart(t *testing.T) {
 	homes := map[int]int{}
 	for local := range 40 {
 		seen := map[int]bool{}
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -11,7 +11,7 @@
 	s.Replicas[replica].report(now-localLoadLag, load)
 }
 
-// taken estimates how many slots of a queueing replica are taken; what other routers have there counts less the older the report.
+// occupied estimates how many slots of a queueing replica are taken; what other routers have there counts less the older the report.
 func (s *Scheduler) occupied(now time.Duration, replica int) int {
 	r := &s.Replicas[replica]
 	n := r.load()
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestAServiceIsNeverEmptiedByEjection(t *testing.T) {
+func TestEjectionNeverEmptiesAService(t *testing.T) {
 	w := newCluster(20, 10)
 	w.answer = func(time.Duration, int) (time.Duration, AttemptResult, bool) { return 5 * ms, Completed, true }
 	w.run(3*time.Second, 9*time.Second, 20)
@@ -224,7 +224,7 @@
 }
 
 // A router whose own way to the replicas is broken accuses them all; the others take no heed.
-func TestAnAccuserOfAllIsNotBelieved(t *testing.T) {
+func TestRouterThatReportsAllReplicasIsIgnored(t *testing.T) {
 	m := newCluster(3, 10).ms[0]
 	at := 5 * time.Second
 	var all []FailureCount
--- a/scheduler/prefill.go
+++ b/scheduler/prefill.go
@@ -27,7 +27,7 @@
 	quadraticTokens = 110000
 )
 
-// rank makes replicas read short prompts first: each rank holds prompts twice as long as the one before.
+// prefillPriority makes replicas read short prompts first: each rank holds prompts twice as long as the one before.
 func prefillPriority(tokens float64) int {
 	var n int
 	for most := float64(shortestPrompt); tokens > most && n < priorities-1; most *= 2 {
@@ -36,7 +36,7 @@
 	return n
 }
 
-// work weighs longer prompts more, since reading a token takes longer the more stand before it.
+// prefillWork weighs longer prompts more, since reading a token takes longer the more stand before it.
 func prefillWork(tokens float64) float64 { return tokens * (1 + tokens/quadraticTokens) }
 
 func (p *prefills) add(now time.Duration, pace float64, one prefill) {
--- a/scheduler/prefill_test.go
+++ b/scheduler/prefill_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestPromptsKeepAwayFromReplicasThatRead(t *testing.T) {
+func TestPromptsAvoidReplicasInPrefill(t *testing.T) {
 	m := batching(t)
 	long, p := prompt(t, m, now, Request{Tail: 40000})
 	for range 3 {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReadPromptsStopCountingByThemselves(t *testing.T) {
+func TestPrefillEstimatesExpire(t *testing.T) {
 	m := batching(t)
 	r := &m.Replicas[0]
 	r.prefills.add(now, 10000, prefill{tokens: 10000, priority: 4})
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestAnAnswerAsSlowAsAMissDropsThePartsCountedOn(t *testing.T) {
+func TestSlowAnswerInfersEviction(t *testing.T) {
 	m := batching(t)
 	m.Index.SetKeep(0, 100000)
 	m.Index.SetKeep(1, 100000)
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestLargeFleetsTellOfLongerPromptsOnly(t *testing.T) {
+func TestLargeFleetsAnnounceLongerPromptsOnly(t *testing.T) {
 	m := batching(t)
 	var rs []RouterZone
 	for _, name := range []string{"n1", "n2"} {
--- a/scheduler/refuse_test.go
+++ b/scheduler/refuse_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWithoutReplicasUserAgentsComeBackLater(t *testing.T) {
+func TestNoReplicasMeansRetryLater(t *testing.T) {
 	m := queueing(8, stream)
 	m.Replicas[0].Listed, m.Replicas[1].Listed = false, false
 	m.Arrive(now, Request{})
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -88,7 +88,7 @@
 	return float64(r.load()) / float64(max(r.Capacity, 1))
 }
 
-// coldness goes from 1 to 0 over the ramp.
+// slowStartLeft goes from 1 to 0 over the ramp.
 func (r *Replica) slowStartLeft(now, slowStart time.Duration) float64 {
 	if r.SuspectSince > 0 && slowStart > 0 {
 		return 1
--- a/scheduler/route_test.go
+++ b/scheduler/route_test.go
@@ -186,19 +186,19 @@
 	only(t, m.Tick(now+30*time.Second), Place)
 }
 
-func TestASilentReplicaIsLeftToAnswerUntilTheDeadline(t *testing.T) {
+func TestSilentReplicaMayAnswerUntilDeadline(t *testing.T) {
 	long := stream
 	long.Timeout = 15 * time.Second
 	m := queueing(8, long)
 	start(t, m, now)
 	m.SetFeed(now+14*time.Second, "")
 	only(t, m.Tick(now+14*time.Second))
-	if at, found := m.Next(now + 14900*ms); !found || at != now+15*time.Second {
+	if at, known := m.Next(now + 14900*ms); !known || at != now+15*time.Second {
 		t.Errorf("next at %v", at)
 	}
 	only(t, m.Tick(now+15*time.Second), Cancel, Unknown)
 	m.Tick(now + 25*time.Second)
-	if _, found := m.Next(now + 25*time.Second); found {
+	if _, known := m.Next(now + 25*time.Second); known {
 		t.Error("an idle market needs the time")
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -39,7 +39,7 @@
 	return a
 }
 
-func TestOneGoOnlyAfterAByteMayHaveLeft(t *testing.T) {
+func TestOneAttemptOnceBytesMayHaveLeft(t *testing.T) {
 	for _, end := range []AttemptResult{Failed, Refused} {
 		m := market(4, once)
 		id := m.Arrive(now, Request{})
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestWhatMayHaveRunIsNeverDenied(t *testing.T) {
+func TestRequestThatMayHaveRunIsNeverRejected(t *testing.T) {
 	m := market(4, again)
 	m.Services[0].retryBudget.tokens = 1
 	id := m.Arrive(now, Request{})
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestBacklogOrderAndEarlyDenial(t *testing.T) {
+func TestQueueOrderAndEarlyRejection(t *testing.T) {
 	low := Class{Value: 1, Urgency: 1, FirstTokenBound: 2 * time.Second}
 	high := Class{Value: 10, Urgency: 3, FirstTokenBound: 2 * time.Second}
 	m := market(1, low, high)
@@ -161,7 +161,7 @@
 	return n
 }
 
-func TestUsageIsNotCountedTwice(t *testing.T) {
+func TestLoadIsNotCountedTwice(t *testing.T) {
 	r := Replica{Capacity: 8}
 	r.attemptBegan(10 * time.Second)
 	r.attemptBegan(12 * time.Second)
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestAskedElsewhereBeforeIsWithheldUntilItLeft(t *testing.T) {
+func TestRequestSeenElsewhereIsSuppressed(t *testing.T) {
 	m := market(1, once)
 	first, second := m.Arrive(now, Request{}), 0
 	p := only(t, m.Tick(now), Place)
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func (a *Audit) leaves(n *Node, replica string) {
+func (a *Audit) drains(n *Node, replica string) {
 	if _, ok := a.drainedAt[replica]; !ok {
 		a.drainedAt[replica] = versionFact{at: a.w.Now, zone: n.Zone}
 	}
@@ -222,7 +222,7 @@
 	a.w.After(100*time.Millisecond, a.checkLeases)
 }
 
-func (a *Audit) obeys(n *Node) {
+func (a *Audit) applies(n *Node) {
 	a.orders[n.Name] = append(a.orders[n.Name], versionAt{at: a.w.Now, version: n.router.Version()})
 }
 
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -83,7 +83,7 @@
 	o.s.w.After(gap, func() { o.race(times-1, gap) })
 }
 
-// invalid sends documents that must not be taken, each invalid in another way.
+// flawed sends documents that must not be taken, each invalid in another way.
 func (o *operators) flawed() {
 	base := o.base()
 	if base == nil {
--- a/sim/client.go
+++ b/sim/client.go
@@ -107,7 +107,7 @@
 	case !n.Alive && n.dark:
 		return
 	case !n.Alive:
-		c.cut()
+		c.disconnected()
 		return
 	}
 	n.live(func() {
@@ -143,7 +143,7 @@
 	c.request.done(false)
 	n := c.n
 	c.request.s.w.After(clientDelay, func() {
-		if t := c.proxied; t != nil && n.Alive && n.incarnation == t.life {
+		if t := c.proxied; t != nil && n.Alive && n.incarnation == t.incarnation {
 			n.live(func() {
 				if !t.exchange.Over() {
 					t.happened(proxy.ClientClosed{})
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -76,11 +76,11 @@
 	}
 	switch {
 	case !listed:
-		var marks []uint64
+		var versions []uint64
 		for _, x := range a.inForce(due) {
-			marks = append(marks, x.version)
+			versions = append(versions, x.version)
 		}
-		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Class.Name, c.replica.Name, f.n.router.Version(), due, marks))
+		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Class.Name, c.replica.Name, f.n.router.Version(), due, versions))
 	case !kept:
 		a.breach(ToEvacuated, c.replica.Name, f.n.Name)
 	}
--- a/sim/engine/engine.go
+++ b/sim/engine/engine.go
@@ -48,13 +48,13 @@
 	Prompted, Cached             uint64
 }
 
-// New makes an engine that incarnations by the clock of the queue.
+// New makes an engine that lives by the clock of the queue.
 func New(q *eventqueue.Queue, s Spec) *Engine {
 	return &Engine{Spec: s, q: q, Slow: func() float64 { return 1 }, cache: newPrefixCache()}
 }
 
 // Load is what a replica tells of itself in answers.
-func (e *Engine) Load() (running, waiting, slots int) {
+func (e *Engine) Load() (running, queued, slots int) {
 	return len(e.running), len(e.queued) + e.arriving, e.Slots
 }
 
--- a/sim/engine/engine_test.go
+++ b/sim/engine/engine_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestALongPromptDelaysTheTokensOfOthers(t *testing.T) {
+func TestLongPromptDelaysTokensOfOthers(t *testing.T) {
 	q, e := newTestEngine(spec())
 	var short, long timed
 	e.Take(short.job(q, "", 100, 60, 0))
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestMemoryPutsTheLeastUrgentBack(t *testing.T) {
+func TestFullMemoryPreemptsLeastUrgent(t *testing.T) {
 	s := spec()
 	s.Memory = 1000
 	q, e := newTestEngine(s)
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestAFullQueueRefuses(t *testing.T) {
+func TestFullQueueRejects(t *testing.T) {
 	q, e := newTestEngine(Spec{Slots: 2, Queue: 3})
 	taken := 0
 	for range 8 {
@@ -121,7 +121,7 @@
 		}
 		q.Run(q.Now)
 	}
-	if running, waiting, _ := e.Load(); taken != 5 || running != 2 || waiting != 3 {
-		t.Errorf("%d taken, %d run, %d wait", taken, running, waiting)
+	if running, queued, _ := e.Load(); taken != 5 || running != 2 || queued != 3 {
+		t.Errorf("%d taken, %d run, %d wait", taken, running, queued)
 	}
 }
--- a/sim/faultwindows.go
+++ b/sim/faultwindows.go
@@ -9,7 +9,7 @@
 	planned     bool
 }
 
-// harm notes fault on machines; that of a machine with a disk unsettles the core at its begin and end, that of most of them all through.
+// recordFault notes fault on machines; that of a machine with a disk unsettles the core at its begin and end, that of most of them all through.
 func (r *rules) recordFault(ns []*Node, d time.Duration, planned, slows bool) {
 	now := r.s.w.Now
 	until := now + d
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -68,9 +68,9 @@
 		r.conns[id].reset()
 	}
 	r.conns = map[string]*fleetConn{}
-	eyes := r.watchers
+	watchers := r.watchers
 	r.watchers = nil
-	for _, shut := range eyes {
+	for _, shut := range watchers {
 		shut()
 	}
 }
@@ -101,7 +101,7 @@
 	case 0:
 		return false
 	case 1:
-		l.AttemptID, l.Text = "someone.else.1", ledger.Piece("someone", "someone.else.1", *l.Chunk)
+		l.AttemptID, l.Text = "someone.else.1", ledger.ChunkText("someone", "someone.else.1", *l.Chunk)
 	case 2:
 		l.InstanceID += "x"
 	case 3:
@@ -127,7 +127,7 @@
 	if state == router.Present {
 		w.Audit.back(name)
 	} else {
-		w.Audit.leaves(n, name)
+		w.Audit.drains(n, name)
 	}
 	w.Call(n, control.SetReplicaStates{At: n.unixMs(), Rows: []control.ReplicaState{{Replica: name, State: state}}}, func(control.Answer) {})
 }
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -179,7 +179,7 @@
 	})
 }
 
-func (c *fleetConn) cutOff() bool {
+func (c *fleetConn) partitioned() bool {
 	net := c.request.w.Net
 	return net.Blocked(c.request.n.Addr, c.replica.addr()) || net.Blocked(c.replica.addr(), c.request.n.Addr)
 }
@@ -192,7 +192,7 @@
 	w.Audit.placed(f, c)
 	w.Report.Predicted += uint64(d.Predicted)
 	w.Report.Confirmed += uint64(d.Confirmed)
-	if c.cutOff() {
+	if c.partitioned() {
 		f.n.later(dialFor, func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID}) })
 		return
 	}
--- a/sim/fleetscenarios.go
+++ b/sim/fleetscenarios.go
@@ -59,7 +59,7 @@
 	return []FleetScenario{
 		{Name: "calm", Faults: fixed()},
 		{Name: "crowd and hot key", Faults: fixed(), Change: func(s *Scenario) {
-			s.Load.HotShare = 0.4
+			s.Load.HotRatio = 0.4
 			s.Load.Bursts = []workload.Burst{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
 		}},
 		{Name: "replicas crash", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
@@ -178,7 +178,7 @@
 
 // Scenario is the scenario played on a shape with a seed.
 func (sc FleetScenario) Scenario(sh shape.Shape, seed uint64) Scenario {
-	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: workload.Load{Classes: sh.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}, Resend: true}
+	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: workload.Load{Classes: sh.Classes, Rate: 60, Prefixes: 24, HotRatio: 0.1}, Resend: true}
 	s.Faults = sc.Faults(sh, rand.New(rand.NewPCG(seed, 37)))
 	if sc.Change != nil {
 		sc.Change(&s)
--- a/sim/grownshape.go
+++ b/sim/grownshape.go
@@ -39,7 +39,7 @@
 // NoFailures is the share of a large site's machines and replicas that SiteOf gives; FewMachines that of most simulated days, where all
 // machines with a disk remain and only their number of followers, replicas and requests is smaller.
 const (
-	Whole       = 1.0
+	AllMachines = 1.0
 	FewMachines = 0.25
 	// trafficScale is the share of the requests of a large site that is simulated: its control side is the matter here.
 	trafficScale = 1.5
@@ -56,7 +56,10 @@
 		Services: []ServiceSpec{llmService("permisos", partOf(replicas, ratio, zones), 437458), plainService("borrador", 4)},
 	}
 	s.Services[0].Slots, s.Services[0].Queue, s.Services[0].WarmupRate = 24, 72, 18
-	s.Classes = classes("permisos", "borrador", [3]string{"dossier", "zoning", "checklist"}, ratio*trafficScale, 300*time.Millisecond, 60*time.Millisecond, 1500*time.Millisecond)
+	s.Classes = siteTraffic{
+		llm: "permisos", plain: "borrador", classes: [3]string{"dossier", "zoning", "checklist"}, scale: ratio * trafficScale,
+		target: 300 * time.Millisecond, work: 60 * time.Millisecond, deadline: 1500 * time.Millisecond,
+	}.trafficClasses()
 	return s
 }
 
@@ -68,7 +71,10 @@
 		Bounds: grownBounds(184), FaultTolerance: 2, ListRate: 260,
 		Services: []ServiceSpec{llmService("logbook", partOf(replicas, ratio, zones), 827815), plainService("onair", 5)},
 	}
-	s.Classes = classes("logbook", "onair", [3]string{"reconcile", "award", "lookup"}, ratio*trafficScale, 150*time.Millisecond, 30*time.Millisecond, 1500*time.Millisecond)
+	s.Classes = siteTraffic{
+		llm: "logbook", plain: "onair", classes: [3]string{"reconcile", "award", "lookup"}, scale: ratio * trafficScale,
+		target: 150 * time.Millisecond, work: 30 * time.Millisecond, deadline: 1500 * time.Millisecond,
+	}.trafficClasses()
 	s.Classes[1].Attempts = 2
 	return s
 }
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -123,8 +123,8 @@
 }
 
 func (i *Instance) load() *router.Load {
-	running, waiting, slots := i.engine.Load()
-	return &router.Load{Replica: i.ID, Running: running, Queued: waiting, Slots: slots}
+	running, queued, slots := i.engine.Load()
+	return &router.Load{Replica: i.ID, Running: running, Queued: queued, Slots: slots}
 }
 
 func (i *Instance) head(r *sentRequest, status int) *head {
--- a/sim/light/cluster.go
+++ b/sim/light/cluster.go
@@ -40,10 +40,19 @@
 	Clock func() time.Duration
 }
 
+// Transfer is one message of one node to another: its frame on a connection that has carried its kind before.
+type Transfer struct {
+	From, To *Node
+	Msg      any
+	// FrameBytes is the length of the frame.
+	FrameBytes int
+	// Encode and Decode are the real time that the frame's encoding and decoding took.
+	Encode, Decode time.Duration
+}
+
 // Meter sees what the machines of a lightweight fleet do.
 type Meter interface {
-	// Sent is one message of one node to another: its frame on a connection that has carried its kind before.
-	Sent(from, to *Node, msg any, frame int, encode, decode time.Duration)
+	Sent(t Transfer)
 	// Stepped is one input (control.In or router.Event) and the real time that the machine took for it.
 	Stepped(n *Node, in any, elapsed time.Duration)
 	// Asked is one question to a replica for its usage.
@@ -213,11 +222,11 @@
 	if err != nil {
 		panic(err)
 	}
-	h.S.Meter.Sent(from, to, s.Msg, len(frame), encoded, decoded)
+	h.S.Meter.Sent(Transfer{From: from, To: to, Msg: s.Msg, FrameBytes: len(frame), Encode: encoded, Decode: decoded})
 	h.After(h.net.Delay(from.Zone == to.Zone), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
-func (n *Node) obeys(o router.SnapshotUpdate) {
+func (n *Node) applies(o router.SnapshotUpdate) {
 	for version := n.version + 1; version <= o.Snapshot.Version; version++ {
 		n.h.obeyed[version]++
 		n.h.inForce(version)
--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -86,7 +86,7 @@
 	n.h.S.Meter.Stepped(n, ev, n.h.S.Clock()-start)
 	for _, d := range ds {
 		if g := n.asks[d.Request]; g != nil {
-			n.move(g, g.flow.Decided(d))
+			n.perform(g, g.flow.Decided(d))
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		n.event(ev)
 		if o, ok := ev.(router.SnapshotUpdate); ok {
 			n.watch(o.Snapshot)
-			n.obeys(o)
+			n.applies(o)
 		}
 	}
 	for _, p := range out.Probes {
@@ -133,7 +133,7 @@
 	})
 }
 
-func (n *Node) trip(replica string) time.Duration {
+func (n *Node) delay(replica string) time.Duration {
 	return n.h.net.Delay(n.Zone == n.h.where[replica])
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	n.h.S.Meter.Asked(n)
-	n.h.After(2*n.trip(p.Replica), func() { n.step(n.report(p.Replica, p.Local)) })
+	n.h.After(2*n.delay(p.Replica), func() { n.step(n.report(p.Replica, p.Local)) })
 }
 
 func (n *Node) watch(p *config.Snapshot) {
@@ -159,7 +159,7 @@
 			}
 			n.watchers[r.Name] = true
 			n.h.S.Meter.Asked(n)
-			n.h.At(max(n.h.Now, n.upgradeAt)+2*n.trip(r.Name), func() { n.step(control.Observation{State: control.Up, Probed: n.report(r.Name, true)}) })
+			n.h.At(max(n.h.Now, n.upgradeAt)+2*n.delay(r.Name), func() { n.step(control.Observation{State: control.Up, Probed: n.report(r.Name, true)}) })
 		}
 	}
 }
@@ -170,12 +170,12 @@
 	n.event(router.Arrive{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens})
 }
 
-func (n *Node) move(g *request, actions []router.Action) {
+func (n *Node) perform(g *request, actions []router.Action) {
 	for _, m := range actions {
 		switch m.Kind {
 		case router.Connect:
 			g.on, g.due = m.Placement.Replica, 0
-			n.h.After(2*n.trip(g.on), func() { n.happened(g, router.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
+			n.h.After(2*n.delay(g.on), func() { n.happened(g, router.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
 		case router.AskWitnesses:
 			n.h.call(n, control.Witness{Request: g.ask.Request, SpareTime: m.Placement.SpareTime}, func(a control.Answer) {
 				n.happened(g, router.WitnessesAnswered{AttemptID: m.Placement.AttemptID, Result: control.WitnessOutcome(a)})
@@ -185,7 +185,7 @@
 				n.happened(g, router.WitnessesAnswered{Result: control.WitnessOutcome(a)})
 			})
 		case router.Write:
-			n.h.After(n.trip(g.on), func() { n.admitted(g, m.Placement.AttemptID) })
+			n.h.After(n.delay(g.on), func() { n.admitted(g, m.Placement.AttemptID) })
 		case router.NotifyRouter:
 			n.event(m.Event)
 		case router.Finish:
@@ -196,11 +196,11 @@
 }
 
 func (n *Node) happened(g *request, w router.ConnectionEvent) {
-	n.move(g, g.flow.Happened(w))
+	n.perform(g, g.flow.Happened(w))
 }
 
 func (n *Node) back(g *request, at time.Duration, w router.ConnectionEvent) {
-	g.due = max(g.due, at+n.trip(g.on))
+	g.due = max(g.due, at+n.delay(g.on))
 	n.h.At(g.due, func() { n.happened(g, w) })
 }
 
@@ -216,7 +216,7 @@
 	n.back(g, at, router.Replied{AttemptID: id, Attempt: id, Status: http.StatusOK})
 	n.h.Firsts = append(n.h.Firsts, at-g.at)
 	for i := range plan.Chunks {
-		text := ledger.Piece(g.ask.Request, id, i)
+		text := ledger.ChunkText(g.ask.Request, id, i)
 		n.back(g, at+time.Duration(i)*plan.Every, router.AnswerRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
 	end := at + time.Duration(plan.Chunks-1)*plan.Every
--- a/sim/marathon.go
+++ b/sim/marathon.go
@@ -13,16 +13,21 @@
 	atOnce = 3
 )
 
-// marathonFaults are the faults of a marathon by what they strike.
-func marathonFaults() (onCore, onNodes, onReplicas, plain []string) {
-	onCore = []string{
+// marathonKinds are the kinds of fault of a marathon by what they strike.
+type marathonKinds struct {
+	onCore, onNodes, onReplicas, plain []string
+}
+
+func marathonFaults() marathonKinds {
+	var kinds marathonKinds
+	kinds.onCore = []string{
 		Kill, Power, Wipe, Relocate, Retire, Freeze, ClockBack, PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionControl, PartitionOneWay, PartitionIn, PartitionNode, SlowDisk, StallDisk, FullDisk,
 		OldDisk,
 	}
-	onNodes = []string{Kill, Power, Freeze, PartitionNode, PartitionControl, PartitionOneWay, PartitionIn, ClockBack, Upgrade}
-	onReplicas = []string{ReplicaCrash, ReplicaUnreachable, ReplicaFreeze, Release, ScaleIn}
-	plain = []string{PutStorm, Change, Race, SameNumber, BadPuts, AckLost, EvacuateFault, ListDown, BurstFault, HotKey, ScaleOut, GarbleAnswers}
-	return onCore, onNodes, onReplicas, plain
+	kinds.onNodes = []string{Kill, Power, Freeze, PartitionNode, PartitionControl, PartitionOneWay, PartitionIn, ClockBack, Upgrade}
+	kinds.onReplicas = []string{ReplicaCrash, ReplicaUnreachable, ReplicaFreeze, Release, ScaleIn}
+	kinds.plain = []string{PutStorm, Change, Race, SameNumber, BadPuts, AckLost, EvacuateFault, ListDown, BurstFault, HotKey, ScaleOut, GarbleAnswers}
+	return kinds
 }
 
 // Marathon is a long day on which three faults at a time begin, drawn from all kinds, under orders that never pause.
@@ -39,20 +44,20 @@
 }
 
 func marathonFault(s SiteSpec, rng *rand.Rand, at time.Duration) Fault {
-	onCore, onNodes, onReplicas, plain := marathonFaults()
+	kinds := marathonFaults()
 	lasts := time.Duration(300+rng.IntN(5000)) * ms
 	if rng.IntN(8) == 0 {
 		lasts = 20 * sec
 	}
 	switch rng.IntN(5) {
 	case 0, 1:
-		return one(drawn(rng, onCore...), at, lasts, AnyCore)
+		return one(drawn(rng, kinds.onCore...), at, lasts, AnyCore)
 	case 2:
-		return one(drawn(rng, onNodes...), at, lasts, some(rng, nodeNames(s.Shape)[len(disks(s)):], 1+rng.IntN(2))...)
+		return one(drawn(rng, kinds.onNodes...), at, lasts, some(rng, nodeNames(s.Shape)[len(disks(s)):], 1+rng.IntN(2))...)
 	case 3:
-		return one(drawn(rng, onReplicas...), at, lasts, s.Services[rng.IntN(len(s.Services))].Name)
+		return one(drawn(rng, kinds.onReplicas...), at, lasts, s.Services[rng.IntN(len(s.Services))].Name)
 	}
-	f := one(drawn(rng, plain...), at, min(lasts, 6*sec))
+	f := one(drawn(rng, kinds.plain...), at, min(lasts, 6*sec))
 	switch f.Kind {
 	case EvacuateFault:
 		f.On = some(rng, s.Shape.Zones, 1)
