--- a/sim/measure.go
+++ b/sim/measure.go
@@ -41,7 +41,7 @@
 }
 
 func (g *measurement) world() *World {
-	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: workload.Load{Classes: g.shape.Classes, Rate: 60, Prefixes: 24, HotShare: 0.1}})
+	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: workload.Load{Classes: g.shape.Classes, Rate: 60, Prefixes: 24, HotRatio: 0.1}})
 	w.Boot()
 	w.Load(5*time.Second, 4*time.Minute)
 	w.Run(12 * time.Second)
--- a/sim/measurettl.go
+++ b/sim/measurettl.go
@@ -7,13 +7,22 @@
 
 const slower = 400 * time.Millisecond
 
-func (w *World) ttl() (ms int64, early, stale, recorded uint64) {
+// predictionStats are the nodes' mean time to live of predictions, in milliseconds, and their counters, added up.
+type predictionStats struct {
+	ttl                    int64
+	early, stale, recorded uint64
+}
+
+func (w *World) predictionStats() predictionStats {
+	var s predictionStats
 	for _, n := range w.Nodes {
 		h, t := n.router.IndexStats()
-		ms += t.Milliseconds() / int64(len(w.Nodes))
-		early, stale, recorded = early+h.EarlyExpiry, stale+h.StaleExpiry, recorded+h.Recorded
+		s.ttl += t.Milliseconds() / int64(len(w.Nodes))
+		s.early += h.EarlyExpiry
+		s.stale += h.StaleExpiry
+		s.recorded += h.Recorded
 	}
-	return ms, early, stale, recorded
+	return s
 }
 
 // tracks follows T while all replicas take longer to their first token for 40 s, and then no longer do.
@@ -27,22 +36,21 @@
 		}
 	}
 	g.tell("T before", w)
-	_, early, _, recorded := w.ttl()
+	before := w.predictionStats()
 	slow(slower)
 	for i := range 4 {
 		w.Run(w.Now + 10*time.Second)
 		g.tell(fmt.Sprintf("T %d s after 340 ms more", 10*i+10), w)
 	}
-	_, overdue, _, all := w.ttl()
-	g.add("per mille confirmed after T meanwhile", int64(1000*(overdue-early)/max(all-recorded, 1)))
+	after := w.predictionStats()
+	g.add("per mille confirmed after T meanwhile", int64(1000*(after.early-before.early)/max(after.recorded-before.recorded, 1)))
 	slow(base)
 	w.Run(w.Now + 40*time.Second)
 	g.tell("T 40 s after it went", w)
 }
 
 func (g *measurement) tell(name string, w *World) {
-	ms, _, _, _ := w.ttl()
-	g.add(name, ms)
+	g.add(name, w.predictionStats().ttl)
 }
 
 // falseWarm compares guesses that nothing confirmed, while replicas crash, with the source's estimate of rate, share and T.
@@ -52,7 +60,7 @@
 		w.At(w.Now+time.Duration(3*i)*time.Second, func() { w.Break(Fault{Kind: ReplicaCrash, On: some(w.whim, replicaNames(), 2), For: 2 * time.Second}) })
 	}
 	w.Run(52 * time.Second)
-	t, _, stale, recorded := w.ttl()
-	g.add("guesses never confirmed, per 100000", int64(100000*stale/max(recorded, 1)))
-	g.add("false warm guesses live, thousandths", int64(float64(stale)/47*float64(t)))
+	s := w.predictionStats()
+	g.add("guesses never confirmed, per 100000", int64(100000*s.stale/max(s.recorded, 1)))
+	g.add("false warm guesses live, thousandths", int64(float64(s.stale)/47*float64(s.ttl)))
 }
--- a/sim/node.go
+++ b/sim/node.go
@@ -93,8 +93,8 @@
 		return
 	}
 	w := n.w
-	w.lives++
-	n.reset(w.lives)
+	w.incarnations++
+	n.reset(w.incarnations)
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot,
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -21,7 +21,7 @@
 	for _, ev := range out.Events {
 		n.decide(n.turn(ev))
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			w.Audit.obeys(n)
+			w.Audit.applies(n)
 			n.watch(o.Snapshot)
 		}
 	}
--- a/sim/nodescenarios.go
+++ b/sim/nodescenarios.go
@@ -13,7 +13,7 @@
 func processScenarios() []SiteScenario {
 	return []SiteScenario{
 		{Name: "processes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return each(Kill, 4, 4*sec, 2*sec, nodeNames(s.Shape), 2)(rng)
+			return repeatedFault{Kill, 4, 4 * sec, 2 * sec, nodeNames(s.Shape), 2}.draw(rng)
 		}},
 		{Name: "half are killed at once", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			return []Fault{one(Kill, 13*sec, 2*sec, some(rng, nodeNames(s.Shape), len(s.Shape.Nodes)*55/100)...)}
@@ -25,7 +25,7 @@
 			return []Fault{one(Kill, 14*sec, sec, nodeNames(s.Shape)...)}
 		}},
 		{Name: "machines freeze", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			fs := each(Freeze, 3, 5*sec, 3500*ms, nodeNames(s.Shape)[len(disks(s)):], 1)(rng)
+			fs := repeatedFault{Freeze, 3, 5 * sec, 3500 * ms, nodeNames(s.Shape)[len(disks(s)):], 1}.draw(rng)
 			return append(fs, one(Freeze, 15*sec, 2*sec, some(rng, disks(s), 1)...), one(PutStorm, 12*sec, 8*sec))
 		}},
 		{Name: "machines are stopped in turn", Least: 0.95, Lasts: 46 * sec, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
@@ -39,14 +39,14 @@
 			return append(fs, one(BurstFault, 11*sec, 12*sec))
 		}},
 		{Name: "machines are cut off", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			fs := append(each(PartitionNode, 2, 9*sec, 5500*ms, nodeNames(s.Shape), 2)(rng), each(PartitionControl, 2, 8*sec, 5*sec, nodeNames(s.Shape), 1)(rng)...)
+			fs := append(repeatedFault{PartitionNode, 2, 9 * sec, 5500 * ms, nodeNames(s.Shape), 2}.draw(rng), repeatedFault{PartitionControl, 2, 8 * sec, 5 * sec, nodeNames(s.Shape), 1}.draw(rng)...)
 			return append(fs, one(PutStorm, 13*sec, 4*sec), one(Release, 14*sec, 0, s.Services[0].Name))
 		}},
 		{Name: "core is cut", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
 			return []Fault{one(SplitCore, 13*sec, 5500*ms, disks(s)...), one(Change, 14*sec, 0), one(Change, 20*sec, 0), one(Release, 15*sec, 0, s.Services[0].Name)}
 		}},
 		{Name: "clocks step", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return append(each(ClockBack, 3, 5*sec, sec, nodeNames(s.Shape), 3)(rng), one(PutStorm, 13*sec, 8*sec))
+			return append(repeatedFault{ClockBack, 3, 5 * sec, sec, nodeNames(s.Shape), 3}.draw(rng), one(PutStorm, 13*sec, 8*sec))
 		}},
 	}
 }
@@ -63,7 +63,7 @@
 			return []Fault{one(Change, 11*sec, 0), one(Relocate, 12*sec, sec, disks(s)[0]), one(PutStorm, 14*sec, 10*sec), one(Kill, 26*sec, 2*sec, disks(s)[1]), one(Change, 27*sec, 0)}
 		}},
 		{Name: "replicas crash while nodes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			return append(each(Kill, 3, 5*sec, 2*sec, nodeNames(s.Shape), 2)(rng), each(ReplicaCrash, 3, 4*sec, 2*sec, []string{s.Services[0].Name}, 1)(rng)...)
+			return append(repeatedFault{Kill, 3, 5 * sec, 2 * sec, nodeNames(s.Shape), 2}.draw(rng), repeatedFault{ReplicaCrash, 3, 4 * sec, 2 * sec, []string{s.Services[0].Name}, 1}.draw(rng)...)
 		}},
 		{Name: "a domain is lost", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			d := s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]
@@ -112,7 +112,7 @@
 			return []Fault{one(EvacuateFault, 12*sec, 8*sec, s.Shape.Zones[rng.IntN(len(s.Shape.Zones))])}
 		}},
 		{Name: "evacuation while nodes are killed", Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-			fs := each(Kill, 3, 4*sec, 2*sec, nodeNames(s.Shape), 2)(rng)
+			fs := repeatedFault{Kill, 3, 4 * sec, 2 * sec, nodeNames(s.Shape), 2}.draw(rng)
 			return append(fs, one(EvacuateFault, 13*sec, 9*sec, s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]))
 		}},
 		{Name: "all power is lost after the word", Lasts: 18 * sec, Faults: fixedFaults(one(PutStorm, 12*sec, 4*sec)), Close: allDown},
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -109,8 +109,8 @@
 			return
 		}
 		w.Call(n, o.callOf(d), func(a control.Answer) {
-			late := w.Now-sent > callAnew || call != d.calls
-			if o.answered(d, n, a, late) {
+			overdue := w.Now-sent > callAnew || call != d.calls
+			if o.answered(d, n, a, overdue) {
 				next(pause)
 			}
 		})
@@ -119,13 +119,13 @@
 }
 
 // answered takes in the answer to one call of an order, and tells whether another is to follow it. Nobody waits for a late one any more.
-func (o *operators) answered(d *order, n *Node, a control.Answer, late bool) bool {
+func (o *operators) answered(d *order, n *Node, a control.Answer, overdue bool) bool {
 	f := fateOf(a.Err)
 	switch {
 	case o.loses():
 		d.unclear, d.answerLost = true, true
 		o.extend(d)
-	case d.over || late:
+	case d.over || overdue:
 		d.unclear = true
 	case f == unclear:
 		d.unclear = true
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -16,7 +16,7 @@
 	part                     prefixindex.Key
 }
 
-func (c *fleetConn) keeper() *FleetReplica {
+func (c *fleetConn) prefixOwner() *FleetReplica {
 	if c.place.Prefill != "" {
 		return c.request.w.byURL[c.place.Prefill]
 	}
@@ -28,7 +28,7 @@
 	var tokens []int
 	var keys []predictionKey
 	for _, p := range parts {
-		keys, tokens = append(keys, predictionKey{front: c.request.n.frontendID, replica: c.keeper().Name, part: p.Key}), append(tokens, p.Tokens)
+		keys, tokens = append(keys, predictionKey{front: c.request.n.frontendID, replica: c.prefixOwner().Name, part: p.Key}), append(tokens, p.Tokens)
 	}
 	return keys, tokens
 }
@@ -36,39 +36,49 @@
 // placed compares what a placement counted on with what its node can have seen: its own commits and their answers.
 func (a *Audit) placed(f *fleetRequest, c *fleetConn) {
 	keys, tokens := c.keys()
-	a.counted(f.n, f.ask.Request, c.place, keys, tokens, func(key predictionKey) bool { return a.proof(f.n, c.keeper(), key) })
+	a.counted(placementCheck{f.n, f.ask.Request, c.place, keys, tokens}, func(key predictionKey) bool { return a.proof(f.n, c.prefixOwner(), key) })
 }
 
-func (a *Audit) counted(n *Node, who string, place router.Decision, keys []predictionKey, tokens []int, proved func(key predictionKey) bool) {
+// A placementCheck is a decision of a node, with the parts of the prompt that it may have counted on and the tokens of each.
+type placementCheck struct {
+	node     *Node
+	request  string
+	decision router.Decision
+	keys     []predictionKey
+	tokens   []int
+}
+
+// counted compares the tokens that a decision counted on with those that are proved, and with those that may be predicted.
+func (a *Audit) counted(c placementCheck, proved func(key predictionKey) bool) {
 	sure, all, certain := 0, 0, true
-	for i, key := range keys {
+	for i, key := range c.keys {
 		proof := proved(key)
 		if !proof && a.w.Now >= a.predictions[key] {
 			break
 		}
 		certain = certain && proof
-		all += tokens[i]
+		all += c.tokens[i]
 		if certain {
-			sure += tokens[i]
+			sure += c.tokens[i]
 		}
 	}
-	if place.Confirmed > sure {
-		a.breach(Unproved, who, fmt.Sprintf("%s counted on %d of %d tokens at %s", n.Name, place.Confirmed, sure, place.Replica))
+	if c.decision.Confirmed > sure {
+		a.breach(Unproved, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, c.decision.Confirmed, sure, c.decision.Replica))
 	}
-	if counted := place.Confirmed + place.Predicted; counted > all {
-		a.breach(StalePrediction, who, fmt.Sprintf("%s counted on %d of %d tokens at %s", n.Name, counted, all, place.Replica))
+	if counted := c.decision.Confirmed + c.decision.Predicted; counted > all {
+		a.breach(StalePrediction, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, counted, all, c.decision.Replica))
 	}
-	_, t := n.router.IndexStats()
-	for _, key := range keys {
+	_, t := c.node.router.IndexStats()
+	for _, key := range c.keys {
 		a.predictions[key] = max(a.predictions[key], a.w.Now+min(t, maxPredictions))
 	}
 }
 
-// guessed does the same for a trip, whose replica is one incarnation.
-func (t *proxyRequest) guessed() {
+// recordPrediction does the same for a trip, whose replica is one incarnation.
+func (t *proxyRequest) recordPrediction() {
 	a := t.n.w.Audit
 	keys, tokens := t.keys()
-	a.counted(t.n, t.attempt.id, t.exchange.Placement, keys, tokens, func(key predictionKey) bool { return a.proofs[key] })
+	a.counted(placementCheck{t.n, t.attempt.id, t.exchange.Placement, keys, tokens}, func(key predictionKey) bool { return a.proofs[key] })
 }
 
 func (t *proxyRequest) keys() ([]predictionKey, []int) {
@@ -98,7 +108,7 @@
 
 func (a *Audit) proved(c *fleetConn, inst string) {
 	if c.place.Prefill != "" {
-		inst = c.keeper().model.Instance
+		inst = c.prefixOwner().model.Instance
 	}
 	keys, _ := c.keys()
 	for _, key := range keys {
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -12,21 +12,21 @@
 
 // A trip takes one try through a node: it carries out the moves of proxy's exchange, one after the other, as proxy's transfer does.
 type proxyRequest struct {
-	n          *Node
-	life       uint64
-	attempt    *clientAttempt
-	exchange   proxy.Exchange
-	conn       *socket
-	answerHead *head
-	events     proxy.Events
-	body       []byte
-	arrived    time.Duration
-	deadline   time.Duration
-	mode       mode
-	turn       int
-	headed     bool
-	flowing    bool
-	queued     []router.Decision
+	n           *Node
+	incarnation uint64
+	attempt     *clientAttempt
+	exchange    proxy.Exchange
+	conn        *socket
+	answerHead  *head
+	events      proxy.Events
+	body        []byte
+	arrived     time.Duration
+	deadline    time.Duration
+	mode        mode
+	turn        int
+	headed      bool
+	flowing     bool
+	queued      []router.Decision
 }
 
 // A mode is what the trip waits for; meanwhile decisions wait, too.
@@ -53,7 +53,7 @@
 	s := n.w.site
 	n.requestSeq++
 	name := n.frontendID + "-" + strconv.Itoa(n.requestSeq)
-	t := &proxyRequest{n: n, life: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
+	t := &proxyRequest{n: n, incarnation: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
 	if c.last > 0 {
 		t.events.Last = strconv.Itoa(c.last)
 	}
@@ -114,7 +114,7 @@
 
 func (t *proxyRequest) connect() {
 	d, w := t.exchange.Placement, t.n.w
-	t.guessed()
+	t.recordPrediction()
 	t.mode = connecting
 	t.turn++
 	k, capped := t.n.pool.kept(w.Now, d.Instance, t.attempt.id, d.MaxConns)
--- a/sim/proxyrequestend.go
+++ b/sim/proxyrequestend.go
@@ -11,14 +11,14 @@
 	switch t.mode {
 	case draining:
 		if p.end {
-			t.settle()
+			t.recycle()
 			t.happened(proxy.Ended{})
 		}
 	case holding:
 		t.body = append(t.body, p.data...)
 		if p.end {
 			t.answer(t.body)
-			t.settle()
+			t.recycle()
 			t.happened(proxy.Ended{})
 		}
 	case streaming:
@@ -27,12 +27,12 @@
 }
 
 func (t *proxyRequest) flow(p packet) {
-	whole, err := t.events.Feed(p.data)
+	complete, err := t.events.Feed(p.data)
 	ended := err == nil && p.end
 	if ended {
-		whole = append(whole[:len(whole):len(whole)], t.events.Rest()...)
+		complete = append(complete[:len(complete):len(complete)], t.events.Rest()...)
 	}
-	if len(whole) > 0 {
+	if len(complete) > 0 {
 		if !t.flowing {
 			t.flowing = true
 			t.exchange.CannotResume = t.events.Plain
@@ -40,20 +40,20 @@
 			t.mode = streaming
 		}
 		t.exchange.CannotResume = t.events.Plain
-		t.answer(whole)
+		t.answer(complete)
 	}
 	switch {
 	case err != nil:
 		t.lost()
 	case ended:
 		t.answer(nil)
-		t.settle()
+		t.recycle()
 		t.happened(proxy.Ended{})
 	}
 }
 
-// settle ends the use of a connection whose answer was read whole.
-func (t *proxyRequest) settle() {
+// recycle ends the use of a connection whose answer was read whole.
+func (t *proxyRequest) recycle() {
 	if t.conn.stale || t.answerHead.shut {
 		t.drop()
 		return
@@ -88,7 +88,7 @@
 		c.send(t.n, func() { c.ended(http.StatusOK, 0) })
 	case proxy.ClientGone:
 	case proxy.Aborted:
-		c.send(t.n, func() { c.cut() })
+		c.send(t.n, func() { c.disconnected() })
 	default:
 		if m.Outcome == proxy.Rejected {
 			t.n.w.site.report.Reasons[m.Reason]++
@@ -105,5 +105,5 @@
 		t.attempt.working = t.conn.job != nil
 		t.conn.close()
 	}
-	t.attempt.send(t.n, t.attempt.cut)
+	t.attempt.send(t.n, t.attempt.disconnected)
 }
--- a/sim/reader.go
+++ b/sim/reader.go
@@ -80,8 +80,8 @@
 	q.failed(c, after, status == http.StatusServiceUnavailable)
 }
 
-// cut is a connection that ends before the answer does.
-func (c *clientAttempt) cut() {
+// disconnected is a connection that ends before the answer does.
+func (c *clientAttempt) disconnected() {
 	if c.over {
 		return
 	}
--- a/sim/replica/replica.go
+++ b/sim/replica/replica.go
@@ -86,7 +86,7 @@
 	return max(1, int(float64(r.Capacity)*(1-r.coldness(now)))) + 1
 }
 
-func (r *Replica) settle(now time.Duration) {
+func (r *Replica) completeRunning(now time.Duration) {
 	i := 0
 	for ; i < len(r.prompts) && r.prompts[i].at <= now; i++ {
 		for j := len(r.prompts[i].parts) - 1; j >= 0; j-- {
@@ -114,7 +114,7 @@
 
 // Admit takes an attempt with its prefix's parts and the tokens after them; ok is false where the replica is full.
 func (r *Replica) Admit(now time.Duration, goID string, parts []prefixindex.Part, tail int) (p Plan, ok bool) {
-	r.settle(now)
+	r.completeRunning(now)
 	if len(r.Running) >= r.Capacity {
 		r.Refused++
 		return p, false
@@ -137,7 +137,7 @@
 	if slowdown > 0 && len(r.Running) > r.Bears(now) {
 		r.Floods++
 	}
-	r.note(now)
+	r.recordRunning(now)
 	work := r.Base + time.Duration(total+tail-cached)*r.PerToken
 	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + slowdown)), Every: r.Every, Chunks: r.Chunks, Cached: cached, Tokens: total}
 	at := now + p.First
@@ -149,7 +149,7 @@
 	return p, true
 }
 
-func (r *Replica) note(now time.Duration) {
+func (r *Replica) recordRunning(now time.Duration) {
 	r.history = append(r.history, sample{at: now, n: len(r.Running)})
 	if len(r.history) > 4096 {
 		r.history = append([]sample(nil), r.history[2048:]...)
@@ -160,7 +160,7 @@
 func (r *Replica) Release(now time.Duration, goID string) {
 	if r.Running[goID] {
 		delete(r.Running, goID)
-		r.note(now)
+		r.recordRunning(now)
 	}
 }
 
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -80,39 +80,47 @@
 	return revision
 }
 
-// handled finds the least and the newest version that handle a request as it was.
-func (r *rules) handled(test func(v *version) bool) (least, latest *version, flawed bool) {
+// versionRange is the least and the newest version that explain what a node did, nil where none does. refused says that a document which
+// must not be taken explains it.
+type versionRange struct {
+	least, latest *version
+	refused       bool
+}
+
+// handled finds the versions that handle a request as it was.
+func (r *rules) handled(test func(v *version) bool) versionRange {
+	var found versionRange
 	for _, v := range r.versions {
 		if !test(v) {
 			continue
 		}
 		if v.refused {
-			flawed = true
+			found.refused = true
 			continue
 		}
-		if least == nil || v.revision < least.revision {
-			least = v
+		if found.least == nil || v.revision < found.least.revision {
+			found.least = v
 		}
-		if latest == nil || v.revision > latest.revision {
-			latest = v
+		if found.latest == nil || v.revision > found.latest.revision {
+			found.latest = v
 		}
 	}
-	return least, latest, flawed
+	return found
 }
 
 func (r *rules) config(i *Instance, q *sentRequest) {
 	c := q.try
 	most := 0
-	least, latest, flawed := r.handled(func(v *version) bool {
+	versions := r.handled(func(v *version) bool {
 		rt := v.allows(c.path, i.service.Name)
 		if rt != nil && !v.refused {
 			most = max(most, rt.MaxAttempts)
 		}
 		return rt != nil
 	})
-	if latest == nil {
+	if versions.latest == nil {
 		what := RuleRoute
-		if flawed {
+		if versions.refused {
 			what = RuleTaken
 		}
 		r.breach(what, c.path, "%s at %s from %s", c.id, i.service.Name, q.n.Name)
@@ -122,39 +130,45 @@
 		r.breach(RuleTries, c.id, "%d, at most %d", c.passes, most)
 	}
 	bound, must := r.within(q.n, q, r.s.spec.Bounds.Apply)
-	r.obeyed(q.n, c, least, latest, bound, must)
+	r.obeyed(q.n, c, versions, applyBound{bound, must})
+}
+
+// applyBound is how long after its acknowledgement a version may still not be obeyed; it binds only where must is set.
+type applyBound struct {
+	within time.Duration
+	must   bool
 }
 
 // obeyed compares the versions that explain how a node handled a try with what it must obey and with what it obeyed before.
-func (r *rules) obeyed(n *Node, c *clientAttempt, least, latest *version, bound time.Duration, must bool) {
-	if due := r.due(c.sent, bound); must && latest.revision < due {
-		r.breach(RuleConfig, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, latest.revision, due)
+func (r *rules) obeyed(n *Node, c *clientAttempt, versions versionRange, bound applyBound) {
+	if due := r.due(c.sent, bound.within); bound.must && versions.latest.revision < due {
+		r.breach(RuleConfig, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, versions.latest.revision, due)
 	}
 	slack := backSlack
 	if !r.still(n.Name, c.sent, r.s.w.Now) {
 		slack *= 8
 	}
 	f := r.lowestVersions[n.incarnation]
-	if latest.revision < f.revision && c.sent > f.at+slack {
-		r.breach(RuleBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, latest.revision, f.revision)
+	if versions.latest.revision < f.revision && c.sent > f.at+slack {
+		r.breach(RuleBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, versions.latest.revision, f.revision)
 	}
-	if least.revision > f.revision {
-		r.lowestVersions[n.incarnation] = versionFloor{revision: least.revision, at: r.s.w.Now}
+	if versions.least.revision > f.revision {
+		r.lowestVersions[n.incarnation] = versionFloor{revision: versions.least.revision, at: r.s.w.Now}
 	}
 }
 
 // unknown judges a node's word that there is no such route.
 func (r *rules) unknown(c *clientAttempt, n *Node) {
-	least, latest, _ := r.handled(func(v *version) bool { return v.route(c.path) == nil })
+	versions := r.handled(func(v *version) bool { return v.route(c.path) == nil })
 	q := &sentRequest{n: n, sent: r.s.w.Now, calm: r.inTouch(n, r.s.w.Now)}
 	bound, must := r.within(n, q, r.s.spec.Bounds.Apply)
-	if latest == nil {
+	if versions.latest == nil {
 		if must && r.due(c.sent, bound) > 0 {
 			r.breach(RuleDenied, c.path, "%s by %s, every version has the route", c.id, n.Name)
 		}
 		return
 	}
-	r.obeyed(n, c, least, latest, bound, must)
+	r.obeyed(n, c, versions, applyBound{bound, must})
 }
 
 func (r *rules) newest() *version {
--- a/sim/shape/shape.go
+++ b/sim/shape/shape.go
@@ -55,9 +55,15 @@
 func Times(name string, k int) (Shape, bool) {
 	switch name {
 	case "tramites":
-		return shape(k, "tramites", "zoning", 12, 3, []string{"a", "b", "c"}, []string{"counter", "checklist", "dossier"}, 0.2), true
+		return plan{
+			name: "tramites", service: "zoning", nodes: 12, disks: 3, zones: []string{"a", "b", "c"},
+			classes: []string{"counter", "checklist", "dossier"}, crossCost: 0.2,
+		}.shape(k), true
 	case "atlas":
-		return shape(k, "atlas", "logbook", 11, 4, []string{"a", "b", "c", "d"}, []string{"lookup", "award", "reconcile"}, 1), true
+		return plan{
+			name: "atlas", service: "logbook", nodes: 11, disks: 4, zones: []string{"a", "b", "c", "d"},
+			classes: []string{"lookup", "award", "reconcile"}, crossCost: 1,
+		}.shape(k), true
 	}
 	var s Shape
 	return s, false
@@ -66,29 +72,38 @@
 // Named finds a shape by name.
 func Named(name string) (Shape, bool) { return Times(name, 1) }
 
-func shape(k int, name, service string, nodes, cores int, domains, classes []string, cross float64) Shape {
-	s := Shape{Name: name, Voters: []string{"n1", "n2", "n3"}, Zones: domains, Service: service}
-	for i := range k * nodes {
-		d := domains[i%len(domains)]
-		s.Nodes = append(s.Nodes, Node{Name: fmt.Sprintf("n%d", i+1), Zone: d, Disk: i < cores})
+// A plan is what the shapes differ in. The first nodes have a disk; crossCost is the penalty for another zone.
+type plan struct {
+	name, service  string
+	nodes, disks   int
+	zones, classes []string
+	crossCost      float64
+}
+
+// shape lays the plan out over k times its nodes and replicas.
+func (p plan) shape(k int) Shape {
+	s := Shape{Name: p.name, Voters: []string{"n1", "n2", "n3"}, Zones: p.zones, Service: p.service}
+	for i := range k * p.nodes {
+		d := p.zones[i%len(p.zones)]
+		s.Nodes = append(s.Nodes, Node{Name: fmt.Sprintf("n%d", i+1), Zone: d, Disk: i < p.disks})
 	}
 	bounds := []int{1500, 3000, 6000}
 	var ks, rs []map[string]any
-	for i, k := range classes {
-		s.Classes = append(s.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: i < 2})
+	for i, k := range p.classes {
+		s.Classes = append(s.Classes, workload.ClassLoad{Service: p.service, Name: k, Repeatable: i < 2})
 		ks = append(ks, map[string]any{
 			"name": k, "value": []int{10, 5, 8}[i], "urgency": 3 - i, "firstTokenMs": bounds[i], "repeatable": i < 2,
 		})
 	}
 	for i := range k * 18 {
 		rs = append(rs, map[string]any{
-			"name": fmt.Sprintf("r%d", i+1), "addr": fmt.Sprintf("127.0.0.1:%d", 9001+i), "domain": domains[i%len(domains)], "room": 12,
+			"name": fmt.Sprintf("r%d", i+1), "addr": fmt.Sprintf("127.0.0.1:%d", 9001+i), "domain": p.zones[i%len(p.zones)], "room": 12,
 		})
 	}
 	s.Config, _ = json.Marshal(map[string]any{
 		"replaceLostVoterMs": 15000,
 		"offers": []any{map[string]any{
-			"name": service, "model": Prompt, "replicas": rs, "kinds": ks, "crossCost": cross, "cold": map[string]any{"startRoom": 1, "rampMs": 8000},
+			"name": p.service, "model": Prompt, "replicas": rs, "kinds": ks, "crossCost": p.crossCost, "cold": map[string]any{"startRoom": 1, "rampMs": 8000},
 		}},
 	})
 	return s
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -189,12 +189,12 @@
 }
 
 // isolate cuts machines off from all other nodes, and from replicas and the platform where whole.
-func (s *site) isolate(ns []*Node, d time.Duration, whole bool) {
+func (s *site) isolate(ns []*Node, d time.Duration, complete bool) {
 	s.rules.recordFault(ns, d, false, false)
 	in := func(addr string) bool { return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr }) }
 	heal := s.w.Net.Partition(func(from, to string) bool {
 		a, b := in(from), in(to)
-		if !whole && (s.w.byAddr[from] == nil || s.w.byAddr[to] == nil) {
+		if !complete && (s.w.byAddr[from] == nil || s.w.byAddr[to] == nil) {
 			return false
 		}
 		return a || b
@@ -204,7 +204,7 @@
 
 const stopGap = 1300 * time.Millisecond
 
-// roll stops nodes with a warning, one after the other, as the process drains, and starts each again.
+// rollingRestart stops nodes with a warning, one after the other, as the process drains, and starts each again.
 func (s *site) rollingRestart(ns []*Node) {
 	if len(ns) == 0 {
 		return
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -14,7 +14,7 @@
 	openPoll   = 20 * time.Millisecond
 )
 
-// enter leaves connections after a start in the listener's queue until they can be served, or for long enough.
+// accept leaves connections after a start in the listener's queue until they can be served, or for long enough.
 func (n *Node) accept(do func()) {
 	if n.serving {
 		do()
@@ -59,7 +59,7 @@
 	if n.w.site == nil {
 		return ds
 	}
-	if f, found := n.router.Failures(n.local()); found {
+	if f, known := n.router.Failures(n.local()); known {
 		n.later(0, func() { n.step(control.Failed{Failures: f}) })
 	}
 	n.arm()
@@ -68,7 +68,7 @@
 
 func (n *Node) arm() {
 	wait := router.Idle
-	if at, found := n.router.Next(n.local()); found {
+	if at, known := n.router.Next(n.local()); known {
 		wait = min(max(at-n.local(), time.Millisecond), wait)
 	}
 	at := n.w.Now + wait
@@ -84,7 +84,7 @@
 	})
 }
 
-// mend writes everything anew after a failure, until the disk takes it.
+// repairDisk writes everything anew after a failure, until the disk takes it.
 func (n *Node) repairDisk() {
 	n.repairing = true
 	n.later(500*time.Millisecond, func() {
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -191,8 +191,8 @@
 	o.s.w.After(gap, func() { o.sameNumber(times-1, gap) })
 }
 
-// again sends changes anew that were acknowledged at any time before.
-func (o *operators) again(until, gap time.Duration) {
+// repeats sends changes anew that were acknowledged at any time before.
+func (o *operators) repeats(until, gap time.Duration) {
 	if o.s.w.Now >= until {
 		return
 	}
@@ -200,7 +200,7 @@
 		old := o.taken[o.rng.IntN(len(o.taken))]
 		o.send(&order{op: old.op, v: old.v, base: old.base, repeated: true})
 	}
-	o.s.w.After(gap, func() { o.again(until, gap) })
+	o.s.w.After(gap, func() { o.repeats(until, gap) })
 }
 
 // repeated judges the answer to a change that was taken before: never a refusal.
--- a/sim/sitepartitions.go
+++ b/sim/sitepartitions.go
@@ -74,16 +74,16 @@
 		return false
 	}
 	lost, fit := s.coreMachines()
-	spare := s.spec.FaultTolerance - lost
-	if spare <= 0 || len(fit) == 0 {
+	headroom := s.spec.FaultTolerance - lost
+	if headroom <= 0 || len(fit) == 0 {
 		later := *f
 		s.w.After(waitTurn, func() { s.strike(later) })
 		return true
 	}
 	if f.On[0] == AnyCore {
-		spare = 1
+		headroom = 1
 	}
-	f.On = some(s.rng, fit, spare)
+	f.On = some(s.rng, fit, headroom)
 	s.w.Say("fault %s strikes %v", f.Kind, f.On)
 	return false
 }
@@ -177,7 +177,7 @@
 	case SameNumber:
 		o.sameNumber(int(f.For/time.Second), time.Second)
 	case Repeats:
-		o.again(until, 300*time.Millisecond)
+		o.repeats(until, 300*time.Millisecond)
 	case Reads:
 		o.reads(until, 50*time.Millisecond)
 	case EvacTurns:
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sway is fault with replicas and traffic.
+// injectTrafficFault is fault with replicas and traffic.
 func (s *site) injectTrafficFault(f Fault) {
 	switch f.Kind {
 	case BurstFault:
--- a/sim/sitescenarios.go
+++ b/sim/sitescenarios.go
@@ -80,15 +80,21 @@
 	return func(SiteSpec, *rand.Rand) []Fault { return fs }
 }
 
-// each repeats a fault of one kind, on so many of the names each time.
-func each(kind string, times int, gap, d time.Duration, names []string, n int) func(*rand.Rand) []Fault {
-	return func(rng *rand.Rand) []Fault {
-		var fs []Fault
-		for i := range times {
-			fs = append(fs, one(kind, 12*sec+time.Duration(i)*gap, d, some(rng, names, n)...))
-		}
-		return fs
+// repeatedFault is a fault of one kind that begins anew after each gap, on so many of the names each time.
+type repeatedFault struct {
+	kind          string
+	times         int
+	gap, duration time.Duration
+	names         []string
+	victims       int
+}
+
+func (r repeatedFault) draw(rng *rand.Rand) []Fault {
+	var fs []Fault
+	for i := range r.times {
+		fs = append(fs, one(r.kind, 12*sec+time.Duration(i)*r.gap, r.duration, some(rng, r.names, r.victims)...))
 	}
+	return fs
 }
 
 // SiteScenarios are all days that the tests play.
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -86,17 +86,26 @@
 	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Pace: []float64{1}, Spec: engine.Spec{Slots: 6, Queue: 24}}
 }
 
-func classes(llm, plain string, names [3]string, scale float64, aim, work, deadline time.Duration) []TrafficClass {
+// siteTraffic is what the sites' traffic differs in. classes are the names of two streaming classes and of the plain one; scale multiplies
+// all rates; target, work and deadline are those of the plain class.
+type siteTraffic struct {
+	llm, plain             string
+	classes                [3]string
+	scale                  float64
+	target, work, deadline time.Duration
+}
+
+func (t siteTraffic) trafficClasses() []TrafficClass {
 	return []TrafficClass{
 		{
-			Name: names[0], Service: llm, Rate: 16.2 * scale, Streaming: true, Repeatable: true, Resumable: true, Attempts: 2, LatencyTarget: 800 * time.Millisecond,
+			Name: t.classes[0], Service: t.llm, Rate: 16.2 * t.scale, Streaming: true, Repeatable: true, Resumable: true, Attempts: 2, LatencyTarget: 800 * time.Millisecond,
 			Gap: 400 * time.Millisecond, Deadline: 15 * time.Second, System: 3, SystemTokens: 512, Shared: 61, SharedTokens: 4870, Prompt: 6610, Events: 64,
 		},
 		{
-			Name: names[1], Service: llm, Rate: 75.2 * scale, Streaming: true, Priority: 1, Attempts: 1, LatencyTarget: 800 * time.Millisecond,
+			Name: t.classes[1], Service: t.llm, Rate: 75.2 * t.scale, Streaming: true, Priority: 1, Attempts: 1, LatencyTarget: 800 * time.Millisecond,
 			Gap: 400 * time.Millisecond, Deadline: 3 * time.Second, System: 8, SystemTokens: 341, Shared: 639, SharedTokens: 227, Prompt: 1800, Events: 4,
 		},
-		{Name: names[2], Service: plain, Rate: 22.8 * scale, Repeatable: true, Priority: 2, Attempts: 2, LatencyTarget: aim, Deadline: deadline, Work: work},
+		{Name: t.classes[2], Service: t.plain, Rate: 22.8 * t.scale, Repeatable: true, Priority: 2, Attempts: 2, LatencyTarget: t.target, Deadline: t.deadline, Work: t.work},
 	}
 }
 
@@ -106,7 +115,10 @@
 		Shape: siteNodes("tramites site", 11, 3, 3), Far: 500 * time.Microsecond, Idle: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
 		Services: []ServiceSpec{llmService("permisos", 9, 654078), plainService("borrador", 3)},
 	}
-	s.Classes = classes("permisos", "borrador", [3]string{"dossier", "zoning", "checklist"}, 1, 300*time.Millisecond, 60*time.Millisecond, 1500*time.Millisecond)
+	s.Classes = siteTraffic{
+		llm: "permisos", plain: "borrador", classes: [3]string{"dossier", "zoning", "checklist"}, scale: 1,
+		target: 300 * time.Millisecond, work: 60 * time.Millisecond, deadline: 1500 * time.Millisecond,
+	}.trafficClasses()
 	return s
 }
 
@@ -116,7 +128,10 @@
 		Shape: siteNodes("atlas site", 12, 4, 4), Far: 900 * time.Microsecond, Idle: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
 		Services: []ServiceSpec{llmService("logbook", 9, 729140), plainService("onair", 4)},
 	}
-	s.Classes = classes("logbook", "onair", [3]string{"reconcile", "award", "lookup"}, 1.04, 100*time.Millisecond, 15*time.Millisecond, time.Second)
+	s.Classes = siteTraffic{
+		llm: "logbook", plain: "onair", classes: [3]string{"reconcile", "award", "lookup"}, scale: 1.04,
+		target: 100 * time.Millisecond, work: 15 * time.Millisecond, deadline: time.Second,
+	}.trafficClasses()
 	s.Classes[1].Attempts = 2
 	s.Services[0].WarmupRate = 6
 	return s
@@ -131,9 +146,9 @@
 	case "atlas site":
 		s = AtlasSite()
 	case "grown-tramites site":
-		s = GrownTramitesSite(Whole)
+		s = GrownTramitesSite(AllMachines)
 	case "grown-atlas site":
-		s = GrownAtlasSite(Whole)
+		s = GrownAtlasSite(AllMachines)
 	default:
 		return s, false
 	}
--- a/sim/sitetraffic.go
+++ b/sim/sitetraffic.go
@@ -11,7 +11,7 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// swell is more traffic, or traffic on one key, for a while.
+// loadSurge is more traffic, or traffic on one key, for a while.
 type loadSurge struct {
 	from, until time.Duration
 	class       int
@@ -34,7 +34,7 @@
 			t.surges = append(t.surges, loadSurge{from: trafficFrom + x.From, until: trafficFrom + x.Until, class: i, times: x.Times})
 		}
 		if c.Streaming {
-			t.surges = append(t.surges, loadSurge{until: until, class: i, times: 1, hot: s.w.S.Load.HotShare})
+			t.surges = append(t.surges, loadSurge{until: until, class: i, times: 1, hot: s.w.S.Load.HotRatio})
 		}
 		s.w.At(trafficFrom, func() { t.next(i, until) })
 	}
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -91,26 +91,26 @@
 
 // A socket is a connection from a node to an instance.
 type socket struct {
-	n        *Node
-	life     uint64
-	to       *Instance
-	key      string
-	t        *proxyRequest
-	attempt  string
-	up, down *pipe
-	stale    bool
-	used     bool
-	until    time.Duration
-	job      *engine.Job
+	n           *Node
+	incarnation uint64
+	to          *Instance
+	key         string
+	t           *proxyRequest
+	attempt     string
+	up, down    *pipe
+	stale       bool
+	used        bool
+	until       time.Duration
+	job         *engine.Job
 }
 
 func newSocket(n *Node, to *Instance, key string) *socket {
-	k := &socket{n: n, life: n.incarnation, to: to, key: key}
+	k := &socket{n: n, incarnation: n.incarnation, to: to, key: key}
 	near := n.Zone == to.Zone
 	k.up = &pipe{s: to.s, from: n.Addr, to: to.addr(), near: near, fail: func() { k.take(packet{reset: true}) }}
 	k.down = &pipe{s: to.s, from: to.addr(), to: n.Addr, near: near, fail: func() { to.hangup(k) }}
 	k.up.stuck = func() bool { return to.dark }
-	k.down.stuck = func() bool { return to.dark || n.unplugged(k.life) }
+	k.down.stuck = func() bool { return to.dark || n.unplugged(k.incarnation) }
 	return k
 }
 
@@ -128,7 +128,7 @@
 // take is what the node's end of the connection gets.
 func (k *socket) take(p packet) {
 	n := k.n
-	if n.incarnation != k.life || !n.Alive {
+	if n.incarnation != k.incarnation || !n.Alive {
 		return
 	}
 	n.live(func() {
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -24,7 +24,7 @@
 			}
 			return
 		}
-		if c.cutOff() {
+		if c.partitioned() {
 			return
 		}
 		parts, _ := prefixindex.Parse(shape.Prompt, f.ask.Prefix)
@@ -60,7 +60,7 @@
 
 func (c *fleetConn) back(do func()) {
 	w := c.request.w
-	if c.replica.Dark || c.cutOff() {
+	if c.replica.Dark || c.partitioned() {
 		return
 	}
 	c.due = max(c.due, w.Now+w.Net.Delay(c.request.n.Zone == c.replica.Zone))
@@ -86,7 +86,7 @@
 			c.happened(router.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusOK})
 		})
 	}
-	l := router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.Piece(f.ask.Request, c.place.AttemptID, i)}
+	l := router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.Request, c.place.AttemptID, i)}
 	if c.corrupted || r.twist(c, &l) {
 		c.line(l)
 	}
--- a/sim/workload/load.go
+++ b/sim/workload/load.go
@@ -14,13 +14,13 @@
 	Repeatable    bool
 }
 
-// Load describes random requests: Rate a second over all kinds, begun by one of Prefixes prefixes a kind, and a HotShare
+// Load describes random requests: Rate a second over all kinds, begun by one of Prefixes prefixes a kind, and a HotRatio
 // (0 to 1) of them all of the first kind with its first prefix.
 type Load struct {
 	Classes  []ClassLoad
 	Rate     float64
 	Prefixes int
-	HotShare float64
+	HotRatio float64
 	Bursts   []Burst
 }
 
@@ -87,7 +87,7 @@
 	k := s.rng.IntN(len(s.load.Classes))
 	pool := s.prefixes[k]
 	i := int(float64(len(pool)) * s.rng.Float64() * s.rng.Float64())
-	if s.rng.Float64() < s.load.HotShare {
+	if s.rng.Float64() < s.load.HotRatio {
 		k, i = 0, 0
 		pool = s.prefixes[0]
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -63,7 +63,7 @@
 	asks           uint64
 	ready          map[string][]*Node
 	expect         uint64
-	lives          uint64
+	incarnations   uint64
 	site           *site
 	tune           func(c *control.Config, r *router.Config)
 }
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -46,7 +46,7 @@
 
 // TestMarathonIsLong counts what a marathon is made of, over some seeds: every kind of fault, three at a time, 300 changes sent.
 func TestMarathonIsLong(t *testing.T) {
-	onCore, onNodes, onReplicas, plain := marathonFaults()
+	kinds := marathonFaults()
 	seen := map[string]int{}
 	for seed := range uint64(40) {
 		s := Marathon().Scenario(AtlasSite(), seed)
@@ -57,7 +57,7 @@
 			seen[f.Kind]++
 		}
 	}
-	for _, classes := range [][]string{onCore, onNodes, onReplicas, plain} {
+	for _, classes := range [][]string{kinds.onCore, kinds.onNodes, kinds.onReplicas, kinds.plain} {
 		for _, k := range classes {
 			if seen[k] == 0 {
 				t.Errorf("%s never came", k)
@@ -77,21 +77,26 @@
 	}
 }
 
-// quiet is a world whose operators can be asked directly, with two versions acknowledged and one that was only sent.
-func quiet(t *testing.T) (w *World, old, latest, sent *version) {
+// operatorWorld is a world whose operators can be asked directly, with two versions acknowledged and one that was only sent.
+type operatorWorld struct {
+	*World
+	old, latest, sent *version
+}
+
+func newOperatorWorld(t *testing.T) operatorWorld {
 	t.Helper()
-	w = New(Scenario{Seed: 1, Site: &[]SiteSpec{TramitesSite()}[0]})
-	make1 := func(revision, base uint64) *version {
+	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{TramitesSite()}[0]})
+	offer := func(revision, base uint64) *version {
 		c := w.site.spec.first()
 		c.Revision = revision
 		v := &version{revision: revision, base: base, doc: c, raw: writeDocument(c)}
 		w.site.rules.offered(v)
 		return v
 	}
-	old, latest, sent = make1(3, 0), make1(5, 3), make1(7, 5)
-	old.acked, latest.acked = 1, 2
-	old.seen, latest.seen = true, true
-	return w, old, latest, sent
+	o := operatorWorld{World: w, old: offer(3, 0), latest: offer(5, 3), sent: offer(7, 5)}
+	o.old.acked, o.latest.acked = 1, 2
+	o.old.seen, o.latest.seen = true, true
+	return o
 }
 
 func wantBreach(t *testing.T, w *World, what string) {
@@ -108,68 +113,68 @@
 	}
 }
 
-func TestStaleReadIsSeen(t *testing.T) {
-	w, old, latest, sent := quiet(t)
+func TestCheckerDetectsStaleRead(t *testing.T) {
+	w := newOperatorWorld(t)
 	ops := &w.site.ops
-	ops.found(w.Nodes[0], latest.raw, old)
-	ops.found(w.Nodes[0], sent.raw, latest)
-	wantBreach(t, w, "")
-	ops.found(w.Nodes[0], old.raw, latest)
-	wantBreach(t, w, RuleStale)
+	ops.found(w.Nodes[0], w.latest.raw, w.old)
+	ops.found(w.Nodes[0], w.sent.raw, w.latest)
+	wantBreach(t, w.World, "")
+	ops.found(w.Nodes[0], w.old.raw, w.latest)
+	wantBreach(t, w.World, RuleStale)
 }
 
-func TestRefusedThoughTakenIsSeen(t *testing.T) {
-	w, _, latest, _ := quiet(t)
-	w.site.ops.denied(&order{v: latest, base: 3}, w.Nodes[0])
-	wantBreach(t, w, RuleRepeat)
+func TestCheckerDetectsRejectedThoughApplied(t *testing.T) {
+	w := newOperatorWorld(t)
+	w.site.ops.denied(&order{v: w.latest, base: 3}, w.Nodes[0])
+	wantBreach(t, w.World, RuleRepeat)
 }
 
-func TestRefusedThenInForceIsSeen(t *testing.T) {
-	w, _, latest, sent := quiet(t)
-	rival := &version{revision: 8, base: 5, doc: sent.doc, raw: []byte("other")}
+func TestCheckerDetectsRejectedThenApplied(t *testing.T) {
+	w := newOperatorWorld(t)
+	rival := &version{revision: 8, base: 5, doc: w.sent.doc, raw: []byte("other")}
 	w.site.rules.offered(rival)
-	w.site.ops.denied(&order{v: sent, base: 5}, w.Nodes[0])
-	wantBreach(t, w, "")
-	w.site.ops.found(w.Nodes[0], sent.raw, latest)
-	wantBreach(t, w, RuleRepeat)
+	w.site.ops.denied(&order{v: w.sent, base: 5}, w.Nodes[0])
+	wantBreach(t, w.World, "")
+	w.site.ops.found(w.Nodes[0], w.sent.raw, w.latest)
+	wantBreach(t, w.World, RuleRepeat)
 }
 
-func TestRefusedWithoutRivalIsSeen(t *testing.T) {
-	w, _, _, sent := quiet(t)
-	w.site.ops.denied(&order{v: sent, base: 5}, w.Nodes[0])
-	wantBreach(t, w, RuleDenies)
+func TestCheckerDetectsRejectedWithoutRival(t *testing.T) {
+	w := newOperatorWorld(t)
+	w.site.ops.denied(&order{v: w.sent, base: 5}, w.Nodes[0])
+	wantBreach(t, w.World, RuleDenies)
 }
 
-func TestRepeatRefusedIsSeen(t *testing.T) {
-	w, old, _, _ := quiet(t)
-	d := &order{v: old, repeated: true}
+func TestCheckerDetectsRejectedRepeat(t *testing.T) {
+	w := newOperatorWorld(t)
+	d := &order{v: w.old, repeated: true}
 	w.site.ops.finishOrder(d, w.Nodes[0], acked)
 	w.site.ops.finishOrder(d, w.Nodes[0], unclear)
-	wantBreach(t, w, "")
+	wantBreach(t, w.World, "")
 	w.site.ops.finishOrder(d, w.Nodes[0], refused)
-	wantBreach(t, w, RuleRepeat)
+	wantBreach(t, w.World, RuleRepeat)
 }
 
-func TestOneNumberTakenTwiceIsSeen(t *testing.T) {
-	w, _, latest, sent := quiet(t)
-	twin := &version{revision: 5, base: 3, doc: sent.doc, raw: []byte("twin")}
+func TestCheckerDetectsRevisionAppliedTwice(t *testing.T) {
+	w := newOperatorWorld(t)
+	twin := &version{revision: 5, base: 3, doc: w.sent.doc, raw: []byte("twin")}
 	w.site.rules.offered(twin)
 	w.site.ops.finishOrder(&order{v: twin, base: 3}, w.Nodes[0], acked)
 	if len(w.Audit.Breaches) == 0 {
 		t.Error("two changes of one number were taken unseen")
 	}
-	if w.site.rules.sent(5, []byte("neither")) || !w.site.rules.sent(5, latest.raw) {
+	if w.site.rules.sent(5, []byte("neither")) || !w.site.rules.sent(5, w.latest.raw) {
 		t.Error("the document read back is not compared with the one acknowledged")
 	}
 }
 
-func TestEvacuationThatComesBackIsSeen(t *testing.T) {
-	w, _, latest, _ := quiet(t)
+func TestCheckerDetectsReturnedEvacuation(t *testing.T) {
+	w := newOperatorWorld(t)
 	w.site.rules.reopened["a"] = true
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: latest.raw, EvacuatedZones: []string{"b"}}})
-	wantBreach(t, w, "")
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: latest.raw, EvacuatedZones: []string{"a"}}})
-	wantBreach(t, w, RuleKept)
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"b"}}})
+	wantBreach(t, w.World, "")
+	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"a"}}})
+	wantBreach(t, w.World, RuleKept)
 }
 
 // TestCoreFaultsWaitTheirTurn checks on a marathon that never more machines with a disk are struck than may be lost.
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -19,14 +19,14 @@
 
 // Fault is what a replica is told to do wrong, by POST /faults.
 type Fault struct {
-	// Dark: it answers nothing. Leaving: it says that it leaves. CutAt breaks a run off: when it is "read", "begun", or at a "piece",
-	// the one after CutAfter. Twist spoils piece CutAfter: "go", "instance", "skip" or "end". Times: for so many runs; 0: for all.
-	Dark     bool   `json:"dark"`
-	Leaving  bool   `json:"leaving"`
-	CutAt    string `json:"cutAt"`
-	CutAfter int    `json:"cutAfter"`
-	Twist    string `json:"twist"`
-	Times    int    `json:"times"`
+	// Dark: it answers nothing. Leaving: it says that it leaves. DisconnectAt breaks a run off: when it is "read", "begun", or at a "piece",
+	// the one after DisconnectAfter. Twist spoils piece DisconnectAfter: "go", "instance", "skip" or "end". Times: for so many runs; 0: for all.
+	Dark            bool   `json:"dark"`
+	Leaving         bool   `json:"leaving"`
+	DisconnectAt    string `json:"cutAt"`
+	DisconnectAfter int    `json:"cutAfter"`
+	Twist           string `json:"twist"`
+	Times           int    `json:"times"`
 }
 
 const (
@@ -50,11 +50,24 @@
 	jobs   chan job
 }
 
-// NewReplica starts a replica that writes its ledger to runs. model names the model that prompts are hashed with.
-func NewReplica(t *tomb.Tomb, name, model, instance string, engine replica.Model, runs io.Writer, clock func() time.Duration) *Replica {
+// ReplicaOptions are what a stand-in replica is started with.
+type ReplicaOptions struct {
+	Name string
+	// Model names the model that prompts are hashed with.
+	Model string
+	// Instance is the id of this incarnation.
+	Instance string
+	Engine   replica.Model
+	// Runs gets a line for each run.
+	Runs  io.Writer
+	Clock func() time.Duration
+}
+
+// NewReplica starts a replica that ends with the tomb.
+func NewReplica(t *tomb.Tomb, o ReplicaOptions) *Replica {
 	r := &Replica{
-		t: t, name: name, model: model, clock: clock, engine: replica.NewReplica(engine, instance, clock()),
-		runs: json.NewEncoder(runs), jobs: make(chan job),
+		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.NewReplica(o.Engine, o.Instance, o.Clock()),
+		runs: json.NewEncoder(o.Runs), jobs: make(chan job),
 	}
 	t.Go(func() error {
 		for {
@@ -149,7 +162,7 @@
 	}
 	var s start
 	r.do(func(r *Replica) { s = r.begin(request, attempt, parts, len(body)/bytesPerToken) })
-	if s.fault.CutAt == "read" {
+	if s.fault.DisconnectAt == "read" {
 		panic(http.ErrAbortHandler)
 	}
 	if !s.ok {
@@ -169,7 +182,7 @@
 			r.fault = Fault{}
 		}
 	}
-	if s.fault.CutAt == "read" {
+	if s.fault.DisconnectAt == "read" {
 		return s
 	}
 	s.plan, s.ok = r.engine.Admit(r.clock(), attempt, parts, tail)
@@ -181,8 +194,8 @@
 	return s
 }
 
-// Ledger opens a ledger for appending; an empty path gives one that keeps nothing.
-func Ledger(path string) (io.Writer, error) {
+// OpenRunLog opens a ledger for appending; an empty path gives one that keeps nothing.
+func OpenRunLog(path string) (io.Writer, error) {
 	if path == "" {
 		return io.Discard, nil
 	}
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -16,7 +16,7 @@
 		<-req.Context().Done()
 		return nil
 	}
-	if s.fault.CutAt == "begun" || !r.wait(req, s.plan.First) {
+	if s.fault.DisconnectAt == "begun" || !r.wait(req, s.plan.First) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -38,11 +38,11 @@
 
 // chunk is the i-th line of an answer, as the fault has it; false where the fault ends the answer before it.
 func (r *Replica) chunk(f Fault, request, id string, i int) (router.AnswerLine, bool) {
-	line := router.AnswerLine{AttemptID: id, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.Piece(request, id, i)}
-	if i != f.CutAfter {
+	line := router.AnswerLine{AttemptID: id, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.ChunkText(request, id, i)}
+	if i != f.DisconnectAfter {
 		return line, true
 	}
-	if f.CutAt == "piece" {
+	if f.DisconnectAt == "piece" {
 		panic(http.ErrAbortHandler)
 	}
 	twist(f.Twist, &line)
--- a/storage/crash_test.go
+++ b/storage/crash_test.go
@@ -24,15 +24,15 @@
 // live opens the disk and works on it until it stops; failures are recovered from once.
 func live(d *crashDisk, before crashRun, from, rounds int) (crashRun, error) {
 	l := before
-	v, slot, entries, err := storage.Open(d, crashLogBytes)
+	v, contents, err := storage.Open(d, crashLogBytes)
 	if err != nil {
 		if d.dead || (d.failAt >= 0 && d.ops > d.failAt) {
 			return l, nil
 		}
 		return l, err
 	}
-	state := strings.Fields(string(slot))
-	for _, e := range entries {
+	state := strings.Fields(string(contents.Snapshot))
+	for _, e := range contents.Entries {
 		state = append(state, string(e))
 	}
 	if err = holds(state, l.known, l.tried); err != nil {
@@ -84,9 +84,9 @@
 }
 
 func shown(d *crashDisk) ([]string, error) {
-	_, slot, entries, err := storage.Open(d, crashLogBytes)
-	state := strings.Fields(string(slot))
-	for _, e := range entries {
+	_, contents, err := storage.Open(d, crashLogBytes)
+	state := strings.Fields(string(contents.Snapshot))
+	for _, e := range contents.Entries {
 		state = append(state, string(e))
 	}
 	return state, err
@@ -175,8 +175,8 @@
 	t.Logf("%d disks opened, %d failures", c.opens, c.fails)
 }
 
-// TestADamagedSlotIsOutlivedThroughACrash damages the newest slot, whose log is begun, and ends the next life at each operation.
-func TestADamagedSlotIsOutlivedThroughACrash(t *testing.T) {
+// TestDamagedSlotIsRecoveredThroughCrash damages the newest slot, whose log is begun, and ends the next life at each operation.
+func TestDamagedSlotIsRecoveredThroughCrash(t *testing.T) {
 	d := newCrashDisk()
 	l, err := live(d, crashRun{}, 0, 5)
 	if err != nil {
@@ -186,14 +186,14 @@
 	if len(d.files["log0"].now) == 0 {
 		latest = "slot1"
 	}
-	v, _, _, err := storage.Open(d.clone(), crashLogBytes)
+	v, _, err := storage.Open(d.clone(), crashLogBytes)
 	if err != nil || v.Repair != "" {
 		t.Fatal(err, v.Repair)
 	}
 	rotten := slices.Clone(d.files[latest].now)
 	rotten[len(rotten)-1] ^= 0x40
 	d.files[latest] = &crashFile{durable: rotten, now: rotten, named: true}
-	if v, _, _, err = storage.Open(d.clone(), crashLogBytes); err != nil || v.Repair == "" {
+	if v, _, err = storage.Open(d.clone(), crashLogBytes); err != nil || v.Repair == "" {
 		t.Fatalf("%s was not made good: %v", latest, err)
 	}
 	c := &crashCheck{t: t, seen: map[string]bool{}}
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -11,8 +11,8 @@
 
 // Disk is a folder of files. Only what was synced outlives a loss of power: contents by Sync, and names of new files by SyncFolder.
 type Disk interface {
-	// Read returns a whole file; found is false where there is none.
-	Read(name string) (data []byte, found bool, err error)
+	// Read returns a whole file; exists is false where there is none.
+	Read(name string) (data []byte, exists bool, err error)
 	// Write replaces a file's contents in place, and makes it if it is missing.
 	Write(name string, data []byte) error
 	// Append writes behind the end of a file, and makes it if it is missing.
--- a/storage/open.go
+++ b/storage/open.go
@@ -11,51 +11,57 @@
 	slot, log           []byte
 	slotThere, logThere bool
 	generation          uint64
-	whole               bool
+	complete            bool
 }
 
 func (h half) there() bool { return h.slotThere || h.logThere }
 
-// Open reads the disk and writes nothing: the newest whole snapshot, and the entries after it in the order of their Append. A process
+// Contents are what a disk holds: the newest whole snapshot, and the entries after it in the order of their Append.
+type Contents struct {
+	Snapshot []byte
+	Entries  [][]byte
+}
+
+// Open reads the disk and writes nothing. A process
 // that was killed between a write and its sync left bytes that a loss of power may yet take away: all that is returned is durable only
 // when the first write has succeeded, and nobody may act on it before. A disk that may have lost entries which were synced is reported
 // as UnreadableError. The log is Full from logBytes on.
-func Open(disk Disk, logBytes int) (*Store, []byte, [][]byte, error) {
+func Open(disk Disk, logBytes int) (*Store, Contents, error) {
 	v := &Store{disk: disk, maxLogBytes: logBytes}
 	var halves [2]half
 	var err error
 	for i := range uint64(2) {
 		if halves[i], err = readHalf(disk, i); err != nil {
-			return nil, nil, nil, err
+			return nil, Contents{}, err
 		}
 	}
 	if !halves[0].there() && !halves[1].there() {
-		return v, nil, nil, nil
+		return v, Contents{}, nil
 	}
 	v.unsynced = namesOf(halves)
-	if !halves[0].whole && !halves[1].whole {
+	if !halves[0].complete && !halves[1].complete {
 		return v.openTorn(halves)
 	}
 	best := 0
-	if halves[1].whole && (!halves[0].whole || halves[1].generation > halves[0].generation) {
+	if halves[1].complete && (!halves[0].complete || halves[1].generation > halves[0].generation) {
 		best = 1
 	}
 	latest, other := halves[best], halves[1-best]
 	v.generation = latest.generation
-	var entries [][]byte
-	if err = v.replay(latest.log, &entries); err != nil {
-		return nil, nil, nil, err
+	contents := Contents{Snapshot: latest.slot}
+	if err = v.replay(latest.log, &contents.Entries); err != nil {
+		return nil, Contents{}, err
 	}
-	if other.whole || !v.owns(other.log, v.generation+1) {
-		return v, latest.slot, entries, nil
+	if other.complete || !v.owns(other.log, v.generation+1) {
+		return v, contents, nil
 	}
 	v.generation++
 	v.slotDamaged = true
 	v.Repair = slotName(v.generation) + " cannot be read: recovered from " + slotName(v.generation-1) + " and both logs"
-	if err = v.replay(other.log, &entries); err != nil {
-		return nil, nil, nil, err
+	if err = v.replay(other.log, &contents.Entries); err != nil {
+		return nil, Contents{}, err
 	}
-	return v, latest.slot, entries, nil
+	return v, contents, nil
 }
 
 func readHalf(disk Disk, i uint64) (half, error) {
@@ -69,9 +75,9 @@
 	if err != nil {
 		return h, trace.Wrap(&UnreadableError{File: logName(i), Cause: err})
 	}
-	gen, body, size, ok := unpack(raw)
-	h.generation, h.slot = gen, body
-	h.whole = ok && size == len(raw) && gen%2 == i
+	r, ok := unpack(raw)
+	h.generation, h.slot = r.generation, r.body
+	h.complete = ok && r.size() == len(raw) && r.generation%2 == i
 	return h, nil
 }
 
@@ -89,17 +95,17 @@
 }
 
 // openTorn opens a disk without a whole slot: new, if its first write was cut before anything was acknowledged, else unreadable.
-func (v *Store) openTorn(halves [2]half) (*Store, []byte, [][]byte, error) {
+func (v *Store) openTorn(halves [2]half) (*Store, Contents, error) {
 	if len(halves[0].log)+len(halves[1].log) == 0 && !halves[0].slotThere {
 		v.Repair = "both slots are torn and no log was begun: a first write was cut"
-		return v, nil, nil, nil
+		return v, Contents{}, nil
 	}
-	return nil, nil, nil, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Cause: ErrNoValidSlot})
+	return nil, Contents{}, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Cause: ErrNoValidSlot})
 }
 
 func (*Store) owns(log []byte, gen uint64) bool {
-	g, _, _, ok := unpack(log)
-	return ok && g == gen
+	r, ok := unpack(log)
+	return ok && r.generation == gen
 }
 
 // replay appends the log's entries of the present generation. A torn end is left for the next Append to cut off; a damaged entry with
@@ -107,16 +113,16 @@
 func (v *Store) replay(log []byte, entries *[][]byte) error {
 	v.logBytes = 0
 	for v.logBytes < len(log) {
-		gen, body, size, ok := unpack(log[v.logBytes:])
-		if !ok || gen != v.generation {
+		r, ok := unpack(log[v.logBytes:])
+		if !ok || r.generation != v.generation {
 			break
 		}
-		batch, complete := split(body)
+		batch, complete := split(r.body)
 		if !complete {
 			return v.damaged("batch at byte %d has bad lengths")
 		}
 		*entries = append(*entries, batch...)
-		v.logBytes += size
+		v.logBytes += r.size()
 	}
 	for next := v.logBytes + 1; next < len(log); next++ {
 		if v.owns(log[next:], v.generation) {
--- a/storage/store.go
+++ b/storage/store.go
@@ -72,18 +72,27 @@
 	return append(raw, body...)
 }
 
-func unpack(raw []byte) (uint64, []byte, int, bool) {
+// A record is a body in a slot or a log, with the generation that it belongs to.
+type record struct {
+	generation uint64
+	body       []byte
+}
+
+// size is the length of the record on the disk, in bytes.
+func (r record) size() int { return headLen + len(r.body) }
+
+// unpack reads the record at the beginning of raw. It is not ok where none that is sound stands there.
+func unpack(raw []byte) (record, bool) {
 	if len(raw) < headLen || binary.BigEndian.Uint32(raw) != magic {
-		return 0, nil, 0, false
+		return record{}, false
 	}
-	gen := binary.BigEndian.Uint64(raw[4:])
 	n := int(binary.BigEndian.Uint32(raw[12:]))
 	if n > MaxEntry || len(raw) < headLen+n {
-		return 0, nil, 0, false
+		return record{}, false
 	}
-	body := raw[headLen : headLen+n]
-	sum := crc32.Update(crc32.Checksum(raw[:16], table), table, body)
-	return gen, body, headLen + n, sum == binary.BigEndian.Uint32(raw[16:])
+	r := record{generation: binary.BigEndian.Uint64(raw[4:]), body: raw[headLen : headLen+n]}
+	sum := crc32.Update(crc32.Checksum(raw[:16], table), table, r.body)
+	return r, sum == binary.BigEndian.Uint32(raw[16:])
 }
 
 // Empty says that nothing was ever written to the disk; the first call must be Rotate.
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -11,15 +11,15 @@
 )
 
 func load(d *disk.Disk) (*storage.Store, []string, error) {
-	v, slot, entries, err := storage.Open(d, 300)
+	v, contents, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
 	}
 	var all []string
-	for _, s := range bytes.Fields(slot) {
+	for _, s := range bytes.Fields(contents.Snapshot) {
 		all = append(all, string(s))
 	}
-	for _, e := range entries {
+	for _, e := range contents.Entries {
 		all = append(all, string(e))
 	}
 	return v, all, nil
@@ -142,7 +142,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		v, slot, entries, err := storage.Open(f, 64)
+		v, contents, err := storage.Open(f, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,8 +152,8 @@
 			}
 			continue
 		}
-		if string(slot) != "s0" || len(entries) != 2 || string(entries[1]) != "b" {
-			t.Fatalf("round %d read %q and %q", round, slot, entries)
+		if string(contents.Snapshot) != "s0" || len(contents.Entries) != 2 || string(contents.Entries[1]) != "b" {
+			t.Fatalf("round %d read %q", round, contents)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 				t.Fatal("write")
 			}
 		}
-		v, _, _, err := storage.Open(d, 300)
+		v, _, err := storage.Open(d, 300)
 		var bad *storage.UnreadableError
 		if err != nil && !errors.As(err, &bad) {
 			t.Fatalf("an untyped error: %v", err)
--- a/storage/write.go
+++ b/storage/write.go
@@ -91,7 +91,7 @@
 	return v.generation + 1
 }
 
-// settle syncs what Open read, once, before anything is written behind it or over its older half.
+// confirmRead syncs what Open read, once, before anything is written behind it or over its older half.
 func (v *Store) confirmRead() error {
 	if len(v.unsynced) == 0 {
 		return nil
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -28,9 +28,9 @@
 	Seconds   int
 	Seeds     int
 	FirstSeed int
-	// Rate is requests a second, HotShare the part of them with one common prefix, Prefixes how many others there are.
+	// Rate is requests a second, HotRatio the part of them with one common prefix, Prefixes how many others there are.
 	Rate     float64
-	HotShare float64
+	HotRatio float64
 	Prefixes int
 	Crowds   []workload.Burst
 	// Index is false where the prefix index finds nothing; RoundRobin places in turn.
@@ -51,7 +51,7 @@
 
 // Default is a calm fleet under usual load.
 func Default(name string) Plan {
-	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotShare: 0.1, Prefixes: 24, Index: true}
+	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotRatio: 0.1, Prefixes: 24, Index: true}
 }
 
 // Unwrap gives the cause.
@@ -95,7 +95,7 @@
 	spec, site := sim.SiteOf(p.Shape, 0)
 	switch {
 	case site:
-		shape, p.Rate, p.HotShare = spec.Shape, 0, 0
+		shape, p.Rate, p.HotRatio = spec.Shape, 0, 0
 	case !ok:
 		d.AddViolation(d.At("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
 	}
@@ -115,7 +115,7 @@
 
 func (p *Plan) readLoad(d *config.Decoder) {
 	p.Rate = d.Num("rate", p.Rate, 0.1, 10000)
-	p.HotShare = d.Num("hot", p.HotShare, 0, 1)
+	p.HotRatio = d.Num("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
 		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
--- a/whatif/plan_test.go
+++ b/whatif/plan_test.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-func TestAPlanOfASite(t *testing.T) {
+func TestSitePlan(t *testing.T) {
 	p, err := Read("p", []byte(`{"shape":"atlas site","seeds":1,"seconds":20,"load":{"rate":40},"breakdowns":[{"atMs":15000,"kind":"replica crash","on":["logbook"]}]}`))
 	if err != nil {
 		t.Fatal(err)
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -39,7 +39,7 @@
 	shape, _ := shape.Times(p.Shape, p.Times)
 	s := sim.Scenario{
 		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.RoundRobin,
-		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotShare: p.HotShare, Bursts: p.Crowds}, Asks: p.Requests,
+		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Crowds}, Asks: p.Requests,
 	}
 	if p.Config == nil {
 		return s, nil
--- a/whatif/site.go
+++ b/whatif/site.go
@@ -14,7 +14,7 @@
 		Seed: seed, Site: &spec, Lasts: lead + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.Index, RoundRob: p.RoundRobin,
 	}
 	s.Load.Bursts = p.Crowds
-	s.Load.HotShare = p.HotShare
+	s.Load.HotRatio = p.HotRatio
 	return s
 }
 
