--- a/cmd/mallowbridge/main_test.go
+++ b/cmd/mallowbridge/main_test.go
@@ -64,10 +64,13 @@
 	}
 }
 
+// unreadyWithin is far less than the time after which a node with a grace period of 30 s leaves the fleet, and is unready for that.
+const unreadyWithin = 10 * time.Second
+
 // awaitUnready waits until the readiness interface at an address answers 503 for a reason, which is its body.
 func awaitUnready(ts *testscript.TestScript, _ bool, args []string) {
 	reason, addr := args[0], args[1]
-	for end := time.Now().Add(60 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(unreadyWithin); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + addr + "/")
 		if err == nil {
 			body, _ := io.ReadAll(resp.Body)
@@ -107,6 +110,10 @@
 
 // nodeConfig writes the platform's settings for one node with a disk that is its own only seed.
 func nodeConfig(ts *testscript.TestScript, _ bool, args []string) {
+	grace := "2"
+	if len(args) > 6 {
+		grace = args[6]
+	}
 	front, ready, control, inner := netip.MustParseAddrPort(args[1]), args[2], args[3], netip.MustParseAddrPort(args[4])
 	text := fmt.Sprintf(`nodeName: "n1"
 role: "node"
@@ -120,8 +127,8 @@
 firstStart: true
 dataDirectory: %q
 faultTolerance: {machines: 0, zones: 0, regions: 0}
-bounds: {gracePeriodS: 2}
+bounds: {gracePeriodS: %s}
 cloudApi: {address: %q, ratePerS: 10}
-`, front.Addr(), front, ready, control, inner.Port(), inner.Port()+1, control, filepath.Join(ts.Getenv("WORK"), "disk"), args[5])
+`, front.Addr(), front, ready, control, inner.Port(), inner.Port()+1, control, filepath.Join(ts.Getenv("WORK"), "disk"), grace, args[5])
 	ts.Check(os.WriteFile(filepath.Join(ts.Getenv("WORK"), args[0]), []byte(text), 0o600))
 }
