--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -45,7 +45,7 @@
 }
 
 // A tick is two inputs every 50 ms, one to each machine, each timed by two looks at a clock that goes a microsecond a look. Its
-// answer is one Feed to the router.
+// answer is one ControlStatus to the router.
 func TestTimeOfTicks(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -24,7 +24,7 @@
 // ChunkPull asks for chunks by name.
 type ChunkPull struct{ Names []byte }
 
-// ChunkData answers a ChunkPull, in several messages where the chunks are many. Lacks names those that the sender doesn't have.
+// ChunkData answers a ChunkPull, in several messages where the chunks are many. Missing names those that the sender doesn't have.
 type ChunkData struct {
 	Chunks  [][]byte
 	Missing []byte
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -23,7 +23,7 @@
 	Repaired bool
 }
 
-// Probed is the outcome of a Probe. Own repeats that of the Probe; OK says whether the replica answered, and only then do the other fields
+// Probed is the outcome of a Probe. Local repeats that of the Probe; OK says whether the replica answered, and only then do the other fields
 // hold: the instance, its running requests, whether it drains, and by how much its figures lag behind.
 type Probed struct {
 	Replica    string
@@ -94,7 +94,7 @@
 	At   uint64
 }
 
-// Witness asks the witnesses of a request whether another router has sent it. Spare is the time that they may take; Peek only looks.
+// Witness asks the witnesses of a request whether another router has sent it. SpareTime is the time that they may take; Peek only looks.
 type Witness struct {
 	Request   string
 	SpareTime time.Duration
--- a/control/orders.go
+++ b/control/orders.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// Patience is how long an operator's call is tried after it arrived, where it says nothing else: callers leave after a second of
-	// silence, and what takes effect later could undo what they ordered elsewhere since.
+	// Patience is how long an operator's call is tried after it arrived, where it says nothing else: callers leave after a second without
+	// an answer, and what takes effect later could undo what they ordered elsewhere since.
 	Patience = 850 * time.Millisecond
 	// patiencePerKiB is added for each KiB of a call's body: callers wait longer for large ones.
 	patiencePerKiB = time.Millisecond
--- a/control/outputs.go
+++ b/control/outputs.go
@@ -36,7 +36,7 @@
 	Err       error
 }
 
-// Probe is a request for a replica's load. Own: it checks this node's own observation and is not shared with other nodes.
+// Probe is a request for a replica's load. Local: it checks this node's own observation and is not shared with other nodes.
 type Probe struct {
 	Replica, Addr string
 	Local         bool
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -16,7 +16,7 @@
 	outcomeRepeat = "repeat"
 )
 
-// Ran is a line of a replica's ledger: one event of one run. Go is the id of the attempt; the JSON names are those of ledgers that
+// Ran is a line of a replica's ledger: one event of one run. AttemptID is its attempt; the JSON names are those of ledgers that
 // were written before.
 type Ran struct {
 	// AtMs is the replica's clock in milliseconds since 1970.
--- a/router/actions.go
+++ b/router/actions.go
@@ -42,7 +42,7 @@
 	OutcomeBad      = "bad"
 )
 
-// ConnectionEvent is what happened on a request's connections. Go names the attempt.
+// ConnectionEvent is what happened on a request's connections. AttemptID names the attempt.
 type ConnectionEvent interface{ wire() }
 
 // ConnectResult says whether the connection to the replica is open.
@@ -51,7 +51,7 @@
 	OK        bool
 }
 
-// WitnessesAnswered is the witnesses' answer: How is empty where the request may be sent, else how the attempt ends. Without an attempt it
+// WitnessesAnswered is the witnesses' answer: Result is empty where the request may be sent, else how the attempt ends. Without an attempt it
 // answers AskWitnessesEarly.
 type WitnessesAnswered struct {
 	AttemptID string
--- a/router/decision.go
+++ b/router/decision.go
@@ -9,7 +9,7 @@
 // Verdict says what is to be done for a request.
 type Verdict string
 
-// The verdicts. Deny, Unknown, Partial and Done are final.
+// The verdicts. Reject, Unknown, Partial and Done are final.
 const (
 	// Place opens an attempt at a replica; nothing may be sent before Send.
 	Place Verdict = "place"
--- a/router/events.go
+++ b/router/events.go
@@ -9,8 +9,8 @@
 // Event is what a Router takes. Requests, answers and connections are told by the data path; the configuration, the fleet's routers
 // and the replicas by the daemon, which sends the same events to programs that follow it.
 //
-// Events to followers are written by gob and commands read events as JSON, so that their field names are formats and stay: Go is the
-// id of an attempt, Service a service, Class a class of requests, Zone a zone, Snapshot a snapshot.
+// Events to followers are written by gob in the forms of encoding.go, and commands read events as JSON: both formats stay. In JSON "go" is
+// the id of an attempt, "offer" a service, "kind" a class of requests.
 type Event interface{ event() }
 
 // Arrive is a new request.
--- a/sim/report.go
+++ b/sim/report.go
@@ -16,7 +16,7 @@
 	Firsts                                                       []int64
 }
 
-// Report is what a run came to. Whys counts the reasons of denials, Retries second attempts, Predicted and Confirmed the prefix tokens that
+// Report is what a run came to. Reasons counts those of rejections, Retries second attempts, Predicted and Confirmed the prefix tokens that
 // placements counted on. ReturnMs is how long the fleet took to serve after the full stop at the end.
 type Report struct {
 	Classes                                              map[string]*ClassResult
