--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -33,7 +33,7 @@
 
 // Manifest stands for a document: its size in bytes, and the names of its segments, joined in order. A segment is the joined names of
 // consecutive chunks; it is fetched by its name as chunks are, so that a manifest is small and a change costs one or two segments. Fresh
-// are pieces that come with a message, as the receiver probably lacks them. The fields are part of the format between nodes.
+// are chunks that come with a message, as the receiver probably lacks them. The fields are part of the format between nodes.
 type Manifest struct {
 	Size     int
 	Segments []byte
--- a/control/journal.go
+++ b/control/journal.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// OpenJournal reads what the disk kept, or begins a new disk under freshID. A new disk that takes no bytes yet is opened as well: Append
+// OpenJournal reads what the disk kept, or begins a new disk under newID. A new disk that takes no bytes yet is opened as well: Append
 // fails until Recover has succeeded.
 func OpenJournal(disk storage.Disk, newID string) (*Journal, error) {
 	v, contents, err := storage.Open(disk, logBytes)
--- a/control/messages.go
+++ b/control/messages.go
@@ -20,7 +20,7 @@
 	State   router.ListingState `json:"state"`
 }
 
-// WitnessAsk asks a witness to remember that the router By is about to send the request. Rid numbers the inquiry; with Peek nothing is
+// WitnessAsk asks a witness to remember that the router By is about to send the request. RequestID numbers the inquiry; with Peek nothing is
 // remembered.
 type WitnessAsk struct {
 	RequestID uint64
--- a/control/outputs.go
+++ b/control/outputs.go
@@ -42,17 +42,24 @@
 	Local         bool
 }
 
-// Out is what a Step wants done: messages to send, entries to write in order, answers to commands, events for the router, replicas to
-// probe, replicas whose idle connection is to be opened again now (Looks), whether the platform's list of replicas is to be read (List),
-// and changes to log.
+// Out is what a Step wants done. The fields may be acted on in any order and at once: a reply that tells of an entry in Writes is not
+// among the Sends; it comes out of the Step whose input is the Persisted for that entry.
 type Out struct {
-	Sends   []Send
-	Writes  []LogWrite
+	// Sends are messages to other nodes. They may be lost, and overtake each other.
+	Sends []Send
+	// Writes are entries to append to the journal, in this order.
+	Writes []LogWrite
+	// Answers end commands.
 	Answers []Answer
-	Events  []router.Event
-	Probes  []Probe
-	Looks   []string
-	List    bool
+	// Events are for this node's router, and for the programs that follow the node, in this order.
+	Events []router.Event
+	// Probes are replicas to ask for their load. Each is answered by a Probed, also where it failed.
+	Probes []Probe
+	// Looks are the replicas whose idle connection is to be opened again now.
+	Looks []string
+	// List says that the platform's list of replicas is to be read; a ListRead answers.
+	List bool
+	// Changes are lines for the operators' log.
 	Changes []Change
 }
 
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -30,7 +30,7 @@
 	Version Version
 }
 
-// Message is what stores send each other. The names of its types and fields are part of the format between nodes.
+// Message is what stores send each other. Their encoded forms, which older builds read, are in encoding.go.
 type Message interface{ gossipMessage() }
 
 // Update brings items.
@@ -110,7 +110,7 @@
 // sentOnce items are soon replaced and pushed in one round only.
 type sentOnce interface{ SentOnce() bool }
 
-// Store holds the newest version of each item, and what is still to be pushed. Fresh and Stale count items that were taken, and that
+// Store holds the newest version of each item, and what is still to be pushed. Accepted and Stale count items that were taken, and that
 // were no newer. It is a pure state machine.
 type Store struct {
 	cfg      Config
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -47,8 +47,8 @@
 	Requests, Rejected, RejectedRepeated, Done, Partial, Unknown, Bad, Hangups, Breaks atomic.Uint64
 }
 
-// Frontend serves requests to services: POST /v1/services/:service/:kind. Each request runs in its own goroutine and asks the node's router
-// through its RouterLoop.
+// Frontend serves requests to services: POST /v1/offers/:service/:class. Each request runs in its own goroutine and asks the node's router
+// through its router.Loop.
 type Frontend struct {
 	router  *router.Loop
 	witness AskWitnesses
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -12,7 +12,7 @@
 const bytesPerToken = 4
 
 // session drives one request: the router's decisions, the client and the attempt's connection feed its state machine, and it performs
-// the moves that come out.
+// the actions that come out.
 type session struct {
 	frontend *Frontend
 	exchange *Exchange
@@ -69,7 +69,7 @@
 	}
 }
 
-// perform does the moves in order and tells whether the request has ended.
+// perform does the actions in order and tells whether the request has ended.
 func (s *session) perform(actions []router.Action) bool {
 	for _, m := range actions {
 		switch m.Kind {
--- a/lease/messages.go
+++ b/lease/messages.go
@@ -1,9 +1,9 @@
 package lease
 
-// Message is what holders and grantors send each other. The names of its types and fields are part of the format between nodes.
+// Message is what holders and grantors send each other. Their encoded forms, which older builds read, are in encoding.go.
 type Message interface{ leaseMessage() }
 
-// Request asks one grantor, named by its disk, for a role under a token, in the epoch Epoch. Rid returns in the answer.
+// Request asks one grantor, named by its disk, for a role under a token, in the epoch Epoch. RequestID returns in the answer.
 type Request struct {
 	RequestID uint64
 	Disk      string
--- a/membership/member.go
+++ b/membership/member.go
@@ -22,9 +22,8 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Member is a node of the fleet as gossip carries it. Its field names are part of the format between nodes and of the status, and stay:
-// Zone is the member's zone, Incarnation its incarnation, Degraded says that its
-// disk is too slow to vote.
+// Member is a node of the fleet as gossip carries it. Its JSON names are part of the published status; the form that nodes send is in
+// encoding.go. Degraded says that its disk is too slow to vote.
 type Member struct {
 	Name string `json:"name"`
 	// Addr is where other nodes reach it, HTTP where clients do, both host:port.
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -1,6 +1,6 @@
 package membership
 
-// Message is what failure detectors send each other. The names of its types and fields are part of the format between nodes.
+// Message is what failure detectors send each other. Their encoded forms, which older builds read, are in encoding.go.
 type Message interface{ membershipMessage() }
 
 // Ping asks the member of that name for an Ack of the same number.
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -40,7 +40,7 @@
 	Timers, Deadlines, Resends, Doubles, Mutes uint8
 	Crashes, Restarts, Wipes                   uint8
 	Replacements, Finishes, Learns             uint8
-	// CallersLeave are callers of evacuations that give up; what they ordered is then out of time.
+	// Leaves are callers of evacuations that give up; what they ordered is then out of time.
 	Leaves uint8
 }
 
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -13,7 +13,7 @@
 	"github.com/gravitational/trace"
 )
 
-// FullError says that the bodies and answers of other requests hold all the room there is.
+// FullError says that the bodies and answers of other requests use up the budget.
 type FullError struct{ Reserved int64 }
 
 func (e *FullError) Error() string {
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -20,7 +20,7 @@
 	draining
 )
 
-// Exchange takes one request through: decisions and signals go in, moves come out.
+// Exchange takes one request through: decisions and signals go in, actions come out.
 type Exchange struct {
 	Request   string
 	Placement router.Decision
@@ -35,7 +35,7 @@
 	actions          []Action
 }
 
-// Over tells that the exchange has ended: it makes no more moves.
+// Over tells that the exchange has ended: it gives no more actions.
 func (e *Exchange) Over() bool { return e.over }
 
 const usualActions = 4
@@ -101,7 +101,7 @@
 
 func mayRepeat(r *config.Route) bool { return r != nil && (r.Repeatable || r.Resumable) }
 
-// Decided takes a decision of the router and gives the moves to carry out, in order.
+// Decided takes a decision of the router and gives the actions to carry out, in order.
 func (e *Exchange) Decided(d router.Decision) []Action {
 	if e.over || (e.phase != none && d.AttemptID != "" && d.AttemptID != e.Placement.AttemptID && d.Verdict != router.Place) {
 		return nil
@@ -157,7 +157,7 @@
 	return e.takeActions()
 }
 
-// Happened takes what a connection or the clock did and gives the moves to carry out, in order.
+// Happened takes what a connection or the clock did and gives the actions to carry out, in order.
 func (e *Exchange) Happened(s Signal) []Action {
 	if e.over {
 		return nil
--- a/proxy/expire.go
+++ b/proxy/expire.go
@@ -4,7 +4,7 @@
 
 const expireEvery = time.Second
 
-// plan must be called by the owner of the shelves.
+// plan must be called by the owner of the state.
 func (p *Pool) plan() {
 	if !p.expiring {
 		p.expiring = true
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -148,7 +148,7 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// feed counts the room that a long event takes.
+// feed counts the bytes that a long event takes.
 func (x *transfer) feed(p []byte) ([]byte, error) {
 	before := cap(x.events.buf)
 	complete, err := x.events.Feed(p)
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -40,7 +40,7 @@
 
 type poolState map[key]*addressConns
 
-// Pool keeps connections to replicas. Whoever holds the shelves owns them.
+// Pool keeps connections to replicas. Whoever has received the state from owner owns it, and sends it back.
 type Pool struct {
 	settings Settings
 	counters *Counters
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -10,7 +10,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// Router decides where requests go. *router.RouterLoop is one.
+// Router decides where requests go. *router.Loop is one.
 type Router interface {
 	Submit(a router.Arrive) <-chan router.Decision
 	Notify(ev router.Event)
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// transfer carries out the moves of one exchange, all in the goroutine of the handler.
+// transfer carries out the actions of one exchange, all in the goroutine of the handler.
 type transfer struct {
 	proxy    *Proxy
 	w        http.ResponseWriter
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -1,9 +1,9 @@
 package register
 
-// Message is what proposers and acceptors send each other. The names of its types and fields are part of the format between nodes.
+// Message is what proposers and acceptors send each other. Their encoded forms, which older builds read, are in encoding.go.
 type Message interface{ registerMessage() }
 
-// Prepare asks a disk to promise a ballot and to tell what it accepted last. Rid ties the answer to the round.
+// Prepare asks a disk to promise a ballot and to tell what it accepted last. RequestID ties the answer to the round.
 type Prepare struct {
 	RequestID uint64
 	Disk      string
--- a/router/actions.go
+++ b/router/actions.go
@@ -3,7 +3,7 @@
 // ActionKind says what the I/O around a RequestFlow has to do.
 type ActionKind uint8
 
-// The kinds of moves.
+// The kinds of actions.
 const (
 	// Connect opens a connection to the placement's replica.
 	Connect ActionKind = iota + 1
--- a/router/loop.go
+++ b/router/loop.go
@@ -14,7 +14,7 @@
 	done      chan struct{}
 }
 
-// Loop owns one Router in one goroutine; events go in by NotifyRouter, a request's decisions come back on its own channel.
+// Loop owns one Router in one goroutine; events go in by Notify, a request's decisions come back on its own channel.
 type Loop struct {
 	tomb        *tomb.Tomb
 	clock       func() time.Duration
--- a/router/replicalist.go
+++ b/router/replicalist.go
@@ -127,7 +127,7 @@
 	return 0, false
 }
 
-// applyEvacuation closes the replicas of an evacuated zone; taken back, they may have turned cold.
+// applyEvacuation closes the replicas of an evacuated zone; taken back, they may need to warm up.
 func (r *Router) applyEvacuation(now time.Duration, id int, zone string) {
 	row, evacuated := &r.scheduler.Replicas[id], r.snapshot.Evacuated(zone)
 	if row.Evacuated && !evacuated {
--- a/router/requestflow.go
+++ b/router/requestflow.go
@@ -3,7 +3,7 @@
 import "net/http"
 
 // RequestFlow is the state machine of one request of the product's own interface: the router's decisions and what happens on the
-// connections go in, moves come out. The HTTP interface and the simulator do the I/O around it.
+// connections go in, actions come out. The HTTP interface and the simulator do the I/O around it.
 type RequestFlow struct {
 	Request string
 
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -6,7 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-// Config holds a scheduler's constants. The root package takes them from Defaults; the daemon sets QueueLimit and FeedTimeout.
+// Config holds a scheduler's constants. Package router takes them from Defaults; the daemon sets QueueLimit and FeedTimeout.
 type Config struct {
 	// Self is this router's name, unique among the fleet's routers, and Zone where it runs.
 	Self string
--- a/scheduler/home.go
+++ b/scheduler/home.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// home names the replica that every router of the zone would try first for this prefix, without a word between them. Where
+// home names the replica that every router of the zone would try first for this prefix, without any communication. Where
 // replicas queue, all routers agree on one home, and the last of several parts, which is the request's own, has no say in it.
 func (s *Scheduler) home(req *Request, svc *Service) int {
 	replica := -1
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -150,7 +150,7 @@
 	return rows
 }
 
-// recordTimeout counts a request that its replica left without a word.
+// recordTimeout counts a request that its replica has not begun to answer.
 func (s *Scheduler) recordTimeout(now time.Duration, req *Request, n float64) {
 	if req.State != Sent || req.Answered || now-req.SentAt < timeoutAfter || s.Replicas[req.Replica].failures.contactedAt >= req.SentAt {
 		return
--- a/scheduler/rendezvous.go
+++ b/scheduler/rendezvous.go
@@ -32,7 +32,7 @@
 	return sorted
 }
 
-// Quota divides a whole number among routers without a word between them: all get the same part, and those with the highest weight
+// Quota divides a whole number among routers without any communication: all get the same part, and those with the highest weight
 // for the key one more. It is 0 for a router that is not among them.
 func Quota(key string, total int, routers []string, self string) int {
 	if len(routers) == 0 {
--- a/scheduler/replica.go
+++ b/scheduler/replica.go
@@ -8,7 +8,7 @@
 // rolePrefill is the role of a replica that only reads prompts.
 const rolePrefill = "prefill"
 
-// Replica is a row of the table of replicas. The root package's Router fills in the exported fields.
+// Replica is a row of the table of replicas. router.Router fills in the exported fields.
 type Replica struct {
 	Name    string
 	Service int
@@ -23,7 +23,7 @@
 	// away. Up: it answers. Only a replica that is listed and up and neither of the others is given requests.
 	Listed, Evacuated, Leaving, Up bool
 
-	// StartedAt is when its instance began; Warm: it needs no ramp.
+	// StartedAt is when its instance began; Warm: it needs no slow start.
 	StartedAt time.Duration
 	Warm      bool
 	// SuspectSince is when it may have restarted, 0 where it was seen since.
@@ -88,7 +88,7 @@
 	return float64(r.load()) / float64(max(r.Capacity, 1))
 }
 
-// slowStartLeft goes from 1 to 0 over the ramp.
+// slowStartLeft goes from 1 to 0 over the slow start.
 func (r *Replica) slowStartLeft(now, slowStart time.Duration) float64 {
 	if r.SuspectSince > 0 && slowStart > 0 {
 		return 1
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -83,7 +83,7 @@
 }
 
 // Recompute follows a change of services, replicas or routers: it divides the retry allowances and the replicas' slots anew. The
-// hash key is part of what routers of different builds agree on and keeps its old word.
+// hash key is part of what routers of different builds must agree on, so its text stays.
 func (s *Scheduler) Recompute(now time.Duration) {
 	for i := range s.Replicas {
 		s.Replicas[i].warmupQuotaKnown = false
@@ -129,7 +129,7 @@
 	return n
 }
 
-// RestartWarmUp says that a new instance of a replica is age old: its ramp begins there and what was learned of its speed is void.
+// RestartWarmUp says that a new instance of a replica is age old: its slow start begins there and what was learned of its speed is void.
 func (s *Scheduler) RestartWarmUp(now time.Duration, replica int, age time.Duration) {
 	r := &s.Replicas[replica]
 	r.StartedAt, r.Warm, r.SuspectSince = now-age, false, 0
--- a/scheduler/warmup.go
+++ b/scheduler/warmup.go
@@ -4,7 +4,7 @@
 
 func (r *Replica) warmingUp(now time.Duration) bool { return now < r.WarmupUntil }
 
-// ExtendWarmup keeps a replica cold until then; it never gets warm sooner by it.
+// ExtendWarmup has a replica warm up until then, or longer where that was known before.
 func (s *Scheduler) ExtendWarmup(replica int, until time.Duration) {
 	r := &s.Replicas[replica]
 	r.WarmupUntil = max(r.WarmupUntil, until)
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -96,7 +96,7 @@
 	return at
 }
 
-// late tells whether a node acts against a fact longer than it may; gos that only a cut excuses are counted.
+// late tells whether a node acts against a fact longer than it may; attempts that only a partition excuses are counted.
 func (a *Audit) late(n *Node, f versionFact, within time.Duration) bool {
 	if a.w.Now-f.at <= within {
 		return false
--- a/sim/document.go
+++ b/sim/document.go
@@ -13,13 +13,13 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// A site's operators write a charter.Config as JSON: routes, services whose replicas are discovered, limits and a revision.
+// A site's operators write a config.Config as JSON: routes, services whose replicas are discovered, limits and a revision.
 
 func flawed(path, val, bound string) error {
 	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}})
 }
 
-// readDocument is the charter.Reader of a site.
+// readDocument is the config.Reader of a site.
 func readDocument(raw []byte) (config.Config, error) {
 	var c config.Config
 	if err := json.Unmarshal(raw, &c); err != nil {
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -10,7 +10,7 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// A trip takes one try through a node: it carries out the moves of proxy's exchange, one after the other, as proxy's transfer does.
+// A proxyRequest takes one attempt through a node: it carries out the actions of proxy's exchange, one after the other, as proxy's transfer does.
 type proxyRequest struct {
 	n           *Node
 	incarnation uint64
--- a/sim/replica/replica.go
+++ b/sim/replica/replica.go
@@ -10,7 +10,7 @@
 )
 
 // Model is how a replica serves: Capacity requests at a time, Keep tokens of prefixes in its cache; the first token takes Base and PerToken for
-// each token not cached, more when it is full or cold (for WarmupTime after its start), then Chunks come one Every so often. Its usage figures
+// each token not cached, more when it is full or warming up (for WarmupTime after its start), then Chunks come one Every so often. Its usage figures
 // lag behind by UsageLag.
 type Model struct {
 	Capacity   int
@@ -81,7 +81,7 @@
 	return 1 - float64(now-r.StartedAt)/float64(r.WarmupTime)
 }
 
-// Bears is how many requests the replica may run at now, by how cold it is.
+// Bears is how many requests the replica may run at now, by how far it has warmed up.
 func (r *Replica) Bears(now time.Duration) int {
 	return max(1, int(float64(r.Capacity)*(1-r.coldness(now)))) + 1
 }
--- a/sim/siteevacuate.go
+++ b/sim/siteevacuate.go
@@ -9,7 +9,7 @@
 // longestStay is the longest pause between an evacuation and its end.
 const longestStay = 9 * time.Second
 
-// evacuate closes a zone, or opens it again after its replicas turned cold.
+// evacuate closes a zone, or opens it again after its replicas need to warm up.
 func (o *operators) evacuate(zone string, back bool) {
 	o.evacuateThen(zone, back, func() {})
 }
