--- a/config/config.go
+++ b/config/config.go
@@ -82,7 +82,7 @@
 type Route struct {
 	Name, Host, Prefix string
 	TrafficSplit       []WeightedService
-	// Streaming answers are series of events; Resumable ones may be taken up at another replica after the last event id.
+	// Streaming answers are series of events; Resumable ones may be resumed at another replica after the last event id.
 	Streaming, Repeatable, Resumable bool
 	// Timeout bounds a request as a whole, FirstToken is the aim for its answer or first event, TargetGap for each later one (0: none).
 	Timeout, FirstToken, TargetGap time.Duration
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -24,7 +24,7 @@
 type Exchange struct {
 	Request   string
 	Placement router.Decision
-	// CannotResume tells that what was passed on cannot be taken up at another replica.
+	// CannotResume tells that what was passed on cannot be resumed at another replica.
 	CannotResume bool
 	phase        phase
 	// stream tells that the answer being passed on is a stream, flat that bytes of one that is none were passed on.
--- a/proxy/sse.go
+++ b/proxy/sse.go
@@ -12,7 +12,7 @@
 	return "event of over " + strconv.Itoa(e.Bytes) + " bytes"
 }
 
-// UnplacedError says that a stream that was taken up began with an event without an id: nobody knows whether the client has it.
+// UnplacedError says that a resumed stream began with an event without an id: nobody knows whether the client has it.
 type UnplacedError struct {
 	// After is the id of the newest event that the client has.
 	After string
@@ -27,7 +27,7 @@
 	// Last is the id of the newest event given out, or that the client had seen before.
 	Last  string
 	Bound int
-	// Plain tells that an event without an id was given out after the last that has one: nobody can go on from there.
+	// Plain tells that an event without an id was given out after the last that has one: the stream cannot be resumed from there.
 	Plain bool
 	// last becomes Last; events up to skip are left out, until onward tells that one after it was given out.
 	last, skip []byte
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// divisionGrace is how long a division is in force beside the one that follows it, until all routers have heard of the change.
+// divisionGrace is how long a division is in force beside the one that follows it, until all routers know of the change.
 const divisionGrace = 2 * time.Second
 
 // zoneFractions says which fraction of a zone's capacity the routers of a zone have, by the replicas' zone, then the routers'.
