--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -34,7 +34,7 @@
 	loss  float64
 	// gone members neither send nor receive, paused ones do nothing and lose what they are sent but for gossip.
 	gone, paused map[string]bool
-	// cut tells which pings and answers are lost, and gossip too where isolated is set.
+	// partitioned tells which pings and answers are lost, and gossip too where isolated is set.
 	partitioned func(from, to string) bool
 	isolated    bool
 	// declared are the members that somebody declared dead, by name.
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -47,7 +47,7 @@
 }
 
 const (
-	// pooled is the room of buffers that are used again; larger ones are made and left to the collector.
+	// bufferBytes is the size of buffers that are used again; larger ones are made and left to the collector.
 	bufferBytes    = 8 << 10
 	maxPooledBytes = 64 << 10
 )
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -26,18 +26,18 @@
 type client struct {
 	*net.TCPConn
 	proxy *Proxy
-	// keep is the value of Keep-Alive that fits how long the connection may be idle, if any.
+	// keepAlive is the value of Keep-Alive that fits how long the connection may be idle, if any.
 	keepAlive []string
 	state     atomic.Int32
-	// until is the deadline for reads that net/http asked for, since boot; 0: none.
+	// readDeadline is the deadline for reads that net/http asked for, since boot; 0: none.
 	readDeadline atomic.Int64
 	ended        atomic.Bool
-	// came is when the request's first bytes reached this machine, until its handler has asked.
+	// firstByteAt is when the request's first bytes reached this machine, until its handler has asked.
 	firstByteAt time.Time
 	inspect     func(fd uintptr)
-	// rested is for how long the newest bytes have lain in the socket.
+	// sinceLastBytes is for how long the newest bytes have lain in the socket.
 	sinceLastBytes time.Duration
-	// limit is the deadline in force for writes, hard one that holds even while bytes move.
+	// writeDeadline is the deadline in force for writes, finalDeadline one that holds even while bytes move.
 	writeDeadline, finalDeadline time.Time
 }
 
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -36,7 +36,7 @@
 	used    bool
 	// hadHEAD tells that a HEAD request was written: a late answer to it has a length, but no body.
 	hadHEAD bool
-	// until is when the connection is too old to be used, sure when it is for requests that may not be repeated.
+	// usableUntil is when the connection is too old to be used, safeUntil when it is for requests that may not be repeated.
 	usableUntil, safeUntil time.Time
 	unacked                time.Duration
 	quiet                  bool
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -77,7 +77,7 @@
 	attempt string
 	// repeatable tells that the request may be repeated; where not, whoever writes it looks at the connection then.
 	repeatable bool
-	// fresh tells that only a new connection will do.
+	// newOnly tells that only a new connection will do.
 	newOnly bool
 }
 
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -38,7 +38,7 @@
 
 func (*ShuttingDownError) Error() string { return "shutting down" }
 
-// elsewhere is when a client that is sent to another machine may ask there.
+// shutdownRetryAfter is when a client that is sent to another machine may ask there.
 const shutdownRetryAfter = 10 * time.Millisecond
 
 // admit refuses a request that a process in shutdown can't be sure to finish.
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -60,7 +60,7 @@
 	proposed bool
 	// proposed is the ballot under which a value with the change was last proposed.
 	proposedBallot Ballot
-	// first is the value to bootstrap the register with, until one is found.
+	// bootstrapValue is the value to bootstrap the register with, until one is found.
 	bootstrapValue *Value
 	full           bool
 	urgent         bool
--- a/scheduler/prefill.go
+++ b/scheduler/prefill.go
@@ -23,7 +23,7 @@
 const (
 	priorities     = 10
 	shortestPrompt = 750
-	// squared is the length at which attention makes a token twice as dear to read.
+	// quadraticTokens is the length at which attention makes a token twice as dear to read.
 	quadraticTokens = 110000
 )
 
--- a/sim/client.go
+++ b/sim/client.go
@@ -59,7 +59,7 @@
 	run      string
 	fault    string
 	status   int
-	// began counts the runs at replicas, made is the newest event of any.
+	// runsBegun counts the runs at replicas, eventsMade is the newest event of any.
 	runsBegun, eventsMade int
 	madeAt                time.Duration
 	refused               bool
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -40,7 +40,7 @@
 	over    bool
 	unclear bool
 	forced  bool
-	// lost says that an answer to it was lost on its way; again that it was acknowledged before.
+	// answerLost says that an answer to it was lost on its way; repeated that it was acknowledged before.
 	answerLost, repeated bool
 	end                  func(acked bool)
 }
