--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -59,7 +59,7 @@
 		return Register
 	case lease.Request, lease.Grant, lease.Release:
 		return Leases
-	case control.WitnessAsk, control.WitnessSay, control.WitnessForget:
+	case control.WitnessQuery, control.WitnessReply, control.WitnessForget:
 		return Witnesses
 	case control.Prefills:
 		return Prefills
@@ -121,7 +121,7 @@
 		return Ticks
 	case control.Persisted:
 		return Register
-	case control.Probed, control.Observation:
+	case control.Probed, control.ConnectionChange:
 		return Probes
 	case control.Prefills, router.Prefill:
 		return Prefills
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -110,7 +110,7 @@
 		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
-			in := control.Received{From: "10.0.0.2:1", Msg: control.WitnessAsk{RequestID: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
+			in := control.Received{From: "10.0.0.2:1", Msg: control.WitnessQuery{QueryID: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
 			from := clock()
 			n.Control.Step(time.Second, in)
 			costs.Stepped(n, in, clock()-from)
--- a/control/checkzones.go
+++ b/control/checkzones.go
@@ -76,9 +76,9 @@
 func (n *Node) onProbed(now time.Duration, p Probed) {
 	switch {
 	case p.Local && p.OK:
-		n.health.observe(now, Observation{State: Up, Probed: p})
+		n.health.observe(now, ConnectionChange{State: ConnectionUp, Probed: p})
 	case p.Local:
-		n.health.observe(now, Observation{State: Closed, Probed: p})
+		n.health.observe(now, ConnectionChange{State: ConnectionClosed, Probed: p})
 	case n.snapshot != nil:
 		n.health.onProbed(now, p, n.replicasByName[p.Replica].Zone)
 	}
@@ -128,8 +128,8 @@
 	}) == 0
 }
 
-// Knows says whether a zone is known: by the document, by a member in it, or as evacuated.
-func (n *Node) Knows(zone string) bool {
+// KnowsZone says whether a zone is known: by the document, by a member in it, or as evacuated.
+func (n *Node) KnowsZone(zone string) bool {
 	if n.value != nil && slices.Contains(n.value.EvacuatedZones, zone) || slices.Contains(n.zones(), zone) {
 		return true
 	}
--- a/control/command.go
+++ b/control/command.go
@@ -42,8 +42,8 @@
 		n.answer(Answer{ID: c.ID})
 	case Witness:
 		n.witness.ask(now, n, c.ID, op)
-	case SetFollowers:
-		n.Members.Update(now, func(m *membership.Member) { m.EmbeddedRouters = op.N })
+	case SetEmbeddedRouters:
+		n.Members.Update(now, func(m *membership.Member) { m.EmbeddedRouters = op.Count })
 		n.answer(Answer{ID: c.ID})
 	case SetSeeds:
 		n.config.Seeds = op.Addrs
@@ -67,7 +67,7 @@
 		case m.Disk == "":
 			return nil, &NameError{Name: name, Cause: ErrNoDisk}
 		case !m.Live():
-			return nil, &NameError{Name: name, Cause: &StateError{State: m.State}}
+			return nil, &NameError{Name: name, Cause: &NodeStateError{State: m.State}}
 		case slices.ContainsFunc(vs, func(v register.Voter) bool { return v.Disk == m.Disk }):
 			return nil, &NameError{Name: name, Cause: ErrNamedTwice}
 		}
--- a/control/durablereplies.go
+++ b/control/durablereplies.go
@@ -6,9 +6,9 @@
 	"github.com/mallowbridge/mallowbridge/membership"
 )
 
-// Opened is a log entry that changes nothing. It is written before the first answer of an incarnation, for what the node read from its
+// NoOp is a log entry that changes nothing. It is written before the first answer of an incarnation, for what the node read from its
 // disk may have been written by a process that was killed before its sync, and a loss of power may yet take it back.
-type Opened struct{}
+type NoOp struct{}
 
 const (
 	// stalledAfter is how long a write may take until the disk counts as degraded.
@@ -42,7 +42,7 @@
 	if len(d.pending) == 0 {
 		d.pendingSince = now
 	}
-	return LogWrite{Ticket: d.ticket, Entry: entry}
+	return LogWrite{Seq: d.ticket, Entry: entry}
 }
 
 // hold keeps an answer until all writes so far are durable.
@@ -71,7 +71,7 @@
 // reply answers a request to the voter once the entry is on the disk, with all before it; nil: there is nothing to write.
 func (n *Node) reply(now time.Duration, s Send, entry LogEntry) {
 	if n.disk.ticket == 0 && entry == nil {
-		entry = Opened{}
+		entry = NoOp{}
 	}
 	if entry == nil && len(n.disk.pending) == 0 {
 		n.send(s.To, s.Msg)
@@ -94,7 +94,7 @@
 		n.disk.err = nil
 		n.logChange(ChangeDiskRecovered, "")
 	}
-	for _, reply := range n.disk.release(now, s.Ticket) {
+	for _, reply := range n.disk.release(now, s.Seq) {
 		n.send(reply.To, reply.Msg)
 	}
 }
--- a/control/effects.go
+++ b/control/effects.go
@@ -3,7 +3,7 @@
 import "github.com/mallowbridge/mallowbridge/router"
 
 // effects collects what the present Step wants done. The parts of a node share it.
-type effects struct{ out *Out }
+type effects struct{ out *Output }
 
 func (e *effects) emit(ev router.Event) { e.out.Events = append(e.out.Events, ev) }
 
--- a/control/encoding.go
+++ b/control/encoding.go
@@ -75,12 +75,12 @@
 	Peek    bool
 }
 
-func encodeWitnessAsk(w WitnessAsk) encodedWitnessAsk {
-	return encodedWitnessAsk{Rid: w.RequestID, Request: w.Request, By: w.By, Peek: w.Peek}
+func encodeWitnessAsk(w WitnessQuery) encodedWitnessAsk {
+	return encodedWitnessAsk{Rid: w.QueryID, Request: w.Request, By: w.By, Peek: w.Peek}
 }
 
-func decodeWitnessAsk(f encodedWitnessAsk) WitnessAsk {
-	return WitnessAsk{RequestID: f.Rid, Request: f.Request, By: f.By, Peek: f.Peek}
+func decodeWitnessAsk(f encodedWitnessAsk) WitnessQuery {
+	return WitnessQuery{QueryID: f.Rid, Request: f.Request, By: f.By, Peek: f.Peek}
 }
 
 type encodedWitnessSay struct {
@@ -89,18 +89,18 @@
 	Young bool
 }
 
-func encodeWitnessSay(w WitnessSay) encodedWitnessSay {
-	return encodedWitnessSay{Rid: w.RequestID, First: w.First, Young: w.Young}
+func encodeWitnessSay(w WitnessReply) encodedWitnessSay {
+	return encodedWitnessSay{Rid: w.QueryID, First: w.First, Young: w.RecentlyStarted}
 }
 
-func decodeWitnessSay(f encodedWitnessSay) WitnessSay {
-	return WitnessSay{RequestID: f.Rid, First: f.First, Young: f.Young}
+func decodeWitnessSay(f encodedWitnessSay) WitnessReply {
+	return WitnessReply{QueryID: f.Rid, First: f.First, RecentlyStarted: f.Young}
 }
 
 type encodedWitnessForget encodedWitnessAsk
 
 func encodeWitnessForget(w WitnessForget) encodedWitnessForget {
-	return encodedWitnessForget(encodeWitnessAsk(WitnessAsk(w)))
+	return encodedWitnessForget(encodeWitnessAsk(WitnessQuery(w)))
 }
 
 func decodeWitnessForget(f encodedWitnessForget) WitnessForget {
--- a/control/errors.go
+++ b/control/errors.go
@@ -16,18 +16,18 @@
 
 func (e *NameError) Error() string { return e.Name + ": " + e.Cause.Error() }
 
-// StaleCallError says that an order may have lain here while the process stood still: its caller may have left long ago. It has had no
+// StaleRequestError says that an order may have lain here while the process stood still: its caller may have left long ago. It has had no
 // effect.
-type StaleCallError struct{ Gap time.Duration }
+type StaleRequestError struct{ Pause time.Duration }
 
-func (e *StaleCallError) Error() string {
-	return fmt.Sprintf("this process stood still for %s and takes no order that may have come before; nothing was changed", e.Gap)
+func (e *StaleRequestError) Error() string {
+	return fmt.Sprintf("this process stood still for %s and takes no order that may have come before; nothing was changed", e.Pause)
 }
 
-// CallerLeftError says that the caller of an order closed its connection before the order was begun. It has had no effect.
-type CallerLeftError struct{}
+// ClientDisconnectedError says that the caller of an order closed its connection before the order was begun. It has had no effect.
+type ClientDisconnectedError struct{}
 
-func (*CallerLeftError) Error() string {
+func (*ClientDisconnectedError) Error() string {
 	return "the caller closed its connection before the order was begun; nothing was changed"
 }
 
@@ -43,7 +43,7 @@
 	ErrNoneNamed   = errors.New("must be named")
 )
 
-// StateError says that a node isn't alive.
-type StateError struct{ State membership.State }
+// NodeStateError says that a node isn't alive.
+type NodeStateError struct{ State membership.State }
 
-func (e *StateError) Error() string { return "is " + e.State.String() }
+func (e *NodeStateError) Error() string { return "is " + e.State.String() }
--- a/control/failures.go
+++ b/control/failures.go
@@ -14,12 +14,12 @@
 // Since is the first build that reads the item.
 func (Failures) Since() uint32 { return 2 }
 
-// Failed has the other nodes told of failures that this node's router met.
-type Failed struct{ router.Failures }
+// FailuresObserved has the other nodes told of failures that this node's router met.
+type FailuresObserved struct{ router.Failures }
 
-func (Failed) in() {}
+func (FailuresObserved) in() {}
 
-func (n *Node) failed(f Failed) {
+func (n *Node) failed(f FailuresObserved) {
 	n.failureSeq++
 	n.Gossip.Put(gossip.Item{Key: "f/" + n.config.Name, Version: n.itemVersion(n.failureSeq), Data: Failures(f)})
 }
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -14,7 +14,7 @@
 	for i := range uint64(3) {
 		l.failures = map[string]router.Failures{}
 		want := router.Failures{By: "n7", Rows: []router.Failure{{Replica: "r", N: float64(i + 1)}}}
-		l.step("n7", Failed{want})
+		l.step("n7", FailuresObserved{want})
 		l.run(900 * time.Millisecond)
 		missed := 0
 		for _, name := range l.order {
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -83,7 +83,7 @@
 }
 
 func edit(base uint64, body string) register.Change {
-	return putChange(Put{ID: body, Expect: base, Document: []byte(body)})
+	return putChange(Put{ID: body, ExpectedVersion: base, Document: []byte(body)})
 }
 
 // TestLateFinishDoesNotSplitVoters: a change of voters that one disk accepted was never chosen; a finish that was meant for an
--- a/control/firstanswer_test.go
+++ b/control/firstanswer_test.go
@@ -20,7 +20,7 @@
 	if out = n.Step(2, look); promises(out) != 0 {
 		t.Fatal("a second look is answered before the disk is synced")
 	}
-	if out = n.Step(3, Persisted{Ticket: 1}); promises(out) != 2 {
+	if out = n.Step(3, Persisted{Seq: 1}); promises(out) != 2 {
 		t.Fatalf("%d answers after the sync", promises(out))
 	}
 	if out = n.Step(4, look); promises(out) != 1 || len(out.Writes) != 0 {
@@ -28,7 +28,7 @@
 	}
 }
 
-func promises(out Out) int {
+func promises(out Output) int {
 	var count int
 	for _, s := range out.Sends {
 		if _, ok := s.Msg.(register.Promise); ok {
--- a/control/format_test.go
+++ b/control/format_test.go
@@ -116,7 +116,7 @@
 		"gossip-checksum": filled[gossip.Checksum](), "gossip-digest": filled[gossip.Digest](), "gossip-pull": filled[gossip.Pull](),
 		"gossip-announcement": filled[gossip.Announcement](),
 		"chunk-pull":          filled[control.ChunkPull](), "chunk-data": filled[control.ChunkData](),
-		"witness-ask": filled[control.WitnessAsk](), "witness-say": filled[control.WitnessSay](), "witness-forget": filled[control.WitnessForget](),
+		"witness-ask": filled[control.WitnessQuery](), "witness-say": filled[control.WitnessReply](), "witness-forget": filled[control.WitnessForget](),
 		"quota-ask": filled[control.QuotaAsk](), "quota-answer": filled[control.QuotaAnswer](),
 		"event-welcome": filled[router.Welcome](), "event-snapshot": event(router.SnapshotUpdate{Snapshot: snapshot}),
 		"event-routers": event(filled[router.Routers]()), "event-loadreport": event(filled[router.LoadReport]()),
--- a/control/formatdisk_test.go
+++ b/control/formatdisk_test.go
@@ -20,9 +20,9 @@
 	value := filled[*register.Value]()
 	value.Document = text(2)
 	return []control.LogWrite{
-		{Ticket: 1, Entry: control.Promised{Ballot: register.Ballot{N: 7, By: "p"}}},
-		{Ticket: 2, Entry: control.Granted{Role: "probe/z1", Record: filled[lease.Record]()}},
-		{Ticket: 3, Entry: control.AcceptedEntry{Ballot: register.Ballot{N: 8, By: "q"}, Value: value}},
+		{Seq: 1, Entry: control.Promised{Ballot: register.Ballot{N: 7, By: "p"}}},
+		{Seq: 2, Entry: control.Granted{Role: "probe/z1", Record: filled[lease.Record]()}},
+		{Seq: 3, Entry: control.AcceptedEntry{Ballot: register.Ballot{N: 8, By: "q"}, Value: value}},
 	}
 }
 
@@ -82,7 +82,7 @@
 	if got := journal.State(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v, want\n%+v", got, want)
 	}
-	if what := journal.Repair(); what != "" {
+	if what := journal.RepairReport(); what != "" {
 		t.Errorf("a sound disk was repaired: %s", what)
 	}
 }
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// In is an input of Node.Step.
-type In interface{ in() }
+// Input is an input of Node.Step.
+type Input interface{ in() }
 
 // Received is a message of another node, of the types that Send may carry. Build is the sender's as its connection said it, 0 where that isn't known.
 type Received struct {
@@ -17,8 +17,8 @@
 
 // Persisted reports that the log writes up to Ticket are durable, or that writing failed with Err.
 type Persisted struct {
-	Ticket uint64
-	Err    error
+	Seq uint64
+	Err error
 	// Repaired tells that everything was written anew after a failure.
 	Repaired bool
 }
@@ -62,17 +62,17 @@
 
 // Put replaces the document if its revision is Expect, else it fails with a register.ConflictError. ID makes repetitions harmless.
 type Put struct {
-	ID       string
-	Expect   uint64
-	Document []byte
+	ID              string
+	ExpectedVersion uint64
+	Document        []byte
 }
 
 // Edit changes the document by a function of the one in place, which may be called several times.
 // Base is the revision that it builds on, the ConflictErrors of Apply tell the current one; an id belongs to one base.
 type Edit struct {
-	ID    string
-	Base  uint64
-	Apply func(body []byte) ([]byte, error)
+	ID          string
+	BaseVersion uint64
+	Apply       func(body []byte) ([]byte, error)
 }
 
 // Get reads the register from a majority of voters.
@@ -112,8 +112,8 @@
 // SetSeeds replaces the addresses that a node contacts when it knows no other node.
 type SetSeeds struct{ Addrs []string }
 
-// SetFollowers tells how many routers in other programs follow this node; they count as routers of the fleet.
-type SetFollowers struct{ N int }
+// SetEmbeddedRouters tells how many routers in other programs follow this node; they count as routers of the fleet.
+type SetEmbeddedRouters struct{ Count int }
 
 // Retire says that the process was told to end and will soon leave: until then it votes on, and its voter slot goes to a standby disk.
 type Retire struct{}
@@ -121,15 +121,15 @@
 // Leave releases the node's leases and tells its peers that it leaves the fleet.
 type Leave struct{}
 
-func (Put) op()              {}
-func (Edit) op()             {}
-func (Get) op()              {}
-func (Evacuate) op()         {}
-func (Bootstrap) op()        {}
-func (ReplaceVoters) op()    {}
-func (SetReplicaStates) op() {}
-func (Witness) op()          {}
-func (SetFollowers) op()     {}
-func (SetSeeds) op()         {}
-func (Retire) op()           {}
-func (Leave) op()            {}
+func (Put) op()                {}
+func (Edit) op()               {}
+func (Get) op()                {}
+func (Evacuate) op()           {}
+func (Bootstrap) op()          {}
+func (ReplaceVoters) op()      {}
+func (SetReplicaStates) op()   {}
+func (Witness) op()            {}
+func (SetEmbeddedRouters) op() {}
+func (SetSeeds) op()           {}
+func (Retire) op()             {}
+func (Leave) op()              {}
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -34,7 +34,7 @@
 	return l
 }
 
-func (l *lone) step(in In) Out {
+func (l *lone) step(in Input) Output {
 	out := l.n.Step(l.now, in)
 	for _, ev := range out.Events {
 		if o, ok := ev.(router.SnapshotUpdate); ok {
--- a/control/journal.go
+++ b/control/journal.go
@@ -91,8 +91,8 @@
 	return kept
 }
 
-// Repair says what was damaged and made good at the opening; empty for a sound disk.
-func (k *Journal) Repair() string { return k.store.Repair }
+// RepairReport says what was damaged and made good at the opening; empty for a sound disk.
+func (k *Journal) RepairReport() string { return k.store.Repair }
 
 // initialize writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
 func (k *Journal) initialize() error {
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	promised := control.Promised{Ballot: register.Ballot{N: 3, By: "p"}}
-	if k.Append([]control.LogWrite{{Ticket: 1, Entry: promised}}) == nil {
+	if k.Append([]control.LogWrite{{Seq: 1, Entry: promised}}) == nil {
 		t.Fatal("a full disk took an entry")
 	}
 	d.Full = false
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -40,7 +40,7 @@
 func accepted(number int) []control.LogWrite {
 	ballot := register.Ballot{N: uint64(number), By: "p"}
 	v := &register.Value{Version: uint64(number), Document: text(number)}
-	return []control.LogWrite{{Ticket: 1, Entry: control.Promised{Ballot: ballot}}, {Ticket: 2, Entry: control.AcceptedEntry{Ballot: ballot, Value: v}}}
+	return []control.LogWrite{{Seq: 1, Entry: control.Promised{Ballot: ballot}}, {Seq: 2, Entry: control.AcceptedEntry{Ballot: ballot, Value: v}}}
 }
 
 // opened reads the disk and returns the number of the document that was accepted last.
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -109,14 +109,14 @@
 	return config.Config{Services: []config.Service{{Name: "o", Discovered: true}}, Tenants: []config.Tenant{labTenant}}, nil
 }
 
-func (l *lab) step(name string, in In) {
+func (l *lab) step(name string, in Input) {
 	out := l.nodes[name].Step(l.now, in)
 	l.sendAll(name, out.Sends)
 	if n := len(out.Writes); n > 0 {
 		l.save(name, out.Writes)
-		l.mail = append(l.mail, parcel{at: l.now + 3*time.Millisecond, to: name, msg: Persisted{Ticket: out.Writes[n-1].Ticket}})
+		l.mail = append(l.mail, parcel{at: l.now + 3*time.Millisecond, to: name, msg: Persisted{Seq: out.Writes[n-1].Seq}})
 	}
-	if out.List {
+	if out.ReadReplicaList {
 		l.readList(name)
 	}
 	for _, ev := range out.Events {
@@ -174,7 +174,7 @@
 
 // deliver hands a message or an input in, or keeps it until its time has come and its node has thawed.
 func (l *lab) deliver(p parcel) {
-	in, local := p.msg.(In)
+	in, local := p.msg.(Input)
 	switch {
 	case p.at > l.now || l.frozen[p.to]:
 		l.mail = append(l.mail, p)
--- a/control/list.go
+++ b/control/list.go
@@ -74,7 +74,7 @@
 		return
 	}
 	l.reading, l.askedAt = true, now
-	n.out.List = true
+	n.out.ReadReplicaList = true
 }
 
 func (n *Node) listDue(now time.Duration) bool {
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -56,7 +56,9 @@
 	l := newLab(t, 6)
 	l.run(2 * time.Second)
 	const puts = 600
-	put := func(i uint64) Put { return Put{ID: fmt.Sprint("put", i), Expect: i, Document: fmt.Append(nil, i)} }
+	put := func(i uint64) Put {
+		return Put{ID: fmt.Sprint("put", i), ExpectedVersion: i, Document: fmt.Append(nil, i)}
+	}
 	for i := range uint64(puts) {
 		if a := l.call("n4", put(i)); a.Err != nil || a.Version != i+1 {
 			t.Fatalf("put %d: %v, mark %d", i, a.Err, a.Version)
@@ -75,7 +77,7 @@
 		t.Errorf("a put that is forgotten: %v", a.Err)
 	}
 	for _, i := range []uint64{puts - 400, puts, puts + 2} {
-		if a := l.call("n5", Put{ID: "other", Expect: i}); !isConflict(a.Err) {
+		if a := l.call("n5", Put{ID: "other", ExpectedVersion: i}); !isConflict(a.Err) {
 			t.Errorf("another on mark %d: %v", i, a.Err)
 		}
 	}
--- a/control/messages.go
+++ b/control/messages.go
@@ -20,22 +20,22 @@
 	State   router.ListingState `json:"state"`
 }
 
-// WitnessAsk asks a witness to remember that the router By is about to send the request. RequestID numbers the inquiry; with Peek nothing is
+// WitnessQuery asks a witness to remember that the router By is about to send the request. RequestID numbers the inquiry; with Peek nothing is
 // remembered.
-type WitnessAsk struct {
-	RequestID uint64
-	Request   string
-	By        string
-	Peek      bool
+type WitnessQuery struct {
+	QueryID uint64
+	Request string
+	By      string
+	Peek    bool
 }
 
-// WitnessSay answers the WitnessAsk numbered RequestID. First: no other router has asked about the request. Young: the witness started so recently
+// WitnessReply answers the WitnessAsk numbered RequestID. First: no other router has asked about the request. Young: the witness started so recently
 // that it may have forgotten an earlier inquiry.
-type WitnessSay struct {
-	RequestID uint64
-	First     bool
-	Young     bool
+type WitnessReply struct {
+	QueryID         uint64
+	First           bool
+	RecentlyStarted bool
 }
 
 // WitnessForget takes back a WitnessAsk that ended without enough answers.
-type WitnessForget WitnessAsk
+type WitnessForget WitnessQuery
--- a/control/node.go
+++ b/control/node.go
@@ -117,8 +117,8 @@
 }
 
 // Step takes one input at the time now, which never falls, and returns what is to be done.
-func (n *Node) Step(now time.Duration, in In) Out {
-	var out Out
+func (n *Node) Step(now time.Duration, in Input) Output {
+	var out Output
 	n.out = &out
 	n.noticeFreeze(now)
 	switch i := in.(type) {
@@ -128,11 +128,11 @@
 		n.onPersisted(now, i)
 	case Probed:
 		n.onProbed(now, i)
-	case Observation:
+	case ConnectionChange:
 		n.health.observe(now, i)
 	case QuotaRequested:
 		n.quotaRequested(now, i)
-	case Failed:
+	case FailuresObserved:
 		n.failed(i)
 	case ListRead:
 		n.onListRead(now, i)
--- a/control/observations.go
+++ b/control/observations.go
@@ -10,21 +10,21 @@
 type ConnectionState uint8
 
 const (
-	// Closed says that the replica closed the connection.
-	Closed ConnectionState = iota + 1
-	// Down says that nobody listens at the replica's address.
-	Down
-	// Up says that the replica answered.
-	Up
+	// ConnectionClosed says that the replica closed the connection.
+	ConnectionClosed ConnectionState = iota + 1
+	// ConnectionRefused says that nobody listens at the replica's address.
+	ConnectionRefused
+	// ConnectionUp says that the replica answered.
+	ConnectionUp
 )
 
-// Observation reports a change of this node's own idle connection to a replica.
-type Observation struct {
+// ConnectionChange reports a change of this node's own idle connection to a replica.
+type ConnectionChange struct {
 	State ConnectionState
 	Probed
 }
 
-func (Observation) in() {}
+func (ConnectionChange) in() {}
 
 const (
 	// localProbeRetry is the least time between two checks of one replica that other nodes report on differently.
@@ -43,7 +43,7 @@
 }
 
 // observe takes in a change of this node's own connection to a replica. The router learns it before anything that other nodes report.
-func (h *healthChecks) observe(now time.Duration, i Observation) {
+func (h *healthChecks) observe(now time.Duration, i ConnectionChange) {
 	seen := h.observations[i.Replica]
 	if seen == nil {
 		seen = &observation{}
@@ -52,13 +52,13 @@
 	before := seen.state
 	seen.state, seen.at = i.State, now
 	switch i.State {
-	case Closed:
+	case ConnectionClosed:
 		h.emit(router.ReplicaSuspect{Replica: i.Replica})
-	case Down:
-		if before != Down {
+	case ConnectionRefused:
+		if before != ConnectionRefused {
 			h.emit(router.LoadReport{Replica: i.Replica, Down: true})
 		}
-	case Up:
+	case ConnectionUp:
 		h.observeInstance(now, seen, i.Probed)
 	}
 }
@@ -83,9 +83,9 @@
 		return true
 	}
 	same := !r.Down && seen.instance == r.InstanceID
-	if seen.state != Up {
+	if seen.state != ConnectionUp {
 		if !r.Down && seen.recheckDue(now) {
-			h.out.Looks = append(h.out.Looks, r.Replica)
+			h.out.Reconnects = append(h.out.Reconnects, r.Replica)
 		}
 		return !same || now-seen.at > localObservationTTL
 	}
--- a/control/orders.go
+++ b/control/orders.go
@@ -51,8 +51,8 @@
 		if _, done := cur.AppliedAt(op.ID); done {
 			return nil, nil
 		}
-		if cur.Version != op.Expect {
-			return nil, cur.PutRefusal(op.Expect)
+		if cur.Version != op.ExpectedVersion {
+			return nil, cur.PutRefusal(op.ExpectedVersion)
 		}
 		cur.Version++
 		cur.Document = op.Document
@@ -63,13 +63,13 @@
 
 func editChange(op Edit) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if cur.AppliedEdit(op.Base, op.ID) {
+		if cur.AppliedEdit(op.BaseVersion, op.ID) {
 			return nil, nil
 		}
 		body, err := op.Apply(cur.Document)
 		var conflict *register.ConflictError
 		if errors.As(err, &conflict) {
-			return nil, cur.Refusal(op.Base, conflict.Version)
+			return nil, cur.Refusal(op.BaseVersion, conflict.Version)
 		}
 		if err != nil {
 			return nil, err
@@ -79,7 +79,7 @@
 		}
 		cur.Version++
 		cur.Document = body
-		cur.LogEdit(op.Base, op.ID)
+		cur.LogEdit(op.BaseVersion, op.ID)
 		return cur, nil
 	}
 }
--- a/control/outputs.go
+++ b/control/outputs.go
@@ -18,22 +18,22 @@
 func (Promised) logEntry()      {}
 func (AcceptedEntry) logEntry() {}
 func (Granted) logEntry()       {}
-func (Opened) logEntry()        {}
+func (NoOp) logEntry()          {}
 
 // LogWrite is an entry to append to the journal. Tickets rise; Persisted names the last one that is durable.
 type LogWrite struct {
-	Ticket uint64
-	Entry  LogEntry
+	Seq   uint64
+	Entry LogEntry
 }
 
 // Answer ends the Command with this ID. Value and Version are the register's value and the revision that the operation made or found; Witnesses
 // answers a Witness. Err is nil on success.
 type Answer struct {
-	ID        uint64
-	Value     *register.Value
-	Version   uint64
-	Witnesses WitnessVerdict
-	Err       error
+	ID             uint64
+	Value          *register.Value
+	Version        uint64
+	WitnessVerdict WitnessVerdict
+	Err            error
 }
 
 // Probe is a request for a replica's load. Local: it checks this node's own observation and is not shared with other nodes.
@@ -42,9 +42,9 @@
 	Local         bool
 }
 
-// Out is what a Step wants done. The fields may be acted on in any order and at once: a reply that tells of an entry in Writes is not
+// Output is what a Step wants done. The fields may be acted on in any order and at once: a reply that tells of an entry in Writes is not
 // among the Sends; it comes out of the Step whose input is the Persisted for that entry.
-type Out struct {
+type Output struct {
 	// Sends are messages to other nodes. They may be lost, and overtake each other.
 	Sends []Send
 	// Writes are entries to append to the journal, in this order.
@@ -55,10 +55,10 @@
 	Events []router.Event
 	// Probes are replicas to ask for their load. Each is answered by a Probed, also where it failed.
 	Probes []Probe
-	// Looks are the replicas whose idle connection is to be opened again now.
-	Looks []string
-	// List says that the platform's list of replicas is to be read; a ListRead answers.
-	List bool
+	// Reconnects are the replicas whose idle connection is to be opened again now.
+	Reconnects []string
+	// ReadReplicaList says that the platform's list of replicas is to be read; a ListRead answers.
+	ReadReplicaList bool
 	// Changes are lines for the operators' log.
 	Changes []Change
 }
--- a/control/partition_test.go
+++ b/control/partition_test.go
@@ -103,7 +103,7 @@
 		epoch := l.nodes["n0"].Value().Epoch
 		l.cut = cut
 		l.run(4 * time.Second)
-		if held := l.nodes["n0"].Holding(l.now); len(held) > 0 {
+		if held := l.nodes["n0"].HeldRoles(l.now); len(held) > 0 {
 			t.Errorf("%s: holds %v after 4 s", what, held)
 		}
 		l.denied("n0")
--- a/control/receive.go
+++ b/control/receive.go
@@ -41,11 +41,11 @@
 		n.onChunkData(now, r.From, m)
 	case Prefills:
 		n.onPrefills(m)
-	case WitnessAsk:
+	case WitnessQuery:
 		n.send(r.From, n.witness.remember(now, m))
 	case WitnessForget:
 		n.witness.forget(m)
-	case WitnessSay:
+	case WitnessReply:
 		n.witness.onReply(r.From, m, n)
 	case QuotaAsk:
 		n.onQuotaAsk(now, r.From, m)
--- a/control/status.go
+++ b/control/status.go
@@ -64,8 +64,8 @@
 	return s
 }
 
-// Holding names the roles whose lease the node holds at the time now.
-func (n *Node) Holding(now time.Duration) []string {
+// HeldRoles names the roles whose lease the node holds at the time now.
+func (n *Node) HeldRoles(now time.Duration) []string {
 	var roles []string
 	for _, d := range n.leases.Roles() {
 		if _, ok := n.leases.Holds(now, d); ok {
--- a/control/witness.go
+++ b/control/witness.go
@@ -25,12 +25,12 @@
 type WitnessVerdict uint8
 
 const (
-	// FirstAsked says that no witness knows of another router that asked.
-	FirstAsked WitnessVerdict = iota
+	// NotAskedBefore says that no witness knows of another router that asked.
+	NotAskedBefore WitnessVerdict = iota
 	// AskedBefore says that a witness knows of another router that asked.
 	AskedBefore
-	// TooFew says that fewer witnesses than needed answered in time.
-	TooFew
+	// TooFewReplies says that fewer witnesses than needed answered in time.
+	TooFewReplies
 )
 
 // inquiry is a Witness operation under way. complete counts the replies of witnesses that have been up for all of witnessMemory.
@@ -38,7 +38,7 @@
 	command   uint64
 	startedAt time.Duration
 	sentAt    time.Duration
-	msg       WitnessAsk
+	msg       WitnessQuery
 	addrs     []string
 	pending   []string
 	timeout   time.Duration
@@ -67,9 +67,9 @@
 // WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
 func WitnessOutcome(a Answer) router.AttemptResult {
 	switch {
-	case a.Err != nil || a.Witnesses == TooFew:
+	case a.Err != nil || a.WitnessVerdict == TooFewReplies:
 		return router.Unwitnessed
-	case a.Witnesses == AskedBefore:
+	case a.WitnessVerdict == AskedBefore:
 		return router.Suppressed
 	}
 	return ""
@@ -79,29 +79,29 @@
 	return witnessState{startedAt: now, seen: map[string]rememberedRequest{}, inquiries: map[uint64]*inquiry{}, deadSince: map[string]time.Duration{}, forgotten: map[string]bool{}}
 }
 
-func (w *witnessState) remember(now time.Duration, m WitnessAsk) WitnessSay {
+func (w *witnessState) remember(now time.Duration, m WitnessQuery) WitnessReply {
 	for len(w.order) > 0 && (len(w.order) > rememberedMost || now-w.seen[w.order[0]].at > witnessMemory) {
 		delete(w.seen, w.order[0])
 		w.order = w.order[1:]
 	}
 	s, ok := w.seen[m.Request]
 	if m.Peek {
-		return WitnessSay{RequestID: m.RequestID, First: !ok || s.by == m.By, Young: now-w.startedAt < witnessMemory}
+		return WitnessReply{QueryID: m.QueryID, First: !ok || s.by == m.By, RecentlyStarted: now-w.startedAt < witnessMemory}
 	}
 	if !ok {
 		w.order = append(w.order, m.Request)
 		s = rememberedRequest{by: m.By, at: now}
 	}
 	if s.by == m.By {
-		s.requestID = max(s.requestID, m.RequestID)
+		s.requestID = max(s.requestID, m.QueryID)
 		w.seen[m.Request] = s
 	}
-	return WitnessSay{RequestID: m.RequestID, First: s.by == m.By, Young: now-w.startedAt < witnessMemory}
+	return WitnessReply{QueryID: m.QueryID, First: s.by == m.By, RecentlyStarted: now-w.startedAt < witnessMemory}
 }
 
 func (w *witnessState) forget(m WitnessForget) {
 	s, ok := w.seen[m.Request]
-	if !ok || s.by != m.By || s.requestID != m.RequestID {
+	if !ok || s.by != m.By || s.requestID != m.QueryID {
 		return
 	}
 	delete(w.seen, m.Request)
@@ -110,7 +110,7 @@
 
 func (w *witnessState) ask(now time.Duration, n *Node, id uint64, op Witness) {
 	w.requestID++
-	a := &inquiry{command: id, startedAt: now, msg: WitnessAsk{RequestID: w.requestID, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
+	a := &inquiry{command: id, startedAt: now, msg: WitnessQuery{QueryID: w.requestID, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
 	for _, m := range n.witnesses(op.Request) {
 		a.addrs = append(a.addrs, m.Addr)
 		if m.Live() {
@@ -150,28 +150,28 @@
 	return ms
 }
 
-func (w *witnessState) onReply(from string, m WitnessSay, n *Node) {
-	a := w.inquiries[m.RequestID]
+func (w *witnessState) onReply(from string, m WitnessReply, n *Node) {
+	a := w.inquiries[m.QueryID]
 	if a == nil || !slices.Contains(a.pending, from) {
 		return
 	}
 	a.pending = slices.DeleteFunc(a.pending, func(addr string) bool { return addr == from })
 	a.replies++
-	if !m.Young {
+	if !m.RecentlyStarted {
 		a.complete++
 	}
 	switch {
 	case !m.First:
 		w.close(n, a, AskedBefore)
 	case a.complete >= a.needed || len(a.pending) == 0:
-		w.close(n, a, FirstAsked)
+		w.close(n, a, NotAskedBefore)
 	}
 }
 
 func (w *witnessState) close(n *Node, a *inquiry, v WitnessVerdict) {
-	delete(w.inquiries, a.msg.RequestID)
-	n.answer(Answer{ID: a.command, Witnesses: v})
-	if v != TooFew || a.msg.Peek {
+	delete(w.inquiries, a.msg.QueryID)
+	n.answer(Answer{ID: a.command, WitnessVerdict: v})
+	if v != TooFewReplies || a.msg.Peek {
 		return
 	}
 	for _, addr := range a.addrs {
@@ -189,9 +189,9 @@
 		}
 		switch {
 		case waited >= witnessTimeout && a.replies >= a.needed:
-			w.close(n, a, FirstAsked)
+			w.close(n, a, NotAskedBefore)
 		case waited >= a.timeout:
-			w.close(n, a, TooFew)
+			w.close(n, a, TooFewReplies)
 		case now-a.sentAt >= witnessResend:
 			a.send(now, n)
 		}
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -40,13 +40,13 @@
 	}
 }
 
-func (f *fleet) carry(from string, out Out) {
+func (f *fleet) carry(from string, out Output) {
 	for _, a := range out.Answers {
 		f.said[a.ID] = a
 	}
 	for _, s := range out.Sends {
 		switch s.Msg.(type) {
-		case WitnessAsk, WitnessSay, WitnessForget:
+		case WitnessQuery, WitnessReply, WitnessForget:
 			if !f.mute[s.To] && !f.mute[from] {
 				f.carry(s.To, f.nodes[s.To].Step(f.now, Received{From: from, Msg: s.Msg}))
 			}
@@ -68,7 +68,7 @@
 			return WitnessOutcome(a), f.now - from
 		}
 		n := f.nodes[at]
-		n.out = &Out{}
+		n.out = &Output{}
 		n.witness.tick(f.now, n)
 		f.carry(at, *n.out)
 	}
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -28,7 +28,7 @@
 
 func (*StoppingError) Error() string { return "node is stopping" }
 
-func (h *Daemon) submit(in control.In) {
+func (h *Daemon) submit(in control.Input) {
 	select {
 	case h.in <- in:
 	case <-h.Tomb.Dying():
@@ -83,7 +83,7 @@
 	select {
 	case h.calls <- c:
 	case <-ctx.Done():
-		return control.Answer{Err: &control.CallerLeftError{}}
+		return control.Answer{Err: &control.ClientDisconnectedError{}}
 	case <-overdue:
 		return control.Answer{Err: &register.NoQuorumError{}}
 	case <-h.Tomb.Dying():
--- a/daemon/caller.go
+++ b/daemon/caller.go
@@ -61,7 +61,7 @@
 	case <-passed.C:
 	}
 	if ctx.Err() != nil || callerOf(ctx).left() {
-		return &control.CallerLeftError{}
+		return &control.ClientDisconnectedError{}
 	}
 	return nil
 }
--- a/daemon/caller_test.go
+++ b/daemon/caller_test.go
@@ -106,12 +106,12 @@
 	h, _ := operatorServer(t)
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(callerWait/2, leave)
-	var left *control.CallerLeftError
+	var left *control.ClientDisconnectedError
 	if a := h.Order(ctx, control.Evacuate{ID: "late", Zone: "a", Restore: true}); !errors.As(a.Err, &left) || !h.evacuated(t, "a") {
 		t.Errorf("%v, evacuated %v", a.Err, h.evacuated(t, "a"))
 	}
 	began := time.Now()
-	if a := h.Order(t.Context(), control.Put{ID: "one", Expect: 1, Document: []byte(document)}); a.Err != nil || time.Since(began) >= callerWait {
+	if a := h.Order(t.Context(), control.Put{ID: "one", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil || time.Since(began) >= callerWait {
 		t.Errorf("%v after %s", a.Err, time.Since(began))
 	}
 	if a := h.Order(t.Context(), control.Evacuate{ID: "now", Zone: "a", Restore: true}); a.Err != nil || h.evacuated(t, "a") {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -33,7 +33,7 @@
 	// Gate rejects orders that lay here while the process stood still.
 	Gate *Gate
 
-	in    chan control.In
+	in    chan control.Input
 	calls chan call
 	// calledIDs numbers the calls.
 	calledIDs   atomic.Uint64
@@ -61,7 +61,7 @@
 	fs := newFollowers(h)
 	first := time.After(0)
 	for {
-		var in control.In
+		var in control.Input
 		select {
 		case <-h.Tomb.Dying():
 			return nil
@@ -102,7 +102,7 @@
 	}
 }
 
-func (h *Daemon) perform(out control.Out, fs *followers) {
+func (h *Daemon) perform(out control.Output, fs *followers) {
 	if len(out.Writes) > 0 {
 		h.writes <- out.Writes
 	}
@@ -130,10 +130,10 @@
 			return nil
 		})
 	}
-	if out.List {
+	if out.ReadReplicaList {
 		h.Tomb.Go(h.readList)
 	}
-	h.lookNow(out.Looks)
+	h.lookNow(out.Reconnects)
 	for _, c := range out.Changes {
 		h.Log.Info().Str("what", string(c.What)).Str("detail", c.Detail).Msg("change")
 	}
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -53,7 +53,7 @@
 	f.n++
 }
 
-func (fs *followers) join(f *follower, _ *control.Node) control.In {
+func (fs *followers) join(f *follower, _ *control.Node) control.Input {
 	taken := map[int]bool{}
 	for _, o := range fs.all {
 		taken[o.id] = true
@@ -70,7 +70,7 @@
 	return fs.count()
 }
 
-func (fs *followers) leave(f *follower) control.In {
+func (fs *followers) leave(f *follower) control.Input {
 	for i, o := range fs.all {
 		if o == f {
 			fs.all = append(fs.all[:i], fs.all[i+1:]...)
@@ -80,12 +80,12 @@
 	return fs.count()
 }
 
-func (fs *followers) count() control.In {
+func (fs *followers) count() control.Input {
 	most := 0
 	for _, f := range fs.all {
 		most = max(most, f.id)
 	}
-	return control.Command{Op: control.SetFollowers{N: most}}
+	return control.Command{Op: control.SetEmbeddedRouters{Count: most}}
 }
 
 func (h *Daemon) follow(conn net.Conn, _ transport.Hello, r *transport.Reader) {
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -63,7 +63,7 @@
 	if m := <-versions; m != 1 {
 		t.Errorf("the picture has mark %d", m)
 	}
-	if a := h.Call(control.Put{ID: "two", Expect: 1, Document: []byte(document)}); a.Err != nil {
+	if a := h.Call(control.Put{ID: "two", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	if m := <-versions; m != 2 {
--- a/daemon/gate.go
+++ b/daemon/gate.go
@@ -68,7 +68,7 @@
 	woke := time.Duration(g.woke.Load())
 	if from != nil && woke > 0 && from.acceptedAt < woke+gateQuiet {
 		g.Stale.Add(1)
-		return 0, &control.StaleCallError{Gap: time.Duration(g.gap.Load())}
+		return 0, &control.StaleRequestError{Pause: time.Duration(g.gap.Load())}
 	}
 	return control.Deadline(now, size), nil
 }
--- a/daemon/gate_test.go
+++ b/daemon/gate_test.go
@@ -30,7 +30,7 @@
 func opened(g *Gate) context.Context { return g.ConnContext(context.Background(), nil) }
 
 func isStale(err error) bool {
-	var stale *control.StaleCallError
+	var stale *control.StaleRequestError
 	return errors.As(err, &stale)
 }
 
--- a/daemon/persist.go
+++ b/daemon/persist.go
@@ -22,7 +22,7 @@
 		case <-h.Tomb.Dying():
 			return nil
 		case f := <-h.Loop.Failures:
-			h.submit(control.Failed{Failures: f})
+			h.submit(control.FailuresObserved{Failures: f})
 		case q := <-h.Loop.QuotaRequests:
 			h.submit(control.QuotaRequested{Request: q})
 		}
@@ -38,7 +38,7 @@
 		case writes := <-h.writes:
 			writes = h.withQueued(writes)
 			err := h.journal.Append(writes)
-			h.submit(control.Persisted{Ticket: writes[len(writes)-1].Ticket, Err: err})
+			h.submit(control.Persisted{Seq: writes[len(writes)-1].Seq, Err: err})
 			if err != nil {
 				repair = time.After(recoverEvery)
 			}
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -70,7 +70,7 @@
 		Log:         lg,
 		FrontendID:  s.Name + "." + boot,
 		Gate:        NewGate(Clock),
-		in:          make(chan control.In, 1024),
+		in:          make(chan control.Input, 1024),
 		calls:       make(chan call, 64),
 		writes:      make(chan []control.LogWrite, control.MaxPendingReplies),
 		subscribe:   make(chan *follower),
@@ -127,7 +127,7 @@
 	if h.journal, err = control.OpenJournal(folder, diskID()); err != nil {
 		return nil, err
 	}
-	if what := h.journal.Repair(); what != "" {
+	if what := h.journal.RepairReport(); what != "" {
 		h.Log.Warn().Str("what", what).Msg("disk was repaired")
 	}
 	state := h.journal.State()
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -121,7 +121,7 @@
 func (e *replicaWatcher) report(state control.ConnectionState, p control.Probed) {
 	p.Replica, p.Local = e.name, true
 	select {
-	case e.daemon.in <- control.Observation{State: state, Probed: p}:
+	case e.daemon.in <- control.ConnectionChange{State: state, Probed: p}:
 	case <-e.stop:
 	case <-e.daemon.Tomb.Dying():
 	}
@@ -131,7 +131,7 @@
 func (e *replicaWatcher) look() bool {
 	conn, err := net.DialTimeout("tcp", e.addr, lookTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		e.report(control.Down, control.Probed{})
+		e.report(control.ConnectionRefused, control.Probed{})
 	}
 	if err != nil {
 		return false
@@ -151,7 +151,7 @@
 	if !seen {
 		return false
 	}
-	e.report(control.Up, p)
+	e.report(control.ConnectionUp, p)
 	_ = conn.SetDeadline(time.Time{})
 	from := time.Now()
 	_, _ = r.ReadByte()
@@ -166,7 +166,7 @@
 		e.shortInARow = 0
 	}
 	if e.shortInARow < shortConnectionsMost {
-		e.report(control.Closed, control.Probed{})
+		e.report(control.ConnectionClosed, control.Probed{})
 	}
 }
 
--- a/daemon/watch_test.go
+++ b/daemon/watch_test.go
@@ -11,9 +11,9 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-func watched(t *testing.T, addr string) chan control.In {
+func watched(t *testing.T, addr string) chan control.Input {
 	tb := &tomb.Tomb{}
-	h := &Daemon{Tomb: tb, in: make(chan control.In)}
+	h := &Daemon{Tomb: tb, in: make(chan control.Input)}
 	e := h.newWatcher("r", addr, lookPauseMin)
 	tb.Go(e.run)
 	t.Cleanup(func() {
@@ -34,9 +34,9 @@
 	return srv
 }
 
-func next(t *testing.T, in chan control.In, want control.ConnectionState, instance string) {
+func next(t *testing.T, in chan control.Input, want control.ConnectionState, instance string) {
 	t.Helper()
-	s := (<-in).(control.Observation)
+	s := (<-in).(control.ConnectionChange)
 	if s.State != want || s.InstanceID != instance || s.Replica != "r" {
 		t.Fatalf("saw %+v, not state %d of %q", s, want, instance)
 	}
@@ -50,21 +50,21 @@
 	addr := lis.Addr().String()
 	srv := serveUsage(t, lis, "i1", true)
 	in := watched(t, addr)
-	next(t, in, control.Up, "i1")
+	next(t, in, control.ConnectionUp, "i1")
 	srv.CloseClientConnections()
 	srv.Listener.Close()
-	next(t, in, control.Closed, "")
-	next(t, in, control.Down, "")
+	next(t, in, control.ConnectionClosed, "")
+	next(t, in, control.ConnectionRefused, "")
 	if lis, err = net.Listen("tcp", addr); err != nil {
 		t.Fatal(err)
 	}
 	second := serveUsage(t, lis, "i2", true)
 	defer second.Close()
-	s := (<-in).(control.Observation)
-	for s.State == control.Down {
-		s = (<-in).(control.Observation)
+	s := (<-in).(control.ConnectionChange)
+	for s.State == control.ConnectionRefused {
+		s = (<-in).(control.ConnectionChange)
 	}
-	if s.State != control.Up || s.InstanceID != "i2" {
+	if s.State != control.ConnectionUp || s.InstanceID != "i2" {
 		t.Errorf("saw %+v after the restart", s)
 	}
 }
@@ -78,9 +78,9 @@
 	defer srv.Close()
 	in := watched(t, lis.Addr().String())
 	for range shortConnectionsMost - 1 {
-		next(t, in, control.Up, "i1")
-		next(t, in, control.Closed, "")
+		next(t, in, control.ConnectionUp, "i1")
+		next(t, in, control.ConnectionClosed, "")
 	}
-	next(t, in, control.Up, "i1")
-	next(t, in, control.Up, "i1")
+	next(t, in, control.ConnectionUp, "i1")
+	next(t, in, control.ConnectionUp, "i1")
 }
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -91,8 +91,8 @@
 	var fenced *register.FencedError
 	var unreached *register.NoQuorumError
 	var unfounded *register.NotBootstrappedError
-	var stale *control.StaleCallError
-	var left *control.CallerLeftError
+	var stale *control.StaleRequestError
+	var left *control.ClientDisconnectedError
 	var name *control.NameError
 	var long *http.MaxBytesError
 	t := Failure{Error: err.Error(), Effect: "unchanged"}
@@ -168,7 +168,7 @@
 	if _, err = config.Read(raw); err != nil {
 		return fail(w, err)
 	}
-	return o.answer(w, o.Control.Order(r.Context(), control.Put{ID: id, Expect: expect, Document: raw}))
+	return o.answer(w, o.Control.Order(r.Context(), control.Put{ID: id, ExpectedVersion: expect, Document: raw}))
 }
 
 // zone answers a call on one zone; kind is the order without its zone and id.
@@ -180,7 +180,7 @@
 		}
 		name := r.Param("domain")
 		known := false
-		o.Control.Look(func(n *control.Node) { known = n.Knows(name) })
+		o.Control.Look(func(n *control.Node) { known = n.KnowsZone(name) })
 		if !known {
 			return fail(w, &control.NameError{Name: name, Cause: control.ErrUnknownZone})
 		}
--- a/modelcheck/mutations_test.go
+++ b/modelcheck/mutations_test.go
@@ -68,7 +68,7 @@
 func forgetfulPut(op control.Put) register.Change {
 	put := control.PutChange(op)
 	return func(cur *register.Value) (*register.Value, error) {
-		if cur.Version == op.Expect {
+		if cur.Version == op.ExpectedVersion {
 			return put(cur)
 		}
 		return nil, &register.ConflictError{Version: cur.Version}
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -103,9 +103,9 @@
 func (p *Plan) change(o Order) register.Change {
 	switch o.Kind {
 	case Put:
-		return p.Rules.Put(control.Put{ID: o.ID, Expect: o.Expect, Document: []byte(o.ID)})
+		return p.Rules.Put(control.Put{ID: o.ID, ExpectedVersion: o.Expect, Document: []byte(o.ID)})
 	case Edit:
-		return p.Rules.Edit(control.Edit{ID: o.ID, Base: o.Expect, Apply: o.apply})
+		return p.Rules.Edit(control.Edit{ID: o.ID, BaseVersion: o.Expect, Apply: o.apply})
 	}
 	return nil
 }
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -212,7 +212,7 @@
 		if !n.Alive || n.frozen {
 			continue
 		}
-		for _, d := range n.node.Holding(n.local()) {
+		for _, d := range n.node.HeldRoles(n.local()) {
 			if by[d] != "" {
 				a.breach(TwoHolders, d, by[d]+" and "+n.Name)
 			}
--- a/sim/controlcalls.go
+++ b/sim/controlcalls.go
@@ -30,7 +30,7 @@
 // Put puts a configuration at a node and has it audited.
 func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
 	w.asks++
-	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), Expect: expect, Document: body}
+	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), ExpectedVersion: expect, Document: body}
 	c := w.Audit.offered(expect, body)
 	w.Call(n, op, func(a control.Answer) {
 		c.answered(a)
--- a/sim/light/cluster.go
+++ b/sim/light/cluster.go
@@ -154,7 +154,7 @@
 func (h *Cluster) put(n *Node, expect uint64, body []byte) {
 	h.puts++
 	at := h.Now
-	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), Expect: expect, Document: body}, func(a control.Answer) {
+	h.call(n, control.Put{ID: "put-" + strconv.Itoa(h.puts), ExpectedVersion: expect, Document: body}, func(a control.Answer) {
 		if a.Err == nil {
 			h.offered[a.Value.Version] = at
 			h.inForce(a.Value.Version)
--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -73,7 +73,7 @@
 	n.event(router.Tick{})
 }
 
-func (n *Node) step(in control.In) {
+func (n *Node) step(in control.Input) {
 	start := n.h.S.Clock()
 	out := n.Control.Step(n.h.Now, in)
 	n.h.S.Meter.Stepped(n, in, n.h.S.Clock()-start)
@@ -91,7 +91,7 @@
 	}
 }
 
-func (n *Node) carry(out control.Out) {
+func (n *Node) carry(out control.Output) {
 	for _, s := range out.Sends {
 		n.h.carry(n, s)
 	}
@@ -128,7 +128,7 @@
 	n.h.After(3*time.Millisecond, func() {
 		n.saving = false
 		err := n.journal.Append(batch)
-		n.step(control.Persisted{Ticket: batch[len(batch)-1].Ticket, Err: err})
+		n.step(control.Persisted{Seq: batch[len(batch)-1].Seq, Err: err})
 		n.save()
 	})
 }
@@ -159,7 +159,7 @@
 			}
 			n.watchers[r.Name] = true
 			n.h.S.Meter.Asked(n)
-			n.h.At(max(n.h.Now, n.upgradeAt)+2*n.delay(r.Name), func() { n.step(control.Observation{State: control.Up, Probed: n.report(r.Name, true)}) })
+			n.h.At(max(n.h.Now, n.upgradeAt)+2*n.delay(r.Name), func() { n.step(control.ConnectionChange{State: control.ConnectionUp, Probed: n.report(r.Name, true)}) })
 		}
 	}
 }
--- a/sim/measure.go
+++ b/sim/measure.go
@@ -125,7 +125,7 @@
 	role := "probe/" + g.shape.Zones[w.rng.IntN(len(g.shape.Zones))]
 	holder := func() *Node {
 		for _, o := range w.Nodes {
-			for _, d := range o.node.Holding(o.local()) {
+			for _, d := range o.node.HeldRoles(o.local()) {
 				if o.Alive && d == role {
 					return o
 				}
--- a/sim/node.go
+++ b/sim/node.go
@@ -188,7 +188,7 @@
 	})
 }
 
-func (n *Node) step(in control.In) {
+func (n *Node) step(in control.Input) {
 	n.live(func() { n.carry(n.node.Step(n.local(), in)) })
 }
 
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -8,14 +8,14 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func (n *Node) carry(out control.Out) {
+func (n *Node) carry(out control.Output) {
 	w := n.w
 	n.sendAll(out.Sends)
 	if len(out.Writes) > 0 {
 		n.unsent = append(n.unsent, out.Writes...)
 		n.save()
 	}
-	if out.List {
+	if out.ReadReplicaList {
 		n.list()
 	}
 	for _, ev := range out.Events {
@@ -28,7 +28,7 @@
 	for _, p := range out.Probes {
 		n.probe(p)
 	}
-	for _, name := range out.Looks {
+	for _, name := range out.Reconnects {
 		n.watchers[name].poke()
 	}
 	n.logAll(out.Changes)
@@ -78,7 +78,7 @@
 	n.later(d, func() {
 		n.saving = false
 		err := n.journal.Append(batch)
-		n.step(control.Persisted{Ticket: batch[len(batch)-1].Ticket, Err: err})
+		n.step(control.Persisted{Seq: batch[len(batch)-1].Seq, Err: err})
 		n.save()
 		if err != nil && n.w.site != nil && !n.repairing {
 			n.repairDisk()
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -60,7 +60,7 @@
 		return ds
 	}
 	if f, known := n.router.Failures(n.local()); known {
-		n.later(0, func() { n.step(control.Failed{Failures: f}) })
+		n.later(0, func() { n.step(control.FailuresObserved{Failures: f}) })
 	}
 	n.arm()
 	return ds
--- a/sim/watcher.go
+++ b/sim/watcher.go
@@ -59,9 +59,9 @@
 		e.after(dialFor+nap, repeated)
 		return
 	}
-	sight := control.Observation{State: control.Down, Probed: control.Probed{Replica: r.Name}}
+	sight := control.ConnectionChange{State: control.ConnectionRefused, Probed: control.Probed{Replica: r.Name}}
 	if r.Up {
-		sight = control.Observation{State: control.Up, Probed: r.report()}
+		sight = control.ConnectionChange{State: control.ConnectionUp, Probed: r.report()}
 		e.open = true
 		e.stare(r.incarnations)
 	} else {
@@ -91,7 +91,7 @@
 	}
 	e.open = false
 	n.later(n.w.Net.Delay(n.Zone == r.Zone), func() {
-		n.step(control.Observation{State: control.Closed, Probed: control.Probed{Replica: r.Name}})
+		n.step(control.ConnectionChange{State: control.ConnectionClosed, Probed: control.Probed{Replica: r.Name}})
 		e.look(watchRetryAfter)
 	})
 }
