--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -90,7 +90,7 @@
 // headers names the platform's headers to the proxy.
 func headers() proxy.Headers {
 	return proxy.Headers{
-		Attempt: platform.HeaderAttempt, Target: platform.HeaderTarget, NotExecuted: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
+		AttemptID: platform.HeaderAttempt, TargetInstance: platform.HeaderTarget, NotExecuted: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
 		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokens,
 		Seal: platform.HeaderSeal, Instance: platform.HeaderInstance, Priority: platform.HeaderPriority,
 		Credential: platform.HeaderCredential, Tenant: platform.HeaderTenant,
@@ -178,7 +178,7 @@
 func proxySettings(s platform.Settings) proxy.Settings {
 	set := proxy.Defaults()
 	if mb := s.Machine.MemoryMB; mb > 0 {
-		set.Budget = min(set.Budget, mb<<20/4)
+		set.BudgetBytes = min(set.BudgetBytes, mb<<20/4)
 	}
 	return set
 }
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -68,7 +68,7 @@
 			left = true
 			n.daemon.Call(control.Leave{})
 		case <-tick.C:
-			if left && n.proxy.Running() == 0 {
+			if left && n.proxy.RequestsInFlight() == 0 {
 				return
 			}
 		}
--- a/proxy/action.go
+++ b/proxy/action.go
@@ -12,18 +12,18 @@
 const (
 	// Connect gets a connection to the place.
 	Connect ActionKind = iota + 1
-	// Write sends the request and reads the answer.
-	Write
+	// WriteRequest sends the request and reads the answer.
+	WriteRequest
 	// ReleaseConnection gives an unused connection back.
 	ReleaseConnection
-	// Disconnect closes the connection.
-	Disconnect
+	// CloseConnection closes the connection.
+	CloseConnection
 	// NotifyRouter hands the router an event.
 	NotifyRouter
 	// DiscardAnswer reads the rest of an answer that is not passed on.
 	DiscardAnswer
-	// PassAnswer passes the answer on, without its head where the place resumes.
-	PassAnswer
+	// ForwardAnswer passes the answer on, without its head where the place resumes.
+	ForwardAnswer
 	// Finish ends the exchange with the outcome.
 	Finish
 )
@@ -32,8 +32,8 @@
 type Outcome uint8
 
 const (
-	// Done is a whole answer of a replica.
-	Done Outcome = iota + 1
+	// Completed is a whole answer of a replica.
+	Completed Outcome = iota + 1
 	// Rejected is a 503: the request has not run and will not run.
 	Rejected
 	// NotFound is a 404: no route matches.
@@ -44,8 +44,8 @@
 	Expired
 	// Aborted is an answer that was cut after its first bytes.
 	Aborted
-	// ClientGone is a client that closed its connection.
-	ClientGone
+	// AbandonedByClient is a client that closed its connection.
+	AbandonedByClient
 	// OverQuota is a 429: the tenant has used up its quota, and the request has not run.
 	OverQuota
 	// Unauthorized is a 401: no tenant has the request's key.
@@ -67,27 +67,27 @@
 // Connected tells that a connection to the place is there, with nothing written on it yet.
 type Connected struct{}
 
-// Unconnected tells that there is no connection, and whether that is the replica's fault.
-type Unconnected struct{ Capped bool }
+// ConnectFailed tells that there is no connection, and whether that is the replica's fault.
+type ConnectFailed struct{ AtConnectionLimit bool }
 
-// Replied is the head of an answer.
-type Replied struct {
+// AnswerHeadRead is the head of an answer.
+type AnswerHeadRead struct {
 	Status int
-	// Foreign answers belong to another request, Open ones end only with their connection, Bare ones lack the seal.
-	Foreign, NotRun, Open, Bare bool
-	Stream                      bool
-	// NamedWeights: the request named the weights to go on with, so a 421 says nothing about the instance. OtherWeights: the answer is made
+	// Mismatched answers belong to another request, CloseDelimited ones end only with their connection, Unsealed ones lack the seal.
+	Mismatched, NotExecuted, CloseDelimited, Unsealed bool
+	Stream                                            bool
+	// VersionRequested: the request named the weights to go on with, so a 421 says nothing about the instance. VersionMismatch: the answer is made
 	// with others than what was passed on.
-	NamedWeights, OtherWeights bool
-	Instance                   string
-	Load                       *router.Load
+	VersionRequested, VersionMismatch bool
+	Instance                          string
+	Load                              *router.Load
 }
 
-// Begun tells that the head is passed on before the answer is whole.
-type Begun struct{}
+// AnswerStarted tells that the head is passed on before the answer is whole.
+type AnswerStarted struct{}
 
-// Ended tells that the answer was read to its end.
-type Ended struct{}
+// AnswerEnded tells that the answer was read to its end.
+type AnswerEnded struct{}
 
 // ConnectionLost tells that the connection failed after bytes of the request may have left.
 type ConnectionLost struct{}
@@ -98,15 +98,15 @@
 // DeadlinePassed tells that the time of the request is over, and whether that was so before any byte of it was written.
 type DeadlinePassed struct{ Unwritten bool }
 
-// ClientClosed tells that the client closed its connection or takes no more bytes.
-type ClientClosed struct{}
-
-func (Connected) signal()      {}
-func (Unconnected) signal()    {}
-func (Replied) signal()        {}
-func (Begun) signal()          {}
-func (Ended) signal()          {}
-func (ConnectionLost) signal() {}
-func (Unwritten) signal()      {}
-func (DeadlinePassed) signal() {}
-func (ClientClosed) signal()   {}
+// ClientDisconnected tells that the client closed its connection or takes no more bytes.
+type ClientDisconnected struct{}
+
+func (Connected) signal()          {}
+func (ConnectFailed) signal()      {}
+func (AnswerHeadRead) signal()     {}
+func (AnswerStarted) signal()      {}
+func (AnswerEnded) signal()        {}
+func (ConnectionLost) signal()     {}
+func (Unwritten) signal()          {}
+func (DeadlinePassed) signal()     {}
+func (ClientDisconnected) signal() {}
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-func (x *transfer) replied(resp *http.Response) Replied {
+func (x *transfer) replied(resp *http.Response) AnswerHeadRead {
 	h, place := &x.proxy.headers, &x.exchange.Placement
-	var s Replied
+	var s AnswerHeadRead
 	s.Status = resp.StatusCode
-	s.Open = resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
-	if first(resp.Header, h.Attempt) != x.attempt() {
+	s.CloseDelimited = resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
+	if first(resp.Header, h.AttemptID) != x.attempt() {
 		x.proxy.Counters.Surplus.Add(1)
-		s.Foreign = true
+		s.Mismatched = true
 		return s
 	}
-	s.NotRun = h.NotExecuted != "" && resp.Header[h.NotExecuted] != nil
-	s.Bare = h.Seal != "" && resp.Header[h.Seal] == nil
+	s.NotExecuted = h.NotExecuted != "" && resp.Header[h.NotExecuted] != nil
+	s.Unsealed = h.Seal != "" && resp.Header[h.Seal] == nil
 	if h.Instance != "" {
 		s.Instance = first(resp.Header, h.Instance)
 	}
 	s.Stream = place.Route != nil && place.Route.Streaming && isEventStream(resp)
 	x.stream = s.Stream
-	s.NamedWeights = x.expectedVersion() != ""
-	s.OtherWeights = x.headed && h.WeightsVersion != "" && !x.events.Continues(first(resp.Header, h.WeightsVersion))
+	s.VersionRequested = x.expectedVersion() != ""
+	s.VersionMismatch = x.headed && h.WeightsVersion != "" && !x.events.AcceptsVersion(first(resp.Header, h.WeightsVersion))
 	if v := first(resp.Header, h.Load); v != "" && h.ParseLoad != nil {
 		if load, ok := h.ParseLoad(v); ok {
 			load.Replica = place.Replica
@@ -71,14 +71,14 @@
 	} else {
 		x.disconnect()
 	}
-	x.signal(Ended{})
+	x.signal(AnswerEnded{})
 }
 
 // connectionLost tells why a connection failed after the request was written to it.
 func (x *transfer) connectionLost(err error) {
 	switch {
 	case x.r.Context().Err() != nil:
-		x.signal(ClientClosed{})
+		x.signal(ClientDisconnected{})
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		x.signal(DeadlinePassed{})
 	default:
@@ -128,11 +128,11 @@
 func (x *transfer) finish(m Action) {
 	n := &x.proxy.Counters
 	switch m.Outcome {
-	case Done:
+	case Completed:
 		n.Done.Add(1)
 		x.linger(lingerUsual)
 		return
-	case ClientGone:
+	case AbandonedByClient:
 		n.Hangups.Add(1)
 		panic(http.ErrAbortHandler)
 	case Aborted:
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -13,10 +13,10 @@
 	"github.com/gravitational/trace"
 )
 
-// FullError says that the bodies and answers of other requests use up the budget.
-type FullError struct{ Reserved int64 }
+// BudgetExhaustedError says that the bodies and answers of other requests use up the budget.
+type BudgetExhaustedError struct{ Reserved int64 }
 
-func (e *FullError) Error() string {
+func (e *BudgetExhaustedError) Error() string {
 	return "the " + strconv.FormatInt(e.Reserved, 10) + " bytes of other requests leave no room"
 }
 
@@ -24,13 +24,13 @@
 	if n := int64(x.proxy.limits().BodyBytes); n > 0 {
 		return n
 	}
-	return int64(x.proxy.settings.BodyBytes)
+	return int64(x.proxy.settings.MaxBodyBytes)
 }
 
 // readBody reads the request's body whole; a client that stops sending, or sends for too long, is waited for no longer.
 func (x *transfer) readBody() (err error) {
 	if !x.memory.take(requestOverheadBytes) {
-		return trace.Wrap(&FullError{Reserved: x.proxy.budget.Reserved()})
+		return trace.Wrap(&BudgetExhaustedError{Reserved: x.proxy.budget.Reserved()})
 	}
 	if x.r.ContentLength == 0 {
 		return nil
@@ -53,7 +53,7 @@
 // uploadLimit is when more of the body must have come.
 func (x *transfer) uploadLimit() time.Time {
 	at := time.Now().Add(cmp.Or(x.proxy.limits().Header, defaultHeaderTimeout))
-	end := x.arrived.Add(x.proxy.settings.Upload)
+	end := x.arrived.Add(x.proxy.settings.UploadTimeout)
 	if !x.deadline.IsZero() && x.deadline.Before(end) {
 		end = x.deadline
 	}
@@ -74,7 +74,7 @@
 func (x *transfer) readSized() error {
 	size := int(x.r.ContentLength)
 	if !x.memory.take(size) {
-		return trace.Wrap(&FullError{Reserved: x.proxy.budget.Reserved()})
+		return trace.Wrap(&BudgetExhaustedError{Reserved: x.proxy.budget.Reserved()})
 	}
 	body := make([]byte, size)
 	for got := 0; got < size; {
@@ -96,7 +96,7 @@
 		if before := body.Cap(); body.Available() < bytes.MinRead {
 			body.Grow(max(bytes.MinRead, before))
 			if !x.memory.take(body.Cap() - before) {
-				return trace.Wrap(&FullError{Reserved: x.proxy.budget.Reserved()})
+				return trace.Wrap(&BudgetExhaustedError{Reserved: x.proxy.budget.Reserved()})
 			}
 		}
 		x.readUntil(x.uploadLimit())
@@ -118,7 +118,7 @@
 	x.w.Header().Set("Connection", "close")
 	x.readUntil(time.Now().Add(afterRefusal))
 	var long *http.MaxBytesError
-	var full *FullError
+	var full *BudgetExhaustedError
 	var ending *ShuttingDownError
 	status := http.StatusBadRequest
 	switch {
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -7,22 +7,22 @@
 
 // Budget bounds the bytes of bodies and held answers of all requests together.
 type Budget struct {
-	Bound    int64
+	Limit    int64
 	reserved atomic.Int64
 }
 
-// Take reserves n more bytes. What is alone may be larger than the bound.
-func (b *Budget) Take(n int) bool {
+// Reserve reserves n more bytes. What is alone may be larger than the bound.
+func (b *Budget) Reserve(n int) bool {
 	total := b.reserved.Add(int64(n))
-	if b.Bound > 0 && total > b.Bound && total != int64(n) {
+	if b.Limit > 0 && total > b.Limit && total != int64(n) {
 		b.reserved.Add(-int64(n))
 		return false
 	}
 	return true
 }
 
-// Give returns n reserved bytes.
-func (b *Budget) Give(n int) { b.reserved.Add(-int64(n)) }
+// Release returns n reserved bytes.
+func (b *Budget) Release(n int) { b.reserved.Add(-int64(n)) }
 
 // Reserved is how many bytes are reserved.
 func (b *Budget) Reserved() int64 { return b.reserved.Load() }
@@ -35,14 +35,14 @@
 
 func (s *reservation) take(n int) bool {
 	var ok bool
-	if ok = s.budget.Take(n); ok {
+	if ok = s.budget.Reserve(n); ok {
 		s.bytes += n
 	}
 	return ok
 }
 
 func (s *reservation) give(n int) {
-	s.budget.Give(n)
+	s.budget.Release(n)
 	s.bytes -= n
 }
 
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -136,8 +136,8 @@
 	var n int
 	for quiet, reserved := 0, 0; ; {
 		now := time.Now()
-		if c.writeDeadline.Sub(now) < c.proxy.settings.Stall-c.proxy.settings.Stall/renewal {
-			c.writeDeadline = now.Add(c.proxy.settings.Stall)
+		if c.writeDeadline.Sub(now) < c.proxy.settings.StallTimeout-c.proxy.settings.StallTimeout/renewal {
+			c.writeDeadline = now.Add(c.proxy.settings.StallTimeout)
 			if !c.finalDeadline.IsZero() && c.finalDeadline.Before(c.writeDeadline) {
 				c.writeDeadline = c.finalDeadline
 			}
@@ -211,5 +211,5 @@
 	}
 }
 
-// Running is how many requests are being read, served or written.
-func (p *Proxy) Running() int { return int(max(p.running.Load(), p.active.Load())) }
+// RequestsInFlight is how many requests are being read, served or written.
+func (p *Proxy) RequestsInFlight() int { return int(max(p.running.Load(), p.active.Load())) }
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -40,7 +40,7 @@
 	if _, err = far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Read(make([]byte, 1)); err != nil || p.Running() != 1 {
-		t.Errorf("read gives %v, %d run", err, p.Running())
+	if _, err = c.Read(make([]byte, 1)); err != nil || p.RequestsInFlight() != 1 {
+		t.Errorf("read gives %v, %d run", err, p.RequestsInFlight())
 	}
 }
--- a/proxy/continuity.go
+++ b/proxy/continuity.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// UnplacedError says that a resumed stream began with an event without an id: nobody knows whether the client has it.
-type UnplacedError struct {
+// MissingIDError says that a resumed stream began with an event without an id: nobody knows whether the client has it.
+type MissingIDError struct {
 	// After is the id of the newest event that the client has.
 	After string
 }
 
-func (e *UnplacedError) Error() string {
+func (e *MissingIDError) Error() string {
 	return "event without id where the one after " + strconv.Quote(e.After) + " is due"
 }
 
@@ -25,11 +25,11 @@
 	return "event " + strconv.Quote(e.Got) + " where the one after " + strconv.Quote(e.After) + " is due"
 }
 
-// WeightsError says that a resumed stream is made with other weights than what the client has.
-type WeightsError struct{ Had, Got uint64 }
+// WeightsMismatchError says that a resumed stream is made with other weights than what the client has.
+type WeightsMismatchError struct{ Expected, Got uint64 }
 
-func (e *WeightsError) Error() string {
-	return "weights of version " + strconv.FormatUint(e.Got, 10) + " where " + strconv.FormatUint(e.Had, 10) + " is due"
+func (e *WeightsMismatchError) Error() string {
+	return "weights of version " + strconv.FormatUint(e.Got, 10) + " where " + strconv.FormatUint(e.Expected, 10) + " is due"
 }
 
 // weights is a version of a model's weights, where one is known.
@@ -71,52 +71,54 @@
 // consecutive tells whether the ids so far left no number out.
 func (c *continuity) consecutive() bool { return c.successors > 0 && !c.leaps }
 
-// NextRun drops the rest of a run and goes on with another one, or with the first, behind the last event. Version is the weights' version
+// StartAnswer drops the rest of a run and goes on with another one, or with the first, behind the last event. Version is the weights' version
 // that its head tells, empty where it tells none.
-func (e *Events) NextRun(version string) {
+func (e *EventStream) StartAnswer(version string) {
 	e.buf, e.seen, e.start = e.buf[:0], 0, 0
 	e.cr, e.lone, e.hasID, e.plain = false, false, false, false
-	e.run.skip, e.run.onward, e.run.versioned = append(e.run.skip[:0], e.Last...), false, false
+	e.run.skip, e.run.onward, e.run.versioned = append(e.run.skip[:0], e.LastID...), false, false
 	e.run.current = parseWeights(version)
 }
 
-// Expected is the weights' version with which a run may go on; empty where none is known.
-func (e *Events) Expected() string {
+// ExpectedVersion is the weights' version with which a run may go on; empty where none is known.
+func (e *EventStream) ExpectedVersion() string {
 	if !e.run.delivered.known {
 		return ""
 	}
 	return strconv.FormatUint(e.run.delivered.version, 10)
 }
 
-// Continues tells whether a run whose head tells the version may go on behind the events given out.
-func (e *Events) Continues(version string) bool {
+// AcceptsVersion tells whether a run whose head tells the version may go on behind the events given out.
+func (e *EventStream) AcceptsVersion(version string) bool {
 	return !e.run.delivered.differ(parseWeights(version))
 }
 
 // joins checks that the event just read may stand behind what was given out of an earlier run.
-func (e *Events) joins() error {
+func (e *EventStream) joins() error {
 	c := &e.run
 	if !c.given || len(c.skip) == 0 || !e.plain || !e.isNew() {
 		return nil
 	}
 	if !c.onward && !e.hasID {
-		return &UnplacedError{After: string(c.skip)}
+		return &MissingIDError{After: string(c.skip)}
 	}
 	if !c.onward && c.consecutive() && !succeeds(e.id, c.skip) {
 		return &GapError{After: string(c.skip), Got: string(e.id)}
 	}
 	unannounced := !c.onward && !c.versioned
 	if c.delivered.differ(c.current) && (unannounced || c.current.version < c.delivered.version) {
-		return &WeightsError{Had: c.delivered.version, Got: c.current.version}
+		return &WeightsMismatchError{Expected: c.delivered.version, Got: c.current.version}
 	}
 	return nil
 }
 
 // isNew tells whether the event just read comes after those that the client has.
-func (e *Events) isNew() bool { return !e.hasID || len(e.run.skip) == 0 || after(e.id, e.run.skip) }
+func (e *EventStream) isNew() bool {
+	return !e.hasID || len(e.run.skip) == 0 || after(e.id, e.run.skip)
+}
 
 // gave notes that the event just read is given out.
-func (e *Events) gave() {
+func (e *EventStream) gave() {
 	if !e.plain {
 		return
 	}
@@ -126,12 +128,12 @@
 		c.delivered = c.current
 	}
 	if !e.hasID {
-		e.Plain = true
+		e.CannotResume = true
 		return
 	}
 	before := e.last
 	if len(before) == 0 {
-		before = []byte(e.Last)
+		before = []byte(e.LastID)
 	}
 	if succeeds(e.id, before) {
 		c.successors++
@@ -140,7 +142,7 @@
 	}
 	e.last, c.onward = append(e.last[:0], e.id...), true
 	_, opaque := number(e.id)
-	e.Plain = opaque != nil
+	e.CannotResume = opaque != nil
 }
 
 func number(id []byte) (uint64, error) { return strconv.ParseUint(string(id), 10, 64) }
--- a/proxy/continuity_test.go
+++ b/proxy/continuity_test.go
@@ -187,11 +187,11 @@
 
 // TestGapIsNamed gives the error that tells what is missing.
 func TestGapIsNamed(t *testing.T) {
-	e := proxy.Events{Bound: 1 << 10}
+	e := proxy.EventStream{MaxEventBytes: 1 << 10}
 	if _, err := e.Feed([]byte(events(1, 2))); err != nil {
 		t.Fatal(err)
 	}
-	e.NextRun("")
+	e.StartAnswer("")
 	_, err := e.Feed([]byte(event(4)))
 	want(t, "error", err, `event "4" where the one after "2" is due`)
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -38,8 +38,8 @@
 	actions          []Action
 }
 
-// Over tells that the exchange has ended: it gives no more actions.
-func (e *Exchange) Over() bool { return e.over }
+// Finished tells that the exchange has ended: it gives no more actions.
+func (e *Exchange) Finished() bool { return e.over }
 
 const usualActions = 4
 
@@ -77,7 +77,7 @@
 func (e *Exchange) abandonAttempt() {
 	e.mayHaveRunBefore = e.mayHaveRun()
 	if e.phase != none {
-		e.do(Action{Kind: Disconnect})
+		e.do(Action{Kind: CloseConnection})
 	}
 	e.phase = none
 }
@@ -85,7 +85,7 @@
 func (e *Exchange) finish(o Outcome, why string, after time.Duration) {
 	e.abandonAttempt()
 	e.over = true
-	if e.began && o != Done && o != ClientGone {
+	if e.began && o != Completed && o != AbandonedByClient {
 		o = Aborted
 	}
 	e.do(Action{Kind: Finish, Outcome: o, Reason: why, RetryAfter: after})
@@ -123,8 +123,8 @@
 	e.do(Action{Kind: Connect})
 }
 
-// Decided takes a decision of the router and gives the actions to carry out, in order.
-func (e *Exchange) Decided(d router.Decision) []Action {
+// HandleDecision takes a decision of the router and gives the actions to carry out, in order.
+func (e *Exchange) HandleDecision(d router.Decision) []Action {
 	if e.over || (e.phase != none && d.AttemptID != "" && d.AttemptID != e.Placement.AttemptID && d.Verdict != router.Place) {
 		return nil
 	}
@@ -134,7 +134,7 @@
 	case router.Send:
 		if e.phase == connected {
 			e.phase = written
-			e.do(Action{Kind: Write})
+			e.do(Action{Kind: WriteRequest})
 		}
 	case router.CancelBeforeSend:
 		if e.phase == connecting || e.phase == connected {
@@ -168,23 +168,23 @@
 // defaultRetryAfter is when a client whose request did not run may ask again where the router does not say.
 const defaultRetryAfter = 250 * time.Millisecond
 
-// Closed is called when no more decisions will come.
-func (e *Exchange) Closed() []Action {
+// HandleRouterClosed is called when no more decisions will come.
+func (e *Exchange) HandleRouterClosed() []Action {
 	if !e.over {
 		e.reject(router.Decision{Reason: "node is stopping"})
 	}
 	return e.takeActions()
 }
 
-// Happened takes what a connection or the clock did and gives the actions to carry out, in order.
-func (e *Exchange) Happened(s Signal) []Action {
+// HandleSignal takes what a connection or the clock did and gives the actions to carry out, in order.
+func (e *Exchange) HandleSignal(s Signal) []Action {
 	if e.over {
 		return nil
 	}
 	switch s := s.(type) {
-	case ClientClosed:
+	case ClientDisconnected:
 		e.notify(router.ClientDisconnected{Request: e.Request})
-		e.finish(ClientGone, "", 0)
+		e.finish(AbandonedByClient, "", 0)
 	case DeadlinePassed:
 		e.deadlinePassed(s)
 	case Connected:
@@ -192,30 +192,30 @@
 			e.phase = connected
 			e.notify(router.ReadyToSend{Request: e.Request, AttemptID: e.Placement.AttemptID})
 		}
-	case Unconnected:
+	case ConnectFailed:
 		e.unconnected(s)
 	case Unwritten:
 		if e.phase == written {
-			e.do(Action{Kind: Disconnect})
+			e.do(Action{Kind: CloseConnection})
 			e.end(router.Unreached)
 		}
-	case Replied:
+	case AnswerHeadRead:
 		if e.phase == written {
 			e.replied(s)
 		}
-	case Begun:
+	case AnswerStarted:
 		if e.phase == passing {
 			e.notify(router.AnswerStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
 			e.began, e.flat = true, !e.stream
 		}
-	case Ended:
+	case AnswerEnded:
 		e.ended()
 	case ConnectionLost:
 		switch e.phase {
 		case written, passing:
 			e.end(router.Failed)
 		case draining:
-			e.do(Action{Kind: Disconnect})
+			e.do(Action{Kind: CloseConnection})
 			e.end(router.Refused)
 		}
 	}
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -12,7 +12,7 @@
 )
 
 var kinds = map[proxy.ActionKind]string{
-	proxy.Connect: "connect", proxy.Write: "write", proxy.ReleaseConnection: "park", proxy.Disconnect: "drop", proxy.DiscardAnswer: "drain", proxy.PassAnswer: "pass",
+	proxy.Connect: "connect", proxy.WriteRequest: "write", proxy.ReleaseConnection: "park", proxy.CloseConnection: "drop", proxy.DiscardAnswer: "drain", proxy.ForwardAnswer: "pass",
 }
 
 func show(actions []proxy.Action) string {
@@ -52,15 +52,15 @@
 	resumable.Route = streams
 	onward := place("b")
 	onward.Route, onward.Resumes = streams, true
-	stream := proxy.Replied{Status: 200, Stream: true}
+	stream := proxy.AnswerHeadRead{Status: 200, Stream: true}
 	for _, c := range []struct {
 		name  string
 		steps []any
 		want  string
 	}{
-		{"short answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.Replied{Status: 200}, proxy.Ended{}},
+		{"short answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 200}, proxy.AnswerEnded{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AttemptEnded(whole) finish1"},
-		{"long answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.Replied{Status: 200}, proxy.Begun{}, proxy.Ended{}},
+		{"long answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 200}, proxy.AnswerStarted{}, proxy.AnswerEnded{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
 		{"recalled", []any{place("a"), proxy.Connected{}, router.Decision{Verdict: router.CancelBeforeSend, AttemptID: "a"}, send("a"), deny},
 			"connect|ReadyToSend|park||finish2"},
@@ -74,29 +74,29 @@
 		{"closed before", []any{place("a"), proxy.Connected{}, nil}, "connect|ReadyToSend|drop finish2"},
 		{"unwritten, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.Unwritten{}, deny},
 			"connect|ReadyToSend|write|drop AttemptEnded(unreached)|finish2"},
-		{"refused, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.Replied{Status: 503, NotRun: true}, proxy.Ended{}, deny},
+		{"refused, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 503, NotExecuted: true}, proxy.AnswerEnded{}, deny},
 			"connect|ReadyToSend|write|drain|AttemptEnded(refused)|finish2"},
-		{"421", []any{place("a"), proxy.Connected{}, send("a"), proxy.Replied{Status: 421}, proxy.ConnectionLost{}, deny},
+		{"421", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 421}, proxy.ConnectionLost{}, deny},
 			"connect|ReadyToSend|write|WrongInstance drain|drop AttemptEnded(refused)|finish2"},
-		{"503 without proof", []any{place("a"), proxy.Connected{}, send("a"), proxy.Replied{Status: 503}, deny},
+		{"503 without proof", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 503}, deny},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
 		{"never twice", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, place("b")},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
 		{"twice where it may be", []any{repeatable, proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated, proxy.Connected{}, send("b"), send("b")},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|connect|ReadyToSend|write|"},
-		{"resumed", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.Begun{}, proxy.ConnectionLost{}, onward, proxy.Connected{}, send("b"), stream, proxy.Begun{}, proxy.Ended{}},
+		{"resumed", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.AnswerStarted{}, proxy.ConnectionLost{}, onward, proxy.Connected{}, send("b"), stream, proxy.AnswerStarted{}, proxy.AnswerEnded{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
-		{"not resumed where the route became resumable later", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.Begun{}, proxy.ConnectionLost{}, onward},
+		{"not resumed where the route became resumable later", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.AnswerStarted{}, proxy.ConnectionLost{}, onward},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
 		{"not repeated where the route became repeatable later", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
-		{"not resumed from the start", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.Begun{}, proxy.ConnectionLost{}, repeated},
+		{"not resumed from the start", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.AnswerStarted{}, proxy.ConnectionLost{}, repeated},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
-		{"capped", []any{place("a"), proxy.Unconnected{Capped: true}, deny}, "connect|AttemptEnded(refused)|finish2"},
+		{"capped", []any{place("a"), proxy.ConnectFailed{AtConnectionLimit: true}, deny}, "connect|AttemptEnded(refused)|finish2"},
 		{"overdue before the write", []any{place("a"), proxy.Connected{}, send("a"), proxy.DeadlinePassed{Unwritten: true}},
 			"connect|ReadyToSend|write|ClientDisconnected drop finish2"},
 		{"overdue", []any{place("a"), proxy.Connected{}, send("a"), proxy.DeadlinePassed{}}, "connect|ReadyToSend|write|ClientDisconnected drop finish5"},
-		{"hung up", []any{place("a"), proxy.Connected{}, send("a"), proxy.ClientClosed{}}, "connect|ReadyToSend|write|ClientDisconnected drop finish7"},
+		{"hung up", []any{place("a"), proxy.Connected{}, send("a"), proxy.ClientDisconnected{}}, "connect|ReadyToSend|write|ClientDisconnected drop finish7"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e, said := proxy.Exchange{Request: "q"}, []string{}
@@ -111,11 +111,11 @@
 func step(e *proxy.Exchange, s any) []proxy.Action {
 	switch s := s.(type) {
 	case router.Decision:
-		return e.Decided(s)
+		return e.HandleDecision(s)
 	case proxy.Signal:
-		return e.Happened(s)
+		return e.HandleSignal(s)
 	}
-	return e.Closed()
+	return e.HandleRouterClosed()
 }
 
 // judge holds an exchange to what must hold in any order of decisions and signals.
@@ -153,15 +153,15 @@
 			j.route = d.Route
 		}
 	}
-	r, replied := s.(proxy.Replied)
+	r, replied := s.(proxy.AnswerHeadRead)
 	overdue, isOverdue := s.(proxy.DeadlinePassed)
-	if _, ok := s.(proxy.Unwritten); wasWritten && (ok || (isOverdue && overdue.Unwritten) || (replied && !r.Foreign && (r.NotRun || r.Status == 421))) {
+	if _, ok := s.(proxy.Unwritten); wasWritten && (ok || (isOverdue && overdue.Unwritten) || (replied && !r.Mismatched && (r.NotExecuted || r.Status == 421))) {
 		j.written = false
 	}
 	for _, m := range actions {
 		j.checkAction(m, s, wasPassing)
 	}
-	if _, ok := s.(proxy.Begun); ok && wasPassing && j.finishes == 0 {
+	if _, ok := s.(proxy.AnswerStarted); ok && wasPassing && j.finishes == 0 {
 		j.began = true
 	}
 }
@@ -173,20 +173,20 @@
 			j.fail("two connections")
 		}
 		j.open = true
-	case proxy.Write:
+	case proxy.WriteRequest:
 		repeated := j.route.Repeatable || j.route.Resumable
 		if j.writes++; j.writes > j.sends || !j.open || (j.mayRun && !repeated) {
 			j.fail("written without leave")
 		}
 		j.written = true
-	case proxy.Disconnect, proxy.ReleaseConnection:
+	case proxy.CloseConnection, proxy.ReleaseConnection:
 		if m.Kind == proxy.ReleaseConnection && j.written {
 			j.fail("a used connection is parked as unused")
 		}
 		j.mayRun = j.mayRun || j.written
 		j.open, j.written, j.passing = false, false, false
-	case proxy.PassAnswer:
-		if r := s.(proxy.Replied); r.NotRun || r.Foreign || r.Open || (r.Bare && r.Status/100 == 2) || (j.began && !r.Stream) || j.passing {
+	case proxy.ForwardAnswer:
+		if r := s.(proxy.AnswerHeadRead); r.NotExecuted || r.Mismatched || r.CloseDelimited || (r.Unsealed && r.Status/100 == 2) || (j.began && !r.Stream) || j.passing {
 			j.fail("passed on what must not be")
 		}
 		j.passing = true
@@ -201,15 +201,15 @@
 }
 
 func (j *judge) finish(m proxy.Action, s any, wasPassing bool) {
-	_, ended := s.(proxy.Ended)
+	_, ended := s.(proxy.AnswerEnded)
 	switch j.finishes++; {
 	case j.finishes > 1:
 		j.fail("two ends")
-	case m.Outcome == proxy.Done && !(ended && wasPassing):
+	case m.Outcome == proxy.Completed && !(ended && wasPassing):
 		j.fail("a clean end that the replica did not give")
 	case (m.Outcome == proxy.Rejected || m.Outcome == proxy.NotFound) && (j.mayRun || j.written):
 		j.fail("denied what may have run")
-	case j.began && m.Outcome != proxy.Done && m.Outcome != proxy.Aborted && m.Outcome != proxy.ClientGone:
+	case j.began && m.Outcome != proxy.Completed && m.Outcome != proxy.Aborted && m.Outcome != proxy.AbandonedByClient:
 		j.fail("two answers")
 	case j.open:
 		j.fail("ended with a connection")
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -41,7 +41,7 @@
 
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	set := proxy.Defaults()
-	set.Stall = 150 * time.Millisecond
+	set.StallTimeout = 150 * time.Millisecond
 	m := newStubRouter(unknown, endless(t).place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
@@ -58,12 +58,12 @@
 // TestSlowReaderIsNotDisconnected reads at a tenth of the stall time's pace for many stall times.
 func TestSlowReaderIsNotDisconnected(t *testing.T) {
 	set := proxy.Defaults()
-	set.Stall = 200 * time.Millisecond
+	set.StallTimeout = 200 * time.Millisecond
 	m := newStubRouter(unknown, endless(t).place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
-	tick := time.NewTicker(set.Stall / 10)
+	tick := time.NewTicker(set.StallTimeout / 10)
 	defer tick.Stop()
 	for range 100 {
 		<-tick.C
@@ -77,7 +77,7 @@
 // TestStalledWritesKeepTheirOrder lets writes to a client time out in the middle of events, again and again: each byte comes once.
 func TestStalledWritesKeepTheirOrder(t *testing.T) {
 	set := proxy.Defaults()
-	set.Stall = 40 * time.Millisecond
+	set.StallTimeout = 40 * time.Millisecond
 	var all []string
 	for id := range 400 {
 		all = append(all, fmt.Sprintf("id: %d\ndata: %s\n\n", id+1, strings.Repeat(fmt.Sprint(id%10), 10000)))
@@ -85,7 +85,7 @@
 	p, addr := front(t, newStubRouter(partial, newReplica(t, stream(true, all...)).place(streams)), set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "X-Wait-Ms: 60000\r\n", "")
-	tick := time.NewTicker(set.Stall * 5 / 4)
+	tick := time.NewTicker(set.StallTimeout * 5 / 4)
 	defer tick.Stop()
 	var text strings.Builder
 	for range 25 {
@@ -109,12 +109,12 @@
 // TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request lives.
 func TestSlowReaderEndsWithItsRequest(t *testing.T) {
 	set := proxy.Defaults()
-	set.Stall, set.HoldBytes = 300*time.Millisecond, 4<<20
+	set.StallTimeout, set.MaxBufferedAnswerBytes = 300*time.Millisecond, 4<<20
 	m := newStubRouter(unknown, endless(t).place(&config.Route{Timeout: 2 * time.Second}))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
 	u.ask(t, "GET", "id1", "", "")
-	tick := time.NewTicker(set.Stall / 30)
+	tick := time.NewTicker(set.StallTimeout / 30)
 	defer tick.Stop()
 	for taken := 0; p.Counters.Hangups.Load()+p.Counters.Aborted.Load() == 0; <-tick.C {
 		n, err := u.Read(make([]byte, 2048))
@@ -146,7 +146,7 @@
 // TestSlowUploadIsBounded: some bytes in time are not enough for ever.
 func TestSlowUploadIsBounded(t *testing.T) {
 	set := proxy.Defaults()
-	set.Upload = 300 * time.Millisecond
+	set.UploadTimeout = 300 * time.Millisecond
 	p, addr := front(t, newStubRouter(deny), set, config.Limits{Header: 200 * time.Millisecond})
 	u := dial(t, addr)
 	u.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id1\r\nContent-Length: 100000\r\n\r\n")
@@ -164,7 +164,7 @@
 func TestBudget(t *testing.T) {
 	h := newHand(t)
 	set := proxy.Defaults()
-	set.Budget = 100 << 10
+	set.BudgetBytes = 100 << 10
 	m := newStubRouter(deny, h.place(unsafe))
 	p, addr := front(t, m, set, config.Limits{})
 	first := dial(t, addr)
@@ -197,7 +197,7 @@
 func TestReplicaThatDoesNotReadOn(t *testing.T) {
 	var users []*user
 	var hands []*hand
-	for _, window := range []int{proxy.Defaults().Window, 1 << 30} {
+	for _, window := range []int{proxy.Defaults().ReceiveWindow, 1 << 30} {
 		h := newHand(t)
 		raw, err := h.lis.SyscallConn()
 		if err != nil {
@@ -205,7 +205,7 @@
 		}
 		_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
 		set := proxy.Defaults()
-		set.UserTimeout, set.Window = 300*time.Millisecond, window
+		set.UserTimeout, set.ReceiveWindow = 300*time.Millisecond, window
 		_, addr := front(t, newStubRouter(deny, h.place(unsafe)), set, config.Limits{})
 		c := dial(t, addr)
 		c.ask(t, "POST", "id1", "X-Wait-Ms: 30000\r\n", strings.Repeat("x", 30000))
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -69,7 +69,7 @@
 			h := newHand(t)
 			m := &early{stubRouter: newStubRouter(deny, h.place(unsafe))}
 			set := proxy.Defaults()
-			set.Grace, set.Dial = time.Minute, time.Minute
+			set.DeadlineGrace, set.DialTimeout = time.Minute, time.Minute
 			p, addr := front(t, m, set, config.Limits{})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
@@ -104,7 +104,7 @@
 			h := newHand(t)
 			m := &early{stubRouter: newStubRouter(deny, h.place(route))}
 			set := proxy.Defaults()
-			set.IdleNonRepeatable, set.Idle = 300*time.Millisecond, 300*time.Millisecond
+			set.IdleTimeoutNonRetryable, set.IdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 			_, addr := front(t, m, set, config.Limits{})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -33,22 +33,22 @@
 	case 7, 8:
 		return proxy.Connected{}
 	case 9:
-		return proxy.Unconnected{Capped: b&1 > 0}
+		return proxy.ConnectFailed{AtConnectionLimit: b&1 > 0}
 	case 10, 11:
 		status := []int{200, 200, 200, 204, 500, 503, 429, 421, 408}[int(a)%9]
-		return proxy.Replied{Status: status, Foreign: b&31 == 1, NotRun: b&7 == 2, Open: b&31 == 3, Bare: b&31 == 4, Stream: b&32 > 0}
+		return proxy.AnswerHeadRead{Status: status, Mismatched: b&31 == 1, NotExecuted: b&7 == 2, CloseDelimited: b&31 == 3, Unsealed: b&31 == 4, Stream: b&32 > 0}
 	case 12:
-		return proxy.Begun{}
+		return proxy.AnswerStarted{}
 	case 13:
-		return []proxy.Signal{proxy.Ended{}, proxy.ConnectionLost{}, proxy.ConnectionLost{}, proxy.Unwritten{}}[b%4]
+		return []proxy.Signal{proxy.AnswerEnded{}, proxy.ConnectionLost{}, proxy.ConnectionLost{}, proxy.Unwritten{}}[b%4]
 	case 14:
 		if a < 200 {
 			return proxy.ConnectionLost{}
 		}
-		return []proxy.Signal{proxy.ClientClosed{}, proxy.DeadlinePassed{}, proxy.DeadlinePassed{Unwritten: true}}[b%3]
+		return []proxy.Signal{proxy.ClientDisconnected{}, proxy.DeadlinePassed{}, proxy.DeadlinePassed{Unwritten: true}}[b%3]
 	}
 	if a < 250 {
-		return proxy.Ended{}
+		return proxy.AnswerEnded{}
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 		e.CannotResume = script[2]&128 > 0
 		j.step(&e, anything(script[0], script[1], script[2]))
 	}
-	if e.Over() != (j.finishes == 1) {
+	if e.Finished() != (j.finishes == 1) {
 		j.fail("over without an end")
 	}
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-func connListener(t *testing.T, e *proxy.Events, text []byte, split func(left int) int) []byte {
+func connListener(t *testing.T, e *proxy.EventStream, text []byte, split func(left int) int) []byte {
 	var out []byte
 	for len(text) > 0 {
 		n := min(max(split(len(text)), 1), len(text))
@@ -121,14 +121,14 @@
 	f.Add([]byte("000000\r00000000\r\n\r"), uint64(62))
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		one, many := proxy.Events{Bound: 1 << 20}, proxy.Events{Bound: 1 << 20}
+		one, many := proxy.EventStream{MaxEventBytes: 1 << 20}, proxy.EventStream{MaxEventBytes: 1 << 20}
 		a := connListener(t, &one, text, func(left int) int { return left })
 		b := connListener(t, &many, text, func(int) int { return 1 + rnd.IntN(9) })
-		if !bytes.Equal(append(a, one.Rest()...), text) || !bytes.Equal(append(b, many.Rest()...), text) {
+		if !bytes.Equal(append(a, one.Remaining()...), text) || !bytes.Equal(append(b, many.Remaining()...), text) {
 			t.Fatalf("%q became %q and %q", text, a, b)
 		}
-		if one.Last != many.Last || one.Plain != many.Plain {
-			t.Fatalf("%q: last is %q or %q", text, one.Last, many.Last)
+		if one.LastID != many.LastID || one.CannotResume != many.CannotResume {
+			t.Fatalf("%q: last is %q or %q", text, one.LastID, many.LastID)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 		for i := range 1 + rnd.IntN(12) {
 			events = append(events, fmt.Sprintf("id: %d%sdata: %x%s%s", i+1, end, rnd.Uint32(), end, end))
 		}
-		e := proxy.Events{Bound: 1 << 20}
+		e := proxy.EventStream{MaxEventBytes: 1 << 20}
 		var out []byte
 		from, text := 0, strings.Join(events, "")
 		for {
@@ -153,13 +153,13 @@
 			}
 			out = append(out, connListener(t, &e, []byte(rest[:split]), func(int) int { return 1 + rnd.IntN(40) })...)
 			if split == len(rest) {
-				out = append(out, e.Rest()...)
+				out = append(out, e.Remaining()...)
 				break
 			}
 			last := 0
-			_, _ = fmt.Sscan(e.Last, &last)
+			_, _ = fmt.Sscan(e.LastID, &last)
 			from = rnd.IntN(last + 1)
-			e.NextRun("")
+			e.StartAnswer("")
 		}
 		if got := strings.ReplaceAll(string(out), "\r\n", "\n"); got != strings.ReplaceAll(text, "\r\n", "\n") {
 			t.Fatalf("%q became %q", text, out)
@@ -170,18 +170,18 @@
 // TestEventsComeOutAtOnce gives each event out with its last byte, whatever ends the lines; only an LF after a CR is waited for.
 func TestEventsComeOutAtOnce(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n", "\r"} {
-		e := proxy.Events{Bound: 1 << 10}
+		e := proxy.EventStream{MaxEventBytes: 1 << 10}
 		for i := range 3 {
 			text := fmt.Sprintf("id: %d%sdata: x%s%s", i, end, end, end)
 			out := connListener(t, &e, []byte(text), func(int) int { return 1 })
 			want(t, "event", string(out), text)
-			want(t, "last", e.Last, i)
+			want(t, "last", e.LastID, i)
 		}
 	}
 }
 
 func TestEventBound(t *testing.T) {
-	e := proxy.Events{Bound: 10}
+	e := proxy.EventStream{MaxEventBytes: 10}
 	if _, err := e.Feed([]byte("data: 1\n\ndata")); err != nil {
 		t.Error(err)
 	}
@@ -203,7 +203,7 @@
 	h := newHand(f)
 	m := newStubRouter(router.Decision{Verdict: router.Reject}, h.place(streams))
 	set := proxy.Defaults()
-	set.HoldBytes = 4 << 10
+	set.MaxBufferedAnswerBytes = 4 << 10
 	_, addr := front(f, m, set, config.Limits{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := dial(t, addr)
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -22,7 +22,7 @@
 		x.arrived = x.client.arrival()
 	}
 	x.exchange.Request = p.name()
-	x.events = Events{Bound: p.settings.EventBytes, Last: first(r.Header, lastEvent), VersionField: strings.ToLower(p.headers.WeightsVersion)}
+	x.events = EventStream{MaxEventBytes: p.settings.MaxEventBytes, LastID: first(r.Header, lastEvent), VersionField: strings.ToLower(p.headers.WeightsVersion)}
 	defer x.free()
 	a := p.arrive(x)
 	if err := p.shutdown.Load().admit(time.Now(), x.deadline); err != nil {
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -23,7 +23,7 @@
 // passBuffered holds an answer back until it is whole, so that a broken one may be asked for again; only a very long one, or one for
 // which there is no room, goes on at once.
 func (x *transfer) passBuffered() {
-	b := x.buf.b[:0:min(cap(x.buf.b), x.proxy.settings.HoldBytes)]
+	b := x.buf.b[:0:min(cap(x.buf.b), x.proxy.settings.MaxBufferedAnswerBytes)]
 	for {
 		if len(b) == cap(b) {
 			var ok bool
@@ -43,7 +43,7 @@
 		}
 	}
 	x.recycleConnection()
-	x.signal(Ended{})
+	x.signal(AnswerEnded{})
 	x.head()
 	_, _ = x.w.Write(b)
 }
@@ -53,7 +53,7 @@
 	if n := x.resp.ContentLength; n >= 0 {
 		capacity = int(n) + 1
 	}
-	capacity = min(capacity, x.proxy.settings.HoldBytes)
+	capacity = min(capacity, x.proxy.settings.MaxBufferedAnswerBytes)
 	if capacity <= cap(b) || !x.memory.take(capacity-cap(b)) {
 		return b, false
 	}
@@ -63,7 +63,7 @@
 }
 
 func (x *transfer) passLong(reserved []byte) {
-	x.signal(Begun{})
+	x.signal(AnswerStarted{})
 	x.bound()
 	x.linger(lingerReset)
 	x.head()
@@ -76,7 +76,7 @@
 		}
 		if readErr == io.EOF && err == nil {
 			x.recycleConnection()
-			x.signal(Ended{})
+			x.signal(AnswerEnded{})
 			return
 		}
 		if readErr != nil && readErr != io.EOF {
@@ -84,14 +84,14 @@
 			return
 		}
 	}
-	x.signal(ClientClosed{})
+	x.signal(ClientDisconnected{})
 }
 
 // bound keeps a client that reads ever so slowly from holding a replica's place for longer than the request lives.
 func (x *transfer) bound() {
 	if at := x.expiry(); !at.IsZero() && !x.bounded {
 		x.bounded = true
-		_ = http.NewResponseController(x.w).SetWriteDeadline(at.Add(x.proxy.settings.Stall))
+		_ = http.NewResponseController(x.w).SetWriteDeadline(at.Add(x.proxy.settings.StallTimeout))
 	}
 }
 
@@ -100,33 +100,33 @@
 	if x.headed {
 		x.proxy.Counters.Resumed.Add(1)
 	}
-	x.events.NextRun(first(x.resp.Header, x.proxy.headers.WeightsVersion))
+	x.events.StartAnswer(first(x.resp.Header, x.proxy.headers.WeightsVersion))
 	x.bound()
 	x.linger(lingerReset)
 	buf := x.buf.b[:cap(x.buf.b)]
 	for begun := false; ; {
 		n, readErr := x.resp.Body.Read(buf)
 		complete, feedErr := x.feed(buf[:n])
-		if readErr == io.EOF && x.events.Unfinished() {
+		if readErr == io.EOF && x.events.HasPartialEvent() {
 			readErr = io.ErrUnexpectedEOF
 		}
 		ended := feedErr == nil && readErr == io.EOF
 		if ended {
-			complete = append(complete[:len(complete):len(complete)], x.events.Rest()...)
+			complete = append(complete[:len(complete):len(complete)], x.events.Remaining()...)
 		}
 		if len(complete) > 0 && !begun {
 			begun = true
-			x.signal(Begun{})
+			x.signal(AnswerStarted{})
 		}
 		if err := x.passEvents(complete, ended); err != nil {
-			x.signal(ClientClosed{})
+			x.signal(ClientDisconnected{})
 			return
 		}
 		switch {
 		case ended:
 			x.head()
 			x.recycleConnection()
-			x.signal(Ended{})
+			x.signal(AnswerEnded{})
 			return
 		case feedErr != nil:
 			x.connectionLost(feedErr)
@@ -144,7 +144,7 @@
 		return nil
 	}
 	x.head()
-	x.exchange.CannotResume = x.events.Plain || x.w.Header().Get("Content-Length") != ""
+	x.exchange.CannotResume = x.events.CannotResume || x.w.Header().Get("Content-Length") != ""
 	if _, err := x.w.Write(complete); err != nil || last {
 		return err
 	}
@@ -156,7 +156,7 @@
 	before := cap(x.events.buf)
 	complete, err := x.events.Feed(p)
 	if grown := cap(x.events.buf) - before; err == nil && grown > 0 && cap(x.events.buf) > bufferBytes && !x.memory.take(grown) {
-		return complete, &EventError{Bytes: len(x.events.buf)}
+		return complete, &EventTooLongError{Bytes: len(x.events.buf)}
 	}
 	return complete, err
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -11,14 +11,14 @@
 	"github.com/gravitational/trace"
 )
 
-// CappedError says that this node keeps as many connections to the replica as it may, all in use.
-type CappedError struct {
+// ConnectionLimitError says that this node keeps as many connections to the replica as it may, all in use.
+type ConnectionLimitError struct {
 	Addr  string
-	Conns int
+	Limit int
 }
 
-func (e *CappedError) Error() string {
-	return fmt.Sprintf("%s: all %d connections are in use", e.Addr, e.Conns)
+func (e *ConnectionLimitError) Error() string {
+	return fmt.Sprintf("%s: all %d connections are in use", e.Addr, e.Limit)
 }
 
 // DialError says that no connection to a replica could be opened.
@@ -52,7 +52,7 @@
 // NewPool makes an empty pool that counts in n.
 func NewPool(set Settings, n *Counters) *Pool {
 	p := &Pool{settings: set, counters: n, owner: make(chan poolState, 1)}
-	p.dialer = net.Dialer{Timeout: set.Dial, KeepAlive: -1, Control: p.control}
+	p.dialer = net.Dialer{Timeout: set.DialTimeout, KeepAlive: -1, Control: p.control}
 	p.owner <- poolState{}
 	return p
 }
@@ -147,7 +147,7 @@
 	if w.conns > 0 && s.open >= w.conns {
 		if n == 0 {
 			p.counters.Capped.Add(1)
-			return nil, trace.Wrap(&CappedError{Addr: w.key.addr, Conns: w.conns})
+			return nil, trace.Wrap(&ConnectionLimitError{Addr: w.key.addr, Limit: w.conns})
 		}
 		_ = s.idle[0].net.Close()
 		s.idle = slices.Delete(s.idle, 0, 1)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -18,10 +18,10 @@
 
 // Headers are the names that clients and replicas use, and how to read their values. An empty name is not used.
 type Headers struct {
-	// Attempt is the client's id of a request; answers carry it back.
-	Attempt string
-	// Target names the instance that alone may run the request.
-	Target string
+	// AttemptID is the client's id of a request; answers carry it back.
+	AttemptID string
+	// TargetInstance names the instance that alone may run the request.
+	TargetInstance string
 	// NotExecuted in an answer says that the replica did not and will not run the request.
 	NotExecuted string
 	Load        string
@@ -52,7 +52,7 @@
 
 func (h Headers) canonical() Headers {
 	for _, name := range []*string{
-		&h.Attempt, &h.Target, &h.NotExecuted, &h.Load, &h.Deadline, &h.Prefix, &h.Model, &h.Tokens, &h.Seal, &h.Instance, &h.Priority, &h.WeightsVersion, &h.ExpectedVersion,
+		&h.AttemptID, &h.TargetInstance, &h.NotExecuted, &h.Load, &h.Deadline, &h.Prefix, &h.Model, &h.Tokens, &h.Seal, &h.Instance, &h.Priority, &h.WeightsVersion, &h.ExpectedVersion,
 		&h.Credential, &h.Tenant,
 	} {
 		*name = http.CanonicalHeaderKey(*name)
@@ -62,42 +62,42 @@
 
 // Settings are the bounds of the data path.
 type Settings struct {
-	// Dial bounds how long opening a connection to a replica may take.
-	Dial time.Duration
-	// Idle is how long a kept connection may rest where the replica does not say.
-	Idle time.Duration
+	// DialTimeout bounds how long opening a connection to a replica may take.
+	DialTimeout time.Duration
+	// IdleTimeout is how long a kept connection may rest where the replica does not say.
+	IdleTimeout time.Duration
 	// IdleMargin is taken off the time that a replica does say, besides a fifth of it.
 	IdleMargin time.Duration
-	// IdleNonRepeatable is how long a connection may rest, where the replica does not say, before requests that may not be repeated shun it.
-	IdleNonRepeatable time.Duration
+	// IdleTimeoutNonRetryable is how long a connection may rest, where the replica does not say, before requests that may not be repeated shun it.
+	IdleTimeoutNonRetryable time.Duration
 	// UserTimeout bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
-	// Window is the longest request that any replica takes in without reading it; a longer one may wait unsent.
-	Window int
-	// Grace is how much longer than the request's deadline a replica may take to say that it is over.
-	Grace time.Duration
-	// Stall is a time in which a client that reads at all takes some bytes; see quietWindows.
-	Stall time.Duration
-	// Upload bounds how long a request's body may take as a whole where the client's own deadline does not.
-	Upload time.Duration
-	// Linger is how long idle clients' connections outlive the call of Shutdown.
-	Linger time.Duration
-	// HoldBytes is how much of an answer that is no stream is held back until it is whole.
-	HoldBytes int
-	// EventBytes bounds one event of a stream.
-	EventBytes int
-	HeadBytes  int
-	BodyBytes  int
-	// Budget bounds the bytes of bodies and held answers in all; beyond it requests are refused unread. 0: no bound.
-	Budget int
+	// ReceiveWindow is the longest request that any replica takes in without reading it; a longer one may wait unsent.
+	ReceiveWindow int
+	// DeadlineGrace is how much longer than the request's deadline a replica may take to say that it is over.
+	DeadlineGrace time.Duration
+	// StallTimeout is a time in which a client that reads at all takes some bytes; see quietWindows.
+	StallTimeout time.Duration
+	// UploadTimeout bounds how long a request's body may take as a whole where the client's own deadline does not.
+	UploadTimeout time.Duration
+	// ShutdownLinger is how long idle clients' connections outlive the call of Shutdown.
+	ShutdownLinger time.Duration
+	// MaxBufferedAnswerBytes is how much of an answer that is no stream is held back until it is whole.
+	MaxBufferedAnswerBytes int
+	// MaxEventBytes bounds one event of a stream.
+	MaxEventBytes      int
+	MaxAnswerHeadBytes int
+	MaxBodyBytes       int
+	// BudgetBytes bounds the bytes of bodies and held answers in all; beyond it requests are refused unread. 0: no bound.
+	BudgetBytes int
 }
 
 // Defaults gives the settings that the daemon uses.
 func Defaults() Settings {
 	return Settings{
-		Dial: 400 * time.Millisecond, Idle: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleNonRepeatable: 500 * time.Millisecond,
-		UserTimeout: 1500 * time.Millisecond, Window: 8 << 10, Grace: 250 * time.Millisecond, Stall: 5 * time.Second, Upload: time.Minute,
-		Linger: 500 * time.Millisecond, HoldBytes: 256 << 10, EventBytes: 1 << 20, HeadBytes: 64 << 10, BodyBytes: 16 << 20, Budget: 32 << 20,
+		DialTimeout: 400 * time.Millisecond, IdleTimeout: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleTimeoutNonRetryable: 500 * time.Millisecond,
+		UserTimeout: 1500 * time.Millisecond, ReceiveWindow: 8 << 10, DeadlineGrace: 250 * time.Millisecond, StallTimeout: 5 * time.Second, UploadTimeout: time.Minute,
+		ShutdownLinger: 500 * time.Millisecond, MaxBufferedAnswerBytes: 256 << 10, MaxEventBytes: 1 << 20, MaxAnswerHeadBytes: 64 << 10, MaxBodyBytes: 16 << 20, BudgetBytes: 32 << 20,
 	}
 }
 
@@ -134,7 +134,7 @@
 // New makes a proxy; boot tells this incarnation of the process from others of the node.
 func New(market Router, headers Headers, set Settings, limits func() config.Limits, boot string) *Proxy {
 	p := &Proxy{router: market, headers: headers.canonical(), settings: set, limits: limits, front: boot + "/"}
-	p.pool, p.budget.Bound = NewPool(set, &p.Counters), int64(set.Budget)
+	p.pool, p.budget.Limit = NewPool(set, &p.Counters), int64(set.BudgetBytes)
 	p.clients = make(chan map[*client]struct{}, 1)
 	p.clients <- map[*client]struct{}{}
 	return p
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -19,10 +19,10 @@
 	}
 }
 
-func (e *Exchange) unconnected(s Unconnected) {
+func (e *Exchange) unconnected(s ConnectFailed) {
 	switch {
 	case e.phase != connecting:
-	case s.Capped:
+	case s.AtConnectionLimit:
 		e.end(router.Refused)
 	default:
 		e.end(router.Unreached)
@@ -35,7 +35,7 @@
 		e.end(router.Refused)
 	case passing:
 		e.end(router.Completed)
-		e.finish(Done, "", 0)
+		e.finish(Completed, "", 0)
 	}
 }
 
@@ -44,27 +44,27 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout
 }
 
-func (e *Exchange) replied(s Replied) {
-	if s.Foreign {
+func (e *Exchange) replied(s AnswerHeadRead) {
+	if s.Mismatched {
 		e.end(router.Failed)
 		return
 	}
 	if s.Load != nil {
 		e.notify(*s.Load)
 	}
-	if s.Status == http.StatusMisdirectedRequest && !s.NamedWeights {
+	if s.Status == http.StatusMisdirectedRequest && !s.VersionRequested {
 		e.notify(router.WrongInstance{Replica: e.Placement.Replica})
 	}
 	switch {
-	case s.NotRun || s.Status == http.StatusMisdirectedRequest:
+	case s.NotExecuted || s.Status == http.StatusMisdirectedRequest:
 		e.phase = draining
 		e.do(Action{Kind: DiscardAnswer})
-	case s.Open, s.Bare && s.Status/100 == 2, e.began && (!s.Stream || s.OtherWeights), promises(s.Status):
+	case s.CloseDelimited, s.Unsealed && s.Status/100 == 2, e.began && (!s.Stream || s.VersionMismatch), promises(s.Status):
 		e.end(router.Failed)
 	default:
 		e.phase, e.stream = passing, s.Stream
 		e.notify(router.AnswerHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: failure(s.Status)})
-		e.do(Action{Kind: PassAnswer})
+		e.do(Action{Kind: ForwardAnswer})
 	}
 }
 
--- a/proxy/rig_test.go
+++ b/proxy/rig_test.go
@@ -19,7 +19,7 @@
 )
 
 var names = proxy.Headers{
-	Attempt: "X-Attempt", Target: "X-Target", NotExecuted: "X-Not-Run", Load: "X-Load", Deadline: "X-Wait-Ms", Prefix: "X-Prefix",
+	AttemptID: "X-Attempt", TargetInstance: "X-Target", NotExecuted: "X-Not-Run", Load: "X-Load", Deadline: "X-Wait-Ms", Prefix: "X-Prefix",
 	Model: "X-Model", Tokens: "X-Tokens", Seal: "X-Seal", Instance: "X-Instance", Priority: "X-Rank", Credential: "X-Key", Tenant: "X-Customer",
 	WeightsVersion: "X-Weights", ExpectedVersion: "X-Expected-Weights",
 	ParseLoad: func(v string) (router.Load, bool) {
@@ -211,9 +211,9 @@
 // waitIdle waits until nothing runs: the last bytes of an answer reach the client a little before the proxy knows that they left.
 func waitIdle(t *testing.T, p *proxy.Proxy) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); p.Running() > 0; runtime.Gosched() {
+	for end := time.Now().Add(10 * time.Second); p.RequestsInFlight() > 0; runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("%d requests are still running", p.Running())
+			t.Fatalf("%d requests are still running", p.RequestsInFlight())
 		}
 	}
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -16,14 +16,14 @@
 		return
 	}
 	for range maxSurplus {
-		resp, err := x.conn.read(x.r, x.proxy.settings.HeadBytes)
+		resp, err := x.conn.read(x.r, x.proxy.settings.MaxAnswerHeadBytes)
 		if err != nil {
 			x.connectionLost(err)
 			return
 		}
 		x.resp = resp
 		s := x.replied(resp)
-		if !s.Foreign || s.Open || x.exchange.repeatable || x.conn.hadHEAD || !x.discard() {
+		if !s.Mismatched || s.CloseDelimited || x.exchange.repeatable || x.conn.hadHEAD || !x.discard() {
 			x.signal(s)
 			return
 		}
@@ -51,7 +51,7 @@
 		case err == nil:
 			return nil
 		case x.r.Context().Err() != nil:
-			return ClientClosed{}
+			return ClientDisconnected{}
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return DeadlinePassed{Unwritten: n == 0}
 		case n > 0:
@@ -75,8 +75,8 @@
 func (x *transfer) write(now, expiry time.Time) (n int, err error) {
 	c, limit, unacked := x.conn, time.Time{}, x.proxy.settings.UserTimeout
 	if !expiry.IsZero() {
-		limit = expiry.Add(x.proxy.settings.Grace)
-		if len(x.body) > x.proxy.settings.Window {
+		limit = expiry.Add(x.proxy.settings.DeadlineGrace)
+		if len(x.body) > x.proxy.settings.ReceiveWindow {
 			unacked = max(unacked, limit.Sub(now))
 		}
 	}
@@ -118,8 +118,8 @@
 	if h.Tenant != "" {
 		set.set(h.Tenant, d.Tenant)
 	}
-	if d.Instance != "" && h.Target != "" {
-		set.set(h.Target, d.Instance)
+	if d.Instance != "" && h.TargetInstance != "" {
+		set.set(h.TargetInstance, d.Instance)
 	}
 	if !x.deadline.IsZero() {
 		set.set(h.Deadline, strconv.FormatInt(left, 10))
@@ -128,7 +128,7 @@
 		set.set(h.Priority, strconv.Itoa(d.Priority))
 	}
 	if x.resumes() {
-		set.set(lastEvent, x.events.Last)
+		set.set(lastEvent, x.events.LastID)
 	}
 	if version := x.expectedVersion(); version != "" {
 		set.set(h.ExpectedVersion, version)
@@ -138,7 +138,7 @@
 
 // resumes tells whether the attempt is to go on behind the last event that the client has.
 func (x *transfer) resumes() bool {
-	return x.exchange.Placement.Resumes && x.headed && x.events.Last != ""
+	return x.exchange.Placement.Resumes && x.headed && x.events.LastID != ""
 }
 
 // expectedVersion is the weights' version that the replica must have to go on; empty where any will do.
@@ -146,5 +146,5 @@
 	if !x.resumes() || x.proxy.headers.ExpectedVersion == "" {
 		return ""
 	}
-	return x.events.Expected()
+	return x.events.ExpectedVersion()
 }
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -12,8 +12,8 @@
 	Grace time.Duration
 }
 
-// Admission is how long after SIGTERM requests are still admitted.
-func (s ShutdownSchedule) Admission() time.Duration { return min(s.Grace/4, maxAdmission) }
+// AdmitFor is how long after SIGTERM requests are still admitted.
+func (s ShutdownSchedule) AdmitFor() time.Duration { return min(s.Grace/4, maxAdmission) }
 
 // LeaveAfter is how long after SIGTERM the node gives up what it does for others.
 func (s ShutdownSchedule) LeaveAfter() time.Duration { return s.Grace * 3 / 5 }
@@ -24,7 +24,7 @@
 // Admits tells whether a request that comes so long after SIGTERM is admitted: only if it ends before the process does. Remaining is the
 // time that its client waits; 0 where that is unknown, and then the request may take any time.
 func (s ShutdownSchedule) Admits(elapsed, remaining time.Duration) bool {
-	return elapsed < s.Admission() && remaining > 0 && elapsed+remaining <= s.ExitAfter()
+	return elapsed < s.AdmitFor() && remaining > 0 && elapsed+remaining <= s.ExitAfter()
 }
 
 // shutdown is the state of a proxy whose process was told to end; begun at most once.
@@ -58,7 +58,7 @@
 // the grace period and come early in it; others are answered at once with 503 and Retry-After, unread.
 func (p *Proxy) Shutdown(grace time.Duration) {
 	p.shutdown.Store(&shutdown{started: time.Now(), schedule: ShutdownSchedule{Grace: grace}})
-	time.AfterFunc(p.settings.Linger, p.closeIdle)
+	time.AfterFunc(p.settings.ShutdownLinger, p.closeIdle)
 }
 
 func (p *Proxy) closeIdle() {
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -96,7 +96,7 @@
 			p, addr := front(t, m, lingering(time.Hour), config.Limits{})
 			u := dial(t, addr)
 			u.say(t, "POST /a HTTP/1.1\r\nHost: h.example\r\nX-Attempt: id1\r\nX-Wait-Ms: "+c.wait+"\r\nContent-Length: 4\r\n\r\nbo")
-			for end := time.Now().Add(10 * time.Second); p.Running() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(10 * time.Second); p.RequestsInFlight() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			p.Shutdown(c.grace)
 			u.say(t, "dy")
--- a/proxy/shutdownconns_test.go
+++ b/proxy/shutdownconns_test.go
@@ -20,7 +20,7 @@
 
 func lingering(d time.Duration) proxy.Settings {
 	set := proxy.Defaults()
-	set.Linger = d
+	set.ShutdownLinger = d
 	return set
 }
 
@@ -58,7 +58,7 @@
 func TestShutdownClosesIdleConnectionsOnly(t *testing.T) {
 	h := newHand(t)
 	set := lingering(time.Millisecond)
-	set.Idle, set.IdleNonRepeatable = time.Hour, time.Hour
+	set.IdleTimeout, set.IdleTimeoutNonRetryable = time.Hour, time.Hour
 	p, addr := front(t, newStubRouter(deny, h.place(unsafe)), set, config.Limits{})
 	resting, asking, reading, quiet := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
 	resting.ask(t, "GET", "id1", "", "")
@@ -68,7 +68,7 @@
 	asking.ask(t, "GET", "id2", "", "")
 	g2 := r1.request(t)
 	reading.say(t, "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt: id3\r\nX-Wait-Ms: 1000\r\nContent-Le")
-	for p.Running() != 2 {
+	for p.RequestsInFlight() != 2 {
 		runtime.Gosched()
 	}
 	p.Shutdown(grace)
--- a/proxy/splice_test.go
+++ b/proxy/splice_test.go
@@ -31,7 +31,7 @@
 	onward := second.place(streams)
 	onward.Resumes = true
 	set := proxy.Defaults()
-	set.HoldBytes = 4 << 10
+	set.MaxBufferedAnswerBytes = 4 << 10
 	proxy.StockLargeBuffers(100)
 	_, addr := front(t, newStubRouter(partial, first.place(streams), onward), set, config.Limits{})
 	u := dial(t, addr)
@@ -94,9 +94,9 @@
 
 // TestEventsBeforeALongOneArePassedOn: an id that counts as given out must have been, or a stream that is taken up after it loses its event.
 func TestEventsBeforeALongOneArePassedOn(t *testing.T) {
-	e := proxy.Events{Bound: 20}
+	e := proxy.EventStream{MaxEventBytes: 20}
 	complete, err := e.Feed([]byte("id: 1\ndata: a\n\nid: 2\ndata: too long for the bound"))
-	want(t, "given and counted", string(complete)+e.Last, "id: 1\ndata: a\n\n1")
+	want(t, "given and counted", string(complete)+e.LastID, "id: 1\ndata: a\n\n1")
 	if err == nil {
 		t.Error("a long event was taken")
 	}
--- a/proxy/splits_test.go
+++ b/proxy/splits_test.go
@@ -32,7 +32,7 @@
 // splitTwice tells whether the second replica may begin after so many events: not after one that the client lacks.
 func splitTwice(t *testing.T, events []string, first string, skipped int, second string) bool {
 	t.Helper()
-	e, out := proxy.Events{Bound: 1 << 10}, ""
+	e, out := proxy.EventStream{MaxEventBytes: 1 << 10}, ""
 	take := func(text string) {
 		complete, err := e.Feed([]byte(text))
 		if err != nil {
@@ -41,15 +41,15 @@
 		out += string(complete)
 	}
 	take(first)
-	if last, _ := strconv.Atoi(e.Last); skipped > last {
+	if last, _ := strconv.Atoi(e.LastID); skipped > last {
 		return false
 	}
-	e.NextRun("")
+	e.StartAnswer("")
 	take(second)
-	last, _ := strconv.Atoi(e.Last)
-	e.NextRun("")
+	last, _ := strconv.Atoi(e.LastID)
+	e.StartAnswer("")
 	take(strings.Join(events[last:], ""))
-	out += string(e.Rest())
+	out += string(e.Remaining())
 	if strip(out) != strip(strings.Join(events, "")) {
 		t.Fatalf("%q, then %q from %d: became %q", first, second, skipped, out)
 	}
--- a/proxy/sse.go
+++ b/proxy/sse.go
@@ -5,22 +5,22 @@
 	"strconv"
 )
 
-// EventError says that an event of a stream is longer than the bound.
-type EventError struct{ Bytes int }
+// EventTooLongError says that an event of a stream is longer than the bound.
+type EventTooLongError struct{ Bytes int }
 
-func (e *EventError) Error() string {
+func (e *EventTooLongError) Error() string {
 	return "event of over " + strconv.Itoa(e.Bytes) + " bytes"
 }
 
-// Events cuts a stream into whole events; lines may end in CR LF, LF or CR.
-type Events struct {
-	// Last is the id of the newest event given out, or that the client had seen before.
-	Last  string
-	Bound int
+// EventStream cuts a stream into whole events; lines may end in CR LF, LF or CR.
+type EventStream struct {
+	// LastID is the id of the newest event given out, or that the client had seen before.
+	LastID        string
+	MaxEventBytes int
 	// VersionField names the line with which an event tells the version of the weights from there on; empty: none does.
 	VersionField string
-	// Plain tells that the newest event given out has no id, or one that is no number: the stream cannot be resumed from there.
-	Plain bool
+	// CannotResume tells that the newest event given out has no id, or one that is no number: the stream cannot be resumed from there.
+	CannotResume bool
 	// last becomes Last.
 	last  []byte
 	run   continuity
@@ -36,7 +36,7 @@
 
 // Feed takes bytes of the stream and gives the whole events among them that are new; the result is valid until the next call. What it gives
 // along with an error is to be passed on all the same: Last counts it.
-func (e *Events) Feed(p []byte) ([]byte, error) {
+func (e *EventStream) Feed(p []byte) ([]byte, error) {
 	e.buf = append(e.buf[:copy(e.buf, e.buf[e.start:])], p...)
 	e.seen, e.start = e.seen-e.start, 0
 	out := e.buf[:0]
@@ -57,16 +57,16 @@
 		out, err = e.endEvent(out)
 	}
 	if len(e.last) > 0 {
-		e.Last = string(e.last)
+		e.LastID = string(e.last)
 	}
-	if err == nil && len(e.buf)-e.start > e.Bound {
-		err = &EventError{Bytes: e.Bound}
+	if err == nil && len(e.buf)-e.start > e.MaxEventBytes {
+		err = &EventTooLongError{Bytes: e.MaxEventBytes}
 	}
 	return out, err
 }
 
 // skipsNewline takes the newline that belongs to a carriage return before it.
-func (e *Events) skipsNewline() bool {
+func (e *EventStream) skipsNewline() bool {
 	after := e.cr && e.buf[e.seen] == '\n'
 	e.cr = false
 	if after {
@@ -77,7 +77,7 @@
 }
 
 // endEvent adds the event that the last empty line ended to out, if the client lacks it.
-func (e *Events) endEvent(out []byte) ([]byte, error) {
+func (e *EventStream) endEvent(out []byte) ([]byte, error) {
 	if err := e.joins(); err != nil {
 		return out, err
 	}
@@ -91,7 +91,7 @@
 
 // line gives the next whole line without its end. A CR that is the last byte so far ends a line only where the line before it ended in
 // a CR alone: else its LF is on the way, and an event is not to be cut in two.
-func (e *Events) line() ([]byte, bool) {
+func (e *EventStream) line() ([]byte, bool) {
 	text, _, found := bytes.Cut(e.buf[e.seen:], []byte{'\n'})
 	if n := bytes.IndexByte(text, '\r'); n >= 0 {
 		text, found = text[:n], true
@@ -115,16 +115,16 @@
 	return text, true
 }
 
-// Rest is what came after the last whole event.
-func (e *Events) Rest() []byte { return e.buf[e.start:] }
+// Remaining is what came after the last whole event.
+func (e *EventStream) Remaining() []byte { return e.buf[e.start:] }
 
-// Unfinished tells whether the rest begins another event: a stream that ends there is not complete. Comments and empty lines are no event.
-func (e *Events) Unfinished() bool {
+// HasPartialEvent tells whether the rest begins another event: a stream that ends there is not complete. Comments and empty lines are no event.
+func (e *EventStream) HasPartialEvent() bool {
 	unread := bytes.TrimLeft(e.buf[e.seen:], "\r\n")
 	return e.plain || (len(unread) > 0 && unread[0] != ':')
 }
 
-func (e *Events) field(text []byte) {
+func (e *EventStream) field(text []byte) {
 	name, value, _ := bytes.Cut(text, []byte{':'})
 	e.plain = e.plain || len(name) > 0
 	if string(name) == "id" {
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -91,7 +91,7 @@
 		if !possible(w, s) {
 			return nil, false
 		}
-		return e.Happened(s), true
+		return e.HandleSignal(s), true
 	}}
 }
 
@@ -123,7 +123,7 @@
 		case router.CancelBeforeSend:
 			d.AttemptID = e.Placement.AttemptID
 		}
-		return e.Decided(d), true
+		return e.HandleDecision(d), true
 	}}
 }
 
@@ -138,7 +138,7 @@
 		decided("no route", router.Decision{Verdict: router.Reject, Bad: true}),
 		decided("denied as a repeat", router.Decision{Verdict: router.Reject, Repeat: true}),
 		decided("given up", router.Decision{Verdict: router.Unknown}),
-		{"router ends", func(e *Exchange, _ *world) ([]Action, bool) { return e.Closed(), true }},
+		{"router ends", func(e *Exchange, _ *world) ([]Action, bool) { return e.HandleRouterClosed(), true }},
 	}
 }
 
@@ -148,13 +148,13 @@
 		name string
 		s    Signal
 	}{
-		{"connected", Connected{}}, {"unreached", Unconnected{}}, {"no connection free", Unconnected{Capped: true}}, {"reset before the write", Unwritten{}},
-		{"answer", Replied{Status: 200}}, {"stream", Replied{Status: 200, Stream: true}}, {"failure", Replied{Status: 500}},
-		{"503 with proof", Replied{Status: 503, NotRun: true}}, {"503 without proof", Replied{Status: 503}}, {"421", Replied{Status: 421}},
-		{"408 without proof", Replied{Status: 408}}, {"429 without proof", Replied{Status: 429}}, {"another's answer", Replied{Status: 200, Foreign: true}},
-		{"another's refusal", Replied{Status: 503, Foreign: true, NotRun: true}}, {"another's 421", Replied{Status: 421, Foreign: true}},
-		{"answer without length", Replied{Status: 200, Open: true}}, {"answer without seal", Replied{Status: 200, Bare: true}},
-		{"first bytes", Begun{}}, {"end", Ended{}}, {"reset", ConnectionLost{}}, {"client closes", ClientClosed{}},
+		{"connected", Connected{}}, {"unreached", ConnectFailed{}}, {"no connection free", ConnectFailed{AtConnectionLimit: true}}, {"reset before the write", Unwritten{}},
+		{"answer", AnswerHeadRead{Status: 200}}, {"stream", AnswerHeadRead{Status: 200, Stream: true}}, {"failure", AnswerHeadRead{Status: 500}},
+		{"503 with proof", AnswerHeadRead{Status: 503, NotExecuted: true}}, {"503 without proof", AnswerHeadRead{Status: 503}}, {"421", AnswerHeadRead{Status: 421}},
+		{"408 without proof", AnswerHeadRead{Status: 408}}, {"429 without proof", AnswerHeadRead{Status: 429}}, {"another's answer", AnswerHeadRead{Status: 200, Mismatched: true}},
+		{"another's refusal", AnswerHeadRead{Status: 503, Mismatched: true, NotExecuted: true}}, {"another's 421", AnswerHeadRead{Status: 421, Mismatched: true}},
+		{"answer without length", AnswerHeadRead{Status: 200, CloseDelimited: true}}, {"answer without seal", AnswerHeadRead{Status: 200, Unsealed: true}},
+		{"first bytes", AnswerStarted{}}, {"end", AnswerEnded{}}, {"reset", ConnectionLost{}}, {"client closes", ClientDisconnected{}},
 		{"time over", DeadlinePassed{}}, {"time over before the write", DeadlinePassed{Unwritten: true}},
 	} {
 		all = append(all, signal(v.name, v.s))
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -34,7 +34,7 @@
 	if name == "first bytes" && before == passing && w.finishes == 0 {
 		w.received()
 	}
-	if e.Over() != (w.finishes == 1) {
+	if e.Finished() != (w.finishes == 1) {
 		return "over without a final answer"
 	}
 	return ""
@@ -58,21 +58,21 @@
 	switch m.Kind {
 	case Connect:
 		return w.connect()
-	case Write:
+	case WriteRequest:
 		return w.write(route)
 	case ReleaseConnection:
 		if w.current != truthUntouched {
 			return "a connection that carries a request is kept as unused"
 		}
 		w.open = false
-	case Disconnect:
+	case CloseConnection:
 		w.open = false
 		w.ended()
 	case DiscardAnswer:
 		if _, refuses := replies(name); !refuses {
 			return "read over as a refusal what is none"
 		}
-	case PassAnswer:
+	case ForwardAnswer:
 		return w.pass(name)
 	case NotifyRouter:
 		if end, ok := m.Event.(router.AttemptEnded); ok {
@@ -145,11 +145,11 @@
 		return "two final answers"
 	case w.open:
 		return "ended with a connection"
-	case m.Outcome == Done && (before != passing || name != "end"):
+	case m.Outcome == Completed && (before != passing || name != "end"):
 		return "a part is made to look whole"
 	case (m.Outcome == Rejected || m.Outcome == NotFound) && w.mayRun:
 		return "denied what may have run"
-	case has && m.Outcome != Done && m.Outcome != Aborted && m.Outcome != ClientGone:
+	case has && m.Outcome != Completed && m.Outcome != Aborted && m.Outcome != AbandonedByClient:
 		return "a second answer after the first bytes of one"
 	case m.Outcome == Rejected && m.RetryAfter <= 0:
 		return "denied without when to come back"
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -27,44 +27,44 @@
 	headed   bool
 	bounded  bool
 	buf      *buffer
-	events   Events
+	events   EventStream
 }
 
 func (x *transfer) run(a router.Arrive) {
 	in := x.proxy.router.Submit(a)
 	disconnected := x.r.Context().Done()
-	for !x.exchange.Over() {
+	for !x.exchange.Finished() {
 		select {
 		case <-disconnected:
-			x.signal(ClientClosed{})
+			x.signal(ClientDisconnected{})
 		case d, ok := <-in:
 			if !ok {
-				x.perform(x.exchange.Closed())
+				x.perform(x.exchange.HandleRouterClosed())
 				return
 			}
-			x.perform(x.exchange.Decided(d))
+			x.perform(x.exchange.HandleDecision(d))
 		}
 	}
 }
 
-func (x *transfer) signal(s Signal) { x.perform(x.exchange.Happened(s)) }
+func (x *transfer) signal(s Signal) { x.perform(x.exchange.HandleSignal(s)) }
 
 func (x *transfer) perform(actions []Action) {
 	for _, m := range actions {
 		switch m.Kind {
 		case Connect:
 			x.connect()
-		case Write:
+		case WriteRequest:
 			x.sendAndRead()
 		case ReleaseConnection:
 			x.releaseConnection()
-		case Disconnect:
+		case CloseConnection:
 			x.disconnect()
 		case NotifyRouter:
 			x.notify(m.Event)
 		case DiscardAnswer:
 			x.discardAnswer()
-		case PassAnswer:
+		case ForwardAnswer:
 			x.passAnswer()
 		case Finish:
 			x.finish(m)
@@ -88,24 +88,24 @@
 	x.proxy.router.Notify(ev)
 }
 
-func (x *transfer) attempt() string { return first(x.r.Header, x.proxy.headers.Attempt) }
+func (x *transfer) attempt() string { return first(x.r.Header, x.proxy.headers.AttemptID) }
 
 // nameless tells that answers to this request cannot be told from others': replicas answer with an id, but it has none.
-func (x *transfer) nameless() bool { return x.proxy.headers.Attempt != "" && x.attempt() == "" }
+func (x *transfer) nameless() bool { return x.proxy.headers.AttemptID != "" && x.attempt() == "" }
 
 func (x *transfer) connect() {
 	d := &x.exchange.Placement
 	w := connRequest{key: key{addr: d.Addr, instance: d.Instance}, conns: d.MaxConns, attempt: x.attempt(), repeatable: x.exchange.repeatable, newOnly: x.nameless()}
 	c, err := x.proxy.pool.take(x.r.Context(), w)
-	var capped *CappedError
+	var capped *ConnectionLimitError
 	switch {
 	case err == nil:
 		x.conn, x.reused = c, !c.usableUntil.IsZero()
 		x.signal(Connected{})
 	case x.r.Context().Err() != nil:
-		x.signal(ClientClosed{})
+		x.signal(ClientDisconnected{})
 	default:
-		x.signal(Unconnected{Capped: errors.As(err, &capped)})
+		x.signal(ConnectFailed{AtConnectionLimit: errors.As(err, &capped)})
 	}
 }
 
--- a/sim/client.go
+++ b/sim/client.go
@@ -145,8 +145,8 @@
 	c.request.s.w.After(clientDelay, func() {
 		if t := c.proxied; t != nil && n.Alive && n.incarnation == t.incarnation {
 			n.live(func() {
-				if !t.exchange.Over() {
-					t.happened(proxy.ClientClosed{})
+				if !t.exchange.Finished() {
+					t.happened(proxy.ClientDisconnected{})
 				}
 			})
 		}
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -18,7 +18,7 @@
 	exchange    proxy.Exchange
 	conn        *socket
 	answerHead  *head
-	events      proxy.Events
+	events      proxy.EventStream
 	body        []byte
 	arrived     time.Duration
 	deadline    time.Duration
@@ -53,9 +53,9 @@
 	s := n.w.site
 	n.requestSeq++
 	name := n.frontendID + "-" + strconv.Itoa(n.requestSeq)
-	t := &proxyRequest{n: n, incarnation: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.Events{Bound: eventBytes}}
+	t := &proxyRequest{n: n, incarnation: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.EventStream{MaxEventBytes: eventBytes}}
 	if c.last > 0 {
-		t.events.Last = strconv.Itoa(c.last)
+		t.events.LastID = strconv.Itoa(c.last)
 	}
 	t.deadline = n.w.Now + c.timeout
 	n.requests[name] = t
@@ -73,17 +73,17 @@
 		t.queued = append(t.queued, d)
 		return
 	}
-	t.do(t.exchange.Decided(d))
+	t.do(t.exchange.HandleDecision(d))
 }
 
 // happened hands a signal in, then the decisions that came while the trip waited.
 func (t *proxyRequest) happened(sig proxy.Signal) {
 	t.mode = free
-	t.do(t.exchange.Happened(sig))
-	for len(t.queued) > 0 && t.mode == free && !t.exchange.Over() {
+	t.do(t.exchange.HandleSignal(sig))
+	for len(t.queued) > 0 && t.mode == free && !t.exchange.Finished() {
 		d := t.queued[0]
 		t.queued = t.queued[1:]
-		t.do(t.exchange.Decided(d))
+		t.do(t.exchange.HandleDecision(d))
 	}
 }
 
@@ -93,17 +93,17 @@
 		switch m.Kind {
 		case proxy.Connect:
 			t.connect()
-		case proxy.Write:
+		case proxy.WriteRequest:
 			t.write()
 		case proxy.ReleaseConnection:
 			t.park()
-		case proxy.Disconnect:
+		case proxy.CloseConnection:
 			t.drop()
 		case proxy.NotifyRouter:
 			next = append(next, t.n.turn(m.Event)...)
 		case proxy.DiscardAnswer:
 			t.mode = draining
-		case proxy.PassAnswer:
+		case proxy.ForwardAnswer:
 			t.pass()
 		case proxy.Finish:
 			t.finish(m)
@@ -120,7 +120,7 @@
 	k, capped := t.n.pool.kept(w.Now, d.Instance, t.attempt.id, d.MaxConns)
 	switch {
 	case capped:
-		t.connectedAfter(0, func() proxy.Signal { return proxy.Unconnected{Capped: true} })
+		t.connectedAfter(0, func() proxy.Signal { return proxy.ConnectFailed{AtConnectionLimit: true} })
 	case k != nil:
 		t.use(k)
 		t.connectedAfter(0, func() proxy.Signal { return proxy.Connected{} })
@@ -134,7 +134,7 @@
 	d, w := t.exchange.Placement, t.n.w
 	failed := func() proxy.Signal {
 		t.n.pool.leave(d.Instance)
-		return proxy.Unconnected{}
+		return proxy.ConnectFailed{}
 	}
 	switch {
 	case i == nil:
@@ -213,15 +213,15 @@
 	t.happened(proxy.ConnectionLost{})
 }
 
-func (t *proxyRequest) replied(h *head) proxy.Replied {
-	var s proxy.Replied
+func (t *proxyRequest) replied(h *head) proxy.AnswerHeadRead {
+	var s proxy.AnswerHeadRead
 	s.Status = h.status
 	if h.attempt != t.attempt.id {
-		s.Foreign = true
+		s.Mismatched = true
 		return s
 	}
-	s.NotRun, s.Bare, s.Instance, s.Load = h.notRun, h.seal == "", h.instance, h.load
-	if !s.NotRun && !s.Bare {
+	s.NotExecuted, s.Unsealed, s.Instance, s.Load = h.notRun, h.seal == "", h.instance, h.load
+	if !s.NotExecuted && !s.Unsealed {
 		t.confirmed()
 	}
 	s.Stream = t.exchange.Placement.Route != nil && t.exchange.Placement.Route.Streaming && h.stream && h.status == http.StatusOK
@@ -235,6 +235,6 @@
 		if t.headed {
 			t.n.w.site.report.Resumed++
 		}
-		t.events.NextRun("")
+		t.events.StartAnswer("")
 	}
 }
--- a/sim/proxyrequestend.go
+++ b/sim/proxyrequestend.go
@@ -13,14 +13,14 @@
 	case draining:
 		if p.end {
 			t.recycle()
-			t.happened(proxy.Ended{})
+			t.happened(proxy.AnswerEnded{})
 		}
 	case holding:
 		t.body = append(t.body, p.data...)
 		if p.end {
 			t.answer(t.body)
 			t.recycle()
-			t.happened(proxy.Ended{})
+			t.happened(proxy.AnswerEnded{})
 		}
 	case streaming:
 		t.flow(p)
@@ -29,21 +29,21 @@
 
 func (t *proxyRequest) flow(p packet) {
 	complete, err := t.events.Feed(p.data)
-	if err == nil && p.end && t.events.Unfinished() {
+	if err == nil && p.end && t.events.HasPartialEvent() {
 		err = io.ErrUnexpectedEOF
 	}
 	ended := err == nil && p.end
 	if ended {
-		complete = append(complete[:len(complete):len(complete)], t.events.Rest()...)
+		complete = append(complete[:len(complete):len(complete)], t.events.Remaining()...)
 	}
 	if len(complete) > 0 {
 		if !t.flowing {
 			t.flowing = true
-			t.exchange.CannotResume = t.events.Plain
-			t.do(t.exchange.Happened(proxy.Begun{}))
+			t.exchange.CannotResume = t.events.CannotResume
+			t.do(t.exchange.HandleSignal(proxy.AnswerStarted{}))
 			t.mode = streaming
 		}
-		t.exchange.CannotResume = t.events.Plain
+		t.exchange.CannotResume = t.events.CannotResume
 		t.answer(complete)
 	}
 	switch {
@@ -52,7 +52,7 @@
 	case ended:
 		t.answer(nil)
 		t.recycle()
-		t.happened(proxy.Ended{})
+		t.happened(proxy.AnswerEnded{})
 	}
 }
 
@@ -88,9 +88,9 @@
 	c := t.attempt
 	delete(t.n.requests, t.exchange.Request)
 	switch m.Outcome {
-	case proxy.Done:
+	case proxy.Completed:
 		c.send(t.n, func() { c.ended(http.StatusOK, 0) })
-	case proxy.ClientGone:
+	case proxy.AbandonedByClient:
 	case proxy.Aborted:
 		c.send(t.n, func() { c.disconnected() })
 	default:
--- a/sim/proxyrequestsend.go
+++ b/sim/proxyrequestsend.go
@@ -32,7 +32,7 @@
 		again: t.attempt.passes > 0, calm: w.site.rules.inTouch(t.n, w.Now),
 	}
 	if d.Resumes && t.headed {
-		r.after, _ = strconv.Atoi(t.events.Last)
+		r.after, _ = strconv.Atoi(t.events.LastID)
 	}
 	t.attempt.passes++
 	w.site.report.take(d)
