--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -137,8 +137,8 @@
 		return QuotaDivision
 	case router.SnapshotUpdate:
 		return Config
-	case router.Arrive, router.ReadyToSend, router.AnswerHead, router.AnswerStarted, router.AttemptEnded, router.ClientDisconnected, router.RanElsewhere,
-		router.Load, router.WrongInstance:
+	case router.Arrival, router.ReadyToSend, router.AnswerHead, router.AnswerStarted, router.AttemptEnded, router.ClientDisconnected, router.RanElsewhere,
+		router.ReplicaLoad, router.WrongInstance:
 		return Requests
 	}
 	return Other
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -85,7 +85,7 @@
 	h.Change()
 	h.Run(warm + p.Measured)
 	for _, n := range h.Nodes {
-		if n.Router.Ready(h.Now) == "" {
+		if n.Router.NotReady(h.Now) == "" {
 			r.Ready++
 		}
 	}
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -91,7 +91,7 @@
 	l.now += soloEvery
 	l.step(router.ControlStatus{})
 	req := fmt.Sprintf("q-%08d", i)
-	for _, d := range l.step(router.Arrive{Request: req, Service: "model1", Class: "fast", Prefix: prefix, Tail: 64}) {
+	for _, d := range l.step(router.Arrival{Request: req, Service: "model1", Class: "fast", Prefix: prefix, TailTokens: 64}) {
 		if d.Verdict != router.Place {
 			continue
 		}
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -178,7 +178,7 @@
 			continue
 		}
 		unsent := 0
-		h.Loop.Inspect(func(r *router.Router) { unsent = r.Unsent() })
+		h.Loop.Inspect(func(r *router.Router) { unsent = r.UnsentRequests() })
 		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
 			departed = true
 			h.Call(control.Leave{})
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -117,7 +117,7 @@
 func (e *EventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
 var eventReaders = map[string]func(raw []byte) (router.Event, error){
-	"arrive": read[router.Arrive], "listing": read[router.Listing], "usage": read[router.LoadReport],
+	"arrive": read[router.Arrival], "listing": read[router.Listing], "usage": read[router.LoadReport],
 	"routers": read[router.Routers], "feed": read[router.ControlStatus], "leave": read[router.ReadyToSend],
 	"head": read[router.AnswerHead], "piece": read[router.AnswerStarted], "end": read[router.AttemptEnded], "hangup": read[router.ClientDisconnected],
 }
--- a/cmd/mallowbridge/placement.go
+++ b/cmd/mallowbridge/placement.go
@@ -13,8 +13,8 @@
 func placement(r *router.Router, way string) {
 	switch way {
 	case blind:
-		r.IndexOff()
+		r.DisableIndex()
 	case roundRobin:
-		r.RoundRobin()
+		r.UseRoundRobin()
 	}
 }
--- a/control/format_test.go
+++ b/control/format_test.go
@@ -92,8 +92,8 @@
 	return u
 }
 
-func event(e router.Event) router.Numbered {
-	return router.Numbered{N: 1, Event: e}
+func event(e router.Event) router.NumberedEvent {
+	return router.NumberedEvent{Seq: 1, Event: e}
 }
 
 // formatMessages are all messages between nodes and to followers, by the name of their file.
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -121,7 +121,7 @@
 	}
 	for _, ev := range out.Events {
 		if r, ok := ev.(router.ReplicaList); ok {
-			l.rosters[name] = r.Rows
+			l.rosters[name] = r.Instances
 		}
 		if q, ok := ev.(router.QuotaDecided); ok && l.decided != nil {
 			l.decided(name, q)
--- a/control/list.go
+++ b/control/list.go
@@ -126,7 +126,7 @@
 	if !ok || !sameInstances(it.Data.(ReplicaListItem).Rows, r.Rows) {
 		version.Hi++
 		n.Gossip.Put(gossip.Item{Key: replicaListKey, Version: version, Data: ReplicaListItem{Rows: r.Rows}})
-		n.emit(router.ReplicaList{Rows: r.Rows})
+		n.emit(router.ReplicaList{Instances: r.Rows})
 	} else {
 		version = it.Version
 	}
@@ -136,15 +136,15 @@
 // sameInstances ignores how long a replica keeps warming up, but not whether it is.
 func sameInstances(a, b []router.Instance) bool {
 	return slices.EqualFunc(a, b, func(x, y router.Instance) bool {
-		if (x.WarmingUp > 0) != (y.WarmingUp > 0) {
+		if (x.WarmUpRemaining > 0) != (y.WarmUpRemaining > 0) {
 			return false
 		}
-		x.WarmingUp, y.WarmingUp = 0, 0
+		x.WarmUpRemaining, y.WarmUpRemaining = 0, 0
 		return x == y
 	})
 }
 
-func (n *Node) onReplicaListItem(r ReplicaListItem) { n.emit(router.ReplicaList{Rows: r.Rows}) }
+func (n *Node) onReplicaListItem(r ReplicaListItem) { n.emit(router.ReplicaList{Instances: r.Rows}) }
 
 func (n *Node) onListConfirmation(now time.Duration, _ ListConfirmation) {
 	n.replicaList.confirmedAt = now
--- a/control/placement.go
+++ b/control/placement.go
@@ -18,7 +18,7 @@
 const absent = -1
 
 func (n *Node) derive() *derived {
-	if rev := n.Members.Table.Rev(); n.derived.places == nil || n.derived.rev != rev {
+	if rev := n.Members.Table.Generation(); n.derived.places == nil || n.derived.rev != rev {
 		n.derived = derived{rev: rev, places: map[string]int{}}
 	}
 	return &n.derived
--- a/control/send.go
+++ b/control/send.go
@@ -53,7 +53,7 @@
 	defer func() { d.peers = ps }()
 	for _, m := range n.Members.Table.All() {
 		if m.Name != n.config.Name && m.Live() {
-			ps = append(ps, gossip.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Near: m.Zone == n.config.Zone})
+			ps = append(ps, gossip.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Zone, SameZone: m.Zone == n.config.Zone})
 		}
 	}
 	return ps
--- a/control/status.go
+++ b/control/status.go
@@ -43,7 +43,7 @@
 func (n *Node) Status(now time.Duration) Status {
 	s := Status{
 		Name: n.config.Name, Zone: n.config.Zone, Serving: n.serving.reason == "" && n.serving.reportedAt > 0, NotServing: n.serving.reason, AppliedVersion: n.applied, Degraded: n.Members.Self.Degraded,
-		Deaths: n.Members.Deaths, Refutes: n.Members.Refutes, GossipItems: n.Gossip.Len(), EvacuatedZones: []string{}, Leases: []string{},
+		Deaths: n.Members.Deaths, Refutes: n.Members.Refutations, GossipItems: n.Gossip.Len(), EvacuatedZones: []string{}, Leases: []string{},
 	}
 	for _, m := range n.Members.Table.All() {
 		s.Members = append(s.Members, MemberStatus{Member: m, State: m.State.String()})
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -49,8 +49,8 @@
 	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
 	fs.join(f, nil)
 	fs.tell(router.ControlStatus{})
-	if last := (<-f.q).(router.Numbered); len(f.first) != 3001 || last.N != 3000 {
-		t.Errorf("%d at the start, then number %d", len(f.first), last.N)
+	if last := (<-f.q).(router.NumberedEvent); len(f.first) != 3001 || last.Seq != 3000 {
+		t.Errorf("%d at the start, then number %d", len(f.first), last.Seq)
 	}
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -15,7 +15,7 @@
 
 const (
 	ticks       = 50 * time.Millisecond
-	routerTicks = router.Idle
+	routerTicks = router.MaxLoopSleep
 	// isolatedFeedTimeout keeps the scheduler serving over a freeze, where serving by an old snapshot is allowed.
 	isolatedFeedTimeout = time.Minute
 )
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -47,7 +47,7 @@
 
 func (f *follower) send(ev router.Event) {
 	select {
-	case f.q <- router.Numbered{N: f.n, Event: ev}:
+	case f.q <- router.NumberedEvent{Seq: f.n, Event: ev}:
 	default:
 	}
 	f.n++
@@ -60,9 +60,9 @@
 	}
 	for f.id = 1; taken[f.id]; f.id++ {
 	}
-	f.first = append(f.first, router.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Zone: fs.daemon.Settings.Zone, Boot: fs.daemon.boot})
+	f.first = append(f.first, router.Welcome{Self: fs.daemon.Settings.Name + "#" + strconv.Itoa(f.id), Zone: fs.daemon.Settings.Zone, BootID: fs.daemon.boot})
 	for _, key := range slices.Sorted(maps.Keys(fs.last)) {
-		f.first = append(f.first, router.Numbered{N: f.n, Event: fs.last[key]})
+		f.first = append(f.first, router.NumberedEvent{Seq: f.n, Event: fs.last[key]})
 		f.n++
 	}
 	close(f.ready)
--- a/embed.go
+++ b/embed.go
@@ -17,7 +17,7 @@
 	if _, err := rand.Read(boot[:]); err != nil {
 		panic(err)
 	}
-	l := router.NewLoop(t, router.New(router.Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, router.Idle)
+	l := router.NewLoop(t, router.New(router.Defaults(name, hex.EncodeToString(boot[:]), zone)), clock, router.MaxLoopSleep)
 	Follow(t, addr, name, func(w router.Welcome) { l.Notify(w) }, l.Notify)
 	return l
 }
--- a/follow.go
+++ b/follow.go
@@ -74,9 +74,9 @@
 		switch m := msg.(type) {
 		case router.Welcome:
 			start(m)
-		case router.Numbered:
-			if m.N != due {
-				return trace.Wrap(&GapError{Got: m.N, Want: due})
+		case router.NumberedEvent:
+			if m.Seq != due {
+				return trace.Wrap(&GapError{Got: m.Seq, Want: due})
 			}
 			due++
 			feed(m.Event)
--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -61,7 +61,7 @@
 	var list []Peer
 	for at, name := range m.names {
 		if at != of {
-			list = append(list, Peer{Name: name, Addr: name, Zone: zoneOf(at), Near: zoneOf(at) == zoneOf(of)})
+			list = append(list, Peer{Name: name, Addr: name, Zone: zoneOf(at), SameZone: zoneOf(at) == zoneOf(of)})
 		}
 	}
 	return list
--- a/gossip/push.go
+++ b/gossip/push.go
@@ -57,9 +57,9 @@
 			delete(s.pending, k)
 		}
 	}
-	sends := s.spread(s.pick(peers, true, s.cfg.Near), near)
+	sends := s.spread(s.pick(peers, true, s.cfg.SameZoneFanout), near)
 	sends = append(sends, s.spread(s.perDomain(peers), each)...)
-	return append(sends, s.spread(s.pick(peers, false, s.cfg.Far), far)...)
+	return append(sends, s.spread(s.pick(peers, false, s.cfg.OtherZoneFanout), far)...)
 }
 
 func (s *Store) perDomain(peers []Peer) []Peer {
@@ -107,11 +107,11 @@
 // Tick pushes new items and compares checksums, when it is time for either.
 func (s *Store) Tick(now time.Duration, peers []Peer) []Send {
 	var sends []Send
-	if len(s.pending) > 0 && now-s.pushed >= s.cfg.Push {
+	if len(s.pending) > 0 && now-s.pushed >= s.cfg.PushInterval {
 		s.pushed = now
 		sends = s.push(peers)
 	}
-	for i, every := range []time.Duration{s.cfg.DigestNear, s.cfg.DigestFar} {
+	for i, every := range []time.Duration{s.cfg.SameZoneChecksumInterval, s.cfg.OtherZoneChecksumInterval} {
 		if now-s.digested[i] < every {
 			continue
 		}
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -58,7 +58,7 @@
 // Without digests a push that was lost is never made good: the two tests above rest on them.
 func TestItemIsMissingWithoutDigests(t *testing.T) {
 	cfg := Defaults()
-	cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
+	cfg.SameZoneChecksumInterval, cfg.OtherZoneChecksumInterval = time.Hour, time.Hour
 	m := newMesh(cfg, 1, 0)
 	m.partitioned = func(from, to string) bool { return !m.near(from, to) }
 	m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
@@ -88,7 +88,7 @@
 func TestLargeItemIsPulledOncePerAnnouncer(t *testing.T) {
 	for seed := range uint64(seeds) {
 		cfg := Defaults()
-		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
+		cfg.SameZoneChecksumInterval, cfg.OtherZoneChecksumInterval = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: bulky("v")})
 		m.until(2*time.Second, func(*Store) bool { return false })
@@ -146,10 +146,10 @@
 func TestPushReachesEveryZone(t *testing.T) {
 	for seed := range uint64(seeds) {
 		cfg := Defaults()
-		cfg.DigestNear, cfg.DigestFar = time.Hour, time.Hour
+		cfg.SameZoneChecksumInterval, cfg.OtherZoneChecksumInterval = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
-		m.until(cfg.Push+meshTick+mostDelay+meshTick, func(*Store) bool { return false })
+		m.until(cfg.PushInterval+meshTick+mostDelay+meshTick, func(*Store) bool { return false })
 		reached := map[string]bool{}
 		for name, s := range m.stores {
 			_, has := s.Get("k")
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -60,7 +60,7 @@
 // Peer is a node to talk to; Near ones are of the same failure zone.
 type Peer struct {
 	Name, Addr, Zone string
-	Near             bool
+	SameZone         bool
 }
 
 // Send is a message for the address To.
@@ -72,17 +72,17 @@
 // Config sets the pace: a push every Push to Near peers of the same zone and Far others, so many Rounds for each item; a checksum to
 // one near peer every DigestNear and to one far peer every DigestFar.
 type Config struct {
-	Push       time.Duration
-	Near       int
-	Far        int
-	Rounds     int
-	DigestNear time.Duration
-	DigestFar  time.Duration
+	PushInterval              time.Duration
+	SameZoneFanout            int
+	OtherZoneFanout           int
+	Rounds                    int
+	SameZoneChecksumInterval  time.Duration
+	OtherZoneChecksumInterval time.Duration
 }
 
 // Defaults is the configuration that nodes run with.
 func Defaults() Config {
-	return Config{Push: 100 * time.Millisecond, Near: 2, Far: 1, Rounds: 2, DigestNear: time.Second, DigestFar: 2 * time.Second}
+	return Config{PushInterval: 100 * time.Millisecond, SameZoneFanout: 2, OtherZoneFanout: 1, Rounds: 2, SameZoneChecksumInterval: time.Second, OtherZoneChecksumInterval: 2 * time.Second}
 }
 
 type reach uint8
@@ -226,7 +226,7 @@
 func (s *Store) pick(peers []Peer, near bool, n int) []Peer {
 	var to []Peer
 	for _, p := range peers {
-		if p.Near == near {
+		if p.SameZone == near {
 			to = append(to, p)
 		}
 	}
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -136,7 +136,7 @@
 
 func (f *Frontend) bad(x *Exchange, status int, why string) bool {
 	f.Counters.Bad.Add(1)
-	f.answer(x, status, Answer{Outcome: router.OutcomeBad, Why: why}, 0)
+	f.answer(x, status, Answer{Outcome: router.OutcomeInvalid, Why: why}, 0)
 	return true
 }
 
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -26,7 +26,7 @@
 func (o *Operations) readiness(w http.ResponseWriter, _ bunrouter.Request) error {
 	why := "draining"
 	if o.Frontend.Open() {
-		o.Frontend.router.Inspect(func(r *router.Router) { why = r.Ready(o.Clock()) })
+		o.Frontend.router.Inspect(func(r *router.Router) { why = r.NotReady(o.Clock()) })
 	}
 	if why != "" {
 		w.Header().Set("Retry-After", "1")
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -225,7 +225,7 @@
 	op := control.SetReplicaStates{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
 		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: router.ListingState(e.Str("state", true, 16))}
-		if !l.State.Known() {
+		if !l.State.Valid() {
 			e.AddViolation(e.At("state"), string(l.State), "present, leaving or gone")
 		}
 		e.Close()
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	replied := router.Replied{AttemptID: c.placement.AttemptID, Attempt: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
+	replied := router.AnswerHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
 	if !c.report(replied) {
 		return nil
 	}
@@ -137,7 +137,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return err
 		}
-		if !c.report(router.AnswerRead{AttemptID: c.placement.AttemptID, Line: l}) {
+		if !c.report(router.AnswerLineRead{AttemptID: c.placement.AttemptID, Line: l}) {
 			return nil
 		}
 	}
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -32,8 +32,8 @@
 	}
 	defer s.drop()
 	defer func() { _ = s.ctl.SetWriteDeadline(time.Time{}) }()
-	s.run(f.router.Submit(router.Arrive{
-		Request: x.request, Service: x.r.Param("offer"), Class: x.r.Param("kind"), Prefix: x.prefix, Tail: len(x.body) / bytesPerToken,
+	s.run(f.router.Submit(router.Arrival{
+		Request: x.request, Service: x.r.Param("offer"), Class: x.r.Param("kind"), Prefix: x.prefix, TailTokens: len(x.body) / bytesPerToken,
 	}))
 	return true
 }
@@ -47,17 +47,17 @@
 		select {
 		case <-s.exchange.r.Context().Done():
 			s.frontend.Counters.Hangups.Add(1)
-			s.perform(s.request.Happened(router.ClientClosed{}))
+			s.perform(s.request.OnConnectionEvent(router.ClientClosed{}))
 			return
 		case d, ok := <-decisions:
 			if !ok {
 				d = router.Decision{Verdict: router.Unknown, Reason: "node is stopping"}
 			}
-			final = s.perform(s.request.Decided(d))
+			final = s.perform(s.request.OnDecision(d))
 		case how := <-s.polled:
-			final = s.perform(s.request.Happened(router.WitnessesAnswered{Result: how}))
+			final = s.perform(s.request.OnConnectionEvent(router.WitnessesAnswered{Result: how}))
 		case event := <-events:
-			final = s.perform(s.request.Happened(event))
+			final = s.perform(s.request.OnConnectionEvent(event))
 		}
 	}
 }
@@ -86,7 +86,7 @@
 				s.frontend.Counters.Breaks.Add(1)
 			}
 			s.frontend.router.Notify(m.Event)
-		case router.PassLine:
+		case router.ForwardLine:
 			s.pass(m)
 		case router.Finish:
 			s.close(m.Placement, m.Outcome)
@@ -99,7 +99,7 @@
 func (s *session) close(d router.Decision, outcome string) {
 	f, x := s.frontend, s.exchange
 	switch outcome {
-	case router.OutcomeBad:
+	case router.OutcomeInvalid:
 		f.bad(x, http.StatusNotFound, d.Reason)
 	case router.OutcomeRepeat:
 		f.rejectRepeated(x, d.Reason)
@@ -128,7 +128,7 @@
 	}
 	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.Write))
 	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
-		s.perform(s.request.Happened(router.ClientClosed{}))
+		s.perform(s.request.OnConnectionEvent(router.ClientClosed{}))
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,10 +11,10 @@
 const (
 	// TTL is how long a grant binds its grantor, by the grantor's clock.
 	TTL = 3 * time.Second
-	// Renew is the time between two requests of a holder for one lease.
-	Renew = time.Second
-	// Drift is by how much a holder stops earlier than its grantors, so that clocks may run at rates that differ by a tenth.
-	Drift = TTL / 10
+	// RenewInterval is the time between two requests of a holder for one lease.
+	RenewInterval = time.Second
+	// DriftMargin is by how much a holder stops earlier than its grantors, so that clocks may run at rates that differ by a tenth.
+	DriftMargin = TTL / 10
 )
 
 // Token orders the holders of a role: by the epoch of the voters, then by number. It is a fencing token: work under a lower one is void.
@@ -154,14 +154,14 @@
 		return nil
 	}
 	if now >= current.expiresAt && len(current.grantedBy) > 0 {
-		current.grantedBy, current.requestID, current.retryAt = nil, 0, now+Renew/4+time.Duration(h.rng.Int64N(int64(2*Renew)))
+		current.grantedBy, current.requestID, current.retryAt = nil, 0, now+RenewInterval/4+time.Duration(h.rng.Int64N(int64(2*RenewInterval)))
 		return h.releases(current, voters)
 	}
 	if now >= current.expiresAt && (current.Token.Number <= h.highestNumbers[role] || current.Token.Epoch != voters.Epoch) {
 		current.Token = Token{Epoch: voters.Epoch, Number: h.highestNumbers[role] + 1}
 	}
 	h.requestID++
-	current.requestID, current.requestedAt, current.grantedBy, current.retryAt, current.epoch = h.requestID, now, map[string]bool{}, now+Renew, voters.Epoch
+	current.requestID, current.requestedAt, current.grantedBy, current.retryAt, current.epoch = h.requestID, now, map[string]bool{}, now+RenewInterval, voters.Epoch
 	var sends []Send
 	for _, v := range voters.All() {
 		sends = append(sends, Send{Disk: v.Disk, Msg: Request{RequestID: current.requestID, Disk: v.Disk, Role: role, Holder: h.Name, Token: current.Token, Epoch: voters.Epoch}})
@@ -184,7 +184,7 @@
 	}
 	current.grantedBy[g.Disk] = true
 	if register.Quorum(voters, func(d string) bool { return current.grantedBy[d] }) {
-		current.expiresAt = max(current.expiresAt, current.requestedAt+TTL-Drift)
+		current.expiresAt = max(current.expiresAt, current.requestedAt+TTL-DriftMargin)
 	}
 }
 
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -44,8 +44,8 @@
 	contactedAt time.Duration
 	tickedAt    time.Duration
 	changes     []Member
-	// Deaths counts members that were declared dead or left, Refutes suspicions of this member that it refuted.
-	Deaths, Refutes uint64
+	// Deaths counts members that were declared dead or left, Refutations suspicions of this member that it refuted.
+	Deaths, Refutations uint64
 }
 
 // New gives a detector that knows only its own member.
@@ -105,7 +105,7 @@
 func (k *Detector) Merge(now time.Duration, m Member) {
 	if m.Name == k.Self.Name {
 		if m.Incarnation > k.Self.Incarnation || (m.Incarnation == k.Self.Incarnation && m.State != k.Self.State) {
-			k.Refutes++
+			k.Refutations++
 			k.Self.Incarnation = m.Incarnation
 			k.Update(now, func(*Member) {})
 		}
@@ -117,8 +117,8 @@
 	k.set(now, m)
 }
 
-// Others counts the other members that have not left, dead ones too.
-func (k *Detector) Others() (n int) {
+// OtherCount counts the other members that have not left, dead ones too.
+func (k *Detector) OtherCount() (n int) {
 	if k.othersRev == k.Table.rev+1 {
 		return k.others
 	}
@@ -133,7 +133,7 @@
 
 // Isolated tells that no other member has answered for IsolatedAfter, though there are some.
 func (k *Detector) Isolated(now time.Duration) bool {
-	return k.Others() > 0 && now-k.contactedAt > k.cfg.IsolatedAfter
+	return k.OtherCount() > 0 && now-k.contactedAt > k.cfg.IsolatedAfter
 }
 
 // OnPing answers a ping that is meant for this member.
@@ -219,7 +219,7 @@
 		if isolated {
 			k.suspectSince[m.Name], since = now, now
 		}
-		if now-since >= k.cfg.SuspectFor && m.State == Suspect {
+		if now-since >= k.cfg.SuspicionTimeout && m.State == Suspect {
 			m.State = Dead
 			k.set(now, m)
 		}
@@ -232,9 +232,9 @@
 	case m.Name == k.Self.Name || (m.State == Left && now-k.leftAt[m.Name] > leftPingFor):
 		return false
 	case m.State == Dead, m.State == Left:
-		return since >= deadPingFactor*k.cfg.PingEvery
+		return since >= deadPingFactor*k.cfg.PingInterval
 	}
-	return k.pinged[m.Name] && since >= k.cfg.PingEvery
+	return k.pinged[m.Name] && since >= k.cfg.PingInterval
 }
 
 func (k *Detector) ping(now time.Duration, m Member) Send {
--- a/membership/member.go
+++ b/membership/member.go
@@ -110,8 +110,8 @@
 	t.rev++
 }
 
-// Rev changes whenever the table does.
-func (t *Table) Rev() uint64 { return t.rev }
+// Generation changes whenever the table does.
+func (t *Table) Generation() uint64 { return t.rev }
 
 // Get gives a member by its name.
 func (t *Table) Get(name string) (Member, bool) {
--- a/modelcheck/leases_test.go
+++ b/modelcheck/leases_test.go
@@ -161,7 +161,7 @@
 		world: "slow holders, fast grantors",
 		mutate: func(r *LeaseRules) {
 			r.Holds = func(h *lease.Holder, now time.Duration) bool {
-				_, yes := h.Holds(now-lease.Drift, leaseRole)
+				_, yes := h.Holds(now-lease.DriftMargin, leaseRole)
 				return yes
 			}
 		},
--- a/proxy/action.go
+++ b/proxy/action.go
@@ -80,7 +80,7 @@
 	// with others than what was passed on.
 	NamedWeights, OtherWeights bool
 	Instance                   string
-	Load                       *router.Load
+	Load                       *router.ReplicaLoad
 }
 
 // Begun tells that the head is passed on before the answer is whole.
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -123,7 +123,7 @@
 }
 
 func TestRejectedUnreachedNotFoundAndTooLong(t *testing.T) {
-	m := newStubRouter(router.Decision{Verdict: router.Reject, Bad: true})
+	m := newStubRouter(router.Decision{Verdict: router.Reject, Invalid: true})
 	_, url := serve(t, m)
 	r := call(t, url, "id1", "")
 	want(t, "answer", strconv.Itoa(r.status)+r.header.Get("Retry-After"), "404")
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -22,7 +22,7 @@
 	subs  chan map[string]chan router.Decision
 }
 
-func (m *plain) Submit(a router.Arrive) <-chan router.Decision {
+func (m *plain) Submit(a router.Arrival) <-chan router.Decision {
 	out := make(chan router.Decision, 4)
 	all := <-m.subs
 	all[a.Request] = out
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -154,7 +154,7 @@
 	switch {
 	case e.mayHaveRun() || d.Repeat:
 		e.finish(Unknown, d.Reason, d.RetryAfter)
-	case d.Bad:
+	case d.Invalid:
 		e.finish(NotFound, d.Reason, 0)
 	case d.OverQuota:
 		e.finish(OverQuota, d.Reason, d.RetryAfter)
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -65,7 +65,7 @@
 		{"recalled", []any{place("a"), proxy.Connected{}, router.Decision{Verdict: router.CancelBeforeSend, AttemptID: "a"}, send("a"), deny},
 			"connect|ReadyToSend|park||finish2"},
 		{"denied before", []any{deny}, "finish2"},
-		{"no path", []any{router.Decision{Verdict: router.Reject, Bad: true}}, "finish3"},
+		{"no path", []any{router.Decision{Verdict: router.Reject, Invalid: true}}, "finish3"},
 		{"had its go elsewhere", []any{router.Decision{Verdict: router.Reject, Repeat: true}}, "finish4"},
 		{"lost, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, deny},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -76,12 +76,12 @@
 	return p
 }
 
-func (p *Proxy) arrive(x *transfer) router.Arrive {
+func (p *Proxy) arrive(x *transfer) router.Arrival {
 	h := x.r.Header
-	a := router.Arrive{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
+	a := router.Arrival{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
 	a.Prefix, a.Model = first(h, p.headers.Prefix), first(h, p.headers.Model)
 	if v := first(h, p.headers.Tokens); v != "" && p.headers.ParseTokens != nil {
-		a.Tokens, a.MaxAnswerTokens = p.headers.ParseTokens(v)
+		a.PromptTokens, a.MaxAnswerTokens = p.headers.ParseTokens(v)
 	}
 	if key := first(h, p.headers.Credential); key != "" {
 		a.Key, a.HasKey = config.HashKey(key), true
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -155,7 +155,7 @@
 		{"closed", router.Decision{}, "503 denied", "0.25"},
 		{"denied", deny, "503 denied", "1"},
 		{"unknown", router.Decision{Verdict: router.Unknown, RetryAfter: time.Second}, "502 unknown", "1"},
-		{"bad", router.Decision{Verdict: router.Reject, Bad: true}, "404 not found", ""},
+		{"bad", router.Decision{Verdict: router.Reject, Invalid: true}, "404 not found", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, addr := usual(t, ends{c.last})
@@ -171,7 +171,7 @@
 // ends gives one decision at most and closes.
 type ends struct{ d router.Decision }
 
-func (e ends) Submit(router.Arrive) <-chan router.Decision {
+func (e ends) Submit(router.Arrival) <-chan router.Decision {
 	out := make(chan router.Decision, 1)
 	if e.d.Verdict != "" {
 		out <- e.d
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -12,7 +12,7 @@
 
 // Router decides where requests go. *router.Loop is one.
 type Router interface {
-	Submit(a router.Arrive) <-chan router.Decision
+	Submit(a router.Arrival) <-chan router.Decision
 	Notify(ev router.Event)
 }
 
@@ -47,7 +47,7 @@
 
 	ParseTokens func(value string) (prompt, most int)
 	// ParseLoad reads the value of Load; the replica stays empty. Not ok where it cannot be read.
-	ParseLoad func(value string) (router.Load, bool)
+	ParseLoad func(value string) (router.ReplicaLoad, bool)
 }
 
 func (h Headers) canonical() Headers {
--- a/proxy/retryafter_test.go
+++ b/proxy/retryafter_test.go
@@ -40,7 +40,7 @@
 // TestExchangeThatMayHaveRunIsNotRejected: no decision that comes after the write, and none that is missing, makes a denial of it.
 func TestExchangeThatMayHaveRunIsNotRejected(t *testing.T) {
 	for name, last := range map[string]router.Decision{
-		"denied": deny, "bad": {Verdict: router.Reject, Bad: true}, "unknown": unknown, "placed again": {Verdict: router.Place, AttemptID: "z", Route: unsafe},
+		"denied": deny, "bad": {Verdict: router.Reject, Invalid: true}, "unknown": unknown, "placed again": {Verdict: router.Place, AttemptID: "z", Route: unsafe},
 	} {
 		t.Run(name, func(t *testing.T) {
 			replica := newReplica(t, func(got) (string, bool) { return "", true })
--- a/proxy/rig_test.go
+++ b/proxy/rig_test.go
@@ -22,8 +22,8 @@
 	Attempt: "X-Attempt", Target: "X-Target", NotExecuted: "X-Not-Run", Load: "X-Load", Deadline: "X-Wait-Ms", Prefix: "X-Prefix",
 	Model: "X-Model", Tokens: "X-Tokens", Seal: "X-Seal", Instance: "X-Instance", Priority: "X-Rank", Credential: "X-Key", Tenant: "X-Customer",
 	WeightsVersion: "X-Weights", ExpectedVersion: "X-Expected-Weights",
-	ParseLoad: func(v string) (router.Load, bool) {
-		var l router.Load
+	ParseLoad: func(v string) (router.ReplicaLoad, bool) {
+		var l router.ReplicaLoad
 		n, err := fmt.Sscanf(v, "%d,%d,%d", &l.Running, &l.Queued, &l.Slots)
 		return l, n == 3 && err == nil
 	},
@@ -34,7 +34,7 @@
 	places  []router.Decision
 	last    router.Decision
 	events  chan router.Event
-	arrived chan router.Arrive
+	arrived chan router.Arrival
 	subs    chan map[string]*sub
 }
 
@@ -46,14 +46,14 @@
 
 func newStubRouter(last router.Decision, places ...router.Decision) *stubRouter {
 	m := &stubRouter{
-		places: places, last: last, events: make(chan router.Event, 1000), arrived: make(chan router.Arrive, 100),
+		places: places, last: last, events: make(chan router.Event, 1000), arrived: make(chan router.Arrival, 100),
 		subs: make(chan map[string]*sub, 1),
 	}
 	m.subs <- map[string]*sub{}
 	return m
 }
 
-func (m *stubRouter) Submit(a router.Arrive) <-chan router.Decision {
+func (m *stubRouter) Submit(a router.Arrival) <-chan router.Decision {
 	m.arrived <- a
 	s := &sub{out: make(chan router.Decision, 64), places: m.places}
 	all := <-m.subs
--- a/proxy/shutdownconns_test.go
+++ b/proxy/shutdownconns_test.go
@@ -114,7 +114,7 @@
 	const n = 64
 	for range 5 {
 		m := newStubRouter(deny)
-		m.arrived, m.events = make(chan router.Arrive, 4*n), make(chan router.Event, 16*n)
+		m.arrived, m.events = make(chan router.Arrival, 4*n), make(chan router.Event, 16*n)
 		p, addr := front(t, m, lingering(time.Millisecond), config.Limits{})
 		var users []*user
 		for range n {
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -135,7 +135,7 @@
 		decided("another let go", router.Decision{Verdict: router.Send, AttemptID: "go0"}),
 		decided("called back", router.Decision{Verdict: router.CancelBeforeSend}),
 		decided("denied", router.Decision{Verdict: router.Reject}),
-		decided("no route", router.Decision{Verdict: router.Reject, Bad: true}),
+		decided("no route", router.Decision{Verdict: router.Reject, Invalid: true}),
 		decided("denied as a repeat", router.Decision{Verdict: router.Reject, Repeat: true}),
 		decided("given up", router.Decision{Verdict: router.Unknown}),
 		{"router ends", func(e *Exchange, _ *world) ([]Action, bool) { return e.Closed(), true }},
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -30,7 +30,7 @@
 	events   Events
 }
 
-func (x *transfer) run(a router.Arrive) {
+func (x *transfer) run(a router.Arrival) {
 	in := x.proxy.router.Submit(a)
 	disconnected := x.r.Context().Done()
 	for !x.exchange.Over() {
--- a/router/actions.go
+++ b/router/actions.go
@@ -15,8 +15,8 @@
 	Disconnect
 	// NotifyRouter gives an event to the router.
 	NotifyRouter
-	// PassLine sends a line to the client.
-	PassLine
+	// ForwardLine sends a line to the client.
+	ForwardLine
 	// Finish ends the request with an outcome.
 	Finish
 	// AskWitnessesEarly asks the witnesses early, without a placement.
@@ -39,7 +39,7 @@
 	OutcomeRejected = "denied"
 	OutcomeUnknown  = "unknown"
 	OutcomeRepeat   = "repeat"
-	OutcomeBad      = "bad"
+	OutcomeInvalid  = "bad"
 )
 
 // ConnectionEvent is what happened on a request's connections. AttemptID names the attempt.
@@ -58,14 +58,14 @@
 	Result    AttemptResult
 }
 
-// Replied is the head of the replica's answer; Attempt is the id that it carries back.
-type Replied struct {
-	AttemptID, Attempt string
-	Status             int
+// AnswerHeadRead is the head of the replica's answer; Attempt is the id that it carries back.
+type AnswerHeadRead struct {
+	AttemptID, EchoedAttemptID string
+	Status                     int
 }
 
-// AnswerRead is a line of the replica's answer.
-type AnswerRead struct {
+// AnswerLineRead is a line of the replica's answer.
+type AnswerLineRead struct {
 	AttemptID string
 	Line      AnswerLine
 }
@@ -78,7 +78,7 @@
 
 func (ConnectResult) wire()     {}
 func (WitnessesAnswered) wire() {}
-func (Replied) wire()           {}
-func (AnswerRead) wire()        {}
+func (AnswerHeadRead) wire()    {}
+func (AnswerLineRead) wire()    {}
 func (ConnectionLost) wire()    {}
 func (ClientClosed) wire()      {}
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -10,7 +10,7 @@
 const runningHere = "request is already running here"
 
 // arrive gives a new request to the scheduler, or answers it at once.
-func (r *Router) arrive(now time.Duration, e Arrive) (Decision, bool) {
+func (r *Router) arrive(now time.Duration, e Arrival) (Decision, bool) {
 	if r.snapshot == nil {
 		return e.rejected("no configuration yet", false), true
 	}
@@ -24,7 +24,7 @@
 }
 
 // arriveDirect is for requests of the product's own interface, which name a service and a class.
-func (r *Router) arriveDirect(now time.Duration, e Arrive) (Decision, bool) {
+func (r *Router) arriveDirect(now time.Duration, e Arrival) (Decision, bool) {
 	service, ok := r.services[e.Service]
 	if !ok {
 		return e.bad("no such offer"), true
@@ -47,7 +47,7 @@
 }
 
 // arriveRouted is for requests of routes, which are chosen by host and path. A prefix that cannot be read counts as none.
-func (r *Router) arriveRouted(now time.Duration, e Arrive) (Decision, bool) {
+func (r *Router) arriveRouted(now time.Duration, e Arrival) (Decision, bool) {
 	route := r.matchRoute(e.Host, e.Path)
 	if route == nil {
 		return e.bad("no such route"), true
@@ -78,7 +78,7 @@
 	return d, false
 }
 
-func (r *Router) schedule(now time.Duration, e Arrive, req scheduler.Request, live liveRequest) {
+func (r *Router) schedule(now time.Duration, e Arrival, req scheduler.Request, live liveRequest) {
 	req.Tail, req.ClientTimeout = e.tail(req.Parts), e.Timeout
 	id := r.scheduler.Arrive(now, req)
 	r.requestIDs[e.Request] = id
@@ -86,28 +86,28 @@
 	r.requests[id] = live
 }
 
-func (e Arrive) rejected(why string, repeat bool) Decision {
+func (e Arrival) rejected(why string, repeat bool) Decision {
 	return Decision{Verdict: Reject, Request: e.Request, Reason: why, RetryAfter: time.Second, Repeat: repeat}
 }
 
-func (e Arrive) bad(why string) Decision {
-	return Decision{Verdict: Reject, Request: e.Request, Reason: why, Bad: true}
+func (e Arrival) bad(why string) Decision {
+	return Decision{Verdict: Reject, Request: e.Request, Reason: why, Invalid: true}
 }
 
-func (e Arrive) unauthorized() Decision {
+func (e Arrival) unauthorized() Decision {
 	return Decision{Verdict: Reject, Request: e.Request, Reason: "no tenant has the key", Unauthorized: true}
 }
 
-func (e Arrive) overQuota(after time.Duration) Decision {
+func (e Arrival) overQuota(after time.Duration) Decision {
 	return Decision{Verdict: Reject, Request: e.Request, Reason: overQuota, RetryAfter: after, OverQuota: true}
 }
 
 // tail is how many tokens follow the prefix.
-func (e Arrive) tail(parts []prefixindex.Part) int {
-	if e.Tokens == 0 {
-		return e.Tail
+func (e Arrival) tail(parts []prefixindex.Part) int {
+	if e.PromptTokens == 0 {
+		return e.TailTokens
 	}
-	return max(e.Tokens-prefixindex.Tokens(parts), 0)
+	return max(e.PromptTokens-prefixindex.Tokens(parts), 0)
 }
 
 // AlreadyRan tells why a request that is sent again must not be rejected as not run, or "". The HTTP interface asks before it rejects
--- a/router/chunksequence.go
+++ b/router/chunksequence.go
@@ -25,10 +25,10 @@
 
 // ChunkSequence checks that an answer's lines are those of one attempt at one instance, in order and whole.
 type ChunkSequence struct {
-	AttemptID string
-	Instance  string
-	next      int
-	ended     bool
+	AttemptID  string
+	InstanceID string
+	next       int
+	ended      bool
 }
 
 // Check takes the next line; the error is a *SequenceError.
@@ -39,11 +39,11 @@
 	if l.AttemptID != s.AttemptID {
 		return &SequenceError{Field: "go", Got: strconv.Quote(l.AttemptID), Want: strconv.Quote(s.AttemptID)}
 	}
-	if s.Instance == "" {
-		s.Instance = l.InstanceID
+	if s.InstanceID == "" {
+		s.InstanceID = l.InstanceID
 	}
-	if l.InstanceID == "" || l.InstanceID != s.Instance {
-		return &SequenceError{Field: "instanceId", Got: strconv.Quote(l.InstanceID), Want: strconv.Quote(s.Instance)}
+	if l.InstanceID == "" || l.InstanceID != s.InstanceID {
+		return &SequenceError{Field: "instanceId", Got: strconv.Quote(l.InstanceID), Want: strconv.Quote(s.InstanceID)}
 	}
 	if l.End {
 		return s.end(l)
--- a/router/decision.go
+++ b/router/decision.go
@@ -50,12 +50,12 @@
 	RetryAfter time.Duration `json:"after,omitempty"`
 	// RejectedLate marks a rejection after the request had been placed, or had waited for a quarter of its bound.
 	RejectedLate bool `json:"late,omitempty"`
-	// Confirmed and Predicted are how many tokens of the prompt the replica is held to have cached.
-	Confirmed int `json:"confirmed,omitempty"`
-	Predicted int `json:"predicted,omitempty"`
+	// ConfirmedTokens and Predicted are how many tokens of the prompt the replica is held to have cached.
+	ConfirmedTokens int `json:"confirmed,omitempty"`
+	PredictedTokens int `json:"predicted,omitempty"`
 	// Repeat marks a rejection of a request that was run before, Bad one of a request that cannot be served as it is.
-	Repeat bool `json:"repeat,omitempty"`
-	Bad    bool `json:"bad,omitempty"`
+	Repeat  bool `json:"repeat,omitempty"`
+	Invalid bool `json:"bad,omitempty"`
 	// OverQuota marks a rejection of a request beyond its tenant's quota.
 	OverQuota bool `json:"overQuota,omitempty"`
 	// Unauthorized marks a rejection of a request whose key no tenant has.
--- a/router/decisions.go
+++ b/router/decisions.go
@@ -22,7 +22,7 @@
 func (r *Router) decision(a scheduler.Action) Decision {
 	d := Decision{
 		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Reason: a.Reason, RetryAfter: a.RetryAfter, RejectedLate: a.RejectedLate,
-		Confirmed: a.ConfirmedTokens, Predicted: a.PredictedTokens, OnceOnly: a.OnceOnly, Repeat: a.Repeat, SpareTime: a.SpareTime,
+		ConfirmedTokens: a.ConfirmedTokens, PredictedTokens: a.PredictedTokens, OnceOnly: a.OnceOnly, Repeat: a.Repeat, SpareTime: a.SpareTime,
 		OverQuota: a.Kind == scheduler.Reject && a.Reason == overQuota,
 	}
 	if a.Attempt != 0 {
--- a/router/encoding.go
+++ b/router/encoding.go
@@ -28,11 +28,11 @@
 type encodedWelcome struct{ Self, Domain, Boot string }
 
 func encodeWelcome(w Welcome) encodedWelcome {
-	return encodedWelcome{Self: w.Self, Domain: w.Zone, Boot: w.Boot}
+	return encodedWelcome{Self: w.Self, Domain: w.Zone, Boot: w.BootID}
 }
 
 func decodeWelcome(f encodedWelcome) Welcome {
-	return Welcome{Self: f.Self, Zone: f.Domain, Boot: f.Boot}
+	return Welcome{Self: f.Self, Zone: f.Domain, BootID: f.Boot}
 }
 
 type encodedNumbered struct {
@@ -40,13 +40,13 @@
 	Event any
 }
 
-func encodeNumbered(n Numbered) encodedNumbered {
-	return encodedNumbered{N: n.N, Event: wire.Encode(n.Event)}
+func encodeNumbered(n NumberedEvent) encodedNumbered {
+	return encodedNumbered{N: n.Seq, Event: wire.Encode(n.Event)}
 }
 
-func decodeNumbered(f encodedNumbered) Numbered {
+func decodeNumbered(f encodedNumbered) NumberedEvent {
 	event, _ := wire.Decode(f.Event).(Event)
-	return Numbered{N: f.N, Event: event}
+	return NumberedEvent{Seq: f.N, Event: event}
 }
 
 type encodedSnapshotUpdate struct{ Picture *config.EncodedSnapshot }
@@ -83,14 +83,14 @@
 // EncodeInstance gives the encoded form of an instance.
 func EncodeInstance(i Instance) EncodedInstance {
 	return EncodedInstance{
-		ID: i.ID, Offer: i.Service, Addr: i.Addr, Domain: i.Zone, Model: i.Model, Weights: i.Weights, Room: i.Capacity, Leaving: i.Draining, Cold: i.WarmingUp,
+		ID: i.ID, Offer: i.Service, Addr: i.Addr, Domain: i.Zone, Model: i.Model, Weights: i.Weights, Room: i.Capacity, Leaving: i.Draining, Cold: i.WarmUpRemaining,
 	}
 }
 
 // Decode gives the instance of an encoded form.
 func (f EncodedInstance) Decode() Instance {
 	return Instance{
-		ID: f.ID, Service: f.Offer, Addr: f.Addr, Zone: f.Domain, Model: f.Model, Weights: f.Weights, Capacity: f.Room, Draining: f.Leaving, WarmingUp: f.Cold,
+		ID: f.ID, Service: f.Offer, Addr: f.Addr, Zone: f.Domain, Model: f.Model, Weights: f.Weights, Capacity: f.Room, Draining: f.Leaving, WarmUpRemaining: f.Cold,
 	}
 }
 
@@ -100,9 +100,9 @@
 }
 
 func encodeReplicaList(l ReplicaList) encodedReplicaList {
-	return encodedReplicaList{Rows: wire.Each(l.Rows, EncodeInstance), Age: l.Age}
+	return encodedReplicaList{Rows: wire.Each(l.Instances, EncodeInstance), Age: l.Age}
 }
 
 func decodeReplicaList(f encodedReplicaList) ReplicaList {
-	return ReplicaList{Rows: wire.Each(f.Rows, EncodedInstance.Decode), Age: f.Age}
+	return ReplicaList{Instances: wire.Each(f.Rows, EncodedInstance.Decode), Age: f.Age}
 }
--- a/router/events.go
+++ b/router/events.go
@@ -14,21 +14,21 @@
 // the id of an attempt, "offer" a service, "kind" a class of requests.
 type Event interface{ event() }
 
-// Arrive is a new request.
-type Arrive struct {
+// Arrival is a new request.
+type Arrival struct {
 	Request string `json:"request"`
 	Service string `json:"offer"`
 	Class   string `json:"kind"`
 	// Prefix is the X-Prompt-Prefix header; Tail is how many tokens follow the prefix.
-	Prefix string `json:"prefix"`
-	Tail   int    `json:"tail"`
+	Prefix     string `json:"prefix"`
+	TailTokens int    `json:"tail"`
 
 	// Host and Path choose a route where Service is empty.
 	Host  string `json:"host,omitempty"`
 	Path  string `json:"path,omitempty"`
 	Model string `json:"model,omitempty"`
-	// Tokens is the whole prompt, MaxAnswerTokens the longest answer in tokens; 0: not told.
-	Tokens          int `json:"tokens,omitempty"`
+	// PromptTokens is the whole prompt, MaxAnswerTokens the longest answer in tokens; 0: not told.
+	PromptTokens    int `json:"tokens,omitempty"`
 	MaxAnswerTokens int `json:"most,omitempty"`
 	// Key is the hash of the client's key where HasKey.
 	Key    config.KeyHash `json:"-"`
@@ -55,8 +55,8 @@
 // draining tells whether the replica gets no new requests.
 func (s ListingState) draining() bool { return s == Draining || s == Removed }
 
-// Known tells whether the state is one of the three, or empty.
-func (s ListingState) Known() bool {
+// Valid tells whether the state is one of the three, or empty.
+func (s ListingState) Valid() bool {
 	return s == "" || s == Present || s == Draining || s == Removed
 }
 
@@ -74,18 +74,18 @@
 	Weights  string
 	Capacity int
 	Draining bool
-	// WarmingUp is how much longer it counts as warming up, from the time of reading.
-	WarmingUp time.Duration
+	// WarmUpRemaining is how much longer it counts as warming up, from the time of reading.
+	WarmUpRemaining time.Duration
 }
 
 // ReplicaList is the platform's list of replicas, whole, as read Age ago. Instances that it leaves out are gone.
 type ReplicaList struct {
-	Rows []Instance
-	Age  time.Duration
+	Instances []Instance
+	Age       time.Duration
 }
 
-// Load is what a replica said of itself in an answer.
-type Load struct {
+// ReplicaLoad is what a replica said of itself in an answer.
+type ReplicaLoad struct {
 	Replica                string
 	Running, Queued, Slots int
 }
@@ -208,7 +208,7 @@
 	Unwitnessed AttemptResult = "unvouched"
 )
 
-func (Arrive) event()             {}
+func (Arrival) event()            {}
 func (SnapshotUpdate) event()     {}
 func (Listing) event()            {}
 func (LoadReport) event()         {}
@@ -224,7 +224,7 @@
 func (RanElsewhere) event()       {}
 func (Tick) event()               {}
 func (ReplicaList) event()        {}
-func (Load) event()               {}
+func (ReplicaLoad) event()        {}
 func (Prefill) event()            {}
 func (WrongInstance) event()      {}
 func (Failures) event()           {}
--- a/router/loop.go
+++ b/router/loop.go
@@ -32,8 +32,8 @@
 	QuotaRequests chan quota.Request
 }
 
-// Idle is how long a router loop sleeps at most.
-const Idle = 250 * time.Millisecond
+// MaxLoopSleep is how long a router loop sleeps at most.
+const MaxLoopSleep = 250 * time.Millisecond
 
 // loopQueue is how many events may wait for the loop.
 const loopQueue = 1024
@@ -95,7 +95,7 @@
 // pause is how long the loop may sleep.
 func (l *Loop) pause() time.Duration {
 	now := l.clock()
-	at, known := l.router.Next(now)
+	at, known := l.router.NextTick(now)
 	if !known {
 		return l.every
 	}
@@ -108,7 +108,7 @@
 		close(m.done)
 		return
 	}
-	if e, ok := m.event.(Arrive); ok && !l.subscribe(e, m.decisions) {
+	if e, ok := m.event.(Arrival); ok && !l.subscribe(e, m.decisions) {
 		return
 	}
 	l.deliver(l.router.Step(l.clock(), m.event))
@@ -118,7 +118,7 @@
 }
 
 // subscribe gives a request its channel, or rejects it where its id runs already.
-func (l *Loop) subscribe(e Arrive, decisions chan Decision) bool {
+func (l *Loop) subscribe(e Arrival, decisions chan Decision) bool {
 	if l.subscribers[e.Request] != nil {
 		decisions <- e.rejected(runningHere, true)
 		close(decisions)
@@ -214,7 +214,7 @@
 const decisionBuffer = 64
 
 // Submit gives the channel of a request's decisions; it is closed after the last, and early when nobody reads it.
-func (l *Loop) Submit(a Arrive) <-chan Decision {
+func (l *Loop) Submit(a Arrival) <-chan Decision {
 	sub := make(chan Decision, decisionBuffer)
 	if !l.post(loopMessage{event: a, decisions: sub}) {
 		close(sub)
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -14,7 +14,7 @@
 	r := newRouter(t, replica("d1", "both", "a", 1))
 	tb := &tomb.Tomb{}
 	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
-	decisions := d.Submit(router.Arrive{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", Tail: 5})
+	decisions := d.Submit(router.Arrival{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", TailTokens: 5})
 	first := <-decisions
 	for i := range 200 {
 		d.Notify(router.ReadyToSend{Request: "q", AttemptID: fmt.Sprint("n1.b.", 100+i)})
@@ -23,7 +23,7 @@
 		t.Fatal(first)
 	}
 	running := 0
-	d.Inspect(func(r *router.Router) { running = r.Running() })
+	d.Inspect(func(r *router.Router) { running = r.ActiveRequests() })
 	n := 0
 	for range decisions {
 		n++
@@ -41,7 +41,7 @@
 	r, tb := routed(routes(1, route("k", "/", all("a")))), &tomb.Tomb{}
 	start := time.Now()
 	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime + time.Since(start) }, time.Hour)
-	decisions := d.Submit(router.Arrive{Request: "q", Host: "h.example", Path: "/x"})
+	decisions := d.Submit(router.Arrival{Request: "q", Host: "h.example", Path: "/x"})
 	select {
 	case x := <-decisions:
 		if x.Verdict != router.Reject || x.RejectedLate || time.Since(start) < 100*time.Millisecond {
@@ -62,7 +62,7 @@
 	announced := make(chan router.Prefill, 8)
 	d.OnPrefill(func(p router.Prefill) { announced <- p })
 	ask := func(id string, tokens int) string {
-		return (<-d.Submit(router.Arrive{Request: id, Host: "h.example", Path: "/x", Tokens: tokens})).Replica
+		return (<-d.Submit(router.Arrival{Request: id, Host: "h.example", Path: "/x", PromptTokens: tokens})).Replica
 	}
 	ask("short", 100)
 	first := ask("long", 20000)
@@ -93,7 +93,7 @@
 		tb.Kill(nil)
 		_ = tb.Wait()
 		select {
-		case <-loop.Submit(router.Arrive{Request: "q"}):
+		case <-loop.Submit(router.Arrival{Request: "q"}):
 		case <-time.After(time.Second):
 			t.Fatal("a request waits though the loop has ended")
 		}
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -57,7 +57,7 @@
 
 	_, requests = ready(t, r, convergeTime, "s2", "/a/x", "k1")
 	d := final(t, decided(r, convergeTime, quota.Outcome{ID: requests[0].ID, RetryAfter: 300 * time.Millisecond, EmptyFor: 200 * time.Millisecond}), router.Reject)
-	if !d.OverQuota || d.RetryAfter != 300*time.Millisecond || d.Bad || d.Unauthorized {
+	if !d.OverQuota || d.RetryAfter != 300*time.Millisecond || d.Invalid || d.Unauthorized {
 		t.Errorf("%+v", d)
 	}
 	if d := one(t, keyed(r, "s3", "/a/x", "k1"), router.Reject); !d.OverQuota || d.RetryAfter != 200*time.Millisecond {
--- a/router/quotas.go
+++ b/router/quotas.go
@@ -68,11 +68,11 @@
 	g.requests = append(g.requests, quota.Request{ID: g.next, Tenant: live.tenant.Name, Cost: live.cost})
 }
 
-func costOf(tenant *config.Tenant, e *Arrive) float64 {
+func costOf(tenant *config.Tenant, e *Arrival) float64 {
 	if tenant == nil {
 		return 0
 	}
-	return tenant.Cost(e.Tokens + e.MaxAnswerTokens)
+	return tenant.Cost(e.PromptTokens + e.MaxAnswerTokens)
 }
 
 // TakeQuotaRequests gives the requests for quotas that owners are to be asked for.
--- a/router/replicalist.go
+++ b/router/replicalist.go
@@ -29,7 +29,7 @@
 		return
 	}
 	discovered := r.unlistDiscovered()
-	for _, row := range r.replicaList.Rows {
+	for _, row := range r.replicaList.Instances {
 		if o := discovered[row.Service]; o != nil {
 			r.applyInstance(now, row, o)
 		}
@@ -79,8 +79,8 @@
 		id = r.replicaRow(now, listed.ID, o.KeepTokens)
 	}
 	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
-	warmup, before := listed.WarmingUp, entry.listedAs
-	listed.WarmingUp = 0
+	warmup, before := listed.WarmUpRemaining, entry.listedAs
+	listed.WarmUpRemaining = 0
 	if !known || entry.removedSince > 0 || before != listed {
 		row.Up = true
 	}
--- a/router/reports.go
+++ b/router/reports.go
@@ -11,7 +11,7 @@
 	switch e := ev.(type) {
 	case LoadReport:
 		r.withReplica(e.Replica, func(id int) { r.reportLoad(now, id, e) })
-	case Load:
+	case ReplicaLoad:
 		r.withReplica(e.Replica, func(id int) { r.scheduler.ReportLocalLoad(now, id, e.Running+e.Queued) })
 	case Prefill:
 		if e.Tokens > 0 {
--- a/router/requestflow.go
+++ b/router/requestflow.go
@@ -45,8 +45,8 @@
 	p.emit(Action{Kind: NotifyRouter, Event: AttemptEnded{Request: p.Request, AttemptID: p.placement.AttemptID, Result: how}})
 }
 
-// Decided takes a decision of the router on this request.
-func (p *RequestFlow) Decided(d Decision) []Action {
+// OnDecision takes a decision of the router on this request.
+func (p *RequestFlow) OnDecision(d Decision) []Action {
 	if p.over || (p.connected && d.AttemptID != "" && d.AttemptID != p.placement.AttemptID && d.Verdict != Place) {
 		return nil
 	}
@@ -88,14 +88,14 @@
 		return OutcomeUnknown
 	case d.Repeat:
 		return OutcomeRepeat
-	case d.Bad:
-		return OutcomeBad
+	case d.Invalid:
+		return OutcomeInvalid
 	}
 	return OutcomeRejected
 }
 
-// Happened takes what happened on a connection; what concerns an earlier attempt is dropped.
-func (p *RequestFlow) Happened(w ConnectionEvent) []Action {
+// OnConnectionEvent takes what happened on a connection; what concerns an earlier attempt is dropped.
+func (p *RequestFlow) OnConnectionEvent(w ConnectionEvent) []Action {
 	if p.over {
 		return nil
 	}
@@ -108,9 +108,9 @@
 		p.connectionOpened(e)
 	case WitnessesAnswered:
 		p.witnessesAnswered(e)
-	case Replied:
+	case AnswerHeadRead:
 		p.answerHead(e)
-	case AnswerRead:
+	case AnswerLineRead:
 		p.answerLine(e)
 	case ConnectionLost:
 		if p.isCurrent(e.AttemptID) {
@@ -148,10 +148,10 @@
 	}
 }
 
-func (p *RequestFlow) answerHead(e Replied) {
+func (p *RequestFlow) answerHead(e AnswerHeadRead) {
 	switch {
 	case !p.isCurrent(e.AttemptID):
-	case e.Attempt != e.AttemptID:
+	case e.EchoedAttemptID != e.AttemptID:
 		p.endAttempt(Failed)
 	case e.Status == http.StatusTooManyRequests:
 		p.endAttempt(Refused)
@@ -160,7 +160,7 @@
 	}
 }
 
-func (p *RequestFlow) answerLine(e AnswerRead) {
+func (p *RequestFlow) answerLine(e AnswerLineRead) {
 	if !p.isCurrent(e.AttemptID) {
 		return
 	}
@@ -181,7 +181,7 @@
 	}
 	l := e.Line
 	l.Request = p.Request
-	p.emit(Action{Kind: PassLine, Placement: p.placement, Line: l})
+	p.emit(Action{Kind: ForwardLine, Placement: p.placement, Line: l})
 	if p.chunks.Ended() {
 		p.endAttempt(Completed)
 	}
--- a/router/route_test.go
+++ b/router/route_test.go
@@ -37,7 +37,7 @@
 
 func routed(p *config.Snapshot, rows ...router.Instance) *router.Router {
 	r := router.New(router.Defaults("n1", "b", "a"))
-	r.Step(0, router.ReplicaList{Rows: rows})
+	r.Step(0, router.ReplicaList{Instances: rows})
 	r.Step(0, router.SnapshotUpdate{Snapshot: p})
 	r.Step(0, router.Routers{Names: []string{"n1"}, Zones: []string{"a"}})
 	r.Step(convergeTime, router.ControlStatus{})
@@ -46,7 +46,7 @@
 
 func get(r *router.Router, now time.Duration, id, path string) []router.Decision {
 	r.Step(now, router.ControlStatus{})
-	return r.Step(now, router.Arrive{Request: id, Host: "h.example:80", Path: path, Prefix: "ab:300,cd:100", Tokens: 500})
+	return r.Step(now, router.Arrival{Request: id, Host: "h.example:80", Path: path, Prefix: "ab:300,cd:100", PromptTokens: 500})
 }
 
 func one(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
@@ -68,7 +68,7 @@
 		t.Errorf("%+v", d)
 	}
 	for _, path := range []string{"/", "/b/", "/a"} {
-		if d = one(t, get(r, convergeTime, "q3", path), router.Reject); !d.Bad {
+		if d = one(t, get(r, convergeTime, "q3", path), router.Reject); !d.Invalid {
 			t.Errorf("%s: %+v", path, d)
 		}
 	}
@@ -94,7 +94,7 @@
 		t.Fatalf("%+v", ds)
 	}
 	d := one(t, r.Step(convergeTime+time.Millisecond, router.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", all("a")))}), router.Reject)
-	if d.Bad || d.RejectedLate {
+	if d.Invalid || d.RejectedLate {
 		t.Errorf("%+v", d)
 	}
 }
@@ -106,33 +106,33 @@
 	r.Step(convergeTime, router.AnswerHead{Request: "q1", AttemptID: d.AttemptID})
 	r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
 	at := convergeTime + 100*time.Millisecond
-	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.Confirmed != 400 {
+	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.ConfirmedTokens != 400 {
 		t.Errorf("kept parts: %+v", d)
 	}
 	newer := row("i1", "a")
 	newer.Weights = "2"
-	r.Step(at, router.ReplicaList{Rows: []router.Instance{newer}})
-	if d = one(t, get(r, at, "q3", "/x"), router.Place); d.Confirmed+d.Predicted != 0 {
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{newer}})
+	if d = one(t, get(r, at, "q3", "/x"), router.Place); d.ConfirmedTokens+d.PredictedTokens != 0 {
 		t.Errorf("kept parts of other weights: %+v", d)
 	}
-	r.Step(at, router.ReplicaList{Rows: []router.Instance{row("i0", "a")}, Age: time.Second})
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{row("i0", "a")}, Age: time.Second})
 	if d = one(t, get(r, at, "q4", "/x"), router.Place); d.Instance != "i1" {
 		t.Errorf("an older roster came into force: %+v", d)
 	}
 	leaving := newer
 	leaving.Draining = true
-	r.Step(at, router.ReplicaList{Rows: []router.Instance{leaving, row("i2", "a")}})
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, row("i2", "a")}})
 	for i := range 4 {
 		if d = one(t, get(r, at, fmt.Sprint("l", i), "/x"), router.Place); d.Instance != "i2" {
 			t.Errorf("placed on one that is leaving: %+v", d)
 		}
 	}
 	r.Step(at, router.WrongInstance{Replica: "i2"})
-	r.Step(at, router.ReplicaList{Rows: []router.Instance{leaving, row("i2", "a")}})
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, row("i2", "a")}})
 	if ds := get(r, at, "q5", "/x"); len(ds) != 0 {
 		t.Errorf("placed where another instance answers: %+v", ds)
 	}
-	d = one(t, r.Step(at, router.ReplicaList{Rows: []router.Instance{row("i3", "a")}}), router.Place)
+	d = one(t, r.Step(at, router.ReplicaList{Instances: []router.Instance{row("i3", "a")}}), router.Place)
 	if d.Instance != "i3" || d.Request != "q5" {
 		t.Errorf("%+v", d)
 	}
@@ -142,7 +142,7 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i0", "a"))
 	for i := range 50 {
 		at := convergeTime + time.Duration(i)*20*time.Second
-		r.Step(at, router.ReplicaList{Rows: []router.Instance{row(fmt.Sprint("i", i), "a")}})
+		r.Step(at, router.ReplicaList{Instances: []router.Instance{row(fmt.Sprint("i", i), "a")}})
 		if d := one(t, get(r, at, fmt.Sprint("q", i), "/x"), router.Place); d.Instance != fmt.Sprint("i", i) {
 			t.Fatalf("%d: %+v", i, d)
 		}
@@ -213,10 +213,10 @@
 
 func TestRoundRobinTakesReplicasInTurn(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a"))
-	r.RoundRobin()
+	r.UseRoundRobin()
 	at := map[string]int{}
 	for i := range 4 {
-		ds := r.Step(convergeTime, router.Arrive{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", Tokens: 3100})
+		ds := r.Step(convergeTime, router.Arrival{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", PromptTokens: 3100})
 		at[one(t, ds, router.Place).Replica]++
 	}
 	if at["i1"] != 2 || at["i2"] != 2 {
--- a/router/router.go
+++ b/router/router.go
@@ -12,18 +12,18 @@
 type Config struct {
 	// Self is the router's name, unique in the fleet; Boot is new at each start, so that attempt ids never return; Zone is where it runs.
 	Self      string
-	Boot      string
+	BootID    string
 	Zone      string
 	Scheduler scheduler.Config
-	// RememberSentFor and RememberSentMax bound the memory of requests that were sent, in time and number.
-	RememberSentFor time.Duration
-	RememberSentMax int
+	// SentRequestTTL and RememberSentMax bound the memory of requests that were sent, in time and number.
+	SentRequestTTL  time.Duration
+	MaxSentRequests int
 }
 
 // Defaults are the constants that production nodes use.
 func Defaults(self, boot, zone string) Config {
 	return Config{
-		Self: self, Boot: boot, Zone: zone, Scheduler: scheduler.Defaults(self, zone), RememberSentFor: 10 * time.Minute, RememberSentMax: 100000,
+		Self: self, BootID: boot, Zone: zone, Scheduler: scheduler.Defaults(self, zone), SentRequestTTL: 10 * time.Minute, MaxSentRequests: 100000,
 	}
 }
 
@@ -90,8 +90,8 @@
 func New(cfg Config) *Router {
 	return &Router{
 		cfg: cfg, scheduler: scheduler.New(cfg.Scheduler), services: map[string]int{}, replicaIDs: map[string]int{},
-		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newRequestMemory(cfg.RememberSentFor, cfg.RememberSentMax),
-		attemptPrefix: cfg.Self + "." + cfg.Boot + ".", quotas: newQuotaGate(),
+		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newRequestMemory(cfg.SentRequestTTL, cfg.MaxSentRequests),
+		attemptPrefix: cfg.Self + "." + cfg.BootID + ".", quotas: newQuotaGate(),
 	}
 }
 
@@ -117,16 +117,16 @@
 // NotServing tells why nothing may be served now, or "".
 func (r *Router) NotServing(now time.Duration) string { return r.scheduler.NotServing(now) }
 
-// Ready tells why requests should be sent elsewhere, or "".
-func (r *Router) Ready(now time.Duration) string {
+// NotReady tells why requests should be sent elsewhere, or "".
+func (r *Router) NotReady(now time.Duration) string {
 	if why := r.scheduler.NotServing(now); why != "" {
 		return why
 	}
 	return r.scheduler.NoCapacity(now)
 }
 
-// Trusts names the instance that the replica is held to be, or "" while it is down or may have restarted.
-func (r *Router) Trusts(replica string) string {
+// TrustedInstance names the instance that the replica is held to be, or "" while it is down or may have restarted.
+func (r *Router) TrustedInstance(replica string) string {
 	id, ok := r.replicaIDs[replica]
 	if !ok || !r.scheduler.Replicas[id].Up || r.scheduler.Replicas[id].SuspectSince > 0 {
 		return ""
@@ -134,17 +134,17 @@
 	return r.replicas[id].instance
 }
 
-// Next is when the router needs the time again without an event, if ever.
-func (r *Router) Next(now time.Duration) (time.Duration, bool) { return r.scheduler.Next(now) }
+// NextTick is when the router needs the time again without an event, if ever.
+func (r *Router) NextTick(now time.Duration) (time.Duration, bool) { return r.scheduler.Next(now) }
 
-// Running counts requests that are not ended.
-func (r *Router) Running() int { return len(r.requestIDs) }
+// ActiveRequests counts requests that are not ended.
+func (r *Router) ActiveRequests() int { return len(r.requestIDs) }
 
-// Unsent counts requests whose current attempt has not been sent; a node that stops waits for these.
-func (r *Router) Unsent() int { return r.scheduler.Unsent() }
+// UnsentRequests counts requests whose current attempt has not been sent; a node that stops waits for these.
+func (r *Router) UnsentRequests() int { return r.scheduler.Unsent() }
 
-// IndexOff has the prefix index find nothing from now on, for comparisons.
-func (r *Router) IndexOff() { r.scheduler.Index.Off = true }
+// DisableIndex has the prefix index find nothing from now on, for comparisons.
+func (r *Router) DisableIndex() { r.scheduler.Index.Off = true }
 
-// RoundRobin places requests in turn wherever there is room, for comparisons.
-func (r *Router) RoundRobin() { r.scheduler.RoundRobin() }
+// UseRoundRobin places requests in turn wherever there is room, for comparisons.
+func (r *Router) UseRoundRobin() { r.scheduler.RoundRobin() }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -38,7 +38,7 @@
 
 func loopMessage(t *testing.T, r *router.Router, now time.Duration, id string) router.Decision {
 	t.Helper()
-	ds := r.Step(now, router.Arrive{Request: id, Service: "o", Class: "k", Prefix: "sys/4000", Tail: 5})
+	ds := r.Step(now, router.Arrival{Request: id, Service: "o", Class: "k", Prefix: "sys/4000", TailTokens: 5})
 	if len(ds) != 1 || ds[0].Verdict != router.Place {
 		t.Fatalf("%+v", ds)
 	}
@@ -54,15 +54,15 @@
 func TestSplitRolesKeepHoldingsAtThePrefillReplica(t *testing.T) {
 	r := newRouter(t, replica("p1", "prefill", "a", 1)+","+replica("p2", "prefill", "a", 2)+","+replica("d1", "decode", "a", 3)+","+replica("d2", "decode", "a", 4))
 	one := loopMessage(t, r, convergeTime, "q1")
-	if one.Prefill == "" || one.Replica[0] != 'd' || one.Confirmed+one.Predicted != 0 {
+	if one.Prefill == "" || one.Replica[0] != 'd' || one.ConfirmedTokens+one.PredictedTokens != 0 {
 		t.Fatalf("%+v", one)
 	}
 	two := loopMessage(t, r, convergeTime+50*time.Millisecond, "q2")
-	if two.Prefill != one.Prefill || two.Predicted != 4000 || two.Confirmed != 0 {
+	if two.Prefill != one.Prefill || two.PredictedTokens != 4000 || two.ConfirmedTokens != 0 {
 		t.Errorf("in the gap: %+v", two)
 	}
 	answer(r, convergeTime+100*time.Millisecond, one)
-	if three := loopMessage(t, r, convergeTime+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.Confirmed != 4000 {
+	if three := loopMessage(t, r, convergeTime+150*time.Millisecond, "q3"); three.Prefill != one.Prefill || three.ConfirmedTokens != 4000 {
 		t.Errorf("after the answer: %+v", three)
 	}
 }
@@ -83,7 +83,7 @@
 
 func TestRouterWithoutSnapshotRejects(t *testing.T) {
 	r := newRouter(t, replica("p1", "both", "a", 1))
-	ds := r.Step(convergeTime+2*time.Second, router.Arrive{Request: "q1", Service: "o", Class: "k"})
+	ds := r.Step(convergeTime+2*time.Second, router.Arrival{Request: "q1", Service: "o", Class: "k"})
 	if len(ds) != 1 || ds[0].Verdict != router.Reject || ds[0].RetryAfter < time.Second {
 		t.Errorf("%+v", ds)
 	}
@@ -92,11 +92,11 @@
 func TestNewInstanceHoldsNoPrefixes(t *testing.T) {
 	r := newRouter(t, replica("p1", "both", "a", 1))
 	answer(r, convergeTime+100*time.Millisecond, loopMessage(t, r, convergeTime, "q1"))
-	if d := loopMessage(t, r, convergeTime+200*time.Millisecond, "q2"); d.Confirmed != 4000 {
+	if d := loopMessage(t, r, convergeTime+200*time.Millisecond, "q2"); d.ConfirmedTokens != 4000 {
 		t.Fatalf("%+v", d)
 	}
 	r.Step(convergeTime+300*time.Millisecond, router.LoadReport{Replica: "p1", InstanceID: "p1.2"})
-	if d := loopMessage(t, r, convergeTime+400*time.Millisecond, "q3"); d.Confirmed+d.Predicted != 0 {
+	if d := loopMessage(t, r, convergeTime+400*time.Millisecond, "q3"); d.ConfirmedTokens+d.PredictedTokens != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/router/step.go
+++ b/router/step.go
@@ -10,7 +10,7 @@
 // Step takes the time and one event and gives the decisions that follow from both, in order.
 func (r *Router) Step(now time.Duration, ev Event) []Decision {
 	switch e := ev.(type) {
-	case Arrive:
+	case Arrival:
 		if d, answered := r.arrive(now, e); answered {
 			return []Decision{d}
 		}
--- a/router/tenants.go
+++ b/router/tenants.go
@@ -19,7 +19,7 @@
 }
 
 // authorize gives the tenant of a request, nil where it needs none, and whether the route takes the request.
-func (r *Router) authorize(e *Arrive, route *config.Route) (*config.Tenant, bool) {
+func (r *Router) authorize(e *Arrival, route *config.Route) (*config.Tenant, bool) {
 	var tenant *config.Tenant
 	if e.HasKey {
 		tenant = r.tenantsByKey[e.Key]
--- a/router/tenants_test.go
+++ b/router/tenants_test.go
@@ -11,7 +11,7 @@
 // keyed asks on a path with a key, or without one.
 func keyed(r *router.Router, id, path, key string) []router.Decision {
 	r.Step(convergeTime, router.ControlStatus{})
-	a := router.Arrive{Request: id, Host: "h.example", Path: path, Tokens: 500}
+	a := router.Arrival{Request: id, Host: "h.example", Path: path, PromptTokens: 500}
 	if key != "" {
 		a.Key, a.HasKey = config.HashKey(key), true
 	}
@@ -52,7 +52,7 @@
 	} {
 		id := c.path + c.key
 		if c.refused {
-			if d := one(t, keyed(r, id, c.path, c.key), router.Reject); !d.Unauthorized || d.Bad {
+			if d := one(t, keyed(r, id, c.path, c.key), router.Reject); !d.Unauthorized || d.Invalid {
 				t.Errorf("%s: %+v", id, d)
 			}
 			continue
@@ -62,7 +62,7 @@
 		}
 		r.Step(convergeTime, router.ClientDisconnected{Request: id})
 	}
-	if d := one(t, keyed(r, "lost", "/nowhere", "k1"), router.Reject); !d.Bad || d.Unauthorized {
+	if d := one(t, keyed(r, "lost", "/nowhere", "k1"), router.Reject); !d.Invalid || d.Unauthorized {
 		t.Errorf("no route: %+v", d)
 	}
 }
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -65,8 +65,8 @@
 				return
 			}
 			n.asks[a.Request] = f
-			n.decide(n.router.Step(n.local(), router.Arrive{
-				Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens,
+			n.decide(n.router.Step(n.local(), router.Arrival{
+				Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens,
 			}))
 		})
 	})
@@ -120,7 +120,7 @@
 			n.step(control.Prefills{Rows: []router.Prefill{{Replica: d.Replica, Tokens: d.UnreadTokens}}})
 		}
 		if f := n.asks[d.Request]; f != nil {
-			f.do(f.flow.Decided(d))
+			f.do(f.flow.OnDecision(d))
 		}
 		if t := n.requests[d.Request]; t != nil {
 			t.decided(d)
@@ -146,7 +146,7 @@
 			f.drop()
 		case router.NotifyRouter:
 			next = append(next, f.n.router.Step(f.n.local(), m.Event)...)
-		case router.PassLine:
+		case router.ForwardLine:
 			f.pass(m.Line)
 		case router.Finish:
 			delete(f.n.asks, f.ask.Request)
@@ -174,7 +174,7 @@
 	f := c.request
 	f.n.live(func() {
 		if f.conn == c && !f.over {
-			f.do(f.flow.Happened(in))
+			f.do(f.flow.OnConnectionEvent(in))
 		}
 	})
 }
@@ -190,8 +190,8 @@
 	c := &fleetConn{request: f, replica: r, place: d, open: true}
 	f.conn = c
 	w.Audit.placed(f, c)
-	w.Report.Predicted += uint64(d.Predicted)
-	w.Report.Confirmed += uint64(d.Confirmed)
+	w.Report.Predicted += uint64(d.PredictedTokens)
+	w.Report.Confirmed += uint64(d.ConfirmedTokens)
 	if c.partitioned() {
 		f.n.later(dialFor, func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID}) })
 		return
@@ -203,7 +203,7 @@
 	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
 			if !f.over && f.n.asks[f.ask.Request] == f {
-				f.do(f.flow.Happened(router.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
+				f.do(f.flow.OnConnectionEvent(router.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
 			}
 		})
 	})
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -122,9 +122,9 @@
 	}
 }
 
-func (i *Instance) load() *router.Load {
+func (i *Instance) load() *router.ReplicaLoad {
 	running, queued, slots := i.engine.Load()
-	return &router.Load{Replica: i.ID, Running: running, Queued: queued, Slots: slots}
+	return &router.ReplicaLoad{Replica: i.ID, Running: running, Queued: queued, Slots: slots}
 }
 
 func (i *Instance) head(r *sentRequest, status int) *head {
@@ -178,7 +178,7 @@
 		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
 	}
 	if i.warmupUntil > 0 && i.warmupFrom <= at {
-		r.WarmingUp = max(i.warmupUntil-at, 0)
+		r.WarmUpRemaining = max(i.warmupUntil-at, 0)
 	}
 	return r
 }
--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -86,7 +86,7 @@
 	n.h.S.Meter.Stepped(n, ev, n.h.S.Clock()-start)
 	for _, d := range ds {
 		if g := n.asks[d.Request]; g != nil {
-			n.perform(g, g.flow.Decided(d))
+			n.perform(g, g.flow.OnDecision(d))
 		}
 	}
 }
@@ -167,7 +167,7 @@
 func (n *Node) submit(a workload.Request) {
 	g := &request{ask: a, at: n.h.Now, flow: router.RequestFlow{Request: a.Request}}
 	n.asks[a.Request] = g
-	n.event(router.Arrive{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, Tail: a.TailTokens})
+	n.event(router.Arrival{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens})
 }
 
 func (n *Node) perform(g *request, actions []router.Action) {
@@ -196,7 +196,7 @@
 }
 
 func (n *Node) happened(g *request, w router.ConnectionEvent) {
-	n.perform(g, g.flow.Happened(w))
+	n.perform(g, g.flow.OnConnectionEvent(w))
 }
 
 func (n *Node) back(g *request, at time.Duration, w router.ConnectionEvent) {
@@ -209,18 +209,18 @@
 	parts, _ := prefixindex.Parse(shape.Prompt, g.ask.Prefix)
 	plan, ok := r.Admit(n.h.Now, id, parts, g.ask.TailTokens)
 	if !ok {
-		n.back(g, n.h.Now, router.Replied{AttemptID: id, Attempt: id, Status: http.StatusTooManyRequests})
+		n.back(g, n.h.Now, router.AnswerHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusTooManyRequests})
 		return
 	}
 	at := n.h.Now + plan.First
-	n.back(g, at, router.Replied{AttemptID: id, Attempt: id, Status: http.StatusOK})
+	n.back(g, at, router.AnswerHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusOK})
 	n.h.Firsts = append(n.h.Firsts, at-g.at)
 	for i := range plan.Chunks {
 		text := ledger.ChunkText(g.ask.Request, id, i)
-		n.back(g, at+time.Duration(i)*plan.Every, router.AnswerRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
+		n.back(g, at+time.Duration(i)*plan.Every, router.AnswerLineRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
 	end := at + time.Duration(plan.Chunks-1)*plan.Every
-	n.back(g, end, router.AnswerRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
+	n.back(g, end, router.AnswerLineRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
 	n.h.At(end, func() { r.Release(n.h.Now, id) })
 }
 
--- a/sim/measure.go
+++ b/sim/measure.go
@@ -92,9 +92,9 @@
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	from := w.Now
 	w.isolate([]*Node{n}, 6*time.Second, true, false)
-	g.read("cut off: it denies", w, from, func() bool { return n.router.Ready(n.local()) != "" })
+	g.read("cut off: it denies", w, from, func() bool { return n.router.NotReady(n.local()) != "" })
 	w.Run(from + 6*time.Second)
-	g.read("cut healed: it serves", w, w.Now, func() bool { return n.router.Ready(n.local()) == "" })
+	g.read("cut healed: it serves", w, w.Now, func() bool { return n.router.NotReady(n.local()) == "" })
 }
 
 func (g *measurement) wakes() {
@@ -104,7 +104,7 @@
 	w.Run(w.Now + 6*time.Second)
 	n.thaw()
 	w.Run(w.Now + 100*time.Millisecond)
-	g.read("woken: it serves", w, w.Now-100*time.Millisecond, func() bool { return n.router.Ready(n.local()) == "" })
+	g.read("woken: it serves", w, w.Now-100*time.Millisecond, func() bool { return n.router.NotReady(n.local()) == "" })
 }
 
 func (g *measurement) orders() {
@@ -148,13 +148,13 @@
 	old := r.model.Instance
 	r.crash()
 	from := w.Now
-	doubts := func(o *Node) bool { return o.router.Trusts(r.Name) != old }
+	doubts := func(o *Node) bool { return o.router.TrustedInstance(r.Name) != old }
 	g.read("replica crashed: all nodes see it", w, from, func() bool { return w.others(nil, true, doubts) })
 	w.Run(w.Now + time.Second)
 	from = w.Now
 	r.start(w.Now)
 	g.read("replica is back: all nodes see it", w, from, func() bool {
-		return w.others(nil, true, func(o *Node) bool { return o.router.Trusts(r.Name) == r.model.Instance })
+		return w.others(nil, true, func(o *Node) bool { return o.router.TrustedInstance(r.Name) == r.model.Instance })
 	})
 }
 
@@ -171,7 +171,7 @@
 	for _, n := range w.Nodes {
 		w.After(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
 	}
-	ready := func(n *Node) bool { return n.router.Ready(n.local()) == "" }
+	ready := func(n *Node) bool { return n.router.NotReady(n.local()) == "" }
 	g.read("full stop: first node serves", w, from, func() bool { return w.others(nil, false, ready) })
 	g.read("full stop: all nodes serve", w, from, func() bool { return w.Now > from+time.Second && w.others(nil, true, ready) })
 }
--- a/sim/node.go
+++ b/sim/node.go
@@ -114,7 +114,7 @@
 	rc.Scheduler.RoundRobin = w.S.RoundRob
 	n.router = router.New(rc)
 	if w.S.IndexOff || w.S.RoundRob {
-		n.router.IndexOff()
+		n.router.DisableIndex()
 	}
 	w.Say("%s starts", n.Name)
 	n.startTicking()
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -62,10 +62,10 @@
 			sure += c.tokens[i]
 		}
 	}
-	if c.decision.Confirmed > sure {
-		a.breach(Unproved, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, c.decision.Confirmed, sure, c.decision.Replica))
+	if c.decision.ConfirmedTokens > sure {
+		a.breach(Unproved, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, c.decision.ConfirmedTokens, sure, c.decision.Replica))
 	}
-	if counted := c.decision.Confirmed + c.decision.Predicted; counted > all {
+	if counted := c.decision.ConfirmedTokens + c.decision.PredictedTokens; counted > all {
 		a.breach(StalePrediction, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, counted, all, c.decision.Replica))
 	}
 	_, t := c.node.router.IndexStats()
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -60,9 +60,9 @@
 	t.deadline = n.w.Now + c.timeout
 	n.requests[name] = t
 	q := c.request
-	a := router.Arrive{Request: name, Host: siteHost, Path: c.path, Timeout: c.timeout}
+	a := router.Arrival{Request: name, Host: siteHost, Path: c.path, Timeout: c.timeout}
 	if q.class.Streaming {
-		a.Prefix, a.Model, a.Tokens, a.MaxAnswerTokens = q.prefix, shape.Prompt, q.prompt, q.events*s.stride(q.class.Service)
+		a.Prefix, a.Model, a.PromptTokens, a.MaxAnswerTokens = q.prefix, shape.Prompt, q.prompt, q.events*s.stride(q.class.Service)
 	}
 	n.decide(n.turn(a))
 	return t
--- a/sim/report.go
+++ b/sim/report.go
@@ -153,7 +153,7 @@
 func (w *World) await(from time.Duration, then func()) {
 	ready := 0
 	for _, n := range w.Nodes {
-		if n.Alive && n.router.Ready(n.local()) == "" {
+		if n.Alive && n.router.NotReady(n.local()) == "" {
 			ready++
 		}
 	}
--- a/sim/site.go
+++ b/sim/site.go
@@ -112,7 +112,7 @@
 		}
 		all = append(all, n)
 		s.misses[n.Name]++
-		if n.Alive && !n.frozen && !n.shuttingDown && n.router.Ready(n.local()) == "" {
+		if n.Alive && !n.frozen && !n.shuttingDown && n.router.NotReady(n.local()) == "" {
 			s.misses[n.Name] = 0
 		}
 		if s.misses[n.Name] < 2 {
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -41,7 +41,7 @@
 const refusedAfter = 10 * time.Millisecond
 
 func (n *Node) open(from time.Duration) {
-	if n.router.Ready(n.local()) != "" && n.w.Now-from < openWithin {
+	if n.router.NotReady(n.local()) != "" && n.w.Now-from < openWithin {
 		n.later(openPoll, func() { n.open(from) })
 		return
 	}
@@ -67,8 +67,8 @@
 }
 
 func (n *Node) arm() {
-	wait := router.Idle
-	if at, known := n.router.Next(n.local()); known {
+	wait := router.MaxLoopSleep
+	if at, known := n.router.NextTick(n.local()); known {
 		wait = min(max(at-n.local(), time.Millisecond), wait)
 	}
 	at := n.w.Now + wait
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -34,8 +34,8 @@
 }
 
 func (r *SiteReport) take(d *router.Decision) {
-	r.Confirmed += d.Confirmed
-	r.Predicted += d.Predicted
+	r.Confirmed += d.ConfirmedTokens
+	r.Predicted += d.PredictedTokens
 }
 
 func (s *site) tallied(i *Instance) {
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -30,7 +30,7 @@
 	stream   bool
 	notRun   bool
 	shut     bool
-	load     *router.Load
+	load     *router.ReplicaLoad
 }
 
 // A packet is a piece of an answer: head, data, its end, or what is none.
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -32,7 +32,7 @@
 		if !ok {
 			r.record("refused", f.ask.Request, c.place.AttemptID, 0)
 			c.back(func() {
-				c.happened(router.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusTooManyRequests})
+				c.happened(router.AnswerHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusTooManyRequests})
 			})
 			return
 		}
@@ -83,7 +83,7 @@
 	}
 	if i == 0 {
 		c.back(func() {
-			c.happened(router.Replied{AttemptID: c.place.AttemptID, Attempt: c.place.AttemptID, Status: http.StatusOK})
+			c.happened(router.AnswerHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusOK})
 		})
 	}
 	l := router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.Request, c.place.AttemptID, i)}
@@ -105,7 +105,7 @@
 		if l.Chunk != nil && *l.Chunk == 0 {
 			c.request.w.Audit.proved(c, l.InstanceID)
 		}
-		c.happened(router.AnswerRead{AttemptID: c.place.AttemptID, Line: l})
+		c.happened(router.AnswerLineRead{AttemptID: c.place.AttemptID, Line: l})
 	})
 }
 
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -30,10 +30,10 @@
 		switch {
 		case !n.Alive:
 			n.start()
-		case !n.shuttingDown && n.router.Ready(n.local()) == "":
+		case !n.shuttingDown && n.router.NotReady(n.local()) == "":
 			w.After(listLag, func() { w.upgrade(ns[1:]) })
 			return
-		case n.rejecting && !departed && (n.router.Unsent() == 0 || w.Now-from > retire+letGo):
+		case n.rejecting && !departed && (n.router.UnsentRequests() == 0 || w.Now-from > retire+letGo):
 			departed = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
 		case n.rejecting && departed && (len(n.asks) == 0 || w.Now-from > drainMost):
--- a/sim/world.go
+++ b/sim/world.go
@@ -154,7 +154,7 @@
 func (w *World) platform() {
 	w.ready = map[string][]*Node{}
 	for _, n := range w.Nodes {
-		if n.Alive && !n.frozen && !n.shuttingDown && n.router.Ready(n.local()) == "" {
+		if n.Alive && !n.frozen && !n.shuttingDown && n.router.NotReady(n.local()) == "" {
 			w.ready[n.Zone] = append(w.ready[n.Zone], n)
 		}
 	}
