--- a/proxy/action.go
+++ b/proxy/action.go
@@ -80,7 +80,7 @@
 	// with others than what was passed on.
 	VersionRequested, VersionMismatch bool
 	Instance                          string
-	Load                              *router.Load
+	Load                              *router.ReplicaLoad
 }
 
 // AnswerStarted tells that the head is passed on before the answer is whole.
