--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -105,7 +105,7 @@
 	case control.LoadReports:
 		return 40 * (1 + len(d.Rows))
 	case *register.Value:
-		return 200 + d.Size()
+		return 200 + d.DocumentSize()
 	case control.ReplicaListItem:
 		return d.Size()
 	}
--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -37,7 +37,7 @@
 func fetched(t *testing.T, from, to *Store, m *Manifest, document []byte) (bytesNew, chunks int) {
 	t.Helper()
 	for {
-		body, err := to.Body(m)
+		body, err := to.Document(m)
 		var missing *MissingError
 		if !errors.As(err, &missing) {
 			if err != nil || !bytes.Equal(body, document) {
@@ -55,14 +55,14 @@
 }
 
 func TestChunksJoinToTheDocument(t *testing.T) {
-	for _, size := range []int{0, 1, minimum, minimum + 1, Largest, Largest + 1, 300000} {
+	for _, size := range []int{0, 1, minimum, minimum + 1, MaxChunk, MaxChunk + 1, 300000} {
 		for _, document := range [][]byte{noise(1, size), make([]byte, size)} {
 			chunks := Split(document)
 			if !bytes.Equal(bytes.Join(chunks, nil), document) {
 				t.Fatalf("%d bytes don't come back", size)
 			}
 			for i, data := range chunks {
-				if len(data) > Largest || (len(data) < minimum && i < len(chunks)-1) {
+				if len(data) > MaxChunk || (len(data) < minimum && i < len(chunks)-1) {
 					t.Errorf("%d bytes: chunk %d has %d", size, i, len(data))
 				}
 			}
@@ -73,11 +73,11 @@
 func TestChangedRouteMakesFewNewChunks(t *testing.T) {
 	base := routes(2500, -1)
 	s := NewStore(4, 4, 8<<20)
-	old := s.Manifest(base)
+	old := s.Add(base)
 	for _, changed := range []int{0, 1250, 2499} {
 		next := routes(2500, changed)
 		from := NewStore(4, 4, 8<<20)
-		m := from.Manifest(next)
+		m := from.Add(next)
 		bytes, chunks := fetched(t, from, s, m, next)
 		if bytes > old.Size/50 || chunks > 10 {
 			t.Errorf("route %d makes %d pieces and %d of %d bytes new", changed, chunks, bytes, old.Size)
@@ -94,7 +94,7 @@
 func TestFetchedDocumentIsTheSame(t *testing.T) {
 	from, to := NewStore(4, 4, 8<<20), NewStore(4, 4, 8<<20)
 	document := routes(300, -1)
-	m := from.Manifest(document)
+	m := from.Add(document)
 	if _, chunks := fetched(t, from, to, m, document); chunks != len(Split(document))+len(m.Segments)/NameBytes {
 		t.Errorf("%d pieces came", chunks)
 	}
@@ -105,7 +105,7 @@
 
 func TestBadManifestsHaveTypedErrors(t *testing.T) {
 	s := NewStore(8, 4, 8<<20)
-	good := s.Manifest(routes(1000, -1))
+	good := s.Add(routes(1000, -1))
 	var manifest *ManifestError
 	var missing *MissingError
 	var size *SizeError
@@ -117,12 +117,12 @@
 		{"nothing", Manifest{}, &manifest},
 		{"a name that is cut", Manifest{Size: good.Size, Segments: good.Segments[:len(good.Segments)-1]}, &manifest},
 		{"too large", Manifest{Size: MaxDocument + 1, Segments: good.Segments}, &manifest},
-		{"more than chunks can hold", Manifest{Size: segmentMost*Largest + 1, Segments: good.Segments[:NameBytes]}, &manifest},
+		{"more than chunks can hold", Manifest{Size: segmentMost*MaxChunk + 1, Segments: good.Segments[:NameBytes]}, &manifest},
 		{"a negative size", Manifest{Size: -1, Segments: good.Segments}, &manifest},
 		{"an unknown chunk", Manifest{Size: good.Size, Segments: append(bytes.Repeat([]byte{7}, NameBytes), good.Segments[NameBytes:]...)}, &missing},
 		{"another size", Manifest{Size: good.Size - 1, Segments: good.Segments}, &size},
 	} {
-		if body, err := s.Body(&c.m); body != nil || !errors.As(err, c.wants) {
+		if body, err := s.Document(&c.m); body != nil || !errors.As(err, c.wants) {
 			t.Errorf("%s: %d bytes, %v", c.what, len(body), err)
 		}
 	}
@@ -132,33 +132,33 @@
 func TestStoreKeepsWhatWasUsedLast(t *testing.T) {
 	s := NewStore(3, 1, 1<<20)
 	mine := routes(500, -1)
-	m := s.Manifest(mine)
+	m := s.Add(mine)
 	for i := range 50 {
-		s.Manifest(noise(uint64(i), 200000))
-		if body, err := s.Body(m); err != nil || !bytes.Equal(body, mine) {
+		s.Add(noise(uint64(i), 200000))
+		if body, err := s.Document(m); err != nil || !bytes.Equal(body, mine) {
 			t.Fatalf("after %d others: %v", i, err)
 		}
-		if s.BodyBytes() > 1<<20 {
-			t.Fatalf("%d bytes are held", s.BodyBytes())
+		if s.StoredBytes() > 1<<20 {
+			t.Fatalf("%d bytes are held", s.StoredBytes())
 		}
 	}
-	if s.Manifest(routes(500, 7)); s.Get(s.recent[0].names[0]) == nil {
+	if s.Add(routes(500, 7)); s.Get(s.recent[0].names[0]) == nil {
 		t.Error("a chunk that two documents share is gone")
 	}
 	for i := range 3 {
-		s.Manifest(noise(uint64(100+i), 1000))
-		if body, err := s.Body(s.recent[0].manifest); err != nil || s.recent[len(s.recent)-1].manifest.Size != len(body) {
+		s.Add(noise(uint64(100+i), 1000))
+		if body, err := s.Document(s.recent[0].manifest); err != nil || s.recent[len(s.recent)-1].manifest.Size != len(body) {
 			t.Errorf("a document in the store has lost chunks: %v", err)
 		}
 	}
 	for i := range 3 {
-		s.Manifest(noise(uint64(200+i), 1000))
+		s.Add(noise(uint64(200+i), 1000))
 	}
 	sum := 0
 	for _, entry := range s.chunks {
 		sum += len(entry.data)
 	}
-	if _, err := s.Body(m); err == nil || sum != 3000+3*NameBytes {
+	if _, err := s.Document(m); err == nil || sum != 3000+3*NameBytes {
 		t.Errorf("%d bytes are left, %v", sum, err)
 	}
 }
@@ -166,16 +166,16 @@
 // FuzzBody puts manifests of any bytes to a store that holds one document: the error is typed, and a body has the manifest's chunks.
 func FuzzBody(f *testing.F) {
 	document := routes(60, -1)
-	names := NewStore(2, 2, 1<<20).Manifest(document).Segments
+	names := NewStore(2, 2, 1<<20).Add(document).Segments
 	f.Add(len(document), names)
 	f.Add(len(document), append(slices.Clone(names[NameBytes:]), names[:NameBytes]...))
 	f.Add(1, names[:3])
 	f.Add(len(document)*2, append(slices.Clone(names), names...))
 	f.Fuzz(func(t *testing.T, size int, names []byte) {
 		s := NewStore(4, 4, 1<<20)
-		s.Manifest(document)
+		s.Add(document)
 		m := &Manifest{Size: size, Segments: names}
-		body, err := s.Body(m)
+		body, err := s.Document(m)
 		var manifest *ManifestError
 		var missing *MissingError
 		var wrong *SizeError
--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -10,9 +10,9 @@
 
 // The causes of a DeltaError, besides parts that lie outside the base.
 var (
-	ErrOtherBase = errors.New("made for another document")
-	ErrTooLong   = errors.New("too long")
-	ErrOtherHash = errors.New("the result has another hash")
+	ErrWrongBase    = errors.New("made for another document")
+	ErrTooLong      = errors.New("too long")
+	ErrHashMismatch = errors.New("the result has another hash")
 )
 
 // Delta describes a document by what differs from another, the base: it holds the parts that the base lacks, and where in the base the
@@ -60,14 +60,14 @@
 	return x
 }
 
-// Of tells whether the index is of this very document in memory.
-func (x *Index) Of(body []byte) bool {
+// SameDocument tells whether the index is of this very document in memory.
+func (x *Index) SameDocument(body []byte) bool {
 	return len(x.body) == len(body) && (len(body) == 0 || &x.body[0] == &body[0])
 }
 
-// Difference makes the delta that takes the index's document to next, and the index of that.
-func (x *Index) Difference(next []byte) (Delta, *Index) {
-	if x.Of(next) {
+// Diff makes the delta that takes the index's document to next, and the index of that.
+func (x *Index) Diff(next []byte) (Delta, *Index) {
+	if x.SameDocument(next) {
 		return Delta{Base: x.sum, Sum: x.sum, Parts: []Part{{Length: len(next)}}}, x
 	}
 	then := &Index{body: next, sum: sum(next), places: map[Name]int{}}
@@ -109,7 +109,7 @@
 // isn't what the delta was made of.
 func (d Delta) Apply(base []byte) ([]byte, error) {
 	if !bytes.Equal(d.Base, sum(base)) {
-		return nil, trace.Wrap(&DeltaError{Cause: ErrOtherBase})
+		return nil, trace.Wrap(&DeltaError{Cause: ErrWrongBase})
 	}
 	size := 0
 	for i, p := range d.Parts {
@@ -129,7 +129,7 @@
 		next = append(next, base[p.From:p.From+p.Length]...)
 	}
 	if !bytes.Equal(d.Sum, sum(next)) {
-		return nil, trace.Wrap(&DeltaError{Cause: ErrOtherHash})
+		return nil, trace.Wrap(&DeltaError{Cause: ErrHashMismatch})
 	}
 	return next, nil
 }
--- a/chunk/delta_test.go
+++ b/chunk/delta_test.go
@@ -13,7 +13,7 @@
 	body := routes(2500, -1)
 	index := NewIndex(nil)
 	for range 40 {
-		d, then := index.Difference(body)
+		d, then := index.Diff(body)
 		next, err := d.Apply(index.body)
 		if err != nil || !bytes.Equal(next, body) {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 
 func TestDeltaOfOneRouteIsSmall(t *testing.T) {
 	base := routes(2500, -1)
-	d, _ := NewIndex(base).Difference(routes(2500, 1250))
+	d, _ := NewIndex(base).Diff(routes(2500, 1250))
 	added := 0
 	for _, p := range d.Parts {
 		added += len(p.New)
@@ -48,7 +48,7 @@
 
 func TestDeltaOfAnotherBaseIsRejected(t *testing.T) {
 	base := routes(50, -1)
-	d, _ := NewIndex(base).Difference(routes(50, 7))
+	d, _ := NewIndex(base).Diff(routes(50, 7))
 	var bad *DeltaError
 	if _, err := d.Apply(routes(50, 8)); !errors.As(err, &bad) {
 		t.Errorf("another base: %v", err)
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -53,7 +53,7 @@
 		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes of names", len(m.Segments))})
 	case m.Size < 1 || m.Size > MaxDocument:
 		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes in all", m.Size)})
-	case m.Size < count || m.Size > count*segmentMost*Largest:
+	case m.Size < count || m.Size > count*segmentMost*MaxChunk:
 		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes in %d segments", m.Size, count)})
 	}
 	return nil
@@ -91,7 +91,7 @@
 	return parts
 }
 
-// Same tells whether two manifests are the same.
-func (m *Manifest) Same(other *Manifest) bool {
+// Equal tells whether two manifests are the same.
+func (m *Manifest) Equal(other *Manifest) bool {
 	return m.Size == other.Size && bytes.Equal(m.Segments, other.Segments)
 }
--- a/chunk/missing.go
+++ b/chunk/missing.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Missing are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
+// AddedChunks are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
 // aren't all in the store.
-func (s *Store) Missing(m, base *Manifest, bytes int) [][]byte {
-	if _, err := s.Body(base); err != nil {
+func (s *Store) AddedChunks(m, base *Manifest, bytes int) [][]byte {
+	if _, err := s.Document(base); err != nil {
 		return nil
 	}
 	had := map[Name]bool{}
 	for _, name := range s.open(base).all() {
 		had[name] = true
 	}
-	if _, err := s.Body(m); err != nil {
+	if _, err := s.Document(m); err != nil {
 		return nil
 	}
 	var chunks [][]byte
@@ -33,9 +33,9 @@
 // all are the names of a document's segments and chunks.
 func (d *document) all() []Name { return slices.Concat(d.segments, d.names) }
 
-// With takes chunks in as far as the document lacks them, and returns it as Body does.
-func (s *Store) With(m *Manifest, chunks [][]byte) ([]byte, error) {
-	body, err := s.Body(m)
+// DocumentWith takes chunks in as far as the document lacks them, and returns it as Body does.
+func (s *Store) DocumentWith(m *Manifest, chunks [][]byte) ([]byte, error) {
+	body, err := s.Document(m)
 	for range 2 {
 		if err == nil || len(chunks) == 0 {
 			return body, err
@@ -43,7 +43,7 @@
 		for _, data := range chunks {
 			s.Put(data)
 		}
-		body, err = s.Body(m)
+		body, err = s.Document(m)
 	}
 	return body, err
 }
--- a/chunk/split.go
+++ b/chunk/split.go
@@ -1,12 +1,12 @@
 package chunk
 
 // Sizes of chunks in bytes. A boundary lies where the rolling hash of the last 64 bytes has its top bits clear, but neither before
-// minimum nor after Largest: on average about 3 KB apart.
+// minimum nor after MaxChunk: on average about 3 KB apart.
 const (
-	minimum = 1 << 10
-	Largest = 8 << 10
-	window  = 64
-	mask    = uint64(1<<11-1) << (64 - 11)
+	minimum  = 1 << 10
+	MaxChunk = 8 << 10
+	window   = 64
+	mask     = uint64(1<<11-1) << (64 - 11)
 )
 
 // Sizes of fine chunks, for short lists that lose entries at the front and gain others at the end: 190 bytes on average.
@@ -32,7 +32,7 @@
 
 // Split divides a document at boundaries that depend on the bytes around them alone, so that a change moves only boundaries near it. The
 // chunks are parts of document, not copies.
-func Split(document []byte) [][]byte { return split(document, minimum, Largest, mask) }
+func Split(document []byte) [][]byte { return split(document, minimum, MaxChunk, mask) }
 
 // SplitFine is Split with chunks of 512 bytes at most.
 func SplitFine(list []byte) [][]byte { return split(list, fineMinimum, fineLargest, fineMask) }
--- a/chunk/store.go
+++ b/chunk/store.go
@@ -51,11 +51,11 @@
 	return &Store{documents: max(documents, 2), bodies: bodies, bytes: bytes, chunks: map[Name]*storedChunk{}}
 }
 
-// Manifest takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
-func (s *Store) Manifest(body []byte) *Manifest { return s.manifest(body, Split) }
+// Add takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
+func (s *Store) Add(body []byte) *Manifest { return s.manifest(body, Split) }
 
-// FineManifest is Manifest for a short list, in fine chunks.
-func (s *Store) FineManifest(list []byte) *Manifest { return s.manifest(list, SplitFine) }
+// AddFine is Manifest for a short list, in fine chunks.
+func (s *Store) AddFine(list []byte) *Manifest { return s.manifest(list, SplitFine) }
 
 func (s *Store) manifest(body []byte, split func(document []byte) [][]byte) *Manifest {
 	if len(body) == 0 {
@@ -92,9 +92,9 @@
 	return d.manifest
 }
 
-// Body returns the document that a manifest stands for. Errors are *ManifestError, *SizeError, and *MissingError; after the last the
+// Document returns the document that a manifest stands for. Errors are *ManifestError, *SizeError, and *MissingError; after the last the
 // store takes in what is missing: segments first, and chunks once all segments are here.
-func (s *Store) Body(m *Manifest) ([]byte, error) {
+func (s *Store) Document(m *Manifest) ([]byte, error) {
 	if err := m.Check(); err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 
 // Put takes in a chunk or a segment that some document of the store lacks, and tells whether it was one.
 func (s *Store) Put(data []byte) bool {
-	if len(data) == 0 || len(data) > Largest {
+	if len(data) == 0 || len(data) > MaxChunk {
 		return false
 	}
 	return s.put(NameOf(data), data)
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// BodyBytes is how many bytes of chunks and segments the store holds.
-func (s *Store) BodyBytes() int { return s.bodyBytes }
+// StoredBytes is how many bytes of chunks and segments the store holds.
+func (s *Store) StoredBytes() int { return s.bodyBytes }
 
 // open makes a document the most recent one.
 func (s *Store) open(m *Manifest) *document {
--- a/control/changes.go
+++ b/control/changes.go
@@ -17,4 +17,4 @@
 func FinishVoterChange(epoch uint64) register.Change { return finishVoterChangeAt(epoch) }
 
 // EvacuateChange is the change of the register that an Evacuate asks for. Its fence is the operation's.
-func EvacuateChange(op Evacuate) register.FencedChange { return evacuateChange(op) }
+func EvacuateChange(op Evacuate) register.GuardedChange { return evacuateChange(op) }
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -60,10 +60,10 @@
 	}
 	same := v.Clone()
 	if body {
-		same.Document, same.DocumentManifest = nil, n.documents.store.Manifest(v.Document)
+		same.Document, same.DocumentManifest = nil, n.documents.store.Add(v.Document)
 	}
 	if memory {
-		same.EditLog, same.OrderLog, same.LogManifest = nil, nil, n.documents.store.FineManifest(v.OrderLogs())
+		same.EditLog, same.OrderLog, same.LogManifest = nil, nil, n.documents.store.AddFine(v.EncodeOrderLogs())
 	}
 	return same
 }
@@ -71,8 +71,8 @@
 // storeDocuments takes the documents of a value into the store, unless they are there.
 func (n *Node) storeDocuments(v *register.Value) {
 	if v != nil {
-		n.documents.store.Manifest(v.Document)
-		n.documents.store.FineManifest(v.OrderLogs())
+		n.documents.store.Add(v.Document)
+		n.documents.store.AddFine(v.EncodeOrderLogs())
 	}
 }
 
@@ -89,16 +89,16 @@
 	}
 	store := n.documents.store
 	if same.DocumentManifest != nil && len(n.value.Document) > 0 {
-		same.DocumentManifest = n.addMissingChunks(same.DocumentManifest, store.Manifest(n.value.Document))
+		same.DocumentManifest = n.addMissingChunks(same.DocumentManifest, store.Add(n.value.Document))
 	}
 	if same.LogManifest != nil {
-		same.LogManifest = n.addMissingChunks(same.LogManifest, store.FineManifest(n.value.OrderLogs()))
+		same.LogManifest = n.addMissingChunks(same.LogManifest, store.AddFine(n.value.EncodeOrderLogs()))
 	}
 	return same
 }
 
 func (n *Node) addMissingChunks(m, base *chunk.Manifest) *chunk.Manifest {
-	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.Missing(m, base, offeredBytes)}
+	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.AddedChunks(m, base, offeredBytes)}
 }
 
 // stripMessage is the message as a neighbour that reads manifests gets it.
@@ -173,7 +173,7 @@
 		return nil, false
 	}
 	same.LogManifest = nil
-	if err := same.SetOrderLogs(memory); err != nil {
+	if err := same.DecodeOrderLogs(memory); err != nil {
 		n.logChange(ChangeOrderLogRejected, err.Error())
 		return nil, false
 	}
@@ -183,7 +183,7 @@
 // restorePart is what a manifest stands for. Where it isn't here it is fetched, and the message waits for it, unless it waits already.
 func (n *Node) restorePart(now time.Duration, r Received, m *chunk.Manifest, waits bool) ([]byte, bool) {
 	parts := &chunk.Manifest{Size: m.Size, Segments: m.Segments}
-	body, err := n.documents.store.With(parts, m.Fresh)
+	body, err := n.documents.store.DocumentWith(parts, m.Fresh)
 	var missing *chunk.MissingError
 	switch {
 	case err == nil:
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -17,7 +17,7 @@
 func TestChangeOfOneRouteCostsWhatItChanges(t *testing.T) {
 	l := newLab(t, 30)
 	l.run(6 * time.Second)
-	for i := range register.KeptOrders {
+	for i := range register.MaxLoggedOrders {
 		l.put("n3", []byte(fmt.Sprint("the memory of orders is full, ", i)))
 	}
 	complete := document(1, -1)
@@ -26,7 +26,7 @@
 	}
 	l.obeyed(complete, applyWithin)
 	l.run(5 * time.Second)
-	if kept := len(l.nodes["n3"].value.EditLog); kept < 6*register.KeptOrders {
+	if kept := len(l.nodes["n3"].value.EditLog); kept < 6*register.MaxLoggedOrders {
 		t.Errorf("the memory of orders has %d bytes: the test proves little", kept)
 	}
 	m := l.meter()
@@ -170,7 +170,7 @@
 		}
 	}
 	for name, n := range l.nodes {
-		if stored := n.documents.store.BodyBytes(); stored > keptBytes {
+		if stored := n.documents.store.StoredBytes(); stored > keptBytes {
 			t.Errorf("%s holds %d bytes of chunks", name, stored)
 		}
 	}
@@ -232,9 +232,9 @@
 	for _, name := range []string{"n0", "n4", "n6"} {
 		n := l.nodes[name]
 		other := chunk.NewStore(4, 4, 8<<20)
-		parts := other.Manifest(document(1, -1))
+		parts := other.Add(document(1, -1))
 		for i := range 2 * keptDocuments {
-			n.documents.store.Manifest(bytes.Repeat([]byte(fmt.Sprintf("another document, %d;", i)), 1000))
+			n.documents.store.Add(bytes.Repeat([]byte(fmt.Sprintf("another document, %d;", i)), 1000))
 		}
 		out := n.Step(l.now, Received{From: "n5", Build: chunksBuild, Msg: ChunkPull{Names: parts.Segments}})
 		given := 0
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -166,7 +166,7 @@
 		v, store := value(7), chunk.NewStore(4, 4, 8<<20)
 		v.Document = append(bytes.Repeat([]byte(" "), 2*register.MaxInlineDocument), v.Document...)
 		thin := v.Clone()
-		thin.Document, thin.DocumentManifest = nil, store.Manifest(v.Document)
+		thin.Document, thin.DocumentManifest = nil, store.Add(v.Document)
 		for _, from := range []string{"a2", "a4"} {
 			item := gossip.Item{Key: "c", Version: gossip.Version{Hi: 7, Lo: 1}, Data: thin}
 			l.step(Received{From: from, Build: chunksBuild, Msg: gossip.Update{Items: []gossip.Item{item}}})
@@ -188,7 +188,7 @@
 	empty := chunk.NewStore(2, 2, 8<<20)
 	var msg ChunkData
 	for {
-		_, err := empty.Body(m)
+		_, err := empty.Document(m)
 		var missing *chunk.MissingError
 		if !errors.As(err, &missing) {
 			return msg
--- a/control/command.go
+++ b/control/command.go
@@ -113,13 +113,13 @@
 
 func beginVoterChange(id string, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if _, done := cur.AppliedAt(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.Next, vs) {
+		if _, done := cur.AppliedAt(id); done || slices.Equal(cur.Voters, vs) || slices.Equal(cur.NextVoters, vs) {
 			return nil, nil
 		}
-		if len(cur.Next) > 0 {
+		if len(cur.NextVoters) > 0 {
 			return nil, &register.ConflictError{Version: cur.Version}
 		}
-		cur.Next = vs
+		cur.NextVoters = vs
 		cur.Epoch++
 		cur.LogScoped(votersScope, id, false)
 		return cur, nil
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -39,7 +39,7 @@
 
 func (n *Node) fetch(now time.Duration, r Received, parts *chunk.Manifest, missing []chunk.Name, waits bool) {
 	d := &n.documents
-	at := slices.IndexFunc(d.fetches, func(f *fetch) bool { return f.manifest.Same(parts) })
+	at := slices.IndexFunc(d.fetches, func(f *fetch) bool { return f.manifest.Equal(parts) })
 	if at < 0 {
 		if len(d.fetches) >= fetchMost {
 			d.fetches = d.fetches[1:]
@@ -179,7 +179,7 @@
 	n.documents.fetches = nil
 	var ready []Received
 	for _, f := range fetches {
-		_, err := n.documents.store.Body(f.manifest)
+		_, err := n.documents.store.Document(f.manifest)
 		var missing *chunk.MissingError
 		switch {
 		case err == nil:
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -38,7 +38,7 @@
 
 func (h *handRegister) proposer(by string, change register.Change) *register.Proposer {
 	p := register.NewProposer(by, 1)
-	p.Learn(h.first)
+	p.LearnVoters(h.first)
 	h.ids++
 	p.Submit(h.now, time.Hour, h.ids, change)
 	return p
--- a/control/journal.go
+++ b/control/journal.go
@@ -96,7 +96,7 @@
 
 // initialize writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
 func (k *Journal) initialize() error {
-	var broken *storage.BrokenError
+	var broken *storage.WriteFailedError
 	var err error
 	if err = k.rotate(); errors.As(err, &broken) {
 		return nil
@@ -162,10 +162,10 @@
 		return e
 	}
 	base, next := k.document(), e.Accepted.Value.Document
-	if k.index == nil || !k.index.Of(base) {
+	if k.index == nil || !k.index.SameDocument(base) {
 		k.index = chunk.NewIndex(base)
 	}
-	delta, index := k.index.Difference(next)
+	delta, index := k.index.Diff(next)
 	k.index = index
 	bare := e.Accepted.Value.Clone()
 	bare.Document = nil
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	d.Full = true
-	var broken *storage.BrokenError
+	var broken *storage.WriteFailedError
 	if err := k.Append(accepted(6)); !errors.As(err, &broken) {
 		t.Fatalf("a full disk says %v", err)
 	}
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -70,7 +70,7 @@
 			t.Errorf("put %d again: %v, mark %d", i, a.Err, a.Version)
 		}
 	}
-	var forgotten *register.ForgottenError
+	var forgotten *register.BaseTooOldError
 	if a := l.call("n5", put(3)); !errors.As(a.Err, &forgotten) {
 		t.Errorf("a put that is forgotten: %v", a.Err)
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -107,7 +107,7 @@
 		self.Disk = cfg.Disk.Register.Disk
 		n.acceptor = &register.Acceptor{State: cfg.Disk.Register}
 		n.grantor = lease.NewGrantor(self.Disk, cfg.Disk.Grants, now+lease.TTL)
-		n.proposer.Learn(cfg.Disk.Register.Value)
+		n.proposer.LearnVoters(cfg.Disk.Register.Value)
 		if v := cfg.Disk.Register.Value; v != nil {
 			n.grantor.ChangeEpoch(now, v.Epoch)
 		}
--- a/control/orders.go
+++ b/control/orders.go
@@ -28,8 +28,8 @@
 }
 
 // fencedOrder is order for a change that keeps a fence.
-func (n *Node) fencedOrder(now time.Duration, c Command, change register.FencedChange, done completion) {
-	n.proposer.SubmitFenced(now, orderUntil(now, c), n.operations.addFor(now, c.ID, done), change)
+func (n *Node) fencedOrder(now time.Duration, c Command, change register.GuardedChange, done completion) {
+	n.proposer.SubmitGuarded(now, orderUntil(now, c), n.operations.addFor(now, c.ID, done), change)
 }
 
 // cancel ends an order whose caller has left.
@@ -52,7 +52,7 @@
 			return nil, nil
 		}
 		if cur.Version != op.Expect {
-			return nil, cur.PutRefusal(op.Expect)
+			return nil, cur.PutRejection(op.Expect)
 		}
 		cur.Version++
 		cur.Document = op.Document
@@ -69,7 +69,7 @@
 		body, err := op.Apply(cur.Document)
 		var conflict *register.ConflictError
 		if errors.As(err, &conflict) {
-			return nil, cur.Refusal(op.Base, conflict.Version)
+			return nil, cur.EditRejection(op.Base, conflict.Version)
 		}
 		if err != nil {
 			return nil, err
@@ -86,14 +86,14 @@
 
 // evacuateChange sets a fence at its first reading of a majority, and is refused once another order on the zone was taken. An order that
 // changes nothing is remembered all the same: whoever heard that it was confirmed must not be overtaken by an older one.
-func evacuateChange(op Evacuate) register.FencedChange {
-	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
+func evacuateChange(op Evacuate) register.GuardedChange {
+	return func(cur *register.Value, fence *register.ScopeGuard) (*register.Value, error) {
 		if _, done := cur.AppliedAt(op.ID); done {
 			return nil, nil
 		}
 		fence.Set(cur, op.Zone)
 		if !fence.Holds(cur, op.Zone) {
-			return nil, &register.FencedError{Scope: op.Zone}
+			return nil, &register.ScopeConflictError{Scope: op.Zone}
 		}
 		at := slices.Index(cur.EvacuatedZones, op.Zone)
 		changes := (at >= 0) == op.Restore
--- a/control/partition_test.go
+++ b/control/partition_test.go
@@ -179,7 +179,7 @@
 		}
 		l.cut = nil
 		l.run(11 * time.Second)
-		var fenced *register.FencedError
+		var fenced *register.ScopeConflictError
 		if a := l.answers[old]; !errors.As(a.Err, &fenced) {
 			t.Errorf("%s: the old order ends with %v", what, a.Err)
 		}
@@ -190,7 +190,7 @@
 }
 
 func TestEvacuationOfAnotherZoneIsNotFenced(t *testing.T) {
-	var fence register.Fence
+	var fence register.ScopeGuard
 	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	first := &register.Value{}
 	if _, err := change(first.Clone(), &fence); err != nil {
@@ -200,10 +200,10 @@
 	if next, err := change(first.Clone(), &fence); err != nil || next == nil {
 		t.Errorf("%v", err)
 	}
-	for i := range register.KeptOrders {
+	for i := range register.MaxLoggedOrders {
 		first.LogScoped("y", string(rune('c'+i)), true)
 	}
-	var fenced *register.FencedError
+	var fenced *register.ScopeConflictError
 	if _, err := change(first.Clone(), &fence); !errors.As(err, &fenced) {
 		t.Errorf("the memory has turned over, and the order is taken: %v", err)
 	}
@@ -211,7 +211,7 @@
 
 // An order that took effect in an earlier round is acknowledged though another was taken on top of it.
 func TestAppliedEvacuationIsAcknowledgedThoughFenced(t *testing.T) {
-	var fence register.Fence
+	var fence register.ScopeGuard
 	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	next, err := change(&register.Value{}, &fence)
 	if err != nil {
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -52,4 +52,4 @@
 	}
 }
 
-func (n *Node) isVoter() bool { return isVoter(n.value.All(), n.acceptor.Disk) }
+func (n *Node) isVoter() bool { return isVoter(n.value.AllVoters(), n.acceptor.Disk) }
--- a/control/refill_test.go
+++ b/control/refill_test.go
@@ -72,7 +72,7 @@
 // full says whether as many voters as there should be are in touch, mean to stay and hold the newest value; and who does not.
 func (r *refill) full() (string, bool) {
 	v := r.latest()
-	if v == nil || len(v.Next) > 0 || len(v.Voters) != 2*r.shape.tolerate+1 {
+	if v == nil || len(v.NextVoters) > 0 || len(v.Voters) != 2*r.shape.tolerate+1 {
 		return "voters change", false
 	}
 	for _, voter := range v.Voters {
--- a/control/repairers_test.go
+++ b/control/repairers_test.go
@@ -76,7 +76,7 @@
 	switch {
 	case a.operator:
 		return edit(a.known.Version, body)
-	case len(a.known.Next) > 0:
+	case len(a.known.NextVoters) > 0:
 		return finishVoterChangeAt(a.known.Epoch)
 	}
 	vs := append([]register.Voter{}, a.known.Voters...)
--- a/control/status.go
+++ b/control/status.go
@@ -54,7 +54,7 @@
 		}
 	}
 	if n.value != nil {
-		s.Version, s.Voters, s.Next = n.value.Version, n.value.Voters, n.value.Next
+		s.Version, s.Voters, s.Next = n.value.Version, n.value.Voters, n.value.NextVoters
 		if !n.config.HidesDocument {
 			s.Config = n.value.Document
 		}
--- a/control/updates.go
+++ b/control/updates.go
@@ -108,7 +108,7 @@
 	n.proposer.LearnChosen(v)
 	n.Gossip.Put(gossip.Item{Key: "c", Version: gossip.Version{Hi: v.Version, Lo: v.Epoch}, Data: v})
 	if old == nil || !register.SameVoters(old, v) {
-		n.logChange(ChangeVoters, fmt.Sprintf("%v, next %v", v.Voters, v.Next))
+		n.logChange(ChangeVoters, fmt.Sprintf("%v, next %v", v.Voters, v.NextVoters))
 	}
 	if len(v.Document) > 0 {
 		n.snapshot = &config.Snapshot{Version: v.Version, Config: c, EvacuatedZones: v.EvacuatedZones}
--- a/control/voters.go
+++ b/control/voters.go
@@ -57,7 +57,7 @@
 	if !n.ranksFirst(voterRole, "") || now-n.voters.changedAt < voterChangeInterval {
 		return
 	}
-	if len(n.value.Next) > 0 {
+	if len(n.value.NextVoters) > 0 {
 		n.voters.changedAt = now
 		n.finishVoters(now, n.value.Epoch)
 		return
@@ -82,13 +82,13 @@
 // beginVoterChangeAt installs the next voters beside the present ones, if the epoch is still the one that the choice was made on.
 func beginVoterChangeAt(epoch uint64, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if slices.Equal(cur.Next, vs) || slices.Equal(cur.Voters, vs) {
+		if slices.Equal(cur.NextVoters, vs) || slices.Equal(cur.Voters, vs) {
 			return nil, nil
 		}
-		if cur.Epoch != epoch || len(cur.Next) > 0 {
+		if cur.Epoch != epoch || len(cur.NextVoters) > 0 {
 			return nil, &register.ConflictError{Version: cur.Version}
 		}
-		cur.Next = vs
+		cur.NextVoters = vs
 		cur.Epoch++
 		return cur, nil
 	}
@@ -98,10 +98,10 @@
 // merely accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
 func finishVoterChangeAt(epoch uint64) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if len(cur.Next) == 0 || cur.Epoch != epoch {
+		if len(cur.NextVoters) == 0 || cur.Epoch != epoch {
 			return nil, nil
 		}
-		cur.Voters, cur.Next = cur.Next, nil
+		cur.Voters, cur.NextVoters = cur.NextVoters, nil
 		cur.Epoch++
 		return cur, nil
 	}
--- a/control/witness.go
+++ b/control/witness.go
@@ -110,7 +110,7 @@
 
 func (w *witnessState) ask(now time.Duration, n *Node, id uint64, op Witness) {
 	w.requestID++
-	a := &inquiry{command: id, startedAt: now, msg: WitnessAsk{RequestID: w.requestID, Request: op.Request, By: n.proposer.By, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
+	a := &inquiry{command: id, startedAt: now, msg: WitnessAsk{RequestID: w.requestID, Request: op.Request, By: n.proposer.ID, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
 	for _, m := range n.witnesses(op.Request) {
 		a.addrs = append(a.addrs, m.Addr)
 		if m.Live() {
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -87,8 +87,8 @@
 	var bad *config.InvalidError
 	var conflict *register.ConflictError
 	var unknown *register.OutcomeUnknownError
-	var forgotten *register.ForgottenError
-	var fenced *register.FencedError
+	var forgotten *register.BaseTooOldError
+	var fenced *register.ScopeConflictError
 	var unreached *register.NoQuorumError
 	var unfounded *register.NotBootstrappedError
 	var stale *control.StaleCallError
--- a/lease/epoch_test.go
+++ b/lease/epoch_test.go
@@ -16,7 +16,7 @@
 
 // Asked while both sets had to agree, granted by a majority of the new one alone: another may hold the role by the old one.
 func TestGrantsCountUnderTheVotersAsked(t *testing.T) {
-	both := &register.Value{Epoch: 2, Voters: voters("a", "b", "c"), Next: voters("a", "b", "s")}
+	both := &register.Value{Epoch: 2, Voters: voters("a", "b", "c"), NextVoters: voters("a", "b", "s")}
 	after := &register.Value{Epoch: 3, Voters: voters("a", "b", "s")}
 	h := NewHolder("h", 1)
 	requestID := h.Acquire(0, "d", both)[0].Msg.(Request).RequestID
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -163,7 +163,7 @@
 	h.requestID++
 	current.requestID, current.requestedAt, current.grantedBy, current.retryAt, current.epoch = h.requestID, now, map[string]bool{}, now+Renew, voters.Epoch
 	var sends []Send
-	for _, v := range voters.All() {
+	for _, v := range voters.AllVoters() {
 		sends = append(sends, Send{Disk: v.Disk, Msg: Request{RequestID: current.requestID, Disk: v.Disk, Role: role, Holder: h.Name, Token: current.Token, Epoch: voters.Epoch}})
 	}
 	return sends
@@ -203,7 +203,7 @@
 func (h *Holder) releases(current *Lease, voters *register.Value) []Send {
 	h.highestNumbers[current.Role] = max(h.highestNumbers[current.Role], current.Token.Number)
 	var sends []Send
-	for _, v := range voters.All() {
+	for _, v := range voters.AllVoters() {
 		sends = append(sends, Send{Disk: v.Disk, Msg: Release{Disk: v.Disk, Role: current.Role, Holder: h.Name, Token: current.Token}})
 	}
 	return sends
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -51,16 +51,16 @@
 }
 
 func (r *rig) reseat() {
-	if len(r.seats.Next) > 0 {
-		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.Next}
+	if len(r.seats.NextVoters) > 0 {
+		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.NextVoters}
 	} else {
 		var next []register.Voter
 		for _, d := range r.rng.Perm(5)[:3] {
 			next = append(next, register.Voter{Disk: fmt.Sprint(d)})
 		}
-		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.Voters, Next: next}
+		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.Voters, NextVoters: next}
 	}
-	for _, v := range r.seats.All() {
+	for _, v := range r.seats.AllVoters() {
 		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].epoch == r.seats.Epoch }) {
 			r.granters[v.Disk].ChangeEpoch(r.now, r.seats.Epoch)
 		}
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -66,19 +66,19 @@
 }
 
 func (s *storm) reseat() {
-	if len(s.seats.Next) > 0 {
-		s.seats = &register.Value{Epoch: s.seats.Epoch + 1, Voters: s.seats.Next}
+	if len(s.seats.NextVoters) > 0 {
+		s.seats = &register.Value{Epoch: s.seats.Epoch + 1, Voters: s.seats.NextVoters}
 	} else {
 		var next []register.Voter
 		for _, d := range s.rng.Perm(5)[:3] {
 			next = append(next, register.Voter{Disk: fmt.Sprint(d)})
 		}
-		s.seats = &register.Value{Epoch: s.seats.Epoch + 1, Voters: s.seats.Voters, Next: next}
+		s.seats = &register.Value{Epoch: s.seats.Epoch + 1, Voters: s.seats.Voters, NextVoters: next}
 	}
 	// A change is accepted by both sets where there are two; the accept that begins a change needs the present ones alone.
 	needed := *s.seats
-	if len(needed.Next) > 0 {
-		needed.Next = nil
+	if len(needed.NextVoters) > 0 {
+		needed.NextVoters = nil
 	}
 	accepted := func(d string) bool { return s.granters[d].epoch == s.seats.Epoch }
 	for _, at := range s.rng.Perm(5) {
@@ -99,7 +99,7 @@
 
 func isSeated(v *register.Value, disk string) bool {
 	var yes bool
-	for _, o := range v.All() {
+	for _, o := range v.AllVoters() {
 		yes = yes || o.Disk == disk
 	}
 	return yes
--- a/modelcheck/apply.go
+++ b/modelcheck/apply.go
@@ -107,7 +107,7 @@
 func (c *Cluster) fire(at int) {
 	p := c.touch(at)
 	p.FireTimer()
-	if p.Backing() {
+	if p.BackingOff() {
 		p.FireTimer()
 	}
 	c.collect(at)
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -95,7 +95,7 @@
 
 func (c *Cluster) boot(at int, known *register.Value) *register.Proposer {
 	p := register.NewProposer(string(rune('p'+at))+string(rune('1'+c.boots[at])), 0).Clone()
-	p.Learn(known)
+	p.LearnVoters(known)
 	return p
 }
 
--- a/modelcheck/evacuate.go
+++ b/modelcheck/evacuate.go
@@ -62,7 +62,7 @@
 	c.calls[id] = call{state: waits, after: after}
 	op := control.Evacuate{ID: c.plan.callID(int(id)), Zone: zone, Restore: c.plan.Orders[order].Kind == Restore}
 	c.enter(operation{id: id, proposer: at, order: order})
-	c.proposers[at].SubmitFenced(0, noDeadline, id, c.plan.Rules.Evacuate(op))
+	c.proposers[at].SubmitGuarded(0, noDeadline, id, c.plan.Rules.Evacuate(op))
 	c.collect(at)
 }
 
@@ -78,7 +78,7 @@
 		if o.order < 0 || !c.plan.Orders[o.order].evacuates() || c.calls[o.id].state != waits {
 			continue
 		}
-		if !c.plan.Early || c.proposers[o.proposer].FenceSet(o.id) {
+		if !c.plan.Early || c.proposers[o.proposer].GuardSet(o.id) {
 			events = append(events, Event{Kind: leave, What: uint8(o.id)})
 		}
 	}
@@ -105,7 +105,7 @@
 
 // evacuationAnswered judges the answer to a call.
 func (c *Cluster) evacuationAnswered(id uint64, r register.Result) {
-	var fenced *register.FencedError
+	var fenced *register.ScopeConflictError
 	var none *register.NoQuorumError
 	switch {
 	case r.Err == nil:
@@ -158,7 +158,7 @@
 			return &InvariantError{Invariant: "an overtaken evacuation never takes effect", How: fmt.Sprintf("call %s is in the value of revision %d, %d orders", name, v.Version, v.AppliedOrders)}
 		case call.state == confirmed && !taken && current:
 			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("call %s is not in revision %d, %d orders", name, v.Version, v.AppliedOrders)}
-		case taken && v.LatestOrder(zone).ID == register.FingerprintOf(name):
+		case taken && v.LatestOrder(zone).ID == register.HashOrder(name):
 			if (len(v.EvacuatedZones) == 0) != (c.plan.Orders[id/attempts].Kind == Restore) {
 				return &InvariantError{Invariant: "the newest order is in force", How: fmt.Sprintf("%s, and evacuated are %v", name, v.EvacuatedZones)}
 			}
--- a/modelcheck/evacuate_test.go
+++ b/modelcheck/evacuate_test.go
@@ -54,18 +54,18 @@
 }
 
 // unfencedEvacuation reads as usual, but goes by a fence set anew at every run.
-func unfencedEvacuation(op control.Evacuate) register.FencedChange {
+func unfencedEvacuation(op control.Evacuate) register.GuardedChange {
 	genuine := control.EvacuateChange(op)
-	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
+	return func(cur *register.Value, fence *register.ScopeGuard) (*register.Value, error) {
 		fence.Set(cur, op.Zone)
-		return genuine(cur, &register.Fence{})
+		return genuine(cur, &register.ScopeGuard{})
 	}
 }
 
 // unremembered takes an evacuation that changes nothing without a note of it.
-func unremembered(op control.Evacuate) register.FencedChange {
+func unremembered(op control.Evacuate) register.GuardedChange {
 	genuine := control.EvacuateChange(op)
-	return func(cur *register.Value, fence *register.Fence) (*register.Value, error) {
+	return func(cur *register.Value, fence *register.ScopeGuard) (*register.Value, error) {
 		if (len(cur.EvacuatedZones) == 0) == op.Restore {
 			return nil, nil
 		}
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -152,7 +152,7 @@
 
 // lostVoterStaysOut: no change of voters brings back a disk that was lost and replaced.
 func (c *Cluster) lostVoterStaysOut(v *register.Value) error {
-	for _, w := range v.All() {
+	for _, w := range v.AllVoters() {
 		if slices.Contains(c.replaced, w.Disk) && !c.plan.versionOf(v).older(c.plan.versionOf(c.latest)) {
 			return &InvariantError{Invariant: "a replaced voter stays out", How: fmt.Sprintf("disk %s is lost, was replaced, and is to vote again", w.Disk)}
 		}
@@ -162,8 +162,8 @@
 
 // recordReplaced remembers the lost disks that the newest value lets go.
 func (c *Cluster) recordReplaced(v *register.Value) {
-	for _, w := range c.latest.All() {
-		if c.diskOf(w.Disk) < 0 && !slices.Contains(v.All(), w) {
+	for _, w := range c.latest.AllVoters() {
+		if c.diskOf(w.Disk) < 0 && !slices.Contains(v.AllVoters(), w) {
 			c.replaced = append(slices.Clone(c.replaced), w.Disk)
 		}
 	}
@@ -233,7 +233,7 @@
 // majorityLeft: as many voters are left as the tolerance promises.
 func (c *Cluster) majorityLeft() error {
 	if !register.Quorum(c.latest, func(id string) bool { return c.diskOf(id) >= 0 }) {
-		return &InvariantError{Invariant: "a majority is left", How: fmt.Sprintf("of %v", c.latest.All())}
+		return &InvariantError{Invariant: "a majority is left", How: fmt.Sprintf("of %v", c.latest.AllVoters())}
 	}
 	return nil
 }
--- a/modelcheck/lease_steps.go
+++ b/modelcheck/lease_steps.go
@@ -75,7 +75,7 @@
 // asked tells whether a disk is asked to accept that epoch: as a voter before or after.
 func (l *Leases) asked(epoch int, disk string) bool {
 	votes := func(v register.Voter) bool { return v.Disk == disk }
-	return slices.ContainsFunc(l.plan.Epochs[epoch].All(), votes) || slices.ContainsFunc(l.plan.Epochs[epoch-1].All(), votes)
+	return slices.ContainsFunc(l.plan.Epochs[epoch].AllVoters(), votes) || slices.ContainsFunc(l.plan.Epochs[epoch-1].AllVoters(), votes)
 }
 
 // Apply takes one step.
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -87,7 +87,7 @@
 func NewLeases(plan LeasePlan) *Leases {
 	l := &Leases{plan: &plan, left: plan.Budget, now: time.Hour}
 	for _, value := range plan.Epochs {
-		for _, v := range value.All() {
+		for _, v := range value.AllVoters() {
 			if l.grantorOf(v.Disk) < 0 {
 				g := lease.NewGrantor(v.Disk, nil, 0)
 				g.ChangeEpoch(0, plan.Epochs[0].Epoch)
--- a/modelcheck/leases_test.go
+++ b/modelcheck/leases_test.go
@@ -22,7 +22,7 @@
 
 func oneChange() []*register.Value {
 	both := seats(2, "a", "b", "c")
-	both.Next = seats(2, "a", "b", "s").Voters
+	both.NextVoters = seats(2, "a", "b", "s").Voters
 	return []*register.Value{seats(1, "a", "b", "c"), both, seats(3, "a", "b", "s")}
 }
 
--- a/modelcheck/mutations_test.go
+++ b/modelcheck/mutations_test.go
@@ -50,8 +50,8 @@
 	begin := control.BeginVoterChange(epoch, voters)
 	return func(cur *register.Value) (*register.Value, error) {
 		next, err := begin(cur)
-		if err == nil && next != nil && len(next.Next) > 0 {
-			next.Voters, next.Next = next.Next, nil
+		if err == nil && next != nil && len(next.NextVoters) > 0 {
+			next.Voters, next.NextVoters = next.NextVoters, nil
 		}
 		return next, err
 	}
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -53,7 +53,7 @@
 	Edit      func(op control.Edit) register.Change
 	Begin     func(epoch uint64, voters []register.Voter) register.Change
 	Finish    func(epoch uint64) register.Change
-	Evacuate  func(op control.Evacuate) register.FencedChange
+	Evacuate  func(op control.Evacuate) register.GuardedChange
 	// PassDeadline is what the deadline of a call whose caller has left does to its operation.
 	PassDeadline func(p *register.Proposer, id uint64)
 	// Wiped is what a disk holds that came back empty.
@@ -73,7 +73,7 @@
 		Begin:        control.BeginVoterChange,
 		Finish:       control.FinishVoterChange,
 		Evacuate:     control.EvacuateChange,
-		PassDeadline: (*register.Proposer).PassDeadline,
+		PassDeadline: (*register.Proposer).ExpireDeadline,
 		Wiped:        func(_ register.State, replacement string) register.State { return register.State{Disk: replacement} },
 	}
 }
--- a/modelcheck/steps.go
+++ b/modelcheck/steps.go
@@ -97,7 +97,7 @@
 			{deadline, p.Queued() && c.left.Deadlines > 0},
 			{restart, c.left.Restarts > 0},
 			{learn, c.left.Learns > 0 && c.known[1-at].Newer(c.known[at])},
-			{finish, c.left.Finishes > 0 && len(c.known[at].Next) > 0 && !p.Busy()},
+			{finish, c.left.Finishes > 0 && len(c.known[at].NextVoters) > 0 && !p.Busy()},
 		} {
 			if possible.now {
 				events = append(events, Event{Kind: possible.kind, What: uint8(at)})
@@ -113,7 +113,7 @@
 // replacements are the changes of voters that a node would begin by what it knows: of a lost voter, or of any, if planned.
 func (c *Cluster) replacements(events []Event, at int) []Event {
 	known := c.known[at]
-	if len(known.Next) > 0 || c.spare(known) < 0 {
+	if len(known.NextVoters) > 0 || c.spare(known) < 0 {
 		return events
 	}
 	for place, v := range known.Voters {
@@ -127,7 +127,7 @@
 // spare is a disk that is there and does not vote.
 func (c *Cluster) spare(known *register.Value) int {
 	return slices.IndexFunc(c.disks, func(d disk) bool {
-		return !slices.ContainsFunc(known.All(), func(v register.Voter) bool { return v.Disk == d.acceptor.Disk })
+		return !slices.ContainsFunc(known.AllVoters(), func(v register.Voter) bool { return v.Disk == d.acceptor.Disk })
 	})
 }
 
@@ -150,11 +150,11 @@
 // mayLose keeps to the tolerance: a disk may be lost if no more than the tolerated number of voters is lost with it, and while a
 // change of voters is under way only as the first.
 func (c *Cluster) mayLose(id string) bool {
-	dropped := c.lost(c.latest.All())
-	if !slices.ContainsFunc(c.latest.All(), func(v register.Voter) bool { return v.Disk == id }) {
+	dropped := c.lost(c.latest.AllVoters())
+	if !slices.ContainsFunc(c.latest.AllVoters(), func(v register.Voter) bool { return v.Disk == id }) {
 		return false
 	}
-	return dropped < tolerated && (len(c.latest.Next) == 0 || c.left.Wipes == c.plan.Budget.Wipes)
+	return dropped < tolerated && (len(c.latest.NextVoters) == 0 || c.left.Wipes == c.plan.Budget.Wipes)
 }
 
 // Describe tells what an event of this state is.
@@ -171,10 +171,10 @@
 		return "disk " + c.disks[e.What].acceptor.Disk + " has written"
 	case submit:
 		o := c.plan.Orders[e.What]
-		return fmt.Sprintf("order %s is sent to %s", o, c.proposers[o.Home].By)
+		return fmt.Sprintf("order %s is sent to %s", o, c.proposers[o.Home].ID)
 	case resend:
 		o := c.plan.Orders[e.What]
-		return fmt.Sprintf("order %s is sent again, to %s", o, c.proposers[1-o.Home].By)
+		return fmt.Sprintf("order %s is sent again, to %s", o, c.proposers[1-o.Home].ID)
 	case timer:
 		return "timer of " + name()
 	case deadline:
@@ -237,10 +237,10 @@
 	for _, w := range v.Voters {
 		text += " " + w.Disk
 	}
-	if len(v.Next) > 0 {
+	if len(v.NextVoters) > 0 {
 		text += " next"
 	}
-	for _, w := range v.Next {
+	for _, w := range v.NextVoters {
 		text += " " + w.Disk
 	}
 	return text
--- a/register/bootstrap_test.go
+++ b/register/bootstrap_test.go
@@ -19,7 +19,7 @@
 	d.deaf = true
 	d.run(d.x, 50*time.Millisecond)
 	d.deaf = false
-	d.y.Learn(first)
+	d.y.LearnVoters(first)
 	if err := d.until(d.y, take(0, "theirs")); err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	z.Bootstrap(d.now, d.now+time.Hour, 1, &Value{Fleet: "g", Voters: d.x.voters.Voters})
 	d.only()
 	d.run(z, 50*time.Millisecond)
-	z.Learn(d.y.voters)
+	z.LearnVoters(d.y.voters)
 	d.only("a", "b", "c")
 	if err := d.until(d.y, take(1, "later")); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	}
 	z := NewProposer("z", 3)
 	z.Bootstrap(d.now, d.now+time.Hour, 1, &Value{Fleet: "g", Voters: others})
-	z.Learn(d.y.voters)
+	z.LearnVoters(d.y.voters)
 	d.only("a", "b", "c", "d", "e", "f")
 	if err := d.end(z); fateOf(err) != "412" {
 		t.Errorf("a second founding: %v", err)
--- a/register/clone.go
+++ b/register/clone.go
@@ -27,8 +27,8 @@
 	return c
 }
 
-// Known is the newest value whose voters the proposer goes by, or nil.
-func (p *Proposer) Known() *Value { return p.voters }
+// KnownValue is the newest value whose voters the proposer goes by, or nil.
+func (p *Proposer) KnownValue() *Value { return p.voters }
 
 // Busy tells whether an operation is under way and its timer may fire.
 func (p *Proposer) Busy() bool { return p.current != nil }
@@ -36,8 +36,8 @@
 // Queued tells whether an operation waits behind the one that is under way.
 func (p *Proposer) Queued() bool { return len(p.queue) > 0 }
 
-// Backing tells whether the proposer waits before its next ballot.
-func (p *Proposer) Backing() bool { return p.phase == backingOff }
+// BackingOff tells whether the proposer waits before its next ballot.
+func (p *Proposer) BackingOff() bool { return p.phase == backingOff }
 
 // FireTimer has the wait of the present phase end now, at time zero.
 func (p *Proposer) FireTimer() {
@@ -54,8 +54,8 @@
 	p.Tick(0)
 }
 
-// PassDeadline has an operation's time run out, at time zero, while its node stands still: it ends once the node goes on with it.
-func (p *Proposer) PassDeadline(id uint64) {
+// ExpireDeadline has an operation's time run out, at time zero, while its node stands still: it ends once the node goes on with it.
+func (p *Proposer) ExpireDeadline(id uint64) {
 	for _, o := range append(slices.Clone(p.queue), p.current) {
 		if o != nil && o.id == id {
 			o.deadline = 0
@@ -63,8 +63,8 @@
 	}
 }
 
-// FenceSet tells whether an operation has read a quorum and set its fence.
-func (p *Proposer) FenceSet(id uint64) bool {
+// GuardSet tells whether an operation has read a quorum and set its fence.
+func (p *Proposer) GuardSet(id uint64) bool {
 	return p.current != nil && p.current.id == id && p.current.fence.set
 }
 
@@ -82,7 +82,7 @@
 // AppendFingerprint appends all that decides what the proposer does next but for what it heard of each disk (AppendReplies). Times are
 // left out, they are fired by hand.
 func (p *Proposer) AppendFingerprint(b []byte) []byte {
-	b = fingerprint.Text(b, p.By)
+	b = fingerprint.Text(b, p.ID)
 	b = append(b, byte(p.phase))
 	b = fingerprint.Numbers(b, p.highestBallot, p.requestID)
 	b = p.chosen.AppendFingerprint(p.voters.AppendFingerprint(b))
@@ -170,7 +170,7 @@
 	for _, domain := range v.EvacuatedZones {
 		b = fingerprint.Text(b, domain)
 	}
-	b = appendVoters(appendVoters(b, v.Voters), v.Next)
+	b = appendVoters(appendVoters(b, v.Voters), v.NextVoters)
 	b = fingerprint.Numbers(b, uint64(len(v.LegacyOrders)))
 	for _, o := range v.LegacyOrders {
 		b = fingerprint.Numbers(fingerprint.Text(b, o.ID), o.Version)
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -12,7 +12,7 @@
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Proposer]():    22,
 		reflect.TypeFor[operation]():   10,
-		reflect.TypeFor[Fence]():       3,
+		reflect.TypeFor[ScopeGuard]():  3,
 		reflect.TypeFor[OrderStamp]():  3,
 		reflect.TypeFor[Value]():       13,
 		reflect.TypeFor[LegacyOrder](): 2,
@@ -32,7 +32,7 @@
 func TestCloneIsIndependent(t *testing.T) {
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	p := NewProposer("p", 1)
-	p.Learn(first)
+	p.LearnVoters(first)
 	p.Submit(0, time.Hour, 1, nil)
 	sends, _ := p.TakeOutput()
 	before := p.AppendFingerprint(nil)
--- a/register/duel_test.go
+++ b/register/duel_test.go
@@ -31,7 +31,7 @@
 	d.only("a", "b", "c")
 	d.x.Bootstrap(0, time.Hour, 1, first)
 	d.run(d.x, 100*time.Millisecond)
-	d.y.Learn(first)
+	d.y.LearnVoters(first)
 	return d
 }
 
@@ -49,7 +49,7 @@
 			return nil, nil
 		}
 		if cur.Version != base {
-			return nil, cur.Refusal(base, cur.Version)
+			return nil, cur.EditRejection(base, cur.Version)
 		}
 		cur.Version++
 		cur.Document = []byte(text)
--- a/register/fence_test.go
+++ b/register/fence_test.go
@@ -14,11 +14,11 @@
 	}
 }
 
-func fencedOn(scope string) FencedChange {
-	return func(cur *Value, fence *Fence) (*Value, error) {
+func fencedOn(scope string) GuardedChange {
+	return func(cur *Value, fence *ScopeGuard) (*Value, error) {
 		fence.Set(cur, scope)
 		if !fence.Holds(cur, scope) {
-			return nil, &FencedError{Scope: scope}
+			return nil, &ScopeConflictError{Scope: scope}
 		}
 		cur.LogScoped(scope, "mine", false)
 		return cur, nil
@@ -31,8 +31,8 @@
 	later := first.Clone()
 	later.LogScoped("z", "theirs", false)
 	p := NewProposer("p", 1).Clone()
-	p.Learn(first)
-	p.SubmitFenced(0, time.Hour, 1, fencedOn("z"))
+	p.LearnVoters(first)
+	p.SubmitGuarded(0, time.Hour, 1, fencedOn("z"))
 	sends, _ := p.TakeOutput()
 	requestID := sends[0].Msg.(Prepare).RequestID
 	early, overdue := p.Clone(), p.Clone()
@@ -49,7 +49,7 @@
 	sends, _ = early.TakeOutput()
 	promiseTo(early, sends[len(sends)-1].Msg.(Prepare).RequestID, later)
 	_, results := early.TakeOutput()
-	var fenced *FencedError
+	var fenced *ScopeConflictError
 	if len(results) != 1 || !errors.As(results[0].Err, &fenced) {
 		t.Errorf("an order was taken behind the fence: %+v", results)
 	}
--- a/register/incarnations_test.go
+++ b/register/incarnations_test.go
@@ -13,8 +13,8 @@
 	var overdue []Accepted
 	var promises []Promise
 	for _, p := range []*Proposer{before, after} {
-		p.Learn(first)
-		p.Submit(0, time.Hour, 1, take(0, p.By))
+		p.LearnVoters(first)
+		p.Submit(0, time.Hour, 1, take(0, p.ID))
 	}
 	sends, _ := before.TakeOutput()
 	for _, s := range sends {
--- a/register/manifest.go
+++ b/register/manifest.go
@@ -21,14 +21,14 @@
 
 func (*OrderLogError) Error() string { return "bad memory of orders" }
 
-// OrderLogs is the memory of orders in one piece.
-func (v *Value) OrderLogs() []byte {
+// EncodeOrderLogs is the memory of orders in one piece.
+func (v *Value) EncodeOrderLogs() []byte {
 	raw := binary.AppendUvarint(make([]byte, 0, len(v.EditLog)+len(v.OrderLog)+binary.MaxVarintLen64), uint64(len(v.EditLog)))
 	return append(append(raw, v.EditLog...), v.OrderLog...)
 }
 
-// SetOrderLogs is the reverse of OrderLogs. The error is a *OrderLogError.
-func (v *Value) SetOrderLogs(raw []byte) error {
+// DecodeOrderLogs is the reverse of OrderLogs. The error is a *OrderLogError.
+func (v *Value) DecodeOrderLogs(raw []byte) error {
 	length, n := binary.Uvarint(raw)
 	if n <= 0 || length > uint64(len(raw)-n) {
 		return trace.Wrap(&OrderLogError{Bytes: len(raw)})
--- a/register/manifest_test.go
+++ b/register/manifest_test.go
@@ -21,13 +21,13 @@
 func TestOrderLogsRoundTrip(t *testing.T) {
 	for _, v := range []*Value{{}, {EditLog: EditLog("edits")}, {OrderLog: OrderLog("recent")}, {EditLog: make(EditLog, 4000), OrderLog: OrderLog("recent")}} {
 		back := &Value{EditLog: EditLog("others"), OrderLog: OrderLog("others")}
-		if err := back.SetOrderLogs(v.OrderLogs()); err != nil || !reflect.DeepEqual(back, v) {
+		if err := back.DecodeOrderLogs(v.EncodeOrderLogs()); err != nil || !reflect.DeepEqual(back, v) {
 			t.Errorf("%+v, %v, not %+v", back, err, v)
 		}
 	}
 	var bad *OrderLogError
 	for _, raw := range [][]byte{nil, {200}, {5, 1, 2}} {
-		if err := (&Value{}).SetOrderLogs(raw); !errors.As(err, &bad) {
+		if err := (&Value{}).DecodeOrderLogs(raw); !errors.As(err, &bad) {
 			t.Errorf("%v: %v", raw, err)
 		}
 	}
--- a/register/orderlog.go
+++ b/register/orderlog.go
@@ -12,7 +12,7 @@
 
 // An OrderStamp tells the newest order of a scope from any other. The zero OrderStamp says that none is remembered.
 type OrderStamp struct {
-	ID      Fingerprint
+	ID      OrderHash
 	Version uint64
 	Known   bool
 }
@@ -27,12 +27,12 @@
 	scope   [scopeBytes]byte
 	version uint64
 	raised  bool
-	id      Fingerprint
+	id      OrderHash
 	bytes   int
 }
 
 func scopeOf(name string) [scopeBytes]byte {
-	f := FingerprintOf("scope " + name)
+	f := HashOrder("scope " + name)
 	var hash [scopeBytes]byte
 	copy(hash[:], f[:])
 	return hash
@@ -71,11 +71,11 @@
 
 func (r OrderLog) with(scope, id string, version uint64, raised bool) OrderLog {
 	rest := r
-	if r.Len() >= KeptOrders {
+	if r.Len() >= MaxLoggedOrders {
 		oldest, _ := r.first()
 		rest = r[oldest.bytes:]
 	}
-	hash, f := scopeOf(scope), FingerprintOf(id)
+	hash, f := scopeOf(scope), HashOrder(id)
 	packed := 2 * version
 	if raised {
 		packed++
@@ -88,7 +88,7 @@
 
 // AppliedAt gives the version that the order with this id left, if it is known to have been taken.
 func (v *Value) AppliedAt(id string) (uint64, bool) {
-	f := FingerprintOf(id)
+	f := HashOrder(id)
 	for _, o := range v.OrderLog.all() {
 		if o.id == f {
 			return o.version, true
@@ -129,8 +129,8 @@
 	return s
 }
 
-// PutRefusal is the error for a change by versions that expects a version which isn't the current one and isn't known to have been taken.
-func (v *Value) PutRefusal(expect uint64) error {
+// PutRejection is the error for a change by versions that expects a version which isn't the current one and isn't known to have been taken.
+func (v *Value) PutRejection(expect uint64) error {
 	conflict := &ConflictError{Version: v.Version}
 	if expect >= v.Version {
 		return conflict
@@ -138,7 +138,7 @@
 	if oldest, ok := v.OrderLog.first(); ok && oldest.versionBefore() <= expect {
 		return conflict
 	}
-	return &ForgottenError{Base: expect, Current: v.Version}
+	return &BaseTooOldError{Base: expect, Current: v.Version}
 }
 
 // versionBefore is the version that was current when the order was taken: all later versions were made by it or by later entries.
--- a/register/orderlog_test.go
+++ b/register/orderlog_test.go
@@ -10,7 +10,7 @@
 
 func refused(err error) string {
 	var conflict *ConflictError
-	var forgotten *ForgottenError
+	var forgotten *BaseTooOldError
 	switch {
 	case errors.As(err, &conflict):
 		return "412"
@@ -22,10 +22,10 @@
 
 func TestEditLogDecidesByRevision(t *testing.T) {
 	v := &Value{}
-	for i := range uint64(KeptOrders + 10) {
+	for i := range uint64(MaxLoggedOrders + 10) {
 		v.LogEdit(3*i, fmt.Sprint(i))
 	}
-	current := uint64(3 * (KeptOrders + 10))
+	current := uint64(3 * (MaxLoggedOrders + 10))
 	for _, c := range []struct {
 		what string
 		base uint64
@@ -33,7 +33,7 @@
 		took bool
 		say  string
 	}{
-		{"the newest", current - 3, fmt.Sprint(KeptOrders + 9), true, ""},
+		{"the newest", current - 3, fmt.Sprint(MaxLoggedOrders + 9), true, ""},
 		{"the oldest that is kept", 30, "10", true, ""},
 		{"another on the oldest base", 30, "x", false, "412"},
 		{"a revision that never was", 31, "10", false, "412"},
@@ -44,18 +44,18 @@
 		if elapsed := v.AppliedEdit(c.base, c.id); elapsed != c.took {
 			t.Errorf("%s: taken %v", c.what, elapsed)
 		}
-		if say := refused(v.Refusal(c.base, current)); !c.took && say != c.say {
+		if say := refused(v.EditRejection(c.base, current)); !c.took && say != c.say {
 			t.Errorf("%s: %s, not %s", c.what, say, c.say)
 		}
 	}
-	if len(v.EditLog) > KeptOrders*(fingerprintBytes+2) {
-		t.Errorf("%d bytes for %d orders", len(v.EditLog), KeptOrders)
+	if len(v.EditLog) > MaxLoggedOrders*(fingerprintBytes+2) {
+		t.Errorf("%d bytes for %d orders", len(v.EditLog), MaxLoggedOrders)
 	}
 }
 
 func TestOrderLogDecidesPutsByVersion(t *testing.T) {
 	v := &Value{Version: 5}
-	if say := refused(v.PutRefusal(4)); say != "503" {
+	if say := refused(v.PutRejection(4)); say != "503" {
 		t.Errorf("nothing is remembered, and %s is said", say)
 	}
 	v.LogScoped("z", "same", false)
@@ -64,7 +64,7 @@
 	v.Version++
 	v.LogScoped("z", "b", true)
 	for expect, want := range map[uint64]string{4: "503", 5: "412", 6: "412", 8: "412"} {
-		if say := refused(v.PutRefusal(expect)); say != want {
+		if say := refused(v.PutRejection(expect)); say != want {
 			t.Errorf("on %d: %s, not %s", expect, say, want)
 		}
 	}
@@ -136,18 +136,18 @@
 	if !v.AppliedEdit(7, "PUT/b") || v.AppliedEdit(7, "PUT/c") {
 		t.Error("the ids of an older build are not known")
 	}
-	if say := refused(v.Refusal(6, 8)); say != "503" {
+	if say := refused(v.EditRejection(6, 8)); say != "503" {
 		t.Errorf("an order before the memory began: %s", say)
 	}
 	v.LogEdit(8, "PUT/d")
-	if say := refused(v.Refusal(8, 9)); say != "412" || !v.AppliedEdit(8, "PUT/d") || len(v.LegacyOrders) != 1 {
+	if say := refused(v.EditRejection(8, 9)); say != "412" || !v.AppliedEdit(8, "PUT/d") || len(v.LegacyOrders) != 1 {
 		t.Errorf("%s, %v", say, v.LegacyOrders)
 	}
 	var old valueBefore
 	carry(t, EncodeValue(v), &old)
 	var back EncodedValue
 	carry(t, old, &back)
-	if say := refused(back.Decode().Refusal(8, 9)); say != "503" {
+	if say := refused(back.Decode().EditRejection(8, 9)); say != "503" {
 		t.Errorf("an older build dropped the list, and %s is said", say)
 	}
 }
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -54,8 +54,8 @@
 
 type operation struct {
 	id       uint64
-	change   FencedChange
-	fence    Fence
+	change   GuardedChange
+	fence    ScopeGuard
 	deadline time.Duration
 	proposed bool
 	// proposed is the ballot under which a value with the change was last proposed.
@@ -82,7 +82,7 @@
 // Proposer runs the operations of one node, one after another. By must differ between any two incarnations of any two proposers;
 // RoundTimeout is how long answers are waited for (0.4 s).
 type Proposer struct {
-	By           string
+	ID           string
 	RoundTimeout time.Duration
 	rng          *rand.Rand
 
@@ -109,7 +109,7 @@
 
 // NewProposer makes a proposer that knows no voters yet.
 func NewProposer(by string, seed uint64) *Proposer {
-	return &Proposer{By: by, RoundTimeout: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), requestID: firstRequestID(by), roundTrip: initialRoundTrip}
+	return &Proposer{ID: by, RoundTimeout: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), requestID: firstRequestID(by), roundTrip: initialRoundTrip}
 }
 
 // firstRequestID starts the request IDs of each incarnation elsewhere: an answer to the incarnation before, from a voter that was frozen,
@@ -119,8 +119,8 @@
 // droppedHashBits are the bits of a hash that a first request ID leaves out, so that ids stay short and never wrap around.
 const droppedHashBits = 16
 
-// Learn tells of a chosen value, for its voters.
-func (p *Proposer) Learn(v *Value) {
+// LearnVoters tells of a chosen value, for its voters.
+func (p *Proposer) LearnVoters(v *Value) {
 	if v != nil && v.Newer(p.voters) {
 		p.voters = v
 	}
@@ -132,7 +132,7 @@
 	if v.Newer(p.chosen) {
 		p.chosen = v
 	}
-	p.Learn(v)
+	p.LearnVoters(v)
 }
 
 // TakeOutput takes what is to be sent and what has ended since the last call.
@@ -196,13 +196,13 @@
 	if !p.cheapRead {
 		p.highestBallot++
 	}
-	p.ballot = Ballot{N: p.highestBallot, By: p.By}
+	p.ballot = Ballot{N: p.highestBallot, By: p.ID}
 	p.phase, p.nextActionAt, p.askedAt = preparing, now+p.RoundTimeout, now
 	if p.cheapRead {
 		p.nextActionAt = now + min(cheapReadTimeout<<min(p.tries, 8), p.RoundTimeout)
 	}
 	p.promises, p.acceptedBy, p.asked = map[string]Promise{}, map[string]bool{}, map[string]bool{}
-	p.prepareAt(p.voters.All())
+	p.prepareAt(p.voters.AllVoters())
 }
 
 func (p *Proposer) prepareAt(set []Voter) {
--- a/register/readonly_test.go
+++ b/register/readonly_test.go
@@ -43,14 +43,14 @@
 		next = append(next, Voter{Disk: disk})
 	}
 	begin := func(cur *Value) (*Value, error) {
-		cur.Next, cur.Epoch = next, cur.Epoch+1
+		cur.NextVoters, cur.Epoch = next, cur.Epoch+1
 		return cur, nil
 	}
 	finish := func(cur *Value) (*Value, error) {
-		if len(cur.Next) == 0 {
+		if len(cur.NextVoters) == 0 {
 			return nil, nil
 		}
-		cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
+		cur.Voters, cur.NextVoters, cur.Epoch = cur.NextVoters, nil, cur.Epoch+1
 		return cur, nil
 	}
 	for _, change := range []Change{begin, finish} {
@@ -76,7 +76,7 @@
 	all := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	d := newDuel(t)
 	stale := NewProposer("z", seed)
-	stale.Learn(d.x.voters)
+	stale.LearnVoters(d.x.voters)
 	rng := NewProposer("r", seed).rng
 	d.only(all...)
 	version, confirmed := uint64(0), ""
@@ -85,7 +85,7 @@
 		away := all[rng.IntN(len(all))]
 		d.only(all...)
 		d.reach[away] = false
-		if len(d.x.voters.Next) == 0 {
+		if len(d.x.voters.NextVoters) == 0 {
 			d.changeVoters(rng.IntN(3) > 0, all[at[0]], all[at[1]], all[at[2]])
 		}
 		text := fmt.Sprint("t", version)
@@ -95,7 +95,7 @@
 			break
 		}
 		version, confirmed = version+1, text
-		if len(d.x.voters.Next) > 0 {
+		if len(d.x.voters.NextVoters) > 0 {
 			d.x.Submit(d.now, d.now+operationTimeout, 5, seatNext)
 			_ = d.end(d.x)
 		}
@@ -118,6 +118,6 @@
 
 // seatNext lets the next voters take over.
 func seatNext(cur *Value) (*Value, error) {
-	cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
+	cur.Voters, cur.NextVoters, cur.Epoch = cur.NextVoters, nil, cur.Epoch+1
 	return cur, nil
 }
--- a/register/refused_test.go
+++ b/register/refused_test.go
@@ -7,7 +7,7 @@
 func TestRejectedProposalIsNeverChosen(t *testing.T) {
 	d := newDuel(t)
 	z := NewProposer("z", 3)
-	z.Learn(d.x.voters)
+	z.LearnVoters(d.x.voters)
 	d.x, d.y = d.y, d.x
 	d.expose(0, "a")
 	d.x, d.y = d.y, d.x
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -66,7 +66,7 @@
 	l.pump(400, 0)
 	l.props[0].TakeOutput()
 	for _, p := range l.props {
-		p.Learn(&Value{Fleet: "f", Voters: vs})
+		p.LearnVoters(&Value{Fleet: "f", Voters: vs})
 	}
 	return l
 }
@@ -187,17 +187,17 @@
 	p := l.props[l.rng.IntN(len(l.props))]
 	l.id += 2
 	p.Submit(l.now, l.now+2*time.Second, l.id-1, func(cur *Value) (*Value, error) {
-		if len(cur.Next) > 0 {
+		if len(cur.NextVoters) > 0 {
 			return nil, nil
 		}
-		cur.Next, cur.Epoch = next, cur.Epoch+1
+		cur.NextVoters, cur.Epoch = next, cur.Epoch+1
 		return cur, nil
 	})
 	p.Submit(l.now, l.now+2*time.Second, l.id, func(cur *Value) (*Value, error) {
-		if len(cur.Next) == 0 {
+		if len(cur.NextVoters) == 0 {
 			return nil, nil
 		}
-		cur.Voters, cur.Next, cur.Epoch = cur.Next, nil, cur.Epoch+1
+		cur.Voters, cur.NextVoters, cur.Epoch = cur.NextVoters, nil, cur.Epoch+1
 		return cur, nil
 	})
 }
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -25,7 +25,7 @@
 	}
 	if best := p.baseValue(); best != nil {
 		p.voters = best
-		p.prepareAt(best.All())
+		p.prepareAt(best.AllVoters())
 	}
 	if len(p.promises) == len(p.asked) || (!p.current.full && p.hasQuorum()) {
 		p.finishRound(now)
@@ -76,7 +76,7 @@
 		p.prepare(now)
 		return
 	}
-	if len(p.promises) == len(first.All()) {
+	if len(p.promises) == len(first.AllVoters()) {
 		p.proposeValue(now, first, true)
 	}
 }
@@ -160,7 +160,7 @@
 
 func (p *Proposer) acceptedEverywhere() bool {
 	top := p.highestAcceptedBallot()
-	for _, v := range p.voters.All() {
+	for _, v := range p.voters.AllVoters() {
 		if r, ok := p.promises[v.Disk]; !ok || r.Accepted != top {
 			return false
 		}
@@ -175,8 +175,8 @@
 	if changed {
 		p.current.proposed, p.current.proposedBallot = true, p.ballot
 	}
-	to := p.voters.All()
-	for _, s := range v.All() {
+	to := p.voters.AllVoters()
+	for _, s := range v.AllVoters() {
 		if !contains(to, s.Disk) {
 			to = append(to, s)
 		}
@@ -202,7 +202,7 @@
 		return
 	}
 	if !r.OK {
-		if contains(p.voters.All(), r.Disk) {
+		if contains(p.voters.AllVoters(), r.Disk) {
 			p.retry(now)
 		}
 		return
--- a/register/starve_test.go
+++ b/register/starve_test.go
@@ -60,7 +60,7 @@
 	for seed := range uint64(100) {
 		r := &rivals{duel: newDuel(t), hop: 5 * time.Millisecond}
 		r.x = NewProposer("x", seed+10)
-		r.x.Learn(&Value{Fleet: "f", Voters: r.y.voters.Voters})
+		r.x.LearnVoters(&Value{Fleet: "f", Voters: r.y.voters.Voters})
 		changes := 0
 		for range 5 {
 			r.rivalChange(t)
--- a/register/submit.go
+++ b/register/submit.go
@@ -15,8 +15,8 @@
 	p.next(now)
 }
 
-// SubmitFenced queues a change that keeps a fence; otherwise like Submit.
-func (p *Proposer) SubmitFenced(now, deadline time.Duration, id uint64, change FencedChange) {
+// SubmitGuarded queues a change that keeps a fence; otherwise like Submit.
+func (p *Proposer) SubmitGuarded(now, deadline time.Duration, id uint64, change GuardedChange) {
 	p.queue = append(p.queue, &operation{id: id, change: change, deadline: deadline})
 	p.next(now)
 }
--- a/register/value.go
+++ b/register/value.go
@@ -40,8 +40,8 @@
 	Document       []byte
 	EvacuatedZones []string
 	// Voters are the disks that vote. Next, unless empty, is the set that follows: until it has, majorities of both are needed.
-	Voters []Voter
-	Next   []Voter
+	Voters     []Voter
+	NextVoters []Voter
 	// LegacyOrders is the memory of orders of older builds: kept while there is nothing better.
 	LegacyOrders []LegacyOrder
 	// EditLog and OrderLog are the memory of orders that were taken.
@@ -59,17 +59,17 @@
 func (v *Value) Clone() *Value {
 	c := &Value{}
 	*c = *v
-	c.EvacuatedZones, c.Voters, c.Next, c.LegacyOrders = slices.Clone(v.EvacuatedZones), slices.Clone(v.Voters), slices.Clone(v.Next), slices.Clone(v.LegacyOrders)
+	c.EvacuatedZones, c.Voters, c.NextVoters, c.LegacyOrders = slices.Clone(v.EvacuatedZones), slices.Clone(v.Voters), slices.Clone(v.NextVoters), slices.Clone(v.LegacyOrders)
 	return c
 }
 
-// Size is the number of bytes of the document.
-func (v *Value) Size() int { return len(v.Document) }
+// DocumentSize is the number of bytes of the document.
+func (v *Value) DocumentSize() int { return len(v.Document) }
 
-// All lists the voters and the next ones, each once.
-func (v *Value) All() []Voter {
+// AllVoters lists the voters and the next ones, each once.
+func (v *Value) AllVoters() []Voter {
 	vs := slices.Clone(v.Voters)
-	for _, n := range v.Next {
+	for _, n := range v.NextVoters {
 		if !slices.ContainsFunc(vs, func(o Voter) bool { return o.Disk == n.Disk }) {
 			vs = append(vs, n)
 		}
@@ -99,7 +99,7 @@
 
 // SameVoters tells whether two values have the same voters and next voters.
 func SameVoters(a, b *Value) bool {
-	return sameVoters(a.Voters, b.Voters) && sameVoters(a.Next, b.Next)
+	return sameVoters(a.Voters, b.Voters) && sameVoters(a.NextVoters, b.NextVoters)
 }
 
 func majority(set []Voter, has func(disk string) bool) bool {
@@ -114,5 +114,5 @@
 
 // Quorum tells whether the disks for which has returns true hold a majority of the voters, and of the next ones if there are any.
 func Quorum(v *Value, has func(disk string) bool) bool {
-	return majority(v.Voters, has) && (len(v.Next) == 0 || majority(v.Next, has))
+	return majority(v.Voters, has) && (len(v.NextVoters) == 0 || majority(v.NextVoters, has))
 }
--- a/register/voters_test.go
+++ b/register/voters_test.go
@@ -43,11 +43,11 @@
 	if _, ok := v.AppliedAt("a"); !ok {
 		t.Error("a taken change is forgotten")
 	}
-	for i := range 2 * KeptOrders {
+	for i := range 2 * MaxLoggedOrders {
 		v.LogUnscoped(fmt.Sprint(i))
 		v.LogEdit(uint64(i), fmt.Sprint(i))
 	}
-	if v.OrderLog.Len() != KeptOrders || v.EditLog.Len() != KeptOrders {
+	if v.OrderLog.Len() != MaxLoggedOrders || v.EditLog.Len() != MaxLoggedOrders {
 		t.Errorf("%d orders and %d edits are kept", v.OrderLog.Len(), v.EditLog.Len())
 	}
 }
--- a/storage/store.go
+++ b/storage/store.go
@@ -21,16 +21,16 @@
 // Error implements error.
 func (e *UnreadableError) Error() string { return e.File + " cannot be read: " + e.Cause.Error() }
 
-// BrokenError is returned by each write after a failed one, until Recover succeeds.
-type BrokenError struct{ Cause error }
+// WriteFailedError is returned by each write after a failed one, until Recover succeeds.
+type WriteFailedError struct{ Cause error }
 
 // Error implements error.
-func (e *BrokenError) Error() string {
+func (e *WriteFailedError) Error() string {
 	return "disk broke down earlier, nothing more is written: " + e.Cause.Error()
 }
 
 // Unwrap gives the cause.
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *WriteFailedError) Unwrap() error { return e.Cause }
 
 // Unwrap gives the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
@@ -103,7 +103,7 @@
 
 func (v *Store) fail(err error) error {
 	if v.broken == nil {
-		v.broken = trace.Wrap(&BrokenError{Cause: err})
+		v.broken = trace.Wrap(&WriteFailedError{Cause: err})
 	}
 	return v.broken
 }
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -126,7 +126,7 @@
 		t.Fatal("a failed sync was taken for a good one")
 	}
 	d.BadSync = false
-	var broken *storage.BrokenError
+	var broken *storage.WriteFailedError
 	if err = v.Append([][]byte{[]byte("more")}); !errors.As(err, &broken) {
 		t.Fatalf("wrote on after a failed sync: %v", err)
 	}
