--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -137,7 +137,7 @@
 		return QuotaDivision
 	case router.SnapshotUpdate:
 		return Config
-	case router.Arrival, router.ReadyToSend, router.AnswerHead, router.AnswerStarted, router.AttemptEnded, router.ClientDisconnected, router.RanElsewhere,
+	case router.Arrival, router.ReadyToSend, router.ResponseHead, router.ResponseStarted, router.AttemptEnded, router.ClientDisconnected, router.RanElsewhere,
 		router.ReplicaLoad, router.WrongInstance:
 		return Requests
 	}
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -96,8 +96,8 @@
 			continue
 		}
 		l.step(router.ReadyToSend{Request: req, AttemptID: d.AttemptID})
-		l.step(router.AnswerHead{Request: req, AttemptID: d.AttemptID, InstanceID: "i1"})
-		l.step(router.AnswerStarted{Request: req, AttemptID: d.AttemptID})
+		l.step(router.ResponseHead{Request: req, AttemptID: d.AttemptID, InstanceID: "i1"})
+		l.step(router.ResponseStarted{Request: req, AttemptID: d.AttemptID})
 		l.step(router.AttemptEnded{Request: req, AttemptID: d.AttemptID, Result: router.Completed})
 		l.done++
 	}
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -119,7 +119,7 @@
 var eventReaders = map[string]func(raw []byte) (router.Event, error){
 	"arrive": read[router.Arrival], "listing": read[router.Listing], "usage": read[router.LoadReport],
 	"routers": read[router.Routers], "feed": read[router.ControlStatus], "leave": read[router.ReadyToSend],
-	"head": read[router.AnswerHead], "piece": read[router.AnswerStarted], "end": read[router.AttemptEnded], "hangup": read[router.ClientDisconnected],
+	"head": read[router.ResponseHead], "piece": read[router.ResponseStarted], "end": read[router.AttemptEnded], "hangup": read[router.ClientDisconnected],
 }
 
 // event reads an event by its published name.
--- a/cmd/mallowbridge/placement.go
+++ b/cmd/mallowbridge/placement.go
@@ -15,6 +15,6 @@
 	case blind:
 		r.DisableIndex()
 	case roundRobin:
-		r.UseRoundRobin()
+		r.EnableRoundRobin()
 	}
 }
--- a/control/witness.go
+++ b/control/witness.go
@@ -68,7 +68,7 @@
 func WitnessOutcome(a Answer) router.AttemptResult {
 	switch {
 	case a.Err != nil || a.WitnessVerdict == TooFewReplies:
-		return router.Unwitnessed
+		return router.NoWitnessQuorum
 	case a.WitnessVerdict == AskedBefore:
 		return router.Suppressed
 	}
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -108,7 +108,7 @@
 	if how, elapsed := f.ask(set[3].Name, "q3"); how != "" && elapsed < witnessTimeout {
 		t.Errorf("gave up after %s", elapsed)
 	}
-	if how, elapsed := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != router.Unwitnessed || elapsed < witnessTimeout || elapsed > 2*witnessTimeout {
+	if how, elapsed := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != router.NoWitnessQuorum || elapsed < witnessTimeout || elapsed > 2*witnessTimeout {
 		t.Errorf("three of six are silent: %q after %s", how, elapsed)
 	}
 	f.mute = map[string]bool{}
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	replied := router.AnswerHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
+	replied := router.ResponseHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
 	if !c.report(replied) {
 		return nil
 	}
@@ -133,11 +133,11 @@
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		var l router.AnswerLine
+		var l router.ResponseLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return err
 		}
-		if !c.report(router.AnswerLineRead{AttemptID: c.placement.AttemptID, Line: l}) {
+		if !c.report(router.ResponseLineRead{AttemptID: c.placement.AttemptID, Line: l}) {
 			return nil
 		}
 	}
--- a/mallowbridge.go
+++ b/mallowbridge.go
@@ -14,10 +14,10 @@
 	Arrive = router.Arrival
 	// ReadyToSend says that the connection to the replica is open; the answer is Send or CancelBeforeSend.
 	ReadyToSend = router.ReadyToSend
-	// AnswerHead says that the head of the replica's answer came.
-	AnswerHead = router.AnswerHead
-	// AnswerStarted says that the first part of the answer was passed on.
-	AnswerStarted = router.AnswerStarted
+	// ResponseHead says that the head of the replica's answer came.
+	ResponseHead = router.ResponseHead
+	// ResponseStarted says that the first part of the answer was passed on.
+	ResponseStarted = router.ResponseStarted
 	// AttemptEnded says how an attempt ended.
 	AttemptEnded = router.AttemptEnded
 	// ClientDisconnected says that the client is gone.
@@ -32,7 +32,7 @@
 	Completed = router.Completed
 	Refused   = router.Refused
 	Failed    = router.Failed
-	Unreached = router.Unreached
+	NotSent = router.NotSent
 )
 
 // Decision is what the router decided for one request.
--- a/proxy/action.go
+++ b/proxy/action.go
@@ -20,10 +20,10 @@
 	CloseConnection
 	// NotifyRouter hands the router an event.
 	NotifyRouter
-	// DiscardAnswer reads the rest of an answer that is not passed on.
-	DiscardAnswer
-	// ForwardAnswer passes the answer on, without its head where the place resumes.
-	ForwardAnswer
+	// DiscardResponse reads the rest of an answer that is not passed on.
+	DiscardResponse
+	// ForwardResponse passes the answer on, without its head where the place resumes.
+	ForwardResponse
 	// Finish ends the exchange with the outcome.
 	Finish
 )
@@ -70,8 +70,8 @@
 // ConnectFailed tells that there is no connection, and whether that is the replica's fault.
 type ConnectFailed struct{ AtConnectionLimit bool }
 
-// AnswerHeadRead is the head of an answer.
-type AnswerHeadRead struct {
+// ResponseHeadRead is the head of an answer.
+type ResponseHeadRead struct {
 	Status int
 	// Mismatched answers belong to another request, CloseDelimited ones end only with their connection, Unsealed ones lack the seal.
 	Mismatched, NotExecuted, CloseDelimited, Unsealed bool
@@ -83,11 +83,11 @@
 	Load                              *router.ReplicaLoad
 }
 
-// AnswerStarted tells that the head is passed on before the answer is whole.
-type AnswerStarted struct{}
+// ResponseStarted tells that the head is passed on before the answer is whole.
+type ResponseStarted struct{}
 
-// AnswerEnded tells that the answer was read to its end.
-type AnswerEnded struct{}
+// ResponseEnded tells that the answer was read to its end.
+type ResponseEnded struct{}
 
 // ConnectionLost tells that the connection failed after bytes of the request may have left.
 type ConnectionLost struct{}
@@ -103,9 +103,9 @@
 
 func (Connected) signal()          {}
 func (ConnectFailed) signal()      {}
-func (AnswerHeadRead) signal()     {}
-func (AnswerStarted) signal()      {}
-func (AnswerEnded) signal()        {}
+func (ResponseHeadRead) signal()     {}
+func (ResponseStarted) signal()      {}
+func (ResponseEnded) signal()        {}
 func (ConnectionLost) signal()     {}
 func (Unwritten) signal()          {}
 func (DeadlinePassed) signal()     {}
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-func (x *transfer) replied(resp *http.Response) AnswerHeadRead {
+func (x *transfer) replied(resp *http.Response) ResponseHeadRead {
 	h, place := &x.proxy.headers, &x.exchange.Placement
-	var s AnswerHeadRead
+	var s ResponseHeadRead
 	s.Status = resp.StatusCode
 	s.CloseDelimited = resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 	if first(resp.Header, h.AttemptID) != x.attempt() {
@@ -71,7 +71,7 @@
 	} else {
 		x.disconnect()
 	}
-	x.signal(AnswerEnded{})
+	x.signal(ResponseEnded{})
 }
 
 // connectionLost tells why a connection failed after the request was written to it.
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -146,7 +146,7 @@
 		r := call(t, url, "id1", "")
 		want(t, "answer", strconv.Itoa(r.status)+" "+r.body, status[:3]+" whole")
 		<-m.events
-		if h, ok := (<-m.events).(router.AnswerHead); !ok || h.Failed != failed {
+		if h, ok := (<-m.events).(router.ResponseHead); !ok || h.Failed != failed {
 			t.Errorf("%s: told as failed: %v", status, h.Failed)
 		}
 	}
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -14,12 +14,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// InvalidAnswerError says that what came in the place of an answer is none.
-type InvalidAnswerError struct{ Cause error }
+// InvalidResponseError says that what came in the place of an answer is none.
+type InvalidResponseError struct{ Cause error }
 
-func (e *InvalidAnswerError) Error() string { return "no answer: " + e.Cause.Error() }
+func (e *InvalidResponseError) Error() string { return "no answer: " + e.Cause.Error() }
 
-func (e *InvalidAnswerError) Unwrap() error { return e.Cause }
+func (e *InvalidResponseError) Unwrap() error { return e.Cause }
 
 // UnexpectedStatusError names a status that no answer to this request may have.
 type UnexpectedStatusError struct{ Status int }
@@ -111,7 +111,7 @@
 	for range maxEarly {
 		resp, err = http.ReadResponse(c.reader, r)
 		if err != nil {
-			return nil, trace.Wrap(&InvalidAnswerError{Cause: err})
+			return nil, trace.Wrap(&InvalidResponseError{Cause: err})
 		}
 		if resp.StatusCode/100 != 1 {
 			return resp, nil
@@ -120,12 +120,12 @@
 			break
 		}
 	}
-	return nil, trace.Wrap(&InvalidAnswerError{Cause: &UnexpectedStatusError{Status: resp.StatusCode}})
+	return nil, trace.Wrap(&InvalidResponseError{Cause: &UnexpectedStatusError{Status: resp.StatusCode}})
 }
 
 // setIdle says how long the connection may be idle after the answer. A replica that names no whole second may close it sooner than one.
 func (c *conn) setIdle(h http.Header, set Settings) {
-	idle, sure := set.IdleTimeout, set.IdleTimeoutNonRetryable
+	idle, sure := set.IdleTimeout, set.IdleTimeoutNonIdempotent
 	for _, v := range h["Keep-Alive"] {
 		for part := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/proxy/continuity.go
+++ b/proxy/continuity.go
@@ -71,9 +71,9 @@
 // consecutive tells whether the ids so far left no number out.
 func (c *continuity) consecutive() bool { return c.successors > 0 && !c.leaps }
 
-// StartAnswer drops the rest of a run and goes on with another one, or with the first, behind the last event. Version is the weights' version
+// StartResponse drops the rest of a run and goes on with another one, or with the first, behind the last event. Version is the weights' version
 // that its head tells, empty where it tells none.
-func (e *EventStream) StartAnswer(version string) {
+func (e *EventStream) StartResponse(version string) {
 	e.buf, e.seen, e.start = e.buf[:0], 0, 0
 	e.cr, e.lone, e.hasID, e.plain = false, false, false, false
 	e.run.skip, e.run.onward, e.run.versioned = append(e.run.skip[:0], e.LastID...), false, false
--- a/proxy/continuity_test.go
+++ b/proxy/continuity_test.go
@@ -191,7 +191,7 @@
 	if _, err := e.Feed([]byte(events(1, 2))); err != nil {
 		t.Fatal(err)
 	}
-	e.StartAnswer("")
+	e.StartResponse("")
 	_, err := e.Feed([]byte(event(4)))
 	want(t, "error", err, `event "4" where the one after "2" is due`)
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -197,18 +197,18 @@
 	case Unwritten:
 		if e.phase == written {
 			e.do(Action{Kind: CloseConnection})
-			e.end(router.Unreached)
+			e.end(router.NotSent)
 		}
-	case AnswerHeadRead:
+	case ResponseHeadRead:
 		if e.phase == written {
 			e.replied(s)
 		}
-	case AnswerStarted:
+	case ResponseStarted:
 		if e.phase == passing {
-			e.notify(router.AnswerStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
+			e.notify(router.ResponseStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
 			e.began, e.flat = true, !e.stream
 		}
-	case AnswerEnded:
+	case ResponseEnded:
 		e.ended()
 	case ConnectionLost:
 		switch e.phase {
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -12,7 +12,7 @@
 )
 
 var kinds = map[proxy.ActionKind]string{
-	proxy.Connect: "connect", proxy.WriteRequest: "write", proxy.ReleaseConnection: "park", proxy.CloseConnection: "drop", proxy.DiscardAnswer: "drain", proxy.ForwardAnswer: "pass",
+	proxy.Connect: "connect", proxy.WriteRequest: "write", proxy.ReleaseConnection: "park", proxy.CloseConnection: "drop", proxy.DiscardResponse: "drain", proxy.ForwardResponse: "pass",
 }
 
 func show(actions []proxy.Action) string {
@@ -52,15 +52,15 @@
 	resumable.Route = streams
 	onward := place("b")
 	onward.Route, onward.Resumes = streams, true
-	stream := proxy.AnswerHeadRead{Status: 200, Stream: true}
+	stream := proxy.ResponseHeadRead{Status: 200, Stream: true}
 	for _, c := range []struct {
 		name  string
 		steps []any
 		want  string
 	}{
-		{"short answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 200}, proxy.AnswerEnded{}},
+		{"short answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 200}, proxy.ResponseEnded{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AttemptEnded(whole) finish1"},
-		{"long answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 200}, proxy.AnswerStarted{}, proxy.AnswerEnded{}},
+		{"long answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 200}, proxy.ResponseStarted{}, proxy.ResponseEnded{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
 		{"recalled", []any{place("a"), proxy.Connected{}, router.Decision{Verdict: router.CancelBeforeSend, AttemptID: "a"}, send("a"), deny},
 			"connect|ReadyToSend|park||finish2"},
@@ -74,23 +74,23 @@
 		{"closed before", []any{place("a"), proxy.Connected{}, nil}, "connect|ReadyToSend|drop finish2"},
 		{"unwritten, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.Unwritten{}, deny},
 			"connect|ReadyToSend|write|drop AttemptEnded(unreached)|finish2"},
-		{"refused, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 503, NotExecuted: true}, proxy.AnswerEnded{}, deny},
+		{"refused, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 503, NotExecuted: true}, proxy.ResponseEnded{}, deny},
 			"connect|ReadyToSend|write|drain|AttemptEnded(refused)|finish2"},
-		{"421", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 421}, proxy.ConnectionLost{}, deny},
+		{"421", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 421}, proxy.ConnectionLost{}, deny},
 			"connect|ReadyToSend|write|WrongInstance drain|drop AttemptEnded(refused)|finish2"},
-		{"503 without proof", []any{place("a"), proxy.Connected{}, send("a"), proxy.AnswerHeadRead{Status: 503}, deny},
+		{"503 without proof", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 503}, deny},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
 		{"never twice", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, place("b")},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
 		{"twice where it may be", []any{repeatable, proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated, proxy.Connected{}, send("b"), send("b")},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|connect|ReadyToSend|write|"},
-		{"resumed", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.AnswerStarted{}, proxy.ConnectionLost{}, onward, proxy.Connected{}, send("b"), stream, proxy.AnswerStarted{}, proxy.AnswerEnded{}},
+		{"resumed", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, onward, proxy.Connected{}, send("b"), stream, proxy.ResponseStarted{}, proxy.ResponseEnded{}},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
-		{"not resumed where the route became resumable later", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.AnswerStarted{}, proxy.ConnectionLost{}, onward},
+		{"not resumed where the route became resumable later", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, onward},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
 		{"not repeated where the route became repeatable later", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated},
 			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
-		{"not resumed from the start", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.AnswerStarted{}, proxy.ConnectionLost{}, repeated},
+		{"not resumed from the start", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, repeated},
 			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
 		{"capped", []any{place("a"), proxy.ConnectFailed{AtConnectionLimit: true}, deny}, "connect|AttemptEnded(refused)|finish2"},
 		{"overdue before the write", []any{place("a"), proxy.Connected{}, send("a"), proxy.DeadlinePassed{Unwritten: true}},
@@ -153,7 +153,7 @@
 			j.route = d.Route
 		}
 	}
-	r, replied := s.(proxy.AnswerHeadRead)
+	r, replied := s.(proxy.ResponseHeadRead)
 	overdue, isOverdue := s.(proxy.DeadlinePassed)
 	if _, ok := s.(proxy.Unwritten); wasWritten && (ok || (isOverdue && overdue.Unwritten) || (replied && !r.Mismatched && (r.NotExecuted || r.Status == 421))) {
 		j.written = false
@@ -161,7 +161,7 @@
 	for _, m := range actions {
 		j.checkAction(m, s, wasPassing)
 	}
-	if _, ok := s.(proxy.AnswerStarted); ok && wasPassing && j.finishes == 0 {
+	if _, ok := s.(proxy.ResponseStarted); ok && wasPassing && j.finishes == 0 {
 		j.began = true
 	}
 }
@@ -185,14 +185,14 @@
 		}
 		j.mayRun = j.mayRun || j.written
 		j.open, j.written, j.passing = false, false, false
-	case proxy.ForwardAnswer:
-		if r := s.(proxy.AnswerHeadRead); r.NotExecuted || r.Mismatched || r.CloseDelimited || (r.Unsealed && r.Status/100 == 2) || (j.began && !r.Stream) || j.passing {
+	case proxy.ForwardResponse:
+		if r := s.(proxy.ResponseHeadRead); r.NotExecuted || r.Mismatched || r.CloseDelimited || (r.Unsealed && r.Status/100 == 2) || (j.began && !r.Stream) || j.passing {
 			j.fail("passed on what must not be")
 		}
 		j.passing = true
 	case proxy.NotifyRouter:
 		if end, ok := m.Event.(router.AttemptEnded); ok {
-			j.mayRun = j.mayRun || (j.written && end.Result != router.Refused && end.Result != router.Unreached)
+			j.mayRun = j.mayRun || (j.written && end.Result != router.Refused && end.Result != router.NotSent)
 			j.open, j.written, j.passing = false, false, false
 		}
 	case proxy.Finish:
@@ -201,7 +201,7 @@
 }
 
 func (j *judge) finish(m proxy.Action, s any, wasPassing bool) {
-	_, ended := s.(proxy.AnswerEnded)
+	_, ended := s.(proxy.ResponseEnded)
 	switch j.finishes++; {
 	case j.finishes > 1:
 		j.fail("two ends")
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -109,7 +109,7 @@
 // TestSlowReaderEndsWithItsRequest: a replica's place is not held for longer than the request lives.
 func TestSlowReaderEndsWithItsRequest(t *testing.T) {
 	set := proxy.Defaults()
-	set.StallTimeout, set.MaxBufferedAnswerBytes = 300*time.Millisecond, 4<<20
+	set.StallTimeout, set.MaxBufferedResponseBytes = 300*time.Millisecond, 4<<20
 	m := newStubRouter(unknown, endless(t).place(&config.Route{Timeout: 2 * time.Second}))
 	p, addr := front(t, m, set, config.Limits{})
 	u := narrow(t, addr)
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -104,7 +104,7 @@
 			h := newHand(t)
 			m := &early{stubRouter: newStubRouter(deny, h.place(route))}
 			set := proxy.Defaults()
-			set.IdleTimeoutNonRetryable, set.IdleTimeout = 300*time.Millisecond, 300*time.Millisecond
+			set.IdleTimeoutNonIdempotent, set.IdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 			_, addr := front(t, m, set, config.Limits{})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -36,11 +36,11 @@
 		return proxy.ConnectFailed{AtConnectionLimit: b&1 > 0}
 	case 10, 11:
 		status := []int{200, 200, 200, 204, 500, 503, 429, 421, 408}[int(a)%9]
-		return proxy.AnswerHeadRead{Status: status, Mismatched: b&31 == 1, NotExecuted: b&7 == 2, CloseDelimited: b&31 == 3, Unsealed: b&31 == 4, Stream: b&32 > 0}
+		return proxy.ResponseHeadRead{Status: status, Mismatched: b&31 == 1, NotExecuted: b&7 == 2, CloseDelimited: b&31 == 3, Unsealed: b&31 == 4, Stream: b&32 > 0}
 	case 12:
-		return proxy.AnswerStarted{}
+		return proxy.ResponseStarted{}
 	case 13:
-		return []proxy.Signal{proxy.AnswerEnded{}, proxy.ConnectionLost{}, proxy.ConnectionLost{}, proxy.Unwritten{}}[b%4]
+		return []proxy.Signal{proxy.ResponseEnded{}, proxy.ConnectionLost{}, proxy.ConnectionLost{}, proxy.Unwritten{}}[b%4]
 	case 14:
 		if a < 200 {
 			return proxy.ConnectionLost{}
@@ -48,7 +48,7 @@
 		return []proxy.Signal{proxy.ClientDisconnected{}, proxy.DeadlinePassed{}, proxy.DeadlinePassed{Unwritten: true}}[b%3]
 	}
 	if a < 250 {
-		return proxy.AnswerEnded{}
+		return proxy.ResponseEnded{}
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 			last := 0
 			_, _ = fmt.Sscan(e.LastID, &last)
 			from = rnd.IntN(last + 1)
-			e.StartAnswer("")
+			e.StartResponse("")
 		}
 		if got := strings.ReplaceAll(string(out), "\r\n", "\n"); got != strings.ReplaceAll(text, "\r\n", "\n") {
 			t.Fatalf("%q became %q", text, out)
@@ -203,7 +203,7 @@
 	h := newHand(f)
 	m := newStubRouter(router.Decision{Verdict: router.Reject}, h.place(streams))
 	set := proxy.Defaults()
-	set.MaxBufferedAnswerBytes = 4 << 10
+	set.MaxBufferedResponseBytes = 4 << 10
 	_, addr := front(f, m, set, config.Limits{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := dial(t, addr)
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -81,7 +81,7 @@
 	a := router.Arrival{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
 	a.Prefix, a.Model = first(h, p.headers.Prefix), first(h, p.headers.Model)
 	if v := first(h, p.headers.Tokens); v != "" && p.headers.ParseTokens != nil {
-		a.PromptTokens, a.MaxAnswerTokens = p.headers.ParseTokens(v)
+		a.PromptTokens, a.MaxOutputTokens = p.headers.ParseTokens(v)
 	}
 	if key := first(h, p.headers.Credential); key != "" {
 		a.Key, a.HasKey = config.HashKey(key), true
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -33,7 +33,7 @@
 			place := h.place(c.route)
 			place.MaxConns = 1
 			set := proxy.Defaults()
-			set.IdleTimeoutNonRetryable, set.IdleTimeout = c.once, time.Hour
+			set.IdleTimeoutNonIdempotent, set.IdleTimeout = c.once, time.Hour
 			p, addr := front(t, newStubRouter(deny, place), set, config.Limits{})
 			u := dial(t, addr)
 			u.ask(t, "GET", "id1", "", "")
@@ -132,7 +132,7 @@
 func TestAbandonedConnections(t *testing.T) {
 	for young, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
 		set := proxy.Defaults()
-		set.IdleTimeoutNonRetryable = young
+		set.IdleTimeoutNonIdempotent = young
 		p, addr := front(t, newStubRouter(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, config.Limits{})
 		u := dial(t, addr)
 		pause := time.NewTicker(100 * time.Millisecond)
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -71,7 +71,7 @@
 		statuses := make(chan int, callers*calls)
 		for n := range callers {
 			set := proxy.Defaults()
-			set.IdleTimeoutNonRetryable = young
+			set.IdleTimeoutNonIdempotent = young
 			_, addr := front(t, newStubRouter(deny, closer(t, idle, deaf, ran).place(unsafe)), set, config.Limits{})
 			u, rnd := dial(t, addr), rand.New(rand.NewPCG(uint64(n), 1))
 			go func() {
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -23,7 +23,7 @@
 // passBuffered holds an answer back until it is whole, so that a broken one may be asked for again; only a very long one, or one for
 // which there is no room, goes on at once.
 func (x *transfer) passBuffered() {
-	b := x.buf.b[:0:min(cap(x.buf.b), x.proxy.settings.MaxBufferedAnswerBytes)]
+	b := x.buf.b[:0:min(cap(x.buf.b), x.proxy.settings.MaxBufferedResponseBytes)]
 	for {
 		if len(b) == cap(b) {
 			var ok bool
@@ -43,7 +43,7 @@
 		}
 	}
 	x.recycleConnection()
-	x.signal(AnswerEnded{})
+	x.signal(ResponseEnded{})
 	x.head()
 	_, _ = x.w.Write(b)
 }
@@ -53,7 +53,7 @@
 	if n := x.resp.ContentLength; n >= 0 {
 		capacity = int(n) + 1
 	}
-	capacity = min(capacity, x.proxy.settings.MaxBufferedAnswerBytes)
+	capacity = min(capacity, x.proxy.settings.MaxBufferedResponseBytes)
 	if capacity <= cap(b) || !x.memory.take(capacity-cap(b)) {
 		return b, false
 	}
@@ -63,7 +63,7 @@
 }
 
 func (x *transfer) passLong(reserved []byte) {
-	x.signal(AnswerStarted{})
+	x.signal(ResponseStarted{})
 	x.bound()
 	x.linger(lingerReset)
 	x.head()
@@ -76,7 +76,7 @@
 		}
 		if readErr == io.EOF && err == nil {
 			x.recycleConnection()
-			x.signal(AnswerEnded{})
+			x.signal(ResponseEnded{})
 			return
 		}
 		if readErr != nil && readErr != io.EOF {
@@ -100,7 +100,7 @@
 	if x.headed {
 		x.proxy.Counters.Resumed.Add(1)
 	}
-	x.events.StartAnswer(first(x.resp.Header, x.proxy.headers.WeightsVersion))
+	x.events.StartResponse(first(x.resp.Header, x.proxy.headers.WeightsVersion))
 	x.bound()
 	x.linger(lingerReset)
 	buf := x.buf.b[:cap(x.buf.b)]
@@ -116,7 +116,7 @@
 		}
 		if len(complete) > 0 && !begun {
 			begun = true
-			x.signal(AnswerStarted{})
+			x.signal(ResponseStarted{})
 		}
 		if err := x.passEvents(complete, ended); err != nil {
 			x.signal(ClientDisconnected{})
@@ -126,7 +126,7 @@
 		case ended:
 			x.head()
 			x.recycleConnection()
-			x.signal(AnswerEnded{})
+			x.signal(ResponseEnded{})
 			return
 		case feedErr != nil:
 			x.connectionLost(feedErr)
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -55,7 +55,7 @@
 	h := newHand(t)
 	m := newStubRouter(partial, h.place(safe))
 	set := proxy.Defaults()
-	set.MaxBufferedAnswerBytes = 32 << 10
+	set.MaxBufferedResponseBytes = 32 << 10
 	p, addr := front(t, m, set, config.Limits{})
 	c := dial(t, addr)
 	c.ask(t, "GET", "id1", "", "")
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -68,8 +68,8 @@
 	IdleTimeout time.Duration
 	// IdleMargin is taken off the time that a replica does say, besides a fifth of it.
 	IdleMargin time.Duration
-	// IdleTimeoutNonRetryable is how long a connection may rest, where the replica does not say, before requests that may not be repeated shun it.
-	IdleTimeoutNonRetryable time.Duration
+	// IdleTimeoutNonIdempotent is how long a connection may rest, where the replica does not say, before requests that may not be repeated shun it.
+	IdleTimeoutNonIdempotent time.Duration
 	// UserTimeout bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
 	// ReceiveWindow is the longest request that any replica takes in without reading it; a longer one may wait unsent.
@@ -82,11 +82,11 @@
 	UploadTimeout time.Duration
 	// ShutdownLinger is how long idle clients' connections outlive the call of Shutdown.
 	ShutdownLinger time.Duration
-	// MaxBufferedAnswerBytes is how much of an answer that is no stream is held back until it is whole.
-	MaxBufferedAnswerBytes int
+	// MaxBufferedResponseBytes is how much of an answer that is no stream is held back until it is whole.
+	MaxBufferedResponseBytes int
 	// MaxEventBytes bounds one event of a stream.
 	MaxEventBytes      int
-	MaxAnswerHeadBytes int
+	MaxResponseHeadBytes int
 	MaxBodyBytes       int
 	// BudgetBytes bounds the bytes of bodies and held answers in all; beyond it requests are refused unread. 0: no bound.
 	BudgetBytes int
@@ -95,9 +95,9 @@
 // Defaults gives the settings that the daemon uses.
 func Defaults() Settings {
 	return Settings{
-		DialTimeout: 400 * time.Millisecond, IdleTimeout: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleTimeoutNonRetryable: 500 * time.Millisecond,
+		DialTimeout: 400 * time.Millisecond, IdleTimeout: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleTimeoutNonIdempotent: 500 * time.Millisecond,
 		UserTimeout: 1500 * time.Millisecond, ReceiveWindow: 8 << 10, DeadlineGrace: 250 * time.Millisecond, StallTimeout: 5 * time.Second, UploadTimeout: time.Minute,
-		ShutdownLinger: 500 * time.Millisecond, MaxBufferedAnswerBytes: 256 << 10, MaxEventBytes: 1 << 20, MaxAnswerHeadBytes: 64 << 10, MaxBodyBytes: 16 << 20, BudgetBytes: 32 << 20,
+		ShutdownLinger: 500 * time.Millisecond, MaxBufferedResponseBytes: 256 << 10, MaxEventBytes: 1 << 20, MaxResponseHeadBytes: 64 << 10, MaxBodyBytes: 16 << 20, BudgetBytes: 32 << 20,
 	}
 }
 
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -25,7 +25,7 @@
 	case s.AtConnectionLimit:
 		e.end(router.Refused)
 	default:
-		e.end(router.Unreached)
+		e.end(router.NotSent)
 	}
 }
 
@@ -44,7 +44,7 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout
 }
 
-func (e *Exchange) replied(s AnswerHeadRead) {
+func (e *Exchange) replied(s ResponseHeadRead) {
 	if s.Mismatched {
 		e.end(router.Failed)
 		return
@@ -58,13 +58,13 @@
 	switch {
 	case s.NotExecuted || s.Status == http.StatusMisdirectedRequest:
 		e.phase = draining
-		e.do(Action{Kind: DiscardAnswer})
+		e.do(Action{Kind: DiscardResponse})
 	case s.CloseDelimited, s.Unsealed && s.Status/100 == 2, e.began && (!s.Stream || s.VersionMismatch), promises(s.Status):
 		e.end(router.Failed)
 	default:
 		e.phase, e.stream = passing, s.Stream
-		e.notify(router.AnswerHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: failure(s.Status)})
-		e.do(Action{Kind: ForwardAnswer})
+		e.notify(router.ResponseHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: failure(s.Status)})
+		e.do(Action{Kind: ForwardResponse})
 	}
 }
 
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -16,7 +16,7 @@
 		return
 	}
 	for range maxSurplus {
-		resp, err := x.conn.read(x.r, x.proxy.settings.MaxAnswerHeadBytes)
+		resp, err := x.conn.read(x.r, x.proxy.settings.MaxResponseHeadBytes)
 		if err != nil {
 			x.connectionLost(err)
 			return
--- a/proxy/shutdownconns_test.go
+++ b/proxy/shutdownconns_test.go
@@ -58,7 +58,7 @@
 func TestShutdownClosesIdleConnectionsOnly(t *testing.T) {
 	h := newHand(t)
 	set := lingering(time.Millisecond)
-	set.IdleTimeout, set.IdleTimeoutNonRetryable = time.Hour, time.Hour
+	set.IdleTimeout, set.IdleTimeoutNonIdempotent = time.Hour, time.Hour
 	p, addr := front(t, newStubRouter(deny, h.place(unsafe)), set, config.Limits{})
 	resting, asking, reading, quiet := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
 	resting.ask(t, "GET", "id1", "", "")
--- a/proxy/splice_test.go
+++ b/proxy/splice_test.go
@@ -31,7 +31,7 @@
 	onward := second.place(streams)
 	onward.Resumes = true
 	set := proxy.Defaults()
-	set.MaxBufferedAnswerBytes = 4 << 10
+	set.MaxBufferedResponseBytes = 4 << 10
 	proxy.StockLargeBuffers(100)
 	_, addr := front(t, newStubRouter(partial, first.place(streams), onward), set, config.Limits{})
 	u := dial(t, addr)
--- a/proxy/splits_test.go
+++ b/proxy/splits_test.go
@@ -44,10 +44,10 @@
 	if last, _ := strconv.Atoi(e.LastID); skipped > last {
 		return false
 	}
-	e.StartAnswer("")
+	e.StartResponse("")
 	take(second)
 	last, _ := strconv.Atoi(e.LastID)
-	e.StartAnswer("")
+	e.StartResponse("")
 	take(strings.Join(events[last:], ""))
 	out += string(e.Remaining())
 	if strip(out) != strip(strings.Join(events, "")) {
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -149,12 +149,12 @@
 		s    Signal
 	}{
 		{"connected", Connected{}}, {"unreached", ConnectFailed{}}, {"no connection free", ConnectFailed{AtConnectionLimit: true}}, {"reset before the write", Unwritten{}},
-		{"answer", AnswerHeadRead{Status: 200}}, {"stream", AnswerHeadRead{Status: 200, Stream: true}}, {"failure", AnswerHeadRead{Status: 500}},
-		{"503 with proof", AnswerHeadRead{Status: 503, NotExecuted: true}}, {"503 without proof", AnswerHeadRead{Status: 503}}, {"421", AnswerHeadRead{Status: 421}},
-		{"408 without proof", AnswerHeadRead{Status: 408}}, {"429 without proof", AnswerHeadRead{Status: 429}}, {"another's answer", AnswerHeadRead{Status: 200, Mismatched: true}},
-		{"another's refusal", AnswerHeadRead{Status: 503, Mismatched: true, NotExecuted: true}}, {"another's 421", AnswerHeadRead{Status: 421, Mismatched: true}},
-		{"answer without length", AnswerHeadRead{Status: 200, CloseDelimited: true}}, {"answer without seal", AnswerHeadRead{Status: 200, Unsealed: true}},
-		{"first bytes", AnswerStarted{}}, {"end", AnswerEnded{}}, {"reset", ConnectionLost{}}, {"client closes", ClientDisconnected{}},
+		{"answer", ResponseHeadRead{Status: 200}}, {"stream", ResponseHeadRead{Status: 200, Stream: true}}, {"failure", ResponseHeadRead{Status: 500}},
+		{"503 with proof", ResponseHeadRead{Status: 503, NotExecuted: true}}, {"503 without proof", ResponseHeadRead{Status: 503}}, {"421", ResponseHeadRead{Status: 421}},
+		{"408 without proof", ResponseHeadRead{Status: 408}}, {"429 without proof", ResponseHeadRead{Status: 429}}, {"another's answer", ResponseHeadRead{Status: 200, Mismatched: true}},
+		{"another's refusal", ResponseHeadRead{Status: 503, Mismatched: true, NotExecuted: true}}, {"another's 421", ResponseHeadRead{Status: 421, Mismatched: true}},
+		{"answer without length", ResponseHeadRead{Status: 200, CloseDelimited: true}}, {"answer without seal", ResponseHeadRead{Status: 200, Unsealed: true}},
+		{"first bytes", ResponseStarted{}}, {"end", ResponseEnded{}}, {"reset", ConnectionLost{}}, {"client closes", ClientDisconnected{}},
 		{"time over", DeadlinePassed{}}, {"time over before the write", DeadlinePassed{Unwritten: true}},
 	} {
 		all = append(all, signal(v.name, v.s))
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -68,11 +68,11 @@
 	case CloseConnection:
 		w.open = false
 		w.ended()
-	case DiscardAnswer:
+	case DiscardResponse:
 		if _, refuses := replies(name); !refuses {
 			return "read over as a refusal what is none"
 		}
-	case ForwardAnswer:
+	case ForwardResponse:
 		return w.pass(name)
 	case NotifyRouter:
 		if end, ok := m.Event.(router.AttemptEnded); ok {
@@ -129,7 +129,7 @@
 func (w *world) exchangeResumes() bool { return w.exchange.place.resumes && !w.exchange.stuck }
 
 func (w *world) told(end router.AttemptEnded) string {
-	if (end.Result == router.Unreached || end.Result == router.Refused) && w.current == truthMayRun {
+	if (end.Result == router.NotSent || end.Result == router.Refused) && w.current == truthMayRun {
 		return "the router is told that nothing ran, but it may have"
 	}
 	w.open = false
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -62,9 +62,9 @@
 			x.disconnect()
 		case NotifyRouter:
 			x.notify(m.Event)
-		case DiscardAnswer:
+		case DiscardResponse:
 			x.discardAnswer()
-		case ForwardAnswer:
+		case ForwardResponse:
 			x.passAnswer()
 		case Finish:
 			x.finish(m)
--- a/router/actions.go
+++ b/router/actions.go
@@ -28,7 +28,7 @@
 	Kind      ActionKind
 	Placement Decision
 	Event     Event
-	Line      AnswerLine
+	Line      ResponseLine
 	Outcome   string
 }
 
@@ -58,16 +58,16 @@
 	Result    AttemptResult
 }
 
-// AnswerHeadRead is the head of the replica's answer; Attempt is the id that it carries back.
-type AnswerHeadRead struct {
+// ResponseHeadRead is the head of the replica's answer; Attempt is the id that it carries back.
+type ResponseHeadRead struct {
 	AttemptID, EchoedAttemptID string
 	Status                     int
 }
 
-// AnswerLineRead is a line of the replica's answer.
-type AnswerLineRead struct {
+// ResponseLineRead is a line of the replica's answer.
+type ResponseLineRead struct {
 	AttemptID string
-	Line      AnswerLine
+	Line      ResponseLine
 }
 
 // ConnectionLost says that the connection to the replica ended.
@@ -78,7 +78,7 @@
 
 func (ConnectResult) wire()     {}
 func (WitnessesAnswered) wire() {}
-func (AnswerHeadRead) wire()    {}
-func (AnswerLineRead) wire()    {}
+func (ResponseHeadRead) wire()    {}
+func (ResponseLineRead) wire()    {}
 func (ConnectionLost) wire()    {}
 func (ClientClosed) wire()      {}
--- a/router/chunksequence.go
+++ b/router/chunksequence.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// AnswerLine is a line of an answer on the product's own interface: a piece of text, or the end mark with the number of pieces. Its JSON
+// ResponseLine is a line of an answer on the product's own interface: a piece of text, or the end mark with the number of pieces. Its JSON
 // names are published; go is the id of the attempt.
-type AnswerLine struct {
+type ResponseLine struct {
 	AttemptID  string `json:"go"`
 	Request    string `json:"request,omitempty"`
 	InstanceID string `json:"instanceId"`
@@ -32,7 +32,7 @@
 }
 
 // Check takes the next line; the error is a *SequenceError.
-func (s *ChunkSequence) Check(l AnswerLine) error {
+func (s *ChunkSequence) Check(l ResponseLine) error {
 	if s.ended {
 		return &SequenceError{Field: "line", Got: "after the end mark", Want: "absent"}
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (s *ChunkSequence) end(l AnswerLine) error {
+func (s *ChunkSequence) end(l ResponseLine) error {
 	if l.Chunks != s.next {
 		return &SequenceError{Field: "pieces", Got: strconv.Itoa(l.Chunks), Want: strconv.Itoa(s.next)}
 	}
--- a/router/events.go
+++ b/router/events.go
@@ -29,7 +29,7 @@
 	Model string `json:"model,omitempty"`
 	// PromptTokens is the whole prompt, MaxAnswerTokens the longest answer in tokens; 0: not told.
 	PromptTokens    int `json:"tokens,omitempty"`
-	MaxAnswerTokens int `json:"most,omitempty"`
+	MaxOutputTokens int `json:"most,omitempty"`
 	// Key is the hash of the client's key where HasKey.
 	Key    config.KeyHash `json:"-"`
 	HasKey bool           `json:"-"`
@@ -138,8 +138,8 @@
 	AttemptID string `json:"go"`
 }
 
-// AnswerHead says that the head of an answer came.
-type AnswerHead struct {
+// ResponseHead says that the head of an answer came.
+type ResponseHead struct {
 	Request    string `json:"request"`
 	AttemptID  string `json:"go"`
 	InstanceID string `json:"instanceId"`
@@ -163,8 +163,8 @@
 // QuotaDecided says what became of a request for a tenant's quota.
 type QuotaDecided struct{ quota.Outcome }
 
-// AnswerStarted says that the first part of an answer was passed on to the client.
-type AnswerStarted struct {
+// ResponseStarted says that the first part of an answer was passed on to the client.
+type ResponseStarted struct {
 	Request   string `json:"request"`
 	AttemptID string `json:"go"`
 }
@@ -200,12 +200,12 @@
 	Refused AttemptResult = "refused"
 	// Failed: the connection or the answer failed after bytes may have left.
 	Failed AttemptResult = "broken"
-	// Unreached: no byte left.
-	Unreached AttemptResult = "unreached"
+	// NotSent: no byte left.
+	NotSent AttemptResult = "unreached"
 	// Suppressed: a witness knows that another router was asked before.
 	Suppressed AttemptResult = "withheld"
-	// Unwitnessed: too few witnesses answered in time.
-	Unwitnessed AttemptResult = "unvouched"
+	// NoWitnessQuorum: too few witnesses answered in time.
+	NoWitnessQuorum AttemptResult = "unvouched"
 )
 
 func (Arrival) event()            {}
@@ -217,8 +217,8 @@
 func (Welcome) event()            {}
 func (ControlStatus) event()      {}
 func (ReadyToSend) event()        {}
-func (AnswerHead) event()         {}
-func (AnswerStarted) event()      {}
+func (ResponseHead) event()         {}
+func (ResponseStarted) event()      {}
 func (AttemptEnded) event()       {}
 func (ClientDisconnected) event() {}
 func (RanElsewhere) event()       {}
--- a/router/onedecision_test.go
+++ b/router/onedecision_test.go
@@ -43,8 +43,8 @@
 			r.Step(at, router.ReadyToSend{Request: id, AttemptID: first.AttemptID})
 			began := rng.IntN(2) == 0
 			if began {
-				r.Step(at, router.AnswerHead{Request: id, AttemptID: first.AttemptID})
-				r.Step(at, router.AnswerStarted{Request: id, AttemptID: first.AttemptID})
+				r.Step(at, router.ResponseHead{Request: id, AttemptID: first.AttemptID})
+				r.Step(at, router.ResponseStarted{Request: id, AttemptID: first.AttemptID})
 			}
 			for range rng.IntN(3) {
 				version++
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -85,7 +85,7 @@
 
 // TestSecondAttemptIsChargedWhereTheFirstMayHaveRun, and not where the replica said that it did not run it.
 func TestSecondAttemptIsChargedWhereTheFirstMayHaveRun(t *testing.T) {
-	for result, want := range map[router.AttemptResult]int{router.Failed: 1, router.Refused: 0, router.Unreached: 0} {
+	for result, want := range map[router.AttemptResult]int{router.Failed: 1, router.Refused: 0, router.NotSent: 0} {
 		p := tenants(1, limited("a", "k1", 500))
 		p.Config.Routes[0].Repeatable, p.Config.Routes[0].MaxAttempts = true, 3
 		p.Config.Services[0].RetryRatio, p.Config.Services[0].RetryExtra = 1, 100
--- a/router/quotas.go
+++ b/router/quotas.go
@@ -72,7 +72,7 @@
 	if tenant == nil {
 		return 0
 	}
-	return tenant.Cost(e.PromptTokens + e.MaxAnswerTokens)
+	return tenant.Cost(e.PromptTokens + e.MaxOutputTokens)
 }
 
 // TakeQuotaRequests gives the requests for quotas that owners are to be asked for.
@@ -144,7 +144,7 @@
 
 // attemptEnded leaves a grant to the request's next attempt where no replica ran this one.
 func (r *Router) attemptEnded(now time.Duration, e AttemptEnded) {
-	if id, known := r.requestIDs[e.Request]; known && (e.Result == Refused || e.Result == Unreached) {
+	if id, known := r.requestIDs[e.Request]; known && (e.Result == Refused || e.Result == NotSent) {
 		live := r.requests[id]
 		live.grant.unspent = live.grant.until > 0
 		r.requests[id] = live
--- a/router/requestflow.go
+++ b/router/requestflow.go
@@ -108,9 +108,9 @@
 		p.connectionOpened(e)
 	case WitnessesAnswered:
 		p.witnessesAnswered(e)
-	case AnswerHeadRead:
+	case ResponseHeadRead:
 		p.answerHead(e)
-	case AnswerLineRead:
+	case ResponseLineRead:
 		p.answerLine(e)
 	case ConnectionLost:
 		if p.isCurrent(e.AttemptID) {
@@ -130,7 +130,7 @@
 	case e.OK:
 		p.emit(Action{Kind: NotifyRouter, Event: ReadyToSend{Request: p.Request, AttemptID: e.AttemptID}})
 	default:
-		p.endAttempt(Unreached)
+		p.endAttempt(NotSent)
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-func (p *RequestFlow) answerHead(e AnswerHeadRead) {
+func (p *RequestFlow) answerHead(e ResponseHeadRead) {
 	switch {
 	case !p.isCurrent(e.AttemptID):
 	case e.EchoedAttemptID != e.AttemptID:
@@ -160,7 +160,7 @@
 	}
 }
 
-func (p *RequestFlow) answerLine(e AnswerLineRead) {
+func (p *RequestFlow) answerLine(e ResponseLineRead) {
 	if !p.isCurrent(e.AttemptID) {
 		return
 	}
@@ -170,14 +170,14 @@
 	}
 	if !p.answered {
 		p.answered = true
-		p.emit(Action{Kind: NotifyRouter, Event: AnswerHead{Request: p.Request, AttemptID: e.AttemptID, InstanceID: e.Line.InstanceID}})
+		p.emit(Action{Kind: NotifyRouter, Event: ResponseHead{Request: p.Request, AttemptID: e.AttemptID, InstanceID: e.Line.InstanceID}})
 	}
 	if e.Line.Chunk == nil && !e.Line.End {
 		return
 	}
 	if !p.answerBegan {
 		p.answerBegan = true
-		p.emit(Action{Kind: NotifyRouter, Event: AnswerStarted{Request: p.Request, AttemptID: e.AttemptID}})
+		p.emit(Action{Kind: NotifyRouter, Event: ResponseStarted{Request: p.Request, AttemptID: e.AttemptID}})
 	}
 	l := e.Line
 	l.Request = p.Request
--- a/router/route_test.go
+++ b/router/route_test.go
@@ -103,7 +103,7 @@
 	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"))
 	d := one(t, get(r, convergeTime, "q1", "/x"), router.Place)
 	r.Step(convergeTime, router.ReadyToSend{Request: "q1", AttemptID: d.AttemptID})
-	r.Step(convergeTime, router.AnswerHead{Request: "q1", AttemptID: d.AttemptID})
+	r.Step(convergeTime, router.ResponseHead{Request: "q1", AttemptID: d.AttemptID})
 	r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
 	at := convergeTime + 100*time.Millisecond
 	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.ConfirmedTokens != 400 {
@@ -213,7 +213,7 @@
 
 func TestRoundRobinTakesReplicasInTurn(t *testing.T) {
 	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a"))
-	r.UseRoundRobin()
+	r.EnableRoundRobin()
 	at := map[string]int{}
 	for i := range 4 {
 		ds := r.Step(convergeTime, router.Arrival{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", PromptTokens: 3100})
--- a/router/router.go
+++ b/router/router.go
@@ -146,5 +146,5 @@
 // DisableIndex has the prefix index find nothing from now on, for comparisons.
 func (r *Router) DisableIndex() { r.scheduler.Index.Disabled = true }
 
-// UseRoundRobin places requests in turn wherever there is room, for comparisons.
-func (r *Router) UseRoundRobin() { r.scheduler.EnableRoundRobin() }
+// EnableRoundRobin places requests in turn wherever there is room, for comparisons.
+func (r *Router) EnableRoundRobin() { r.scheduler.EnableRoundRobin() }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -47,7 +47,7 @@
 
 func answer(r *router.Router, now time.Duration, d router.Decision) {
 	r.Step(now, router.ReadyToSend{Request: d.Request, AttemptID: d.AttemptID})
-	r.Step(now, router.AnswerHead{Request: d.Request, AttemptID: d.AttemptID, InstanceID: d.Replica + ".1"})
+	r.Step(now, router.ResponseHead{Request: d.Request, AttemptID: d.AttemptID, InstanceID: d.Replica + ".1"})
 	r.Step(now, router.AttemptEnded{Request: d.Request, AttemptID: d.AttemptID, Result: router.Completed})
 }
 
--- a/router/step.go
+++ b/router/step.go
@@ -36,9 +36,9 @@
 // takeRequestEvent passes on what became of an attempt.
 func (r *Router) takeRequestEvent(now time.Duration, ev Event) {
 	switch e := ev.(type) {
-	case AnswerHead:
+	case ResponseHead:
 		r.answerHead(now, e)
-	case AnswerStarted:
+	case ResponseStarted:
 		r.withAttempt(e.Request, e.AttemptID, func(id int, attempt uint64) { r.scheduler.StreamStarted(id, attempt) })
 	case AttemptEnded:
 		r.attemptEnded(now, e)
@@ -70,8 +70,8 @@
 }
 
 var ends = map[AttemptResult]scheduler.AttemptResult{
-	Completed: scheduler.Completed, Refused: scheduler.Refused, Failed: scheduler.Failed, Unreached: scheduler.NotSent,
-	Suppressed: scheduler.Suppressed, Unwitnessed: scheduler.NoWitnessQuorum,
+	Completed: scheduler.Completed, Refused: scheduler.Refused, Failed: scheduler.Failed, NotSent: scheduler.NotSent,
+	Suppressed: scheduler.Suppressed, NoWitnessQuorum: scheduler.NoWitnessQuorum,
 }
 
 // setSelf takes the daemon's name and zone. The prefix of attempt ids stays this program's own.
@@ -122,7 +122,7 @@
 	return attempt, err == nil
 }
 
-func (r *Router) answerHead(now time.Duration, e AnswerHead) {
+func (r *Router) answerHead(now time.Duration, e ResponseHead) {
 	id, ok := r.requestIDs[e.Request]
 	if !ok {
 		return
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -92,7 +92,7 @@
 }
 
 // twist spoils one line of some answers: it is lost, repeated, or of another go or instance. An answer is whole only if all are right.
-func (r *FleetReplica) twist(c *fleetConn, l *router.AnswerLine) bool {
+func (r *FleetReplica) twist(c *fleetConn, l *router.ResponseLine) bool {
 	if r.CorruptAnswers == 0 || r.w.whim.IntN(r.CorruptAnswers) > 0 {
 		return true
 	}
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -160,7 +160,7 @@
 	f.n.decide(next)
 }
 
-func (f *fleetRequest) pass(l router.AnswerLine) {
+func (f *fleetRequest) pass(l router.ResponseLine) {
 	if l.Chunk == nil {
 		return
 	}
--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -209,18 +209,18 @@
 	parts, _ := prefixindex.Parse(shape.Prompt, g.ask.Prefix)
 	plan, ok := r.Admit(n.h.Now, id, parts, g.ask.TailTokens)
 	if !ok {
-		n.back(g, n.h.Now, router.AnswerHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusTooManyRequests})
+		n.back(g, n.h.Now, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusTooManyRequests})
 		return
 	}
 	at := n.h.Now + plan.First
-	n.back(g, at, router.AnswerHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusOK})
+	n.back(g, at, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusOK})
 	n.h.Firsts = append(n.h.Firsts, at-g.at)
 	for i := range plan.Chunks {
 		text := ledger.ChunkText(g.ask.Request, id, i)
-		n.back(g, at+time.Duration(i)*plan.Every, router.AnswerLineRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
+		n.back(g, at+time.Duration(i)*plan.Every, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
 	end := at + time.Duration(plan.Chunks-1)*plan.Every
-	n.back(g, end, router.AnswerLineRead{AttemptID: id, Line: router.AnswerLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
+	n.back(g, end, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
 	n.h.At(end, func() { r.Release(n.h.Now, id) })
 }
 
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -62,7 +62,7 @@
 	q := c.request
 	a := router.Arrival{Request: name, Host: siteHost, Path: c.path, Timeout: c.timeout}
 	if q.class.Streaming {
-		a.Prefix, a.Model, a.PromptTokens, a.MaxAnswerTokens = q.prefix, shape.Prompt, q.prompt, q.events*s.stride(q.class.Service)
+		a.Prefix, a.Model, a.PromptTokens, a.MaxOutputTokens = q.prefix, shape.Prompt, q.prompt, q.events*s.stride(q.class.Service)
 	}
 	n.decide(n.turn(a))
 	return t
@@ -101,9 +101,9 @@
 			t.drop()
 		case proxy.NotifyRouter:
 			next = append(next, t.n.turn(m.Event)...)
-		case proxy.DiscardAnswer:
+		case proxy.DiscardResponse:
 			t.mode = draining
-		case proxy.ForwardAnswer:
+		case proxy.ForwardResponse:
 			t.pass()
 		case proxy.Finish:
 			t.finish(m)
@@ -213,8 +213,8 @@
 	t.happened(proxy.ConnectionLost{})
 }
 
-func (t *proxyRequest) replied(h *head) proxy.AnswerHeadRead {
-	var s proxy.AnswerHeadRead
+func (t *proxyRequest) replied(h *head) proxy.ResponseHeadRead {
+	var s proxy.ResponseHeadRead
 	s.Status = h.status
 	if h.attempt != t.attempt.id {
 		s.Mismatched = true
@@ -235,6 +235,6 @@
 		if t.headed {
 			t.n.w.site.report.Resumed++
 		}
-		t.events.StartAnswer("")
+		t.events.StartResponse("")
 	}
 }
--- a/sim/proxyrequestend.go
+++ b/sim/proxyrequestend.go
@@ -13,14 +13,14 @@
 	case draining:
 		if p.end {
 			t.recycle()
-			t.happened(proxy.AnswerEnded{})
+			t.happened(proxy.ResponseEnded{})
 		}
 	case holding:
 		t.body = append(t.body, p.data...)
 		if p.end {
 			t.answer(t.body)
 			t.recycle()
-			t.happened(proxy.AnswerEnded{})
+			t.happened(proxy.ResponseEnded{})
 		}
 	case streaming:
 		t.flow(p)
@@ -40,7 +40,7 @@
 		if !t.flowing {
 			t.flowing = true
 			t.exchange.CannotResume = t.events.CannotResume
-			t.do(t.exchange.HandleSignal(proxy.AnswerStarted{}))
+			t.do(t.exchange.HandleSignal(proxy.ResponseStarted{}))
 			t.mode = streaming
 		}
 		t.exchange.CannotResume = t.events.CannotResume
@@ -52,7 +52,7 @@
 	case ended:
 		t.answer(nil)
 		t.recycle()
-		t.happened(proxy.AnswerEnded{})
+		t.happened(proxy.ResponseEnded{})
 	}
 }
 
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -32,7 +32,7 @@
 		if !ok {
 			r.record("refused", f.ask.Request, c.place.AttemptID, 0)
 			c.back(func() {
-				c.happened(router.AnswerHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusTooManyRequests})
+				c.happened(router.ResponseHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusTooManyRequests})
 			})
 			return
 		}
@@ -83,10 +83,10 @@
 	}
 	if i == 0 {
 		c.back(func() {
-			c.happened(router.AnswerHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusOK})
+			c.happened(router.ResponseHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusOK})
 		})
 	}
-	l := router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.Request, c.place.AttemptID, i)}
+	l := router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.Request, c.place.AttemptID, i)}
 	if c.corrupted || r.twist(c, &l) {
 		c.line(l)
 	}
@@ -97,15 +97,15 @@
 	r.record("done", f.ask.Request, c.place.AttemptID, c.chunk)
 	r.model.Release(w.Now, c.place.AttemptID)
 	delete(r.conns, c.place.AttemptID)
-	c.line(router.AnswerLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
+	c.line(router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
 }
 
-func (c *fleetConn) line(l router.AnswerLine) {
+func (c *fleetConn) line(l router.ResponseLine) {
 	c.back(func() {
 		if l.Chunk != nil && *l.Chunk == 0 {
 			c.request.w.Audit.proved(c, l.InstanceID)
 		}
-		c.happened(router.AnswerLineRead{AttemptID: c.place.AttemptID, Line: l})
+		c.happened(router.ResponseLineRead{AttemptID: c.place.AttemptID, Line: l})
 	})
 }
 
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -59,7 +59,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		var l router.AnswerLine
+		var l router.ResponseLine
 		if json.Unmarshal(lines.Bytes(), &l) != nil {
 			return g
 		}
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -33,12 +33,12 @@
 		}
 	}
 	r.do(func(r *Replica) { r.record(ledger.EventDone, request, id, s.plan.Chunks) })
-	return enc.Encode(router.AnswerLine{AttemptID: id, InstanceID: r.engine.Instance, End: true, Chunks: s.plan.Chunks})
+	return enc.Encode(router.ResponseLine{AttemptID: id, InstanceID: r.engine.Instance, End: true, Chunks: s.plan.Chunks})
 }
 
 // chunk is the i-th line of an answer, as the fault has it; false where the fault ends the answer before it.
-func (r *Replica) chunk(f Fault, request, id string, i int) (router.AnswerLine, bool) {
-	line := router.AnswerLine{AttemptID: id, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.ChunkText(request, id, i)}
+func (r *Replica) chunk(f Fault, request, id string, i int) (router.ResponseLine, bool) {
+	line := router.ResponseLine{AttemptID: id, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.ChunkText(request, id, i)}
 	if i != f.DisconnectAfter {
 		return line, true
 	}
@@ -49,7 +49,7 @@
 	return line, f.Twist != "end"
 }
 
-func twist(how string, l *router.AnswerLine) {
+func twist(how string, l *router.ResponseLine) {
 	switch how {
 	case "go":
 		l.AttemptID = "someone.else.1"
