--- a/mallowbridge.go
+++ b/mallowbridge.go
@@ -32,7 +32,7 @@
 	Completed = router.Completed
 	Refused   = router.Refused
 	Failed    = router.Failed
-	NotSent = router.NotSent
+	NotSent   = router.NotSent
 )
 
 // Decision is what the router decided for one request.
