--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,7 +1,10 @@
-// Package quota keeps tenants' requests within limits that all routers of a fleet share. Every limit is divided evenly among the fleet's zones. In
-// each zone one node owns the zone's share of a tenant's limit, as a token bucket; before an attempt is sent, its router asks an owner for the
-// request's cost, that of its own zone first. What is not granted is not sent, so messages that are late or lost, restarts, stalls and partitions
-// between zones leave a part of a limit unused and never add to it.
+// Package quota keeps the requests of tenants within limits that all routers of a fleet share. Each limit is divided
+// evenly among the fleet's zones. In each zone one node owns the zone's share of a tenant's limit, as a token bucket.
+// Before it sends an attempt, a router asks an owner to grant the request's cost, the owner in its own zone first.
+// Nothing is sent without a grant. So late or lost messages, restarts, stalls and partitions between zones leave part of
+// a limit unused, but never raise it.
 //
-// Owner and Requester are state machines: they do no I/O and read no clock. docs/notes/quotas.md has the ways that were weighed.
+// Owner keeps the buckets of the shares that a node owns, and Requester asks owners on behalf of a router. Both are
+// state machines without I/O or clock: the caller delivers each GrantRequest to its owner, and the GrantResponse back.
+// docs/notes/quotas.md compares this design with its alternatives.
 package quota
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -12,85 +12,87 @@
 
 const (
 	step = 10 * time.Millisecond
-	// usualDelay bounds how long a message between two nodes takes where nothing is late.
-	usualDelay = 20 * time.Millisecond
-	// takeover is how long a node that gets to own a share grants nothing.
+	// normalDelay is the maximum delay of a message between two nodes where no messages are late.
+	normalDelay = 20 * time.Millisecond
+	// takeover is how long a node that takes over a share grants nothing.
 	takeover = 2 * time.Second
-	// usualPart of its limit is what a tenant asks for on a usual day.
-	usualPart = 0.77
-	// overage and slackSeconds are what the users' platform allows on top, the slack in seconds of the rate.
+	// normalLoad is the fraction of its limit that a tenant requests normally.
+	normalLoad = 0.77
+	// overage and slackSeconds are the tolerance that the users' platform allows. The slack is in seconds of the limit's
+	// rate.
 	overage      = 0.1
 	slackSeconds = 0.3
-	// mostRefused is the part of a usual day's requests that may be refused though they are within the limit.
-	mostRefused = 0.02
-	zones       = 3
-	tenant      = "tenant"
+	// maxRefused is the maximum fraction, by cost, of the normal load that may be refused although it is within the limit.
+	maxRefused = 0.02
+	zones      = 3
+	tenant     = "tenant"
 )
 
-// node is a router of the fleet, which may own its zone's share as well.
+// node is a router of the fleet. It may also own its zone's share.
 type node struct {
 	name      string
 	owner     *quota.Owner
 	requester *quota.Requester
-	// sees are the nodes that it takes for alive.
+	// sees holds the nodes that it considers alive.
 	sees []int
-	// asked are the costs and times of its requests under way.
+	// asked holds the cost and time of each of its pending requests.
 	asked map[uint64]charge
 }
 
-// delivery is a message on its way.
+// delivery is a message in flight.
 type delivery struct {
 	at       time.Duration
 	from, to int
 	message  any
 }
 
-// fleet is a simulated fleet of nodes whose messages take a while, and don't pass between the two sides of a partition.
+// fleet simulates nodes whose messages are delayed, and dropped between the two sides of a partition.
 type fleet struct {
 	rng      *rand.Rand
 	nodes    []*node
 	limit    quota.Limit
 	rule     quota.Rule
 	inFlight []delivery
-	// leastDelay and delayRange bound how long a message takes.
-	leastDelay, delayRange time.Duration
-	// side is 0 for all nodes that reach each other.
+	// A message takes at least minDelay and less than minDelay+delayRange.
+	minDelay, delayRange time.Duration
+	// side is the partition side of each node. Nodes reach each other if their sides are equal.
 	side []int
 	dead []bool
-	// demanded and refused are costs.
+	// demanded and refused are total costs.
 	demanded, refused float64
 	charges           []charge
 	requests          uint64
-	// central is asked for each request at once and owns the whole limit; centralRefused is what it would refuse.
+	// central is a reference limiter that owns the whole limit and is asked about each request without delay.
+	// centralRefused is the total cost that it refuses.
 	central        *quota.Owner
 	centralRefused float64
 }
 
 func newFleet(seed uint64, n int, limit quota.Limit) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, side: make([]int, n), dead: make([]bool, n), delayRange: usualDelay,
+		rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, side: make([]int, n), dead: make([]bool, n), delayRange: normalDelay,
 		rule: quota.Rule{Window: 8 * time.Second, Overage: overage, Slack: slackSeconds * limit.Rate},
 	}
 	f.central = quota.NewOwner(f.rule, 0)
 	f.central.SetLimits(0, map[string]quota.Limit{tenant: limit})
 	for i := range n {
 		f.nodes = append(f.nodes, &node{name: fmt.Sprint("n", i)})
-		f.begin(-takeover, i)
+		f.startProcess(-takeover, i)
 	}
-	f.notify(-takeover)
+	f.updateViews(-takeover)
 	return f
 }
 
-// begin starts a process of a node, which knows nothing of an earlier one.
-func (f *fleet) begin(now time.Duration, i int) {
+// startProcess starts a new process of a node, without the state of an earlier one.
+func (f *fleet) startProcess(now time.Duration, i int) {
 	n := f.nodes[i]
 	n.owner, n.requester, n.asked = quota.NewOwner(f.rule, now+takeover), quota.NewRequester(f.rng.Uint64()), map[uint64]charge{}
 	n.owner.SetZones(now, zones)
 	n.owner.SetLimits(now, map[string]quota.Limit{tenant: f.limit})
 }
 
-// restart has a node begin anew under its name, before the others notice.
-func (f *fleet) restart(now time.Duration, i int) { f.begin(now, i) }
+// restart replaces a node's process before the other nodes notice.
+func (f *fleet) restart(now time.Duration, i int) { f.startProcess(now, i) }
 
 func (f *fleet) setLimit(now time.Duration, limit quota.Limit) {
 	f.limit = limit
@@ -99,14 +101,14 @@
 	}
 }
 
-// notify tells each node of those on its side that live.
-func (f *fleet) notify(now time.Duration) {
+// updateViews updates each node's view of the nodes on its side that are alive.
+func (f *fleet) updateViews(now time.Duration) {
 	for i := range f.nodes {
-		f.notifyOne(now, i)
+		f.updateView(now, i)
 	}
 }
 
-func (f *fleet) notifyOne(now time.Duration, i int) {
+func (f *fleet) updateView(now time.Duration, i int) {
 	n := f.nodes[i]
 	n.sees = n.sees[:0]
 	for j := range f.nodes {
@@ -117,7 +119,8 @@
 	n.owner.KeepOwned(now+takeover, func(string) bool { return f.ownerOf(i, i%zones) == i })
 }
 
-// ownerOf is the owner of a zone's share by what a node sees, -1 where it sees none or too few of the zone.
+// ownerOf returns the owner of a zone's share in the view of node i. It is -1 if the node sees at most half of the
+// zone's nodes.
 func (f *fleet) ownerOf(i, zone int) int {
 	best, seen := -1, 0
 	for _, j := range f.nodes[i].sees {
@@ -135,7 +138,8 @@
 	return best
 }
 
-// run lets clients ask for cost a second, in requests of a size around mean, at nodes drawn by weight.
+// run lets clients request a total cost of rate per second, in requests with a mean cost of mean, at nodes drawn with
+// unequal weights.
 func (f *fleet) run(from, until time.Duration, rate, mean float64) {
 	for now := from; now < until; now += step {
 		for expected := rate * step.Seconds() / mean; expected > f.rng.Float64(); expected-- {
@@ -151,7 +155,7 @@
 	}
 }
 
-// ask sends a request to one of the nodes; a few of them get much more than others.
+// ask sends a request to one of the nodes. A few nodes receive many more requests than others.
 func (f *fleet) ask(now time.Duration, cost float64) {
 	at := int(float64(len(f.nodes)) * f.rng.Float64() * f.rng.Float64())
 	if f.dead[at] {
@@ -174,7 +178,7 @@
 	f.flush(now, at)
 }
 
-// flush sends what a node's requester says, and notes what was granted in time.
+// flush sends the messages of a node's requester and records what was granted in time.
 func (f *fleet) flush(now time.Duration, i int) {
 	n := f.nodes[i]
 	for _, a := range n.requester.TakeGrantRequests() {
@@ -193,14 +197,14 @@
 }
 
 func (f *fleet) send(now time.Duration, from, to int, message any) {
-	delay := f.leastDelay + time.Duration(f.rng.Int64N(int64(f.delayRange)))
+	delay := f.minDelay + time.Duration(f.rng.Int64N(int64(f.delayRange)))
 	if from == to {
 		delay = 0
 	}
 	f.inFlight = append(f.inFlight, delivery{at: now + delay, from: from, to: to, message: message})
 }
 
-// deliver hands over what is due, in the order in which it arrives.
+// deliver hands over the messages that are due, in the order of their arrival.
 func (f *fleet) deliver(now time.Duration) {
 	for due := f.takeDue(now); len(due) > 0; due = f.takeDue(now) {
 		for _, d := range due {
--- a/quota/grants.go
+++ b/quota/grants.go
@@ -11,25 +11,25 @@
 	until  time.Duration
 }
 
-// grants are tokens of one tenant that were granted and not used, those that lapse first in front.
+// grants holds unused granted tokens of one tenant, those that expire first at the front.
 type grants []grant
 
-// rounding is the part of a cost that may be missing where parts of it add up.
-const rounding = 1e-9
+// roundingTolerance is the fraction of a cost that may be missing when its parts are added up.
+const roundingTolerance = 1e-9
 
-// take uses tokens for a cost, if there are enough, and tells until when they may be used.
+// take uses up tokens for a cost if there are enough. It returns until when they may be used.
 func (g *grants) take(now time.Duration, cost float64) (time.Duration, bool) {
 	g.expire(now)
 	var sum float64
 	for i, one := range *g {
 		sum += one.tokens
-		if sum < cost*(1-rounding) {
+		if sum < cost*(1-roundingTolerance) {
 			continue
 		}
 		until := (*g)[0].until
 		(*g)[i].tokens = sum - cost
 		*g = slices.Delete(*g, 0, i)
-		if (*g)[0].tokens <= cost*rounding {
+		if (*g)[0].tokens <= cost*roundingTolerance {
 			*g = slices.Delete(*g, 0, 1)
 		}
 		return until, true
@@ -50,21 +50,21 @@
 	*g = slices.Insert(*g, at, one)
 }
 
-// expire drops what may not be used any more.
+// expire drops grants that may no longer be used.
 func (g *grants) expire(now time.Duration) {
 	*g = slices.DeleteFunc(*g, func(one grant) bool { return now > one.until })
 }
 
-// keep leaves grants for other requests of the tenant.
-func (r *Requester) keep(tenant string, all ...grant) {
+// keepGrants keeps unused grants for other requests of the tenant.
+func (r *Requester) keepGrants(tenant string, all ...grant) {
 	for _, one := range all {
-		r.keptOf(tenant).add(one)
+		r.unusedOf(tenant).add(one)
 	}
 }
 
-func (r *Requester) keptOf(tenant string) *grants {
-	if r.kept[tenant] == nil {
-		r.kept[tenant] = &grants{}
+func (r *Requester) unusedOf(tenant string) *grants {
+	if r.unusedGrants[tenant] == nil {
+		r.unusedGrants[tenant] = &grants{}
 	}
-	return r.kept[tenant]
+	return r.unusedGrants[tenant]
 }
--- a/quota/mixes_test.go
+++ b/quota/mixes_test.go
@@ -9,63 +9,70 @@
 	"github.com/mallowbridge/mallowbridge/quota"
 )
 
-// mixSizes are fleets and limits of issue 34: how many routers, the limit a second, and the mean cost of a request.
+// mixSizes are the fleets and limits of issue 34: the number of routers, the limit per second, and the mean cost of a
+// request.
 var mixSizes = []struct {
 	routers    int
 	rate, mean float64
 }{{57, 243765, 800}, {57, 243765, 9190}, {57, 30000, 800}, {8, 30000, 800}, {30, 30000, 9190}}
 
-// mix is what befalls a fleet while a tenant asks for some times its limit.
+// mix is a test case: conditions in a fleet while a tenant requests a multiple of its limit.
 type mix struct {
-	name                   string
-	times                  float64
-	leastDelay, delayRange time.Duration
-	// restartEvery has the routers restart in turn; 0: none does.
-	restartEvery time.Duration
-	// leastUsed is the part of the limit that must be granted where more is asked for.
-	leastUsed float64
-	// sizes are indices of mixSizes.
+	name                 string
+	times                float64
+	minDelay, delayRange time.Duration
+	// restartInterval is the interval at which routers restart in turn; 0 means none does.
+	restartInterval time.Duration
+	// minUsed is the minimum fraction of the limit that must be granted where more than the limit is requested.
+	minUsed float64
+	// sizes holds indices of mixSizes.
 	sizes []int
 }
 
 const (
-	// centralMargin is how much more than a central limiter, which knows of each request at once, the fleet may refuse, as a part of the cost.
+	// centralMargin is the fraction of the total cost that the fleet may refuse beyond what a central limiter refuses,
+	// which knows of each request at once.
 	centralMargin = 0.02
-	manyTimes     = 7.5
-	late          = 50 * time.Millisecond
-	lateRange     = 200 * time.Millisecond
-	restartPause  = 700 * time.Millisecond
-	// mixWarmup is how long a mix runs before it is measured, mixTime for how long it is.
+	// overloadFactor is the load of an overload as a multiple of the limit. late and lateRange are the minDelay and
+	// delayRange of late messages, restartPause is the interval between restarts.
+	overloadFactor = 7.5
+	late           = 50 * time.Millisecond
+	lateRange      = 200 * time.Millisecond
+	restartPause   = 700 * time.Millisecond
+	// mixWarmup is how long a mix runs before the measurement, mixTime how long it is measured.
 	mixWarmup = 8 * time.Second
 	mixTime   = 16 * time.Second
 )
 
-// TestWhatIsWithinTheLimitIsServed plays mixes of usual days, and of late messages: little more is refused than a central limiter would refuse,
-// and no window holds more than is allowed.
-func TestWhatIsWithinTheLimitIsServed(t *testing.T) {
+// TestLoadWithinTheLimitIsServed covers normal load and late messages. The fleet may refuse little more than a central
+// limiter, and no window may exceed the allowed maximum.
+func TestLoadWithinTheLimitIsServed(t *testing.T) {
 	playMixes(t,
-		mix{name: "calm", times: usualPart, delayRange: usualDelay, sizes: []int{0, 1, 2, 3}},
-		mix{name: "restarts", times: usualPart, delayRange: usualDelay, restartEvery: restartPause, sizes: []int{0, 1, 2}},
-		mix{name: "late messages", times: usualPart, leastDelay: late, delayRange: lateRange, sizes: []int{0, 1, 2, 3}},
-		mix{name: "late messages, many times the limit", times: manyTimes, leastDelay: late, delayRange: lateRange, leastUsed: 0.8, sizes: []int{1, 2, 3, 4}})
+		mix{name: "calm", times: normalLoad, delayRange: normalDelay, sizes: []int{0, 1, 2, 3}},
+		mix{name: "restarts", times: normalLoad, delayRange: normalDelay, restartInterval: restartPause, sizes: []int{0, 1, 2}},
+		mix{name: "late messages", times: normalLoad, minDelay: late, delayRange: lateRange, sizes: []int{0, 1, 2, 3}},
+		mix{name: "late messages, many times the limit", times: overloadFactor, minDelay: late, delayRange: lateRange, minUsed: 0.8, sizes: []int{1, 2, 3, 4}})
 }
 
-// TestLargeRequestsAreServed: where a request takes much of a zone's share, some shares overflow while others are empty.
+// TestLargeRequestsAreServed covers requests that take much of a zone's share, so that some shares are exhausted while
+// others are unused.
 func TestLargeRequestsAreServed(t *testing.T) {
 	playMixes(t,
-		mix{name: "calm", times: usualPart, delayRange: usualDelay, sizes: []int{4}},
-		mix{name: "restarts", times: usualPart, delayRange: usualDelay, restartEvery: restartPause, sizes: []int{4}},
-		mix{name: "late messages", times: usualPart, leastDelay: late, delayRange: lateRange, sizes: []int{4}})
+		mix{name: "calm", times: normalLoad, delayRange: normalDelay, sizes: []int{4}},
+		mix{name: "restarts", times: normalLoad, delayRange: normalDelay, restartInterval: restartPause, sizes: []int{4}},
+		mix{name: "late messages", times: normalLoad, minDelay: late, delayRange: lateRange, sizes: []int{4}})
 }
 
-// TestRestartsInSmallFleetsRefuseLittle: where a zone has few routers, its share is often at a new owner, which begins empty.
+// TestRestartsInSmallFleetsRefuseLittle covers zones with few routers, whose shares often move to a new owner, which
+// starts with an empty bucket.
 func TestRestartsInSmallFleetsRefuseLittle(t *testing.T) {
-	playMixes(t, mix{name: "restarts", times: usualPart, delayRange: usualDelay, restartEvery: restartPause, sizes: []int{3}})
+	playMixes(t, mix{name: "restarts", times: normalLoad, delayRange: normalDelay, restartInterval: restartPause, sizes: []int{3}})
 }
 
-// TestVeryLateMessagesLeaveHalfOfTheLimit: answers mostly come after the life of a grant.
+// TestVeryLateMessagesLeaveHalfOfTheLimit covers delays with which most responses arrive after the lifetime of their
+// grants.
 func TestVeryLateMessagesLeaveHalfOfTheLimit(t *testing.T) {
-	playMixes(t, mix{name: "very late messages, many times the limit", times: manyTimes, leastDelay: 100 * time.Millisecond, delayRange: 1400 * time.Millisecond, leastUsed: 0.5, sizes: []int{1, 2, 3, 4}})
+	playMixes(t, mix{name: "very late messages, many times the limit", times: overloadFactor, minDelay: 100 * time.Millisecond, delayRange: 1400 * time.Millisecond, minUsed: 0.5, sizes: []int{1, 2, 3, 4}})
 }
 
 func playMixes(t *testing.T, all ...mix) {
@@ -81,10 +88,10 @@
 					f := newFleet(seed, size.routers, quota.Limit{Rate: size.rate, Burst: size.rate})
 					m.play(f, size.rate, size.mean)
 					f.wantNoneOpen(t)
-					wantAtMost(t, f.most(f.limit, 0))
+					wantWithinLimit(t, f.most(f.limit, 0))
 					all.add(f)
 				}
-				all.judge(t, m)
+				all.check(t, m)
 			})
 		}
 	}
@@ -98,33 +105,33 @@
 	s.granted, s.limit = s.granted+f.granted(mixWarmup), s.limit+f.limit.Rate*mixTime.Seconds()
 }
 
-func (s *served) judge(t *testing.T, m mix) {
+func (s *served) check(t *testing.T, m mix) {
 	t.Helper()
 	refused, central, used := s.refused/s.demanded, s.centralRefused/s.demanded, s.granted/s.limit
 	t.Logf("refused %.3f, used %.3f of the limit; a central limiter would refuse %.3f", refused, used, central)
 	switch {
-	case m.leastUsed > 0 && used < m.leastUsed:
-		t.Errorf("%.3f of the limit were used, not %.3f at least", used, m.leastUsed)
-	case m.leastUsed == 0 && refused > central+centralMargin:
-		t.Errorf("%.3f were refused, a central limiter would refuse %.3f", refused, central)
+	case m.minUsed > 0 && used < m.minUsed:
+		t.Errorf("%.3f of the limit was used, want at least %.3f", used, m.minUsed)
+	case m.minUsed == 0 && refused > central+centralMargin:
+		t.Errorf("%.3f of the cost was refused, a central limiter would refuse %.3f", refused, central)
 	}
 }
 
 func (m mix) play(f *fleet, rate, mean float64) {
-	f.leastDelay, f.delayRange = m.leastDelay, m.delayRange
+	f.minDelay, f.delayRange = m.minDelay, m.delayRange
 	f.run(0, mixWarmup, m.times*rate, mean)
 	f.demanded, f.refused, f.centralRefused = 0, 0, 0
-	if m.restartEvery == 0 {
+	if m.restartInterval == 0 {
 		f.run(mixWarmup, mixWarmup+mixTime, m.times*rate, mean)
 		return
 	}
-	for i, now := 0, mixWarmup; now < mixWarmup+mixTime; i, now = i+1, now+m.restartEvery {
+	for i, now := 0, mixWarmup; now < mixWarmup+mixTime; i, now = i+1, now+m.restartInterval {
 		f.restart(now, i%len(f.nodes))
-		f.run(now, now+m.restartEvery, m.times*rate, mean)
+		f.run(now, now+m.restartInterval, m.times*rate, mean)
 	}
 }
 
-// granted is the cost of what was granted since a time.
+// granted returns the total cost granted since a time.
 func (f *fleet) granted(from time.Duration) float64 {
 	var sum float64
 	for _, c := range f.charges {
@@ -135,7 +142,7 @@
 	return sum
 }
 
-// wantNoneOpen fails where a request that was asked for long ago has not ended.
+// wantNoneOpen fails if a request is pending more than 2 s after it was made.
 func (f *fleet) wantNoneOpen(t *testing.T) {
 	t.Helper()
 	const long = 2 * time.Second
@@ -143,7 +150,7 @@
 	for _, n := range f.nodes {
 		for id, request := range n.asked {
 			if request.at < end-long {
-				t.Errorf("request %d of %s has not ended %s later", id, n.name, end-request.at)
+				t.Errorf("request %d of %s has no outcome after %s", id, n.name, end-request.at)
 			}
 		}
 	}
--- a/quota/openrequest.go
+++ b/quota/openrequest.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// gatherRounds is how often the owners are asked for parts of one cost.
-const gatherRounds = 2
+// maxGatherRounds is the maximum number of times that the owners are asked for parts of one cost.
+const maxGatherRounds = 2
 
-// openAsk is an Ask that has no answer yet; request numbers the openRequest that it is for.
-type openAsk struct {
+// pendingGrantRequest is a GrantRequest without a response. request is the number of the openRequest that it belongs to.
+type pendingGrantRequest struct {
 	request uint64
 	owner   string
 	tenant  string
@@ -18,60 +18,65 @@
 	at      time.Duration
 }
 
-// until is when what is granted on the ask lapses.
-func (a openAsk) until() time.Duration { return a.at + GrantLifetime }
+// until returns when a grant for it expires.
+func (a pendingGrantRequest) until() time.Duration { return a.at + GrantLifetime }
 
-// openRequest is a Request under way.
+// openRequest is a Request whose outcome is not known.
 type openRequest struct {
 	Request
-	// owners are those that are still to be asked for the whole cost, left is what those that refused it can grant at once.
-	owners []string
-	left   map[string]float64
-	// current numbers the newest ask for the whole cost, waiting counts those without an answer that may still be granted.
+	// owners holds the owners that have not been asked for the whole cost. remaining holds, for each owner that refused
+	// it, how much that owner can grant at once.
+	owners    []string
+	remaining map[string]float64
+	// current is the number of the newest grant request for the whole cost, 0 once no owner is left to ask. waiting counts the
+	// grant requests without a response that may still be granted.
 	current uint64
 	waiting int
-	// gathered is what owners granted of a cost that no single share can grant; gathering tells that they were asked for parts.
-	gathering bool
-	gathered  grants
-	rounds    int
-	silent    bool
-	// retryAfter and emptyFor are the shortest that an owner told.
+	// gathered holds the parts that owners granted of a cost that no single share can grant. gathering is true once the
+	// owners were asked for parts.
+	gathering    bool
+	gathered     grants
+	rounds       int
+	unresponsive bool
+	// retryAfter and emptyFor are the shortest times that any owner returned.
 	retryAfter, emptyFor time.Duration
 }
 
-func (o *openRequest) noteRefusal(g Grant) {
-	o.retryAfter = max(min(o.retryAfter, g.RetryAfter), leastRetry)
+func (o *openRequest) recordRefusal(g Grant) {
+	o.retryAfter = max(min(o.retryAfter, g.RetryAfter), minRetryAfter)
 	o.emptyFor = min(o.emptyFor, g.EmptyFor)
 }
 
-// gather asks the owners for parts of the cost in proportion to what they can grant, unless that is too little.
+// gather asks the owners for parts of the cost, in proportion to what they can grant. It returns false without asking if
+// they cannot grant enough together.
 func (r *Requester) gather(now time.Duration, id uint64, o *openRequest) bool {
 	var sum float64
-	for _, left := range o.left {
-		sum += left
+	for _, remaining := range o.remaining {
+		sum += remaining
 	}
 	missing := o.Cost - o.gathered.sum()
-	if o.rounds == gatherRounds || sum < missing {
+	if o.rounds == maxGatherRounds || sum < missing {
 		return false
 	}
 	o.gathering = true
 	o.rounds++
-	for _, owner := range slices.Sorted(maps.Keys(o.left)) {
-		if part := missing * o.left[owner] / sum; part > 0 {
-			r.ask(now, id, o, owner, part)
+	for _, owner := range slices.Sorted(maps.Keys(o.remaining)) {
+		if part := missing * o.remaining[owner] / sum; part > 0 {
+			r.sendGrantRequest(now, id, o, owner, part)
 		}
 	}
-	clear(o.left)
+	clear(o.remaining)
 	return true
 }
 
-// gatheredPart ends a request whose parts are together, or asks for what is missing once all owners have answered.
-func (r *Requester) gatheredPart(now time.Duration, id uint64, o *openRequest) {
-	until, enough := o.gathered.take(now, o.Cost)
+// finishGathering ends a request whose parts are complete. Otherwise, once all owners have responded, it asks for what
+// is missing.
+func (r *Requester) finishGathering(now time.Duration, id uint64, o *openRequest) {
+	until, ok := o.gathered.take(now, o.Cost)
 	switch {
-	case enough:
+	case ok:
 		r.usageOf(o.Tenant).gathered++
-		r.keep(o.Tenant, o.gathered...)
+		r.keepGrants(o.Tenant, o.gathered...)
 		r.end(id, o, Outcome{ID: o.ID, Granted: true, Until: until})
 	case o.waiting == 0 && !r.gather(now, id, o):
 		r.refuse(now, id, o)
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// bucket is a token bucket. It fills from a time that may lie ahead.
+// bucket is a token bucket. filledAt may be in the future; the bucket fills from then on.
 type bucket struct {
 	tokens   float64
 	filledAt time.Duration
-	// granted and refused are costs since the bucket was made.
+	// granted and refused are the total costs since the bucket was created.
 	granted, refused float64
 }
 
@@ -21,7 +21,8 @@
 	b.tokens = min(b.tokens, s.capacity)
 }
 
-// take takes a cost out of the bucket, which has to hold something, and may not owe more than its debt afterwards.
+// take takes a cost out of the bucket. The bucket must not be empty before, and must not owe more than its debt
+// afterwards.
 func (b *bucket) take(s share, cost float64) bool {
 	if b.tokens <= 0 || b.tokens-cost < -s.debt {
 		b.refused += cost
@@ -32,33 +33,35 @@
 	return true
 }
 
-// left is the largest cost that take would grant.
-func (b *bucket) left(s share) float64 {
+// grantable returns the largest cost that take would grant.
+func (b *bucket) grantable(s share) float64 {
 	if b.tokens <= 0 {
 		return 0
 	}
 	return b.tokens + s.debt
 }
 
-// Owner grants the costs of requests out of its zone's shares of the limits. It knows nothing of what was granted before it began, or by another
-// owner: so each bucket is empty when the owner gets to own it.
+// Owner grants the costs of requests out of its zone's shares of the limits. It does not know what was granted before it
+// started, or by another owner, so each bucket is empty when the owner takes it over.
 type Owner struct {
-	rule    Rule
-	limits  map[string]Limit
-	zones   int
+	rule   Rule
+	limits map[string]Limit
+	zones  int
+	// from is when the buckets of shares that the owner takes over start to fill.
 	from    time.Duration
 	buckets map[string]*bucket
 }
 
-// NewOwner owns nothing that was there before the time from.
+// NewOwner returns an owner whose buckets are empty until the time from, and fill from then on.
 func NewOwner(rule Rule, from time.Duration) *Owner {
 	return &Owner{rule: rule, zones: 1, from: from, buckets: map[string]*bucket{}}
 }
 
-// SetLimits follows the limits of a configuration, by tenant. A tenant that is new to them begins with an empty bucket.
+// SetLimits sets the limits of a configuration, by tenant. A tenant that had no limit before starts with an empty
+// bucket.
 func (o *Owner) SetLimits(now time.Duration, limits map[string]Limit) {
-	former := o.limits
-	o.settle(now)
+	previous := o.limits
+	o.fillAll(now)
 	o.limits = limits
 	for tenant := range o.buckets {
 		if _, known := limits[tenant]; !known {
@@ -66,28 +69,29 @@
 		}
 	}
 	for tenant := range limits {
-		if _, known := former[tenant]; !known && former != nil {
+		if _, known := previous[tenant]; !known && previous != nil {
 			o.buckets[tenant] = &bucket{filledAt: max(now, o.from)}
 		}
 	}
 }
 
-// SetZones follows the number of zones that the limits are divided among.
+// SetZones sets the number of zones that the limits are divided among.
 func (o *Owner) SetZones(now time.Duration, zones int) {
 	if zones != o.zones {
-		o.settle(now)
+		o.fillAll(now)
 		o.zones = zones
 	}
 }
 
-// settle fills all buckets by the shares that held until now.
-func (o *Owner) settle(now time.Duration) {
+// fillAll fills all buckets according to the shares in effect until now.
+func (o *Owner) fillAll(now time.Duration) {
 	for tenant, b := range o.buckets {
 		b.fill(now, o.rule.share(o.limits[tenant], o.zones))
 	}
 }
 
-// KeepOwned drops the buckets that this owner no longer owns; those that it gets to own fill from the time given.
+// KeepOwned drops the buckets of shares that this owner no longer owns. Buckets that it takes over fill from the time
+// from.
 func (o *Owner) KeepOwned(from time.Duration, owns func(tenant string) bool) {
 	o.from = from
 	for tenant := range o.buckets {
@@ -97,40 +101,43 @@
 	}
 }
 
-// Reset forgets all buckets, as after a pause in which others may have owned them.
+// Reset drops all buckets, as needed after a pause in which other nodes may have owned them. New buckets fill from the
+// time from.
 func (o *Owner) Reset(from time.Duration) {
 	o.from = from
 	o.buckets = map[string]*bucket{}
 }
 
-// Grant is an owner's answer: OK where the cost is granted. Up to Left more can be granted at once. A refused
-// request may be granted after RetryAfter, any other of its tenant after EmptyFor.
+// Grant is an owner's answer. If Granted is set, the cost may be used. Remaining is the largest cost that the owner
+// could grant next. After a refusal, the same request may be granted after RetryAfter, and no request of the tenant is
+// granted before EmptyFor has passed.
 type Grant struct {
 	Granted              bool
 	Remaining            float64
 	RetryAfter, EmptyFor time.Duration
 }
 
-// unknownRetry is what a router waits for that asks about a tenant this owner knows no limit of, by another configuration.
-const unknownRetry = 100 * time.Millisecond
+// unknownTenantRetry is the time after which a router may ask again about a tenant whose limit this owner does not know.
+// The two then have different configurations.
+const unknownTenantRetry = 100 * time.Millisecond
 
-// leastRetry and longestRetry bound what a refused router is told to wait.
+// minRetryAfter and maxRetryAfter limit the RetryAfter of a refusal.
 const (
-	leastRetry   = 20 * time.Millisecond
-	longestRetry = 2 * time.Second
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// sensible tells whether a number that came from another node may be a number of tokens.
-func sensible(tokens float64) bool { return tokens >= 0 && tokens <= math.MaxFloat64 }
+// validTokens reports whether a number received from another node is a valid number of tokens.
+func validTokens(tokens float64) bool { return tokens >= 0 && tokens <= math.MaxFloat64 }
 
-// Take asks for the cost of a request. A cost that is none, as of a damaged message, is refused.
+// Take asks for the cost of a request. An invalid cost, as from a damaged message, is refused.
 func (o *Owner) Take(now time.Duration, tenant string, cost float64) Grant {
-	if !sensible(cost) {
-		return Grant{RetryAfter: longestRetry}
+	if !validTokens(cost) {
+		return Grant{RetryAfter: maxRetryAfter}
 	}
 	limit, known := o.limits[tenant]
 	if !known {
-		return Grant{RetryAfter: unknownRetry, EmptyFor: unknownRetry}
+		return Grant{RetryAfter: unknownTenantRetry, EmptyFor: unknownTenantRetry}
 	}
 	b := o.buckets[tenant]
 	if b == nil {
@@ -140,14 +147,14 @@
 	s := o.rule.share(limit, o.zones)
 	b.fill(now, s)
 	if b.take(s, cost) {
-		return Grant{Granted: true, Remaining: b.left(s)}
+		return Grant{Granted: true, Remaining: b.grantable(s)}
 	}
-	held := max(b.filledAt-now, 0)
-	return Grant{Remaining: b.left(s), RetryAfter: min(max(held+s.fillTime(cost-s.debt-b.tokens), leastRetry), longestRetry), EmptyFor: held + s.fillTime(-b.tokens)}
+	untilFilling := max(b.filledAt-now, 0)
+	return Grant{Remaining: b.grantable(s), RetryAfter: min(max(untilFilling+s.fillTime(cost-s.debt-b.tokens), minRetryAfter), maxRetryAfter), EmptyFor: untilFilling + s.fillTime(-b.tokens)}
 }
 
-// fillTime is how long the bucket takes to get so many tokens, as far as anybody waits.
+// fillTime returns how long the bucket takes to gain that many tokens, limited to maxRetryAfter.
 func (s share) fillTime(tokens float64) time.Duration {
-	seconds := math.Min(max(tokens, 0)/s.rate, longestRetry.Seconds())
+	seconds := math.Min(max(tokens, 0)/s.rate, maxRetryAfter.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/quota/owner_test.go
+++ b/quota/owner_test.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/quota"
 )
 
-// rule allows 1,100 in a window of a limit of 100 a second and 200 on top.
+// rule allows 1,100 within a window for a limit of 100 per second and a burst of 200.
 var rule = quota.Rule{Window: 8 * time.Second, Overage: 0.1}
 
 var someLimit = map[string]quota.Limit{tenant: {Rate: 100, Burst: 200}}
@@ -18,7 +18,7 @@
 	return o
 }
 
-// takeAll takes requests of a cost until the owner refuses, and gives their sum and the refusal.
+// takeAll takes requests of a cost until the owner refuses one. It returns the granted sum and the refusal.
 func takeAll(o *quota.Owner, now time.Duration, cost float64) (float64, quota.Grant) {
 	var sum float64
 	for {
@@ -30,11 +30,12 @@
 	}
 }
 
-// TestOwnerBeginsEmpty, and fills up to the burst and half of what the rule allows beyond a bucket.
-func TestOwnerBeginsEmpty(t *testing.T) {
+// TestOwnerStartsEmpty also checks that the bucket fills up to the burst plus half of what the rule allows beyond a
+// plain bucket.
+func TestOwnerStartsEmpty(t *testing.T) {
 	o := ownerOfOneZone(someLimit)
 	if grant := o.Take(0, tenant, 1); grant.Granted {
-		t.Error("granted at the start")
+		t.Error("granted from an empty bucket")
 	}
 	if got, _ := takeAll(o, time.Second, 1); got < 100 || got > 126 {
 		t.Errorf("%g granted after a second", got)
@@ -44,8 +45,9 @@
 	}
 }
 
-// TestTenantLeftOutByOneConfigurationBeginsEmpty when the next one brings it back.
-func TestTenantLeftOutByOneConfigurationBeginsEmpty(t *testing.T) {
+// TestTenantRestoredByConfigurationStartsEmpty checks that a tenant whose limit is removed and added again starts with
+// an empty bucket.
+func TestTenantRestoredByConfigurationStartsEmpty(t *testing.T) {
 	o := ownerOfOneZone(someLimit)
 	if grant := o.Take(time.Hour, tenant, 200); !grant.Granted {
 		t.Fatal("not granted")
@@ -56,12 +58,13 @@
 	}
 	o.SetLimits(time.Hour, someLimit)
 	if grant := o.Take(time.Hour, tenant, 1); grant.Granted {
-		t.Error("granted as if nothing had been")
+		t.Error("granted at once after the limit was restored")
 	}
 }
 
-// TestCostlyRequestIsPaidBack: one that costs more than the bucket holds is granted, and nothing else until its cost has come in.
-func TestCostlyRequestIsPaidBack(t *testing.T) {
+// TestDebtOfCostlyRequestIsRefilledFirst checks that a request that costs more than the bucket contains is granted, and that
+// nothing else is granted until its cost has been refilled.
+func TestDebtOfCostlyRequestIsRefilledFirst(t *testing.T) {
 	o := ownerOfOneZone(map[string]quota.Limit{tenant: {Rate: 100, Burst: 0}})
 	if grant := o.Take(time.Second, tenant, 60); !grant.Granted {
 		t.Fatal("not granted")
@@ -78,8 +81,8 @@
 	}
 }
 
-// TestLowerLimitTakesWhatTheBucketHolds beyond it.
-func TestLowerLimitTakesWhatTheBucketHolds(t *testing.T) {
+// TestLowerLimitTrimsTheBucket checks that a lower limit also removes tokens from a bucket that contains more.
+func TestLowerLimitTrimsTheBucket(t *testing.T) {
 	o := ownerOfOneZone(someLimit)
 	o.Take(time.Hour, tenant, 1)
 	o.SetLimits(time.Hour, map[string]quota.Limit{tenant: {Rate: 10, Burst: 20}})
@@ -88,8 +91,7 @@
 	}
 }
 
-// TestZonesDivideALimit evenly.
-func TestZonesDivideALimit(t *testing.T) {
+func TestZonesDivideALimitEvenly(t *testing.T) {
 	o := ownerOfOneZone(someLimit)
 	o.SetZones(0, 4)
 	if got, _ := takeAll(o, time.Hour, 1); got > 251.0/4+1 {
--- a/quota/requester_test.go
+++ b/quota/requester_test.go
@@ -9,10 +9,10 @@
 	"github.com/mallowbridge/mallowbridge/quota"
 )
 
-// zoneOwners are owners of a limit's shares, by their addresses.
+// zoneOwners maps addresses to the owners of a limit's shares.
 type zoneOwners map[string]*quota.Owner
 
-// fullOwners are owners in so many zones whose buckets are full.
+// fullOwners returns owners with full buckets, one in each zone, and their addresses.
 func fullOwners(rule quota.Rule, limit quota.Limit, zones int) (zoneOwners, []string) {
 	all, names := zoneOwners{}, []string{}
 	for i := range zones {
@@ -26,28 +26,29 @@
 	return all, names
 }
 
-// answer hands all asks to their owners, and the answers back, until there are none.
+// answer delivers grant requests to their owners and the responses back until there are none left.
 func (z zoneOwners) answer(now time.Duration, r *quota.Requester) {
-	for asks := r.TakeGrantRequests(); len(asks) > 0; asks = r.TakeGrantRequests() {
-		for _, a := range asks {
+	for requests := r.TakeGrantRequests(); len(requests) > 0; requests = r.TakeGrantRequests() {
+		for _, a := range requests {
 			r.HandleResponse(now, a.To, quota.GrantResponse{ID: a.ID, Grant: z[a.To].Take(now, a.Tenant, a.Cost)})
 		}
 	}
 }
 
-// onlyOutcome gives the one request that ended.
+// onlyOutcome returns the only outcome and fails the test if there is not exactly one.
 func onlyOutcome(t *testing.T, r *quota.Requester) quota.Outcome {
 	t.Helper()
 	all := r.TakeOutcomes()
 	if len(all) != 1 {
-		t.Fatalf("%+v ended", all)
+		t.Fatalf("outcomes %+v, want one", all)
 	}
 	return all[0]
 }
 
 var requesterLimit = quota.Limit{Rate: 1000, Burst: 1000}
 
-// TestRequestOfTheWholeBurstIsGranted guards against a large request that is never granted because a zone's share is smaller.
+// TestRequestOfTheWholeBurstIsGranted guards against a large request that is never granted because a zone's share is
+// smaller.
 func TestRequestOfTheWholeBurstIsGranted(t *testing.T) {
 	for _, zones := range []int{1, 3, 8} {
 		owners, names := fullOwners(quota.DefaultRule(), requesterLimit, zones)
@@ -60,13 +61,13 @@
 		r.Request(0, quota.Request{ID: 2, Tenant: tenant, Cost: requesterLimit.Burst}, names)
 		owners.answer(0, r)
 		if o := onlyOutcome(t, r); o.Granted {
-			t.Errorf("%d zones: the burst is granted twice", zones)
+			t.Errorf("%d zones: the burst was granted twice", zones)
 		}
 	}
 }
 
-// TestLateGrantServesTheNextRequest guards against tokens that are gone because their grant came after its request had ended. Beyond its life
-// nothing runs on it.
+// TestLateGrantServesTheNextRequest guards against losing tokens whose grant arrives after its request has ended. An
+// expired grant must not be used.
 func TestLateGrantServesTheNextRequest(t *testing.T) {
 	for _, c := range []struct {
 		late, asked time.Duration
@@ -84,23 +85,24 @@
 		r.HandleResponse(c.late, first.To, quota.GrantResponse{ID: first.ID, Grant: quota.Grant{Granted: true}})
 		r.Tick(c.asked)
 		r.Request(c.asked, quota.Request{ID: 2, Tenant: tenant, Cost: 10}, []string{"a", "b"})
-		asks, outcomes := r.TakeGrantRequests(), r.TakeOutcomes()
-		reused := len(asks) == 0 && len(outcomes) == 1 && outcomes[0].Granted && outcomes[0].Until == quota.GrantLifetime
+		requests, outcomes := r.TakeGrantRequests(), r.TakeOutcomes()
+		reused := len(requests) == 0 && len(outcomes) == 1 && outcomes[0].Granted && outcomes[0].Until == quota.GrantLifetime
 		if reused != c.reused {
-			t.Errorf("granted after %s, asked after %s: %+v, %+v", c.late, c.asked, asks, outcomes)
+			t.Errorf("grant arrives after %s, request made after %s: %+v, %+v", c.late, c.asked, requests, outcomes)
 		}
 	}
 }
 
-// TestTimeoutFollowsRoundTrips: an owner that always takes 0.3 s is waited for; one that never took long is not.
+// TestTimeoutFollowsRoundTrips checks that the next owner is not asked while an owner that always takes 0.3 s may still
+// respond, but is asked if the owner usually responds faster.
 func TestTimeoutFollowsRoundTrips(t *testing.T) {
 	for _, roundTrip := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
 		r, now := quota.NewRequester(1), time.Duration(0)
 		for id := range uint64(20) {
 			r.Request(now, quota.Request{ID: id, Tenant: tenant, Cost: 1}, []string{"a"})
-			ask := r.TakeGrantRequests()[0]
+			request := r.TakeGrantRequests()[0]
 			now += roundTrip
-			r.HandleResponse(now, "a", quota.GrantResponse{ID: ask.ID, Grant: quota.Grant{Granted: true}})
+			r.HandleResponse(now, "a", quota.GrantResponse{ID: request.ID, Grant: quota.Grant{Granted: true}})
 			r.Tick(now + quota.GrantLifetime)
 			now += 2 * quota.GrantLifetime
 		}
@@ -109,17 +111,17 @@
 		r.TakeGrantRequests()
 		r.Tick(now + 250*time.Millisecond)
 		if asked := len(r.TakeGrantRequests()) > 0; asked != (roundTrip < 200*time.Millisecond) {
-			t.Errorf("round trips of %s: the next owner is asked after 0.25 s: %v", roundTrip, asked)
+			t.Errorf("round trips of %s: the next owner was asked after 0.25 s: %v", roundTrip, asked)
 		}
 	}
 }
 
-// TestForeignAnswersAreDropped: an answer of another node, or a second one, grants nothing.
-func TestForeignAnswersAreDropped(t *testing.T) {
+// TestForeignResponsesAreIgnored checks that a response from another node, or a repeated one, grants nothing.
+func TestForeignResponsesAreIgnored(t *testing.T) {
 	r := quota.NewRequester(1)
 	r.Request(0, quota.Request{ID: 1, Tenant: tenant, Cost: 10}, []string{"a"})
-	ask := r.TakeGrantRequests()[0]
-	granted := quota.GrantResponse{ID: ask.ID, Grant: quota.Grant{Granted: true}}
+	request := r.TakeGrantRequests()[0]
+	granted := quota.GrantResponse{ID: request.ID, Grant: quota.Grant{Granted: true}}
 	r.HandleResponse(0, "b", granted)
 	if all := r.TakeOutcomes(); len(all) > 0 {
 		t.Fatalf("%+v", all)
@@ -133,7 +135,7 @@
 	}
 }
 
-// TestDamagedNumbersGrantNothing: costs and remainders that are no numbers of tokens, as other nodes may send them.
+// TestDamagedNumbersGrantNothing covers costs and remainders from other nodes that are not valid numbers of tokens.
 func TestDamagedNumbersGrantNothing(t *testing.T) {
 	for _, damaged := range []float64{-1, math.NaN(), math.Inf(1)} {
 		owners, names := fullOwners(quota.DefaultRule(), requesterLimit, 2)
@@ -148,7 +150,7 @@
 			}
 		}
 		if o := onlyOutcome(t, r); o.Granted || len(r.TakeGrantRequests()) > 0 {
-			t.Errorf("left %g: %+v", damaged, o)
+			t.Errorf("remaining %g: %+v", damaged, o)
 		}
 	}
 }
--- a/quota/roundtrip.go
+++ b/quota/roundtrip.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// leastTimeout is the least time that an owner has to answer before the next one is asked; after GrantLife an answer is of no use.
-	leastTimeout = 200 * time.Millisecond
-	// meanWeight, deviationWeight and deviations are those of TCP's retransmission time-out (RFC 6298).
+	// minTimeout is the minimum time that an owner has to respond before the next one is asked. The maximum is
+	// GrantLifetime, after which a response is useless.
+	minTimeout = 200 * time.Millisecond
+	// meanWeight, deviationWeight and deviationFactor are the constants of TCP's retransmission timeout (RFC 6298).
 	meanWeight      = 8
 	deviationWeight = 4
-	deviations      = 4
+	deviationFactor = 4
 )
 
-// roundTrip is how long an owner takes to answer: a moving mean, and a mean of the deviations from it.
+// roundTrip is the moving mean of an owner's response times and the mean deviation from it.
 type roundTrip struct{ mean, deviation time.Duration }
 
-// timeout is how long an owner may take to answer before the next one is asked.
+// timeout returns how long an owner may take to respond before the next one is asked.
 func (t *roundTrip) timeout() time.Duration {
-	return min(max(t.mean+deviations*t.deviation, leastTimeout), GrantLifetime)
+	return min(max(t.mean+deviationFactor*t.deviation, minTimeout), GrantLifetime)
 }
 
-func (t *roundTrip) measured(elapsed time.Duration) {
+func (t *roundTrip) observe(elapsed time.Duration) {
 	if t.mean == 0 {
 		t.mean, t.deviation = elapsed, elapsed/2
 		return
--- a/quota/status.go
+++ b/quota/status.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// usage counts a tenant's requests of this node: how they ended, those granted out of what earlier ones left, and those granted in parts; and asks
-// that were granted after their request had ended, or that had no answer while it was of use.
+// usage counts the requests of a tenant at this node. granted, refused and unanswered are their outcomes. reused counts
+// requests granted out of unused earlier grants, gathered those granted in parts. late counts grants that arrived after
+// their request had ended, lapsed grant requests without a response within GrantLifetime.
 type usage struct{ granted, refused, unanswered, reused, gathered, late, lapsed uint64 }
 
 func (u *usage) count(o Outcome) {
@@ -28,10 +29,11 @@
 	return r.usage[tenant]
 }
 
-// TenantStatus is what a node knows of a limit. Granted, Refused and Unanswered count the attempts for which it asked an owner, Reused those of the
-// granted that took what earlier ones had left, Gathered those that several zones granted in parts. LateGrants are grants that came after their
-// request had ended, LapsedAsks asks without an answer while it was of use. Where Owned, it owns
-// its zone's share: Tokens are in the bucket now, TokensGranted and TokensRefused went out and were turned down since it got to own it.
+// TenantStatus is a node's view of a tenant's limit. Granted, Refused and Unanswered count the attempts for which it
+// needed a grant. Reused counts those granted out of unused earlier grants, Gathered those granted in parts by several
+// zones. LateGrants counts grants that arrived after their request had ended, LapsedAsks grant requests without a
+// response while a grant was usable. If Owned is set, the node owns its zone's share: Tokens is the current content of
+// the bucket, TokensGranted and TokensRefused are the costs granted and refused since it took over the share.
 type TenantStatus struct {
 	Tenant        string  `json:"tenant"`
 	Rate          float64 `json:"ratePerS"`
@@ -49,7 +51,7 @@
 	TokensRefused float64 `json:"tokensRefused"`
 }
 
-// Status lists the limited tenants by name.
+// Status returns a row for each tenant with a limit, sorted by name.
 func Status(now time.Duration, o *Owner, r *Requester) []TenantStatus {
 	rows := make([]TenantStatus, 0, len(o.limits))
 	for _, tenant := range slices.Sorted(maps.Keys(o.limits)) {
--- a/quota/views_test.go
+++ b/quota/views_test.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// TestViewsThatDifferForLongDoNotRaiseTheLimit has nodes be taken for dead by some and for alive by others, some for longer than the takeover.
+// TestViewsThatDifferForLongDoNotRaiseTheLimit gives nodes different views of which nodes are alive, some of them for
+// longer than the takeover time.
 func TestViewsThatDifferForLongDoNotRaiseTheLimit(t *testing.T) {
-	const noticeEvery = 20 * time.Millisecond
+	const changeInterval = 20 * time.Millisecond
 	eachSize(t, func(t *testing.T, f *fleet, rate, mean float64) {
-		f.run(0, 12*time.Second, usualPart*rate, mean)
-		for now := 12 * time.Second; now < 40*time.Second; now += noticeEvery {
+		f.run(0, 12*time.Second, normalLoad*rate, mean)
+		for now := 12 * time.Second; now < 40*time.Second; now += changeInterval {
 			i := f.rng.IntN(len(f.nodes))
 			f.disagree(now, i)
-			f.run(now, now+noticeEvery, 4*rate, mean)
+			f.run(now, now+changeInterval, 4*rate, mean)
 		}
-		wantAtMost(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.most(f.limit, 0))
 	})
 }
--- a/quota/window_test.go
+++ b/quota/window_test.go
@@ -6,13 +6,13 @@
 	"github.com/mallowbridge/mallowbridge/quota"
 )
 
-// charge is a request that was granted, at the time when its router could send it.
+// charge is the cost of a granted request and the time at which its router could send it.
 type charge struct {
 	at   time.Duration
 	cost float64
 }
 
-// most is the largest sum of charges in any window, as a part of what the rule allows.
+// most returns the largest sum of charges within any window, as a fraction of what the rule allows.
 func (f *fleet) most(limit quota.Limit, from time.Duration) float64 {
 	allowed := f.rule.Allowed(limit)
 	var sum, most float64
