--- a/quota/grants.go
+++ b/quota/grants.go
@@ -21,8 +21,8 @@
 func (g *grants) take(now time.Duration, cost float64) (time.Duration, bool) {
 	g.expire(now)
 	var sum float64
-	for i, one := range *g {
-		sum += one.tokens
+	for i, each := range *g {
+		sum += each.tokens
 		if sum < cost*(1-roundingTolerance) {
 			continue
 		}
@@ -39,26 +39,26 @@
 
 func (g *grants) sum() float64 {
 	var sum float64
-	for _, one := range *g {
-		sum += one.tokens
+	for _, each := range *g {
+		sum += each.tokens
 	}
 	return sum
 }
 
-func (g *grants) add(one grant) {
-	at, _ := slices.BinarySearchFunc(*g, one, func(a, b grant) int { return int(a.until - b.until) })
-	*g = slices.Insert(*g, at, one)
+func (g *grants) add(added grant) {
+	at, _ := slices.BinarySearchFunc(*g, added, func(a, b grant) int { return int(a.until - b.until) })
+	*g = slices.Insert(*g, at, added)
 }
 
 // expire drops grants that may no longer be used.
 func (g *grants) expire(now time.Duration) {
-	*g = slices.DeleteFunc(*g, func(one grant) bool { return now > one.until })
+	*g = slices.DeleteFunc(*g, func(each grant) bool { return now > each.until })
 }
 
 // keepGrants keeps unused grants for other requests of the tenant.
 func (r *Requester) keepGrants(tenant string, all ...grant) {
-	for _, one := range all {
-		r.unusedOf(tenant).add(one)
+	for _, each := range all {
+		r.unusedOf(tenant).add(each)
 	}
 }
 
--- a/quota/limit_test.go
+++ b/quota/limit_test.go
@@ -185,7 +185,7 @@
 }
 
 // TestChangesOfOwnerDoNotRaiseTheLimit gives nodes different views of which nodes are alive. Each node's view
-// is wrong for less than the takeover time.
+// is replaced by another one within the takeover time.
 func TestChangesOfOwnerDoNotRaiseTheLimit(t *testing.T) {
 	const changeInterval = 20 * time.Millisecond
 	eachSize(t, func(t *testing.T, f *fleet, rate, mean float64) {
