--- a/scheduler/prefill_test.go
+++ b/scheduler/prefill_test.go
@@ -159,8 +159,8 @@
 		s.Tick(at + elapsed)
 		at += 200 * ms
 	}
-	if conf, _ := s.Index.Lookup(at, replica, blocks); conf != 9050 || s.Index.InferredEvictions != 1 {
-		t.Errorf("%d tokens confirmed, %d evictions inferred", conf, s.Index.InferredEvictions)
+	if confirmed, _ := s.Index.Lookup(at, replica, blocks); confirmed != 9050 || s.Index.InferredEvictions != 1 {
+		t.Errorf("%d tokens confirmed, %d evictions inferred", confirmed, s.Index.InferredEvictions)
 	}
 }
 
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -24,15 +24,15 @@
 
 const now = 3 * time.Second
 
-func wantActions(t *testing.T, actions []Action, classes ...ActionKind) Action {
+func wantActions(t *testing.T, actions []Action, kinds ...ActionKind) Action {
 	t.Helper()
-	if len(actions) != len(classes) {
-		t.Fatalf("%+v, want kinds %v", actions, classes)
+	if len(actions) != len(kinds) {
+		t.Fatalf("%+v, want kinds %v", actions, kinds)
 	}
 	var a Action
-	for i, k := range classes {
+	for i, k := range kinds {
 		if actions[i].Kind != k {
-			t.Fatalf("%+v, want kinds %v", actions, classes)
+			t.Fatalf("%+v, want kinds %v", actions, kinds)
 		}
 		a = actions[i]
 	}
--- a/scheduler/service.go
+++ b/scheduler/service.go
@@ -65,8 +65,8 @@
 }
 
 // SetBatching sets whether the service's replicas batch. The measured prefill speed is kept.
-func (svc *Service) SetBatching(yes bool) {
-	svc.Batches = yes
+func (svc *Service) SetBatching(batches bool) {
+	svc.Batches = batches
 	if svc.nanosPerToken == 0 {
 		svc.nanosPerToken = float64(svc.LatencyPerToken)
 	}
