--- a/gossip/digest.go
+++ b/gossip/digest.go
@@ -1,32 +1,32 @@
 package gossip
 
-// OnChecksum answers a checksum that differs with this store's digest.
+// OnChecksum replies with this store's digest if the peer's checksum differs from its own.
 func (s *Store) OnChecksum(from string, m Checksum) []Send {
-	if m.Hash == s.hash && m.N == s.durable {
+	if m.Hash == s.hash && m.N == s.durableCount {
 		return nil
 	}
 	return []Send{{To: from, Msg: s.ReplyDigest()}}
 }
 
-// OnDigest sends what is newer here and asks for what is newer there.
+// OnDigest sends the peer the items that are newer in this store and pulls those that are newer at the peer.
 func (s *Store) OnDigest(from string, m Digest) []Send {
 	theirs := map[string]Version{}
 	var want []string
-	for _, km := range m.Versions {
-		theirs[km.Key] = km.Version
-		if it, ok := s.items[km.Key]; !ok || it.Version.Less(km.Version) {
-			want = append(want, km.Key)
+	for _, kv := range m.Versions {
+		theirs[kv.Key] = kv.Version
+		if it, ok := s.items[kv.Key]; !ok || it.Version.Less(kv.Version) {
+			want = append(want, kv.Key)
 		}
 	}
-	var ahead []string
-	for _, k := range s.keys() {
-		if t, ok := theirs[k]; !ok || t.Less(s.items[k].Version) {
-			ahead = append(ahead, k)
+	var newer []string
+	for _, key := range s.durableKeys() {
+		if version, ok := theirs[key]; !ok || version.Less(s.items[key].Version) {
+			newer = append(newer, key)
 		}
 	}
 	var sends []Send
-	if len(ahead) > 0 || m.Reply {
-		sends = append(sends, Send{To: from, Msg: s.Update(ahead)})
+	if len(newer) > 0 || m.Reply {
+		sends = append(sends, Send{To: from, Msg: s.Update(newer)})
 	}
 	if len(want) > 0 {
 		sends = append(sends, Send{To: from, Msg: Pull{Keys: want}})
@@ -34,7 +34,7 @@
 	return sends
 }
 
-// OnPull sends what was asked for.
+// OnPull replies with the requested items.
 func (s *Store) OnPull(from string, m Pull) []Send {
 	return []Send{{To: from, Msg: s.Update(m.Keys)}}
 }
--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -10,38 +10,40 @@
 	meshNodes = 12
 	meshZones = 3
 	meshTick  = 50 * time.Millisecond
-	mostDelay = 60 * time.Millisecond
+	maxDelay  = 60 * time.Millisecond
 )
 
 type text string
 
-// brief items are soon replaced.
+// brief is the data of ephemeral items.
 type brief string
 
 func (brief) Ephemeral() bool { return true }
 
-// bulky items are too large to be pushed.
+// bulky is the data of items that are too large to push.
 type bulky string
 
 func (bulky) Size() int { return maxPushBytes + 1 }
 
+// envelope is a message in the network; it arrives at due.
 type envelope struct {
 	from, to string
 	due      time.Duration
 	msg      any
 }
 
-// mesh is some stores and a network that delays, reorders and loses, in virtual time.
+// mesh simulates stores and a network that delays, reorders and loses messages, in virtual time.
 type mesh struct {
 	rng         *rand.Rand
 	now         time.Duration
 	names       []string
 	stores      map[string]*Store
 	zones       map[string]string
-	mail        []envelope
+	inFlight    []envelope
 	loss        float64
 	partitioned func(from, to string) bool
-	pulls       map[string]int
+	// pulls counts the pulls of each node from each other one.
+	pulls map[string]int
 }
 
 func zoneOf(at int) string { return fmt.Sprint("z", at%meshZones) }
@@ -57,77 +59,80 @@
 	return m
 }
 
+// peers returns the peers of the node with the given index.
 func (m *mesh) peers(of int) []Peer {
-	var list []Peer
+	var peers []Peer
 	for at, name := range m.names {
 		if at != of {
-			list = append(list, Peer{Name: name, Addr: name, Zone: zoneOf(at), SameZone: zoneOf(at) == zoneOf(of)})
+			peers = append(peers, Peer{Name: name, Addr: name, Zone: zoneOf(at), SameZone: zoneOf(at) == zoneOf(of)})
 		}
 	}
-	return list
+	return peers
 }
 
-func (m *mesh) post(from string, sends []Send) {
+func (m *mesh) send(from string, sends []Send) {
 	for _, s := range sends {
 		if m.rng.Float64() < m.loss || (m.partitioned != nil && m.partitioned(from, s.To)) {
 			continue
 		}
-		due := m.now + time.Duration(m.rng.Int64N(int64(mostDelay)))
-		m.mail = append(m.mail, envelope{from: from, to: s.To, due: due, msg: s.Msg})
+		due := m.now + time.Duration(m.rng.Int64N(int64(maxDelay)))
+		m.inFlight = append(m.inFlight, envelope{from: from, to: s.To, due: due, msg: s.Msg})
 	}
 }
 
-func (m *mesh) near(a, b string) bool { return m.zones[a] == m.zones[b] }
+func (m *mesh) sameZone(a, b string) bool { return m.zones[a] == m.zones[b] }
 
-func (m *mesh) deliver(l envelope) {
-	s := m.stores[l.to]
-	switch msg := l.msg.(type) {
+func (m *mesh) deliver(e envelope) {
+	s := m.stores[e.to]
+	switch msg := e.msg.(type) {
 	case Update:
 		for _, it := range msg.Items {
-			s.Merge(it, m.near(l.from, l.to))
+			s.Merge(it, m.sameZone(e.from, e.to))
 		}
 	case Checksum:
-		m.post(l.to, s.OnChecksum(l.from, msg))
+		m.send(e.to, s.OnChecksum(e.from, msg))
 	case Digest:
-		m.post(l.to, s.OnDigest(l.from, msg))
+		m.send(e.to, s.OnDigest(e.from, msg))
 	case Pull:
-		m.post(l.to, s.OnPull(l.from, msg))
+		m.send(e.to, s.OnPull(e.from, msg))
 	case Announcement:
-		sends := s.OnAnnouncement(m.now, l.from, msg)
-		m.pulls[l.to+" of "+l.from] += len(sends)
-		m.post(l.to, sends)
+		sends := s.OnAnnouncement(m.now, e.from, msg)
+		m.pulls[e.to+" of "+e.from] += len(sends)
+		m.send(e.to, sends)
 	}
 }
 
+// step advances time by one tick, delivers the messages that are due, in random order, and ticks all stores.
 func (m *mesh) step() {
 	m.now += meshTick
-	mail := m.mail
-	m.mail = nil
-	m.rng.Shuffle(len(mail), func(i, j int) { mail[i], mail[j] = mail[j], mail[i] })
-	for _, l := range mail {
-		if l.due > m.now {
-			m.mail = append(m.mail, l)
+	inFlight := m.inFlight
+	m.inFlight = nil
+	m.rng.Shuffle(len(inFlight), func(i, j int) { inFlight[i], inFlight[j] = inFlight[j], inFlight[i] })
+	for _, e := range inFlight {
+		if e.due > m.now {
+			m.inFlight = append(m.inFlight, e)
 			continue
 		}
-		m.deliver(l)
+		m.deliver(e)
 	}
 	for at, name := range m.names {
-		m.post(name, m.stores[name].Tick(m.now, m.peers(at)))
+		m.send(name, m.stores[name].Tick(m.now, m.peers(at)))
 	}
 }
 
-// until steps until every store has what is wanted, and tells how long it took; not longer than most.
-func (m *mesh) until(most time.Duration, has func(s *Store) bool) (time.Duration, bool) {
+// until steps the mesh until has is true of every store, for at most the given time. It returns how long that took and whether it happened.
+func (m *mesh) until(limit time.Duration, has func(s *Store) bool) (time.Duration, bool) {
 	began := m.now
-	for m.now-began < most {
+	for m.now-began < limit {
 		if m.everywhere(has) {
 			return m.now - began, true
 		}
 		m.step()
 	}
-	return most, m.everywhere(has)
+	return limit, m.everywhere(has)
 }
 
+// everywhere reports whether has is true of every store.
 func (m *mesh) everywhere(has func(s *Store) bool) bool {
 	for _, s := range m.stores {
 		if !has(s) {
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -9,12 +9,13 @@
 
 const (
 	seeds = 20
-	// spreadWithin is the bound on the spread of one item under 20 % loss; a node hears of all that a push missed by digests, about one
-	// a second.
+	// spreadWithin bounds the time until one item has reached all nodes at 20 % message loss. Items that the pushes missed arrive through
+	// checksums, about one a second.
 	spreadWithin = 5 * time.Second
 )
 
-func holds(key string, version Version) func(s *Store) bool {
+// hasVersion returns a function that reports whether a store holds the given version of a key.
+func hasVersion(key string, version Version) func(s *Store) bool {
 	return func(s *Store) bool {
 		it, ok := s.Get(key)
 		return ok && it.Version == version
@@ -26,7 +27,7 @@
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0.2)
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
-		elapsed, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
+		elapsed, all := m.until(spreadWithin, hasVersion("k", Version{Lo: 1}))
 		worst = max(worst, elapsed)
 		if !all {
 			t.Errorf("seed %d: not everywhere after %s", seed, elapsed)
@@ -39,14 +40,14 @@
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0)
-		m.partitioned = func(from, to string) bool { return !m.near(from, to) }
+		m.partitioned = func(from, to string) bool { return !m.sameZone(from, to) }
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 		m.until(5*time.Second, func(*Store) bool { return false })
 		if _, ok := m.stores["n1"].Get("k"); ok {
-			t.Fatalf("seed %d: the cut lets items through", seed)
+			t.Fatalf("seed %d: an item passed the partition", seed)
 		}
 		m.partitioned = nil
-		elapsed, all := m.until(spreadWithin, holds("k", Version{Lo: 1}))
+		elapsed, all := m.until(spreadWithin, hasVersion("k", Version{Lo: 1}))
 		worst = max(worst, elapsed)
 		if !all {
 			t.Errorf("seed %d: not everywhere after %s", seed, elapsed)
@@ -55,17 +56,17 @@
 	t.Log("worst:", worst)
 }
 
-// Without digests a push that was lost is never made good: the two tests above rest on them.
+// TestItemIsMissingWithoutDigests checks that only anti-entropy repairs a lost push, which the two tests above depend on.
 func TestItemIsMissingWithoutDigests(t *testing.T) {
 	cfg := Defaults()
 	cfg.SameZoneChecksumInterval, cfg.OtherZoneChecksumInterval = time.Hour, time.Hour
 	m := newMesh(cfg, 1, 0)
-	m.partitioned = func(from, to string) bool { return !m.near(from, to) }
+	m.partitioned = func(from, to string) bool { return !m.sameZone(from, to) }
 	m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 	m.until(5*time.Second, func(*Store) bool { return false })
 	m.partitioned = nil
-	if _, all := m.until(spreadWithin, holds("k", Version{Lo: 1})); all {
-		t.Error("something else than digests repairs")
+	if _, all := m.until(spreadWithin, hasVersion("k", Version{Lo: 1})); all {
+		t.Error("the item spread without digests")
 	}
 }
 
@@ -75,13 +76,13 @@
 	if d := a.Digest(); len(d.Versions) > 0 {
 		t.Errorf("digest: %v", d)
 	}
-	sum := Checksum{Hash: a.hash, N: a.durable}
+	sum := Checksum{Hash: a.hash, N: a.durableCount}
 	if sends := b.OnChecksum("a", sum); len(sends) > 0 {
 		t.Errorf("an ephemeral item makes checksums differ: %v", sends)
 	}
 	a.Put(Item{Key: "d", Version: Version{Lo: 1}, Data: text("v")})
-	if sum = (Checksum{Hash: a.hash, N: a.durable}); len(b.OnChecksum("a", sum)) == 0 {
-		t.Error("a durable item makes no difference")
+	if sum = (Checksum{Hash: a.hash, N: a.durableCount}); len(b.OnChecksum("a", sum)) == 0 {
+		t.Error("a durable item does not change the checksum")
 	}
 }
 
@@ -100,7 +101,8 @@
 	}
 }
 
-// Whatever order and however often the same versions come, stores end alike and hold the newest of each key.
+// TestMergeIsIdempotentAndCommutativeAndLatestWins checks that stores which merge the same versions in different orders, some repeatedly, end
+// up equal and hold the newest version of each key.
 func TestMergeIsIdempotentAndCommutativeAndLatestWins(t *testing.T) {
 	for seed := range uint64(seeds) {
 		checkMerge(t, seed)
@@ -118,17 +120,17 @@
 	for _, at := range append(rng.Perm(len(items)), rng.Perm(len(items))...) {
 		two.Merge(items[at], false)
 	}
-	if one.hash != two.hash || one.durable != two.durable || !reflect.DeepEqual(one.Digest(), two.Digest()) {
+	if one.hash != two.hash || one.durableCount != two.durableCount || !reflect.DeepEqual(one.Digest(), two.Digest()) {
 		t.Errorf("seed %d: stores differ: %v %v", seed, one.Digest(), two.Digest())
 	}
 	for key, version := range latest {
-		if !holds(key, version)(one) {
-			t.Errorf("seed %d: %s is not at its newest", seed, key)
+		if !hasVersion(key, version)(one) {
+			t.Errorf("seed %d: %s is not at its newest version", seed, key)
 		}
 	}
 }
 
-// randomItems are some items under few keys, and the latest version of each key.
+// randomItems returns random versions of items under a few keys, and the newest version of each key.
 func randomItems(rng *rand.Rand) ([]Item, map[string]Version) {
 	var items []Item
 	latest := map[string]Version{}
@@ -142,14 +144,14 @@
 	return items, latest
 }
 
-// With no digests at all, the first push brings an item to every zone.
+// TestPushReachesEveryZone checks that the first push alone, without digests, brings an item to every zone.
 func TestPushReachesEveryZone(t *testing.T) {
 	for seed := range uint64(seeds) {
 		cfg := Defaults()
 		cfg.SameZoneChecksumInterval, cfg.OtherZoneChecksumInterval = time.Hour, time.Hour
 		m := newMesh(cfg, seed, 0)
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
-		m.until(cfg.PushInterval+meshTick+mostDelay+meshTick, func(*Store) bool { return false })
+		m.until(cfg.PushInterval+meshTick+maxDelay+meshTick, func(*Store) bool { return false })
 		reached := map[string]bool{}
 		for name, s := range m.stores {
 			_, has := s.Get("k")
@@ -157,29 +159,29 @@
 		}
 		for at := range meshZones {
 			if !reached[zoneOf(at)] {
-				t.Errorf("seed %d: %s has heard nothing", seed, zoneOf(at))
+				t.Errorf("seed %d: the item has not reached zone %s", seed, zoneOf(at))
 			}
 		}
 	}
 }
 
-// One digest repairs both sides.
+// TestDigestRepairsBothSides checks that one digest makes both stores equal.
 func TestDigestRepairsBothSides(t *testing.T) {
 	a, b := New(Defaults(), 1), New(Defaults(), 2)
 	a.Put(Item{Key: "old", Version: Version{Lo: 2}, Data: text("v")})
 	a.Put(Item{Key: "a", Version: Version{Lo: 1}, Data: text("v")})
 	b.Put(Item{Key: "old", Version: Version{Lo: 1}, Data: text("v")})
 	b.Put(Item{Key: "b", Version: Version{Lo: 1}, Data: text("v")})
-	brings, asks := 0, 0
+	sent, pulled := 0, 0
 	for _, s := range b.OnDigest("a", a.Digest()) {
 		switch msg := s.Msg.(type) {
 		case Update:
 			for _, it := range msg.Items {
 				a.Merge(it, true)
-				brings++
+				sent++
 			}
 		case Pull:
-			asks += len(msg.Keys)
+			pulled += len(msg.Keys)
 			for _, answer := range a.OnPull("b", msg) {
 				for _, it := range answer.Msg.(Update).Items {
 					b.Merge(it, true)
@@ -187,7 +189,7 @@
 			}
 		}
 	}
-	if brings != 1 || asks != 2 || !reflect.DeepEqual(a.Digest(), b.Digest()) {
-		t.Errorf("%d brought, %d asked for: %v %v", brings, asks, a.Digest(), b.Digest())
+	if sent != 1 || pulled != 2 || !reflect.DeepEqual(a.Digest(), b.Digest()) {
+		t.Errorf("%d items sent, %d pulled: %v %v", sent, pulled, a.Digest(), b.Digest())
 	}
 }
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -9,169 +9,140 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version orders the versions of an item, by Hi and then Lo.
+// Version is the version of an item. Versions are ordered by Hi, then by Lo.
 type Version struct{ Hi, Lo uint64 }
 
-// Less tells whether m comes before o.
-func (m Version) Less(o Version) bool {
-	return m.Hi < o.Hi || (m.Hi == o.Hi && m.Lo < o.Lo)
+// Less reports whether v is older than o.
+func (v Version) Less(o Version) bool {
+	return v.Hi < o.Hi || (v.Hi == o.Hi && v.Lo < o.Lo)
 }
 
-// Item is one version of the data under a key. Data is of any type that has a name in gob: the packages above this one bring theirs.
+// Item is one version of the data stored under a key. Data may be of any type that is registered under a gob name; packages that use gossip
+// register their own types.
 type Item struct {
 	Key     string
 	Version Version
 	Data    any
 }
 
-// KeyVersion names one version of an item.
-type KeyVersion struct {
-	Key     string
-	Version Version
-}
-
-// Message is what stores send each other. Their encoded forms, which older builds read, are in encoding.go.
-type Message interface{ gossipMessage() }
-
-// Update brings items.
-type Update struct{ Items []Item }
-
-// Checksum is a hash over all durable items and their number; equal ones mean equal stores.
-type Checksum struct {
-	Hash uint64
-	N    int
-}
-
-// Digest lists the versions of all durable items. Reply asks for an Update even where it would be empty.
-type Digest struct {
-	Versions []KeyVersion
-	Reply    bool
-}
-
-// Pull asks for items by key.
-type Pull struct{ Keys []string }
-
-func (Update) gossipMessage()       {}
-func (Checksum) gossipMessage()     {}
-func (Digest) gossipMessage()       {}
-func (Pull) gossipMessage()         {}
-func (Announcement) gossipMessage() {}
-
-// Peer is a node to talk to; Near ones are of the same failure zone.
-type Peer struct {
-	Name, Addr, Zone string
-	SameZone         bool
-}
-
-// Send is a message for the address To.
-type Send struct {
-	To  string
-	Msg Message
-}
-
-// Config sets the pace: a push every Push to Near peers of the same zone and Far others, so many Rounds for each item; a checksum to
-// one near peer every DigestNear and to one far peer every DigestFar.
+// Config sets how often and to how many peers a store gossips.
 type Config struct {
-	PushInterval              time.Duration
-	SameZoneFanout            int
-	OtherZoneFanout           int
-	Rounds                    int
+	// PushInterval is the time between push rounds, Rounds the number of rounds in which an item is pushed. SameZoneFanout is the number of peers
+	// in this node's zone that get each push. OtherZoneFanout is the number of peers in other zones that get an item learned from a peer in this zone.
+	PushInterval    time.Duration
+	SameZoneFanout  int
+	OtherZoneFanout int
+	Rounds          int
+	// SameZoneChecksumInterval is the time between checksums to one peer in the same zone, OtherZoneChecksumInterval that between checksums
+	// to one peer in another zone.
 	SameZoneChecksumInterval  time.Duration
 	OtherZoneChecksumInterval time.Duration
 }
 
-// Defaults is the configuration that nodes run with.
+// Defaults returns the configuration that production nodes use.
 func Defaults() Config {
 	return Config{PushInterval: 100 * time.Millisecond, SameZoneFanout: 2, OtherZoneFanout: 1, Rounds: 2, SameZoneChecksumInterval: time.Second, OtherZoneChecksumInterval: 2 * time.Second}
 }
 
-type reach uint8
+// pushScope says to which zones an item is pushed.
+type pushScope uint8
 
 const (
-	nearOnly reach = iota
-	oneFar
-	eachDomain
+	// sameZoneOnly is for items that came from another zone.
+	sameZoneOnly pushScope = iota
+	// alsoOtherZones is for items that came from a peer in the same zone.
+	alsoOtherZones
+	// everyOtherZone is for items that originated at this node.
+	everyOtherZone
 )
 
+// pendingPush is an item that is still to be pushed.
 type pendingPush struct {
-	left  int
-	first bool
-	far   reach
+	roundsLeft int
+	firstRound bool
+	scope      pushScope
 }
 
-// ephemeral items are soon replaced and of no use when old: they are pushed, and digests leave them out, which otherwise never agreed.
+// ephemeral is implemented by item data that is soon replaced and useless when old. Such items are pushed, but are left out of checksums and
+// digests, which would otherwise never agree between stores.
 type ephemeral interface{ Ephemeral() bool }
 
 func (it Item) ephemeral() bool {
-	f, ok := it.Data.(ephemeral)
-	return ok && f.Ephemeral()
+	data, ok := it.Data.(ephemeral)
+	return ok && data.Ephemeral()
 }
 
-// sentOnce items are soon replaced and pushed in one round only.
+// sentOnce is implemented by item data that is soon replaced. Such items are pushed for one round only.
 type sentOnce interface{ SentOnce() bool }
 
-// Store holds the newest version of each item, and what is still to be pushed. Accepted and Stale count items that were taken, and that
-// were no newer. It is a pure state machine.
+// Store holds the newest version of each item and the items that are still to be pushed. It does no I/O and is not safe for concurrent use.
 type Store struct {
-	cfg      Config
-	rng      *rand.Rand
-	items    map[string]Item
-	pending  map[string]*pendingPush
-	asked    map[string]pulled
-	hash     uint64
-	durable  int
-	pushed   time.Duration
-	digested [2]time.Duration
+	cfg     Config
+	rng     *rand.Rand
+	items   map[string]Item
+	pending map[string]*pendingPush
+	pulls   map[string]pullAttempt
+	// hash covers the durable items, whose number is durableCount.
+	hash         uint64
+	durableCount int
+	lastPushAt   time.Duration
+	// lastChecksumAt is when a checksum was last sent to the same zone and to another one.
+	lastChecksumAt [2]time.Duration
+	// Accepted counts the items that were stored, Stale those that were dropped because they were not newer.
 	Accepted uint64
 	Stale    uint64
 }
 
-// New makes an empty store; the seed is for the choice of peers.
+// New returns an empty store. The seed determines its random choice of peers.
 func New(cfg Config, seed uint64) *Store {
-	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, asked: map[string]pulled{}}
+	return &Store{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), items: map[string]Item{}, pending: map[string]*pendingPush{}, pulls: map[string]pullAttempt{}}
 }
 
-func leaf(k string, m Version) uint64 {
+// versionHash returns the hash of one version of an item. The hash of a store is the XOR of those of its durable items.
+func versionHash(key string, v Version) uint64 {
 	var b [16]byte
-	binary.BigEndian.PutUint64(b[:], m.Hi)
-	binary.BigEndian.PutUint64(b[8:], m.Lo)
+	binary.BigEndian.PutUint64(b[:], v.Hi)
+	binary.BigEndian.PutUint64(b[8:], v.Lo)
 	d := xxhash.New()
-	_, _ = d.WriteString(k)
+	_, _ = d.WriteString(key)
 	_, _ = d.Write(b[:])
 	return d.Sum64()
 }
 
-// Put takes an item of this node, and tells whether it is newer; it goes to one peer of every other zone.
-func (s *Store) Put(it Item) bool { return s.hold(it, eachDomain) }
+// Put stores an item that originates at this node and reports whether it is newer than the stored one. It is pushed to one peer in every
+// other zone.
+func (s *Store) Put(it Item) bool { return s.store(it, everyOtherZone) }
 
-// Merge takes an item of a peer, and tells whether it is newer. What a near peer sent goes to one far peer too.
-func (s *Store) Merge(it Item, near bool) bool {
-	if near {
-		return s.hold(it, oneFar)
+// Merge stores an item from a peer and reports whether it is newer than the stored one. sameZone says whether the peer is in this node's zone; if
+// it is, the item is also pushed to peers in other zones.
+func (s *Store) Merge(it Item, sameZone bool) bool {
+	if sameZone {
+		return s.store(it, alsoOtherZones)
 	}
-	return s.hold(it, nearOnly)
+	return s.store(it, sameZoneOnly)
 }
 
-func (s *Store) hold(it Item, far reach) bool {
+// store stores an item and marks it for pushing, unless the stored one is as new.
+func (s *Store) store(it Item, scope pushScope) bool {
 	old, ok := s.items[it.Key]
 	if ok && !old.Version.Less(it.Version) {
 		s.Stale++
 		return false
 	}
 	if ok && !old.ephemeral() {
-		s.hash ^= leaf(old.Key, old.Version)
-		s.durable--
+		s.hash ^= versionHash(old.Key, old.Version)
+		s.durableCount--
 	}
 	if !it.ephemeral() {
-		s.hash ^= leaf(it.Key, it.Version)
-		s.durable++
+		s.hash ^= versionHash(it.Key, it.Version)
+		s.durableCount++
 	}
 	s.items[it.Key] = it
-	left := s.cfg.Rounds
+	rounds := s.cfg.Rounds
 	if p, ok := it.Data.(sentOnce); ok && p.SentOnce() {
-		left = 1
+		rounds = 1
 	}
-	s.pending[it.Key] = &pendingPush{left: left, first: true, far: far}
+	s.pending[it.Key] = &pendingPush{roundsLeft: rounds, firstRound: true, scope: scope}
 	s.Accepted++
 	return true
 }
@@ -182,10 +153,11 @@
 	return it, ok
 }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (s *Store) Len() int { return len(s.items) }
 
-func (s *Store) keys() []string {
+// durableKeys returns the keys of all items that are not ephemeral, sorted.
+func (s *Store) durableKeys() []string {
 	var keys []string
 	for k, it := range s.items {
 		if !it.ephemeral() {
@@ -196,37 +168,38 @@
 	return keys
 }
 
-// ReplyDigest is the digest of this store as the answer to a peer's.
+// ReplyDigest returns the digest of this store with Reply set, so that the peer replies with an Update in any case.
 func (s *Store) ReplyDigest() Digest {
 	m := s.Digest()
 	m.Reply = true
 	return m
 }
 
-// Digest is that of this store.
+// Digest returns the versions of all durable items in this store.
 func (s *Store) Digest() Digest {
 	var m Digest
-	for _, k := range s.keys() {
+	for _, k := range s.durableKeys() {
 		m.Versions = append(m.Versions, KeyVersion{Key: k, Version: s.items[k].Version})
 	}
 	return m
 }
 
-// Update brings the items under the keys, as far as they are here.
+// Update returns an Update with the items under the given keys, without those that this store lacks.
 func (s *Store) Update(keys []string) Update {
-	var n Update
+	var u Update
 	for _, k := range keys {
 		if it, ok := s.items[k]; ok {
-			n.Items = append(n.Items, it)
+			u.Items = append(u.Items, it)
 		}
 	}
-	return n
+	return u
 }
 
-func (s *Store) pick(peers []Peer, near bool, n int) []Peer {
+// pickPeers returns up to n random peers, all in the same zone as this node or all in other zones.
+func (s *Store) pickPeers(peers []Peer, sameZone bool, n int) []Peer {
 	var to []Peer
 	for _, p := range peers {
-		if p.SameZone == near {
+		if p.SameZone == sameZone {
 			to = append(to, p)
 		}
 	}
