--- a/membership/detector.go
+++ b/membership/detector.go
@@ -5,241 +5,199 @@
 	"time"
 )
 
-// probe is a ping that waits for its answer; indirect: helpers were asked, or are not to be.
-type probe struct {
-	target   string
-	sentAt   time.Duration
-	indirect bool
-}
-
-// relay is a ping made for another member.
-type relay struct {
-	to         string
-	seq        uint64
-	receivedAt time.Duration
-}
-
-// Detector is one member's failure detector and owner of its table of members. The control node drives it from one goroutine: it
-// passes in messages and the time, sends what is returned, and spreads TakeChanges by gossip.
+// Detector is the failure detector of one member and owns its table of members. The control node drives it from one goroutine: it passes in
+// messages and the time, sends the messages that are returned, and spreads TakeChanges by gossip.
 type Detector struct {
 	cfg Config
-	// Self is this member as others are to see it; it changes by Update.
+	// Self is this member as it is announced to others. It is changed by Update only.
 	Self   Member
 	Table  Table
 	rng    *rand.Rand
 	seq    uint64
 	probes map[uint64]*probe
 	relays map[uint64]relay
-	// lastPing is when a member was pinged or answered last, suspectSince when it was first suspected.
+	// lastPing is when a member was last pinged or last answered, suspectSince when it became suspect.
 	lastPing     map[string]time.Duration
 	suspectSince map[string]time.Duration
-	// leftAt is when a member was heard to have left.
+	// leftAt is when this node learned that a member left.
 	leftAt map[string]time.Duration
-	// pinged are the members that this one pings, at revision pingedRev of the table.
-	pinged    map[string]bool
-	pingedRev uint64
-	// others is their number at the revision before othersRev.
-	others      int
-	othersRev   uint64
-	contactedAt time.Duration
-	tickedAt    time.Duration
-	changes     []Member
-	// Deaths counts members that were declared dead or left, Refutations suspicions of this member that it refuted.
+	// pinged contains the names of the members that this one pings, as computed for generation pingedGeneration of the table.
+	pinged           map[string]bool
+	pingedGeneration uint64
+	// others caches OtherCount. It is valid while the generation of the table is othersValidBefore-1; 0 means that it was never computed.
+	others            int
+	othersValidBefore uint64
+	// lastAckAt is when a member that has not left last answered a ping.
+	lastAckAt  time.Duration
+	lastTickAt time.Duration
+	changes    []Member
+	// Deaths counts members that died or left, Refutations contradictory reports about this member that it refuted.
 	Deaths, Refutations uint64
 }
 
-// New gives a detector that knows only its own member.
+// New returns a detector whose table contains only self. The seed determines its random choice of helpers.
 func New(cfg Config, self Member, seed uint64, now time.Duration) *Detector {
-	k := &Detector{
+	d := &Detector{
 		cfg: cfg, Self: self, rng: rand.New(rand.NewPCG(seed, 13)), probes: map[uint64]*probe{}, relays: map[uint64]relay{},
-		lastPing: map[string]time.Duration{}, suspectSince: map[string]time.Duration{}, leftAt: map[string]time.Duration{}, contactedAt: now, tickedAt: now,
+		lastPing: map[string]time.Duration{}, suspectSince: map[string]time.Duration{}, leftAt: map[string]time.Duration{}, lastAckAt: now, lastTickAt: now,
 	}
-	k.Table.rows = map[string]Member{self.Name: self}
-	k.changes = []Member{self}
-	return k
+	d.Table.rows = map[string]Member{self.Name: self}
+	d.changes = []Member{self}
+	return d
 }
 
-// TakeChanges gives the members that changed since the last call.
-func (k *Detector) TakeChanges() []Member {
-	var ms []Member
-	ms, k.changes = k.changes, nil
-	return ms
+// TakeChanges returns the members that changed since the last call.
+func (d *Detector) TakeChanges() []Member {
+	var members []Member
+	members, d.changes = d.changes, nil
+	return members
 }
 
-func (k *Detector) set(now time.Duration, m Member) {
-	old, had := k.Table.rows[m.Name]
-	k.Table.put(m)
-	k.changes = append(k.changes, m)
+// set stores a member in the table and records the change.
+func (d *Detector) set(now time.Duration, m Member) {
+	old, had := d.Table.rows[m.Name]
+	d.Table.put(m)
+	d.changes = append(d.changes, m)
 	if m.State != Suspect {
-		delete(k.suspectSince, m.Name)
+		delete(d.suspectSince, m.Name)
 	}
-	k.noteLeft(now, old, m)
+	d.trackLeft(now, old, m)
 	switch {
 	case m.State == Suspect:
-		k.suspectSince[m.Name] = now
+		d.suspectSince[m.Name] = now
 	case !m.Live() && (!had || old.Live()):
-		k.Deaths++
+		d.Deaths++
 	}
 	if m.Incarnation > old.Incarnation {
-		k.forgetProbes(m.Name)
+		d.forgetProbes(m.Name)
 	}
 }
 
-// forgetProbes drops the probes of an earlier incarnation.
-func (k *Detector) forgetProbes(target string) {
-	for seq, p := range k.probes {
+// forgetProbes drops the pending probes of a member, which were sent to an earlier incarnation.
+func (d *Detector) forgetProbes(target string) {
+	for seq, p := range d.probes {
 		if p.target == target {
-			delete(k.probes, seq)
+			delete(d.probes, seq)
 		}
 	}
 }
 
-// Update changes this member and raises its incarnation.
-func (k *Detector) Update(now time.Duration, change func(m *Member)) {
-	change(&k.Self)
-	k.Self.Incarnation++
-	k.set(now, k.Self)
+// Update changes this member and increments its incarnation.
+func (d *Detector) Update(now time.Duration, change func(m *Member)) {
+	change(&d.Self)
+	d.Self.Incarnation++
+	d.set(now, d.Self)
 }
 
-// Merge takes in what others say of a member. If they suspect this one, it refutes with a higher incarnation.
-func (k *Detector) Merge(now time.Duration, m Member) {
-	if m.Name == k.Self.Name {
-		if m.Incarnation > k.Self.Incarnation || (m.Incarnation == k.Self.Incarnation && m.State != k.Self.State) {
-			k.Refutations++
-			k.Self.Incarnation = m.Incarnation
-			k.Update(now, func(*Member) {})
+// Merge applies another node's view of a member if it is newer than this node's. A view of this member that contradicts its own state is
+// refuted with a higher incarnation.
+func (d *Detector) Merge(now time.Duration, m Member) {
+	if m.Name == d.Self.Name {
+		if m.Incarnation > d.Self.Incarnation || (m.Incarnation == d.Self.Incarnation && m.State != d.Self.State) {
+			d.Refutations++
+			d.Self.Incarnation = m.Incarnation
+			d.Update(now, func(*Member) {})
 		}
 		return
 	}
-	if old, ok := k.Table.rows[m.Name]; ok && !m.Newer(old) {
+	if old, ok := d.Table.rows[m.Name]; ok && !m.Newer(old) {
 		return
 	}
-	k.set(now, m)
+	d.set(now, m)
 }
 
-// OtherCount counts the other members that have not left, dead ones too.
-func (k *Detector) OtherCount() (n int) {
-	if k.othersRev == k.Table.rev+1 {
-		return k.others
+// OtherCount returns the number of other members that have not left, including dead ones.
+func (d *Detector) OtherCount() (n int) {
+	if d.othersValidBefore == d.Table.generation+1 {
+		return d.others
 	}
-	defer func() { k.others, k.othersRev = n, k.Table.rev+1 }()
-	for _, m := range k.Table.rows {
-		if m.Name != k.Self.Name && m.State != Left {
+	defer func() { d.others, d.othersValidBefore = n, d.Table.generation+1 }()
+	for _, m := range d.Table.rows {
+		if m.Name != d.Self.Name && m.State != Left {
 			n++
 		}
 	}
 	return n
 }
 
-// Isolated tells that no other member has answered for IsolatedAfter, though there are some.
-func (k *Detector) Isolated(now time.Duration) bool {
-	return k.OtherCount() > 0 && now-k.contactedAt > k.cfg.IsolatedAfter
+// Isolated reports whether there are other members but none has answered for IsolatedAfter.
+func (d *Detector) Isolated(now time.Duration) bool {
+	return d.OtherCount() > 0 && now-d.lastAckAt > d.cfg.IsolatedAfter
 }
 
-// OnPing answers a ping that is meant for this member.
-func (k *Detector) OnPing(from string, m Ping) []Send {
-	if m.Name != k.Self.Name {
+// OnPing answers a ping that is addressed to this member by name.
+func (d *Detector) OnPing(from string, m Ping) []Send {
+	if m.Name != d.Self.Name {
 		return nil
 	}
 	return []Send{{To: from, Msg: Ack{Seq: m.Seq}}}
 }
 
-// OnPingFor pings a member for another.
-func (k *Detector) OnPingFor(now time.Duration, from string, m PingFor) []Send {
-	k.seq++
-	k.relays[k.seq] = relay{to: from, seq: m.Seq, receivedAt: now}
-	return []Send{{To: m.Addr, Msg: Ping{Seq: k.seq, Name: m.Name}}}
+// OnPingFor pings a member on behalf of another one.
+func (d *Detector) OnPingFor(now time.Duration, from string, m PingFor) []Send {
+	d.seq++
+	d.relays[d.seq] = relay{to: from, seq: m.Seq, receivedAt: now}
+	return []Send{{To: m.Addr, Msg: Ping{Seq: d.seq, Name: m.Name}}}
 }
 
-// OnAck takes in an answer to a ping, or passes it on to the member that the ping was made for.
-func (k *Detector) OnAck(now time.Duration, m Ack) []Send {
-	if r, ok := k.relays[m.Seq]; ok {
-		delete(k.relays, m.Seq)
+// OnAck handles the answer to a ping, or forwards it to the member on whose behalf the ping was sent.
+func (d *Detector) OnAck(now time.Duration, m Ack) []Send {
+	if r, ok := d.relays[m.Seq]; ok {
+		delete(d.relays, m.Seq)
 		return []Send{{To: r.to, Msg: Ack{Seq: r.seq}}}
 	}
-	if p, ok := k.probes[m.Seq]; ok {
-		delete(k.probes, m.Seq)
-		k.lastPing[p.target] = now
-		if k.Table.rows[p.target].State != Left {
-			k.contactedAt = now
+	if p, ok := d.probes[m.Seq]; ok {
+		delete(d.probes, m.Seq)
+		d.lastPing[p.target] = now
+		if d.Table.rows[p.target].State != Left {
+			d.lastAckAt = now
 		}
 	}
 	return nil
 }
 
-// choosePinged names whom this node pings: its own watchers, who must answer it, and whom it watches. It holds until the table changes.
-func (k *Detector) choosePinged(all []Member) {
-	if k.pinged != nil && k.pingedRev == k.Table.rev {
-		return
-	}
-	k.pinged, k.pingedRev = map[string]bool{}, k.Table.rev
-	for _, name := range Watchers(k.Self, all) {
-		k.pinged[name] = true
-	}
-	for _, m := range all {
-		if watches(k.Self, m, all) {
-			k.pinged[m.Name] = true
-		}
-	}
-}
-
-// Tick declares members dead whose suspicion stood for SuspectFor, asks helpers, suspects, and pings who is due.
-func (k *Detector) Tick(now time.Duration) []Send {
-	if now-k.tickedAt > k.cfg.PauseGap {
-		k.restartAfterPause(now)
+// Tick declares members dead that were suspect for SuspicionTimeout, asks helpers about unanswered pings, marks members as suspect, and pings
+// the members that are due.
+func (d *Detector) Tick(now time.Duration) []Send {
+	if now-d.lastTickAt > d.cfg.PauseGap {
+		d.restartAfterPause(now)
 	}
-	k.tickedAt = now
-	all := k.Table.All()
-	k.declareDead(now, all)
-	sends := k.checkProbes(now, all)
-	k.choosePinged(all)
+	d.lastTickAt = now
+	all := d.Table.All()
+	d.declareDead(now, all)
+	sends := d.checkProbes(now, all)
+	d.choosePinged(all)
 	for _, m := range all {
-		if k.pingDue(now, m) {
-			sends = append(sends, k.ping(now, m))
+		if d.pingDue(now, m) {
+			sends = append(sends, d.ping(now, m))
 		}
 	}
 	return sends
 }
 
-// restartAfterPause voids what was under way while this machine stood still: the others cannot be blamed for it.
-func (k *Detector) restartAfterPause(now time.Duration) {
-	k.probes = map[uint64]*probe{}
-	for name := range k.suspectSince {
-		k.suspectSince[name] = now
+// restartAfterPause drops the pending probes and restarts the suspicion timeouts after this machine was frozen: answers may have been lost
+// through no fault of the other members.
+func (d *Detector) restartAfterPause(now time.Duration) {
+	d.probes = map[uint64]*probe{}
+	for name := range d.suspectSince {
+		d.suspectSince[name] = now
 	}
 }
 
-func (k *Detector) declareDead(now time.Duration, all []Member) {
-	isolated := k.Isolated(now)
+// declareDead declares members dead that were suspect for SuspicionTimeout. While this member is isolated, it restarts the timeouts instead.
+func (d *Detector) declareDead(now time.Duration, all []Member) {
+	isolated := d.Isolated(now)
 	for _, m := range all {
-		since, suspected := k.suspectSince[m.Name]
+		since, suspected := d.suspectSince[m.Name]
 		if !suspected {
 			continue
 		}
 		if isolated {
-			k.suspectSince[m.Name], since = now, now
+			d.suspectSince[m.Name], since = now, now
 		}
-		if now-since >= k.cfg.SuspicionTimeout && m.State == Suspect {
+		if now-since >= d.cfg.SuspicionTimeout && m.State == Suspect {
 			m.State = Dead
-			k.set(now, m)
+			d.set(now, m)
 		}
 	}
 }
-
-func (k *Detector) pingDue(now time.Duration, m Member) bool {
-	since := now - k.lastPing[m.Name]
-	switch {
-	case m.Name == k.Self.Name || (m.State == Left && now-k.leftAt[m.Name] > leftPingFor):
-		return false
-	case m.State == Dead, m.State == Left:
-		return since >= deadPingFactor*k.cfg.PingInterval
-	}
-	return k.pinged[m.Name] && since >= k.cfg.PingInterval
-}
-
-func (k *Detector) ping(now time.Duration, m Member) Send {
-	k.lastPing[m.Name] = now
-	k.seq++
-	k.probes[k.seq] = &probe{target: m.Name, sentAt: now, indirect: !m.Live()}
-	return Send{To: m.Addr, Msg: Ping{Seq: k.seq, Name: m.Name}}
-}
--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -10,13 +10,14 @@
 
 const (
 	seeds = 12
-	// detectedWithin bounds the time from a member's end until everybody holds it dead: a ping interval, both timeouts, the suspicion, the
-	// spread of both, and some ticks.
+	// detectedWithin bounds the time from when a member stops until all others consider it dead: a ping interval, both ping timeouts, the
+	// suspicion timeout, the spread of the suspicion and of the death by gossip, and a few ticks.
 	detectedWithin = 3 * time.Second
-	// wrongFor bounds how long anybody may hold a live member dead: until it hears of that and its refutation has come back.
-	wrongFor = 2*spreadIn + 4*fleetTick
+	// maxFalselyDead bounds how long a member may consider a live one dead: until gossip has reached that one and its refutation has come back.
+	maxFalselyDead = 2*maxGossipDelay + 4*fleetTick
 )
 
+// TestLiveMemberIsRefutedInTime checks that a live member which is declared dead because of message loss refutes that within maxFalselyDead.
 func TestLiveMemberIsRefutedInTime(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0.1)
@@ -41,8 +42,8 @@
 		if _, ok := since[pair]; !ok {
 			since[pair] = f.now
 		}
-		if wrong := f.now - since[pair]; wrong > wrongFor {
-			t.Fatalf("seed %d: %s holds %s dead for %s", seed, by, of, wrong)
+		if wrong := f.now - since[pair]; wrong > maxFalselyDead {
+			t.Fatalf("seed %d: %s has considered %s dead for %s, though it is alive", seed, by, of, wrong)
 		}
 	}
 }
@@ -52,7 +53,7 @@
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		f.run(3 * time.Second)
-		f.gone["n4"] = true
+		f.stopped["n4"] = true
 		began := f.now
 		known := func() bool {
 			return !slices.ContainsFunc(f.names, func(by string) bool { return by != "n4" && f.state(by, "n4") != Dead })
@@ -61,11 +62,11 @@
 			f.step()
 		}
 		if !known() {
-			t.Errorf("seed %d: not found after %s", seed, detectedWithin)
+			t.Errorf("seed %d: the dead member was not detected by all after %s", seed, detectedWithin)
 		}
 		worst = max(worst, f.now-began)
-		if len(f.declared) != 1 {
-			t.Errorf("seed %d: declared dead: %v", seed, f.declared)
+		if len(f.declaredDead) != 1 {
+			t.Errorf("seed %d: declared dead: %v", seed, f.declaredDead)
 		}
 	}
 	t.Log("worst:", worst)
@@ -79,13 +80,13 @@
 		f.run(8 * time.Second)
 		f.paused["n4"] = false
 		f.run(4 * time.Second)
-		delete(f.declared, "n4")
-		if len(f.declared) > 0 {
-			t.Errorf("seed %d: declared dead: %v", seed, f.declared)
+		delete(f.declaredDead, "n4")
+		if len(f.declaredDead) > 0 {
+			t.Errorf("seed %d: declared dead: %v", seed, f.declaredDead)
 		}
 		for _, by := range f.names {
 			if s := f.state(by, "n4"); s != Alive {
-				t.Errorf("seed %d: %s holds the woken member %s", seed, by, s)
+				t.Errorf("seed %d: %s considers the resumed member %s", seed, by, s)
 			}
 		}
 	}
@@ -93,21 +94,21 @@
 
 func TestRefutationWins(t *testing.T) {
 	me := Member{Name: "a", Zone: "z"}
-	k := New(Defaults(), me, 1, 0)
+	d := New(Defaults(), me, 1, 0)
 	other := New(Defaults(), Member{Name: "b", Zone: "z"}, 2, 0)
 	for _, s := range []State{Suspect, Dead} {
-		said := k.Self
-		said.State = s
-		other.Merge(0, said)
-		k.Merge(0, said)
-		if k.Self.Incarnation <= said.Incarnation || k.Self.State != Alive {
-			t.Errorf("%s is not refuted: %+v", s, k.Self)
-		}
-		for _, row := range []Member{k.Self, said} {
+		claim := d.Self
+		claim.State = s
+		other.Merge(0, claim)
+		d.Merge(0, claim)
+		if d.Self.Incarnation <= claim.Incarnation || d.Self.State != Alive {
+			t.Errorf("%s is not refuted: %+v", s, d.Self)
+		}
+		for _, row := range []Member{d.Self, claim} {
 			other.Merge(0, row)
 		}
-		if m, _ := other.Table.Get("a"); m.State != Alive || m.Incarnation != k.Self.Incarnation {
-			t.Errorf("a refuted %s holds: %+v", s, m)
+		if m, _ := other.Table.Get("a"); m.State != Alive || m.Incarnation != d.Self.Incarnation {
+			t.Errorf("the state %s remains after it was refuted: %+v", s, m)
 		}
 	}
 }
@@ -120,30 +121,30 @@
 	}
 	for _, few := range [][]Member{all[:2], {all[0], all[3]}} {
 		if len(Watchers(few[0], few)) != 1 {
-			t.Errorf("%v: not watched by the only other", few)
+			t.Errorf("%v: the first is not watched by the only other member", few)
 		}
 	}
 }
 
 func checkWatchers(t *testing.T, target Member, all []Member) {
 	t.Helper()
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, m := range all {
 		switch {
 		case m.Name == target.Name:
 		case m.Zone == target.Zone:
-			near = append(near, m.Name)
+			sameZone = append(sameZone, m.Name)
 		default:
-			far = append(far, m.Name)
+			otherZones = append(otherZones, m.Name)
 		}
 	}
-	want := append(scheduler.SortByWeight(target.Name, near)[:watchersInZone], scheduler.SortByWeight(target.Name, far)[:watchersElsewhere]...)
+	want := append(scheduler.SortByWeight(target.Name, sameZone)[:sameZoneWatchers], scheduler.SortByWeight(target.Name, otherZones)[:otherZoneWatchers]...)
 	if got := Watchers(target, all); len(got) == 0 || !slices.Equal(got, want) {
 		t.Errorf("%s is watched by %v, not %v", target.Name, got, want)
 	}
 	for _, m := range all {
-		if watches(m, target, all) != slices.Contains(want, m.Name) {
-			t.Errorf("%s watches %s: %t", m.Name, target.Name, watches(m, target, all))
+		if isWatcher(m, target, all) != slices.Contains(want, m.Name) {
+			t.Errorf("%s watches %s: %t", m.Name, target.Name, isWatcher(m, target, all))
 		}
 	}
 }
--- a/membership/encoding.go
+++ b/membership/encoding.go
@@ -2,7 +2,7 @@
 
 import "github.com/mallowbridge/mallowbridge/wire"
 
-// The types of this file are what messages hold. Their field names are a format and stay as they are.
+// The types in this file are the encoded forms of messages. Their field names are part of the wire format and must not change.
 
 func init() {
 	wire.RegisterPlain("kp", Ping{})
--- a/membership/faults_test.go
+++ b/membership/faults_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// held tells whether a member holds any other to be in a state.
-func (f *fleet) held(by string, s State) bool {
+// anyInState reports whether a member considers any other to be in the given state.
+func (f *fleet) anyInState(by string, s State) bool {
 	return slices.ContainsFunc(f.names, func(of string) bool { return of != by && f.state(by, of) == s })
 }
 
-// A pause that is longer than PauseGap and shorter than IsolatedAfter: the answers are lost, and the others aren't to blame.
+// TestThawedMemberSuspectsNobody freezes a member for longer than PauseGap and less than IsolatedAfter. Answers to its pings are lost meanwhile,
+// for which it must not suspect the other members.
 func TestThawedMemberSuspectsNobody(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
@@ -20,8 +21,8 @@
 		f.run(1050 * time.Millisecond)
 		f.paused["n4"] = false
 		f.step()
-		if f.held("n4", Suspect) {
-			t.Errorf("seed %d: suspects on waking", seed)
+		if f.anyInState("n4", Suspect) {
+			t.Errorf("seed %d: the member suspects others after it resumed", seed)
 		}
 	}
 }
@@ -30,15 +31,15 @@
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		f.run(3*time.Second + time.Duration(seed)*fleetTick)
-		f.partitioned, f.isolated = func(from, to string) bool { return from == "n4" || to == "n4" }, true
+		f.partitioned, f.cutsGossip = func(from, to string) bool { return from == "n4" || to == "n4" }, true
 		f.run(10 * time.Second)
-		if f.held("n4", Dead) {
-			t.Errorf("seed %d: holds others dead", seed)
+		if f.anyInState("n4", Dead) {
+			t.Errorf("seed %d: the isolated member considers others dead", seed)
 		}
 	}
 }
 
-// Where only the way between two members is cut, helpers answer for both.
+// TestHelpersReachAroundAPartition cuts only the connection between a member and one of its watchers: helpers must keep it from being suspected.
 func TestHelpersReachAroundAPartition(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
@@ -47,7 +48,7 @@
 		for f.now < 8*time.Second {
 			f.step()
 			if f.state(by, "n4") != Alive {
-				t.Fatalf("seed %d: %s is held %s", seed, "n4", f.state(by, "n4"))
+				t.Fatalf("seed %d: %s is considered %s", seed, "n4", f.state(by, "n4"))
 			}
 		}
 	}
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,8 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// State is what a member is held to be. Its numbers are part of the format between nodes; a higher one goes before a lower at the
-// same incarnation.
+// State is the state of a member. Its values are part of the wire format; at the same incarnation, a higher value takes precedence.
 type State uint8
 
 // The states of a member.
@@ -22,74 +21,76 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Member is a node of the fleet as gossip carries it. Its JSON names are part of the published status; the form that nodes send is in
-// encoding.go. Degraded says that its disk is too slow to vote.
+// Member describes a node of the fleet and is spread by gossip. Its JSON names are part of the published status; the wire format is in
+// encoding.go.
 type Member struct {
 	Name string `json:"name"`
-	// Addr is where other nodes reach it, HTTP where clients do, both host:port.
+	// Addr is the address for other nodes, HTTP that for clients, both as host:port.
 	Addr string `json:"addr"`
 	HTTP string `json:"http"`
 	Zone string `json:"domain"`
-	// Disk is the random id of its disk, empty where it has none.
+	// Disk is the random ID of the node's disk, empty if it has none.
 	Disk        string `json:"disk,omitempty"`
 	Incarnation uint64 `json:"incarnation"`
 	State       State  `json:"-"`
-	// Build is the number of its message formats, EmbeddedRouters how many embedded routers follow it.
+	// Build is the version of the node's message formats, EmbeddedRouters the number of embedded routers that follow this node.
 	Build           uint32 `json:"build"`
 	EmbeddedRouters int    `json:"libs"`
-	Degraded        bool   `json:"unfit,omitempty"`
-	// Retiring says that the process was told to end: it still votes, but gives its seat away where it can.
+	// Degraded reports that the node's disk is too slow to vote.
+	Degraded bool `json:"unfit,omitempty"`
+	// Retiring reports that the process was told to stop. It still votes, but hands its place in the voter set to another node if it can.
 	Retiring bool `json:"retiring,omitempty"`
 }
 
-// Live tells that the member counts as present.
+// Live reports whether the member counts as present: alive or suspect.
 func (m Member) Live() bool { return m.State == Alive || m.State == Suspect }
 
-// Newer tells that m replaces o: by incarnation, then by state.
+// Newer reports whether m replaces o: it has a higher incarnation, or the same one and a higher state.
 func (m Member) Newer(o Member) bool {
 	return m.Incarnation > o.Incarnation || (m.Incarnation == o.Incarnation && m.State > o.State)
 }
 
-// watchersInZone and watchersElsewhere are how many members watch each, of its own zone and of others.
+// Each member is watched by sameZoneWatchers members of its own zone and otherZoneWatchers members of other zones.
 const (
-	watchersInZone    = 2
-	watchersElsewhere = 2
+	sameZoneWatchers  = 2
+	otherZoneWatchers = 2
 )
 
-// Watchers names the live members that watch the target: the first by rendezvous hashing in its zone and elsewhere.
+// Watchers returns the names of the live members that watch the target: the first in its zone and the first in other zones by rendezvous
+// hashing.
 func Watchers(target Member, all []Member) []string {
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, m := range all {
 		switch {
 		case m.Name == target.Name || !m.Live():
 		case m.Zone == target.Zone:
-			near = append(near, m.Name)
+			sameZone = append(sameZone, m.Name)
 		default:
-			far = append(far, m.Name)
+			otherZones = append(otherZones, m.Name)
 		}
 	}
-	near, far = scheduler.SortByWeight(target.Name, near), scheduler.SortByWeight(target.Name, far)
+	sameZone, otherZones = scheduler.SortByWeight(target.Name, sameZone), scheduler.SortByWeight(target.Name, otherZones)
 	var names []string
-	names = append(names, near[:min(watchersInZone, len(near))]...)
-	return append(names, far[:min(watchersElsewhere, len(far))]...)
+	names = append(names, sameZone[:min(sameZoneWatchers, len(sameZone))]...)
+	return append(names, otherZones[:min(otherZoneWatchers, len(otherZones))]...)
 }
 
-// watches tells whether by is among the watchers of target, without ranking all the others.
-func watches(by, target Member, all []Member) bool {
+// isWatcher reports whether by is one of target's Watchers. It is cheaper than Watchers because it does not sort the members.
+func isWatcher(by, target Member, all []Member) bool {
 	if by.Name == target.Name || !by.Live() {
 		return false
 	}
-	most := watchersElsewhere
+	count := otherZoneWatchers
 	if by.Zone == target.Zone {
-		most = watchersInZone
+		count = sameZoneWatchers
 	}
-	mine, above := scheduler.RendezvousWeight(target.Name, by.Name), 0
+	weight, higher := scheduler.RendezvousWeight(target.Name, by.Name), 0
 	for _, m := range all {
 		if m.Name == target.Name || m.Name == by.Name || !m.Live() || (m.Zone == target.Zone) != (by.Zone == target.Zone) {
 			continue
 		}
-		if w := scheduler.RendezvousWeight(target.Name, m.Name); w > mine || (w == mine && m.Name < by.Name) {
-			if above++; above == most {
+		if w := scheduler.RendezvousWeight(target.Name, m.Name); w > weight || (w == weight && m.Name < by.Name) {
+			if higher++; higher == count {
 				return false
 			}
 		}
@@ -97,38 +98,38 @@
 	return true
 }
 
-// Table holds the members by name. Its rows are not to be changed.
+// Table holds the known members by name. Callers must not change the members that it returns.
 type Table struct {
-	rows   map[string]Member
-	sorted []Member
-	rev    uint64
+	rows       map[string]Member
+	sorted     []Member
+	generation uint64
 }
 
 func (t *Table) put(m Member) {
 	t.rows[m.Name] = m
 	t.sorted = nil
-	t.rev++
+	t.generation++
 }
 
-// Generation changes whenever the table does.
-func (t *Table) Generation() uint64 { return t.rev }
+// Generation returns a number that increases with every change of the table.
+func (t *Table) Generation() uint64 { return t.generation }
 
-// Get gives a member by its name.
+// Get returns the member with the given name, and whether there is one.
 func (t *Table) Get(name string) (Member, bool) {
 	m, ok := t.rows[name]
 	return m, ok
 }
 
-// All gives the members by name; the slice is shared until the table changes.
+// All returns all members, sorted by name. The slice is shared between callers until the table changes.
 func (t *Table) All() []Member {
 	if t.sorted != nil {
 		return t.sorted
 	}
-	var ms []Member
+	var members []Member
 	for _, m := range t.rows {
-		ms = append(ms, m)
+		members = append(members, m)
 	}
-	sort.Slice(ms, func(i, j int) bool { return ms[i].Name < ms[j].Name })
-	t.sorted = ms
-	return ms
+	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
+	t.sorted = members
+	return members
 }
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -1,9 +1,9 @@
 package membership
 
-// Message is what failure detectors send each other. Their encoded forms, which older builds read, are in encoding.go.
+// Message is a message between failure detectors. Older builds read the encoded forms, which are in encoding.go.
 type Message interface{ membershipMessage() }
 
-// Ping asks the member of that name for an Ack of the same number.
+// Ping asks the member with the given name for an Ack with the same sequence number.
 type Ping struct {
 	Seq  uint64
 	Name string
@@ -12,7 +12,7 @@
 // Ack answers a Ping.
 type Ack struct{ Seq uint64 }
 
-// PingFor asks a helper to ping the member of that name and address, and to pass on its Ack.
+// PingFor asks a helper to ping the member with the given name and address, and to forward its Ack.
 type PingFor struct {
 	Seq  uint64
 	Addr string
@@ -23,7 +23,7 @@
 func (Ack) membershipMessage()     {}
 func (PingFor) membershipMessage() {}
 
-// Send is a message for the node at an address, host:port.
+// Send is a message to be sent to the address To, as host:port.
 type Send struct {
 	To  string
 	Msg Message
