--- a/lease/clone.go
+++ b/lease/clone.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/internal/fingerprint"
 )
 
-// Clone returns an independent copy for a model checker.
+// Clone returns an independent copy of the grantor for a model checker.
 func (g *Grantor) Clone() *Grantor {
 	c := &Grantor{}
 	*c = *g
@@ -20,21 +20,22 @@
 	return c
 }
 
-// Epoch is the newest epoch of the voters that the grantor knows.
+// Epoch returns the newest epoch of the voter set that the grantor knows.
 func (g *Grantor) Epoch() uint64 { return g.epoch }
 
-// AppendFingerprint appends all that decides the grantor's next answers; times count from now, and what is over is zero.
+// AppendFingerprint appends to b all state that determines the grantor's next answers. Times are encoded relative to now; those that have
+// passed are zero.
 func (g *Grantor) AppendFingerprint(b []byte, now time.Duration) []byte {
-	b = fingerprint.Numbers(b, g.epoch, left(g.graceUntil, now))
+	b = fingerprint.Numbers(b, g.epoch, remaining(g.graceUntil, now))
 	for _, role := range slices.Sorted(maps.Keys(g.rows)) {
 		row := g.rows[role]
 		b = appendToken(fingerprint.Text(fingerprint.Text(b, role), row.Holder), row.Token)
-		b = fingerprint.Numbers(b, left(row.expiresAt, now))
+		b = fingerprint.Numbers(b, remaining(row.expiresAt, now))
 	}
 	return b
 }
 
-// Clone returns an independent copy for a model checker. Its backoff draws nothing, so that equal copies stay equal.
+// Clone returns an independent copy of the holder for a model checker. The copy's backoff is not random, so that equal copies stay equal.
 func (h *Holder) Clone() *Holder {
 	c := &Holder{}
 	*c = *h
@@ -49,27 +50,27 @@
 	return c
 }
 
-// SkipBackoff ends the wait before the next request for a role.
+// SkipBackoff lets the holder send its next request for a role at once.
 func (h *Holder) SkipBackoff(role string) {
 	if l := h.leases[role]; l != nil {
 		l.retryAt = 0
 	}
 }
 
-// Expects tells whether a grant with that request ID can still count.
+// Expects reports whether the holder still accepts a grant with this request ID.
 func (h *Holder) Expects(role string, requestID uint64) bool {
 	l := h.leases[role]
 	return l != nil && l.requestID == requestID
 }
 
-// GrantedBy tells whether a disk granted in the present round.
+// GrantedBy reports whether the grantor with the given disk has granted the holder's current request.
 func (h *Holder) GrantedBy(role, disk string) bool {
 	l := h.leases[role]
 	return l != nil && l.grantedBy[disk]
 }
 
-// AppendFingerprint appends all that decides what the holder does next but for its waits, which SkipBackoff ends, and for which disks
-// granted in the present round (GrantedBy).
+// AppendFingerprint appends to b all state that determines what the holder does next, except for its backoff, which SkipBackoff ends, and for
+// which disks granted the current request, which GrantedBy reports.
 func (h *Holder) AppendFingerprint(b []byte, now time.Duration) []byte {
 	b = fingerprint.Numbers(b, h.requestID)
 	for _, role := range slices.Sorted(maps.Keys(h.highestNumbers)) {
@@ -78,11 +79,12 @@
 	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
 		l := h.leases[role]
 		b = appendToken(fingerprint.Text(b, role), l.Token)
-		b = fingerprint.Numbers(b, left(l.expiresAt, now), left(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
+		b = fingerprint.Numbers(b, remaining(l.expiresAt, now), remaining(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
 	}
 	return b
 }
 
-func left(until, now time.Duration) uint64 { return uint64(max(until-now, 0)) }
+// remaining returns the time from now until the given time, or 0 if it has passed.
+func remaining(until, now time.Duration) uint64 { return uint64(max(until-now, 0)) }
 
 func appendToken(b []byte, t Token) []byte { return fingerprint.Numbers(b, t.Epoch, t.Number) }
--- a/lease/clone_test.go
+++ b/lease/clone_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
+// TestFingerprintsCoverEveryField fails when a field is added to one of these types: it must be added to Clone and AppendFingerprint as well.
 func TestFingerprintsCoverEveryField(t *testing.T) {
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Holder]():   5,
@@ -19,7 +19,7 @@
 		reflect.TypeFor[Token]():    2,
 	} {
 		if kind.NumField() != fields {
-			t.Errorf("%s has %d fields, clone.go knows %d", kind, kind.NumField(), fields)
+			t.Errorf("%s has %d fields, clone.go covers %d", kind, kind.NumField(), fields)
 		}
 	}
 }
@@ -36,9 +36,9 @@
 	grant, _ := g2.HandleRequest(0, request)
 	h2.OnGrant(0, grant, voters)
 	if _, ok := h2.Holds(0, "d"); !ok {
-		t.Error("a clone gets no lease")
+		t.Error("the clone did not get the lease")
 	}
 	if !bytes.Equal(before, h.AppendFingerprint(g.AppendFingerprint(nil, 0), 0)) {
-		t.Error("what clones do shows in the first")
+		t.Error("using the clones changed the originals")
 	}
 }
--- a/lease/encoding.go
+++ b/lease/encoding.go
@@ -2,7 +2,8 @@
 
 import "github.com/mallowbridge/mallowbridge/wire"
 
-// The types of this file are what messages and the disk hold. Their field names are a format and stay as they are.
+// The types in this file are the encoded forms of messages and of records on disk. Their field names are part of these formats and must not
+// change.
 
 func init() {
 	wire.Register("ta", encodeRequest, decodeRequest)
@@ -67,16 +68,16 @@
 	return Release{Disk: f.Disk, Role: f.Duty, Holder: f.Holder, Token: decodeToken(f.Mark)}
 }
 
-// EncodedRecord is a Record as the disk holds it.
+// EncodedRecord is a Record as it is stored on disk.
 type EncodedRecord struct {
 	Holder string
 	Mark   encodedToken
 }
 
-// EncodeRecord gives the encoded form of a record.
+// EncodeRecord returns the encoded form of a record.
 func EncodeRecord(r Record) EncodedRecord {
 	return EncodedRecord{Holder: r.Holder, Mark: encodeToken(r.Token)}
 }
 
-// Decode gives the record of an encoded form.
+// Decode returns the record that f encodes.
 func (f EncodedRecord) Decode() Record { return Record{Holder: f.Holder, Token: decodeToken(f.Mark)} }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -9,68 +9,74 @@
 )
 
 const (
-	// TTL is how long a grant binds its grantor, by the grantor's clock.
+	// TTL is how long a grant binds its grantor, measured on the grantor's clock.
 	TTL = 3 * time.Second
-	// RenewInterval is the time between two requests of a holder for one lease.
+	// RenewInterval is the interval at which a holder requests a lease again.
 	RenewInterval = time.Second
-	// DriftMargin is by how much a holder stops earlier than its grantors, so that clocks may run at rates that differ by a tenth.
+	// DriftMargin is how much earlier a lease expires at its holder than at its grantors, so that the rates of their clocks may differ by 10 %.
 	DriftMargin = TTL / 10
 )
 
-// Token orders the holders of a role: by the epoch of the voters, then by number. It is a fencing token: work under a lower one is void.
+// Token is the fencing token of a lease. Tokens are ordered by the epoch of the voter set, then by number; work done under a lower token than
+// the newest one is void.
 type Token struct {
 	Epoch, Number uint64
 }
 
-// Less says whether m is older than o.
-func (m Token) Less(o Token) bool {
-	return m.Epoch < o.Epoch || (m.Epoch == o.Epoch && m.Number < o.Number)
+// Less reports whether t is older than o.
+func (t Token) Less(o Token) bool {
+	return t.Epoch < o.Epoch || (t.Epoch == o.Epoch && t.Number < o.Number)
 }
 
-// Record is what a grantor keeps on disk of one role.
+// Record is what a grantor stores on disk for one role: its last holder and token.
 type Record struct {
 	Holder string
 	Token  Token
 }
 
+// grantRow is a grantor's last grant of one role; it is in force until expiresAt.
 type grantRow struct {
 	Record
 	expiresAt time.Duration
 }
 
-// Grantor is the part of a voter that grants leases. It is owned by one goroutine and takes the time of its own clock.
+// Grantor is the part of a voter that grants leases. It must be used from one goroutine only; callers pass in the time on its own clock.
 type Grantor struct {
-	// Disk names the voter; requests to another one are left unanswered.
-	Disk       string
-	rows       map[string]*grantRow
+	// Disk identifies the voter; requests to another disk are not answered.
+	Disk string
+	rows map[string]*grantRow
+	// graceUntil is until when nothing new is granted, because leases that the grantor does not know of may still be in force.
 	graceUntil time.Duration
 	epoch      uint64
 }
 
-// NewGrantor starts from what the disk kept. It grants nothing new before quietUntil, since it does not know what it granted when.
-func NewGrantor(disk string, kept map[string]Record, quietUntil time.Duration) *Grantor {
-	g := &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: quietUntil}
+// NewGrantor returns a grantor that starts from the records on disk. It grants nothing new before graceUntil, because the records don't say
+// when the leases were granted.
+func NewGrantor(disk string, kept map[string]Record, graceUntil time.Duration) *Grantor {
+	g := &Grantor{Disk: disk, rows: map[string]*grantRow{}, graceUntil: graceUntil}
 	for role, r := range kept {
-		g.rows[role] = &grantRow{Record: r, expiresAt: quietUntil}
+		g.rows[role] = &grantRow{Record: r, expiresAt: graceUntil}
 	}
 	return g
 }
 
-// ChangeEpoch moves to a later epoch of the voters. Leases of the epoch before may run on for TTL, during which nothing is granted.
+// ChangeEpoch moves the grantor to a later epoch of the voter set. Leases of the previous epoch may remain in force for TTL, so nothing new is
+// granted during that time.
 func (g *Grantor) ChangeEpoch(now time.Duration, epoch uint64) {
 	if epoch > g.epoch {
 		g.epoch, g.graceUntil = epoch, now+TTL
 	}
 }
 
-// HandleRequest grants or refuses. With write set, the answer must wait until Records is durable; an answer without Disk is not sent.
+// HandleRequest grants or refuses a lease. If the second result is true, the caller must make Records durable before it sends the answer. An
+// answer whose Disk is empty must not be sent.
 func (g *Grantor) HandleRequest(now time.Duration, m Request) (Grant, bool) {
 	if m.Disk != g.Disk {
 		return Grant{}, false
 	}
-	r := Grant{RequestID: m.RequestID, Disk: g.Disk, Role: m.Role}
+	answer := Grant{RequestID: m.RequestID, Disk: g.Disk, Role: m.Role}
 	if m.Epoch != g.epoch {
-		return r, false
+		return answer, false
 	}
 	current := g.rows[m.Role]
 	if current == nil {
@@ -79,23 +85,23 @@
 	}
 	same := current.Holder == m.Holder && current.Token == m.Token
 	if !same && (now < current.expiresAt || now < g.graceUntil || !current.Token.Less(m.Token)) {
-		r.Token, r.Holder = current.Token, current.Holder
-		return r, false
+		answer.Token, answer.Holder = current.Token, current.Holder
+		return answer, false
 	}
 	write := !same
 	current.Holder, current.Token, current.expiresAt = m.Holder, m.Token, now+TTL
-	r.OK, r.Token, r.Holder = true, m.Token, m.Holder
-	return r, write
+	answer.OK, answer.Token, answer.Holder = true, m.Token, m.Holder
+	return answer, write
 }
 
-// HandleRelease frees a role whose holder gave it up.
+// HandleRelease ends a lease that its holder gave up, if it is still the current one.
 func (g *Grantor) HandleRelease(m Release) {
 	if current := g.rows[m.Role]; current != nil && m.Disk == g.Disk && current.Holder == m.Holder && current.Token == m.Token {
 		current.expiresAt = 0
 	}
 }
 
-// Records is what has to outlive a restart.
+// Records returns the state that must survive a restart, by role.
 func (g *Grantor) Records() map[string]Record {
 	kept := map[string]Record{}
 	for role, r := range g.rows {
@@ -106,7 +112,8 @@
 	return kept
 }
 
-// Lease is a holder's side of one role: the token it asks with, and until when it counts on the grants it got.
+// Lease is a holder's state for one role. The role is held under Token until expiresAt. The last request was sent at requestedAt, and was
+// granted so far by the disks in grantedBy.
 type Lease struct {
 	Role        string
 	Token       Token
@@ -114,27 +121,30 @@
 	requestedAt time.Duration
 	requestID   uint64
 	grantedBy   map[string]bool
-	retryAt     time.Duration
-	// epoch is that of the voters who were asked: a round's grants count under them alone.
+	// retryAt is when the next request may be sent.
+	retryAt time.Duration
+	// epoch is that of the voter set that was asked. Grants only count towards a quorum of that set.
 	epoch uint64
 }
 
-// Holder acquires, renews and releases leases. It is owned by one goroutine and takes the time of its own clock.
+// Holder acquires, renews and releases leases. It must be used from one goroutine only; callers pass in the time on its own clock.
 type Holder struct {
-	// Name must not be used by any other process, not even by an earlier one on the same machine.
-	Name           string
-	leases         map[string]*Lease
+	// Name must be unique to this process: even an earlier process on the same machine must have had another one.
+	Name   string
+	leases map[string]*Lease
+	// highestNumbers is the highest token number by role that was released or that another holder is known to have. New tokens get higher
+	// numbers.
 	highestNumbers map[string]uint64
 	requestID      uint64
 	rng            *rand.Rand
 }
 
-// NewHolder holds nothing yet; seed spreads its retries.
+// NewHolder returns a holder without leases. The seed determines the random part of its backoff, which spreads the retries of holders.
 func NewHolder(name string, seed uint64) *Holder {
 	return &Holder{Name: name, rng: rand.New(rand.NewPCG(seed, 41)), leases: map[string]*Lease{}, highestNumbers: map[string]uint64{}, requestID: firstRequestID(name)}
 }
 
-// Holds tells the token under which the role may be done now.
+// Holds returns the token of the role's lease, and whether the lease is held now. The role may be performed only under that token.
 func (h *Holder) Holds(now time.Duration, role string) (Token, bool) {
 	current := h.leases[role]
 	if current == nil || now >= current.expiresAt {
@@ -143,7 +153,8 @@
 	return current.Token, true
 }
 
-// Acquire asks for the role, or for more time, when it is due; it is called again and again for as long as the role is wanted.
+// Acquire returns requests to acquire or renew the lease on a role, if they are due. The caller must call it repeatedly for as long as it wants
+// the role.
 func (h *Holder) Acquire(now time.Duration, role string, voters *register.Value) []Send {
 	current := h.leases[role]
 	if current == nil {
@@ -169,8 +180,8 @@
 	return sends
 }
 
-// OnGrant takes one answer. The lease is held when a majority of the voters, of both sets while they change, granted one request; its
-// time runs from the sending of that request.
+// OnGrant handles one answer. The lease is held once a majority of the voters has granted the same request; while the voter set changes, a
+// majority of each of the two sets is needed. The lease's time starts when that request was sent.
 func (h *Holder) OnGrant(_ time.Duration, g Grant, voters *register.Value) {
 	current := h.leases[g.Role]
 	if current == nil || g.RequestID != current.requestID || voters.Epoch != current.epoch {
@@ -183,12 +194,12 @@
 		return
 	}
 	current.grantedBy[g.Disk] = true
-	if register.Quorum(voters, func(d string) bool { return current.grantedBy[d] }) {
+	if register.Quorum(voters, func(disk string) bool { return current.grantedBy[disk] }) {
 		current.expiresAt = max(current.expiresAt, current.requestedAt+TTL-DriftMargin)
 	}
 }
 
-// Release gives the role up.
+// Release gives up the lease on a role, and returns the messages that tell the grantors.
 func (h *Holder) Release(role string, voters *register.Value) []Send {
 	current := h.leases[role]
 	if current == nil {
@@ -198,8 +209,8 @@
 	return h.releases(current, voters)
 }
 
-// releases gives a token up. It is never asked for again: its release may arrive after a later request, and would end a lease that its
-// holder counts on.
+// releases returns the messages that release a token. The token is never requested again: a release that arrives after a later request under
+// the same token would end a lease that the holder relies on.
 func (h *Holder) releases(current *Lease, voters *register.Value) []Send {
 	h.highestNumbers[current.Role] = max(h.highestNumbers[current.Role], current.Token.Number)
 	var sends []Send
@@ -209,11 +220,11 @@
 	return sends
 }
 
-// Roles lists the roles that are wanted, in order.
+// Roles returns the roles that the holder wants, sorted.
 func (h *Holder) Roles() []string {
 	var roles []string
-	for d := range h.leases {
-		roles = append(roles, d)
+	for role := range h.leases {
+		roles = append(roles, role)
 	}
 	slices.Sort(roles)
 	return roles
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -11,38 +11,45 @@
 
 const ms = time.Millisecond
 
-type post struct {
+// event is an action that happens at a time of the simulation.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-// A rig plays one role, several holders whose views of the voters lag, and granters that restart, on clocks that drift.
-type rig struct {
+// simulation contains one role, holders that learn of changes of the voter set late and whose clocks drift, and grantors that restart.
+type simulation struct {
 	rng      *rand.Rand
 	now      time.Duration
-	posts    []post
-	granters map[string]*Grantor
+	events   []event
+	grantors map[string]*Grantor
 	holders  []*Holder
 	drift    []float64
-	views    []*register.Value
-	seats    *register.Value
+	// views contains the voter set that each holder knows; voters is the newest.
+	views  []*register.Value
+	voters *register.Value
 }
 
-func (r *rig) at(d time.Duration, do func()) { r.posts = append(r.posts, post{at: r.now + d, do: do}) }
+// at schedules do after the duration d.
+func (s *simulation) at(d time.Duration, do func()) {
+	s.events = append(s.events, event{at: s.now + d, do: do})
+}
 
-func (r *rig) clock(i int) time.Duration { return time.Duration(float64(r.now) * r.drift[i]) }
+// clock returns the time on the clock of holder i.
+func (s *simulation) clock(i int) time.Duration { return time.Duration(float64(s.now) * s.drift[i]) }
 
-func (r *rig) carry(i int, sends []Send) {
-	for _, s := range sends {
-		if r.rng.IntN(10) == 0 {
+// deliver delivers messages of holder i after a random delay and loses one in ten.
+func (s *simulation) deliver(i int, sends []Send) {
+	for _, send := range sends {
+		if s.rng.IntN(10) == 0 {
 			continue
 		}
-		r.at(time.Duration(r.rng.IntN(60))*ms, func() {
-			g := r.granters[s.Disk]
-			switch m := s.Msg.(type) {
+		s.at(time.Duration(s.rng.IntN(60))*ms, func() {
+			g := s.grantors[send.Disk]
+			switch m := send.Msg.(type) {
 			case Request:
-				grant, _ := g.HandleRequest(r.now, m)
-				r.at(time.Duration(r.rng.IntN(60))*ms, func() { r.holders[i].OnGrant(r.clock(i), grant, r.views[i]) })
+				grant, _ := g.HandleRequest(s.now, m)
+				s.at(time.Duration(s.rng.IntN(60))*ms, func() { s.holders[i].OnGrant(s.clock(i), grant, s.views[i]) })
 			case Release:
 				g.HandleRelease(m)
 			}
@@ -50,104 +57,108 @@
 	}
 }
 
-func (r *rig) reseat() {
-	if len(r.seats.NextVoters) > 0 {
-		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.NextVoters}
+// changeVoters begins a change of the voter set to three random disks, or completes the change in progress.
+func (s *simulation) changeVoters() {
+	if len(s.voters.NextVoters) > 0 {
+		s.voters = &register.Value{Epoch: s.voters.Epoch + 1, Voters: s.voters.NextVoters}
 	} else {
 		var next []register.Voter
-		for _, d := range r.rng.Perm(5)[:3] {
+		for _, d := range s.rng.Perm(5)[:3] {
 			next = append(next, register.Voter{Disk: fmt.Sprint(d)})
 		}
-		r.seats = &register.Value{Epoch: r.seats.Epoch + 1, Voters: r.seats.Voters, NextVoters: next}
+		s.voters = &register.Value{Epoch: s.voters.Epoch + 1, Voters: s.voters.Voters, NextVoters: next}
 	}
-	for _, v := range r.seats.AllVoters() {
-		if r.rng.IntN(4) > 0 || !register.Quorum(r.seats, func(d string) bool { return r.granters[d].epoch == r.seats.Epoch }) {
-			r.granters[v.Disk].ChangeEpoch(r.now, r.seats.Epoch)
+	for _, v := range s.voters.AllVoters() {
+		if s.rng.IntN(4) > 0 || !register.Quorum(s.voters, func(d string) bool { return s.grantors[d].epoch == s.voters.Epoch }) {
+			s.grantors[v.Disk].ChangeEpoch(s.now, s.voters.Epoch)
 		}
 	}
-	voters := r.seats
-	for i := range r.holders {
-		r.at(time.Duration(r.rng.IntN(9000))*ms, func() {
-			if voters.Epoch > r.views[i].Epoch {
-				r.views[i] = voters
+	voters := s.voters
+	for i := range s.holders {
+		s.at(time.Duration(s.rng.IntN(9000))*ms, func() {
+			if voters.Epoch > s.views[i].Epoch {
+				s.views[i] = voters
 			}
 		})
 	}
 }
 
-func (r *rig) step() {
-	due := r.posts[:0:0]
-	kept := r.posts[:0]
-	for _, p := range r.posts {
-		if p.at <= r.now {
-			due = append(due, p)
+// step runs the events that are due.
+func (s *simulation) step() {
+	due := s.events[:0:0]
+	kept := s.events[:0]
+	for _, e := range s.events {
+		if e.at <= s.now {
+			due = append(due, e)
 		} else {
-			kept = append(kept, p)
+			kept = append(kept, e)
 		}
 	}
-	r.posts = kept
-	for _, p := range due {
-		p.do()
+	s.events = kept
+	for _, e := range due {
+		e.do()
 	}
 }
 
+// TestNeverTwoHolders checks that at most one holder has the role at any time, through lost messages, drifting clocks, restarts of grantors
+// and changes of the voter set.
 func TestNeverTwoHolders(t *testing.T) {
 	heldSteps := 0
 	for seed := range uint64(150) {
-		r := newRig(seed)
-		for r.now = 0; r.now < 2*time.Minute; r.now += 10 * ms {
-			r.step()
-			r.disturb()
-			holders := r.acquire()
+		s := newSimulation(seed)
+		for s.now = 0; s.now < 2*time.Minute; s.now += 10 * ms {
+			s.step()
+			s.injectFault()
+			holders := s.acquire()
 			if len(holders) > 1 {
-				t.Fatalf("seed %d at %s: %v hold it, epoch %d", seed, r.now, holders, r.seats.Epoch)
+				t.Fatalf("seed %d at %s: %v hold the role, epoch %d", seed, s.now, holders, s.voters.Epoch)
 			}
 			heldSteps += len(holders)
 		}
 	}
 	if heldSteps < 150*3000 {
-		t.Errorf("held in %d steps only", heldSteps)
+		t.Errorf("the role was held in only %d steps", heldSteps)
 	}
 }
 
-// newRig has five disks, three of them voters, and four holders whose clocks drift.
-func newRig(seed uint64) *rig {
-	r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), granters: map[string]*Grantor{}, seats: &register.Value{Epoch: 1}}
+// newSimulation returns a simulation with five disks, three of which are voters, and four holders whose clocks drift.
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), grantors: map[string]*Grantor{}, voters: &register.Value{Epoch: 1}}
 	for d := range 5 {
-		r.granters[fmt.Sprint(d)] = NewGrantor(fmt.Sprint(d), nil, 0)
+		s.grantors[fmt.Sprint(d)] = NewGrantor(fmt.Sprint(d), nil, 0)
 	}
 	for d := range 3 {
-		r.seats.Voters = append(r.seats.Voters, register.Voter{Disk: fmt.Sprint(d)})
-		r.granters[fmt.Sprint(d)].ChangeEpoch(0, 1)
+		s.voters.Voters = append(s.voters.Voters, register.Voter{Disk: fmt.Sprint(d)})
+		s.grantors[fmt.Sprint(d)].ChangeEpoch(0, 1)
 	}
 	for i := range 4 {
-		r.holders, r.views = append(r.holders, NewHolder(fmt.Sprint("h", i), seed*10+uint64(i))), append(r.views, r.seats)
-		r.drift = append(r.drift, 0.95+0.1*r.rng.Float64())
+		s.holders, s.views = append(s.holders, NewHolder(fmt.Sprint("h", i), seed*10+uint64(i))), append(s.views, s.voters)
+		s.drift = append(s.drift, 0.95+0.1*s.rng.Float64())
 	}
-	return r
+	return s
 }
 
-// disturb changes the voters now and then, and restarts a grantor.
-func (r *rig) disturb() {
-	if r.rng.IntN(500) == 0 {
-		r.reseat()
+// injectFault occasionally changes the voter set or restarts a grantor.
+func (s *simulation) injectFault() {
+	if s.rng.IntN(500) == 0 {
+		s.changeVoters()
 	}
-	if r.rng.IntN(150) == 0 {
-		d := fmt.Sprint(r.rng.IntN(5))
-		old := r.granters[d]
-		r.granters[d] = NewGrantor(d, old.Records(), r.now+TTL)
-		r.granters[d].ChangeEpoch(r.now, old.epoch)
+	if s.rng.IntN(150) == 0 {
+		d := fmt.Sprint(s.rng.IntN(5))
+		old := s.grantors[d]
+		s.grantors[d] = NewGrantor(d, old.Records(), s.now+TTL)
+		s.grantors[d].ChangeEpoch(s.now, old.epoch)
 	}
 }
 
-// acquire has the holders ask for the lease now and then, and names those that hold it.
-func (r *rig) acquire() []string {
+// acquire lets random holders request the lease, and returns the names of those that hold it.
+func (s *simulation) acquire() []string {
 	var holders []string
-	for i, h := range r.holders {
-		if r.rng.IntN(5) == 0 && int(r.now/(7*time.Second))%4 != i {
-			r.carry(i, h.Acquire(r.clock(i), "d", r.views[i]))
+	for i, h := range s.holders {
+		if s.rng.IntN(5) == 0 && int(s.now/(7*time.Second))%4 != i {
+			s.deliver(i, h.Acquire(s.clock(i), "d", s.views[i]))
 		}
-		if _, ok := h.Holds(r.clock(i), "d"); ok {
+		if _, ok := h.Holds(s.clock(i), "d"); ok {
 			holders = append(holders, h.Name)
 		}
 	}
--- a/lease/messages.go
+++ b/lease/messages.go
@@ -1,9 +1,10 @@
 package lease
 
-// Message is what holders and grantors send each other. Their encoded forms, which older builds read, are in encoding.go.
+// Message is a message between a holder and a grantor. Older builds read the encoded forms, which are in encoding.go.
 type Message interface{ leaseMessage() }
 
-// Request asks one grantor, named by its disk, for a role under a token, in the epoch Epoch. RequestID returns in the answer.
+// Request asks the grantor with the given disk for a lease on a role under a token, in the given epoch of the voter set. The answer carries
+// the same RequestID.
 type Request struct {
 	RequestID uint64
 	Disk      string
@@ -13,7 +14,8 @@
 	Epoch     uint64
 }
 
-// Grant answers a Request. If it is refused, Token and Holder are those in force.
+// Grant answers a Request. If the request is refused, OK is false, and Token and Holder are those of the lease that the grantor last granted;
+// they are empty if the refusal is because of another epoch.
 type Grant struct {
 	RequestID uint64
 	Disk      string
@@ -23,7 +25,7 @@
 	Holder    string
 }
 
-// Release gives a token up before its time.
+// Release ends a lease before it expires.
 type Release struct {
 	Disk   string
 	Role   string
@@ -35,7 +37,7 @@
 func (Grant) leaseMessage()   {}
 func (Release) leaseMessage() {}
 
-// Send is a message for a grantor, named by its disk.
+// Send is a message to be sent to the grantor with the given disk.
 type Send struct {
 	Disk string
 	Msg  Message
--- a/lease/requestid.go
+++ b/lease/requestid.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// firstRequestID starts the request IDs of each incarnation elsewhere: an answer to the incarnation before, from a voter that was frozen,
-// must match no round.
+// firstRequestID returns the first request ID of a holder, derived from its name, which differs between incarnations. A voter that was frozen
+// may answer a request from the previous incarnation; that answer must not match a request of the current one.
 func firstRequestID(name string) uint64 { return xxhash.Sum64String(name) >> droppedHashBits }
 
-// droppedHashBits are the bits of a hash that a first request ID leaves out, so that ids stay short and never wrap around.
+// droppedHashBits is the number of hash bits that a first request ID drops, so that IDs stay short and never wrap around.
 const droppedHashBits = 16
