--- a/router/actions.go
+++ b/router/actions.go
@@ -1,29 +1,30 @@
 package router
 
-// ActionKind says what the I/O around a RequestFlow has to do.
+// ActionKind says what the caller of a RequestFlow has to do.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
 	// Connect opens a connection to the placement's replica.
 	Connect ActionKind = iota + 1
-	// AskWitnesses asks the request's witnesses whether it may be sent.
+	// AskWitnesses asks the request's witnesses whether it may be sent. Witnesses remember which router first asked about a non-idempotent
+	// request.
 	AskWitnesses
 	// Write sends the request on the open connection.
 	Write
 	// Disconnect closes the connection.
 	Disconnect
-	// NotifyRouter gives an event to the router.
+	// NotifyRouter passes an event to the router.
 	NotifyRouter
-	// ForwardLine sends a line to the client.
+	// ForwardLine sends a line of the response to the client.
 	ForwardLine
 	// Finish ends the request with an outcome.
 	Finish
-	// AskWitnessesEarly asks the witnesses early, without a placement.
+	// AskWitnessesEarly asks the witnesses while the request is still waiting for a placement.
 	AskWitnessesEarly
 )
 
-// Action is one thing to do; which fields count depends on its kind.
+// Action is one action for the caller of a RequestFlow. Its kind determines which of the other fields are set.
 type Action struct {
 	Kind      ActionKind
 	Placement Decision
@@ -32,7 +33,7 @@
 	Outcome   string
 }
 
-// The outcomes of a request, as the X-Outcome header publishes them.
+// The outcomes of a request, as reported in the X-Outcome header.
 const (
 	OutcomeDone     = "done"
 	OutcomePartial  = "partial"
@@ -42,43 +43,43 @@
 	OutcomeInvalid  = "bad"
 )
 
-// ConnectionEvent is what happened on a request's connections. AttemptID names the attempt.
-type ConnectionEvent interface{ wire() }
+// ConnectionEvent is an event on the connections of a request. AttemptID is the ID of the attempt that it belongs to.
+type ConnectionEvent interface{ connectionEvent() }
 
-// ConnectResult says whether the connection to the replica is open.
+// ConnectResult reports whether the connection to the replica could be opened.
 type ConnectResult struct {
 	AttemptID string
 	OK        bool
 }
 
-// WitnessesAnswered is the witnesses' answer: Result is empty where the request may be sent, else how the attempt ends. Without an attempt it
-// answers AskWitnessesEarly.
+// WitnessesAnswered is the answer of the witnesses. Result is empty if the request may be sent, otherwise it is the result of the attempt. An
+// empty AttemptID means that it answers AskWitnessesEarly.
 type WitnessesAnswered struct {
 	AttemptID string
 	Result    AttemptResult
 }
 
-// ResponseHeadRead is the head of the replica's answer; Attempt is the id that it carries back.
+// ResponseHeadRead is the head of the replica's response. EchoedAttemptID is the attempt ID that the replica returned.
 type ResponseHeadRead struct {
 	AttemptID, EchoedAttemptID string
 	Status                     int
 }
 
-// ResponseLineRead is a line of the replica's answer.
+// ResponseLineRead is one line of the replica's response.
 type ResponseLineRead struct {
 	AttemptID string
 	Line      ResponseLine
 }
 
-// ConnectionLost says that the connection to the replica ended.
+// ConnectionLost reports that the connection to the replica ended.
 type ConnectionLost struct{ AttemptID string }
 
-// ClientClosed says that the client is gone.
+// ClientClosed reports that the client disconnected.
 type ClientClosed struct{}
 
-func (ConnectResult) wire()     {}
-func (WitnessesAnswered) wire() {}
-func (ResponseHeadRead) wire()    {}
-func (ResponseLineRead) wire()    {}
-func (ConnectionLost) wire()    {}
-func (ClientClosed) wire()      {}
+func (ConnectResult) connectionEvent()     {}
+func (WitnessesAnswered) connectionEvent() {}
+func (ResponseHeadRead) connectionEvent()  {}
+func (ResponseLineRead) connectionEvent()  {}
+func (ConnectionLost) connectionEvent()    {}
+func (ClientClosed) connectionEvent()      {}
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -7,15 +7,15 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-const runningHere = "request is already running here"
+const reasonAlreadyRunning = "request is already running here"
 
-// arrive gives a new request to the scheduler, or answers it at once.
+// arrive passes a new request to the scheduler. It returns true and a decision if the request is rejected at once.
 func (r *Router) arrive(now time.Duration, e Arrival) (Decision, bool) {
 	if r.snapshot == nil {
 		return e.rejected("no configuration yet", false), true
 	}
-	if _, twice := r.requestIDs[e.Request]; twice {
-		return e.rejected(runningHere, true), true
+	if _, running := r.requestIDs[e.Request]; running {
+		return e.rejected(reasonAlreadyRunning, true), true
 	}
 	if e.Service == "" {
 		return r.arriveRouted(now, e)
@@ -23,34 +23,34 @@
 	return r.arriveDirect(now, e)
 }
 
-// arriveDirect is for requests of the product's own interface, which name a service and a class.
+// arriveDirect handles a request of the product's own interface, which names a service and a class.
 func (r *Router) arriveDirect(now time.Duration, e Arrival) (Decision, bool) {
 	service, ok := r.services[e.Service]
 	if !ok {
-		return e.bad("no such offer"), true
+		return e.invalid("no such offer"), true
 	}
 	class, ok := r.classes[service][classKey{name: e.Class}]
 	row := &r.scheduler.Services[service]
 	if !ok || row.Classes[class].Removed {
-		return e.bad("no such kind"), true
+		return e.invalid("no such kind"), true
 	}
 	if !row.Classes[class].Idempotent && r.alreadyRan.has(now, e.Request) {
 		return e.rejected(scheduler.AlreadyRan, true), true
 	}
 	parts, err := prefixindex.Parse(r.model(e.Service), e.Prefix)
 	if err != nil {
-		return e.bad(err.Error()), true
+		return e.invalid(err.Error()), true
 	}
 	r.schedule(now, e, scheduler.Request{Service: service, Class: class, PrefixBlocks: parts}, liveRequest{})
 	var d Decision
 	return d, false
 }
 
-// arriveRouted is for requests of routes, which are chosen by host and path. A prefix that cannot be read counts as none.
+// arriveRouted handles a request whose route is chosen by host and path. A prefix that cannot be parsed is ignored.
 func (r *Router) arriveRouted(now time.Duration, e Arrival) (Decision, bool) {
 	route := r.matchRoute(e.Host, e.Path)
 	if route == nil {
-		return e.bad("no such route"), true
+		return e.invalid("no such route"), true
 	}
 	tenant, allowed := r.authorize(&e, route)
 	if !allowed {
@@ -59,9 +59,9 @@
 	name := pickService(route, e.Request)
 	service, ok := r.services[name]
 	if !ok {
-		return e.bad("no such offer"), true
+		return e.invalid("no such offer"), true
 	}
-	if wait := r.quotas.emptyFor(now, tenant); wait > 0 {
+	if wait := r.quotas.exhaustedFor(now, tenant); wait > 0 {
 		return e.overQuota(wait), true
 	}
 	model := e.Model
@@ -78,20 +78,21 @@
 	return d, false
 }
 
+// schedule passes a request to the scheduler and records it as live.
 func (r *Router) schedule(now time.Duration, e Arrival, req scheduler.Request, live liveRequest) {
-	req.TailTokens, req.ClientTimeout = e.tail(req.PrefixBlocks), e.Timeout
+	req.TailTokens, req.ClientTimeout = e.tailTokens(req.PrefixBlocks), e.Timeout
 	id := r.scheduler.Arrive(now, req)
 	r.requestIDs[e.Request] = id
 	live.request = e.Request
 	r.requests[id] = live
 }
 
-func (e Arrival) rejected(why string, repeat bool) Decision {
-	return Decision{Verdict: Reject, Request: e.Request, Reason: why, RetryAfter: time.Second, Repeat: repeat}
+func (e Arrival) rejected(reason string, repeat bool) Decision {
+	return Decision{Verdict: Reject, Request: e.Request, Reason: reason, RetryAfter: time.Second, Repeat: repeat}
 }
 
-func (e Arrival) bad(why string) Decision {
-	return Decision{Verdict: Reject, Request: e.Request, Reason: why, Invalid: true}
+func (e Arrival) invalid(reason string) Decision {
+	return Decision{Verdict: Reject, Request: e.Request, Reason: reason, Invalid: true}
 }
 
 func (e Arrival) unauthorized() Decision {
@@ -99,22 +100,22 @@
 }
 
 func (e Arrival) overQuota(after time.Duration) Decision {
-	return Decision{Verdict: Reject, Request: e.Request, Reason: overQuota, RetryAfter: after, OverQuota: true}
+	return Decision{Verdict: Reject, Request: e.Request, Reason: reasonOverQuota, RetryAfter: after, OverQuota: true}
 }
 
-// tail is how many tokens follow the prefix.
-func (e Arrival) tail(parts []prefixindex.Block) int {
+// tailTokens returns the number of prompt tokens that follow the prefix.
+func (e Arrival) tailTokens(parts []prefixindex.Block) int {
 	if e.PromptTokens == 0 {
 		return e.TailTokens
 	}
 	return max(e.PromptTokens-prefixindex.Tokens(parts), 0)
 }
 
-// AlreadyRan tells why a request that is sent again must not be rejected as not run, or "". The HTTP interface asks before it rejects
-// a request without passing it to the router.
+// AlreadyRan returns why a repeated request must not be rejected as not run: it is running here, or it was sent before and is not idempotent.
+// It returns "" if neither is the case. The HTTP interface calls it before it rejects a request without passing it to the router.
 func (r *Router) AlreadyRan(serviceName, className, request string) string {
-	if _, twice := r.requestIDs[request]; twice {
-		return runningHere
+	if _, running := r.requestIDs[request]; running {
+		return reasonAlreadyRunning
 	}
 	service, known := r.services[serviceName]
 	if !known {
@@ -130,6 +131,7 @@
 	return scheduler.AlreadyRan
 }
 
+// model returns the model of a service, or "" if there is no such service.
 func (r *Router) model(service string) string {
 	for i := range r.snapshot.Config.Services {
 		if r.snapshot.Config.Services[i].Name == service {
--- a/router/chunksequence.go
+++ b/router/chunksequence.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// ResponseLine is a line of an answer on the product's own interface: a piece of text, or the end mark with the number of pieces. Its JSON
-// names are published; go is the id of the attempt.
+// ResponseLine is one line of a response on the product's own interface: a chunk of text, or the end mark with the number of chunks. Its JSON
+// names are public; "go" is the ID of the attempt, "piece" the number of the chunk, from 0.
 type ResponseLine struct {
 	AttemptID  string `json:"go"`
 	Request    string `json:"request,omitempty"`
@@ -14,7 +14,7 @@
 	Chunks     int    `json:"pieces,omitempty"`
 }
 
-// SequenceError is an answer's line that is not the one that was due: which field, what it says and what it should.
+// SequenceError reports a line that is not the expected next line of a response: the field that differs, its value and the expected one.
 type SequenceError struct {
 	Field, Got, Want string
 }
@@ -23,7 +23,8 @@
 	return "stream broke: " + e.Field + " is " + e.Got + ", not " + e.Want
 }
 
-// ChunkSequence checks that an answer's lines are those of one attempt at one instance, in order and whole.
+// ChunkSequence checks that the lines of a response belong to one attempt at one instance, are in order and are complete. If InstanceID is
+// empty, the first line sets it.
 type ChunkSequence struct {
 	AttemptID  string
 	InstanceID string
@@ -31,7 +32,7 @@
 	ended      bool
 }
 
-// Check takes the next line; the error is a *SequenceError.
+// Check checks the next line. Its error is a *SequenceError.
 func (s *ChunkSequence) Check(l ResponseLine) error {
 	if s.ended {
 		return &SequenceError{Field: "line", Got: "after the end mark", Want: "absent"}
@@ -66,5 +67,5 @@
 	return nil
 }
 
-// Ended tells that the end mark came.
+// Ended reports whether the end mark was read.
 func (s *ChunkSequence) Ended() bool { return s.ended }
--- a/router/decision.go
+++ b/router/decision.go
@@ -6,28 +6,28 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// Verdict says what is to be done for a request.
+// Verdict says what the data path must do with a request.
 type Verdict string
 
 // The verdicts. Reject, Unknown, Partial and Done are final.
 const (
-	// Place opens an attempt at a replica; nothing may be sent before Send.
+	// Place opens an attempt at a replica; no byte of the request may be sent before Send.
 	Place Verdict = "place"
-	// Send permits the attempt's bytes to leave.
+	// Send allows the request to be sent on the attempt's connection.
 	Send Verdict = "send"
-	// CancelBeforeSend closes an attempt of which nothing was sent.
+	// CancelBeforeSend closes an attempt that must not be sent.
 	CancelBeforeSend Verdict = "recall"
-	// Reject ends a request that was not run.
+	// Reject ends a request without having run it.
 	Reject Verdict = "deny"
 	// Cancel closes an attempt that may be running.
 	Cancel Verdict = "cancel"
 	// Unknown ends a request that may or may not have run.
 	Unknown Verdict = "unknown"
-	// Partial ends a request whose answer broke off.
+	// Partial ends a request whose response is incomplete.
 	Partial Verdict = "partial"
-	// Done ends a request that was answered whole.
+	// Done ends a request whose response is complete.
 	Done Verdict = "done"
-	// PollWitnesses asks the witnesses of a waiting request early.
+	// PollWitnesses asks the witnesses of a request that is still waiting for a placement.
 	PollWitnesses Verdict = "peek"
 )
 
@@ -35,49 +35,52 @@
 	return v == Reject || v == Unknown || v == Partial || v == Done
 }
 
-// Decision is what a Router decided for one request. The command decide writes decisions as JSON, so that these names are published.
+// Decision is what a Router decided about one request. The decide command writes decisions as JSON, so the JSON names are public.
 type Decision struct {
 	Verdict Verdict `json:"verdict"`
 	Request string  `json:"request"`
-	// AttemptID is the id of the attempt, Replica and Addr (host:port) where it goes, Prefill the address of the replica that reads the
-	// prompt where roles are split.
+	// AttemptID is the ID of the attempt, Replica and Addr (host:port) the replica that it goes to. Prefill is the address of the replica
+	// that runs the prefill if prefill and decode have separate replicas.
 	AttemptID string `json:"go,omitempty"`
 	Replica   string `json:"replica,omitempty"`
 	Addr      string `json:"addr,omitempty"`
 	Prefill   string `json:"prefill,omitempty"`
-	// Reason is a reason for people; RetryAfter is when a rejected client should come back.
+	// Reason is a human-readable reason. RetryAfter is how long a rejected client should wait before it retries.
 	Reason     string        `json:"why,omitempty"`
 	RetryAfter time.Duration `json:"after,omitempty"`
-	// RejectedLate marks a rejection after the request had been placed, or had waited for a quarter of its bound.
+	// RejectedLate marks a rejection after the request was placed, or after it waited for a quarter of its first-token target.
 	RejectedLate bool `json:"late,omitempty"`
-	// ConfirmedTokens and Predicted are how many tokens of the prompt the replica is held to have cached.
+	// ConfirmedTokens and PredictedTokens are the numbers of prompt tokens that the replica is known and predicted to have
+	// cached.
 	ConfirmedTokens int `json:"confirmed,omitempty"`
 	PredictedTokens int `json:"predicted,omitempty"`
-	// Repeat marks a rejection of a request that was run before, Bad one of a request that cannot be served as it is.
+	// Repeat marks a rejection of a request that ran before, Invalid that of a request that cannot be served because of what it asks for.
 	Repeat  bool `json:"repeat,omitempty"`
 	Invalid bool `json:"bad,omitempty"`
-	// OverQuota marks a rejection of a request beyond its tenant's quota.
+	// OverQuota marks a rejection because the tenant's quota is used up.
 	OverQuota bool `json:"overQuota,omitempty"`
-	// Unauthorized marks a rejection of a request whose key no tenant has.
+	// Unauthorized marks a rejection because no tenant has the request's key.
 	Unauthorized bool `json:"unauthorized,omitempty"`
-	// OnceOnly asks for a quorum of witnesses before the request is sent; SpareTime is the time that they may take without harm.
+	// OnceOnly is set if a quorum of witnesses must agree before the request is sent. SpareTime is how long they may take without delaying the
+	// first token beyond its target.
 	OnceOnly  bool          `json:"once,omitempty"`
 	SpareTime time.Duration `json:"spare,omitempty"`
 
-	// Instance is the incarnation of the replica that was chosen, where the platform lists it.
+	// Instance is the instance of the replica if the platform lists it.
 	Instance string `json:"instance,omitempty"`
-	// Route is the route taken, nil for a request to /v1/services. It is immutable.
+	// Route is the request's route, nil for a request of the product's own interface. It must not be changed.
 	Route *config.Route `json:"-"`
-	// Tenant names the tenant whose key the request has; empty where it has none.
+	// Tenant is the name of the tenant whose key the request has, empty if there is none.
 	Tenant string `json:"tenant,omitempty"`
-	// UnreadTokens is how many tokens the replica is expected to read, where it batches and other routers should know.
+	// UnreadTokens is the number of prompt tokens that the replica is expected to process, if it batches requests and other routers should
+	// know; otherwise 0.
 	UnreadTokens int `json:"unread,omitempty"`
-	// Priority tells the replica how urgent the request is, 0 first.
+	// Priority is the priority of the request at the replica; 0 is the most urgent.
 	Priority int `json:"rank,omitempty"`
-	// MaxConns is the most connections that this node may keep to the replica; 0: no bound.
+	// MaxConns is the maximum number of connections from this node to the replica; 0 means no limit.
 	MaxConns int `json:"conns,omitempty"`
-	// Deadline is when the request is given up, on the router's clock; 0: not bounded.
+	// Deadline is when the request times out, on the router's clock; 0 means never.
 	Deadline time.Duration `json:"until,omitempty"`
-	// Resumes tells that the replica is to go on after the last event passed on.
+	// Resumes is set if the replica must continue the response after the last event that was passed to the client.
 	Resumes bool `json:"resumes,omitempty"`
 }
--- a/router/decisions.go
+++ b/router/decisions.go
@@ -6,24 +6,27 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// connectionQuota is the part of a replica's connections that the routers give out; the rest is for probes and for changes of routers.
-const connectionQuota = 0.8
+// routerConnShare is the fraction of a replica's connections that is divided among the routers. The rest is for health checks and for
+// times when the set of routers changes.
+const routerConnShare = 0.8
 
-// decisions puts the scheduler's actions into words of the outside and forgets requests that ended.
-func (r *Router) decisions(now time.Duration, actions []scheduler.Action) []Decision {
+// toDecisions converts the scheduler's actions, which use indexes, to decisions, which use names. It also applies the actions to the router's
+// own tables.
+func (r *Router) toDecisions(now time.Duration, actions []scheduler.Action) []Decision {
 	var out []Decision
 	for _, a := range actions {
-		out = append(out, r.decision(a))
-		r.follow(now, a)
+		out = append(out, r.toDecision(a))
+		r.applyAction(now, a)
 	}
 	return out
 }
 
-func (r *Router) decision(a scheduler.Action) Decision {
+// toDecision converts one action of the scheduler.
+func (r *Router) toDecision(a scheduler.Action) Decision {
 	d := Decision{
 		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Reason: a.Reason, RetryAfter: a.RetryAfter, RejectedLate: a.RejectedLate,
 		ConfirmedTokens: a.ConfirmedTokens, PredictedTokens: a.PredictedTokens, OnceOnly: a.NeedsWitnesses, Repeat: a.Duplicate, SpareTime: a.SpareTime,
-		OverQuota: a.Kind == scheduler.Reject && a.Reason == overQuota,
+		OverQuota: a.Kind == scheduler.Reject && a.Reason == reasonOverQuota,
 	}
 	if a.Attempt != 0 {
 		d.AttemptID = r.attemptID(a.Attempt)
@@ -37,8 +40,8 @@
 	return d
 }
 
-// follow keeps the router's own tables in step with an action.
-func (r *Router) follow(now time.Duration, a scheduler.Action) {
+// applyAction applies a scheduler's action to the router's own tables.
+func (r *Router) applyAction(now time.Duration, a scheduler.Action) {
 	switch a.Kind {
 	case scheduler.Send:
 		r.alreadyRan.add(now, r.requests[a.Request].request)
@@ -53,6 +56,7 @@
 	}
 }
 
+// fillPlacement sets the fields of a decision that only placements have.
 func (r *Router) fillPlacement(d *Decision, a scheduler.Action) {
 	if a.PrefillReplica >= 0 {
 		d.Prefill = r.replicas[a.PrefillReplica].addr
@@ -63,7 +67,7 @@
 	}
 	d.Resumes, d.UnreadTokens, d.Priority = a.Resumes, a.UncachedTokens, a.Priority
 	service := &r.scheduler.Services[r.scheduler.Replicas[a.Replica].Service]
-	d.MaxConns = r.scheduler.RouterShare(connectionQuota * float64(service.MaxConns))
+	d.MaxConns = r.scheduler.RouterShare(routerConnShare * float64(service.MaxConns))
 	live := r.requests[a.Request]
 	d.Route = live.route
 	if d.Route == nil {
@@ -78,11 +82,13 @@
 	}
 }
 
+// verdicts contains the verdict for each kind of scheduler action that leads to a decision.
 var verdicts = map[scheduler.ActionKind]Verdict{
 	scheduler.Place: Place, scheduler.Send: Send, scheduler.CancelBeforeSend: CancelBeforeSend, scheduler.Reject: Reject, scheduler.Cancel: Cancel,
 	scheduler.Unknown: Unknown, scheduler.Partial: Partial, scheduler.Done: Done, scheduler.PollWitnesses: PollWitnesses,
 }
 
+// forget removes a request that ended.
 func (r *Router) forget(id int) {
 	if req, ok := r.requests[id]; ok {
 		delete(r.requestIDs, req.request)
--- a/router/encoding.go
+++ b/router/encoding.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
-// The types of this file are the events that a daemon sends its followers, and what nodes send each other of them. Their field names are
-// a format and stay as they are.
+// The types in this file are the encoded forms of the events that a daemon sends to its followers and that nodes send to each other. Their
+// field names are part of the wire format and must not change.
 
 func init() {
 	wire.RegisterPlain("hello", transport.Hello{})
@@ -70,7 +70,7 @@
 
 func decodeRouters(f encodedRouters) Routers { return Routers{Names: f.Names, Zones: f.Domains} }
 
-// EncodedInstance is an Instance as nodes send it.
+// EncodedInstance is an Instance in the wire format.
 type EncodedInstance struct {
 	ID, Offer, Addr, Domain string
 	Model                   string
@@ -80,14 +80,14 @@
 	Cold                    time.Duration
 }
 
-// EncodeInstance gives the encoded form of an instance.
+// EncodeInstance returns the encoded form of an instance.
 func EncodeInstance(i Instance) EncodedInstance {
 	return EncodedInstance{
 		ID: i.ID, Offer: i.Service, Addr: i.Addr, Domain: i.Zone, Model: i.Model, Weights: i.Weights, Room: i.Capacity, Leaving: i.Draining, Cold: i.WarmUpRemaining,
 	}
 }
 
-// Decode gives the instance of an encoded form.
+// Decode returns the instance that f encodes.
 func (f EncodedInstance) Decode() Instance {
 	return Instance{
 		ID: f.ID, Service: f.Offer, Addr: f.Addr, Zone: f.Domain, Model: f.Model, Weights: f.Weights, Capacity: f.Room, Draining: f.Leaving, WarmUpRemaining: f.Cold,
--- a/router/events.go
+++ b/router/events.go
@@ -7,204 +7,206 @@
 	"github.com/mallowbridge/mallowbridge/quota"
 )
 
-// Event is what a Router takes. Requests, answers and connections are told by the data path; the configuration, the fleet's routers
-// and the replicas by the daemon, which sends the same events to programs that follow it.
+// Event is an input of a Router. Events about requests, responses and connections come from the data path. Events about the configuration, the
+// routers of the fleet and the replicas come from the daemon, which sends the same events to programs that follow it.
 //
-// Events to followers are written by gob in the forms of encoding.go, and commands read events as JSON: both formats stay. In JSON "go" is
-// the id of an attempt, "offer" a service, "kind" a class of requests.
+// Events to followers are encoded with gob in the forms of encoding.go, and commands read events as JSON. Neither format may change. In JSON,
+// "go" is the ID of an attempt, "offer" a service and "kind" a request class.
 type Event interface{ event() }
 
-// Arrival is a new request.
+// Arrival is the arrival of a new request.
 type Arrival struct {
 	Request string `json:"request"`
 	Service string `json:"offer"`
 	Class   string `json:"kind"`
-	// Prefix is the X-Prompt-Prefix header; Tail is how many tokens follow the prefix.
+	// Prefix is the X-Prompt-Prefix header, TailTokens the number of prompt tokens that follow the prefix.
 	Prefix     string `json:"prefix"`
 	TailTokens int    `json:"tail"`
 
-	// Host and Path choose a route where Service is empty.
+	// Host and Path select a route if Service is empty.
 	Host  string `json:"host,omitempty"`
 	Path  string `json:"path,omitempty"`
 	Model string `json:"model,omitempty"`
-	// PromptTokens is the whole prompt, MaxAnswerTokens the longest answer in tokens; 0: not told.
+	// PromptTokens is the length of the whole prompt in tokens, MaxOutputTokens the maximum length of the output in tokens; 0 means unknown.
 	PromptTokens    int `json:"tokens,omitempty"`
 	MaxOutputTokens int `json:"most,omitempty"`
-	// Key is the hash of the client's key where HasKey.
+	// Key is the hash of the client's API key if HasKey is set.
 	Key    config.KeyHash `json:"-"`
 	HasKey bool           `json:"-"`
-	// Timeout is how long the client will wait; 0: not told.
+	// Timeout is how long the client waits; 0 means unknown.
 	Timeout time.Duration `json:"patience,omitempty"`
 }
 
-// SnapshotUpdate brings a configuration; an older one than that in force is dropped.
+// SnapshotUpdate carries a configuration snapshot. It is ignored unless it is newer than the one in force.
 type SnapshotUpdate struct {
 	Snapshot *config.Snapshot
 }
 
-// ListingState is what operators say of a replica. Its values are published.
+// ListingState is the state that operators set for a replica. Its values are public.
 type ListingState string
 
-// The states of listings; the empty one is Present.
+// The states of listings. The empty string means Present.
 const (
 	Present  ListingState = "present"
 	Draining ListingState = "leaving"
 	Removed  ListingState = "gone"
 )
 
-// draining tells whether the replica gets no new requests.
+// draining reports whether the replica must get no new requests.
 func (s ListingState) draining() bool { return s == Draining || s == Removed }
 
-// Valid tells whether the state is one of the three, or empty.
+// Valid reports whether s is one of the three states or empty.
 func (s ListingState) Valid() bool {
 	return s == "" || s == Present || s == Draining || s == Removed
 }
 
-// Listing is what operators say of a replica of the document.
+// Listing carries the state that operators set for a replica of the configuration document.
 type Listing struct {
 	Replica string       `json:"replica"`
 	State   ListingState `json:"state"`
 }
 
-// Instance is one incarnation of a replica, as the platform lists it.
+// Instance is one incarnation of a replica in the platform's list.
 type Instance struct {
 	ID, Service, Addr, Zone string
 	Model                   string
-	// Weights is the revision of the model's weights; cached parts serve only the same one.
+	// Weights is the revision of the model's weights. Prefixes that were cached with one revision are useless with another.
 	Weights  string
 	Capacity int
 	Draining bool
-	// WarmUpRemaining is how much longer it counts as warming up, from the time of reading.
+	// WarmUpRemaining is how much longer the instance counts as warming up, from when the list was read.
 	WarmUpRemaining time.Duration
 }
 
-// ReplicaList is the platform's list of replicas, whole, as read Age ago. Instances that it leaves out are gone.
+// ReplicaList is the platform's complete list of replicas, as read Age ago. Instances that it does not contain no longer exist.
 type ReplicaList struct {
 	Instances []Instance
 	Age       time.Duration
 }
 
-// ReplicaLoad is what a replica said of itself in an answer.
+// ReplicaLoad is the load that a replica reported in a response.
 type ReplicaLoad struct {
 	Replica                string
 	Running, Queued, Slots int
 }
 
-// WrongInstance says that another instance answered at the replica's address and did not run the request.
+// WrongInstance reports that another instance responded at the replica's address and did not run the request.
 type WrongInstance struct {
 	Replica string
 }
 
-// Prefill says that another router sent a replica a prompt with so many tokens to read.
+// Prefill reports that another router sent a prompt to a replica, of which the replica must process the given number of tokens.
 type Prefill struct {
 	Replica string
 	Tokens  int
 }
 
-// LoadReport is a replica's state as a probe showed it.
+// LoadReport is the state of a replica as seen by a health check.
 type LoadReport struct {
 	Replica    string `json:"replica"`
 	InstanceID string `json:"instanceId"`
-	// Running is how many requests it had, from all routers.
+	// Running is the number of requests at the replica, from all routers.
 	Running int  `json:"running"`
 	Leaving bool `json:"leaving"`
 	Down    bool `json:"down"`
-	// Own: this node probed it by itself.
+	// Own is set if this node did the health check itself.
 	Own bool `json:"own"`
-	// Lag is how old the report is, Age how long the instance has been known.
+	// Lag is the age of the report, Age how long the instance has been known.
 	Lag time.Duration `json:"lag"`
 	Age time.Duration `json:"age"`
 }
 
-// ReplicaSuspect says that a connection to the replica was shut: it may have restarted, and counts as warming up until it is seen again.
+// ReplicaSuspect reports that a connection to the replica was closed. The replica may have restarted, so it counts as warming up until a report
+// shows its instance again.
 type ReplicaSuspect struct {
 	Replica string `json:"replica"`
 }
 
-// Routers are the fleet's routers and their zones, by which room and budgets are divided.
+// Routers lists the routers of the fleet and their zones. Capacity and retry budgets are divided among them.
 type Routers struct {
 	Names []string `json:"names"`
 	Zones []string `json:"domains"`
 }
 
-// ControlStatus says that the control side is in touch; Why is a reason not to serve, or "".
+// ControlStatus reports that the control plane is reachable. Why is the reason not to serve requests, or "" if there is none.
 type ControlStatus struct {
 	Why string `json:"why"`
 }
 
-// ReadyToSend asks whether an attempt's bytes may be sent now; the answer is Send or CancelBeforeSend.
+// ReadyToSend asks whether the request may be sent on the attempt's connection now. The router decides Send or CancelBeforeSend.
 type ReadyToSend struct {
 	Request   string `json:"request"`
 	AttemptID string `json:"go"`
 }
 
-// ResponseHead says that the head of an answer came.
+// ResponseHead reports that the head of a response was received.
 type ResponseHead struct {
 	Request    string `json:"request"`
 	AttemptID  string `json:"go"`
 	InstanceID string `json:"instanceId"`
-	// Failed says that the answer is a failure of the replica's own.
+	// Failed is set if the response reports a failure of the replica itself.
 	Failed bool `json:"failed,omitempty"`
 }
 
-// Failures tells how many requests failed lately at which replicas of a router; each report replaces the one before it.
+// Failures reports how many of the requests of router By failed recently, by replica. Each report replaces the router's previous one.
 type Failures struct {
 	By   string
 	Rows []Failure
 }
 
-// Failure counts a silent request for half. Gone says that another instance of the replica answered in its place.
+// Failure is the count for one replica, in which a request without any response counts as one half. Gone is set if another instance responded at
+// the replica's address.
 type Failure struct {
 	Replica string
 	N       float64
 	Gone    bool
 }
 
-// QuotaDecided says what became of a request for a tenant's quota.
+// QuotaDecided carries the outcome of a request for a tenant's quota.
 type QuotaDecided struct{ quota.Outcome }
 
-// ResponseStarted says that the first part of an answer was passed on to the client.
+// ResponseStarted reports that the first part of a response was passed to the client.
 type ResponseStarted struct {
 	Request   string `json:"request"`
 	AttemptID string `json:"go"`
 }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded reports the result of an attempt.
 type AttemptEnded struct {
 	Request   string        `json:"request"`
 	AttemptID string        `json:"go"`
 	Result    AttemptResult `json:"how"`
 }
 
-// ClientDisconnected says that the client is gone.
+// ClientDisconnected reports that the client disconnected.
 type ClientDisconnected struct {
 	Request string `json:"request"`
 }
 
-// RanElsewhere tells that the request was asked for at another router before.
+// RanElsewhere reports that another router was asked to run the same request before.
 type RanElsewhere struct {
 	Request string `json:"request"`
 }
 
-// Tick brings nothing but the time.
+// Tick only advances the router's time.
 type Tick struct{}
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult string
 
-// The ends of attempts.
+// The results of attempts.
 const (
-	// Completed: the answer came to its end.
+	// Completed: the response is complete.
 	Completed AttemptResult = "whole"
-	// Refused: the replica said that it did not run the request.
+	// Refused: the replica responded that it did not run the request.
 	Refused AttemptResult = "refused"
-	// Failed: the connection or the answer failed after bytes may have left.
+	// Failed: the connection or the response failed after part of the request may have been sent.
 	Failed AttemptResult = "broken"
-	// NotSent: no byte left.
+	// NotSent: no byte of the request was sent.
 	NotSent AttemptResult = "unreached"
-	// Suppressed: a witness knows that another router was asked before.
+	// Suppressed: according to a witness, another router was asked to run the request before.
 	Suppressed AttemptResult = "withheld"
-	// NoWitnessQuorum: too few witnesses answered in time.
+	// NoWitnessQuorum: fewer witnesses than a quorum answered in time.
 	NoWitnessQuorum AttemptResult = "unvouched"
 )
 
@@ -217,8 +219,8 @@
 func (Welcome) event()            {}
 func (ControlStatus) event()      {}
 func (ReadyToSend) event()        {}
-func (ResponseHead) event()         {}
-func (ResponseStarted) event()      {}
+func (ResponseHead) event()       {}
+func (ResponseStarted) event()    {}
 func (AttemptEnded) event()       {}
 func (ClientDisconnected) event() {}
 func (RanElsewhere) event()       {}
--- a/router/loop.go
+++ b/router/loop.go
@@ -8,7 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/quota"
 )
 
-// loopMessage is an event, with a channel for its decisions if it is an arrival; or a look at the router.
+// loopMessage is an event, with a channel for its decisions if it is an Arrival; or a function to call with the router, and a channel that is
+// closed afterwards.
 type loopMessage struct {
 	event     Event
 	decisions chan Decision
@@ -16,57 +17,61 @@
 	done      chan struct{}
 }
 
-// Loop owns one Router in one goroutine; events go in by Notify, a request's decisions come back on its own channel.
+// Loop owns one Router and runs it in one goroutine. Notify passes events to the router. Submit passes a request and returns the channel of
+// its decisions.
 type Loop struct {
-	tomb        *tomb.Tomb
-	clock       func() time.Duration
-	inbox       chan loopMessage
-	router      *Router
+	tomb   *tomb.Tomb
+	clock  func() time.Duration
+	inbox  chan loopMessage
+	router *Router
+	// subscribers contains the channels of the live requests' decisions by request ID.
 	subscribers map[string]chan Decision
-	every       time.Duration
-	// announce is told of prompts that other routers should know of; it must not wait.
-	announce func(p Prefill)
-	// Failures carries what the router would tell others of failing replicas; what nobody takes in time is dropped.
+	// maxSleep is the longest time between two steps of the router.
+	maxSleep time.Duration
+	// onPrefill is called for prompts that other routers should know of. It must not block.
+	onPrefill func(p Prefill)
+	// Failures carries the router's reports of failing replicas for other routers. A report that is not received in time is dropped.
 	Failures chan Failures
-	// QuotaRequests carries what the router asks of tenants' quotas, likewise; what is dropped times out.
+	// QuotaRequests carries the router's requests for tenants' quotas. A request that is dropped because the channel is full times out.
 	QuotaRequests chan quota.Request
 }
 
-// MaxLoopSleep is how long a router loop sleeps at most.
+// MaxLoopSleep is the longest time that a router loop sleeps in production.
 const MaxLoopSleep = 250 * time.Millisecond
 
-// loopQueue is how many events may wait for the loop.
-const loopQueue = 1024
+// loopQueueSize is the number of events that may wait for the loop.
+const loopQueueSize = 1024
 
-// NewLoop starts the goroutine, which ends with the tomb; it sleeps until the router needs the time, and never longer than every.
-func NewLoop(t *tomb.Tomb, r *Router, clock func() time.Duration, every time.Duration) *Loop {
+// NewLoop starts a loop, which ends when the tomb is killed. It sleeps until an event arrives or the router's next tick is due, but never
+// longer than maxSleep.
+func NewLoop(t *tomb.Tomb, r *Router, clock func() time.Duration, maxSleep time.Duration) *Loop {
 	l := &Loop{
-		tomb: t, clock: clock, inbox: make(chan loopMessage, loopQueue), router: r, subscribers: map[string]chan Decision{}, every: every,
-		Failures: make(chan Failures, 1), QuotaRequests: make(chan quota.Request, loopQueue),
+		tomb: t, clock: clock, inbox: make(chan loopMessage, loopQueueSize), router: r, subscribers: map[string]chan Decision{}, maxSleep: maxSleep,
+		Failures: make(chan Failures, 1), QuotaRequests: make(chan quota.Request, loopQueueSize),
 	}
 	t.Go(l.run)
 	return l
 }
 
 func (l *Loop) run() error {
-	wake := time.NewTimer(l.every)
+	wake := time.NewTimer(l.maxSleep)
 	defer wake.Stop()
 	for {
 		select {
 		case <-l.tomb.Dying():
-			for req := range l.subscribers {
-				l.endRequest(req)
+			for request := range l.subscribers {
+				l.endRequest(request)
 			}
 			l.discardInbox()
 			return nil
 		case <-wake.C:
 			l.deliver(l.router.Step(l.clock(), Tick{}))
-		case a := <-l.inbox:
-			l.handle(a)
+		case m := <-l.inbox:
+			l.handle(m)
 		}
 		l.reportFailures()
 		l.requestQuotas()
-		wake.Reset(l.pause())
+		wake.Reset(l.sleepTime())
 	}
 }
 
@@ -90,16 +95,17 @@
 	}
 }
 
-const shortestPause = time.Millisecond
+// minSleep keeps a router whose next tick is already due from running the loop without pause.
+const minSleep = time.Millisecond
 
-// pause is how long the loop may sleep.
-func (l *Loop) pause() time.Duration {
+// sleepTime returns how long the loop may sleep.
+func (l *Loop) sleepTime() time.Duration {
 	now := l.clock()
-	at, known := l.router.NextTick(now)
+	next, known := l.router.NextTick(now)
 	if !known {
-		return l.every
+		return l.maxSleep
 	}
-	return min(max(at-now, shortestPause), l.every)
+	return min(max(next-now, minSleep), l.maxSleep)
 }
 
 func (l *Loop) handle(m loopMessage) {
@@ -117,10 +123,10 @@
 	}
 }
 
-// subscribe gives a request its channel, or rejects it where its id runs already.
+// subscribe records the channel of a request's decisions. It rejects the request if one with the same ID is running.
 func (l *Loop) subscribe(e Arrival, decisions chan Decision) bool {
 	if l.subscribers[e.Request] != nil {
-		decisions <- e.rejected(runningHere, true)
+		decisions <- e.rejected(reasonAlreadyRunning, true)
 		close(decisions)
 		return false
 	}
@@ -128,6 +134,7 @@
 	return true
 }
 
+// endRequest closes the channel of a request's decisions.
 func (l *Loop) endRequest(request string) {
 	if decisions := l.subscribers[request]; decisions != nil {
 		delete(l.subscribers, request)
@@ -136,31 +143,32 @@
 }
 
 func (l *Loop) deliver(decisions []Decision) {
-	for _, one := range decisions {
-		if one.UnreadTokens > 0 && l.announce != nil {
-			l.announce(Prefill{Replica: one.Replica, Tokens: one.UnreadTokens})
+	for _, decision := range decisions {
+		if decision.UnreadTokens > 0 && l.onPrefill != nil {
+			l.onPrefill(Prefill{Replica: decision.Replica, Tokens: decision.UnreadTokens})
 		}
-		if l.subscribers[one.Request] != nil {
-			l.deliverTo(l.subscribers[one.Request], one)
+		if l.subscribers[decision.Request] != nil {
+			l.deliverTo(l.subscribers[decision.Request], decision)
 		}
 	}
 }
 
-// deliverTo ends a request whose decisions nobody reads.
-func (l *Loop) deliverTo(subscriber chan Decision, one Decision) {
+// deliverTo sends a decision to a request's channel. If the channel is full, its reader is gone, and the request is ended.
+func (l *Loop) deliverTo(subscriber chan Decision, decision Decision) {
 	select {
-	case subscriber <- one:
+	case subscriber <- decision:
 	default:
-		l.endRequest(one.Request)
-		l.deliver(l.router.Step(l.clock(), ClientDisconnected{Request: one.Request}))
+		l.endRequest(decision.Request)
+		l.deliver(l.router.Step(l.clock(), ClientDisconnected{Request: decision.Request}))
 		return
 	}
-	if one.Verdict.final() {
-		l.endRequest(one.Request)
+	if decision.Verdict.final() {
+		l.endRequest(decision.Request)
 	}
 }
 
-// post hands a message to the loop. One that was queued after the loop had ended is discarded by its sender.
+// post queues a message for the loop and reports whether it did. If the loop has ended meanwhile, the sender discards the queue, since nothing
+// else would.
 func (l *Loop) post(m loopMessage) bool {
 	select {
 	case l.inbox <- m:
@@ -173,7 +181,7 @@
 	return true
 }
 
-// discardInbox ends the requests and looks that still wait once the tomb is dying.
+// discardInbox discards the queued messages once the tomb is dying.
 func (l *Loop) discardInbox() {
 	for {
 		select {
@@ -185,6 +193,7 @@
 	}
 }
 
+// discard closes the message's channels, so that its sender does not wait for ever.
 func (m loopMessage) discard() {
 	if m.decisions != nil {
 		close(m.decisions)
@@ -194,12 +203,12 @@
 	}
 }
 
-// OnPrefill has tell called for each prompt that other routers should know of; it must not wait.
-func (l *Loop) OnPrefill(tell func(p Prefill)) {
-	l.Inspect(func(*Router) { l.announce = tell })
+// OnPrefill sets the function that is called for each prompt that other routers should know of. It must not block.
+func (l *Loop) OnPrefill(announce func(p Prefill)) {
+	l.Inspect(func(*Router) { l.onPrefill = announce })
 }
 
-// NotifyIfIdle gives an event that is worth nothing later: a loop that is busy doesn't get it.
+// NotifyIfIdle passes an event to the router, unless the loop's queue is full. It is for events that are useless when late.
 func (l *Loop) NotifyIfIdle(ev Event) {
 	select {
 	case l.inbox <- loopMessage{event: ev}:
@@ -207,25 +216,27 @@
 	}
 }
 
-// Notify gives an event; it waits while the loop is behind, and drops the event once the loop has ended.
+// Notify passes an event to the router. It blocks while the loop's queue is full, and drops the event if the loop has ended.
 func (l *Loop) Notify(ev Event) { l.post(loopMessage{event: ev}) }
 
-// decisionBuffer is how many decisions of a request may wait to be read.
-const decisionBuffer = 64
+// decisionBufferSize is the number of decisions of one request that may wait to be read.
+const decisionBufferSize = 64
 
-// Submit gives the channel of a request's decisions; it is closed after the last, and early when nobody reads it.
+// Submit passes a request to the router and returns the channel of its decisions. The channel is closed after the last decision, or earlier if
+// it is full because its decisions are not read.
 func (l *Loop) Submit(a Arrival) <-chan Decision {
-	sub := make(chan Decision, decisionBuffer)
-	if !l.post(loopMessage{event: a, decisions: sub}) {
-		close(sub)
+	decisions := make(chan Decision, decisionBufferSize)
+	if !l.post(loopMessage{event: a, decisions: decisions}) {
+		close(decisions)
 	}
-	return sub
+	return decisions
 }
 
-// Inspect calls look in the loop's goroutine and waits for it; look must not wait for the loop. It is not called once the loop has ended.
-func (l *Loop) Inspect(look func(r *Router)) {
+// Inspect calls inspect in the loop's goroutine and waits until it returns. inspect must not wait for the loop. It is not called if the loop has
+// ended.
+func (l *Loop) Inspect(inspect func(r *Router)) {
 	done := make(chan struct{})
-	if !l.post(loopMessage{inspect: look, done: done}) {
+	if !l.post(loopMessage{inspect: inspect, done: done}) {
 		return
 	}
 	select {
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -10,26 +10,28 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
+// TestUnreadDecisionsCloseTheChannel checks that a request whose decisions are not read is ended, and its channel closed, once the channel is
+// full.
 func TestUnreadDecisionsCloseTheChannel(t *testing.T) {
 	r := newRouter(t, replica("d1", "both", "a", 1))
 	tb := &tomb.Tomb{}
-	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
-	decisions := d.Submit(router.Arrival{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", TailTokens: 5})
+	loop := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
+	decisions := loop.Submit(router.Arrival{Request: "q", Service: "o", Class: "k", Prefix: "sys/10", TailTokens: 5})
 	first := <-decisions
 	for i := range 200 {
-		d.Notify(router.ReadyToSend{Request: "q", AttemptID: fmt.Sprint("n1.b.", 100+i)})
+		loop.Notify(router.ReadyToSend{Request: "q", AttemptID: fmt.Sprint("n1.b.", 100+i)})
 	}
 	if first.Verdict != router.Place {
 		t.Fatal(first)
 	}
 	running := 0
-	d.Inspect(func(r *router.Router) { running = r.ActiveRequests() })
+	loop.Inspect(func(r *router.Router) { running = r.ActiveRequests() })
 	n := 0
 	for range decisions {
 		n++
 	}
 	if n != 64 || running != 0 {
-		t.Errorf("%d decisions, then closed, with %d requests running", n, running)
+		t.Errorf("%d decisions before the channel was closed, %d requests still running", n, running)
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
@@ -40,15 +42,15 @@
 func TestLoopSleepsUntilRouterIsDue(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a")))), &tomb.Tomb{}
 	start := time.Now()
-	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime + time.Since(start) }, time.Hour)
-	decisions := d.Submit(router.Arrival{Request: "q", Host: "h.example", Path: "/x"})
+	loop := router.NewLoop(tb, r, func() time.Duration { return convergeTime + time.Since(start) }, time.Hour)
+	decisions := loop.Submit(router.Arrival{Request: "q", Host: "h.example", Path: "/x"})
 	select {
-	case x := <-decisions:
-		if x.Verdict != router.Reject || x.RejectedLate || time.Since(start) < 100*time.Millisecond {
-			t.Errorf("%+v after %v", x, time.Since(start))
+	case first := <-decisions:
+		if first.Verdict != router.Reject || first.RejectedLate || time.Since(start) < 100*time.Millisecond {
+			t.Errorf("%+v after %v", first, time.Since(start))
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the desk slept on")
+		t.Error("the loop did not wake when the router was due")
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
@@ -58,26 +60,26 @@
 
 func TestRouterLoopExchangesLongPrompts(t *testing.T) {
 	r, tb := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a")), &tomb.Tomb{}
-	d := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
+	loop := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
 	announced := make(chan router.Prefill, 8)
-	d.OnPrefill(func(p router.Prefill) { announced <- p })
+	loop.OnPrefill(func(p router.Prefill) { announced <- p })
 	ask := func(id string, tokens int) string {
-		return (<-d.Submit(router.Arrival{Request: id, Host: "h.example", Path: "/x", PromptTokens: tokens})).Replica
+		return (<-loop.Submit(router.Arrival{Request: id, Host: "h.example", Path: "/x", PromptTokens: tokens})).Replica
 	}
 	ask("short", 100)
 	first := ask("long", 20000)
-	d.Inspect(func(*router.Router) {})
+	loop.Inspect(func(*router.Router) {})
 	if len(announced) != 1 {
-		t.Fatalf("told of %d prompts", len(announced))
+		t.Fatalf("%d prompts were announced, not 1", len(announced))
 	}
 	if p := <-announced; p.Replica != first || p.Tokens != 20000 {
-		t.Errorf("told %+v of a prompt at %s", p, first)
+		t.Errorf("announced %+v for a prompt at %s", p, first)
 	}
 	other := map[string]string{"i1": "i2", "i2": "i1"}[first]
-	d.NotifyIfIdle(router.Prefill{Replica: other, Tokens: 60000})
-	d.NotifyIfIdle(router.Prefill{Replica: "unknown", Tokens: 60000})
+	loop.NotifyIfIdle(router.Prefill{Replica: other, Tokens: 60000})
+	loop.NotifyIfIdle(router.Prefill{Replica: "unknown", Tokens: 60000})
 	if at := ask("after", 15000); at != first {
-		t.Errorf("placed at %s, where another router has sent a long prompt", at)
+		t.Errorf("placed at %s, to which another router sent a long prompt", at)
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
@@ -85,7 +87,7 @@
 	}
 }
 
-// A request that comes while the loop ends, or after, must not wait for ever for decisions that nobody makes.
+// TestSubmitEndsAfterTheLoopEnded checks that a request which is submitted while the loop ends, or after, does not wait for ever for decisions.
 func TestSubmitEndsAfterTheLoopEnded(t *testing.T) {
 	for range 50 {
 		tb := &tomb.Tomb{}
@@ -95,7 +97,7 @@
 		select {
 		case <-loop.Submit(router.Arrival{Request: "q"}):
 		case <-time.After(time.Second):
-			t.Fatal("a request waits though the loop has ended")
+			t.Fatal("the request still waits after the loop has ended")
 		}
 	}
 }
--- a/router/onedecision_test.go
+++ b/router/onedecision_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// configurationSeeds is how many seeds the test below plays, configurationRequests how many requests each.
+	// configurationSeeds is the number of seeds of the test below, configurationRequests the number of requests for each.
 	configurationSeeds    = 200
 	configurationRequests = 40
-	// configurationPause lets a replica that failed be used again.
+	// configurationPause is the time between requests, after which a replica that failed is used again.
 	configurationPause = 10 * time.Second
 )
 
-// routeOfType gives a route that is unsafe, safe or resumable.
+// routeOfType returns a streaming route that is randomly idempotent or not, resumable or not, and allows one to three attempts.
 func routeOfType(rng *rand.Rand) config.Route {
 	r := route("k", "/", all("a"))
 	r.Streaming = true
@@ -27,8 +27,9 @@
 	return r
 }
 
-// TestRunningRequestKeepsThePermissionsOfItsArrival guards against UNASKED and TWICE: a request that runs while configurations change its
-// route is sent again, or resumed, only where the route that it arrived on allows that; the data path keeps or drops the body by that route.
+// TestRunningRequestKeepsThePermissionsOfItsArrival guards against requests that are sent twice, or resumed, though their route does not allow it
+// (rules TWICE and UNASKED). A configuration may change the route of a running request, but whether the request may be retried or resumed
+// is decided by the route as it was at arrival, since by that route the data path keeps or drops the body.
 func TestRunningRequestKeepsThePermissionsOfItsArrival(t *testing.T) {
 	again := 0
 	for seed := range uint64(configurationSeeds) {
@@ -58,7 +59,7 @@
 				again++
 				allowed := arrivedOn.Repeatable || arrivedOn.Resumable
 				if d.Route != arrivedOn || d.Resumes != began || (began && !arrivedOn.Resumable) || !allowed {
-					t.Fatalf("seed %d, request %d, begun %v, arrived on %+v: %+v", seed, i, began, *arrivedOn, d)
+					t.Fatalf("seed %d, request %d, response started %v, route at arrival %+v: %+v", seed, i, began, *arrivedOn, d)
 				}
 			}
 			r.Step(at, router.ClientDisconnected{Request: id})
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -9,21 +9,21 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// limited is a tenant that may use so many tokens a second.
+// limited returns a tenant with a quota of rate tokens per second.
 func limited(name, key string, rate float64) config.Tenant {
 	one := tenant(name, key)
 	one.Rate, one.ByTokens, one.UncachedTokens = rate, true, 200
 	return one
 }
 
-// ready places a request of 500 tokens and gives what the router asks for of its tenant's quota before it may be sent.
+// ready places a request of 500 tokens and returns the quota requests that the router makes before the request may be sent.
 func ready(t *testing.T, r *router.Router, now time.Duration, id, path, key string) (router.Decision, []quota.Request) {
 	t.Helper()
 	d := one(t, keyed(r, id, path, key), router.Place)
 	return d, asked(t, r, now, d)
 }
 
-// asked says that a placed attempt could be sent, which it may not yet where the router asks for a quota.
+// asked reports an attempt as ready to send and returns the router's quota requests. If there are any, the attempt must not be sent yet.
 func asked(t *testing.T, r *router.Router, now time.Duration, placed router.Decision) []quota.Request {
 	t.Helper()
 	ds := r.Step(now, router.ReadyToSend{Request: placed.Request, AttemptID: placed.AttemptID})
@@ -34,10 +34,12 @@
 	return requests
 }
 
+// decided passes the outcome of a quota request to the router.
 func decided(r *router.Router, now time.Duration, o quota.Outcome) []router.Decision {
 	return r.Step(now, router.QuotaDecided{Outcome: o})
 }
 
+// final checks the verdict of the last of some decisions and returns that decision.
 func final(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
 	t.Helper()
 	if len(ds) == 0 {
@@ -46,7 +48,8 @@
 	return one(t, ds[len(ds)-1:], v)
 }
 
-// TestTenantsKeepTheirQuotas: what is over gets a rejection of its own, the tenant's next one at its arrival, and others are not concerned.
+// TestTenantsKeepTheirQuotas checks that a request over the quota is rejected as such, that the tenant's next request is rejected at arrival, and
+// that other tenants are not affected.
 func TestTenantsKeepTheirQuotas(t *testing.T) {
 	r := routed(tenants(1, limited("small", "k1", 500), tenant("free", "k2")), row("i1", "a"))
 	_, requests := ready(t, r, convergeTime, "s1", "/a/x", "k1")
@@ -68,7 +71,7 @@
 	}
 }
 
-// TestRequestIsChargedWhenItIsSent: a grant that is old when the attempt could go out is worth nothing.
+// TestRequestIsChargedWhenItIsSent checks that a grant which has expired when the attempt could be sent is not used but requested again.
 func TestRequestIsChargedWhenItIsSent(t *testing.T) {
 	r := routed(tenants(1, limited("a", "k1", 500)), row("i1", "a"))
 	_, requests := ready(t, r, convergeTime, "q1", "/a/x", "k1")
@@ -83,7 +86,8 @@
 	one(t, decided(r, late, quota.Outcome{ID: again[0].ID, Granted: true, Until: late + quota.GrantLifetime}), router.Send)
 }
 
-// TestSecondAttemptIsChargedWhereTheFirstMayHaveRun, and not where the replica said that it did not run it.
+// TestSecondAttemptIsChargedWhereTheFirstMayHaveRun checks that a second attempt needs a grant of its own if the first may have run, and none if
+// no replica ran the first.
 func TestSecondAttemptIsChargedWhereTheFirstMayHaveRun(t *testing.T) {
 	for result, want := range map[router.AttemptResult]int{router.Failed: 1, router.Refused: 0, router.NotSent: 0} {
 		p := tenants(1, limited("a", "k1", 500))
@@ -99,7 +103,8 @@
 	}
 }
 
-// TestSilentOwnersAreNotAQuotaThatIsUsedUp, whether control says so or says nothing.
+// TestSilentOwnersAreNotAQuotaThatIsUsedUp checks that a request is not rejected as over quota if no owner of the quota answers, whether the
+// control plane reports that or the request times out.
 func TestSilentOwnersAreNotAQuotaThatIsUsedUp(t *testing.T) {
 	r := routed(tenants(1, limited("a", "k1", 500)), row("i1", "a"))
 	_, requests := ready(t, r, convergeTime, "q1", "/a/x", "k1")
--- a/router/quotas.go
+++ b/router/quotas.go
@@ -8,66 +8,69 @@
 )
 
 const (
-	// quotaTimeout is how long an attempt waits for its tenant's quota at most.
+	// quotaTimeout is the longest time that an attempt waits for its tenant's quota.
 	quotaTimeout = time.Second
-	// quotaRetryAfter is what a client waits for whose request got no answer of an owner.
+	// quotaRetryAfter is when a client should retry if no owner of its tenant's quota answered.
 	quotaRetryAfter = 500 * time.Millisecond
 
-	overQuota       = "the tenant's quota is used up"
-	quotaUnanswered = "no owner of the tenant's quota answers"
+	reasonOverQuota       = "the tenant's quota is used up"
+	reasonQuotaUnanswered = "no owner of the tenant's quota answers"
 )
 
-// quotaGrant is what a request was granted of its tenant's quota, for one attempt that a replica runs.
+// quotaGrant is a grant of a tenant's quota for one attempt of a request. It can be used again while no replica can have run the request.
 type quotaGrant struct {
-	// unspent: no replica can have run the request on it.
+	// unspent is set while no replica can have run the request under this grant.
 	unspent bool
-	until   time.Duration
+	// until is the last time at which an attempt may be sent under this grant.
+	until time.Duration
 }
 
 func (g quotaGrant) usable(now time.Duration) bool { return g.unspent && now <= g.until }
 
-// quotaWait is an attempt that may be sent once its tenant's quota is granted.
+// quotaWait is an attempt that waits for a grant of its tenant's quota.
 type quotaWait struct {
 	request, attemptID string
 	askedAt            time.Duration
 }
 
-// quotaGate holds attempts back until their tenants' quotas are granted.
+// quotaGate holds back attempts until they are granted their cost from their tenants' quotas.
 type quotaGate struct {
-	// limited are the tenants of the configuration in force, and whether they have a limit.
+	// limited contains the tenants of the configuration in force, and whether each has a limit.
 	limited map[string]bool
-	waits   map[uint64]quotaWait
-	next    uint64
-	// requests are those that control has not been given yet.
+	// waits contains the waiting attempts by the ID of their quota request; lastID is the last ID that was used.
+	waits  map[uint64]quotaWait
+	lastID uint64
+	// requests contains the quota requests that TakeQuotaRequests has not returned yet.
 	requests []quota.Request
-	// emptyUntil is when a tenant's requests may be granted again.
-	emptyUntil map[string]time.Duration
+	// exhaustedUntil is until when a tenant's quota is used up.
+	exhaustedUntil map[string]time.Duration
 }
 
 func newQuotaGate() quotaGate {
-	return quotaGate{waits: map[uint64]quotaWait{}, emptyUntil: map[string]time.Duration{}}
+	return quotaGate{waits: map[uint64]quotaWait{}, exhaustedUntil: map[string]time.Duration{}}
 }
 
-// emptyFor is how long no request of the tenant will be granted.
-func (g *quotaGate) emptyFor(now time.Duration, tenant *config.Tenant) time.Duration {
+// exhaustedFor returns how much longer the tenant's quota is used up; it is not positive if requests may be granted.
+func (g *quotaGate) exhaustedFor(now time.Duration, tenant *config.Tenant) time.Duration {
 	if tenant == nil || !g.limited[tenant.Name] {
 		return 0
 	}
-	return g.emptyUntil[tenant.Name] - now
+	return g.exhaustedUntil[tenant.Name] - now
 }
 
-// needsGrant tells whether an attempt of the request must be granted before it is sent.
+// needsGrant reports whether an attempt of the request needs a grant before it may be sent.
 func (g *quotaGate) needsGrant(now time.Duration, live liveRequest) bool {
 	return live.tenant != nil && g.limited[live.tenant.Name] && live.cost > 0 && !live.grant.usable(now)
 }
 
-// ask begins to ask for an attempt's cost.
-func (g *quotaGate) ask(now time.Duration, live liveRequest, attemptID string) {
-	g.next++
-	g.waits[g.next] = quotaWait{request: live.request, attemptID: attemptID, askedAt: now}
-	g.requests = append(g.requests, quota.Request{ID: g.next, Tenant: live.tenant.Name, Cost: live.cost})
+// requestGrant queues a request for the cost of an attempt.
+func (g *quotaGate) requestGrant(now time.Duration, live liveRequest, attemptID string) {
+	g.lastID++
+	g.waits[g.lastID] = quotaWait{request: live.request, attemptID: attemptID, askedAt: now}
+	g.requests = append(g.requests, quota.Request{ID: g.lastID, Tenant: live.tenant.Name, Cost: live.cost})
 }
 
+// costOf returns what each attempt of a request costs of its tenant's quota.
 func costOf(tenant *config.Tenant, e *Arrival) float64 {
 	if tenant == nil {
 		return 0
@@ -75,28 +78,29 @@
 	return tenant.Cost(e.PromptTokens + e.MaxOutputTokens)
 }
 
-// TakeQuotaRequests gives the requests for quotas that owners are to be asked for.
+// TakeQuotaRequests returns the new quota requests, which the caller must pass to the owners of the quotas.
 func (r *Router) TakeQuotaRequests() []quota.Request {
 	requests := r.quotas.requests
 	r.quotas.requests = nil
 	return requests
 }
 
-// readyToSend has an attempt sent, or its tenant's quota asked for first. It is false where the attempt is not this router's.
+// readyToSend lets an attempt be sent, or first requests its cost from its tenant's quota. It returns false if the attempt is unknown.
 func (r *Router) readyToSend(now time.Duration, e ReadyToSend) bool {
 	live := r.requests[r.requestIDs[e.Request]]
 	if live.request == e.Request && r.quotas.needsGrant(now, live) {
-		r.quotas.ask(now, live, e.AttemptID)
+		r.quotas.requestGrant(now, live, e.AttemptID)
 		return true
 	}
 	return r.authorizeSend(now, e.Request, e.AttemptID)
 }
 
+// authorizeSend lets an attempt be sent, unless it is unknown.
 func (r *Router) authorizeSend(now time.Duration, request, attemptID string) bool {
 	return r.withAttempt(request, attemptID, func(id int, attempt uint64) { r.scheduler.AuthorizeSend(now, id, attempt) })
 }
 
-// quotaDecided has the attempt sent that waited, or ends its request. A grant that came too late is asked for anew.
+// quotaDecided lets the waiting attempt be sent, or rejects its request. If the grant arrived too late to be used, it is requested again.
 func (r *Router) quotaDecided(now time.Duration, e QuotaDecided) {
 	wait, waits := r.quotas.waits[e.ID]
 	id, live := r.requestIDs[wait.request]
@@ -112,42 +116,43 @@
 		r.requests[id] = request
 		r.readyToSend(now, ReadyToSend{Request: wait.request, AttemptID: wait.attemptID})
 	case e.Unanswered:
-		r.refuseSend(now, wait, quotaUnanswered, quotaRetryAfter)
+		r.refuseSend(now, wait, reasonQuotaUnanswered, quotaRetryAfter)
 	default:
 		if request.tenant != nil {
-			r.quotas.emptyUntil[request.tenant.Name] = now + e.EmptyFor
+			r.quotas.exhaustedUntil[request.tenant.Name] = now + e.EmptyFor
 		}
-		r.refuseSend(now, wait, overQuota, e.RetryAfter)
+		r.refuseSend(now, wait, reasonOverQuota, e.RetryAfter)
 	}
 }
 
-func (r *Router) refuseSend(now time.Duration, wait quotaWait, why string, after time.Duration) {
-	r.withAttempt(wait.request, wait.attemptID, func(id int, attempt uint64) { r.scheduler.RefuseSend(now, id, attempt, why, after) })
+// refuseSend rejects the request of a waiting attempt.
+func (r *Router) refuseSend(now time.Duration, wait quotaWait, reason string, retryAfter time.Duration) {
+	r.withAttempt(wait.request, wait.attemptID, func(id int, attempt uint64) { r.scheduler.RefuseSend(now, id, attempt, reason, retryAfter) })
 }
 
-// expireQuotaWaits ends the requests whose quota nobody decided.
+// expireQuotaWaits rejects the requests that waited for quotaTimeout without a decision on their quota.
 func (r *Router) expireQuotaWaits(now time.Duration) {
 	for id, wait := range r.quotas.waits {
 		if now-wait.askedAt >= quotaTimeout {
 			delete(r.quotas.waits, id)
-			r.refuseSend(now, wait, quotaUnanswered, quotaRetryAfter)
+			r.refuseSend(now, wait, reasonQuotaUnanswered, quotaRetryAfter)
 		}
 	}
 }
 
-// spendGrant notes that an attempt is sent: its replica may run it.
+// spendGrant records that an attempt is sent, after which a replica may run it.
 func (r *Router) spendGrant(id int) {
 	live := r.requests[id]
 	live.grant.unspent = false
 	r.requests[id] = live
 }
 
-// attemptEnded leaves a grant to the request's next attempt where no replica ran this one.
+// attemptEnded passes the result of an attempt to the scheduler. If no replica ran the attempt, the request's next attempt can use its grant.
 func (r *Router) attemptEnded(now time.Duration, e AttemptEnded) {
 	if id, known := r.requestIDs[e.Request]; known && (e.Result == Refused || e.Result == NotSent) {
 		live := r.requests[id]
 		live.grant.unspent = live.grant.until > 0
 		r.requests[id] = live
 	}
-	r.withAttempt(e.Request, e.AttemptID, func(id int, attempt uint64) { r.scheduler.EndAttempt(now, id, attempt, ends[e.Result]) })
+	r.withAttempt(e.Request, e.AttemptID, func(id int, attempt uint64) { r.scheduler.EndAttempt(now, id, attempt, attemptResults[e.Result]) })
 }
--- a/router/replicalist.go
+++ b/router/replicalist.go
@@ -7,10 +7,10 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// reuseRowAfter is how long an instance has been gone when its row may go to another.
+// reuseRowAfter is how long an instance must have been off the list before its row may be used for another one.
 const reuseRowAfter = 10 * time.Second
 
-// acceptList takes in the platform's list, unless a newer one is known.
+// acceptList applies the platform's list of replicas, unless a newer one is known.
 func (r *Router) acceptList(now time.Duration, e ReplicaList) {
 	if r.listKnown && now-e.Age < r.listReadAt {
 		return
@@ -23,15 +23,15 @@
 	r.scheduler.Recompute(now)
 }
 
-// applyList applies the last list to the services whose replicas are discovered.
+// applyList applies the latest list to the services whose replicas are discovered from the platform.
 func (r *Router) applyList(now time.Duration) {
 	if !r.listKnown {
 		return
 	}
 	discovered := r.unlistDiscovered()
-	for _, row := range r.replicaList.Instances {
-		if o := discovered[row.Service]; o != nil {
-			r.applyInstance(now, row, o)
+	for _, instance := range r.replicaList.Instances {
+		if service := discovered[instance.Service]; service != nil {
+			r.applyInstance(now, instance, service)
 		}
 	}
 	for id := range r.replicas {
@@ -39,16 +39,16 @@
 	}
 }
 
-// unlistDiscovered empties the services that have their replicas from the list, and gives them by name.
+// unlistDiscovered removes all replicas from the services whose replicas are discovered, and returns these services by name.
 func (r *Router) unlistDiscovered() map[string]*config.Service {
 	discovered := map[string]*config.Service{}
 	for i := range r.snapshot.Config.Services {
-		o := &r.snapshot.Config.Services[i]
-		if !o.Discovered {
+		service := &r.snapshot.Config.Services[i]
+		if !service.Discovered {
 			continue
 		}
-		discovered[o.Name] = o
-		row := &r.scheduler.Services[r.services[o.Name]]
+		discovered[service.Name] = service
+		row := &r.scheduler.Services[r.services[service.Name]]
 		row.Replicas = row.Replicas[:0]
 	}
 	for id := range r.replicas {
@@ -59,7 +59,7 @@
 	return discovered
 }
 
-// markRemoved forgets what an instance has cached that the list leaves out.
+// markRemoved marks an instance as down that is no longer on the list, and drops what the index knows of its cache.
 func (r *Router) markRemoved(now time.Duration, id int) {
 	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
 	if !entry.discovered || row.Listed || entry.removedSince > 0 {
@@ -69,14 +69,15 @@
 	r.scheduler.Index.Reset(id, 0)
 }
 
-// applyInstance lists an instance. One that is new, back, or listed otherwise than before counts as up until it is found not to be.
-func (r *Router) applyInstance(now time.Duration, listed Instance, o *config.Service) {
+// applyInstance applies one entry of the list. An instance that is new, back on the list or changed counts as up until a health check or a
+// request shows otherwise.
+func (r *Router) applyInstance(now time.Duration, listed Instance, settings *config.Service) {
 	id, known := r.replicaIDs[listed.ID]
 	if known && !r.replicas[id].discovered {
 		return
 	}
 	if !known {
-		id = r.replicaRow(now, listed.ID, o.KeepTokens)
+		id = r.replicaRow(now, listed.ID, settings.KeepTokens)
 	}
 	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
 	warmup, before := listed.WarmUpRemaining, entry.listedAs
@@ -91,7 +92,7 @@
 	row.Service, row.Role, row.Capacity = r.services[listed.Service], "both", max(listed.Capacity, 1)
 	row.Listed, row.Draining, row.WeightsRevision = true, listed.Draining, listed.Weights
 	row.Zone, row.SameZone = listed.Zone, listed.Zone == r.cfg.Zone
-	r.scheduler.Index.SetCapacity(id, o.KeepTokens)
+	r.scheduler.Index.SetCapacity(id, settings.KeepTokens)
 	service := &r.scheduler.Services[row.Service]
 	service.Replicas = append(service.Replicas, id)
 	if warmup > 0 {
@@ -100,7 +101,7 @@
 	r.applyEvacuation(now, id, listed.Zone)
 }
 
-// replicaRow gives a new instance a row, that of one long gone where there is one.
+// replicaRow returns the row for a new instance. It reuses the row of an instance that was removed long ago if there is one.
 func (r *Router) replicaRow(now time.Duration, name string, keepTokens int) int {
 	added, entry := scheduler.Replica{Name: name, Warm: true}, replicaEntry{name: name, discovered: true}
 	id, ok := r.freeRow(now)
@@ -116,6 +117,7 @@
 	return id
 }
 
+// freeRow returns the row of an instance that was removed at least reuseRowAfter ago and has no running requests of this router.
 func (r *Router) freeRow(now time.Duration) (int, bool) {
 	for id := range r.replicas {
 		entry := &r.replicas[id]
@@ -127,7 +129,7 @@
 	return 0, false
 }
 
-// applyEvacuation closes the replicas of an evacuated zone; taken back, they may need to warm up.
+// applyEvacuation marks a replica as evacuated if its zone is. When the zone is restored, the replica may need to warm up again.
 func (r *Router) applyEvacuation(now time.Duration, id int, zone string) {
 	row, evacuated := &r.scheduler.Replicas[id], r.snapshot.Evacuated(zone)
 	if row.Evacuated && !evacuated {
@@ -136,17 +138,17 @@
 	row.Evacuated = evacuated
 }
 
-// warmupTime is how long a service's replicas keep warming up.
+// warmupTime returns how long the replicas of a service take to warm up.
 func (r *Router) warmupTime(service int) time.Duration {
 	for i := range r.snapshot.Config.Services {
-		if o := &r.snapshot.Config.Services[i]; o.Name == r.scheduler.Services[service].Name {
-			return o.WarmupTime
+		if settings := &r.snapshot.Config.Services[i]; settings.Name == r.scheduler.Services[service].Name {
+			return settings.WarmupTime
 		}
 	}
 	return 0
 }
 
-// reportInstance takes in what a probe of a listed instance showed.
+// reportInstance applies a health check of an instance on the platform's list.
 func (r *Router) reportInstance(now time.Duration, id int, e LoadReport) {
 	row := &r.scheduler.Replicas[id]
 	row.Up = !e.Down && (e.InstanceID == "" || e.InstanceID == r.replicas[id].instance)
--- a/router/reports.go
+++ b/router/reports.go
@@ -6,8 +6,8 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// takeReplicaReport takes in what is heard of a replica that the router knows.
-func (r *Router) takeReplicaReport(now time.Duration, ev Event) {
+// handleReplicaEvent applies an event about a replica. Events about unknown replicas are ignored.
+func (r *Router) handleReplicaEvent(now time.Duration, ev Event) {
 	switch e := ev.(type) {
 	case LoadReport:
 		r.withReplica(e.Replica, func(id int) { r.reportLoad(now, id, e) })
@@ -22,23 +22,24 @@
 	case ReplicaSuspect:
 		r.withReplica(e.Replica, func(id int) { r.scheduler.Replicas[id].RestartSuspectedAt = now })
 	case Failures:
-		r.takeFailures(now, e)
+		r.applyFailures(now, e)
 	}
 }
 
+// withReplica calls act with the index of a replica, if it is known.
 func (r *Router) withReplica(name string, act func(id int)) {
 	if id, ok := r.replicaIDs[name]; ok {
 		act(id)
 	}
 }
 
-// applyListing follows what operators say of a replica of the document.
+// applyListing applies the state that operators set for a replica of the configuration document.
 func (r *Router) applyListing(now time.Duration, e Listing) {
 	id, ok := r.replicaIDs[e.Replica]
 	if !ok || r.replicas[id].discovered {
 		return
 	}
-	r.replicas[id].platformState = e.State
+	r.replicas[id].operatorState = e.State
 	row := &r.scheduler.Replicas[id]
 	row.Draining = e.State.draining()
 	if e.State == Removed {
@@ -49,32 +50,32 @@
 	r.scheduler.Recompute(now)
 }
 
-// reportLoad takes in the state that a probe showed.
+// reportLoad applies a health check of a replica.
 func (r *Router) reportLoad(now time.Duration, id int, e LoadReport) {
 	if r.replicas[id].discovered {
 		r.reportInstance(now, id, e)
 		return
 	}
 	row := &r.scheduler.Replicas[id]
-	served := row.Up && !row.Draining
-	r.reportDocumented(now, id, e)
-	if served != (row.Up && !row.Draining) {
+	wasServing := row.Up && !row.Draining
+	r.reportConfigured(now, id, e)
+	if wasServing != (row.Up && !row.Draining) {
 		r.scheduler.Recompute(now)
 	}
 }
 
-// reportDocumented is reportLoad for a replica that the document names.
-func (r *Router) reportDocumented(now time.Duration, id int, e LoadReport) {
+// reportConfigured applies a health check of a replica of the configuration document.
+func (r *Router) reportConfigured(now time.Duration, id int, e LoadReport) {
 	row, entry := &r.scheduler.Replicas[id], &r.replicas[id]
 	if e.Down {
 		row.Up = false
 		return
 	}
-	back := !row.Up && entry.instance != ""
+	recovered := !row.Up && entry.instance != ""
 	switch {
 	case e.InstanceID != entry.instance:
 		r.setInstance(now, id, e.InstanceID, e.Age, 0)
-	case back:
+	case recovered:
 		r.scheduler.RestartSlowStart(now, id, e.Age)
 	case e.Own:
 		r.scheduler.ConfirmInstance(now, now-e.Age, id)
@@ -82,11 +83,12 @@
 		r.scheduler.ConfirmInstance(now-e.Lag, now-e.Age, id)
 	}
 	row.Up = true
-	row.Draining = e.Leaving || entry.platformState.draining()
+	row.Draining = e.Leaving || entry.operatorState.draining()
 	r.scheduler.ReportLoad(now-e.Lag, id, e.Running)
 }
 
-// setInstance notes which instance answers for a replica. A new one is warming up and has nothing cached, but for the spared attempt.
+// setInstance records which instance runs at a replica. A new instance is warming up and has nothing cached, except for the prompt of the
+// spared attempt, which the new instance is processing.
 func (r *Router) setInstance(now time.Duration, id int, instance string, age time.Duration, spared uint64) {
 	entry := &r.replicas[id]
 	if entry.instance == instance {
@@ -99,7 +101,7 @@
 	r.scheduler.RestartSlowStart(now, id, age)
 }
 
-// Failures gives what this router is to tell the others of failing replicas, if anything.
+// Failures returns this router's report of failing replicas for the other routers, and whether there is anything to report.
 func (r *Router) Failures(now time.Duration) (Failures, bool) {
 	var f Failures
 	for _, row := range r.scheduler.FailureReport(now) {
@@ -109,7 +111,8 @@
 	return f, len(f.Rows) > 0
 }
 
-func (r *Router) takeFailures(now time.Duration, e Failures) {
+// applyFailures applies another router's report of failing replicas.
+func (r *Router) applyFailures(now time.Duration, e Failures) {
 	var rows []scheduler.FailureCount
 	for _, f := range e.Rows {
 		r.withReplica(f.Replica, func(id int) { rows = append(rows, scheduler.FailureCount{Replica: id, Count: f.N, Replaced: f.Gone}) })
--- a/router/requestflow.go
+++ b/router/requestflow.go
@@ -2,87 +2,96 @@
 
 import "net/http"
 
-// RequestFlow is the state machine of one request of the product's own interface: the router's decisions and what happens on the
-// connections go in, actions come out. The HTTP interface and the simulator do the I/O around it.
+// RequestFlow is the state machine of one request of the product's own interface. Its inputs are the router's decisions and the events on the
+// request's connections; its outputs are actions, which the HTTP interface and the simulator carry out.
 type RequestFlow struct {
+	// Request is the ID of the request.
 	Request string
 
+	// placement is the decision that began the current attempt.
 	placement Decision
+	// connected is set while the current attempt has a connection, open or being opened.
 	connected bool
-	answered  bool
-	// answerBegan: a piece was passed on to the client.
-	answerBegan     bool
+	// headReported is set once the router was notified of the attempt's ResponseHead.
+	headReported bool
+	// responseStarted is set once a line was forwarded to the client.
+	responseStarted bool
+	// witnessesAgreed is set once the witnesses allowed the current attempt to be sent.
 	witnessesAgreed bool
-	over            bool
-	chunks          ChunkSequence
-	actions         []Action
+	// ended is set once the request has ended.
+	ended   bool
+	chunks  ChunkSequence
+	actions []Action
 }
 
-func (p *RequestFlow) emit(m Action) { p.actions = append(p.actions, m) }
+func (f *RequestFlow) emit(a Action) { f.actions = append(f.actions, a) }
 
-func (p *RequestFlow) takeActions() []Action {
+func (f *RequestFlow) takeActions() []Action {
 	var actions []Action
-	actions, p.actions = p.actions, nil
+	actions, f.actions = f.actions, nil
 	return actions
 }
 
-// disconnect closes the connection, if one is open.
-func (p *RequestFlow) disconnect() {
-	if p.connected {
-		p.connected = false
-		p.emit(Action{Kind: Disconnect, Placement: p.placement})
+// disconnect closes the current attempt's connection, if there is one.
+func (f *RequestFlow) disconnect() {
+	if f.connected {
+		f.connected = false
+		f.emit(Action{Kind: Disconnect, Placement: f.placement})
 	}
 }
 
-func (p *RequestFlow) finish(d Decision, outcome string) {
-	p.disconnect()
-	p.over = true
-	p.emit(Action{Kind: Finish, Placement: d, Outcome: outcome})
+// finish ends the request with an outcome.
+func (f *RequestFlow) finish(d Decision, outcome string) {
+	f.disconnect()
+	f.ended = true
+	f.emit(Action{Kind: Finish, Placement: d, Outcome: outcome})
 }
 
-func (p *RequestFlow) endAttempt(how AttemptResult) {
-	p.disconnect()
-	p.emit(Action{Kind: NotifyRouter, Event: AttemptEnded{Request: p.Request, AttemptID: p.placement.AttemptID, Result: how}})
+// endAttempt closes the connection and notifies the router of the attempt's result.
+func (f *RequestFlow) endAttempt(result AttemptResult) {
+	f.disconnect()
+	f.emit(Action{Kind: NotifyRouter, Event: AttemptEnded{Request: f.Request, AttemptID: f.placement.AttemptID, Result: result}})
 }
 
-// OnDecision takes a decision of the router on this request.
-func (p *RequestFlow) OnDecision(d Decision) []Action {
-	if p.over || (p.connected && d.AttemptID != "" && d.AttemptID != p.placement.AttemptID && d.Verdict != Place) {
+// OnDecision applies a decision of the router about this request and returns the resulting actions.
+func (f *RequestFlow) OnDecision(d Decision) []Action {
+	if f.ended || (f.connected && d.AttemptID != "" && d.AttemptID != f.placement.AttemptID && d.Verdict != Place) {
 		return nil
 	}
 	switch d.Verdict {
 	case Place:
-		p.disconnect()
-		p.begin(d)
-		p.emit(Action{Kind: Connect, Placement: d})
+		f.disconnect()
+		f.begin(d)
+		f.emit(Action{Kind: Connect, Placement: d})
 	case Send:
-		if p.connected && p.placement.OnceOnly && !p.witnessesAgreed {
-			p.emit(Action{Kind: AskWitnesses, Placement: p.placement})
-		} else if p.connected {
-			p.emit(Action{Kind: Write, Placement: p.placement})
+		if f.connected && f.placement.OnceOnly && !f.witnessesAgreed {
+			f.emit(Action{Kind: AskWitnesses, Placement: f.placement})
+		} else if f.connected {
+			f.emit(Action{Kind: Write, Placement: f.placement})
 		}
 	case CancelBeforeSend, Cancel:
-		p.disconnect()
+		f.disconnect()
 	case PollWitnesses:
-		p.emit(Action{Kind: AskWitnessesEarly})
+		f.emit(Action{Kind: AskWitnessesEarly})
 	case Done:
-		p.finish(d, OutcomeDone)
+		f.finish(d, OutcomeDone)
 	default:
-		p.finish(d, p.outcome(d))
+		f.finish(d, f.outcome(d))
 	}
-	return p.takeActions()
+	return f.takeActions()
 }
 
-// begin starts over with another placement.
-func (p *RequestFlow) begin(d Decision) {
-	p.placement, p.connected = d, true
-	p.answered, p.witnessesAgreed = false, false
-	p.chunks = ChunkSequence{AttemptID: d.AttemptID}
+// begin starts a new attempt.
+func (f *RequestFlow) begin(d Decision) {
+	f.placement, f.connected = d, true
+	f.headReported, f.witnessesAgreed = false, false
+	f.chunks = ChunkSequence{AttemptID: d.AttemptID}
 }
 
-func (p *RequestFlow) outcome(d Decision) string {
+// outcome returns the outcome of a request that has no complete response.
+func (f *RequestFlow) outcome(d Decision) string {
 	switch {
-	case d.Verdict == Partial || p.answerBegan:
+	case d.Verdict == Partial || f.responseStarted:
 		return OutcomePartial
 	case d.Verdict == Unknown:
 		return OutcomeUnknown
@@ -94,95 +103,96 @@
 	return OutcomeRejected
 }
 
-// OnConnectionEvent takes what happened on a connection; what concerns an earlier attempt is dropped.
-func (p *RequestFlow) OnConnectionEvent(w ConnectionEvent) []Action {
-	if p.over {
+// OnConnectionEvent applies an event on a connection and returns the resulting actions. Events of earlier attempts are ignored.
+func (f *RequestFlow) OnConnectionEvent(ev ConnectionEvent) []Action {
+	if f.ended {
 		return nil
 	}
-	switch e := w.(type) {
+	switch e := ev.(type) {
 	case ClientClosed:
-		p.disconnect()
-		p.over = true
-		p.emit(Action{Kind: NotifyRouter, Event: ClientDisconnected{Request: p.Request}})
+		f.disconnect()
+		f.ended = true
+		f.emit(Action{Kind: NotifyRouter, Event: ClientDisconnected{Request: f.Request}})
 	case ConnectResult:
-		p.connectionOpened(e)
+		f.connectResult(e)
 	case WitnessesAnswered:
-		p.witnessesAnswered(e)
+		f.witnessesAnswered(e)
 	case ResponseHeadRead:
-		p.answerHead(e)
+		f.responseHead(e)
 	case ResponseLineRead:
-		p.answerLine(e)
+		f.responseLine(e)
 	case ConnectionLost:
-		if p.isCurrent(e.AttemptID) {
-			p.endAttempt(Failed)
+		if f.isCurrent(e.AttemptID) {
+			f.endAttempt(Failed)
 		}
 	}
-	return p.takeActions()
+	return f.takeActions()
 }
 
-func (p *RequestFlow) isCurrent(attempt string) bool {
-	return p.connected && p.placement.AttemptID == attempt
+func (f *RequestFlow) isCurrent(attempt string) bool {
+	return f.connected && f.placement.AttemptID == attempt
 }
 
-func (p *RequestFlow) connectionOpened(e ConnectResult) {
+func (f *RequestFlow) connectResult(e ConnectResult) {
 	switch {
-	case !p.isCurrent(e.AttemptID):
+	case !f.isCurrent(e.AttemptID):
 	case e.OK:
-		p.emit(Action{Kind: NotifyRouter, Event: ReadyToSend{Request: p.Request, AttemptID: e.AttemptID}})
+		f.emit(Action{Kind: NotifyRouter, Event: ReadyToSend{Request: f.Request, AttemptID: e.AttemptID}})
 	default:
-		p.endAttempt(NotSent)
+		f.endAttempt(NotSent)
 	}
 }
 
-// witnessesAnswered asks for permission to send once more: the witnesses took their time, and the machine may have been frozen meanwhile.
-func (p *RequestFlow) witnessesAnswered(e WitnessesAnswered) {
+// witnessesAnswered handles the answer of the witnesses. If they agree, it asks the router again whether the attempt may be sent, because time
+// has passed and the machine may have been frozen meanwhile.
+func (f *RequestFlow) witnessesAnswered(e WitnessesAnswered) {
 	switch {
 	case e.AttemptID == "" && e.Result == Suppressed:
-		p.emit(Action{Kind: NotifyRouter, Event: RanElsewhere{Request: p.Request}})
-	case !p.isCurrent(e.AttemptID) || p.witnessesAgreed:
+		f.emit(Action{Kind: NotifyRouter, Event: RanElsewhere{Request: f.Request}})
+	case !f.isCurrent(e.AttemptID) || f.witnessesAgreed:
 	case e.Result == "":
-		p.witnessesAgreed = true
-		p.emit(Action{Kind: NotifyRouter, Event: ReadyToSend{Request: p.Request, AttemptID: e.AttemptID}})
+		f.witnessesAgreed = true
+		f.emit(Action{Kind: NotifyRouter, Event: ReadyToSend{Request: f.Request, AttemptID: e.AttemptID}})
 	default:
-		p.endAttempt(e.Result)
+		f.endAttempt(e.Result)
 	}
 }
 
-func (p *RequestFlow) answerHead(e ResponseHeadRead) {
+func (f *RequestFlow) responseHead(e ResponseHeadRead) {
 	switch {
-	case !p.isCurrent(e.AttemptID):
+	case !f.isCurrent(e.AttemptID):
 	case e.EchoedAttemptID != e.AttemptID:
-		p.endAttempt(Failed)
+		f.endAttempt(Failed)
 	case e.Status == http.StatusTooManyRequests:
-		p.endAttempt(Refused)
+		f.endAttempt(Refused)
 	case e.Status != http.StatusOK:
-		p.endAttempt(Failed)
+		f.endAttempt(Failed)
 	}
 }
 
-func (p *RequestFlow) answerLine(e ResponseLineRead) {
-	if !p.isCurrent(e.AttemptID) {
+func (f *RequestFlow) responseLine(e ResponseLineRead) {
+	if !f.isCurrent(e.AttemptID) {
 		return
 	}
-	if p.chunks.Check(e.Line) != nil {
-		p.endAttempt(Failed)
+	if f.chunks.Check(e.Line) != nil {
+		f.endAttempt(Failed)
 		return
 	}
-	if !p.answered {
-		p.answered = true
-		p.emit(Action{Kind: NotifyRouter, Event: ResponseHead{Request: p.Request, AttemptID: e.AttemptID, InstanceID: e.Line.InstanceID}})
+	if !f.headReported {
+		f.headReported = true
+		f.emit(Action{Kind: NotifyRouter, Event: ResponseHead{Request: f.Request, AttemptID: e.AttemptID, InstanceID: e.Line.InstanceID}})
 	}
 	if e.Line.Chunk == nil && !e.Line.End {
 		return
 	}
-	if !p.answerBegan {
-		p.answerBegan = true
-		p.emit(Action{Kind: NotifyRouter, Event: ResponseStarted{Request: p.Request, AttemptID: e.AttemptID}})
+	if !f.responseStarted {
+		f.responseStarted = true
+		f.emit(Action{Kind: NotifyRouter, Event: ResponseStarted{Request: f.Request, AttemptID: e.AttemptID}})
 	}
-	l := e.Line
-	l.Request = p.Request
-	p.emit(Action{Kind: ForwardLine, Placement: p.placement, Line: l})
-	if p.chunks.Ended() {
-		p.endAttempt(Completed)
+	line := e.Line
+	line.Request = f.Request
+	f.emit(Action{Kind: ForwardLine, Placement: f.placement, Line: line})
+	if f.chunks.Ended() {
+		f.endAttempt(Completed)
 	}
 }
--- a/router/route.go
+++ b/router/route.go
@@ -12,12 +12,13 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// applyRoutes makes each route, at each priority that tenants have, a class of every service that it may go to.
-func (r *Router) applyRoutes(p *config.Snapshot, used map[scheduler.RequestClassID]bool) {
+// applyRoutes adds the routes of a configuration. Each route becomes a request class of each service in its traffic split, one for each priority
+// that its requests can have.
+func (r *Router) applyRoutes(snapshot *config.Snapshot, used map[scheduler.RequestClassID]bool) {
 	r.routesByHost = map[string][]*config.Route{}
-	tenants := tenantPriorities(p)
-	for i := range p.Config.Routes {
-		route := &p.Config.Routes[i]
+	tenants := tenantPriorities(snapshot)
+	for i := range snapshot.Config.Routes {
+		route := &snapshot.Config.Routes[i]
 		host := hostOnly(route.Host)
 		r.routesByHost[host] = append(r.routesByHost[host], route)
 		priorities := routePriorities(tenants, route)
@@ -27,8 +28,8 @@
 				continue
 			}
 			for _, priority := range priorities {
-				at := r.classRow(service, classKey{name: route.Name, route: true, priority: priority}, used)
-				r.scheduler.Services[service].Classes[at] = routeClass(route, priority)
+				class := r.classRow(service, classKey{name: route.Name, route: true, priority: priority}, used)
+				r.scheduler.Services[service].Classes[class] = routeClass(route, priority)
 			}
 		}
 	}
@@ -44,6 +45,7 @@
 	}
 }
 
+// orElse returns t if it is positive, otherwise other.
 func orElse(t, other time.Duration) time.Duration {
 	if t > 0 {
 		return t
@@ -51,12 +53,13 @@
 	return other
 }
 
-// classRow finds the row of a class, or takes one that nothing refers to any more.
+// classRow returns the index of a class within a service. For a new class it reuses the row of a removed class that no request uses any more,
+// or adds a row.
 func (r *Router) classRow(service int, key classKey, used map[scheduler.RequestClassID]bool) int {
 	known, row := r.classes[service], &r.scheduler.Services[service]
-	at, ok := known[key]
+	class, ok := known[key]
 	if ok {
-		return at
+		return class
 	}
 	for old, i := range known {
 		if row.Classes[i].Removed && !used[scheduler.RequestClassID{Service: service, Class: i}] {
@@ -70,7 +73,7 @@
 	return known[key]
 }
 
-// hostOnly cuts off the port.
+// hostOnly returns the host in lower case and without its port.
 func hostOnly(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -78,7 +81,7 @@
 	return strings.ToLower(host)
 }
 
-// matchRoute gives the host's route with the longest prefix of the path, or nil.
+// matchRoute returns the host's route with the longest prefix that matches the path, or nil.
 func (r *Router) matchRoute(host, path string) *config.Route {
 	for _, route := range r.routesByHost[hostOnly(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -88,7 +91,7 @@
 	return nil
 }
 
-// pickService splits requests over services by weight and the hash of their ids.
+// pickService chooses a service from the route's traffic split by weight. The choice depends only on the route's name and the request ID.
 func pickService(route *config.Route, request string) string {
 	total := 0.0
 	for _, part := range route.TrafficSplit {
--- a/router/route_test.go
+++ b/router/route_test.go
@@ -35,6 +35,7 @@
 	return router.Instance{ID: id, Service: service, Addr: "10.0.0.1:1", Zone: "a", Model: "m", Weights: "1", Capacity: 8}
 }
 
+// routed returns a router with a configuration and a platform list.
 func routed(p *config.Snapshot, rows ...router.Instance) *router.Router {
 	r := router.New(router.Defaults("n1", "b", "a"))
 	r.Step(0, router.ReplicaList{Instances: rows})
@@ -49,6 +50,7 @@
 	return r.Step(now, router.Arrival{Request: id, Host: "h.example:80", Path: path, Prefix: "ab:300,cd:100", PromptTokens: 500})
 }
 
+// one checks that there is exactly one decision, with the given verdict, and returns it.
 func one(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
 	t.Helper()
 	if len(ds) != 1 || ds[0].Verdict != v {
@@ -84,7 +86,7 @@
 		}
 	}
 	if big < 1740 || big > 1860 {
-		t.Errorf("%d of 2000 at a weight of 90 in 100", big)
+		t.Errorf("%d of 2000 requests went to the service with 90 %% of the weight", big)
 	}
 }
 
@@ -107,30 +109,30 @@
 	r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
 	at := convergeTime + 100*time.Millisecond
 	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.ConfirmedTokens != 400 {
-		t.Errorf("kept parts: %+v", d)
+		t.Errorf("cached prefix is not counted: %+v", d)
 	}
 	newer := row("i1", "a")
 	newer.Weights = "2"
 	r.Step(at, router.ReplicaList{Instances: []router.Instance{newer}})
 	if d = one(t, get(r, at, "q3", "/x"), router.Place); d.ConfirmedTokens+d.PredictedTokens != 0 {
-		t.Errorf("kept parts of other weights: %+v", d)
+		t.Errorf("prefix cached with other weights is counted: %+v", d)
 	}
 	r.Step(at, router.ReplicaList{Instances: []router.Instance{row("i0", "a")}, Age: time.Second})
 	if d = one(t, get(r, at, "q4", "/x"), router.Place); d.Instance != "i1" {
-		t.Errorf("an older roster came into force: %+v", d)
+		t.Errorf("an older list was applied: %+v", d)
 	}
 	leaving := newer
 	leaving.Draining = true
 	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, row("i2", "a")}})
 	for i := range 4 {
 		if d = one(t, get(r, at, fmt.Sprint("l", i), "/x"), router.Place); d.Instance != "i2" {
-			t.Errorf("placed on one that is leaving: %+v", d)
+			t.Errorf("placed on a draining instance: %+v", d)
 		}
 	}
 	r.Step(at, router.WrongInstance{Replica: "i2"})
 	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, row("i2", "a")}})
 	if ds := get(r, at, "q5", "/x"); len(ds) != 0 {
-		t.Errorf("placed where another instance answers: %+v", ds)
+		t.Errorf("placed at an address where another instance responds: %+v", ds)
 	}
 	d = one(t, r.Step(at, router.ReplicaList{Instances: []router.Instance{row("i3", "a")}}), router.Place)
 	if d.Instance != "i3" || d.Request != "q5" {
@@ -163,7 +165,7 @@
 		r.Step(convergeTime, router.AttemptEnded{Request: name, AttemptID: d.AttemptID, Result: router.Completed})
 	}
 	if r.Kinds() > 3 {
-		t.Errorf("%d kinds for one route", r.Kinds())
+		t.Errorf("%d classes for one route", r.Kinds())
 	}
 }
 
@@ -172,7 +174,7 @@
 	p.EvacuatedZones = []string{"a"}
 	r := routed(p, row("i", "a"))
 	if ds := get(r, convergeTime, "q0", "/x"); len(ds) > 0 {
-		t.Fatalf("placed in an emptied domain: %+v", ds)
+		t.Fatalf("placed in an evacuated zone: %+v", ds)
 	}
 	n := 0
 	for i, d := range r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(2, route("k", "/", all("a")))}) {
@@ -183,11 +185,11 @@
 		n += len(get(r, convergeTime, fmt.Sprint("q1", i), "/x"))
 	}
 	if n != 1 {
-		t.Errorf("%d starts at once on a replica that may be cold", n)
+		t.Errorf("%d requests placed at once on a replica that may need to warm up, not 1", n)
 	}
 }
 
-// One router's 421 is enough for all: the instance that was named is gone.
+// TestReplacedInstanceIsKnownToAllRouters checks that when one router gets a 421 (another instance responded), all routers stop using the instance.
 func TestReplacedInstanceIsKnownToAllRouters(t *testing.T) {
 	p := routes(1, route("r", "/", all("a")))
 	rows := []router.Instance{row("i1", "a"), row("i2", "a")}
--- a/router/router.go
+++ b/router/router.go
@@ -8,94 +8,98 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// Config holds what a router is told at its start.
+// Config is the configuration of a Router.
 type Config struct {
-	// Self is the router's name, unique in the fleet; Boot is new at each start, so that attempt ids never return; Zone is where it runs.
+	// Self is the router's name, which is unique in the fleet, and Zone the zone that it runs in. BootID is new at each start, so that attempt
+	// IDs are never used again.
 	Self      string
 	BootID    string
 	Zone      string
 	Scheduler scheduler.Config
-	// SentRequestTTL and RememberSentMax bound the memory of requests that were sent, in time and number.
+	// SentRequestTTL is how long a request that was sent is remembered, MaxSentRequests how many are at most.
 	SentRequestTTL  time.Duration
 	MaxSentRequests int
 }
 
-// Defaults are the constants that production nodes use.
+// Defaults returns the configuration that production nodes use.
 func Defaults(self, boot, zone string) Config {
 	return Config{
 		Self: self, BootID: boot, Zone: zone, Scheduler: scheduler.Defaults(self, zone), SentRequestTTL: 10 * time.Minute, MaxSentRequests: 100000,
 	}
 }
 
-// replicaEntry is what the router knows of a replica beside the scheduler's row of the same index.
+// replicaEntry contains the router's own data on a replica. The scheduler's row has the same index.
 type replicaEntry struct {
 	name, addr, instance string
-	// platformState is what operators said of it.
-	platformState ListingState
+	// operatorState is the state that operators set.
+	operatorState ListingState
 
-	// discovered: it came from the platform's list, where it was listedAs; removedSince is when the list left it out, else 0.
+	// discovered is set if the replica came from the platform's list, whose last entry for it was listedAs. removedSince is when it was first
+	// missing from the list, 0 if it is listed.
 	discovered   bool
 	listedAs     Instance
 	removedSince time.Duration
 }
 
-// liveRequest is a request that the scheduler has not ended; route is nil for the product's own interface.
+// liveRequest is a request that the scheduler has not ended. route is nil if it is of the product's own interface.
 type liveRequest struct {
 	request string
 	route   *config.Route
-	// tenant is nil where the request has no tenant's key.
+	// tenant is nil if the request has no tenant's key.
 	tenant *config.Tenant
-	// cost is what each attempt costs of its tenant's quota, grant what it was granted.
+	// cost is what each attempt costs of the tenant's quota, grant the last grant for an attempt.
 	cost  float64
 	grant quotaGrant
 }
 
-// classKey names a class of a service: a kind of the document, or a route at one priority.
+// classKey identifies a request class of a service: a class of the configuration document, or a route at one priority.
 type classKey struct {
 	name     string
 	route    bool
 	priority int
 }
 
-// Router is the routing state machine of one node or embedding program. It turns events into calls of the scheduler and the
-// scheduler's actions into decisions, by name instead of index. It does no I/O and is not safe for concurrent use; a Loop owns it. All
-// times are on the caller's clock, since its start.
+// Router is the routing state machine of one node or embedding program. It converts events to calls of the scheduler, and the scheduler's
+// actions, which use indexes, to decisions, which use names. It does no I/O and is not safe for concurrent use; a Loop owns it. All times are
+// on the caller's clock and count from its start.
 type Router struct {
 	cfg       Config
 	scheduler *scheduler.Scheduler
 	snapshot  *config.Snapshot
 
-	// services and replicaIDs give the scheduler's index by name, classes that of a class within a service.
+	// services and replicaIDs contain the scheduler's indexes by name. classes contains, by the index of a service, the indexes of its classes.
 	services   map[string]int
 	classes    []map[classKey]int
 	replicaIDs map[string]int
 	replicas   []replicaEntry
-	// requestIDs gives the scheduler's id by the client's, requests the other way.
+	// requestIDs contains the scheduler's IDs of live requests by the client's; requests is keyed by the scheduler's.
 	requestIDs map[string]int
 	requests   map[int]liveRequest
-	// routesByHost has the longest path prefix first.
+	// routesByHost contains the routes of each host, with the longest path prefix first.
 	routesByHost map[string][]*config.Route
 	tenantsByKey map[config.KeyHash]*config.Tenant
 	quotas       quotaGate
 
+	// replicaList is the platform's latest list, which was read at listReadAt.
 	replicaList ReplicaList
 	listReadAt  time.Duration
 	listKnown   bool
 
-	alreadyRan    *sentRequests
+	alreadyRan *sentRequests
+	// attemptPrefix is the prefix of all attempt IDs of this router.
 	attemptPrefix string
 }
 
-// New gives a router that rejects all requests until it has a snapshot and a ControlStatus.
+// New returns a router that rejects all requests until it has received a snapshot and a ControlStatus.
 func New(cfg Config) *Router {
 	return &Router{
 		cfg: cfg, scheduler: scheduler.New(cfg.Scheduler), services: map[string]int{}, replicaIDs: map[string]int{},
-		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newRequestMemory(cfg.SentRequestTTL, cfg.MaxSentRequests),
+		requestIDs: map[string]int{}, requests: map[int]liveRequest{}, alreadyRan: newSentRequests(cfg.SentRequestTTL, cfg.MaxSentRequests),
 		attemptPrefix: cfg.Self + "." + cfg.BootID + ".", quotas: newQuotaGate(),
 	}
 }
 
-// Version is the version of the snapshot in force, 0 before the first.
+// Version returns the version of the snapshot in force, or 0 before the first one.
 func (r *Router) Version() uint64 {
 	if r.snapshot == nil {
 		return 0
@@ -103,21 +107,22 @@
 	return r.snapshot.Version
 }
 
-// Counters are the scheduler's.
+// Counters returns the scheduler's counters.
 func (r *Router) Counters() scheduler.Counters { return r.scheduler.Counters }
 
-// IndexStats gives the prefix index's counters and how long a prediction is trusted now.
+// IndexStats returns the prefix index's counters and how long a prediction is currently trusted.
 func (r *Router) IndexStats() (prefixindex.Counters, time.Duration) {
 	return r.scheduler.Index.Counters, r.scheduler.Index.TTL()
 }
 
-// Alerts tells whether too many predictions expired early or stale lately.
+// Alerts reports whether, recently, too many predictions of the prefix index were confirmed only after they had expired (early), or were never
+// confirmed (stale).
 func (r *Router) Alerts() (early, stale bool) { return r.scheduler.Index.Alerts() }
 
-// NotServing tells why nothing may be served now, or "".
+// NotServing returns the reason why no requests may be served now, or "" if they may.
 func (r *Router) NotServing(now time.Duration) string { return r.scheduler.NotServingReason(now) }
 
-// NotReady tells why requests should be sent elsewhere, or "".
+// NotReady returns the reason why requests should be sent to another node, or "" if there is none.
 func (r *Router) NotReady(now time.Duration) string {
 	if why := r.scheduler.NotServingReason(now); why != "" {
 		return why
@@ -125,7 +130,7 @@
 	return r.scheduler.NoCapacityReason(now)
 }
 
-// TrustedInstance names the instance that the replica is held to be, or "" while it is down or may have restarted.
+// TrustedInstance returns the instance that is known to run at the replica, or "" while the replica is down, unknown or may have restarted.
 func (r *Router) TrustedInstance(replica string) string {
 	id, ok := r.replicaIDs[replica]
 	if !ok || !r.scheduler.Replicas[id].Up || r.scheduler.Replicas[id].RestartSuspectedAt > 0 {
@@ -134,17 +139,18 @@
 	return r.replicas[id].instance
 }
 
-// NextTick is when the router needs the time again without an event, if ever.
+// NextTick returns when the router must be stepped next if no event arrives before, and whether there is such a time.
 func (r *Router) NextTick(now time.Duration) (time.Duration, bool) { return r.scheduler.NextTick(now) }
 
-// ActiveRequests counts requests that are not ended.
+// ActiveRequests returns the number of requests that have not ended.
 func (r *Router) ActiveRequests() int { return len(r.requestIDs) }
 
-// UnsentRequests counts requests whose current attempt has not been sent; a node that stops waits for these.
+// UnsentRequests returns the number of requests whose current attempt has not been sent. A node that stops waits for these.
 func (r *Router) UnsentRequests() int { return r.scheduler.Unsent() }
 
-// DisableIndex has the prefix index find nothing from now on, for comparisons.
+// DisableIndex makes the prefix index find nothing from now on, for comparisons with and without it.
 func (r *Router) DisableIndex() { r.scheduler.Index.Disabled = true }
 
-// EnableRoundRobin places requests in turn wherever there is room, for comparisons.
+// EnableRoundRobin makes the scheduler place requests on replicas with free capacity in turn, for comparisons with its normal
+// placement.
 func (r *Router) EnableRoundRobin() { r.scheduler.EnableRoundRobin() }
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// maxStaleCap is the longest that a predicted holding may be trusted, whatever the services say.
-	maxStaleCap = 2 * time.Second
-	// routedBase and routedPerToken estimate the time to the first token where the document does not.
-	routedBase     = 30 * time.Millisecond
-	routedPerToken = 10 * time.Microsecond
+	// maxPredictionTTL is the longest time that a predicted cache entry may be trusted, regardless of the services' settings.
+	maxPredictionTTL = 2 * time.Second
+	// defaultBase and defaultPerToken are the fixed part and the part per prompt token of the estimated time to the first token, for services
+	// whose settings don't contain them.
+	defaultBase     = 30 * time.Millisecond
+	defaultPerToken = 10 * time.Microsecond
 )
 
-// applySnapshot puts a configuration into force, unless the one in force is as new. Rows of services and replicas that it leaves out
-// stay, unlisted, for the requests that run there.
-func (r *Router) applySnapshot(now time.Duration, p *config.Snapshot) {
-	if p == nil || (r.snapshot != nil && p.Version <= r.snapshot.Version) {
+// applySnapshot puts a configuration into force if it is newer than the current one. The rows of services and replicas that it does not contain
+// remain, marked as not listed, because requests may still be running there.
+func (r *Router) applySnapshot(now time.Duration, snapshot *config.Snapshot) {
+	if snapshot == nil || (r.snapshot != nil && snapshot.Version <= r.snapshot.Version) {
 		return
 	}
-	r.snapshot = p
+	r.snapshot = snapshot
 	r.unlistAll()
 	r.services = map[string]int{}
-	staleCap := maxStaleCap
+	predictionTTL := maxPredictionTTL
 	used := r.scheduler.ClassesInUse()
-	for _, o := range p.Config.Services {
-		r.services[o.Name] = r.applyService(now, o, used)
-		if o.StaleCap > 0 {
-			staleCap = min(staleCap, o.StaleCap)
+	for _, service := range snapshot.Config.Services {
+		r.services[service.Name] = r.applyService(now, service, used)
+		if service.StaleCap > 0 {
+			predictionTTL = min(predictionTTL, service.StaleCap)
 		}
 	}
-	r.applyTenants(p)
-	r.applyRoutes(p, used)
+	r.applyTenants(snapshot)
+	r.applyRoutes(snapshot, used)
 	r.applyList(now)
-	r.scheduler.Index.SetMaxTTL(staleCap)
+	r.scheduler.Index.SetMaxTTL(predictionTTL)
 	r.scheduler.Recompute(now)
 }
 
+// unlistAll marks all replicas as not listed and all classes as removed.
 func (r *Router) unlistAll() {
 	for i := range r.scheduler.Replicas {
 		r.scheduler.Replicas[i].Listed = false
@@ -46,13 +48,13 @@
 	for i := range r.scheduler.Services {
 		row := &r.scheduler.Services[i]
 		row.Replicas = row.Replicas[:0]
-		for k := range row.Classes {
-			row.Classes[k].Removed = true
+		for class := range row.Classes {
+			row.Classes[class].Removed = true
 		}
 	}
 }
 
-// serviceRow finds the row of a service, or adds one.
+// serviceRow returns the index of a service's row, and adds a row for a new service.
 func (r *Router) serviceRow(name string) int {
 	for i := range r.scheduler.Services {
 		if r.scheduler.Services[i].Name == name {
@@ -63,30 +65,32 @@
 	return r.scheduler.AddService(scheduler.Service{Name: name})
 }
 
-func (r *Router) applyService(now time.Duration, o config.Service, used map[scheduler.RequestClassID]bool) int {
-	id := r.serviceRow(o.Name)
+// applyService applies the settings, classes and replicas of a service and returns its index.
+func (r *Router) applyService(now time.Duration, service config.Service, used map[scheduler.RequestClassID]bool) int {
+	id := r.serviceRow(service.Name)
 	row := &r.scheduler.Services[id]
-	row.WarmupCapacity, row.SlowStart, row.WarmupRate = o.WarmupCapacity, o.SlowStart, o.WarmupRate
-	row.BaseLatency, row.LatencyPerToken = o.Base, o.PerToken
-	row.CrossZoneCost, row.RetryRatio, row.RetryAllowance = o.CrossCost, o.RetryRatio, o.RetryExtra
-	row.Queues, row.MaxConns = o.Queues, o.MaxConns
-	if o.Stride > 0 || o.Discovered {
-		row.BaseLatency, row.LatencyPerToken = orElse(o.Base, routedBase), orElse(o.PerToken, routedPerToken)
+	row.WarmupCapacity, row.SlowStart, row.WarmupRate = service.WarmupCapacity, service.SlowStart, service.WarmupRate
+	row.BaseLatency, row.LatencyPerToken = service.Base, service.PerToken
+	row.CrossZoneCost, row.RetryRatio, row.RetryAllowance = service.CrossCost, service.RetryRatio, service.RetryExtra
+	row.Queues, row.MaxConns = service.Queues, service.MaxConns
+	if service.Stride > 0 || service.Discovered {
+		row.BaseLatency, row.LatencyPerToken = orElse(service.Base, defaultBase), orElse(service.PerToken, defaultPerToken)
 	}
-	row.SetBatching(o.Stride > 0)
+	row.SetBatching(service.Stride > 0)
 	row.SplitRoles = false
-	for _, k := range o.Classes {
-		at := r.classRow(id, classKey{name: k.Name}, used)
-		row.Classes[at] = scheduler.RequestClass{Value: k.Value, Urgency: k.Urgency, FirstTokenTarget: k.FirstToken, Idempotent: k.Repeatable}
+	for _, k := range service.Classes {
+		class := r.classRow(id, classKey{name: k.Name}, used)
+		row.Classes[class] = scheduler.RequestClass{Value: k.Value, Urgency: k.Urgency, FirstTokenTarget: k.FirstToken, Idempotent: k.Repeatable}
 	}
-	for _, c := range o.Replicas {
+	for _, c := range service.Replicas {
 		row.SplitRoles = row.SplitRoles || c.Role == "prefill"
-		row.Replicas = append(row.Replicas, r.applyReplica(now, id, o.KeepTokens, c))
+		row.Replicas = append(row.Replicas, r.applyReplica(now, id, service.KeepTokens, c))
 	}
 	return id
 }
 
-// applyReplica lists a replica of the document. Another address means another replica, of which nothing is known.
+// applyReplica applies a replica of the configuration document. If its address changed, it is a different replica: its instance is unknown and
+// it has nothing cached.
 func (r *Router) applyReplica(now time.Duration, service, keepTokens int, c config.Replica) int {
 	id, ok := r.replicaIDs[c.Name]
 	if !ok {
--- a/router/snapshot_test.go
+++ b/router/snapshot_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// manyRoutes are 2,500, of which one differs by the mark.
+// manyRoutes returns a configuration of 2,500 routes, one of which depends on the version.
 func manyRoutes(version uint64) *config.Snapshot {
 	p := &config.Snapshot{Version: version}
 	for i := range 20 {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// A change of one route among 2,500, as the router takes it.
+// BenchmarkSnapshotOfManyRoutes measures how long a router takes to apply a snapshot in which one of 2,500 routes changed.
 func BenchmarkSnapshotOfManyRoutes(b *testing.B) {
 	r := New(Defaults("n", "b", "z"))
 	a, c := manyRoutes(1), manyRoutes(2)
--- a/router/step.go
+++ b/router/step.go
@@ -7,11 +7,11 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// Step takes the time and one event and gives the decisions that follow from both, in order.
+// Step advances the time, applies one event and returns the resulting decisions in order.
 func (r *Router) Step(now time.Duration, ev Event) []Decision {
 	switch e := ev.(type) {
 	case Arrival:
-		if d, answered := r.arrive(now, e); answered {
+		if d, decided := r.arrive(now, e); decided {
 			return []Decision{d}
 		}
 	case ReadyToSend:
@@ -26,18 +26,18 @@
 			defer r.forget(id)
 		}
 	default:
-		r.takeRequestEvent(now, ev)
-		r.takeFleetEvent(now, ev)
+		r.handleRequestEvent(now, ev)
+		r.handleFleetEvent(now, ev)
 	}
 	r.expireQuotaWaits(now)
-	return r.decisions(now, r.scheduler.Tick(now))
+	return r.toDecisions(now, r.scheduler.Tick(now))
 }
 
-// takeRequestEvent passes on what became of an attempt.
-func (r *Router) takeRequestEvent(now time.Duration, ev Event) {
+// handleRequestEvent applies an event about an attempt or a request.
+func (r *Router) handleRequestEvent(now time.Duration, ev Event) {
 	switch e := ev.(type) {
 	case ResponseHead:
-		r.answerHead(now, e)
+		r.responseHead(now, e)
 	case ResponseStarted:
 		r.withAttempt(e.Request, e.AttemptID, func(id int, attempt uint64) { r.scheduler.StreamStarted(id, attempt) })
 	case AttemptEnded:
@@ -49,8 +49,8 @@
 	}
 }
 
-// takeFleetEvent follows the configuration, the control side and the replicas.
-func (r *Router) takeFleetEvent(now time.Duration, ev Event) {
+// handleFleetEvent applies an event about the configuration, the control plane, the routers or the replicas.
+func (r *Router) handleFleetEvent(now time.Duration, ev Event) {
 	switch e := ev.(type) {
 	case SnapshotUpdate:
 		r.applySnapshot(now, e.Snapshot)
@@ -65,16 +65,16 @@
 	case ReplicaList:
 		r.acceptList(now, e)
 	default:
-		r.takeReplicaReport(now, ev)
+		r.handleReplicaEvent(now, ev)
 	}
 }
 
-var ends = map[AttemptResult]scheduler.AttemptResult{
+var attemptResults = map[AttemptResult]scheduler.AttemptResult{
 	Completed: scheduler.Completed, Refused: scheduler.Refused, Failed: scheduler.Failed, NotSent: scheduler.NotSent,
 	Suppressed: scheduler.Suppressed, NoWitnessQuorum: scheduler.NoWitnessQuorum,
 }
 
-// setSelf takes the daemon's name and zone. The prefix of attempt ids stays this program's own.
+// setSelf sets the name and zone of the daemon that this router follows. The prefix of attempt IDs does not change.
 func (r *Router) setSelf(now time.Duration, e Welcome) {
 	r.cfg.Self, r.cfg.Zone = e.Self, e.Zone
 	for i := range r.scheduler.Replicas {
@@ -83,6 +83,7 @@
 	r.scheduler.SetSelf(now, e.Self, e.Zone)
 }
 
+// byZone returns the routers with their zones. Routers without a zone count to the given one.
 func (e Routers) byZone(zone string) []scheduler.RouterZone {
 	var routers []scheduler.RouterZone
 	for i, name := range e.Names {
@@ -95,7 +96,7 @@
 	return routers
 }
 
-// withAttempt calls act with the scheduler's ids of a request and an attempt, unless they are not this router's.
+// withAttempt calls act with the scheduler's IDs of a request and an attempt. It returns false if either is not this router's.
 func (r *Router) withAttempt(request, attemptID string, act func(id int, attempt uint64)) bool {
 	id, ok := r.requestIDs[request]
 	if !ok {
@@ -113,6 +114,7 @@
 	return r.attemptPrefix + strconv.FormatUint(attempt, 36)
 }
 
+// attemptNumber returns the scheduler's ID in an attempt ID, and false if the attempt is not this router's.
 func (r *Router) attemptNumber(id string) (uint64, bool) {
 	prefix := r.attemptPrefix
 	if len(id) <= len(prefix) || id[:len(prefix)] != prefix {
@@ -122,7 +124,8 @@
 	return attempt, err == nil
 }
 
-func (r *Router) answerHead(now time.Duration, e ResponseHead) {
+// responseHead handles the head of a response. It shows which instance runs at the replica, unless the platform's list says so.
+func (r *Router) responseHead(now time.Duration, e ResponseHead) {
 	id, ok := r.requestIDs[e.Request]
 	if !ok {
 		return
--- a/router/tenants.go
+++ b/router/tenants.go
@@ -4,12 +4,12 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// applyTenants follows the tenants of a configuration. Requests that were let in with a key that is gone since run on.
-func (r *Router) applyTenants(p *config.Snapshot) {
+// applyTenants applies the tenants of a configuration. Requests that were accepted with a key that has since been removed continue.
+func (r *Router) applyTenants(snapshot *config.Snapshot) {
 	r.tenantsByKey = map[config.KeyHash]*config.Tenant{}
 	limited := map[string]bool{}
-	for i := range p.Config.Tenants {
-		tenant := &p.Config.Tenants[i]
+	for i := range snapshot.Config.Tenants {
+		tenant := &snapshot.Config.Tenants[i]
 		for _, key := range tenant.Keys {
 			r.tenantsByKey[key] = tenant
 		}
@@ -18,7 +18,8 @@
 	r.quotas.limited = limited
 }
 
-// authorize gives the tenant of a request, nil where it needs none, and whether the route takes the request.
+// authorize returns the tenant whose key the request has, nil if there is none, and whether the route accepts the request. A request without
+// a tenant is accepted if the route is public or the configuration has no tenants.
 func (r *Router) authorize(e *Arrival, route *config.Route) (*config.Tenant, bool) {
 	var tenant *config.Tenant
 	if e.HasKey {
@@ -27,12 +28,12 @@
 	return tenant, tenant != nil || route.Public || len(r.snapshot.Config.Tenants) == 0
 }
 
-// tenantPriorities are the distinct priorities that tenants have of their own.
-func tenantPriorities(p *config.Snapshot) []int {
+// tenantPriorities returns the distinct priorities that are set for tenants.
+func tenantPriorities(snapshot *config.Snapshot) []int {
 	var distinct []int
 	seen := map[int]bool{}
-	for i := range p.Config.Tenants {
-		tenant := &p.Config.Tenants[i]
+	for i := range snapshot.Config.Tenants {
+		tenant := &snapshot.Config.Tenants[i]
 		if tenant.Prioritized && !seen[tenant.Priority] {
 			seen[tenant.Priority] = true
 			distinct = append(distinct, tenant.Priority)
@@ -41,7 +42,7 @@
 	return distinct
 }
 
-// routePriorities are all that requests on a route may have.
+// routePriorities returns all priorities that requests on a route can have: the route's own and those of tenants.
 func routePriorities(tenants []int, route *config.Route) []int {
 	all := []int{route.Priority}
 	for _, priority := range tenants {
--- a/router/tenants_test.go
+++ b/router/tenants_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// keyed asks on a path with a key, or without one.
+// keyed submits a request for a path, with a key unless it is empty.
 func keyed(r *router.Router, id, path, key string) []router.Decision {
 	r.Step(convergeTime, router.ControlStatus{})
 	a := router.Arrival{Request: id, Host: "h.example", Path: path, PromptTokens: 500}
@@ -36,7 +36,8 @@
 	return one
 }
 
-// TestKeysOfTenants: a route takes requests of known keys only, a public one anybody's; a key's tenant is told either way.
+// TestKeysOfTenants checks that a route accepts only requests with a known key, that a public one accepts all, and that the decision names the
+// key's tenant in both cases.
 func TestKeysOfTenants(t *testing.T) {
 	first := tenant("first", "k1", "k2")
 	first.Priority, first.Prioritized = 0, true
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestKeysChangeWithTheConfiguration: keys come and go with versions; without any tenant no key is asked for.
+// TestKeysChangeWithTheConfiguration checks that the valid keys are those of the newest version, and that a configuration without tenants
+// requires none.
 func TestKeysChangeWithTheConfiguration(t *testing.T) {
 	r := routed(tenants(1, tenant("first", "k1")), row("i1", "a"))
 	one(t, keyed(r, "q1", "/a/x", "k2"), router.Reject)
@@ -82,7 +84,7 @@
 	}
 }
 
-// TestUrgentTenantGoesFirst lets two tenants wait for one place: the later one of the more urgent tenant gets it.
+// TestUrgentTenantGoesFirst lets requests of two tenants wait for one free slot. The later request, of the more urgent tenant, must get it.
 func TestUrgentTenantGoesFirst(t *testing.T) {
 	urgent, other := tenant("urgent", "k1"), tenant("other", "k2")
 	urgent.Priority, urgent.Prioritized = 0, true
