--- a/membership/faults_test.go
+++ b/membership/faults_test.go
@@ -11,9 +11,9 @@
 	return slices.ContainsFunc(f.names, func(of string) bool { return of != by && f.state(by, of) == s })
 }
 
-// TestThawedMemberSuspectsNobody freezes a member for longer than PauseGap and less than IsolatedAfter. Answers to its pings are lost meanwhile,
+// TestResumedMemberSuspectsNobody freezes a member for longer than PauseGap and less than IsolatedAfter. Answers to its pings are lost meanwhile,
 // for which it must not suspect the other members.
-func TestThawedMemberSuspectsNobody(t *testing.T) {
+func TestResumedMemberSuspectsNobody(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := newFleet(Defaults(), seed, 0)
 		f.run(3*time.Second + time.Duration(seed)*fleetTick)
