--- a/router/arrive.go
+++ b/router/arrive.go
@@ -23,7 +23,7 @@
 	return r.arriveDirect(now, e)
 }
 
-// arriveDirect handles a request of the product's own interface, which names a service and a class.
+// arriveDirect handles a request of the product's own interface, which names a service and a request class.
 func (r *Router) arriveDirect(now time.Duration, e Arrival) (Decision, bool) {
 	service, ok := r.services[e.Service]
 	if !ok {
@@ -37,11 +37,11 @@
 	if !row.Classes[class].Idempotent && r.alreadyRan.has(now, e.Request) {
 		return e.rejected(scheduler.AlreadyRan, true), true
 	}
-	parts, err := prefixindex.Parse(r.model(e.Service), e.Prefix)
+	blocks, err := prefixindex.Parse(r.model(e.Service), e.Prefix)
 	if err != nil {
 		return e.invalid(err.Error()), true
 	}
-	r.schedule(now, e, scheduler.Request{Service: service, Class: class, PrefixBlocks: parts}, liveRequest{})
+	r.schedule(now, e, scheduler.Request{Service: service, Class: class, PrefixBlocks: blocks}, liveRequest{})
 	var d Decision
 	return d, false
 }
@@ -68,12 +68,12 @@
 	if model == "" {
 		model = r.model(name)
 	}
-	parts, err := prefixindex.Parse(model, e.Prefix)
+	blocks, err := prefixindex.Parse(model, e.Prefix)
 	if err != nil {
-		parts = nil
+		blocks = nil
 	}
 	class := r.classes[service][classKey{name: route.Name, route: true, priority: tenant.PriorityOf(route)}]
-	r.schedule(now, e, scheduler.Request{Service: service, Class: class, PrefixBlocks: parts}, liveRequest{route: route, tenant: tenant, cost: costOf(tenant, &e)})
+	r.schedule(now, e, scheduler.Request{Service: service, Class: class, PrefixBlocks: blocks}, liveRequest{route: route, tenant: tenant, cost: costOf(tenant, &e)})
 	var d Decision
 	return d, false
 }
@@ -87,10 +87,12 @@
 	r.requests[id] = live
 }
 
+// rejected returns a rejection of a request that was not run, or that is a repeat of one that was.
 func (e Arrival) rejected(reason string, repeat bool) Decision {
 	return Decision{Verdict: Reject, Request: e.Request, Reason: reason, RetryAfter: time.Second, Repeat: repeat}
 }
 
+// invalid returns a rejection of a request that cannot be served because of what it asks for.
 func (e Arrival) invalid(reason string) Decision {
 	return Decision{Verdict: Reject, Request: e.Request, Reason: reason, Invalid: true}
 }
@@ -99,16 +101,16 @@
 	return Decision{Verdict: Reject, Request: e.Request, Reason: "no tenant has the key", Unauthorized: true}
 }
 
-func (e Arrival) overQuota(after time.Duration) Decision {
-	return Decision{Verdict: Reject, Request: e.Request, Reason: reasonOverQuota, RetryAfter: after, OverQuota: true}
+func (e Arrival) overQuota(retryAfter time.Duration) Decision {
+	return Decision{Verdict: Reject, Request: e.Request, Reason: reasonOverQuota, RetryAfter: retryAfter, OverQuota: true}
 }
 
 // tailTokens returns the number of prompt tokens that follow the prefix.
-func (e Arrival) tailTokens(parts []prefixindex.Block) int {
+func (e Arrival) tailTokens(blocks []prefixindex.Block) int {
 	if e.PromptTokens == 0 {
 		return e.TailTokens
 	}
-	return max(e.PromptTokens-prefixindex.Tokens(parts), 0)
+	return max(e.PromptTokens-prefixindex.Tokens(blocks), 0)
 }
 
 // AlreadyRan returns why a repeated request must not be rejected as not run: it is running here, or it was sent before and is not idempotent.
--- a/router/decision.go
+++ b/router/decision.go
@@ -72,7 +72,7 @@
 	Route *config.Route `json:"-"`
 	// Tenant is the name of the tenant whose key the request has, empty if there is none.
 	Tenant string `json:"tenant,omitempty"`
-	// UnreadTokens is the number of prompt tokens that the replica is expected to process, if it batches requests and other routers should
+	// UnreadTokens is the number of uncached prompt tokens that the replica is expected to process, if it batches requests and other routers should
 	// know; otherwise 0.
 	UnreadTokens int `json:"unread,omitempty"`
 	// Priority is the priority of the request at the replica; 0 is the most urgent.
--- a/router/events.go
+++ b/router/events.go
@@ -71,8 +71,10 @@
 	ID, Service, Addr, Zone string
 	Model                   string
 	// Weights is the revision of the model's weights. Prefixes that were cached with one revision are useless with another.
-	Weights  string
+	Weights string
+	// Capacity is the number of requests that the instance can run at once.
 	Capacity int
+	// Draining is set if the platform is about to remove the instance; it gets no new requests.
 	Draining bool
 	// WarmUpRemaining is how much longer the instance counts as warming up, from when the list was read.
 	WarmUpRemaining time.Duration
@@ -84,7 +86,7 @@
 	Age       time.Duration
 }
 
-// ReplicaLoad is the load that a replica reported in a response.
+// ReplicaLoad is the load that a replica reported in a response: the numbers of its running and queued requests and of its slots.
 type ReplicaLoad struct {
 	Replica                string
 	Running, Queued, Slots int
@@ -106,7 +108,8 @@
 	Replica    string `json:"replica"`
 	InstanceID string `json:"instanceId"`
 	// Running is the number of requests at the replica, from all routers.
-	Running int  `json:"running"`
+	Running int `json:"running"`
+	// Leaving is set if the replica reports that it is draining, Down if the health check failed.
 	Leaving bool `json:"leaving"`
 	Down    bool `json:"down"`
 	// Own is set if this node did the health check itself.
@@ -154,8 +157,8 @@
 	Rows []Failure
 }
 
-// Failure is the count for one replica, in which a request without any response counts as one half. Gone is set if another instance responded at
-// the replica's address.
+// Failure is the number N of failed requests at one replica, in which a request without any response counts as one half. Gone is set if another
+// instance responded at the replica's address.
 type Failure struct {
 	Replica string
 	N       float64
--- a/router/loop.go
+++ b/router/loop.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// discard closes the message's channels, so that its sender does not wait for ever.
+// discard closes the message's channels, so that its sender does not wait forever.
 func (m loopMessage) discard() {
 	if m.decisions != nil {
 		close(m.decisions)
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestSubmitEndsAfterTheLoopEnded checks that a request which is submitted while the loop ends, or after, does not wait for ever for decisions.
+// TestSubmitEndsAfterTheLoopEnded checks that a request which is submitted while the loop ends, or after, does not wait forever for decisions.
 func TestSubmitEndsAfterTheLoopEnded(t *testing.T) {
 	for range 50 {
 		tb := &tomb.Tomb{}
--- a/router/replicalist.go
+++ b/router/replicalist.go
@@ -59,7 +59,7 @@
 	return discovered
 }
 
-// markRemoved marks an instance as down that is no longer on the list, and drops what the index knows of its cache.
+// markRemoved marks an instance as down if it is no longer on the list, and drops its entries in the prefix index.
 func (r *Router) markRemoved(now time.Duration, id int) {
 	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
 	if !entry.discovered || row.Listed || entry.removedSince > 0 {
--- a/router/reports.go
+++ b/router/reports.go
@@ -87,8 +87,8 @@
 	r.scheduler.ReportLoad(now-e.Lag, id, e.Running)
 }
 
-// setInstance records which instance runs at a replica. A new instance is warming up and has nothing cached, except for the prompt of the
-// spared attempt, which the new instance is processing.
+// setInstance records which instance runs at a replica. A new instance begins slow start and has nothing cached, except for the prompt
+// of the spared attempt, to which it responded.
 func (r *Router) setInstance(now time.Duration, id int, instance string, age time.Duration, spared uint64) {
 	entry := &r.replicas[id]
 	if entry.instance == instance {
