--- a/storage/crash_test.go
+++ b/storage/crash_test.go
@@ -9,165 +9,174 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-// A crashRun tells what must be read back: all that was acknowledged, and all that Open showed before a write that succeeded.
+// crashRun lists the entries that must and may be on the disk after an incarnation.
 type crashRun struct {
-	known []string
-	// tried is what was being written when the life ended, or shown before the first write: a beginning of it is there.
-	tried []string
+	// acknowledged are the entries that must be read: those that were acknowledged, and those that Open returned before a successful write.
+	acknowledged []string
+	// unconfirmed are the entries whose write was not acknowledged, or that Open returned before the first write. Any prefix of them may
+	// be read after the acknowledged entries.
+	unconfirmed []string
 }
 
 const (
+	// crashLogBytes is the log size from which on the store rotates.
 	crashLogBytes = 60
-	recoverTries  = 8
+	// recoverTries is how often a failed write is followed by Recover before the incarnation gives up.
+	recoverTries = 8
 )
 
-// live opens the disk and works on it until it stops; failures are recovered from once.
-func live(d *crashDisk, before crashRun, from, rounds int) (crashRun, error) {
-	l := before
-	v, contents, err := storage.Open(d, crashLogBytes)
+// runOnce runs one incarnation: it opens the disk, appends one entry a round, numbered from firstEntry on, and rotates, until all rounds are
+// done or the machine stops. It calls Recover after a failed write.
+func runOnce(d *crashDisk, before crashRun, firstEntry, rounds int) (crashRun, error) {
+	run := before
+	store, contents, err := storage.Open(d, crashLogBytes)
 	if err != nil {
-		if d.dead || (d.failAt >= 0 && d.ops > d.failAt) {
-			return l, nil
+		if d.stopped || (d.failAt >= 0 && d.ops > d.failAt) {
+			return run, nil
 		}
-		return l, err
+		return run, err
 	}
-	state := strings.Fields(string(contents.Snapshot))
-	for _, e := range contents.Entries {
-		state = append(state, string(e))
+	entries := strings.Fields(string(contents.Snapshot))
+	for _, entry := range contents.Entries {
+		entries = append(entries, string(entry))
 	}
-	if err = holds(state, l.known, l.tried); err != nil {
-		return l, err
+	if err = checkEntries(entries, run.acknowledged, run.unconfirmed); err != nil {
+		return run, err
 	}
-	l.tried = slices.Clone(state[len(l.known):])
+	run.unconfirmed = slices.Clone(entries[len(run.acknowledged):])
 	recover := func() bool {
 		for range recoverTries {
-			if ok := v.Recover([]byte(strings.Join(state, " "))) == nil; ok || d.dead {
+			if ok := store.Recover([]byte(strings.Join(entries, " "))) == nil; ok || d.stopped {
 				return ok
 			}
 		}
 		return false
 	}
-	if v.Empty() && v.Rotate(nil) != nil && !recover() {
-		return l, nil
+	if store.Empty() && store.Rotate(nil) != nil && !recover() {
+		return run, nil
 	}
 	for i := range rounds {
-		e := fmt.Sprintf("e%02d", from+i)
-		state = append(state, e)
-		l.tried = append(l.tried, e)
-		err = v.Append([][]byte{[]byte(e)})
-		if err == nil && (v.Full() || i == rounds/2) {
-			err = v.Rotate([]byte(strings.Join(state, " ")))
+		entry := fmt.Sprintf("e%02d", firstEntry+i)
+		entries = append(entries, entry)
+		run.unconfirmed = append(run.unconfirmed, entry)
+		err = store.Append([][]byte{[]byte(entry)})
+		if err == nil && (store.Full() || i == rounds/2) {
+			err = store.Rotate([]byte(strings.Join(entries, " ")))
 		}
 		if err != nil && !recover() {
-			return l, nil
+			return run, nil
 		}
-		l.known, l.tried = slices.Clone(state), nil
+		run.acknowledged, run.unconfirmed = slices.Clone(entries), nil
 	}
-	return l, nil
+	return run, nil
 }
 
-type crashMissing struct{ got, known, tried []string }
+// entriesError is returned if the entries on a disk are not those that must or may be there.
+type entriesError struct{ got, acknowledged, unconfirmed []string }
 
-func (e *crashMissing) Error() string {
-	return fmt.Sprintf("reads %v; known %v, tried %v", e.got, e.known, e.tried)
+func (e *entriesError) Error() string {
+	return fmt.Sprintf("read %v; acknowledged %v, unconfirmed %v", e.got, e.acknowledged, e.unconfirmed)
 }
 
-// holds checks that what is read starts with all that is known and goes on with nothing but what was tried.
-func holds(got, known, tried []string) error {
-	if len(got) >= len(known) && slices.Equal(got[:len(known)], known) {
-		rest := got[len(known):]
-		if len(rest) <= len(tried) && slices.Equal(rest, tried[:len(rest)]) {
+// checkEntries checks that got consists of all acknowledged entries, followed by a prefix of the unconfirmed ones.
+func checkEntries(got, acknowledged, unconfirmed []string) error {
+	if len(got) >= len(acknowledged) && slices.Equal(got[:len(acknowledged)], acknowledged) {
+		rest := got[len(acknowledged):]
+		if len(rest) <= len(unconfirmed) && slices.Equal(rest, unconfirmed[:len(rest)]) {
 			return nil
 		}
 	}
-	return &crashMissing{got: got, known: known, tried: tried}
+	return &entriesError{got: got, acknowledged: acknowledged, unconfirmed: unconfirmed}
 }
 
-func shown(d *crashDisk) ([]string, error) {
+// readEntries returns all entries that Open reads from the disk.
+func readEntries(d *crashDisk) ([]string, error) {
 	_, contents, err := storage.Open(d, crashLogBytes)
-	state := strings.Fields(string(contents.Snapshot))
-	for _, e := range contents.Entries {
-		state = append(state, string(e))
+	entries := strings.Fields(string(contents.Snapshot))
+	for _, entry := range contents.Entries {
+		entries = append(entries, string(entry))
 	}
-	return state, err
+	return entries, err
 }
 
-// A crashCheck walks through incarnations that end at each operation, each followed by each disk that may be left.
+// crashCheck runs an incarnation once for each operation at which it may end, and checks every disk that the crash may leave.
 type crashCheck struct {
-	t     *testing.T
+	t *testing.T
+	// seen are the states that were checked before.
 	seen  map[string]bool
 	opens int
 	fails int
 }
 
-func (c *crashCheck) after(d *crashDisk, l crashRun, depth int, trace string) {
-	left := append(d.powerless(), d.killed())
+// checkCrash checks each disk that the end of an incarnation may leave and, if depth is above 0, runs another incarnation on it.
+func (c *crashCheck) checkCrash(d *crashDisk, run crashRun, depth int, trace string) {
+	left := append(d.afterPowerLoss(), d.afterKill())
 	for i, disk := range left {
-		how := fmt.Sprintf("%s, power %d", trace, i)
+		crash := fmt.Sprintf("%s, power loss %d", trace, i)
 		if i == len(left)-1 {
-			how = trace + ", kill"
+			crash = trace + ", kill"
 		}
-		if key := fmt.Sprint(depth, l, disk.key()); c.seen[key] {
+		if key := fmt.Sprint(depth, run, disk.key()); c.seen[key] {
 			continue
 		} else {
 			c.seen[key] = true
 		}
 		c.opens++
-		got, err := shown(disk.clone())
+		got, err := readEntries(disk.clone())
 		if err == nil {
-			err = holds(got, l.known, l.tried)
+			err = checkEntries(got, run.acknowledged, run.unconfirmed)
 		}
 		if err != nil {
 			if c.fails++; c.fails <= 3 {
-				c.t.Errorf("%s: %v", how, err)
+				c.t.Errorf("%s: %v", crash, err)
 			}
 			continue
 		}
 		if depth > 0 {
-			c.from(disk, l, depth-1, how)
+			c.runAgain(disk, run, depth-1, crash)
 		}
 	}
 }
 
-// from starts another life on a disk, once for each operation at which it may end.
-func (c *crashCheck) from(disk *crashDisk, before crashRun, depth int, trace string) {
+// runAgain runs another incarnation on a disk, once for each operation at which it may end.
+func (c *crashCheck) runAgain(disk *crashDisk, before crashRun, depth int, trace string) {
 	for stop := 0; ; stop++ {
 		d := disk.clone()
 		d.stopAt = stop
-		l, err := live(d, before, 20*(2-depth), 3)
+		run, err := runOnce(d, before, 20*(2-depth), 3)
 		if err != nil {
 			c.t.Errorf("%s, stop %d: %v", trace, stop, err)
 			return
 		}
-		c.after(d, l, depth, fmt.Sprintf("%s, stop %d", trace, stop))
-		if !d.dead {
+		c.checkCrash(d, run, depth, fmt.Sprintf("%s, stop %d", trace, stop))
+		if !d.stopped {
 			return
 		}
 	}
 }
 
-// TestEachCrashKeepsWhatWasSynced ends a life of rotations and appends at each operation, with and without a failed operation
-// before that is recovered from, and a second life likewise; each unsynced write and name is kept or lost by itself.
+// TestEachCrashKeepsWhatWasSynced ends an incarnation that appends and rotates at each operation, with and without an earlier failed
+// operation followed by Recover, and then a second incarnation likewise. Each unsynced write and name is kept or lost independently.
 func TestEachCrashKeepsWhatWasSynced(t *testing.T) {
 	const rounds = 8
-	complete := newCrashDisk()
-	if _, err := live(complete, crashRun{}, 0, rounds); err != nil {
+	intact := newCrashDisk()
+	if _, err := runOnce(intact, crashRun{}, 0, rounds); err != nil {
 		t.Fatal(err)
 	}
 	c := &crashCheck{t: t, seen: map[string]bool{}}
-	for fail := -1; fail < complete.ops; fail++ {
+	for fail := -1; fail < intact.ops; fail++ {
 		for stop := 0; ; stop++ {
 			if fail >= stop {
 				continue
 			}
 			d := newCrashDisk()
 			d.failAt, d.stopAt = fail, stop
-			l, err := live(d, crashRun{}, 0, rounds)
+			run, err := runOnce(d, crashRun{}, 0, rounds)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.after(d, l, 1, fmt.Sprintf("fail %d, stop %d", fail, stop))
-			if !d.dead {
+			c.checkCrash(d, run, 1, fmt.Sprintf("fail %d, stop %d", fail, stop))
+			if !d.stopped {
 				break
 			}
 		}
@@ -175,28 +184,28 @@
 	t.Logf("%d disks opened, %d failures", c.opens, c.fails)
 }
 
-// TestDamagedSlotIsRecoveredThroughCrash damages the newest slot, whose log is begun, and ends the next life at each operation.
+// TestDamagedSlotIsRecoveredThroughCrash damages the newest slot, whose log has entries, and ends the next incarnation at each operation.
 func TestDamagedSlotIsRecoveredThroughCrash(t *testing.T) {
 	d := newCrashDisk()
-	l, err := live(d, crashRun{}, 0, 5)
+	run, err := runOnce(d, crashRun{}, 0, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	latest := "slot0"
-	if len(d.files["log0"].now) == 0 {
+	if len(d.files["log0"].current) == 0 {
 		latest = "slot1"
 	}
-	v, _, err := storage.Open(d.clone(), crashLogBytes)
-	if err != nil || v.Repair != "" {
-		t.Fatal(err, v.Repair)
+	store, _, err := storage.Open(d.clone(), crashLogBytes)
+	if err != nil || store.Repair != "" {
+		t.Fatal(err, store.Repair)
 	}
-	rotten := slices.Clone(d.files[latest].now)
-	rotten[len(rotten)-1] ^= 0x40
-	d.files[latest] = &crashFile{durable: rotten, now: rotten, named: true}
-	if v, _, err = storage.Open(d.clone(), crashLogBytes); err != nil || v.Repair == "" {
-		t.Fatalf("%s was not made good: %v", latest, err)
+	damaged := slices.Clone(d.files[latest].current)
+	damaged[len(damaged)-1] ^= 0x40
+	d.files[latest] = &crashFile{durable: damaged, current: damaged, nameDurable: true}
+	if store, _, err = storage.Open(d.clone(), crashLogBytes); err != nil || store.Repair == "" {
+		t.Fatalf("the damage of %s was not recovered from: %v", latest, err)
 	}
 	c := &crashCheck{t: t, seen: map[string]bool{}}
-	c.from(d, l, 1, "damaged "+latest)
+	c.runAgain(d, run, 1, "damaged "+latest)
 	t.Logf("%d disks opened, %d failures", c.opens, c.fails)
 }
--- a/storage/crashdisk_test.go
+++ b/storage/crashdisk_test.go
@@ -6,25 +6,31 @@
 	"strings"
 )
 
-// A crashFile holds what a file durably holds, each later content that it may be left with, and what a reader sees.
+// crashFile is a file of a crashDisk.
 type crashFile struct {
+	// durable is the content at the last sync.
 	durable []byte
-	maybe   [][]byte
-	now     []byte
-	named   bool
+	// possible lists the contents that a power loss may leave instead of durable.
+	possible [][]byte
+	// current is the content that a reader sees.
+	current []byte
+	// nameDurable means that the file's name survives a power loss.
+	nameDurable bool
 }
 
-// A crashDisk stops at operation stopAt, before or in the middle of it, and fails operation failAt alone.
+// crashDisk is a storage.Disk for one incarnation of a process. The machine stops before or in the middle of operation stopAt. Operation
+// failAt fails, and the disk works again afterwards. Operations count from 0, and -1 means never.
 type crashDisk struct {
 	files  map[string]*crashFile
 	ops    int
 	stopAt int
 	failAt int
-	// fullFrom and fullTo bound the operations at which the disk takes nothing; equal: it never is full.
+	// Operations from fullFrom until before fullTo fail because the disk is full; if the two are equal, it never is.
 	fullFrom, fullTo int
-	dead             bool
+	stopped          bool
 }
 
+// crashError is the error of a disk operation that failed or in which the machine stopped.
 type crashError struct{ what string }
 
 func (e *crashError) Error() string { return e.what }
@@ -36,16 +42,17 @@
 func (d *crashDisk) clone() *crashDisk {
 	c := newCrashDisk()
 	for name, f := range d.files {
-		cp := *f
-		cp.maybe = slices.Clone(f.maybe)
-		c.files[name] = &cp
+		copied := *f
+		copied.possible = slices.Clone(f.possible)
+		c.files[name] = &copied
 	}
 	return c
 }
 
-// begin counts an operation: cut says that it is the one in which the machine stops.
+// begin counts an operation and returns its error. It reports whether the machine stops in this operation; after it
+// has stopped, every operation fails.
 func (d *crashDisk) begin() (bool, error) {
-	if d.dead {
+	if d.stopped {
 		return false, &crashError{"stopped"}
 	}
 	d.ops++
@@ -53,7 +60,7 @@
 		return false, &crashError{"failed"}
 	}
 	if d.ops-1 == d.stopAt {
-		d.dead = true
+		d.stopped = true
 		return true, &crashError{"stopped"}
 	}
 	return false, nil
@@ -66,12 +73,13 @@
 	return d.files[name]
 }
 
+// set changes the unsynced content of the file.
 func (f *crashFile) set(data []byte) {
-	f.now = data
-	f.maybe = append(f.maybe, data)
+	f.current = data
+	f.possible = append(f.possible, data)
 }
 
-// torn are the contents that an unsynced write of new bytes behind keep may leave besides the whole.
+// torn lists the contents that a power loss may leave of an unsynced write of new bytes after keep: half of them, or zeros and the second half.
 func torn(keep, written []byte) [][]byte {
 	half := len(written) / 2
 	zeroed := slices.Clone(written)
@@ -88,17 +96,18 @@
 	if f == nil {
 		return nil, false, nil
 	}
-	return slices.Clone(f.now), true, nil
+	return slices.Clone(f.current), true, nil
 }
 
+// put sets a file to keep followed by written. If the operation fails or the machine stops in it, half of written is stored.
 func (d *crashDisk) put(name string, keep, written []byte) error {
-	powerLost, err := d.begin()
-	if err != nil && !powerLost && d.dead {
+	stops, err := d.begin()
+	if err != nil && !stops && d.stopped {
 		return err
 	}
 	f := d.file(name)
 	f.set(slices.Clone(keep))
-	f.maybe = append(f.maybe, torn(keep, written)...)
+	f.possible = append(f.possible, torn(keep, written)...)
 	if err != nil {
 		f.set(slices.Concat(keep, written[:len(written)/2]))
 		return err
@@ -110,15 +119,15 @@
 func (d *crashDisk) Write(name string, data []byte) error { return d.put(name, nil, data) }
 
 func (d *crashDisk) Append(name string, data []byte) error {
-	return d.put(name, d.file(name).now, data)
+	return d.put(name, d.file(name).current, data)
 }
 
 func (d *crashDisk) Truncate(name string, size int) error {
 	if _, err := d.begin(); err != nil {
 		return err
 	}
-	if f := d.file(name); len(f.now) > size {
-		f.set(slices.Clone(f.now[:size]))
+	if f := d.file(name); len(f.current) > size {
+		f.set(slices.Clone(f.current[:size]))
 	}
 	return nil
 }
@@ -128,7 +137,7 @@
 		return err
 	}
 	f := d.file(name)
-	f.durable, f.maybe = f.now, nil
+	f.durable, f.possible = f.current, nil
 	return nil
 }
 
@@ -137,28 +146,28 @@
 		return err
 	}
 	for _, f := range d.files {
-		f.named = true
+		f.nameDurable = true
 	}
 	return nil
 }
 
-// killed is the disk after the process alone has ended: all that was written is read, nothing unsynced is durable.
-func (d *crashDisk) killed() *crashDisk { return d.clone() }
+// afterKill is the disk after the process was killed but the machine kept running: a reader sees all that was written, synced or not.
+func (d *crashDisk) afterKill() *crashDisk { return d.clone() }
 
-// powerless are all disks that a loss of power may leave: each unsynced content and each unsynced name by itself.
-func (d *crashDisk) powerless() []*crashDisk {
+// afterPowerLoss lists all disks that a power loss may leave: every combination of unsynced contents and names kept or lost.
+func (d *crashDisk) afterPowerLoss() []*crashDisk {
 	all := []*crashDisk{newCrashDisk()}
 	for _, name := range sortedNames(d.files) {
 		f := d.files[name]
-		contents := distinct(append([][]byte{f.durable}, f.maybe...))
+		contents := distinct(append([][]byte{f.durable}, f.possible...))
 		var next []*crashDisk
 		for _, base := range all {
-			if !f.named {
+			if !f.nameDurable {
 				next = append(next, base.clone())
 			}
 			for _, content := range contents {
 				c := base.clone()
-				c.files[name] = &crashFile{durable: content, now: content, named: true}
+				c.files[name] = &crashFile{durable: content, current: content, nameDurable: true}
 				next = append(next, c)
 			}
 		}
@@ -186,11 +195,12 @@
 	return kept
 }
 
+// key identifies the state of the disk.
 func (d *crashDisk) key() string {
 	var b strings.Builder
 	for _, name := range sortedNames(d.files) {
 		f := d.files[name]
-		fmt.Fprintf(&b, "%s %v %q %q %q;", name, f.named, f.durable, f.now, f.maybe)
+		fmt.Fprintf(&b, "%s %v %q %q %q;", name, f.nameDurable, f.durable, f.current, f.possible)
 	}
 	return b.String()
 }
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -9,41 +9,43 @@
 	"github.com/gravitational/trace"
 )
 
-// Disk is a folder of files. Only what was synced outlives a loss of power: contents by Sync, and names of new files by SyncFolder.
+// Disk is a folder of files. Only synced data survives a power loss: Sync makes a file's contents durable, SyncFolder the names of new files.
 type Disk interface {
-	// Read returns a whole file; exists is false where there is none.
+	// Read returns the contents of a file; exists is false if there is no such file.
 	Read(name string) (data []byte, exists bool, err error)
-	// Write replaces a file's contents in place, and makes it if it is missing.
+	// Write replaces a file's contents in place. It creates the file if it does not exist.
 	Write(name string, data []byte) error
-	// Append writes behind the end of a file, and makes it if it is missing.
+	// Append writes data at the end of a file. It creates the file if it does not exist.
 	Append(name string, data []byte) error
-	// Sync makes a file's contents durable, not its name.
+	// Sync makes a file's contents durable, but not its name.
 	Sync(name string) error
 	// SyncFolder makes the names of all files durable.
 	SyncFolder() error
-	// Truncate cuts a file to size bytes.
+	// Truncate shortens a file to size bytes.
 	Truncate(name string, size int) error
 }
 
-// FolderError is returned for a folder that cannot be made.
+// FolderError is returned by OpenFolder if the folder cannot be created.
 type FolderError struct {
 	Path  string
 	Cause error
 }
 
 // Error implements error.
-func (e *FolderError) Error() string { return "data folder " + e.Path + ": " + e.Cause.Error() }
+func (e *FolderError) Error() string {
+	return "cannot create data folder " + e.Path + ": " + e.Cause.Error()
+}
 
-// Folder is a Disk in the file system. It keeps its files open.
+// Folder is a Disk in the file system. It keeps the files that it writes to open.
 type Folder struct {
 	path string
 	open map[string]*os.File
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FolderError) Unwrap() error { return e.Cause }
 
-// OpenFolder makes the folder if it is missing.
+// OpenFolder returns a Disk for the folder at path, which it creates if it does not exist.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, trace.Wrap(&FolderError{Path: path, Cause: err})
@@ -51,11 +53,11 @@
 	return &Folder{path: path, open: map[string]*os.File{}}, nil
 }
 
-func (f *Folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
 // Read implements Disk.
 func (f *Folder) Read(name string) ([]byte, bool, error) {
-	data, err := os.ReadFile(f.at(name))
+	data, err := os.ReadFile(f.filePath(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, false, nil
 	}
@@ -67,7 +69,7 @@
 	if file = f.open[name]; file != nil {
 		return file, nil
 	}
-	file, err := os.OpenFile(f.at(name), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(f.filePath(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
@@ -113,12 +115,12 @@
 
 // SyncFolder implements Disk.
 func (f *Folder) SyncFolder() error {
-	dir, err := os.Open(f.path)
+	folder, err := os.Open(f.path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	defer dir.Close()
-	return trace.ConvertSystemError(dir.Sync())
+	defer folder.Close()
+	return trace.ConvertSystemError(folder.Sync())
 }
 
 // Truncate implements Disk.
--- a/storage/open.go
+++ b/storage/open.go
@@ -6,132 +6,139 @@
 	"github.com/gravitational/trace"
 )
 
-// A half is one slot with its log, as they were read.
-type half struct {
-	slot, log           []byte
-	slotThere, logThere bool
-	generation          uint64
-	complete            bool
+// slotFiles is one slot and its log as read from disk.
+type slotFiles struct {
+	slot, log             []byte
+	slotExists, logExists bool
+	generation            uint64
+	// valid means that the slot holds a complete snapshot.
+	valid bool
 }
 
-func (h half) there() bool { return h.slotThere || h.logThere }
+func (h slotFiles) exists() bool { return h.slotExists || h.logExists }
 
-// Contents are what a disk holds: the newest whole snapshot, and the entries after it in the order of their Append.
+// Contents is the state that Open read: the newest valid snapshot, and the entries appended after it, oldest first.
 type Contents struct {
 	Snapshot []byte
 	Entries  [][]byte
 }
 
-// Open reads the disk and writes nothing. A process
-// that was killed between a write and its sync left bytes that a loss of power may yet take away: all that is returned is durable only
-// when the first write has succeeded, and nobody may act on it before. A disk that may have lost entries which were synced is reported
-// as UnreadableError. The log is Full from logBytes on.
-func Open(disk Disk, logBytes int) (*Store, Contents, error) {
-	v := &Store{disk: disk, maxLogBytes: logBytes}
-	var halves [2]half
+// Open reads the disk and writes nothing. The log is Full once it has maxLogBytes bytes.
+//
+// A process that was killed between a write and its sync leaves bytes that a later power loss can still remove. The returned contents are
+// therefore durable only after the first successful write to the Store, and callers must not act on them before. Open returns an
+// UnreadableError if entries that were synced may have been lost.
+func Open(disk Disk, maxLogBytes int) (*Store, Contents, error) {
+	s := &Store{disk: disk, maxLogBytes: maxLogBytes}
+	var slots [2]slotFiles
 	var err error
 	for i := range uint64(2) {
-		if halves[i], err = readHalf(disk, i); err != nil {
+		if slots[i], err = readSlotFiles(disk, i); err != nil {
 			return nil, Contents{}, err
 		}
 	}
-	if !halves[0].there() && !halves[1].there() {
-		return v, Contents{}, nil
+	if !slots[0].exists() && !slots[1].exists() {
+		return s, Contents{}, nil
 	}
-	v.unsynced = namesOf(halves)
-	if !halves[0].complete && !halves[1].complete {
-		return v.openTorn(halves)
+	s.unsynced = existingFiles(slots)
+	if !slots[0].valid && !slots[1].valid {
+		return s.openWithoutValidSlot(slots)
 	}
 	best := 0
-	if halves[1].complete && (!halves[0].complete || halves[1].generation > halves[0].generation) {
+	if slots[1].valid && (!slots[0].valid || slots[1].generation > slots[0].generation) {
 		best = 1
 	}
-	latest, other := halves[best], halves[1-best]
-	v.generation = latest.generation
+	latest, other := slots[best], slots[1-best]
+	s.generation = latest.generation
 	contents := Contents{Snapshot: latest.slot}
-	if err = v.replay(latest.log, &contents.Entries); err != nil {
+	if err = s.replay(latest.log, &contents.Entries); err != nil {
 		return nil, Contents{}, err
 	}
-	if other.complete || !v.owns(other.log, v.generation+1) {
-		return v, contents, nil
+	if other.valid || !s.startsWithRecord(other.log, s.generation+1) {
+		return s, contents, nil
 	}
-	v.generation++
-	v.slotDamaged = true
-	v.Repair = slotName(v.generation) + " cannot be read: recovered from " + slotName(v.generation-1) + " and both logs"
-	if err = v.replay(other.log, &contents.Entries); err != nil {
+	// The log of the next generation has entries, so that generation's snapshot was written but can no longer be read. Its state is that
+	// of the previous slot and log, followed by its own log.
+	s.generation++
+	s.slotDamaged = true
+	s.Repair = slotName(s.generation) + " cannot be read: recovered from " + slotName(s.generation-1) + " and both logs"
+	if err = s.replay(other.log, &contents.Entries); err != nil {
 		return nil, Contents{}, err
 	}
-	return v, contents, nil
+	return s, contents, nil
 }
 
-func readHalf(disk Disk, i uint64) (half, error) {
-	raw, there, err := disk.Read(slotName(i))
-	var h half
+func readSlotFiles(disk Disk, i uint64) (slotFiles, error) {
+	raw, exists, err := disk.Read(slotName(i))
+	var h slotFiles
 	if err != nil {
 		return h, trace.Wrap(&UnreadableError{File: slotName(i), Cause: err})
 	}
-	h.slotThere = there
-	h.log, h.logThere, err = disk.Read(logName(i))
+	h.slotExists = exists
+	h.log, h.logExists, err = disk.Read(logName(i))
 	if err != nil {
 		return h, trace.Wrap(&UnreadableError{File: logName(i), Cause: err})
 	}
-	r, ok := unpack(raw)
+	r, ok := decodeRecord(raw)
 	h.generation, h.slot = r.generation, r.body
-	h.complete = ok && r.size() == len(raw) && r.generation%2 == i
+	h.valid = ok && r.size() == len(raw) && r.generation%2 == i
 	return h, nil
 }
 
-func namesOf(halves [2]half) []string {
+// existingFiles lists the names of the files that exist.
+func existingFiles(slots [2]slotFiles) []string {
 	var names []string
-	for i, h := range halves {
-		if h.slotThere {
+	for i, h := range slots {
+		if h.slotExists {
 			names = append(names, slotName(uint64(i)))
 		}
-		if h.logThere {
+		if h.logExists {
 			names = append(names, logName(uint64(i)))
 		}
 	}
 	return names
 }
 
-// openTorn opens a disk without a whole slot: new, if its first write was cut before anything was acknowledged, else unreadable.
-func (v *Store) openTorn(halves [2]half) (*Store, Contents, error) {
-	if len(halves[0].log)+len(halves[1].log) == 0 && !halves[0].slotThere {
-		v.Repair = "both slots are torn and no log was begun: a first write was cut"
-		return v, Contents{}, nil
+// openWithoutValidSlot treats a disk without a valid slot as empty if its first write was interrupted, since nothing was acknowledged yet, and
+// returns an UnreadableError otherwise. The first write goes to slot1.
+func (s *Store) openWithoutValidSlot(slots [2]slotFiles) (*Store, Contents, error) {
+	if len(slots[0].log)+len(slots[1].log) == 0 && !slots[0].slotExists {
+		s.Repair = "no valid slot and no log entries: the first write was interrupted"
+		return s, Contents{}, nil
 	}
 	return nil, Contents{}, trace.Wrap(&UnreadableError{File: "slot0 and slot1", Cause: ErrNoValidSlot})
 }
 
-func (*Store) owns(log []byte, gen uint64) bool {
-	r, ok := unpack(log)
+// startsWithRecord reports whether log begins with a valid record of the generation.
+func (*Store) startsWithRecord(log []byte, gen uint64) bool {
+	r, ok := decodeRecord(log)
 	return ok && r.generation == gen
 }
 
-// replay appends the log's entries of the present generation. A torn end is left for the next Append to cut off; a damaged entry with
-// whole ones behind it is an error.
-func (v *Store) replay(log []byte, entries *[][]byte) error {
-	v.logBytes = 0
-	for v.logBytes < len(log) {
-		r, ok := unpack(log[v.logBytes:])
-		if !ok || r.generation != v.generation {
+// replay appends the log's entries of the current generation to entries. A torn record at the end is ignored, and the next Append
+// truncates it. A damaged record followed by a valid one is an error.
+func (s *Store) replay(log []byte, entries *[][]byte) error {
+	s.logBytes = 0
+	for s.logBytes < len(log) {
+		r, ok := decodeRecord(log[s.logBytes:])
+		if !ok || r.generation != s.generation {
 			break
 		}
-		batch, complete := split(r.body)
-		if !complete {
-			return v.damaged("batch at byte %d has bad lengths")
+		batch, valid := decodeBatch(r.body)
+		if !valid {
+			return s.damagedLog("batch at byte %d has invalid entry lengths")
 		}
 		*entries = append(*entries, batch...)
-		v.logBytes += r.size()
+		s.logBytes += r.size()
 	}
-	for next := v.logBytes + 1; next < len(log); next++ {
-		if v.owns(log[next:], v.generation) {
-			return v.damaged("entry at byte %d is damaged and later ones are whole")
+	for next := s.logBytes + 1; next < len(log); next++ {
+		if s.startsWithRecord(log[next:], s.generation) {
+			return s.damagedLog("record at byte %d is damaged but a later record is valid")
 		}
 	}
 	return nil
 }
 
-func (v *Store) damaged(why string) error {
-	return trace.Wrap(&UnreadableError{File: logName(v.generation), Cause: fmt.Errorf(why, v.logBytes)})
+func (s *Store) damagedLog(format string) error {
+	return trace.Wrap(&UnreadableError{File: logName(s.generation), Cause: fmt.Errorf(format, s.logBytes)})
 }
--- a/storage/repair_test.go
+++ b/storage/repair_test.go
@@ -6,25 +6,26 @@
 	"github.com/mallowbridge/mallowbridge/sim/disk"
 )
 
-func TestFullDiskIsRepaired(t *testing.T) {
+// After a write to a full disk has failed, all writes fail until Recover has written the whole state again.
+func TestRecoverAfterFullDisk(t *testing.T) {
 	for seed := range uint64(20) {
 		d := disk.New(seed)
-		v, _, err := load(d)
-		if err != nil || v.Rotate([]byte("a")) != nil || v.Append([][]byte{[]byte("b")}) != nil {
+		store, _, err := load(d)
+		if err != nil || store.Rotate([]byte("a")) != nil || store.Append([][]byte{[]byte("b")}) != nil {
 			t.Fatal(err)
 		}
 		d.Full = true
-		if v.Append([][]byte{[]byte("c")}) == nil || v.Recover([]byte("a b c")) == nil {
-			t.Fatal("a full disk took a write")
+		if store.Append([][]byte{[]byte("c")}) == nil || store.Recover([]byte("a b c")) == nil {
+			t.Fatal("a write to a full disk succeeded")
 		}
 		d.Full = false
-		if v.Append([][]byte{[]byte("d")}) == nil {
-			t.Fatal("a write was taken before the vault was mended")
+		if store.Append([][]byte{[]byte("d")}) == nil {
+			t.Fatal("Append succeeded after a failed write and before Recover")
 		}
-		if err = v.Recover([]byte("a b c")); err != nil {
+		if err = store.Recover([]byte("a b c")); err != nil {
 			t.Fatal(err)
 		}
-		if err = v.Append([][]byte{[]byte("d")}); err != nil {
+		if err = store.Append([][]byte{[]byte("d")}); err != nil {
 			t.Fatal(err)
 		}
 		d.PowerLoss()
--- a/storage/store.go
+++ b/storage/store.go
@@ -9,8 +9,8 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrNoValidSlot says that a disk holds more than a first write, and no slot of it can be read.
-var ErrNoValidSlot = errors.New("no valid slot, yet more than a first write")
+// ErrNoValidSlot means that neither slot can be read although the disk holds more than an interrupted first write.
+var ErrNoValidSlot = errors.New("no valid slot, but the disk holds more than an interrupted first write")
 
 // UnreadableError is returned by Open for a file whose damage would lose entries that were synced.
 type UnreadableError struct {
@@ -21,89 +21,93 @@
 // Error implements error.
 func (e *UnreadableError) Error() string { return e.File + " cannot be read: " + e.Cause.Error() }
 
-// WriteFailedError is returned by each write after a failed one, until Recover succeeds.
+// WriteFailedError is returned by a write that fails and by each later write until Recover succeeds. Cause is the first failure.
 type WriteFailedError struct{ Cause error }
 
 // Error implements error.
 func (e *WriteFailedError) Error() string {
-	return "disk broke down earlier, nothing more is written: " + e.Cause.Error()
+	return "a disk write failed, no writes until recovery: " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *WriteFailedError) Unwrap() error { return e.Cause }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 const (
-	magic   = 0x6d62_7631
-	headLen = 20
+	recordMagic = 0x6d62_7631
+	headerBytes = 20
 	// MaxEntry is the largest body of a snapshot or of a batch of entries, in bytes.
 	MaxEntry = 8 << 20
 )
 
-// Store writes one node's state. It is owned by one goroutine.
+// Store writes one node's state. It is not safe for concurrent use.
 type Store struct {
-	disk        Disk
-	generation  uint64
+	disk Disk
+	// generation numbers the snapshots; it is 0 before the first one. Its parity selects the slot and the log.
+	generation uint64
+	// logBytes is the length of the valid part of the current log; the log is full from maxLogBytes on.
 	logBytes    int
 	maxLogBytes int
-	broken      error
-	// slotDamaged says that the slot of the present generation cannot be read: only the slot and the log before it stand in for it.
+	// writeFailure is the error of the first failed write since the last Recover.
+	writeFailure error
+	// slotDamaged means that the slot of the current generation cannot be read: its snapshot exists only as the previous slot and log.
 	slotDamaged bool
-	// unsynced are the files that Open read and nobody has synced since.
+	// unsynced lists the files that Open read and that have not been synced since.
 	unsynced []string
-	// Repair says what Open found damaged and made good from the rest; empty for a sound disk.
+	// Repair describes damage that Open found and could recover from; it is empty for an intact disk.
 	Repair string
 }
 
-func slotName(gen uint64) string { return fmt.Sprintf("slot%d", gen%2) }
-func logName(gen uint64) string  { return fmt.Sprintf("log%d", gen%2) }
+func slotName(generation uint64) string { return fmt.Sprintf("slot%d", generation%2) }
+func logName(generation uint64) string  { return fmt.Sprintf("log%d", generation%2) }
 
-func pack(gen uint64, body []byte) []byte {
-	raw := make([]byte, headLen, headLen+len(body))
-	binary.BigEndian.PutUint32(raw[0:], magic)
-	binary.BigEndian.PutUint64(raw[4:], gen)
+func encodeRecord(generation uint64, body []byte) []byte {
+	raw := make([]byte, headerBytes, headerBytes+len(body))
+	binary.BigEndian.PutUint32(raw[0:], recordMagic)
+	binary.BigEndian.PutUint64(raw[4:], generation)
 	binary.BigEndian.PutUint32(raw[12:], uint32(len(body)))
-	sum := crc32.Update(crc32.Checksum(raw[:16], table), table, body)
+	sum := crc32.Update(crc32.Checksum(raw[:16], crcTable), crcTable, body)
 	binary.BigEndian.PutUint32(raw[16:], sum)
 	return append(raw, body...)
 }
 
-// A record is a body in a slot or a log, with the generation that it belongs to.
+// record is a snapshot in a slot or a batch of entries in a log, with the generation that it belongs to.
 type record struct {
 	generation uint64
 	body       []byte
 }
 
-// size is the length of the record on the disk, in bytes.
-func (r record) size() int { return headLen + len(r.body) }
+// size is the length of the record on disk in bytes, including its header.
+func (r record) size() int { return headerBytes + len(r.body) }
 
-// unpack reads the record at the beginning of raw. It is not ok where none that is sound stands there.
-func unpack(raw []byte) (record, bool) {
-	if len(raw) < headLen || binary.BigEndian.Uint32(raw) != magic {
+// decodeRecord reads the record at the beginning of raw. It returns false if there is no valid record.
+func decodeRecord(raw []byte) (record, bool) {
+	if len(raw) < headerBytes || binary.BigEndian.Uint32(raw) != recordMagic {
 		return record{}, false
 	}
 	n := int(binary.BigEndian.Uint32(raw[12:]))
-	if n > MaxEntry || len(raw) < headLen+n {
+	if n > MaxEntry || len(raw) < headerBytes+n {
 		return record{}, false
 	}
-	r := record{generation: binary.BigEndian.Uint64(raw[4:]), body: raw[headLen : headLen+n]}
-	sum := crc32.Update(crc32.Checksum(raw[:16], table), table, r.body)
+	r := record{generation: binary.BigEndian.Uint64(raw[4:]), body: raw[headerBytes : headerBytes+n]}
+	sum := crc32.Update(crc32.Checksum(raw[:16], crcTable), crcTable, r.body)
 	return r, sum == binary.BigEndian.Uint32(raw[16:])
 }
 
-// Empty says that nothing was ever written to the disk; the first call must be Rotate.
-func (v *Store) Empty() bool { return v.generation == 0 }
+// Empty reports whether nothing was ever written to the disk. The first write must then be Rotate.
+func (s *Store) Empty() bool { return s.generation == 0 }
 
-// Full says that the log has reached its bound, so that Rotate is due.
-func (v *Store) Full() bool { return v.logBytes >= v.maxLogBytes }
+// Full reports whether the log has reached its maximum size, so that Rotate should be called.
+func (s *Store) Full() bool { return s.logBytes >= s.maxLogBytes }
 
-func (v *Store) fail(err error) error {
-	if v.broken == nil {
-		v.broken = trace.Wrap(&WriteFailedError{Cause: err})
+// fail makes all writes fail until Recover, and returns the error of the first failed write.
+func (s *Store) fail(err error) error {
+	if s.writeFailure == nil {
+		s.writeFailure = trace.Wrap(&WriteFailedError{Cause: err})
 	}
-	return v.broken
+	return s.writeFailure
 }
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -10,8 +10,9 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
+// load opens the disk and returns all entries: those in the snapshot, separated by spaces, and those in the log.
 func load(d *disk.Disk) (*storage.Store, []string, error) {
-	v, contents, err := storage.Open(d, 300)
+	store, contents, err := storage.Open(d, 300)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -22,23 +23,24 @@
 	for _, e := range contents.Entries {
 		all = append(all, string(e))
 	}
-	return v, all, nil
+	return store, all, nil
 }
 
+// write appends n entries, rotating when the log is full, until a write fails. It returns the number of acknowledged entries.
 func write(d *disk.Disk, n int) int {
-	v, all, err := load(d)
+	store, all, err := load(d)
 	if err != nil {
 		return 0
 	}
-	if v.Empty() && v.Rotate(nil) != nil {
+	if store.Empty() && store.Rotate(nil) != nil {
 		return 0
 	}
 	var acked int
 	for i := range n {
 		e := fmt.Sprintf("entry-%03d", i)
 		all = append(all, e)
-		if err = v.Append([][]byte{[]byte(e)}); err == nil && v.Full() {
-			err = v.Rotate(bytes.Join(byteses(all), []byte(" ")))
+		if err = store.Append([][]byte{[]byte(e)}); err == nil && store.Full() {
+			err = store.Rotate(bytes.Join(toByteSlices(all), []byte(" ")))
 		}
 		if err != nil {
 			return acked
@@ -48,7 +50,7 @@
 	return acked
 }
 
-func byteses(ss []string) [][]byte {
+func toByteSlices(ss []string) [][]byte {
 	var bs [][]byte
 	for _, s := range ss {
 		bs = append(bs, []byte(s))
@@ -58,27 +60,27 @@
 
 func TestPowerLossAtEachWrite(t *testing.T) {
 	const n = 40
-	complete := disk.New(1)
-	write(complete, n)
-	if complete.Writes < 90 {
-		t.Fatalf("only %d writes: the test no longer covers turns", complete.Writes)
+	intact := disk.New(1)
+	write(intact, n)
+	if intact.Writes < 90 {
+		t.Fatalf("only %d writes: the test no longer covers rotations", intact.Writes)
 	}
 	for seed := range uint64(6) {
-		for powerLost := range complete.Writes {
+		for failingWrite := range intact.Writes {
 			d := disk.New(seed)
-			d.PowerLossAt = powerLost
+			d.PowerLossAt = failingWrite
 			acked := write(d, n)
 			d.PowerLoss()
 			_, got, err := load(d)
 			if err != nil {
-				t.Fatalf("seed %d, cut at %d: %v", seed, powerLost, err)
+				t.Fatalf("seed %d, power loss at write %d: %v", seed, failingWrite, err)
 			}
 			if len(got) < acked || len(got) > acked+1 {
-				t.Fatalf("seed %d, cut at %d: %d acknowledged, %d read", seed, powerLost, acked, len(got))
+				t.Fatalf("seed %d, power loss at write %d: %d acknowledged, %d read", seed, failingWrite, acked, len(got))
 			}
 			for i, e := range got {
 				if e != fmt.Sprintf("entry-%03d", i) {
-					t.Fatalf("seed %d, cut at %d: entry %d reads %q", seed, powerLost, i, e)
+					t.Fatalf("seed %d, power loss at write %d: entry %d reads %q", seed, failingWrite, i, e)
 				}
 			}
 		}
@@ -88,9 +90,9 @@
 func TestEachDamagedByteIsDetectedOrTolerated(t *testing.T) {
 	const n = 40
 	for _, name := range []string{"slot0", "slot1", "log0", "log1"} {
-		complete := disk.New(1)
-		write(complete, n)
-		for at := range complete.Size(name) {
+		intact := disk.New(1)
+		write(intact, n)
+		for at := range intact.Size(name) {
 			d := disk.New(1)
 			write(d, n)
 			d.Rot(name, at)
@@ -98,7 +100,7 @@
 			var bad *storage.UnreadableError
 			if errors.As(err, &bad) {
 				if bad.File == "" {
-					t.Fatalf("%s at %d: nameless", name, at)
+					t.Fatalf("%s damaged at %d: the error has no file name", name, at)
 				}
 				continue
 			}
@@ -117,38 +119,38 @@
 func TestNothingIsWrittenAfterAFailedSync(t *testing.T) {
 	d := disk.New(1)
 	write(d, 3)
-	v, _, err := load(d)
+	store, _, err := load(d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.BadSync = true
-	if v.Append([][]byte{[]byte("lost")}) == nil {
-		t.Fatal("a failed sync was taken for a good one")
+	if store.Append([][]byte{[]byte("lost")}) == nil {
+		t.Fatal("Append succeeded although the sync failed")
 	}
 	d.BadSync = false
 	var broken *storage.WriteFailedError
-	if err = v.Append([][]byte{[]byte("more")}); !errors.As(err, &broken) {
-		t.Fatalf("wrote on after a failed sync: %v", err)
+	if err = store.Append([][]byte{[]byte("more")}); !errors.As(err, &broken) {
+		t.Fatalf("Append after a failed sync: %v", err)
 	}
-	if err = v.Rotate([]byte("x")); !errors.As(err, &broken) {
-		t.Fatalf("turned slots after a failed sync: %v", err)
+	if err = store.Rotate([]byte("x")); !errors.As(err, &broken) {
+		t.Fatalf("Rotate after a failed sync: %v", err)
 	}
 }
 
-func TestFolderKeepsWhatWasWritten(t *testing.T) {
+func TestFolderKeepsWrittenData(t *testing.T) {
 	path := t.TempDir()
 	for round := range 3 {
 		f, err := storage.OpenFolder(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		v, contents, err := storage.Open(f, 64)
+		store, contents, err := storage.Open(f, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if round == 0 {
-			if !v.Empty() || v.Rotate([]byte("s0")) != nil || v.Append([][]byte{[]byte("a"), []byte("b")}) != nil {
-				t.Fatal("first round")
+			if !store.Empty() || store.Rotate([]byte("s0")) != nil || store.Append([][]byte{[]byte("a"), []byte("b")}) != nil {
+				t.Fatal("the new folder is not empty or cannot be written")
 			}
 			continue
 		}
@@ -170,16 +172,16 @@
 		d := disk.New(1)
 		for name, raw := range map[string][]byte{"slot0": s0, "slot1": s1, "log0": l0, "log1": l1} {
 			if len(raw) > 0 && d.Write(name, raw) != nil {
-				t.Fatal("write")
+				t.Fatal("the simulated disk failed a write")
 			}
 		}
-		v, _, err := storage.Open(d, 300)
+		store, _, err := storage.Open(d, 300)
 		var bad *storage.UnreadableError
 		if err != nil && !errors.As(err, &bad) {
-			t.Fatalf("an untyped error: %v", err)
+			t.Fatalf("Open returned %v, not an UnreadableError", err)
 		}
-		if err == nil && !v.Empty() && v.Append([][]byte{[]byte("x")}) != nil {
-			t.Fatal("opened, yet it takes no entry")
+		if err == nil && !store.Empty() && store.Append([][]byte{[]byte("x")}) != nil {
+			t.Fatal("Append failed after a successful Open")
 		}
 	})
 }
--- a/storage/write.go
+++ b/storage/write.go
@@ -2,108 +2,111 @@
 
 import "encoding/binary"
 
-func join(entries [][]byte) []byte {
+// encodeBatch joins entries, each preceded by its length as a uvarint.
+func encodeBatch(entries [][]byte) []byte {
 	var batch []byte
-	for _, e := range entries {
-		batch = binary.AppendUvarint(batch, uint64(len(e)))
-		batch = append(batch, e...)
+	for _, entry := range entries {
+		batch = binary.AppendUvarint(batch, uint64(len(entry)))
+		batch = append(batch, entry...)
 	}
 	return batch
 }
 
-func split(batch []byte) ([][]byte, bool) {
+// decodeBatch splits a batch into its entries. It returns false if a length is invalid.
+func decodeBatch(batch []byte) ([][]byte, bool) {
 	var entries [][]byte
 	for len(batch) > 0 {
-		n, size := binary.Uvarint(batch)
-		if size <= 0 || n > uint64(len(batch)-size) {
+		length, lengthBytes := binary.Uvarint(batch)
+		if lengthBytes <= 0 || length > uint64(len(batch)-lengthBytes) {
 			return nil, false
 		}
-		entries = append(entries, batch[size:size+int(n)])
-		batch = batch[size+int(n):]
+		entries = append(entries, batch[lengthBytes:lengthBytes+int(length)])
+		batch = batch[lengthBytes+int(length):]
 	}
 	return entries, true
 }
 
-// Append writes entries behind those before and returns once they are durable. After an error nothing more is written until Recover.
-func (v *Store) Append(entries [][]byte) error {
-	if v.broken != nil {
-		return v.broken
+// Append adds a batch of entries to the log and returns once they are durable. After an error all writes fail until Recover succeeds.
+func (s *Store) Append(entries [][]byte) error {
+	if s.writeFailure != nil {
+		return s.writeFailure
 	}
-	if err := v.confirmRead(); err != nil {
-		return v.fail(err)
+	if err := s.syncReadFiles(); err != nil {
+		return s.fail(err)
 	}
-	name := logName(v.generation)
-	raw := pack(v.generation, join(entries))
-	empty := v.logBytes == 0
-	if err := v.disk.Truncate(name, v.logBytes); err != nil {
-		return v.fail(err)
+	name := logName(s.generation)
+	raw := encodeRecord(s.generation, encodeBatch(entries))
+	firstEntry := s.logBytes == 0
+	if err := s.disk.Truncate(name, s.logBytes); err != nil {
+		return s.fail(err)
 	}
-	if err := v.disk.Append(name, raw); err != nil {
-		return v.fail(err)
+	if err := s.disk.Append(name, raw); err != nil {
+		return s.fail(err)
 	}
-	if err := v.disk.Sync(name); err != nil {
-		return v.fail(err)
+	if err := s.disk.Sync(name); err != nil {
+		return s.fail(err)
 	}
-	if empty {
-		if err := v.disk.SyncFolder(); err != nil {
-			return v.fail(err)
+	if firstEntry {
+		if err := s.disk.SyncFolder(); err != nil {
+			return s.fail(err)
 		}
 	}
-	v.logBytes += len(raw)
+	s.logBytes += len(raw)
 	return nil
 }
 
-// Recover forgets an earlier failure and writes everything anew, so that nothing depends on what that failure left behind.
-func (v *Store) Recover(slot []byte) error {
-	v.broken = nil
-	return v.Rotate(slot)
+// Recover clears an earlier write failure and writes a new snapshot, so that no state depends on what the failed write left on disk.
+func (s *Store) Recover(snapshot []byte) error {
+	s.writeFailure = nil
+	return s.Rotate(snapshot)
 }
 
-// Rotate writes a snapshot that stands for all before it and begins a new log. Until it has returned, the snapshot and the log before
-// it are left as they are.
-func (v *Store) Rotate(slot []byte) error {
-	if v.broken != nil {
-		return v.broken
+// Rotate writes a snapshot that replaces the previous snapshot and log, and starts a new log. The previous snapshot and log stay
+// unchanged until Rotate has returned.
+func (s *Store) Rotate(snapshot []byte) error {
+	if s.writeFailure != nil {
+		return s.writeFailure
 	}
-	gen := v.nextGeneration()
+	generation := s.nextGeneration()
 	steps := []func() error{
-		v.confirmRead,
-		func() error { return v.disk.Write(slotName(gen), pack(gen, slot)) },
-		func() error { return v.disk.Sync(slotName(gen)) },
-		func() error { return v.disk.Write(logName(gen), nil) },
-		func() error { return v.disk.Sync(logName(gen)) },
-		func() error { return v.disk.SyncFolder() },
+		s.syncReadFiles,
+		func() error { return s.disk.Write(slotName(generation), encodeRecord(generation, snapshot)) },
+		func() error { return s.disk.Sync(slotName(generation)) },
+		func() error { return s.disk.Write(logName(generation), nil) },
+		func() error { return s.disk.Sync(logName(generation)) },
+		func() error { return s.disk.SyncFolder() },
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
-			return v.fail(err)
+			return s.fail(err)
 		}
 	}
-	v.generation, v.logBytes, v.slotDamaged = gen, 0, false
+	s.generation, s.logBytes, s.slotDamaged = generation, 0, false
 	return nil
 }
 
-// nextGeneration decides which slot is overwritten: the older one, or the one that cannot be read, since the older one then carries all.
-func (v *Store) nextGeneration() uint64 {
-	if v.slotDamaged {
-		return v.generation + 2
+// nextGeneration selects the slot to overwrite: the older one, unless the newer one cannot be read. All state then depends on the older
+// slot, and the damaged one is overwritten.
+func (s *Store) nextGeneration() uint64 {
+	if s.slotDamaged {
+		return s.generation + 2
 	}
-	return v.generation + 1
+	return s.generation + 1
 }
 
-// confirmRead syncs what Open read, once, before anything is written behind it or over its older half.
-func (v *Store) confirmRead() error {
-	if len(v.unsynced) == 0 {
+// syncReadFiles syncs the files that Open read, before the first write appends to them or overwrites the older slot.
+func (s *Store) syncReadFiles() error {
+	if len(s.unsynced) == 0 {
 		return nil
 	}
-	for _, name := range v.unsynced {
-		if err := v.disk.Sync(name); err != nil {
+	for _, name := range s.unsynced {
+		if err := s.disk.Sync(name); err != nil {
 			return err
 		}
 	}
-	if err := v.disk.SyncFolder(); err != nil {
+	if err := s.disk.SyncFolder(); err != nil {
 		return err
 	}
-	v.unsynced = nil
+	s.unsynced = nil
 	return nil
 }
