--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// routes returns a configuration document with the given number of routes; the route at index changed has another timeout.
 func routes(count, changed int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":[`, changed+2)
@@ -24,7 +25,7 @@
 	return b.Bytes()
 }
 
-func noise(seed uint64, size int) []byte {
+func randomBytes(seed uint64, size int) []byte {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	document := make([]byte, size)
 	for i := range document {
@@ -33,8 +34,9 @@
 	return document
 }
 
-// fetched brings the missing pieces from one store to another, in the wrong order, until the document is there.
-func fetched(t *testing.T, from, to *Store, m *Manifest, document []byte) (bytesNew, chunks int) {
+// fetchMissing copies the missing segments and chunks from one store to another, in reverse order, until the document is complete. It returns
+// their total size and number.
+func fetchMissing(t *testing.T, from, to *Store, m *Manifest, document []byte) (fetchedBytes, chunks int) {
 	t.Helper()
 	for {
 		body, err := to.Document(m)
@@ -43,27 +45,27 @@
 			if err != nil || !bytes.Equal(body, document) {
 				t.Fatalf("%d bytes of %d, %v", len(body), len(document), err)
 			}
-			return bytesNew, chunks
+			return fetchedBytes, chunks
 		}
 		for _, name := range slices.Backward(missing.Names) {
 			if !to.Put(from.Get(name)) {
-				t.Fatal("a missing piece isn't taken")
+				t.Fatal("Put refused a missing chunk")
 			}
-			bytesNew, chunks = bytesNew+len(from.Get(name)), chunks+1
+			fetchedBytes, chunks = fetchedBytes+len(from.Get(name)), chunks+1
 		}
 	}
 }
 
 func TestChunksJoinToTheDocument(t *testing.T) {
-	for _, size := range []int{0, 1, minimum, minimum + 1, MaxChunk, MaxChunk + 1, 300000} {
-		for _, document := range [][]byte{noise(1, size), make([]byte, size)} {
+	for _, size := range []int{0, 1, minChunk, minChunk + 1, MaxChunk, MaxChunk + 1, 300000} {
+		for _, document := range [][]byte{randomBytes(1, size), make([]byte, size)} {
 			chunks := Split(document)
 			if !bytes.Equal(bytes.Join(chunks, nil), document) {
-				t.Fatalf("%d bytes don't come back", size)
+				t.Fatalf("the chunks of a document of %d bytes differ from it", size)
 			}
 			for i, data := range chunks {
-				if len(data) > MaxChunk || (len(data) < minimum && i < len(chunks)-1) {
-					t.Errorf("%d bytes: chunk %d has %d", size, i, len(data))
+				if len(data) > MaxChunk || (len(data) < minChunk && i < len(chunks)-1) {
+					t.Errorf("document of %d bytes: chunk %d has %d bytes", size, i, len(data))
 				}
 			}
 		}
@@ -78,9 +80,9 @@
 		next := routes(2500, changed)
 		from := NewStore(4, 4, 8<<20)
 		m := from.Add(next)
-		bytes, chunks := fetched(t, from, s, m, next)
+		bytes, chunks := fetchMissing(t, from, s, m, next)
 		if bytes > old.Size/50 || chunks > 10 {
-			t.Errorf("route %d makes %d pieces and %d of %d bytes new", changed, chunks, bytes, old.Size)
+			t.Errorf("a change of route %d makes %d new chunks, with %d of %d bytes", changed, chunks, bytes, old.Size)
 		}
 	}
 	if mean := old.Size / len(Split(base)); mean < 2<<10 || mean > 4<<10 {
@@ -95,11 +97,11 @@
 	from, to := NewStore(4, 4, 8<<20), NewStore(4, 4, 8<<20)
 	document := routes(300, -1)
 	m := from.Add(document)
-	if _, chunks := fetched(t, from, to, m, document); chunks != len(Split(document))+len(m.Segments)/NameBytes {
-		t.Errorf("%d pieces came", chunks)
+	if _, chunks := fetchMissing(t, from, to, m, document); chunks != len(Split(document))+len(m.Segments)/NameBytes {
+		t.Errorf("%d segments and chunks were fetched", chunks)
 	}
 	if to.Put([]byte("nobody asked for this")) {
-		t.Error("a chunk of no document is taken")
+		t.Error("Put accepted a chunk of no document")
 	}
 }
 
@@ -114,13 +116,13 @@
 		m     Manifest
 		wants any
 	}{
-		{"nothing", Manifest{}, &manifest},
-		{"a name that is cut", Manifest{Size: good.Size, Segments: good.Segments[:len(good.Segments)-1]}, &manifest},
-		{"too large", Manifest{Size: MaxDocument + 1, Segments: good.Segments}, &manifest},
-		{"more than chunks can hold", Manifest{Size: segmentMost*MaxChunk + 1, Segments: good.Segments[:NameBytes]}, &manifest},
+		{"empty", Manifest{}, &manifest},
+		{"a truncated name", Manifest{Size: good.Size, Segments: good.Segments[:len(good.Segments)-1]}, &manifest},
+		{"size above the maximum", Manifest{Size: MaxDocument + 1, Segments: good.Segments}, &manifest},
+		{"more than the chunks can hold", Manifest{Size: maxSegmentChunks*MaxChunk + 1, Segments: good.Segments[:NameBytes]}, &manifest},
 		{"a negative size", Manifest{Size: -1, Segments: good.Segments}, &manifest},
 		{"an unknown chunk", Manifest{Size: good.Size, Segments: append(bytes.Repeat([]byte{7}, NameBytes), good.Segments[NameBytes:]...)}, &missing},
-		{"another size", Manifest{Size: good.Size - 1, Segments: good.Segments}, &size},
+		{"wrong size", Manifest{Size: good.Size - 1, Segments: good.Segments}, &size},
 	} {
 		if body, err := s.Document(&c.m); body != nil || !errors.As(err, c.wants) {
 			t.Errorf("%s: %d bytes, %v", c.what, len(body), err)
@@ -128,42 +130,43 @@
 	}
 }
 
-// What is used last stays, whatever else comes; what nothing uses goes.
+// The store keeps the documents used last, and removes chunks that none of them refers to.
 func TestStoreKeepsWhatWasUsedLast(t *testing.T) {
 	s := NewStore(3, 1, 1<<20)
-	mine := routes(500, -1)
-	m := s.Add(mine)
+	kept := routes(500, -1)
+	m := s.Add(kept)
 	for i := range 50 {
-		s.Add(noise(uint64(i), 200000))
-		if body, err := s.Document(m); err != nil || !bytes.Equal(body, mine) {
-			t.Fatalf("after %d others: %v", i, err)
+		s.Add(randomBytes(uint64(i), 200000))
+		if body, err := s.Document(m); err != nil || !bytes.Equal(body, kept) {
+			t.Fatalf("after %d other documents: %v", i, err)
 		}
 		if s.StoredBytes() > 1<<20 {
-			t.Fatalf("%d bytes are held", s.StoredBytes())
+			t.Fatalf("the store has %d bytes, more than its limit", s.StoredBytes())
 		}
 	}
 	if s.Add(routes(500, 7)); s.Get(s.recent[0].names[0]) == nil {
-		t.Error("a chunk that two documents share is gone")
+		t.Error("a chunk that two documents share was removed")
 	}
 	for i := range 3 {
-		s.Add(noise(uint64(100+i), 1000))
+		s.Add(randomBytes(uint64(100+i), 1000))
 		if body, err := s.Document(s.recent[0].manifest); err != nil || s.recent[len(s.recent)-1].manifest.Size != len(body) {
-			t.Errorf("a document in the store has lost chunks: %v", err)
+			t.Errorf("a document in the store lacks chunks: %v", err)
 		}
 	}
 	for i := range 3 {
-		s.Add(noise(uint64(200+i), 1000))
+		s.Add(randomBytes(uint64(200+i), 1000))
 	}
 	sum := 0
 	for _, entry := range s.chunks {
 		sum += len(entry.data)
 	}
 	if _, err := s.Document(m); err == nil || sum != 3000+3*NameBytes {
-		t.Errorf("%d bytes are left, %v", sum, err)
+		t.Errorf("%d bytes are left, reading the removed document: %v", sum, err)
 	}
 }
 
-// FuzzBody puts manifests of any bytes to a store that holds one document: the error is typed, and a body has the manifest's chunks.
+// FuzzBody requests documents for arbitrary manifests from a store with one document: an error has a declared type, and a document consists of
+// the manifest's chunks.
 func FuzzBody(f *testing.F) {
 	document := routes(60, -1)
 	names := NewStore(2, 2, 1<<20).Add(document).Segments
@@ -194,7 +197,7 @@
 			for _, name := range splitNames(s.Get(segment)) {
 				data := s.Get(name)
 				if !bytes.HasPrefix(body[at:], data) {
-					t.Fatalf("a chunk isn't in its place, %d", at)
+					t.Fatalf("no chunk of the manifest at offset %d", at)
 				}
 				at += len(data)
 			}
--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -8,87 +8,90 @@
 	"github.com/gravitational/trace"
 )
 
-// The causes of a DeltaError, besides parts that lie outside the base.
+// The causes of a DeltaError, in addition to a part outside the base.
 var (
-	ErrWrongBase    = errors.New("made for another document")
-	ErrTooLong      = errors.New("too long")
+	ErrWrongBase    = errors.New("the base has another hash")
+	ErrTooLong      = errors.New("the document is too long")
 	ErrHashMismatch = errors.New("the result has another hash")
 )
 
-// Delta describes a document by what differs from another, the base: it holds the parts that the base lacks, and where in the base the
-// others are. It reads without the boundaries that made it. Its fields are part of the format on disk.
+// Delta describes a document by its differences from another document, the base: it contains the bytes that the base lacks, and the positions of
+// the others in the base. Apply does not depend on where Split cuts. The fields are part of the format on disk.
 type Delta struct {
-	Base  []byte
-	Sum   []byte
+	// Base and Sum are the hashes (NameOf) of the base and of the document.
+	Base []byte
+	Sum  []byte
+	// Parts make up the document, in order.
 	Parts []Part
 }
 
-// Part is the next bytes of a document: New where there are any, else Length bytes of the base from From on.
+// Part is the next bytes of a document: New if it is not empty, otherwise Length bytes of the base at offset From.
 type Part struct {
 	From, Length int
 	New          []byte
 }
 
-// DeltaError says why a delta makes no document.
+// DeltaError means that a delta can't be applied.
 type DeltaError struct{ Cause error }
 
 func (e *DeltaError) Error() string { return "bad delta: " + e.Cause.Error() }
 
-func sum(body []byte) []byte {
+// hashOf returns the hash of a document.
+func hashOf(body []byte) []byte {
 	name := NameOf(body)
 	return name[:]
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DeltaError) Unwrap() error { return e.Cause }
 
-// Index knows where the chunks of a document are, so that differences from it can be made.
+// Index holds the offsets of a document's chunks, in order to compute deltas from it.
 type Index struct {
-	body   []byte
-	sum    []byte
-	places map[Name]int
+	body    []byte
+	hash    []byte
+	offsets map[Name]int
 }
 
-// NewIndex reads a document, which must not change afterwards.
+// NewIndex returns the index of a document, which must not change afterwards.
 func NewIndex(body []byte) *Index {
-	x := &Index{body: body, sum: sum(body), places: map[Name]int{}}
-	at := 0
+	x := &Index{body: body, hash: hashOf(body), offsets: map[Name]int{}}
+	offset := 0
 	for _, data := range Split(body) {
-		x.places[NameOf(data)] = at
-		at += len(data)
+		x.offsets[NameOf(data)] = offset
+		offset += len(data)
 	}
 	return x
 }
 
-// SameDocument tells whether the index is of this very document in memory.
+// SameDocument reports whether body is the same memory as the index's document.
 func (x *Index) SameDocument(body []byte) bool {
 	return len(x.body) == len(body) && (len(body) == 0 || &x.body[0] == &body[0])
 }
 
-// Diff makes the delta that takes the index's document to next, and the index of that.
+// Diff returns the delta from the index's document to next, and the index of next.
 func (x *Index) Diff(next []byte) (Delta, *Index) {
 	if x.SameDocument(next) {
-		return Delta{Base: x.sum, Sum: x.sum, Parts: []Part{{Length: len(next)}}}, x
+		return Delta{Base: x.hash, Sum: x.hash, Parts: []Part{{Length: len(next)}}}, x
 	}
-	then := &Index{body: next, sum: sum(next), places: map[Name]int{}}
-	d := Delta{Base: x.sum, Sum: then.sum}
-	at := 0
+	nextIndex := &Index{body: next, hash: hashOf(next), offsets: map[Name]int{}}
+	d := Delta{Base: x.hash, Sum: nextIndex.hash}
+	offset := 0
 	for _, data := range Split(next) {
 		name := NameOf(data)
-		then.places[name] = at
-		at += len(data)
-		from, known := x.places[name]
-		if !known {
-			d.fresh(next[:at], len(data))
+		nextIndex.offsets[name] = offset
+		offset += len(data)
+		from, inBase := x.offsets[name]
+		if !inBase {
+			d.appendNew(next[:offset], len(data))
 			continue
 		}
-		d.copied(from, len(data))
+		d.appendCopied(from, len(data))
 	}
-	return d, then
+	return d, nextIndex
 }
 
-// fresh adds the last bytes of what was read so far, in one part with new bytes right before them.
-func (d *Delta) fresh(read []byte, length int) {
+// appendNew appends the last length bytes of read as new bytes, merged with the previous part if that is new bytes too.
+func (d *Delta) appendNew(read []byte, length int) {
 	if last := len(d.Parts) - 1; last >= 0 && len(d.Parts[last].New) > 0 {
 		d.Parts[last].New = read[len(read)-length-len(d.Parts[last].New):]
 		return
@@ -96,8 +99,8 @@
 	d.Parts = append(d.Parts, Part{New: read[len(read)-length:]})
 }
 
-// copied adds bytes of the base, in one part with those right before them.
-func (d *Delta) copied(from, length int) {
+// appendCopied appends bytes of the base, merged with the previous part if that ends where they begin.
+func (d *Delta) appendCopied(from, length int) {
 	if last := len(d.Parts) - 1; last >= 0 && len(d.Parts[last].New) == 0 && d.Parts[last].From+d.Parts[last].Length == from {
 		d.Parts[last].Length += length
 		return
@@ -105,10 +108,10 @@
 	d.Parts = append(d.Parts, Part{From: from, Length: length})
 }
 
-// Apply makes the document of its base. The error is a *DeltaError where it is another base, a part lies outside it, or the result
-// isn't what the delta was made of.
+// Apply returns the document that the delta describes. The error is a *DeltaError if the base is not the delta's, a part lies outside it, the
+// document would exceed MaxDocument, or the result does not have the hash Sum.
 func (d Delta) Apply(base []byte) ([]byte, error) {
-	if !bytes.Equal(d.Base, sum(base)) {
+	if !bytes.Equal(d.Base, hashOf(base)) {
 		return nil, trace.Wrap(&DeltaError{Cause: ErrWrongBase})
 	}
 	size := 0
@@ -128,7 +131,7 @@
 		}
 		next = append(next, base[p.From:p.From+p.Length]...)
 	}
-	if !bytes.Equal(d.Sum, sum(next)) {
+	if !bytes.Equal(d.Sum, hashOf(next)) {
 		return nil, trace.Wrap(&DeltaError{Cause: ErrHashMismatch})
 	}
 	return next, nil
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -9,66 +9,70 @@
 	"github.com/gravitational/trace"
 )
 
-// NameBytes is the length of a chunk's name.
+// NameBytes is the length of a Name.
 const NameBytes = 16
 
-// MaxDocument bounds the size in bytes of a document that a manifest may describe.
+// MaxDocument is the maximum size in bytes of a document that a manifest or a delta may describe.
 const MaxDocument = 4 << 20
 
-// Name is the first 128 bits of the SHA-256 of a chunk.
+// Name identifies a chunk or a segment: the first 128 bits of the SHA-256 hash of its bytes.
 type Name [NameBytes]byte
 
-// NameOf names a chunk.
+// NameOf returns the name of a chunk or a segment.
 func NameOf(data []byte) Name {
 	sum := sha256.Sum256(data)
 	return Name(sum[:NameBytes])
 }
 
-// segmentMost is the most chunks that a segment names; it ends early after a name whose first byte has the low bits clear, on average
-// after 32.
+// A segment lists at most maxSegmentChunks chunks. It ends earlier after a name whose first byte is zero under segmentMask, on average after 32
+// names, so that inserting a chunk changes only one or two segments.
 const (
-	segmentMost = 64
-	segmentMask = 1<<5 - 1
+	maxSegmentChunks = 64
+	segmentMask      = 1<<5 - 1
 )
 
-// Manifest stands for a document: its size in bytes, and the names of its segments, joined in order. A segment is the joined names of
-// consecutive chunks; it is fetched by its name as chunks are, so that a manifest is small and a change costs one or two segments. Fresh
-// are chunks that come with a message, as the receiver probably lacks them. The fields are part of the format between nodes.
+// Manifest describes a document in a message. Its fields are part of the format between nodes.
+//
+// A segment is the concatenated names of consecutive chunks. Segments are fetched by name like chunks, so that a manifest is small and a
+// change of the document costs one or two segments.
 type Manifest struct {
-	Size     int
+	// Size is the size of the document in bytes.
+	Size int
+	// Segments are the concatenated names of the document's segments, in order.
 	Segments []byte
-	Fresh    [][]byte
+	// Fresh are segments and chunks that are sent along because the receiver probably lacks them.
+	Fresh [][]byte
 }
 
-// ManifestError says that a manifest describes no document.
+// ManifestError means that a manifest is invalid.
 type ManifestError struct{ Cause error }
 
 func (e *ManifestError) Error() string { return "bad manifest: " + e.Cause.Error() }
 
-// Check returns a *ManifestError where the manifest can't describe a document.
+// Check returns a *ManifestError if no document can have this manifest.
 func (m *Manifest) Check() error {
 	count := len(m.Segments) / NameBytes
 	switch {
 	case len(m.Segments)%NameBytes != 0:
-		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes of names", len(m.Segments))})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("segment names have %d bytes, which is no multiple of a name's length", len(m.Segments))})
 	case m.Size < 1 || m.Size > MaxDocument:
-		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes in all", m.Size)})
-	case m.Size < count || m.Size > count*segmentMost*MaxChunk:
-		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("%d bytes in %d segments", m.Size, count)})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("document size of %d bytes is out of range", m.Size)})
+	case m.Size < count || m.Size > count*maxSegmentChunks*MaxChunk:
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("document size of %d bytes is impossible with %d segments", m.Size, count)})
 	}
 	return nil
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ManifestError) Unwrap() error { return e.Cause }
 
-// Key is the same for manifests that are the same.
+// Key identifies the manifest: it is the hash of the fields that Equal compares.
 func (m *Manifest) Key() Name {
 	size := binary.BigEndian.AppendUint64(nil, uint64(m.Size))
 	return NameOf(append(size, m.Segments...))
 }
 
-// splitNames divides joined names.
+// splitNames splits concatenated names.
 func splitNames(joined []byte) []Name {
 	names := make([]Name, 0, len(joined)/NameBytes)
 	for ; len(joined) >= NameBytes; joined = joined[NameBytes:] {
@@ -77,21 +81,21 @@
 	return names
 }
 
-// segments divides the joined names of chunks.
-func segments(joined []byte) [][]byte {
-	from := 0
-	var parts [][]byte
-	for at := 0; at < len(joined); at += NameBytes {
-		end := at + NameBytes
-		if joined[at]&segmentMask == 0 || end-from == segmentMost*NameBytes || end == len(joined) {
-			parts = append(parts, joined[from:end])
-			from = end
+// splitSegments splits the concatenated names of chunks into segments.
+func splitSegments(joined []byte) [][]byte {
+	start := 0
+	var segments [][]byte
+	for offset := 0; offset < len(joined); offset += NameBytes {
+		end := offset + NameBytes
+		if joined[offset]&segmentMask == 0 || end-start == maxSegmentChunks*NameBytes || end == len(joined) {
+			segments = append(segments, joined[start:end])
+			start = end
 		}
 	}
-	return parts
+	return segments
 }
 
-// Equal tells whether two manifests are the same.
+// Equal reports whether two manifests describe the same document in the same segments. It ignores Fresh.
 func (m *Manifest) Equal(other *Manifest) bool {
 	return m.Size == other.Size && bytes.Equal(m.Segments, other.Segments)
 }
--- a/chunk/missing.go
+++ b/chunk/missing.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// AddedChunks are the segments and chunks of one document that another lacks, or none where they have more than so many bytes together, or
-// aren't all in the store.
-func (s *Store) AddedChunks(m, base *Manifest, bytes int) [][]byte {
+// AddedChunks returns the segments and chunks of the document m that the document base does not have. It returns nil if they have more than
+// maxBytes bytes in total or if one of the documents is not complete in the store.
+func (s *Store) AddedChunks(m, base *Manifest, maxBytes int) [][]byte {
 	if _, err := s.Document(base); err != nil {
 		return nil
 	}
-	had := map[Name]bool{}
-	for _, name := range s.open(base).all() {
-		had[name] = true
+	seen := map[Name]bool{}
+	for _, name := range s.lookUp(base).allNames() {
+		seen[name] = true
 	}
 	if _, err := s.Document(m); err != nil {
 		return nil
 	}
 	var chunks [][]byte
-	for _, name := range s.open(m).all() {
-		if had[name] {
+	for _, name := range s.lookUp(m).allNames() {
+		if seen[name] {
 			continue
 		}
-		had[name] = true
+		seen[name] = true
 		data := s.chunks[name].data
-		if bytes -= len(data); bytes < 0 {
+		if maxBytes -= len(data); maxBytes < 0 {
 			return nil
 		}
 		chunks = append(chunks, data)
@@ -30,10 +30,11 @@
 	return chunks
 }
 
-// all are the names of a document's segments and chunks.
-func (d *document) all() []Name { return slices.Concat(d.segments, d.names) }
+// allNames returns the names of a document's segments and chunks.
+func (d *document) allNames() []Name { return slices.Concat(d.segments, d.names) }
 
-// DocumentWith takes chunks in as far as the document lacks them, and returns it as Body does.
+// DocumentWith adds those chunks that the document lacks and returns the document or an error like Document. It tries twice, because the
+// names of the missing chunks are known only once all segments are present.
 func (s *Store) DocumentWith(m *Manifest, chunks [][]byte) ([]byte, error) {
 	body, err := s.Document(m)
 	for range 2 {
--- a/chunk/store.go
+++ b/chunk/store.go
@@ -6,64 +6,72 @@
 	"github.com/gravitational/trace"
 )
 
-// MissingError names the chunks that a document still lacks.
+// MissingError lists the names of the segments or chunks that the store needs to assemble a document.
 type MissingError struct{ Names []Name }
 
 func (e *MissingError) Error() string {
 	return fmt.Sprintf("%d chunks are missing", len(e.Names))
 }
 
-// SizeError says that the chunks of a manifest don't add up to its size.
+// SizeError means that the chunks of a manifest have Bytes bytes in total instead of the manifest's size, Want.
 type SizeError struct{ Bytes, Want int }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("the chunks have %d bytes together, not %d", e.Bytes, e.Want)
+	return fmt.Sprintf("the chunks have %d bytes in total, the manifest says %d", e.Bytes, e.Want)
 }
 
+// storedChunk is a chunk or a segment. Its data is nil until it was received.
 type storedChunk struct {
 	data []byte
-	uses int
+	// references counts the references from documents.
+	references int
 }
 
-// document is one that a store knows: names are its chunks, once its segments are here.
+// document is a document of a store, which may lack some of its segments and chunks.
 type document struct {
 	key      Name
 	manifest *Manifest
 	segments []Name
-	names    []Name
-	body     []byte
+	// names are the names of the chunks; nil until all segments were present and read.
+	names []Name
+	// body is the assembled document; nil if it is not assembled or not kept.
+	body []byte
 }
 
-// Store holds the chunks of the documents that were used last, and the segments that name them. Those that several documents share are
-// held once; those that no document in the store has are not kept.
+// Store holds the segments and chunks of the most recently used documents. A chunk that several documents share is held once; a chunk that
+// no document of the store refers to is removed.
 type Store struct {
-	documents int
-	bodies    int
-	bytes     int
-	bodyBytes int
-	chunks    map[Name]*storedChunk
-	recent    []*document
+	// maxDocuments, maxBodies and maxBytes are the limits given to NewStore.
+	maxDocuments int
+	maxBodies    int
+	maxBytes     int
+	// storedBytes is the total size of the held segments and chunks.
+	storedBytes int
+	chunks      map[Name]*storedChunk
+	// recent lists the documents, the most recently used one last.
+	recent []*document
 }
 
-// NewStore makes a store that keeps the chunks of the most recently used documents: that many, fewer where their chunks together
-// exceed the number of bytes, two in any case. Of as many as bodies it keeps the whole document too.
-func NewStore(documents, bodies, bytes int) *Store {
-	return &Store{documents: max(documents, 2), bodies: bodies, bytes: bytes, chunks: map[Name]*storedChunk{}}
+// NewStore returns a store that keeps the segments and chunks of the most recently used documents: up to maxDocuments, and fewer if they have
+// more than maxBytes bytes in total, but always two. For the last maxBodies documents it also keeps the assembled document.
+func NewStore(maxDocuments, maxBodies, maxBytes int) *Store {
+	return &Store{maxDocuments: max(maxDocuments, 2), maxBodies: maxBodies, maxBytes: maxBytes, chunks: map[Name]*storedChunk{}}
 }
 
-// Add takes a document in, if it isn't yet, and returns its manifest. The bytes must not change afterwards.
-func (s *Store) Add(body []byte) *Manifest { return s.manifest(body, Split) }
+// Add adds a document to the store and returns its manifest. The bytes must not change afterwards.
+func (s *Store) Add(body []byte) *Manifest { return s.add(body, Split) }
 
-// AddFine is Manifest for a short list, in fine chunks.
-func (s *Store) AddFine(list []byte) *Manifest { return s.manifest(list, SplitFine) }
+// AddFine is like Add for a short list, which it cuts into fine chunks (see SplitFine).
+func (s *Store) AddFine(list []byte) *Manifest { return s.add(list, SplitFine) }
 
-func (s *Store) manifest(body []byte, split func(document []byte) [][]byte) *Manifest {
+// add cuts a document with split and adds it. It returns early if a kept document is the same memory as body.
+func (s *Store) add(body []byte, split func(document []byte) [][]byte) *Manifest {
 	if len(body) == 0 {
 		return &Manifest{}
 	}
 	for i, d := range s.recent {
 		if len(d.body) == len(body) && &d.body[0] == &body[0] {
-			s.touch(i)
+			s.markUsed(i)
 			return d.manifest
 		}
 	}
@@ -74,38 +82,38 @@
 		joined = append(joined, name[:]...)
 	}
 	m := &Manifest{Size: len(body)}
-	parts := segments(joined)
+	parts := splitSegments(joined)
 	for _, part := range parts {
 		name := NameOf(part)
 		m.Segments = append(m.Segments, name[:]...)
 	}
-	d := s.open(m)
+	d := s.lookUp(m)
 	for i, part := range parts {
 		s.put(d.segments[i], part)
 	}
-	s.expand(d)
+	s.readSegments(d)
 	for i, data := range chunks {
 		s.put(d.names[i], data)
 	}
 	d.body = body
-	s.shrink()
+	s.evict()
 	return d.manifest
 }
 
-// Document returns the document that a manifest stands for. Errors are *ManifestError, *SizeError, and *MissingError; after the last the
-// store takes in what is missing: segments first, and chunks once all segments are here.
+// Document returns the document that a manifest describes. The error is a *ManifestError, a *SizeError or a *MissingError. After a
+// *MissingError, Put accepts the missing names: first the segments, and in a later call the chunks, once all segments are present.
 func (s *Store) Document(m *Manifest) ([]byte, error) {
 	if err := m.Check(); err != nil {
 		return nil, err
 	}
-	d := s.open(m)
+	d := s.lookUp(m)
 	if d.body != nil {
 		return d.body, nil
 	}
 	if missing := s.missing(d.segments); len(missing) > 0 {
 		return nil, trace.Wrap(&MissingError{Names: missing})
 	}
-	s.expand(d)
+	s.readSegments(d)
 	if missing := s.missing(d.names); len(missing) > 0 {
 		return nil, trace.Wrap(&MissingError{Names: missing})
 	}
@@ -114,7 +122,7 @@
 		size += len(s.chunks[name].data)
 	}
 	if size != m.Size {
-		s.drop(len(s.recent) - 1)
+		s.remove(len(s.recent) - 1)
 		return nil, trace.Wrap(&SizeError{Bytes: size, Want: m.Size})
 	}
 	body := make([]byte, 0, size)
@@ -122,10 +130,11 @@
 		body = append(body, s.chunks[name].data...)
 	}
 	d.body = body
-	s.shrink()
+	s.evict()
 	return body, nil
 }
 
+// missing returns those of the names that the store has no data for, each once.
 func (s *Store) missing(of []Name) []Name {
 	seen := map[Name]bool{}
 	var names []Name
@@ -138,7 +147,7 @@
 	return names
 }
 
-// Put takes in a chunk or a segment that some document of the store lacks, and tells whether it was one.
+// Put adds a chunk or a segment that some document of the store lacks. It reports whether it was added.
 func (s *Store) Put(data []byte) bool {
 	if len(data) == 0 || len(data) > MaxChunk {
 		return false
@@ -152,12 +161,12 @@
 		return false
 	}
 	entry.data = append(make([]byte, 0, len(data)), data...)
-	s.bodyBytes += len(data)
-	s.shrink()
+	s.storedBytes += len(data)
+	s.evict()
 	return true
 }
 
-// Get returns a chunk or a segment, or nothing.
+// Get returns a chunk or a segment, or nil if the store does not hold it.
 func (s *Store) Get(name Name) []byte {
 	if entry := s.chunks[name]; entry != nil {
 		return entry.data
@@ -165,71 +174,75 @@
 	return nil
 }
 
-// StoredBytes is how many bytes of chunks and segments the store holds.
-func (s *Store) StoredBytes() int { return s.bodyBytes }
+// StoredBytes is the total size of the segments and chunks in the store, in bytes.
+func (s *Store) StoredBytes() int { return s.storedBytes }
 
-// open makes a document the most recent one.
-func (s *Store) open(m *Manifest) *document {
+// lookUp returns the document of a manifest, which becomes the most recently used one. It adds the document if it is new.
+func (s *Store) lookUp(m *Manifest) *document {
 	key := m.Key()
 	for i, d := range s.recent {
 		if d.key == key {
-			s.touch(i)
+			s.markUsed(i)
 			return d
 		}
 	}
 	d := &document{key: key, manifest: m, segments: splitNames(m.Segments)}
 	s.recent = append(s.recent, d)
-	s.use(d.segments)
-	s.shrink()
+	s.retain(d.segments)
+	s.evict()
 	return d
 }
 
-// expand reads the names of the document's chunks in its segments, which are all here.
-func (s *Store) expand(d *document) {
+// readSegments reads the names of the document's chunks from its segments, which must all be present.
+func (s *Store) readSegments(d *document) {
 	if d.names != nil {
 		return
 	}
 	for _, segment := range d.segments {
 		d.names = append(d.names, splitNames(s.chunks[segment].data)...)
 	}
-	s.use(d.names)
+	s.retain(d.names)
 }
 
-func (s *Store) use(names []Name) {
+// retain counts a reference to each of the names.
+func (s *Store) retain(names []Name) {
 	for _, name := range names {
 		if s.chunks[name] == nil {
 			s.chunks[name] = &storedChunk{}
 		}
-		s.chunks[name].uses++
+		s.chunks[name].references++
 	}
 }
 
+// release removes a reference to each of the names, and the chunks that no longer have one.
 func (s *Store) release(names []Name) {
 	for _, name := range names {
 		entry := s.chunks[name]
-		entry.uses--
-		if entry.uses == 0 {
-			s.bodyBytes -= len(entry.data)
+		entry.references--
+		if entry.references == 0 {
+			s.storedBytes -= len(entry.data)
 			delete(s.chunks, name)
 		}
 	}
 }
 
-func (s *Store) touch(at int) {
+// markUsed makes the document at an index of recent the most recently used one.
+func (s *Store) markUsed(at int) {
 	d := s.recent[at]
 	s.recent = append(append(s.recent[:at:at], s.recent[at+1:]...), d)
 }
 
-func (s *Store) shrink() {
-	for len(s.recent) > s.documents || (s.bodyBytes > s.bytes && len(s.recent) > 2) {
-		s.drop(0)
+// evict removes the least recently used documents that exceed the limits.
+func (s *Store) evict() {
+	for len(s.recent) > s.maxDocuments || (s.storedBytes > s.maxBytes && len(s.recent) > 2) {
+		s.remove(0)
 	}
-	for _, d := range s.recent[:max(0, len(s.recent)-s.bodies)] {
+	for _, d := range s.recent[:max(0, len(s.recent)-s.maxBodies)] {
 		d.body = nil
 	}
 }
 
-func (s *Store) drop(at int) {
+func (s *Store) remove(at int) {
 	d := s.recent[at]
 	s.recent = append(s.recent[:at:at], s.recent[at+1:]...)
 	s.release(d.segments)
