--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -1,18 +1,18 @@
 package register
 
-// Message is what proposers and acceptors send each other. Their encoded forms, which older builds read, are in encoding.go.
+// Message is a message between a proposer and an acceptor. The encoded forms, which older builds must be able to read, are in encoding.go.
 type Message interface{ registerMessage() }
 
-// Prepare asks a disk to promise a ballot and to tell what it accepted last. RequestID ties the answer to the round.
+// Prepare asks a disk to promise a ballot and to return the value that it accepted last. RequestID matches the reply to the round.
 type Prepare struct {
 	RequestID uint64
 	Disk      string
 	Ballot    Ballot
-	// ReadOnly asks what was accepted and wants no promise: a majority that answers alike has been read.
+	// ReadOnly asks for the accepted value without a promise. The value is chosen if a majority returns it with the same ballot.
 	ReadOnly bool
 }
 
-// Promise answers a Prepare. Where OK is false, Promised is the higher ballot that stands in the way.
+// Promise is the reply to a Prepare. If OK is false, the prepare was rejected because of the higher ballot Promised.
 type Promise struct {
 	RequestID uint64
 	Disk      string
@@ -30,7 +30,7 @@
 	Value     *Value
 }
 
-// Accepted answers an Accept. Where OK is false, Promised is the higher ballot that stands in the way.
+// Accepted is the reply to an Accept. If OK is false, the value was rejected because of the higher ballot Promised.
 type Accepted struct {
 	RequestID uint64
 	Disk      string
@@ -43,7 +43,7 @@
 func (Accept) registerMessage()   {}
 func (Accepted) registerMessage() {}
 
-// State is what a disk keeps: nothing of it may be told before it is synced.
+// State is what an acceptor stores on its disk. No reply may reveal a part of it that is not synced yet.
 type State struct {
 	Disk     string
 	Promised Ballot
@@ -51,13 +51,13 @@
 	Value    *Value
 }
 
-// Acceptor votes for one disk.
+// Acceptor votes for one disk. Its methods don't write: if they return write, the caller must store State before it sends the reply.
 type Acceptor struct {
 	State
 }
 
-// Prepare answers a Prepare; write tells that the answer may leave only after the promise is on disk. A message for another disk gets
-// no answer (an empty Disk).
+// Prepare returns the reply to a Prepare. If write is true, the reply may be sent only after the promise is on disk. For a message to another
+// disk the reply has an empty Disk and must not be sent.
 func (a *Acceptor) Prepare(m Prepare) (r Promise, write bool) {
 	if m.Disk != a.Disk {
 		return Promise{}, false
@@ -76,8 +76,8 @@
 	return r, write
 }
 
-// Accept answers an Accept; write tells that the answer may leave only after the value is on disk. It never votes for a value whose
-// document isn't here: what was acknowledged is whole on the disks of a majority.
+// Accept returns the reply to an Accept. If write is true, the reply may be sent only after the value is on disk. Accept doesn't vote for a
+// value that has a manifest instead of its document or its logs, so that a majority of the disks has every acknowledged value completely.
 func (a *Acceptor) Accept(m Accept) (r Accepted, write bool) {
 	if m.Disk != a.Disk || m.Value == nil || !m.Value.Complete() {
 		return Accepted{}, false
--- a/register/backoff.go
+++ b/register/backoff.go
@@ -6,71 +6,75 @@
 )
 
 const (
-	// initialRoundTrip is taken for the time from a request to a majority's answers until one was measured; minRoundTrip and maxRoundTrip bound it.
+	// initialRoundTrip is the assumed time from a request to the replies of a majority until a time was measured. Measured averages are kept between
+	// minRoundTrip and maxRoundTrip.
 	initialRoundTrip = 10 * time.Millisecond
 	minRoundTrip     = time.Millisecond
 	maxRoundTrip     = 100 * time.Millisecond
-	// roundTripWeight is the weight of the past against one measurement.
+	// roundTripWeight is the weight of the previous average relative to a new measurement.
 	roundTripWeight = 3
-	// maxBackoffTrips bounds the random part of a pause, in trips.
-	maxBackoffTrips = 8
+	// maxBackoffRoundTrips is the maximum of the random part of a backoff, in round trips.
+	maxBackoffRoundTrips = 8
 )
 
-// SubmitUrgent queues a change of voters before all operations that are not urgent. It yields to no rival for longer than a round.
+// SubmitUrgent queues a change of voters ahead of all operations that are not urgent. Its backoff is at most one round trip.
 func (p *Proposer) SubmitUrgent(now, deadline time.Duration, id uint64, change Change) {
-	at := 0
-	for at < len(p.queue) && p.queue[at].urgent {
-		at++
+	position := 0
+	for position < len(p.queue) && p.queue[position].urgent {
+		position++
 	}
-	p.queue = slices.Insert(p.queue, at, &operation{id: id, change: unfenced(change), deadline: deadline, urgent: true})
-	p.next(now)
+	p.queue = slices.Insert(p.queue, position, &operation{id: id, change: unguarded(change), deadline: deadline, urgent: true})
+	p.startNext(now)
 }
 
-// measureRoundTrip notes how long a majority took to answer.
+// measureRoundTrip adds the time that a majority took to reply to the moving average.
 func (p *Proposer) measureRoundTrip(now time.Duration) {
 	measured := (roundTripWeight*p.roundTrip + now - p.askedAt) / (roundTripWeight + 1)
 	p.roundTrip = min(max(measured, minRoundTrip), maxRoundTrip)
 }
 
-// preempted goes on after a refused prepare, the first time at once: a proposer that was idle mostly lost because its ballot was old, and
-// after a pause the one that it was told of would be old again.
-func (p *Proposer) preempted(now time.Duration) {
-	if p.tries > 0 {
-		p.retry(now)
+// onRejectedPrepare handles a rejected prepare. It retries at once after the first one: a proposer that was idle usually loses because its ballot is old,
+// and after a backoff the ballot number that it just learned would be outdated too.
+func (p *Proposer) onRejectedPrepare(now time.Duration) {
+	if p.lostRounds > 0 {
+		p.scheduleRetry(now)
 		return
 	}
-	p.tries++
+	p.lostRounds++
 	p.phase, p.nextActionAt = backingOff, now
 }
 
-// retry pauses before another round after a lost one.
-func (p *Proposer) retry(now time.Duration) {
-	p.tries++
-	p.phase, p.nextActionAt = backingOff, now+p.backoff()
+// scheduleRetry schedules another round, after a backoff.
+func (p *Proposer) scheduleRetry(now time.Duration) {
+	p.lostRounds++
+	p.phase, p.nextActionAt = backingOff, now+p.backoffDelay()
 }
 
-// backoff leaves whoever won about the one more trip that it needs, and then parts the losers by a random time. It grows to a few trips
-// only: an order that has lost often must not wait longer than those that come after it.
-func (p *Proposer) backoff() time.Duration {
+// backoffDelay returns how long to wait before the next round: one round trip, which the proposer that won needs to finish, plus a random time
+// that keeps the other proposers apart. The random part is limited to maxBackoffRoundTrips round trips, so that an operation that has
+// lost many rounds doesn't wait longer than those submitted after it.
+func (p *Proposer) backoffDelay() time.Duration {
 	if p.urgent() {
 		return p.urgentBackoff()
 	}
-	return p.roundTrip + p.random(p.roundTrip*time.Duration(min(1<<min(p.tries, maxBackoffTrips), maxBackoffTrips)))
+	return p.roundTrip + p.random(p.roundTrip*time.Duration(min(1<<min(p.lostRounds, maxBackoffRoundTrips), maxBackoffRoundTrips)))
 }
 
-// urgentBackoff is none every other time; the random one between parts two urgent operations.
+// urgentBackoff is 0 after every other lost round. After the others it is a random part of a round trip, which keeps two urgent operations
+// apart.
 func (p *Proposer) urgentBackoff() time.Duration {
-	if p.tries%2 == 1 {
+	if p.lostRounds%2 == 1 {
 		return 0
 	}
 	return p.random(p.roundTrip)
 }
 
-// urgent says that the operation must not starve behind operators' orders: changes of voters, and reads that repair.
+// urgent reports whether the current operation must not be starved by operator requests. Changes of voters are urgent, and so are full reads,
+// which repair voters that lag.
 func (p *Proposer) urgent() bool {
 	return p.current.urgent || (p.current.change == nil && p.current.full)
 }
 
-func (p *Proposer) random(most time.Duration) time.Duration {
-	return time.Duration(p.rng.Int64N(int64(most)))
+func (p *Proposer) random(limit time.Duration) time.Duration {
+	return time.Duration(p.rng.Int64N(int64(limit)))
 }
--- a/register/bootstrap_test.go
+++ b/register/bootstrap_test.go
@@ -5,62 +5,63 @@
 	"time"
 )
 
-// bootstrapValue is the value of a duel in which x's bootstrap was accepted everywhere and its answers were lost, and y has made a change since.
-func bootstrapValue(t *testing.T) *duel {
-	d := &duel{t: t, disks: map[string]*Acceptor{}, reach: map[string]bool{}, x: NewProposer("x", 1), y: NewProposer("y", 2)}
+// bootstrappedPair returns a pair in which x's bootstrap was accepted by all disks, but the replies were lost, and y has made a change since.
+func bootstrappedPair(t *testing.T) *proposerPair {
+	d := &proposerPair{t: t, disks: map[string]*Acceptor{}, reachable: map[string]bool{}, x: NewProposer("x", 1), y: NewProposer("y", 2)}
 	var vs []Voter
 	for _, disk := range []string{"a", "b", "c"} {
 		d.disks[disk] = &Acceptor{State{Disk: disk}}
 		vs = append(vs, Voter{Disk: disk})
 	}
-	d.only("a", "b", "c")
+	d.setReachable("a", "b", "c")
 	first := &Value{Fleet: "f", Voters: vs}
 	d.x.Bootstrap(0, time.Hour, 1, first)
-	d.deaf = true
+	d.dropAccepted = true
 	d.run(d.x, 50*time.Millisecond)
-	d.deaf = false
+	d.dropAccepted = false
 	d.y.LearnVoters(first)
-	if err := d.until(d.y, take(0, "theirs")); err != nil {
+	if err := d.submitAndWait(d.y, edit(0, "theirs")); err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func (d *duel) holds(text string) {
+// checkDocument checks that the register contains the document.
+func (d *proposerPair) checkDocument(text string) {
 	d.t.Helper()
-	if err := d.until(d.y, nil); err != nil || string(d.last.Value.Document) != text {
-		d.t.Errorf("%v: %q is read, %q was confirmed", err, d.last.Value.Document, text)
+	if err := d.submitAndWait(d.y, nil); err != nil || string(d.last.Value.Document) != text {
+		d.t.Errorf("%v: read %q, confirmed was %q", err, d.last.Value.Document, text)
 	}
 }
 
 func TestRepeatedBootstrapKeepsLaterChanges(t *testing.T) {
-	d := bootstrapValue(t)
-	if err := d.end(d.x); err != nil {
-		t.Errorf("its own founding: %v", err)
+	d := bootstrappedPair(t)
+	if err := d.waitForResult(d.x); err != nil {
+		t.Errorf("the bootstrap of the existing register: %v", err)
 	}
-	d.holds("theirs")
+	d.checkDocument("theirs")
 }
 
 func TestBootstrapKeepsExistingRegister(t *testing.T) {
-	d := bootstrapValue(t)
+	d := bootstrappedPair(t)
 	z := NewProposer("z", 3)
-	z.Bootstrap(d.now, d.now+time.Hour, 1, &Value{Fleet: "g", Voters: d.x.voters.Voters})
-	d.only()
+	z.Bootstrap(d.now, d.now+time.Hour, 1, &Value{Fleet: "g", Voters: d.x.known.Voters})
+	d.setReachable()
 	d.run(z, 50*time.Millisecond)
-	z.LearnVoters(d.y.voters)
-	d.only("a", "b", "c")
-	if err := d.until(d.y, take(1, "later")); err != nil {
+	z.LearnVoters(d.y.known)
+	d.setReachable("a", "b", "c")
+	if err := d.submitAndWait(d.y, edit(1, "later")); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.end(z); fateOf(err) != "412" {
-		t.Errorf("a second founding: %v", err)
+	if err := d.waitForResult(z); outcome(err) != "412" {
+		t.Errorf("the bootstrap of a second register: %v", err)
 	}
-	d.holds("later")
+	d.checkDocument("later")
 }
 
-// A register that is known by news stands on other disks than a late bootstrap would ask: these are empty, and must stay so.
+// The proposer learns of a register on other disks than those that its bootstrap names. The latter are empty and must stay empty.
 func TestBootstrapOnOtherDisksEndsOnceRegisterIsKnown(t *testing.T) {
-	d := bootstrapValue(t)
+	d := bootstrappedPair(t)
 	var others []Voter
 	for _, disk := range []string{"d", "e", "f"} {
 		d.disks[disk] = &Acceptor{State{Disk: disk}}
@@ -68,15 +69,15 @@
 	}
 	z := NewProposer("z", 3)
 	z.Bootstrap(d.now, d.now+time.Hour, 1, &Value{Fleet: "g", Voters: others})
-	z.LearnVoters(d.y.voters)
-	d.only("a", "b", "c", "d", "e", "f")
-	if err := d.end(z); fateOf(err) != "412" {
-		t.Errorf("a second founding: %v", err)
+	z.LearnVoters(d.y.known)
+	d.setReachable("a", "b", "c", "d", "e", "f")
+	if err := d.waitForResult(z); outcome(err) != "412" {
+		t.Errorf("the bootstrap of a second register: %v", err)
 	}
 	for _, v := range others {
 		if d.disks[v.Disk].Value != nil {
-			t.Errorf("a second register stands on %s", v.Disk)
+			t.Errorf("disk %s has a second register", v.Disk)
 		}
 	}
-	d.holds("theirs")
+	d.checkDocument("theirs")
 }
--- a/register/clone.go
+++ b/register/clone.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/internal/fingerprint"
 )
 
-// Clone returns an independent copy for a model checker. Its backoff draws nothing, so that equal copies stay equal.
+// Clone returns an independent copy for a model checker. Its backoff uses a constant instead of random numbers, so that equal copies stay equal.
 func (p *Proposer) Clone() *Proposer {
 	c := &Proposer{}
 	*c = *p
@@ -27,25 +27,25 @@
 	return c
 }
 
-// KnownValue is the newest value whose voters the proposer goes by, or nil.
-func (p *Proposer) KnownValue() *Value { return p.voters }
+// KnownValue returns the newest value that the proposer knows, whose voters it asks, or nil.
+func (p *Proposer) KnownValue() *Value { return p.known }
 
-// Busy tells whether an operation is under way and its timer may fire.
+// Busy reports whether an operation is running, whose timer may fire.
 func (p *Proposer) Busy() bool { return p.current != nil }
 
-// Queued tells whether an operation waits behind the one that is under way.
+// Queued reports whether an operation waits for the current one to end.
 func (p *Proposer) Queued() bool { return len(p.queue) > 0 }
 
-// BackingOff tells whether the proposer waits before its next ballot.
+// BackingOff reports whether the proposer waits before its next round.
 func (p *Proposer) BackingOff() bool { return p.phase == backingOff }
 
-// FireTimer has the wait of the present phase end now, at time zero.
+// FireTimer ends the timeout or backoff of the current phase. The time is always 0 in a model checker.
 func (p *Proposer) FireTimer() {
 	p.nextActionAt = 0
 	p.Tick(0)
 }
 
-// FireDeadline has the present operation run out of time now, at time zero.
+// FireDeadline lets the deadline of the current operation pass and ends the operation.
 func (p *Proposer) FireDeadline() {
 	if p.current == nil {
 		return
@@ -54,7 +54,7 @@
 	p.Tick(0)
 }
 
-// ExpireDeadline has an operation's time run out, at time zero, while its node stands still: it ends once the node goes on with it.
+// ExpireDeadline lets the deadline of an operation pass while its node is frozen. The operation ends when the node continues it.
 func (p *Proposer) ExpireDeadline(id uint64) {
 	for _, o := range append(slices.Clone(p.queue), p.current) {
 		if o != nil && o.id == id {
@@ -63,43 +63,43 @@
 	}
 }
 
-// GuardSet tells whether an operation has read a quorum and set its fence.
+// GuardSet reports whether an operation has read from a quorum and set its guard.
 func (p *Proposer) GuardSet(id uint64) bool {
-	return p.current != nil && p.current.id == id && p.current.fence.set
+	return p.current != nil && p.current.id == id && p.current.guard.set
 }
 
-// Preparing tells whether the proposer gathers promises, for the round RequestID.
+// Preparing reports whether the proposer waits for promises, in the round RequestID.
 func (p *Proposer) Preparing() bool { return p.phase == preparing }
 
-// RequestID is the id of the present round.
+// RequestID returns the request ID of the current round.
 func (p *Proposer) RequestID() uint64 { return p.requestID }
 
-// Expects tells whether an answer with that request ID and promised ballot can still change anything here.
+// Expects reports whether a reply with this request ID and promised ballot can still change the proposer's state.
 func (p *Proposer) Expects(requestID uint64, promised Ballot) bool {
 	return (requestID == p.requestID && (p.phase == preparing || p.phase == accepting)) || promised.N > p.highestBallot
 }
 
-// AppendFingerprint appends all that decides what the proposer does next but for what it heard of each disk (AppendReplies). Times are
-// left out, they are fired by hand.
+// AppendFingerprint appends all state that the proposer's next steps depend on, except the replies of each disk (see AppendReplies). Times
+// are left out, since a model checker fires timers itself.
 func (p *Proposer) AppendFingerprint(b []byte) []byte {
 	b = fingerprint.Text(b, p.ID)
 	b = append(b, byte(p.phase))
 	b = fingerprint.Numbers(b, p.highestBallot, p.requestID)
-	b = p.chosen.AppendFingerprint(p.voters.AppendFingerprint(b))
+	b = p.chosen.AppendFingerprint(p.known.AppendFingerprint(b))
 	b = p.current.appendFingerprint(b)
 	for _, o := range p.queue {
 		b = o.appendFingerprint(b)
 	}
 	switch p.phase {
 	case preparing:
-		return append(p.ballot.appendFingerprint(b), fingerprint.Bit(p.cheapRead))
+		return append(p.ballot.appendFingerprint(b), fingerprint.Bit(p.readOnly))
 	case accepting:
 		return p.proposed.AppendFingerprint(p.ballot.appendFingerprint(b))
 	}
 	return b
 }
 
-// AppendReplies appends what the proposer asked of and heard from a disk in the present round, without the disk's name.
+// AppendReplies appends what the proposer sent to a disk and received from it in the current round, without the disk's ID.
 func (p *Proposer) AppendReplies(b []byte, disk string) []byte {
 	switch p.phase {
 	case preparing:
@@ -120,46 +120,46 @@
 		return append(b, 0)
 	}
 	b = o.proposedBallot.appendFingerprint(fingerprint.Numbers(append(b, 1), o.id))
-	b = append(o.fence.appendFingerprint(b), fingerprint.Bit(o.deadline <= 0))
-	return append(o.bootstrapValue.AppendFingerprint(b), fingerprint.Bit(o.proposed), fingerprint.Bit(o.full), fingerprint.Bit(o.urgent), fingerprint.Bit(o.readFailed))
+	b = append(o.guard.appendFingerprint(b), fingerprint.Bit(o.deadline <= 0))
+	return append(o.bootstrapValue.AppendFingerprint(b), fingerprint.Bit(o.proposed), fingerprint.Bit(o.full), fingerprint.Bit(o.urgent), fingerprint.Bit(o.readOnlyFailed))
 }
 
 func (b Ballot) appendFingerprint(to []byte) []byte {
 	return fingerprint.Text(fingerprint.Numbers(to, b.N), b.By)
 }
 
-// AppendFingerprint appends the whole promise.
+// AppendFingerprint appends all fields of the promise.
 func (r Promise) AppendFingerprint(b []byte) []byte {
 	b = fingerprint.Numbers(fingerprint.Text(append(b, fingerprint.Bit(r.OK)), r.Disk), r.RequestID)
 	b = r.Accepted.appendFingerprint(r.Promised.appendFingerprint(b))
 	return r.Value.AppendFingerprint(b)
 }
 
-// AppendFingerprint appends the whole answer.
+// AppendFingerprint appends all fields of the reply.
 func (r Accepted) AppendFingerprint(b []byte) []byte {
 	b = fingerprint.Numbers(fingerprint.Text(append(b, fingerprint.Bit(r.OK)), r.Disk), r.RequestID)
 	return r.Promised.appendFingerprint(b)
 }
 
-// AppendFingerprint appends the whole request.
+// AppendFingerprint appends all fields of the request.
 func (m Prepare) AppendFingerprint(b []byte) []byte {
 	b = fingerprint.Numbers(fingerprint.Text(append(b, fingerprint.Bit(m.ReadOnly)), m.Disk), m.RequestID)
 	return m.Ballot.appendFingerprint(b)
 }
 
-// AppendFingerprint appends the whole request.
+// AppendFingerprint appends all fields of the request.
 func (m Accept) AppendFingerprint(b []byte) []byte {
 	b = m.Ballot.appendFingerprint(fingerprint.Numbers(fingerprint.Text(b, m.Disk), m.RequestID))
 	return m.Value.AppendFingerprint(b)
 }
 
-// AppendFingerprint appends what the acceptor holds.
+// AppendFingerprint appends all fields of the state.
 func (s State) AppendFingerprint(b []byte) []byte {
 	b = s.Accepted.appendFingerprint(s.Promised.appendFingerprint(fingerprint.Text(b, s.Disk)))
 	return s.Value.AppendFingerprint(b)
 }
 
-// AppendFingerprint appends every field of the value; nil has a fingerprint of its own.
+// AppendFingerprint appends all fields of the value. A nil value has a fingerprint that no other value has.
 func (v *Value) AppendFingerprint(b []byte) []byte {
 	if v == nil {
 		return append(b, 0)
@@ -167,8 +167,8 @@
 	b = fingerprint.Numbers(fingerprint.Text(append(b, 1), v.Fleet), v.Version, v.Epoch)
 	b = append(fingerprint.Numbers(b, uint64(len(v.Document))), v.Document...)
 	b = fingerprint.Numbers(b, uint64(len(v.EvacuatedZones)))
-	for _, domain := range v.EvacuatedZones {
-		b = fingerprint.Text(b, domain)
+	for _, zone := range v.EvacuatedZones {
+		b = fingerprint.Text(b, zone)
 	}
 	b = appendVoters(appendVoters(b, v.Voters), v.NextVoters)
 	b = fingerprint.Numbers(b, uint64(len(v.LegacyOrders)))
--- a/register/clone_test.go
+++ b/register/clone_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A field that is added to one of these must be added to Clone and AppendFingerprint, and then here.
+// A new field of one of these types must be added to Clone and AppendFingerprint, and then counted here.
 func TestFingerprintsCoverEveryField(t *testing.T) {
 	for kind, fields := range map[reflect.Type]int{
 		reflect.TypeFor[Proposer]():    22,
@@ -24,7 +24,7 @@
 		reflect.TypeFor[Accepted]():    4,
 	} {
 		if kind.NumField() != fields {
-			t.Errorf("%s has %d fields, clone.go knows %d", kind, kind.NumField(), fields)
+			t.Errorf("%s has %d fields, clone.go was written for %d", kind, kind.NumField(), fields)
 		}
 	}
 }
@@ -38,14 +38,14 @@
 	before := p.AppendFingerprint(nil)
 	c := p.Clone()
 	if !bytes.Equal(before, c.AppendFingerprint(nil)) {
-		t.Fatal("a clone differs")
+		t.Fatal("a clone has another fingerprint")
 	}
 	c.OnPromise(0, Promise{RequestID: sends[0].Msg.(Prepare).RequestID, Disk: "a", OK: true, Value: first})
 	c.FireDeadline()
 	if !bytes.Equal(before, p.AppendFingerprint(nil)) {
-		t.Error("what a clone does shows in the first")
+		t.Error("a clone changed the original")
 	}
 	if _, results := c.TakeOutput(); len(results) != 1 || c.Busy() {
-		t.Error("a deadline ends nothing")
+		t.Error("the deadline did not end the operation")
 	}
 }
--- a/register/cluster_test.go
+++ b/register/cluster_test.go
@@ -9,45 +9,49 @@
 	"time"
 )
 
-// ticks is how often a node lets its proposer act on time, each at a phase of its own.
-const ticks = 50 * time.Millisecond
+// tickInterval is the time between two calls of Tick by a node. Each node starts at another time.
+const tickInterval = 50 * time.Millisecond
 
-type happening struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+// event is a function call at a virtual time; seq orders calls at the same time.
+type event struct {
+	at   time.Duration
+	seq  uint64
+	call func()
 }
 
-type calendar []happening
+// eventQueue is a heap of the coming events.
+type eventQueue []event
 
-func (c calendar) Len() int { return len(c) }
-func (c calendar) Less(i, j int) bool {
+func (c eventQueue) Len() int { return len(c) }
+func (c eventQueue) Less(i, j int) bool {
 	return c[i].at < c[j].at || (c[i].at == c[j].at && c[i].seq < c[j].seq)
 }
-func (c calendar) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *calendar) Push(x any)   { *c = append(*c, x.(happening)) }
-func (c *calendar) Pop() any {
+func (c eventQueue) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c *eventQueue) Push(x any)   { *c = append(*c, x.(event)) }
+func (c *eventQueue) Pop() any {
 	last := len(*c) - 1
 	x := (*c)[last]
 	*c = (*c)[:last]
 	return x
 }
 
-// A crowd is several proposers over three disks in virtual time: links of 0.5 to 5 ms, syncs of 2 to 5 ms that take whatever waits
-// together, answers that leave in order behind them.
+// cluster simulates several proposers and three disks in virtual time. Messages take 0.5 to 5 ms. A sync takes 2 to 5 ms and includes all writes
+// that wait for it; replies are sent in order after the sync.
 type cluster struct {
 	rng       *rand.Rand
 	now       time.Duration
 	seq       uint64
-	coming    calendar
+	events    eventQueue
 	disks     map[string]*slowDisk
 	proposers []*Proposer
 	ids       uint64
-	done      map[uint64]func(r Result)
-	frozen    string
+	// done are the functions to call with the results of operations, by operation ID.
+	done map[uint64]func(r Result)
+	// frozen is a disk that gets no messages; empty for none.
+	frozen string
 }
 
-// A slowDisk votes; synced is when what was written last is on disk, syncing the end of the sync that runs.
+// slowDisk is an acceptor whose writes take time: synced is when the last write will be synced, syncing the end of the running sync.
 type slowDisk struct {
 	Acceptor
 	syncing, synced time.Duration
@@ -67,44 +71,46 @@
 		p := NewProposer(fmt.Sprintf("p%d", at), seed<<8+uint64(at))
 		p.LearnChosen(first)
 		c.proposers = append(c.proposers, p)
-		c.after(c.between(0, ticks), func() { c.tick(p) })
+		c.after(c.randomDuration(0, tickInterval), func() { c.tick(p) })
 	}
 	return c
 }
 
-func (c *cluster) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.rng.Int64N(int64(most-least)))
+func (c *cluster) randomDuration(lowest, limit time.Duration) time.Duration {
+	return lowest + time.Duration(c.rng.Int64N(int64(limit-lowest)))
 }
 
-func (c *cluster) link() time.Duration { return c.between(500*time.Microsecond, 5*time.Millisecond) }
+func (c *cluster) linkDelay() time.Duration {
+	return c.randomDuration(500*time.Microsecond, 5*time.Millisecond)
+}
 
-func (c *cluster) after(d time.Duration, do func()) {
+func (c *cluster) after(d time.Duration, call func()) {
 	c.seq++
-	heap.Push(&c.coming, happening{at: c.now + d, seq: c.seq, do: do})
+	heap.Push(&c.events, event{at: c.now + d, seq: c.seq, call: call})
 }
 
 func (c *cluster) runUntil(end time.Duration) {
-	for len(c.coming) > 0 && c.coming[0].at <= end {
-		next := heap.Pop(&c.coming).(happening)
+	for len(c.events) > 0 && c.events[0].at <= end {
+		next := heap.Pop(&c.events).(event)
 		c.now = next.at
-		next.do()
+		next.call()
 	}
 	c.now = end
 }
 
 func (c *cluster) tick(p *Proposer) {
-	c.after(ticks, func() { c.tick(p) })
+	c.after(tickInterval, func() { c.tick(p) })
 	p.Tick(c.now)
-	c.carry(p)
+	c.step(p)
 }
 
-// carry has the proposer act on what is due, as a node does at each input, and posts what it sends.
-func (c *cluster) carry(p *Proposer) {
+// step lets the proposer handle what is due, as a node does after each input, sends its messages and passes on its results.
+func (c *cluster) step(p *Proposer) {
 	p.Tick(c.now)
 	sends, results := p.TakeOutput()
 	for _, s := range sends {
 		if s.Disk != c.frozen {
-			c.after(c.link(), func() { c.apply(p, s) })
+			c.after(c.linkDelay(), func() { c.apply(p, s) })
 		}
 	}
 	for _, r := range results {
@@ -114,33 +120,33 @@
 	}
 }
 
-// apply has a disk handle a request, and answer when all that was written until then is synced.
+// apply lets a disk handle a request. The reply is sent when everything written until then is synced.
 func (c *cluster) apply(p *Proposer, s Send) {
 	d := c.disks[s.Disk]
-	var answer func()
+	var reply func()
 	var write bool
 	switch m := s.Msg.(type) {
 	case Prepare:
 		var r Promise
 		r, write = d.Prepare(m)
-		answer = func() { p.OnPromise(c.now, r) }
+		reply = func() { p.OnPromise(c.now, r) }
 	case Accept:
 		var r Accepted
 		r, write = d.Accept(m)
-		answer = func() { p.OnAccepted(c.now, r) }
+		reply = func() { p.OnAccepted(c.now, r) }
 	}
 	if write {
 		d.write(c)
 	}
-	c.after(max(0, d.synced-c.now)+c.link(), func() {
-		answer()
-		c.carry(p)
+	c.after(max(0, d.synced-c.now)+c.linkDelay(), func() {
+		reply()
+		c.step(p)
 	})
 }
 
-// write starts a sync, or joins the one that follows the one that runs.
+// write starts a sync or, if one is running, joins the one that follows it.
 func (d *slowDisk) write(c *cluster) {
-	elapsed := c.between(2*time.Millisecond, 5*time.Millisecond)
+	elapsed := c.randomDuration(2*time.Millisecond, 5*time.Millisecond)
 	if c.now >= d.syncing {
 		d.syncing = d.synced
 	}
@@ -152,25 +158,25 @@
 	}
 }
 
-// submit has a proposer run a change; done is called with its result and with how long it took.
-func (c *cluster) submit(p *Proposer, within time.Duration, urgent bool, done func(r Result, elapsed time.Duration)) {
+// submit lets a proposer run a change. done is called with its result and its duration.
+func (c *cluster) submit(p *Proposer, timeout time.Duration, urgent bool, done func(r Result, elapsed time.Duration)) {
 	c.ids++
-	begun, id := c.now, c.ids
-	c.done[id] = func(r Result) { done(r, c.now-begun) }
-	change := raise(orderName(id))
+	submitted, id := c.now, c.ids
+	c.done[id] = func(r Result) { done(r, c.now-submitted) }
+	change := raiseVersion(orderID(id))
 	if urgent {
-		p.SubmitUrgent(c.now, c.now+within, id, change)
+		p.SubmitUrgent(c.now, c.now+timeout, id, change)
 	} else {
-		p.Submit(c.now, c.now+within, id, change)
+		p.Submit(c.now, c.now+timeout, id, change)
 	}
-	c.carry(p)
+	c.step(p)
 }
 
-// orderName is the id under which a submitted change is logged.
-func orderName(id uint64) string { return fmt.Sprint(id) }
+// orderID returns the id under which a submitted change is logged.
+func orderID(id uint64) string { return fmt.Sprint(id) }
 
-// raise is a change that any value bears.
-func raise(text string) Change {
+// raiseVersion returns a change that applies to every value, unless it was applied already.
+func raiseVersion(text string) Change {
 	return func(cur *Value) (*Value, error) {
 		if _, done := cur.AppliedAt(text); done {
 			return nil, nil
@@ -181,19 +187,20 @@
 	}
 }
 
-// load keeps a proposer busy: its next order follows the last one at once.
-func (c *cluster) load(p *Proposer) {
-	c.submit(p, 4*time.Second, false, func(Result, time.Duration) { c.after(c.link(), func() { c.load(p) }) })
+// keepBusy submits changes to a proposer, each as soon as the one before has ended.
+func (c *cluster) keepBusy(p *Proposer) {
+	c.submit(p, 4*time.Second, false, func(Result, time.Duration) { c.after(c.linkDelay(), func() { c.keepBusy(p) }) })
 }
 
-// quantile sorts the times and gives the one below which the share lies.
+// quantile sorts the times and returns the one that the given ratio of them do not exceed.
 func quantile(times []time.Duration, ratio float64) time.Duration {
 	slices.Sort(times)
 	return times[min(len(times)-1, int(ratio*float64(len(times))))]
 }
 
-func report(t *testing.T, what string, times []time.Duration) {
+// report logs the quantiles of the times.
+func report(t *testing.T, description string, times []time.Duration) {
 	t.Helper()
-	t.Logf("%s: %d runs, median %v, 90th %v, 99th %v, longest %v", what, len(times), quantile(times, 0.5).Round(time.Millisecond),
+	t.Logf("%s: %d runs, median %v, 90th percentile %v, 99th percentile %v, longest %v", description, len(times), quantile(times, 0.5).Round(time.Millisecond),
 		quantile(times, 0.9).Round(time.Millisecond), quantile(times, 0.99).Round(time.Millisecond), quantile(times, 1).Round(time.Millisecond))
 }
--- a/register/contention_test.go
+++ b/register/contention_test.go
@@ -6,110 +6,111 @@
 	"time"
 )
 
-// clusterSeeds is the number of seeds of each test here.
+// clusterSeeds is the number of seeds of each test in this file.
 const clusterSeeds = 50
 
-// urgentBound is how long a change of voters may take behind operators' orders: well within the 4 s in which a repaired set must be whole.
+// urgentBound is how long a change of voters may take under a load of operator requests: well below the 4 s within which a repaired set of
+// voters must be complete.
 const urgentBound = time.Second
 
-// TestVoterChangeIsNotStarvedByOrders: one proposer with an urgent change against proposers that never rest.
+// TestVoterChangeIsNotStarvedByOrders submits an urgent change to one proposer while the others submit orders without pause.
 func TestVoterChangeIsNotStarvedByOrders(t *testing.T) {
-	for _, rivals := range []int{4, 8} {
+	for _, competitors := range []int{4, 8} {
 		for _, frozen := range []string{"", "c"} {
-			t.Run(fmt.Sprintf("%d rivals, frozen %q", rivals, frozen), func(t *testing.T) { urgentAgainst(t, rivals, frozen) })
+			t.Run(fmt.Sprintf("%d competitors, frozen %q", competitors, frozen), func(t *testing.T) { checkUrgentChange(t, competitors, frozen) })
 		}
 	}
 }
 
-func urgentAgainst(t *testing.T, rivals int, frozen string) {
+func checkUrgentChange(t *testing.T, competitors int, frozen string) {
 	var times []time.Duration
 	for seed := range uint64(clusterSeeds) {
-		c := newCluster(seed, 1+rivals)
+		c := newCluster(seed, 1+competitors)
 		c.frozen = frozen
 		for _, p := range c.proposers[1:] {
-			c.load(p)
+			c.keepBusy(p)
 		}
-		c.runUntil(300*time.Millisecond + c.between(0, 100*time.Millisecond))
-		elapsed, over := 4*time.Second, false
-		c.submit(c.proposers[0], elapsed, true, func(r Result, spent time.Duration) {
-			over = true
+		c.runUntil(300*time.Millisecond + c.randomDuration(0, 100*time.Millisecond))
+		elapsed, ended := 4*time.Second, false
+		c.submit(c.proposers[0], elapsed, true, func(r Result, duration time.Duration) {
+			ended = true
 			if r.Err == nil {
-				elapsed = spent
+				elapsed = duration
 			}
 		})
-		for !over {
-			c.runUntil(c.now + ticks)
+		for !ended {
+			c.runUntil(c.now + tickInterval)
 		}
 		times = append(times, elapsed)
 		if elapsed > urgentBound {
-			t.Errorf("seed %d: %v", seed, elapsed)
+			t.Errorf("seed %d: the urgent change took %v", seed, elapsed)
 		}
 	}
 	report(t, "urgent change", times)
 }
 
-// TestOrdersDoNotStarveInAStorm: ten orders a second at random nodes, while one of three voters may be frozen.
-func TestOrdersDoNotStarveInAStorm(t *testing.T) {
+// TestOrdersDoNotStarveInABurst submits ten orders a second at random nodes, with and without a frozen voter among the three.
+func TestOrdersDoNotStarveInABurst(t *testing.T) {
 	for _, frozen := range []string{"", "c"} {
-		t.Run(fmt.Sprintf("frozen %q", frozen), func(t *testing.T) { storm(t, frozen) })
+		t.Run(fmt.Sprintf("frozen %q", frozen), func(t *testing.T) { runBurst(t, frozen) })
 	}
 }
 
 const (
-	// stormOrders come stormGap apart.
-	stormOrders = 60
-	stormGap    = 100 * time.Millisecond
-	// mostOrdersBound is in which 99 of 100 orders of a storm must be confirmed: most come to a proposer that was idle.
+	// A burst is burstOrders orders at intervals of burstInterval.
+	burstOrders   = 60
+	burstInterval = 100 * time.Millisecond
+	// mostOrdersBound is the time within which 99 of 100 orders of a burst must be confirmed: most reach a proposer that was idle.
 	mostOrdersBound = 100 * time.Millisecond
-	// orderBound is in which an order of a storm must be confirmed; evacuationTimeout the deadline of an evacuation.
+	// orderBound is the time within which every order must be confirmed, evacuationTimeout the deadline of an evacuation.
 	orderBound        = 4 * time.Second
 	evacuationTimeout = 850 * time.Millisecond
-	// evacuationRatio of the evacuations that meet a storm must be confirmed within their second.
+	// evacuationRatio is the ratio of the evacuations during a burst that must be confirmed within a second.
 	evacuationRatio = 0.98
 )
 
-func storm(t *testing.T, frozen string) {
-	var s stormReport
+func runBurst(t *testing.T, frozen string) {
+	var s burstReport
 	for seed := range uint64(clusterSeeds) {
 		s.play(t, seed, frozen)
 	}
-	report(t, "order of a storm", s.orders)
-	report(t, "evacuation in a storm", s.evacuations)
+	report(t, "order of a burst", s.orders)
+	report(t, "evacuation during a burst", s.evacuations)
 	t.Logf("%d of %d evacuations were not confirmed within a second", s.failed, len(s.evacuations))
-	if most := quantile(s.orders, 0.99); most > mostOrdersBound {
-		t.Errorf("one order of a hundred took %v", most)
+	if slowest := quantile(s.orders, 0.99); slowest > mostOrdersBound {
+		t.Errorf("the 99th percentile of the orders is %v", slowest)
 	}
 	if float64(s.failed) > (1-evacuationRatio)*float64(len(s.evacuations)) {
 		t.Error("too many evacuations were not confirmed within a second")
 	}
 }
 
-// stormReport is how long orders and evacuations took in storms, and how many evacuations failed or took over a second.
-type stormReport struct {
+// burstReport has the durations of orders and evacuations in bursts, and the number of evacuations that failed or took more than a second.
+type burstReport struct {
 	orders, evacuations []time.Duration
 	failed              int
 }
 
-func (s *stormReport) play(t *testing.T, seed uint64, frozen string) {
+func (s *burstReport) play(t *testing.T, seed uint64, frozen string) {
 	t.Helper()
 	c := newCluster(seed, 8)
 	c.frozen = frozen
-	for range stormOrders {
+	for range burstOrders {
 		c.submit(c.proposers[c.rng.IntN(8)], orderBound, false, func(r Result, elapsed time.Duration) {
 			if r.Err != nil {
-				t.Errorf("seed %d: an order ends with %v after %v", seed, r.Err, elapsed)
+				t.Errorf("seed %d: an order ended with %v after %v", seed, r.Err, elapsed)
 			}
 			s.orders = append(s.orders, elapsed)
 		})
 		if c.rng.IntN(10) == 0 {
-			c.after(c.between(0, stormGap), func() { s.evacuate(c) })
+			c.after(c.randomDuration(0, burstInterval), func() { s.evacuate(c) })
 		}
-		c.runUntil(c.now + stormGap)
+		c.runUntil(c.now + burstInterval)
 	}
 	c.runUntil(c.now + 5*time.Second)
 }
 
-func (s *stormReport) evacuate(c *cluster) {
+func (s *burstReport) evacuate(c *cluster) {
 	c.submit(c.proposers[c.rng.IntN(8)], evacuationTimeout, false, func(r Result, elapsed time.Duration) {
 		if r.Err != nil || elapsed > time.Second {
 			s.failed++
@@ -118,10 +119,10 @@
 	})
 }
 
-// atOnceBound is in which each of eight orders that begin together is confirmed.
-const atOnceBound = time.Second
+// concurrentOrdersBound is the time within which each of eight orders that are submitted together must be confirmed.
+const concurrentOrdersBound = time.Second
 
-// TestEightConcurrentOrdersAreConfirmedSoon: eight proposers begin at the same time.
+// TestEightConcurrentOrdersAreConfirmedSoon submits an order to each of eight proposers at the same time.
 func TestEightConcurrentOrdersAreConfirmedSoon(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(clusterSeeds) {
@@ -137,7 +138,7 @@
 		c.runUntil(5 * time.Second)
 	}
 	report(t, "one of eight orders", times)
-	if most := quantile(times, 1); most > atOnceBound {
-		t.Errorf("an order took %v", most)
+	if slowest := quantile(times, 1); slowest > concurrentOrdersBound {
+		t.Errorf("an order took %v", slowest)
 	}
 }
--- a/register/editlog.go
+++ b/register/editlog.go
@@ -6,120 +6,122 @@
 	"encoding/binary"
 )
 
-// MaxLoggedOrders bounds each of the two lists of orders in a Value. Changes are taken one after another, each in at least two rounds of
-// messages, and a storm of operators takes about 20 a second; answers may be lost for 20 s. So an order that is sent again may have
-// been followed by 400 others; the next power of two is kept. An entry of the documents' list takes 6 bytes and the revision (8 bytes
-// below revision 16,384), so the list takes 4 KB of each message that carries a value, and less in a fleet that has seen fewer changes.
+// MaxLoggedOrders is the maximum number of entries of EditLog and of OrderLog. Changes are applied one after another, each in at least two
+// rounds of messages, and a burst of operator requests reaches about 20 a second. Responses may be lost for 20 s, so that 400 other
+// orders may have been applied before an order is sent again; 512 is the next power of two. An entry of EditLog takes 6 bytes and the
+// revision (8 bytes in total below revision 16,384), so that the log takes 4 KB of each message that contains a value, and less in a fleet
+// that has had fewer changes.
 const MaxLoggedOrders = 512
 
 const (
-	fingerprintBytes = 6
-	scopeBytes       = 4
+	orderHashBytes = 6
+	scopeHashBytes = 4
 )
 
-// OrderHash is a short hash of an order's id. It is compared with the few entries of one list only; that two of 512 orders agree by
-// accident has a probability of 2^-39 a comparison with the whole list, and of 2^-48 with the one entry of a revision.
-type OrderHash [fingerprintBytes]byte
+// OrderHash is a short hash of an order's id. It is compared with the entries of one log only. The probability of a false match is 2^-39 for a
+// comparison with a whole log of 512 orders, and 2^-48 for a comparison with the only entry of a revision.
+type OrderHash [orderHashBytes]byte
 
-// HashOrder hashes an order's id.
+// HashOrder returns the hash of an order's id.
 func HashOrder(id string) OrderHash {
-	sum := sha256.Sum256([]byte(id))
-	var f OrderHash
-	copy(f[:], sum[:])
-	return f
+	digest := sha256.Sum256([]byte(id))
+	var hash OrderHash
+	copy(hash[:], digest[:])
+	return hash
 }
 
-// EditLog is the packed memory of the orders that made the last documents, oldest first: for each the revision that it built on
-// (uvarint) and its fingerprint. Revisions rise strictly, so there is at most one entry for a revision.
+// EditLog is the packed log of the orders that made the last documents, oldest first. An entry consists of the revision that the order
+// was based on (uvarint) and the order's hash. Revisions are strictly increasing, so that a revision has at most one entry.
 type EditLog []byte
 
-// BaseTooOldError says that an order builds on a revision that is older than the memory of orders: it may have been taken, or not.
+// BaseTooOldError means that an order is based on a revision that the log of applied orders no longer covers. It may have been applied.
 type BaseTooOldError struct {
-	// Base is the revision that the order builds on, Current the one in place.
+	// Base is the revision that the order is based on, Current the current revision.
 	Base, Current uint64
 }
 
 func (*BaseTooOldError) Error() string {
-	return "the order builds on a revision whose successor is no longer remembered"
+	return "the request is based on a revision that the log of applied requests no longer covers"
 }
 
-// ScopeConflictError says that another order on the same subject was taken after this one had begun. This one changed nothing.
+// ScopeConflictError means that another order on the same scope was applied after this one had begun. This one changed nothing.
 type ScopeConflictError struct{ Scope string }
 
 func (e *ScopeConflictError) Error() string {
-	return "another order for " + e.Scope + " was taken meanwhile and nothing was changed"
+	return "another request for " + e.Scope + " was applied meanwhile and nothing was changed"
 }
 
-// each calls see with the entries, oldest first, until it returns false.
-func (c EditLog) each(see func(base uint64, f OrderHash) bool) {
-	for len(c) > 0 {
-		base, n := binary.Uvarint(c)
-		if n <= 0 || len(c) < n+fingerprintBytes {
+// each calls visit with each entry, oldest first, until visit returns false.
+func (l EditLog) each(visit func(base uint64, hash OrderHash) bool) {
+	for len(l) > 0 {
+		base, n := binary.Uvarint(l)
+		if n <= 0 || len(l) < n+orderHashBytes {
 			return
 		}
-		if !see(base, OrderHash(c[n:n+fingerprintBytes])) {
+		if !visit(base, OrderHash(l[n:n+orderHashBytes])) {
 			return
 		}
-		c = c[n+fingerprintBytes:]
+		l = l[n+orderHashBytes:]
 	}
 }
 
-// Len is the number of entries.
-func (c EditLog) Len() int {
+// Len returns the number of entries.
+func (l EditLog) Len() int {
 	var n int
-	c.each(func(uint64, OrderHash) bool {
+	l.each(func(uint64, OrderHash) bool {
 		n++
 		return true
 	})
 	return n
 }
 
-// Contains tells whether the order with this id made a document on the revision base, as far as that is remembered.
-func (c EditLog) Contains(base uint64, id string) bool {
-	f := HashOrder(id)
-	var yes bool
-	c.each(func(at uint64, g OrderHash) bool {
-		yes = at == base && f == g
-		return !yes
+// Contains reports whether the log has an entry for the order with this id on the revision base.
+func (l EditLog) Contains(base uint64, id string) bool {
+	hash := HashOrder(id)
+	var found bool
+	l.each(func(entryBase uint64, logged OrderHash) bool {
+		found = entryBase == base && hash == logged
+		return !found
 	})
-	return yes
+	return found
 }
 
-// Covers tells whether whatever was made on the revision base, and on each later one, is remembered.
-func (c EditLog) Covers(base uint64) bool {
-	var yes bool
-	c.each(func(oldest uint64, _ OrderHash) bool {
-		yes = oldest <= base
+// Covers reports whether the log still has all orders that were applied on the revision base and on later ones.
+func (l EditLog) Covers(base uint64) bool {
+	var found bool
+	l.each(func(oldestBase uint64, _ OrderHash) bool {
+		found = oldestBase <= base
 		return false
 	})
-	return yes
+	return found
 }
 
-// with returns the list with one entry more, the oldest one left out when there are too many. It never shares memory with c.
-func (c EditLog) with(base uint64, id string) EditLog {
-	rest := c
-	if c.Len() >= MaxLoggedOrders {
-		_, n := binary.Uvarint(c)
-		rest = c[n+fingerprintBytes:]
+// with returns a copy of the log with another entry. It drops the oldest entry if there would be more than MaxLoggedOrders.
+func (l EditLog) with(base uint64, id string) EditLog {
+	kept := l
+	if l.Len() >= MaxLoggedOrders {
+		_, n := binary.Uvarint(l)
+		kept = l[n+orderHashBytes:]
 	}
-	f := HashOrder(id)
-	longer := binary.AppendUvarint(bytes.Clone(rest), base)
-	return append(longer, f[:]...)
+	hash := HashOrder(id)
+	longer := binary.AppendUvarint(bytes.Clone(kept), base)
+	return append(longer, hash[:]...)
 }
 
-// LogEdit remembers that the order with this id made the present document on the revision base.
+// LogEdit logs that the order with this id made the current document from the revision base.
 func (v *Value) LogEdit(base uint64, id string) {
 	v.EditLog = v.EditLog.with(base, id)
 	v.dropLegacyOrder()
 }
 
-// AppliedEdit tells whether the order with this id, on the revision base, is known to have been taken. Ids that older builds kept count too.
+// AppliedEdit reports whether the order with this id, on the revision base, is known to have been applied. It also checks the ids logged by older
+// builds.
 func (v *Value) AppliedEdit(base uint64, id string) bool {
-	return v.EditLog.Contains(base, id) || v.appliedBefore(id)
+	return v.EditLog.Contains(base, id) || v.inLegacyOrders(id)
 }
 
-// EditRejection is the error for an order on the revision base that is not the current one and isn't known to have been taken: a
-// ConflictError where it can't have been taken, a ForgottenError where that isn't known.
+// EditRejection returns the error for an order on the revision base that can't be applied to the current revision and is not known to have been
+// applied: a ConflictError if it can't have been applied, a BaseTooOldError if that is unknown.
 func (v *Value) EditRejection(base, current uint64) error {
 	if base >= current || v.EditLog.Covers(base) {
 		return &ConflictError{Version: current}
--- a/register/encoding.go
+++ b/register/encoding.go
@@ -5,7 +5,7 @@
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
-// The types of this file are what messages and the disk hold. Their field names are a format and stay as they are.
+// The types in this file are the encoded form of messages and of the state on disk. Their field names are part of the format and must not change.
 
 func init() {
 	wire.Register("pp", encodePrepare, decodePrepare)
@@ -90,7 +90,7 @@
 	return LegacyOrder{ID: f.ID, Version: f.Mark}
 }
 
-// EncodedValue is a Value as messages and the disk hold it.
+// EncodedValue is the encoded form of a Value in messages and on disk.
 type EncodedValue struct {
 	Fleet   string
 	Mark    uint64
@@ -107,7 +107,7 @@
 	Orders  *chunk.Manifest
 }
 
-// EncodeValue gives the encoded form of a value, which shares its lists; nil for nil.
+// EncodeValue returns the encoded form of a value, which shares the value's slices. It returns nil for nil.
 func EncodeValue(v *Value) *EncodedValue {
 	if v == nil {
 		return nil
@@ -118,7 +118,7 @@
 	}
 }
 
-// Decode gives the value of an encoded form; nil for nil.
+// Decode returns the value, or nil for nil.
 func (f *EncodedValue) Decode() *Value {
 	if f == nil {
 		return nil
@@ -129,7 +129,7 @@
 	}
 }
 
-// EncodedState is a State as the disk holds it.
+// EncodedState is the encoded form of a State on disk.
 type EncodedState struct {
 	Disk     string
 	Promised Ballot
@@ -137,12 +137,12 @@
 	Value    *EncodedValue
 }
 
-// EncodeState gives the encoded form of what an acceptor keeps.
+// EncodeState returns the encoded form of an acceptor's state.
 func EncodeState(s State) EncodedState {
 	return EncodedState{Disk: s.Disk, Promised: s.Promised, Accepted: s.Accepted, Value: EncodeValue(s.Value)}
 }
 
-// Decode gives what an acceptor keeps of its encoded form.
+// Decode returns the acceptor's state.
 func (f EncodedState) Decode() State {
 	return State{Disk: f.Disk, Promised: f.Promised, Accepted: f.Accepted, Value: f.Value.Decode()}
 }
--- a/register/incarnations_test.go
+++ b/register/incarnations_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A voter that was frozen answers what the incarnation before asked, after the proposer restarted. Found by the model checker: a value was
-// confirmed that nobody had accepted.
-func TestAnswersToAnEarlierIncarnationDoNotCount(t *testing.T) {
+// After a proposer has restarted, voters that were frozen reply to requests of its previous incarnation. The replies must not count, or a value is
+// confirmed that no voter has accepted. Found by the model checker.
+func TestRepliesToAnEarlierIncarnationDoNotCount(t *testing.T) {
 	first := &Value{Fleet: "f", Voters: []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}}
 	before, after := NewProposer("n/1", 1), NewProposer("n/2", 1)
-	var overdue []Accepted
+	var lateReplies []Accepted
 	var promises []Promise
 	for _, p := range []*Proposer{before, after} {
 		p.LearnVoters(first)
-		p.Submit(0, time.Hour, 1, take(0, p.ID))
+		p.Submit(0, time.Hour, 1, edit(0, p.ID))
 	}
 	sends, _ := before.TakeOutput()
 	for _, s := range sends {
@@ -25,15 +25,15 @@
 	sends, _ = before.TakeOutput()
 	for _, s := range sends {
 		m := s.Msg.(Accept)
-		overdue = append(overdue, Accepted{RequestID: m.RequestID, Disk: m.Disk, OK: true, Promised: m.Ballot})
+		lateReplies = append(lateReplies, Accepted{RequestID: m.RequestID, Disk: m.Disk, OK: true, Promised: m.Ballot})
 	}
 	for _, r := range promises {
 		after.OnPromise(0, r)
 	}
-	for _, r := range overdue {
+	for _, r := range lateReplies {
 		after.OnAccepted(0, r)
 	}
-	if _, results := after.TakeOutput(); len(overdue) != 3 || len(results) != 0 {
-		t.Errorf("%d late answers, confirmed by them: %v", len(overdue), results)
+	if _, results := after.TakeOutput(); len(lateReplies) != 3 || len(results) != 0 {
+		t.Errorf("%d late replies, results: %v", len(lateReplies), results)
 	}
 }
--- a/register/orderlog.go
+++ b/register/orderlog.go
@@ -5,92 +5,98 @@
 	"encoding/binary"
 )
 
-// OrderLog is the packed memory of the orders that aren't edits of the document, oldest first: changes of the product's own call by
-// versions, evacuations, changes of voters. For each: its scope's hash, twice the version that it left (plus one if it raised it) and its
-// fingerprint. The list holds KeptOrders entries at most.
+// OrderLog is the packed log of the orders that are not in EditLog, oldest first: puts of a document by version, evacuations, and changes of
+// voters. An entry consists of the hash of the order's scope, twice the version after the order (plus one if the order raised the
+// version), and the order's hash. There are at most MaxLoggedOrders entries.
 type OrderLog []byte
 
-// An OrderStamp tells the newest order of a scope from any other. The zero OrderStamp says that none is remembered.
+// OrderStamp identifies the latest order of a scope. The zero OrderStamp means that the log has none.
 type OrderStamp struct {
 	ID      OrderHash
 	Version uint64
 	Known   bool
 }
 
-// scopePut holds the product's own changes of the document, scopeOther what has no scope of its own.
+// scopePut is the scope of puts of a document, scopeOther the scope of orders that have none of their own.
 const (
 	scopePut   = "put"
 	scopeOther = ""
 )
 
+// loggedOrder is a decoded entry of an OrderLog.
 type loggedOrder struct {
-	scope   [scopeBytes]byte
+	scope   [scopeHashBytes]byte
 	version uint64
-	raised  bool
-	id      OrderHash
-	bytes   int
+	// raised means that the order raised the version, to version.
+	raised bool
+	id     OrderHash
+	// bytes is the length of the encoded entry.
+	bytes int
 }
 
-func scopeOf(name string) [scopeBytes]byte {
-	f := HashOrder("scope " + name)
-	var hash [scopeBytes]byte
-	copy(hash[:], f[:])
-	return hash
+// hashScope returns the hash of a scope's name.
+func hashScope(name string) [scopeHashBytes]byte {
+	orderHash := HashOrder("scope " + name)
+	var scopeHash [scopeHashBytes]byte
+	copy(scopeHash[:], orderHash[:])
+	return scopeHash
 }
 
-func (r OrderLog) first() (loggedOrder, bool) {
+// first decodes the oldest entry. It returns false if there is none or the log is damaged.
+func (l OrderLog) first() (loggedOrder, bool) {
 	var o loggedOrder
-	if len(r) < scopeBytes {
+	if len(l) < scopeHashBytes {
 		return o, false
 	}
-	copy(o.scope[:], r)
-	packed, n := binary.Uvarint(r[scopeBytes:])
-	at := scopeBytes + n
-	if n <= 0 || len(r) < at+fingerprintBytes {
+	copy(o.scope[:], l)
+	packed, n := binary.Uvarint(l[scopeHashBytes:])
+	at := scopeHashBytes + n
+	if n <= 0 || len(l) < at+orderHashBytes {
 		return o, false
 	}
-	o.version, o.raised, o.bytes = packed/2, packed%2 == 1, at+fingerprintBytes
-	copy(o.id[:], r[at:])
+	o.version, o.raised, o.bytes = packed/2, packed%2 == 1, at+orderHashBytes
+	copy(o.id[:], l[at:])
 	return o, true
 }
 
-func (r OrderLog) all() []loggedOrder {
+func (l OrderLog) all() []loggedOrder {
 	var list []loggedOrder
 	for {
-		o, ok := r.first()
+		o, ok := l.first()
 		if !ok {
 			return list
 		}
 		list = append(list, o)
-		r = r[o.bytes:]
+		l = l[o.bytes:]
 	}
 }
 
-// Len is the number of entries.
-func (r OrderLog) Len() int { return len(r.all()) }
+// Len returns the number of entries.
+func (l OrderLog) Len() int { return len(l.all()) }
 
-func (r OrderLog) with(scope, id string, version uint64, raised bool) OrderLog {
-	rest := r
-	if r.Len() >= MaxLoggedOrders {
-		oldest, _ := r.first()
-		rest = r[oldest.bytes:]
+// with returns a copy of the log with another entry. It drops the oldest entry if there would be more than MaxLoggedOrders.
+func (l OrderLog) with(scope, id string, version uint64, raised bool) OrderLog {
+	kept := l
+	if l.Len() >= MaxLoggedOrders {
+		oldest, _ := l.first()
+		kept = l[oldest.bytes:]
 	}
-	hash, f := scopeOf(scope), HashOrder(id)
+	scopeHash, orderHash := hashScope(scope), HashOrder(id)
 	packed := 2 * version
 	if raised {
 		packed++
 	}
 	var longer OrderLog
-	longer = append(bytes.Clone(rest), hash[:]...)
+	longer = append(bytes.Clone(kept), scopeHash[:]...)
 	longer = binary.AppendUvarint(longer, packed)
-	return append(longer, f[:]...)
+	return append(longer, orderHash[:]...)
 }
 
-// AppliedAt gives the version that the order with this id left, if it is known to have been taken.
+// AppliedAt returns the version after the order with this id and true, if the order is known to have been applied.
 func (v *Value) AppliedAt(id string) (uint64, bool) {
-	f := HashOrder(id)
+	orderHash := HashOrder(id)
 	for _, o := range v.OrderLog.all() {
-		if o.id == f {
+		if o.id == orderHash {
 			return o.version, true
 		}
 	}
@@ -102,13 +108,13 @@
 	return 0, false
 }
 
-// LogUnscoped remembers an order of no scope that raised the version to its present value.
+// LogUnscoped logs an order without a scope that raised the version to its current value.
 func (v *Value) LogUnscoped(id string) { v.logOrder(scopeOther, id, true) }
 
-// LogPut remembers that the order with this id made the present document, by versions.
+// LogPut logs that the order with this id put the current document and raised the version.
 func (v *Value) LogPut(id string) { v.logOrder(scopePut, id, true) }
 
-// LogScoped remembers an order on a scope, which raised the version to its present value or left it as it was.
+// LogScoped logs an order on a scope. raised says whether the order raised the version to its current value or left it unchanged.
 func (v *Value) LogScoped(scope, id string, raised bool) { v.logOrder("on "+scope, id, raised) }
 
 func (v *Value) logOrder(scope, id string, raised bool) {
@@ -117,19 +123,20 @@
 	v.dropLegacyOrder()
 }
 
-// LatestOrder tells the newest order of a scope: another one was taken since if it differs later.
+// LatestOrder returns the latest order of a scope. If a later call returns another one, an order on the scope was applied in between.
 func (v *Value) LatestOrder(scope string) OrderStamp {
-	hash := scopeOf("on " + scope)
+	scopeHash := hashScope("on " + scope)
 	var s OrderStamp
 	for _, o := range v.OrderLog.all() {
-		if o.scope == hash {
+		if o.scope == scopeHash {
 			s = OrderStamp{ID: o.id, Version: o.version, Known: true}
 		}
 	}
 	return s
 }
 
-// PutRejection is the error for a change by versions that expects a version which isn't the current one and isn't known to have been taken.
+// PutRejection returns the error for a put that expects another version than the current one and is not known to have been applied: a
+// ConflictError if it can't have been applied, a BaseTooOldError if that is unknown.
 func (v *Value) PutRejection(expect uint64) error {
 	conflict := &ConflictError{Version: v.Version}
 	if expect >= v.Version {
@@ -141,7 +148,7 @@
 	return &BaseTooOldError{Base: expect, Current: v.Version}
 }
 
-// versionBefore is the version that was current when the order was taken: all later versions were made by it or by later entries.
+// versionBefore returns the version before the order was applied. All later versions were made by this order or by later entries.
 func (o loggedOrder) versionBefore() uint64 {
 	if o.raised {
 		return o.version - 1
@@ -149,8 +156,8 @@
 	return o.version
 }
 
-// appliedBefore looks an order up among the ids that older builds kept.
-func (v *Value) appliedBefore(id string) bool {
+// inLegacyOrders reports whether an older build logged an order with this id.
+func (v *Value) inLegacyOrders(id string) bool {
 	for _, o := range v.LegacyOrders {
 		if o.ID == id {
 			return true
@@ -159,7 +166,7 @@
 	return false
 }
 
-// dropLegacyOrder lets an id that an older build kept go for each order that is taken now.
+// dropLegacyOrder removes the oldest legacy order. It is called for each order that is applied, so that all legacy orders are gone in the end.
 func (v *Value) dropLegacyOrder() {
 	if len(v.LegacyOrders) > 0 {
 		v.LegacyOrders = v.LegacyOrders[1:]
--- a/register/orderlog_test.go
+++ b/register/orderlog_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-func refused(err error) string {
+// rejectionStatus returns the HTTP status that belongs to a rejection.
+func rejectionStatus(err error) string {
 	var conflict *ConflictError
 	var forgotten *BaseTooOldError
 	switch {
@@ -27,36 +28,36 @@
 	}
 	current := uint64(3 * (MaxLoggedOrders + 10))
 	for _, c := range []struct {
-		what string
-		base uint64
-		id   string
-		took bool
-		say  string
+		description string
+		base        uint64
+		id          string
+		applied     bool
+		status      string
 	}{
 		{"the newest", current - 3, fmt.Sprint(MaxLoggedOrders + 9), true, ""},
-		{"the oldest that is kept", 30, "10", true, ""},
+		{"the oldest that is logged", 30, "10", true, ""},
 		{"another on the oldest base", 30, "x", false, "412"},
-		{"a revision that never was", 31, "10", false, "412"},
-		{"one that is forgotten", 27, "9", false, "503"},
-		{"another on a forgotten base", 0, "x", false, "503"},
-		{"ahead of the current one", current + 1, "x", false, "412"},
+		{"a revision that never existed", 31, "10", false, "412"},
+		{"one that the log has dropped", 27, "9", false, "503"},
+		{"another on a base that the log has dropped", 0, "x", false, "503"},
+		{"a base after the current revision", current + 1, "x", false, "412"},
 	} {
-		if elapsed := v.AppliedEdit(c.base, c.id); elapsed != c.took {
-			t.Errorf("%s: taken %v", c.what, elapsed)
+		if applied := v.AppliedEdit(c.base, c.id); applied != c.applied {
+			t.Errorf("%s: applied is %v", c.description, applied)
 		}
-		if say := refused(v.EditRejection(c.base, current)); !c.took && say != c.say {
-			t.Errorf("%s: %s, not %s", c.what, say, c.say)
+		if status := rejectionStatus(v.EditRejection(c.base, current)); !c.applied && status != c.status {
+			t.Errorf("%s: %s, not %s", c.description, status, c.status)
 		}
 	}
-	if len(v.EditLog) > MaxLoggedOrders*(fingerprintBytes+2) {
+	if len(v.EditLog) > MaxLoggedOrders*(orderHashBytes+2) {
 		t.Errorf("%d bytes for %d orders", len(v.EditLog), MaxLoggedOrders)
 	}
 }
 
 func TestOrderLogDecidesPutsByVersion(t *testing.T) {
 	v := &Value{Version: 5}
-	if say := refused(v.PutRejection(4)); say != "503" {
-		t.Errorf("nothing is remembered, and %s is said", say)
+	if status := rejectionStatus(v.PutRejection(4)); status != "503" {
+		t.Errorf("empty log: status %s", status)
 	}
 	v.LogScoped("z", "same", false)
 	v.Version++
@@ -64,8 +65,8 @@
 	v.Version++
 	v.LogScoped("z", "b", true)
 	for expect, want := range map[uint64]string{4: "503", 5: "412", 6: "412", 8: "412"} {
-		if say := refused(v.PutRejection(expect)); say != want {
-			t.Errorf("on %d: %s, not %s", expect, say, want)
+		if status := rejectionStatus(v.PutRejection(expect)); status != want {
+			t.Errorf("on %d: %s, not %s", expect, status, want)
 		}
 	}
 	if version, ok := v.AppliedAt("a"); !ok || version != 6 {
@@ -78,13 +79,13 @@
 	none := v.LatestOrder("z")
 	v.LogScoped("y", "1", true)
 	if v.LatestOrder("z") != none {
-		t.Error("an order on another zone counts")
+		t.Error("an order on another zone changed the latest order")
 	}
 	v.LogScoped("z", "2", false)
 	second := v.LatestOrder("z")
 	v.LogScoped("z", "3", false)
 	if second == none || v.LatestOrder("z") == second {
-		t.Error("two orders are not told apart")
+		t.Error("two orders have the same stamp")
 	}
 }
 
@@ -106,8 +107,8 @@
 	}
 }
 
-// valueBefore is a value as the builds before the packed lists wrote it.
-type valueBefore struct {
+// legacyEncodedValue is the encoded value of builds from before EditLog and OrderLog.
+type legacyEncodedValue struct {
 	Fleet   string
 	Mark    uint64
 	Seat    uint64
@@ -118,7 +119,8 @@
 	Ops     []encodedLegacyOrder
 }
 
-func carry(t *testing.T, from, to any) {
+// gobRoundTrip encodes a value with gob and decodes it as another type.
+func gobRoundTrip(t *testing.T, from, to any) {
 	t.Helper()
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(from); err != nil {
@@ -131,23 +133,23 @@
 
 func TestValuesOfOlderBuildsAreRead(t *testing.T) {
 	var read EncodedValue
-	carry(t, valueBefore{Mark: 9, Body: []byte("x"), Ops: []encodedLegacyOrder{{ID: "PUT/a", Mark: 8}, {ID: "PUT/b", Mark: 9}}}, &read)
+	gobRoundTrip(t, legacyEncodedValue{Mark: 9, Body: []byte("x"), Ops: []encodedLegacyOrder{{ID: "PUT/a", Mark: 8}, {ID: "PUT/b", Mark: 9}}}, &read)
 	v := read.Decode()
 	if !v.AppliedEdit(7, "PUT/b") || v.AppliedEdit(7, "PUT/c") {
-		t.Error("the ids of an older build are not known")
+		t.Error("the ids that an older build logged are not found")
 	}
-	if say := refused(v.EditRejection(6, 8)); say != "503" {
-		t.Errorf("an order before the memory began: %s", say)
+	if status := rejectionStatus(v.EditRejection(6, 8)); status != "503" {
+		t.Errorf("an order from before the log began: status %s", status)
 	}
 	v.LogEdit(8, "PUT/d")
-	if say := refused(v.EditRejection(8, 9)); say != "412" || !v.AppliedEdit(8, "PUT/d") || len(v.LegacyOrders) != 1 {
-		t.Errorf("%s, %v", say, v.LegacyOrders)
+	if status := rejectionStatus(v.EditRejection(8, 9)); status != "412" || !v.AppliedEdit(8, "PUT/d") || len(v.LegacyOrders) != 1 {
+		t.Errorf("status %s, legacy orders %v", status, v.LegacyOrders)
 	}
-	var old valueBefore
-	carry(t, EncodeValue(v), &old)
+	var old legacyEncodedValue
+	gobRoundTrip(t, EncodeValue(v), &old)
 	var back EncodedValue
-	carry(t, old, &back)
-	if say := refused(back.Decode().EditRejection(8, 9)); say != "503" {
-		t.Errorf("an older build dropped the list, and %s is said", say)
+	gobRoundTrip(t, old, &back)
+	if status := rejectionStatus(back.Decode().EditRejection(8, 9)); status != "503" {
+		t.Errorf("after an older build dropped the log: status %s", status)
 	}
 }
--- a/register/proposer.go
+++ b/register/proposer.go
@@ -1,72 +1,50 @@
 package register
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// ConflictError says that a change builds on another revision (or version) than the current one, which is Version. It can't have been taken
-// and never will be.
-type ConflictError struct{ Version uint64 }
-
-func (e *ConflictError) Error() string {
-	return fmt.Sprintf("mark is %d by now", e.Version)
-}
-
-// NoQuorumError says that no majority answered in time and that the change was proposed to nobody.
-type NoQuorumError struct{}
-
-func (*NoQuorumError) Error() string {
-	return "no majority of voters was reached and nothing was changed"
-}
-
-// OutcomeUnknownError says that the change was proposed to voters and that no majority is known to have accepted it.
-type OutcomeUnknownError struct{}
-
-func (*OutcomeUnknownError) Error() string {
-	return "the change may or may not have been accepted"
-}
-
-// NotBootstrappedError says that there is no register yet, as far as this proposer knows.
-type NotBootstrappedError struct{}
-
-func (*NotBootstrappedError) Error() string { return "the register has not been founded" }
-
-// A Change makes the next value of a copy of the current one. It may run several times, also on a value that holds it already. It returns
-// nil and no error where nothing is left to do.
+// Change returns the next value, which it makes from cur, a copy of the current value. It may run several times, also on a value that
+// already contains the change. It returns nil and no error if there is nothing to change.
 type Change func(cur *Value) (*Value, error)
 
-// Result ends a submitted operation: with the chosen value that was read or made, or with an error.
+// Result is the result of the operation that was submitted as ID: the chosen value that it read or made, or the error. Value is also set if
+// the operation's Change rejected that value with an error.
 type Result struct {
 	ID    uint64
 	Value *Value
 	Err   error
 }
 
-// Send is a message for a disk.
+// Send is a message to a disk.
 type Send struct {
 	Disk string
 	Msg  Message
 }
 
+// operation is a submitted read (a nil change), change or bootstrap.
 type operation struct {
 	id       uint64
 	change   GuardedChange
-	fence    ScopeGuard
+	guard    ScopeGuard
 	deadline time.Duration
-	proposed bool
-	// proposed is the ballot under which a value with the change was last proposed.
+	// proposed means that a value with the change was proposed; proposedBallot is the ballot under which that happened last.
+	proposed       bool
 	proposedBallot Ballot
-	// bootstrapValue is the value to bootstrap the register with, until one is found.
+	// bootstrapValue is the value to bootstrap the register with; nil for other operations, and once a register is known.
 	bootstrapValue *Value
-	full           bool
-	urgent         bool
-	readFailed     bool
+	// full means that all voters must reply and that those that lag are updated (SubmitFull).
+	full bool
+	// urgent means that the operation must not be starved (SubmitUrgent).
+	urgent bool
+	// readOnlyFailed means that a read-only round found no chosen value, so that the read goes on with ballots.
+	readOnlyFailed bool
 }
 
+// phase is what the proposer does for the current operation.
 type phase uint8
 
 const (
@@ -76,58 +54,73 @@
 	backingOff
 )
 
-// cheapReadTimeout is the first wait for a look's answers, which cost the voters nothing; it doubles up to RoundTimeout.
-const cheapReadTimeout = 80 * time.Millisecond
+// readOnlyTimeout is the timeout of the first read-only round, which makes the voters write nothing. It doubles with each lost round, up to
+// RoundTimeout.
+const readOnlyTimeout = 80 * time.Millisecond
 
-// Proposer runs the operations of one node, one after another. By must differ between any two incarnations of any two proposers;
-// RoundTimeout is how long answers are waited for (0.4 s).
+// Proposer runs the operations of one node, one after another.
 type Proposer struct {
-	ID           string
+	// ID must differ between all proposers and between all incarnations of a proposer.
+	ID string
+	// RoundTimeout is the maximum time to wait for the replies of a round (0.4 s from NewProposer).
 	RoundTimeout time.Duration
 	rng          *rand.Rand
 
-	voters        *Value
-	chosen        *Value
-	queue         []*operation
-	current       *operation
-	phase         phase
+	// known is the newest value that the proposer knows, chosen or not; messages go to its voters.
+	known *Value
+	// chosen is the newest value that is known to be chosen (LearnChosen).
+	chosen  *Value
+	queue   []*operation
+	current *operation
+
+	phase phase
+	// ballot is the ballot of the current round, highestBallot the highest ballot number that was used or received.
 	ballot        Ballot
 	highestBallot uint64
-	requestID     uint64
-	nextActionAt  time.Duration
-	tries         int
-	cheapRead     bool
-	promises      map[string]Promise
-	acceptedBy    map[string]bool
-	asked         map[string]bool
-	askedAt       time.Duration
-	roundTrip     time.Duration
-	proposed      *Value
-	results       []Result
-	sends         []Send
-}
-
-// NewProposer makes a proposer that knows no voters yet.
+	// requestID is the ID of the messages of the current round.
+	requestID uint64
+	// nextActionAt is when the round times out or the backoff ends.
+	nextActionAt time.Duration
+	// lostRounds is the number of rounds that the current operation has lost.
+	lostRounds int
+	// readOnly means that the round asks with read-only prepares.
+	readOnly bool
+	// promises, acceptedBy and asked are by disk: the promises, the accepted replies, and the disks that a prepare was sent to.
+	promises   map[string]Promise
+	acceptedBy map[string]bool
+	asked      map[string]bool
+	askedAt    time.Duration
+	// roundTrip is the moving average of the time until a majority has replied.
+	roundTrip time.Duration
+	// proposed is the value that the accept round proposes.
+	proposed *Value
+
+	// results and sends are the output since the last call of TakeOutput.
+	results []Result
+	sends   []Send
+}
+
+// NewProposer returns a proposer that does not know any voters yet.
 func NewProposer(by string, seed uint64) *Proposer {
 	return &Proposer{ID: by, RoundTimeout: 400 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), requestID: firstRequestID(by), roundTrip: initialRoundTrip}
 }
 
-// firstRequestID starts the request IDs of each incarnation elsewhere: an answer to the incarnation before, from a voter that was frozen,
-// must match no round.
+// firstRequestID returns a different start of the request IDs for each incarnation. Otherwise a late reply to the previous incarnation, from
+// a voter that was frozen, could match a round of the current one.
 func firstRequestID(by string) uint64 { return xxhash.Sum64String(by) >> droppedHashBits }
 
-// droppedHashBits are the bits of a hash that a first request ID leaves out, so that ids stay short and never wrap around.
+// droppedHashBits is how many bits of the hash are dropped, so that request IDs are short when encoded and never wrap around.
 const droppedHashBits = 16
 
-// LearnVoters tells of a chosen value, for its voters.
+// LearnVoters passes a chosen value, whose voters the proposer then uses if the value is newer than those it knows.
 func (p *Proposer) LearnVoters(v *Value) {
-	if v != nil && v.Newer(p.voters) {
-		p.voters = v
+	if v != nil && v.Newer(p.known) {
+		p.known = v
 	}
 }
 
-// LearnChosen tells of a value that a majority is known to have accepted. The proposer neither reads less nor builds on less, even where
-// a majority has forgotten it: a disk was then set back to an older copy of its files.
+// LearnChosen passes a value that a majority is known to have accepted. The proposer then never returns an older value or builds on one, even
+// if no majority has the value any more because a disk was restored from an older copy of its files.
 func (p *Proposer) LearnChosen(v *Value) {
 	if v.Newer(p.chosen) {
 		p.chosen = v
@@ -135,28 +128,28 @@
 	p.LearnVoters(v)
 }
 
-// TakeOutput takes what is to be sent and what has ended since the last call.
+// TakeOutput returns the messages to send and the results of operations since the last call.
 func (p *Proposer) TakeOutput() ([]Send, []Result) {
 	sends, results := p.sends, p.results
 	p.sends, p.results = nil, nil
 	return sends, results
 }
 
-// expired ends the current operation if its deadline has passed. It stands before each step that would go on with it, so that a proposer
-// which was frozen doesn't take up what its caller has left.
-func (p *Proposer) expired(now time.Duration) bool {
+// endIfExpired ends the current operation and returns true if its deadline has passed. It is called before each step of the operation, so that a
+// proposer that was frozen doesn't continue an operation whose client no longer waits.
+func (p *Proposer) endIfExpired(now time.Duration) bool {
 	if now < p.current.deadline {
 		return false
 	}
 	if p.current.proposed {
-		p.end(now, nil, &OutcomeUnknownError{})
+		p.endOperation(now, nil, &OutcomeUnknownError{})
 		return true
 	}
-	p.end(now, nil, &NoQuorumError{})
+	p.endOperation(now, nil, &NoQuorumError{})
 	return true
 }
 
-// expireQueue ends what was never begun before its deadline.
+// expireQueue ends queued operations whose deadline has passed.
 func (p *Proposer) expireQueue(now time.Duration) {
 	kept := p.queue[:0]
 	for _, o := range p.queue {
@@ -170,54 +163,58 @@
 	p.queue = kept
 }
 
-func (p *Proposer) next(now time.Duration) {
+// startNext starts the next queued operation if none is current.
+func (p *Proposer) startNext(now time.Duration) {
 	p.expireQueue(now)
 	for p.current == nil && len(p.queue) > 0 {
 		p.current, p.queue = p.queue[0], p.queue[1:]
-		p.tries = 0
+		p.lostRounds = 0
 		p.prepare(now)
 	}
 }
 
-func (p *Proposer) end(now time.Duration, v *Value, err error) {
+// endOperation reports the result of the current operation and starts the next one.
+func (p *Proposer) endOperation(now time.Duration, v *Value, err error) {
 	p.results = append(p.results, Result{ID: p.current.id, Value: v, Err: err})
 	p.current, p.phase = nil, idle
-	p.next(now)
+	p.startNext(now)
 }
 
+// prepare starts a round for the current operation.
 func (p *Proposer) prepare(now time.Duration) {
-	if p.voters == nil {
-		p.end(now, nil, &NotBootstrappedError{})
+	if p.known == nil {
+		p.endOperation(now, nil, &NotBootstrappedError{})
 		return
 	}
-	p.joinBootstrapped()
+	p.convertBootstrap()
 	p.requestID++
-	p.cheapRead = p.current.change == nil && !p.current.full && !p.current.readFailed
-	if !p.cheapRead {
+	p.readOnly = p.current.change == nil && !p.current.full && !p.current.readOnlyFailed
+	if !p.readOnly {
 		p.highestBallot++
 	}
 	p.ballot = Ballot{N: p.highestBallot, By: p.ID}
 	p.phase, p.nextActionAt, p.askedAt = preparing, now+p.RoundTimeout, now
-	if p.cheapRead {
-		p.nextActionAt = now + min(cheapReadTimeout<<min(p.tries, 8), p.RoundTimeout)
+	if p.readOnly {
+		p.nextActionAt = now + min(readOnlyTimeout<<min(p.lostRounds, 8), p.RoundTimeout)
 	}
 	p.promises, p.acceptedBy, p.asked = map[string]Promise{}, map[string]bool{}, map[string]bool{}
-	p.prepareAt(p.voters.AllVoters())
+	p.sendPrepares(p.known.AllVoters())
 }
 
-func (p *Proposer) prepareAt(set []Voter) {
-	for _, v := range set {
+// sendPrepares sends a Prepare to those of the voters that were not asked in this round.
+func (p *Proposer) sendPrepares(voters []Voter) {
+	for _, v := range voters {
 		if !p.asked[v.Disk] {
 			p.asked[v.Disk] = true
-			p.sends = append(p.sends, Send{Disk: v.Disk, Msg: Prepare{RequestID: p.requestID, Disk: v.Disk, Ballot: p.ballot, ReadOnly: p.cheapRead}})
+			p.sends = append(p.sends, Send{Disk: v.Disk, Msg: Prepare{RequestID: p.requestID, Disk: v.Disk, Ballot: p.ballot, ReadOnly: p.readOnly}})
 		}
 	}
 }
 
-// Tick acts on what is due at now: deadlines, rounds without a majority, and pauses before another try.
+// Tick handles everything that is due at now: deadlines, timeouts of rounds, and the ends of backoffs.
 func (p *Proposer) Tick(now time.Duration) {
 	p.expireQueue(now)
-	if p.current == nil || p.expired(now) || now < p.nextActionAt {
+	if p.current == nil || p.endIfExpired(now) || now < p.nextActionAt {
 		return
 	}
 	switch p.phase {
--- a/register/readonly_test.go
+++ b/register/readonly_test.go
@@ -7,34 +7,34 @@
 )
 
 func TestReadOnlyPrepareProposesNothing(t *testing.T) {
-	d := newDuel(t)
-	d.expose(0, "a")
-	d.only("a", "b", "c")
+	d := newProposerPair(t)
+	d.proposeTo(0, "a")
+	d.setReachable("a", "b", "c")
 	d.y.Submit(d.now, d.now+operationTimeout, 7, nil)
-	looks, _ := d.y.TakeOutput()
-	for _, s := range looks {
+	prepares, _ := d.y.TakeOutput()
+	for _, s := range prepares {
 		if m := s.Msg.(Prepare); !m.ReadOnly {
-			t.Fatalf("a read begins with %+v", m)
+			t.Fatalf("a read starts with %+v", m)
 		}
 		r, _ := d.disks[s.Disk].Prepare(s.Msg.(Prepare))
 		d.y.OnPromise(d.now, r)
 	}
 	sends, results := d.y.TakeOutput()
 	if len(results) > 0 {
-		t.Fatalf("%+v was read while it was chosen by nobody", results[0])
+		t.Fatalf("read %+v, which was not chosen", results[0])
 	}
 	for _, s := range sends {
 		if m, ok := s.Msg.(Prepare); !ok || m.ReadOnly {
-			t.Errorf("a look goes on with %+v", s.Msg)
+			t.Errorf("the read-only round is followed by %+v", s.Msg)
 		}
 	}
-	if got := fateOf(d.end(d.y)); got != "200" {
+	if got := outcome(d.waitForResult(d.y)); got != "200" {
 		t.Error(got)
 	}
 }
 
-// changeVoters makes a change of voters, the whole of it or only its first half.
-func (d *duel) changeVoters(complete bool, disks ...string) {
+// changeVoters changes the voters. Unless complete is set, it makes only the first step, which sets NextVoters.
+func (d *proposerPair) changeVoters(complete bool, disks ...string) {
 	var next []Voter
 	for _, disk := range disks {
 		if d.disks[disk] == nil {
@@ -55,7 +55,7 @@
 	}
 	for _, change := range []Change{begin, finish} {
 		d.x.Submit(d.now, d.now+operationTimeout, 3, change)
-		if err := d.end(d.x); err != nil {
+		if err := d.waitForResult(d.x); err != nil {
 			d.t.Fatal(err)
 		}
 		if !complete {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A reader that knows only the first voters never reads an older value than was confirmed, however many sets have followed.
+// A reader that knows only the first voters never reads an older value than the confirmed one, however often the voters have changed since.
 func TestReadWithOldVotersIsNeverStale(t *testing.T) {
 	for seed := range uint64(200) {
 		checkReadWithOldVoters(t, seed)
@@ -74,50 +74,50 @@
 func checkReadWithOldVoters(t *testing.T, seed uint64) {
 	t.Helper()
 	all := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-	d := newDuel(t)
+	d := newProposerPair(t)
 	stale := NewProposer("z", seed)
-	stale.LearnVoters(d.x.voters)
+	stale.LearnVoters(d.x.known)
 	rng := NewProposer("r", seed).rng
-	d.only(all...)
+	d.setReachable(all...)
 	version, confirmed := uint64(0), ""
 	for range 6 {
 		at := rng.Perm(len(all))
-		away := all[rng.IntN(len(all))]
-		d.only(all...)
-		d.reach[away] = false
-		if len(d.x.voters.NextVoters) == 0 {
+		unreachable := all[rng.IntN(len(all))]
+		d.setReachable(all...)
+		d.reachable[unreachable] = false
+		if len(d.x.known.NextVoters) == 0 {
 			d.changeVoters(rng.IntN(3) > 0, all[at[0]], all[at[1]], all[at[2]])
 		}
 		text := fmt.Sprint("t", version)
-		d.x.Submit(d.now, d.now+operationTimeout, 4, take(version, text))
-		if err := d.end(d.x); err != nil {
+		d.x.Submit(d.now, d.now+operationTimeout, 4, edit(version, text))
+		if err := d.waitForResult(d.x); err != nil {
 			mustBeUnavailable(t, err)
 			break
 		}
 		version, confirmed = version+1, text
-		if len(d.x.voters.NextVoters) > 0 {
-			d.x.Submit(d.now, d.now+operationTimeout, 5, seatNext)
-			_ = d.end(d.x)
+		if len(d.x.known.NextVoters) > 0 {
+			d.x.Submit(d.now, d.now+operationTimeout, 5, finishVoterChange)
+			_ = d.waitForResult(d.x)
 		}
 	}
-	d.only(all...)
-	d.reach[all[rng.IntN(len(all))]] = rng.IntN(2) == 0
+	d.setReachable(all...)
+	d.reachable[all[rng.IntN(len(all))]] = rng.IntN(2) == 0
 	stale.Submit(d.now, d.now+2*time.Second, 6, nil)
-	if err := d.end(stale); err == nil && confirmed != "" && d.last.Value.Version < version {
-		t.Fatalf("seed %d: read %q, %q was confirmed", seed, d.last.Value.Document, confirmed)
+	if err := d.waitForResult(stale); err == nil && confirmed != "" && d.last.Value.Version < version {
+		t.Fatalf("seed %d: read %q, confirmed was %q", seed, d.last.Value.Document, confirmed)
 	}
 }
 
-// mustBeUnavailable fails for an error that isn't one of voters out of reach.
+// mustBeUnavailable fails the test for an error that is not due to unreachable voters.
 func mustBeUnavailable(t *testing.T, err error) {
 	t.Helper()
-	if fate := fateOf(err); fate != "503 unchanged" && fate != "503 unknown" {
+	if status := outcome(err); status != "503 unchanged" && status != "503 unknown" {
 		t.Fatal(err)
 	}
 }
 
-// seatNext lets the next voters take over.
-func seatNext(cur *Value) (*Value, error) {
+// finishVoterChange replaces the voters by the next voters.
+func finishVoterChange(cur *Value) (*Value, error) {
 	cur.Voters, cur.NextVoters, cur.Epoch = cur.NextVoters, nil, cur.Epoch+1
 	return cur, nil
 }
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -13,150 +13,146 @@
 
 var seeds = flag.Int("seeds", 60, "seeds for the histories")
 
-type op struct {
-	put    bool
-	expect uint64
-	body   string
-}
-
-type result struct {
-	unknown, conflict bool
-	mark              uint64
-	body              string
-}
-
-type state struct {
-	mark uint64
-	body string
-}
-
-type mail struct {
+// message is a message in flight. A disk is addressed by its ID, a proposer by its index.
+type message struct {
 	to, from string
 	msg      any
 }
 
-type lab struct {
-	rng   *rand.Rand
-	now   time.Duration
-	disks map[string]*Acceptor
-	props []*Proposer
-	bag   []mail
-	ops   []porcupine.Operation
-	open  map[[2]uint64]int
-	id    uint64
-	down  map[string]bool
-	gone  bool
+// simulation runs three proposers and six disks, of which three are voters, with random delays, losses and duplicates of messages and
+// random changes of voters, and records the history of operations.
+type simulation struct {
+	rng       *rand.Rand
+	now       time.Duration
+	disks     map[string]*Acceptor
+	proposers []*Proposer
+	// inFlight are the messages in flight.
+	inFlight []message
+	ops      []porcupine.Operation
+	// pending are the indices in ops of the operations that have no result yet, by proposer and operation ID.
+	pending map[[2]uint64]int
+	id      uint64
+	// down are the disks that get no messages.
+	down map[string]bool
+	// registerLost means that an operation found no register.
+	registerLost bool
 }
 
-func newLab(seed uint64) *lab {
-	l := &lab{rng: rand.New(rand.NewPCG(seed, 3)), disks: map[string]*Acceptor{}, open: map[[2]uint64]int{}, down: map[string]bool{}}
-	var vs []Voter
+func newSimulation(seed uint64) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), disks: map[string]*Acceptor{}, pending: map[[2]uint64]int{}, down: map[string]bool{}}
+	var voters []Voter
 	for i := range 6 {
 		d := fmt.Sprintf("d%d", i)
-		l.disks[d] = &Acceptor{State{Disk: d}}
+		sim.disks[d] = &Acceptor{State{Disk: d}}
 		if i < 3 {
-			vs = append(vs, Voter{Disk: d})
+			voters = append(voters, Voter{Disk: d})
 		}
 	}
 	for i := range 3 {
 		p := NewProposer(fmt.Sprintf("p%d", i), seed+uint64(i))
-		l.props = append(l.props, p)
+		sim.proposers = append(sim.proposers, p)
 	}
-	l.props[0].Bootstrap(0, time.Hour, 0, &Value{Fleet: "f", Voters: vs})
-	l.pump(400, 0)
-	l.props[0].TakeOutput()
-	for _, p := range l.props {
-		p.LearnVoters(&Value{Fleet: "f", Voters: vs})
+	sim.proposers[0].Bootstrap(0, time.Hour, 0, &Value{Fleet: "f", Voters: voters})
+	sim.deliverRandomly(400, 0)
+	sim.proposers[0].TakeOutput()
+	for _, p := range sim.proposers {
+		p.LearnVoters(&Value{Fleet: "f", Voters: voters})
 	}
-	return l
+	return sim
 }
 
-func (l *lab) take() {
-	for i, p := range l.props {
-		sends, rs := p.TakeOutput()
+// collect collects the messages and the results of the proposers.
+func (sim *simulation) collect() {
+	for i, p := range sim.proposers {
+		sends, results := p.TakeOutput()
 		for _, s := range sends {
-			l.bag = append(l.bag, mail{to: s.Disk, from: fmt.Sprint(i), msg: s.Msg})
+			sim.inFlight = append(sim.inFlight, message{to: s.Disk, from: fmt.Sprint(i), msg: s.Msg})
 		}
-		for _, r := range rs {
-			l.done(uint64(i), r)
+		for _, r := range results {
+			sim.done(uint64(i), r)
 		}
 	}
 }
 
-func (l *lab) done(prop uint64, r Result) {
-	at, ok := l.open[[2]uint64{prop, r.ID}]
+// done records the result of an operation.
+func (sim *simulation) done(proposer uint64, r Result) {
+	index, ok := sim.pending[[2]uint64{proposer, r.ID}]
 	if !ok {
 		return
 	}
-	delete(l.open, [2]uint64{prop, r.ID})
-	o := &l.ops[at]
-	o.Return = int64(l.now)
-	var c *ConflictError
-	var lost *NotBootstrappedError
-	l.gone = l.gone || errors.As(r.Err, &lost)
+	delete(sim.pending, [2]uint64{proposer, r.ID})
+	o := &sim.ops[index]
+	o.Return = int64(sim.now)
+	var conflict *ConflictError
+	var notBootstrapped *NotBootstrappedError
+	sim.registerLost = sim.registerLost || errors.As(r.Err, &notBootstrapped)
 	switch {
-	case errors.As(r.Err, &c):
-		o.Output = result{conflict: true, mark: c.Version}
+	case errors.As(r.Err, &conflict):
+		o.Output = result{conflict: true, version: conflict.Version}
 	case r.Err != nil:
 		o.Output, o.Return = result{unknown: true}, int64(time.Hour)
 	case o.Input.(op).put:
 		version, _ := r.Value.AppliedAt(o.Input.(op).body)
-		o.Output = result{mark: version}
+		o.Output = result{version: version}
 	default:
-		o.Output = result{mark: r.Value.Version, body: string(r.Value.Document)}
+		o.Output = result{version: r.Value.Version, body: string(r.Value.Document)}
 	}
 }
 
-func (l *lab) pump(steps int, loss float64) {
+// deliverRandomly delivers one random message a step. A message is lost with probability loss, and stays in flight to be delivered again with
+// probability 0.05.
+func (sim *simulation) deliverRandomly(steps int, loss float64) {
 	for range steps {
-		l.take()
-		l.now += time.Duration(l.rng.IntN(4)) * time.Millisecond
-		for _, p := range l.props {
-			p.Tick(l.now)
+		sim.collect()
+		sim.now += time.Duration(sim.rng.IntN(4)) * time.Millisecond
+		for _, p := range sim.proposers {
+			p.Tick(sim.now)
 		}
-		l.take()
-		if len(l.bag) == 0 {
+		sim.collect()
+		if len(sim.inFlight) == 0 {
 			continue
 		}
-		i := l.rng.IntN(len(l.bag))
-		m := l.bag[i]
-		if l.rng.Float64() > 0.05 {
-			l.bag = append(l.bag[:i], l.bag[i+1:]...)
+		i := sim.rng.IntN(len(sim.inFlight))
+		m := sim.inFlight[i]
+		if sim.rng.Float64() > 0.05 {
+			sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
 		}
-		if l.rng.Float64() < loss || l.down[m.to] {
+		if sim.rng.Float64() < loss || sim.down[m.to] {
 			continue
 		}
-		l.deliver(m)
+		sim.deliver(m)
 	}
 }
 
-func (l *lab) deliver(m mail) {
-	if a := l.disks[m.to]; a != nil {
+// deliver passes a message to its disk or proposer.
+func (sim *simulation) deliver(m message) {
+	if a := sim.disks[m.to]; a != nil {
 		switch x := m.msg.(type) {
 		case Prepare:
 			r, _ := a.Prepare(x)
-			l.bag = append(l.bag, mail{to: m.from, msg: r})
+			sim.inFlight = append(sim.inFlight, message{to: m.from, msg: r})
 		case Accept:
 			r, _ := a.Accept(x)
-			l.bag = append(l.bag, mail{to: m.from, msg: r})
+			sim.inFlight = append(sim.inFlight, message{to: m.from, msg: r})
 		}
 		return
 	}
-	p := l.props[int(m.to[0]-'0')]
+	p := sim.proposers[int(m.to[0]-'0')]
 	switch x := m.msg.(type) {
 	case Promise:
-		p.OnPromise(l.now, x)
+		p.OnPromise(sim.now, x)
 	case Accepted:
-		p.OnAccepted(l.now, x)
+		p.OnAccepted(sim.now, x)
 	}
 }
 
-func (l *lab) ask(put bool, expect uint64) {
-	l.id++
-	i := l.rng.IntN(len(l.props))
-	o := op{put: put, expect: expect, body: fmt.Sprint(l.id)}
-	l.open[[2]uint64{uint64(i), l.id}] = len(l.ops)
-	l.ops = append(l.ops, porcupine.Operation{ClientId: int(l.id), Input: o, Call: int64(l.now), Output: result{unknown: true}, Return: int64(time.Hour)})
+// submitRandomly submits a put or a read to a random proposer.
+func (sim *simulation) submitRandomly(put bool, expect uint64) {
+	sim.id++
+	i := sim.rng.IntN(len(sim.proposers))
+	o := op{put: put, expect: expect, body: fmt.Sprint(sim.id)}
+	sim.pending[[2]uint64{uint64(i), sim.id}] = len(sim.ops)
+	sim.ops = append(sim.ops, porcupine.Operation{ClientId: int(sim.id), Input: o, Call: int64(sim.now), Output: result{unknown: true}, Return: int64(time.Hour)})
 	var change Change
 	if put {
 		change = func(cur *Value) (*Value, error) {
@@ -172,28 +168,29 @@
 			return cur, nil
 		}
 	}
-	submit := l.props[i].Submit
-	if l.rng.IntN(4) == 0 {
-		submit = l.props[i].SubmitFull
+	submit := sim.proposers[i].Submit
+	if sim.rng.IntN(4) == 0 {
+		submit = sim.proposers[i].SubmitFull
 	}
-	submit(l.now, l.now+2*time.Second, l.id, change)
+	submit(sim.now, sim.now+2*time.Second, sim.id, change)
 }
 
-func (l *lab) reseat() {
+// changeVoters submits both steps of a change to three random voters.
+func (sim *simulation) changeVoters() {
 	var next []Voter
-	for _, i := range l.rng.Perm(6)[:3] {
+	for _, i := range sim.rng.Perm(6)[:3] {
 		next = append(next, Voter{Disk: fmt.Sprintf("d%d", i)})
 	}
-	p := l.props[l.rng.IntN(len(l.props))]
-	l.id += 2
-	p.Submit(l.now, l.now+2*time.Second, l.id-1, func(cur *Value) (*Value, error) {
+	p := sim.proposers[sim.rng.IntN(len(sim.proposers))]
+	sim.id += 2
+	p.Submit(sim.now, sim.now+2*time.Second, sim.id-1, func(cur *Value) (*Value, error) {
 		if len(cur.NextVoters) > 0 {
 			return nil, nil
 		}
 		cur.NextVoters, cur.Epoch = next, cur.Epoch+1
 		return cur, nil
 	})
-	p.Submit(l.now, l.now+2*time.Second, l.id, func(cur *Value) (*Value, error) {
+	p.Submit(sim.now, sim.now+2*time.Second, sim.id, func(cur *Value) (*Value, error) {
 		if len(cur.NextVoters) == 0 {
 			return nil, nil
 		}
@@ -202,41 +199,42 @@
 	})
 }
 
-func (l *lab) run() int {
+// run runs the simulation and returns the highest version that any disk accepted.
+func (sim *simulation) run() int {
 	var accepted int
 	for range 24 {
-		for range 1 + l.rng.IntN(3) {
-			l.ask(l.rng.IntN(3) > 0, uint64(accepted))
+		for range 1 + sim.rng.IntN(3) {
+			sim.submitRandomly(sim.rng.IntN(3) > 0, uint64(accepted))
 		}
-		if l.rng.IntN(4) == 0 {
-			l.reseat()
+		if sim.rng.IntN(4) == 0 {
+			sim.changeVoters()
 		}
-		l.down = map[string]bool{fmt.Sprintf("d%d", l.rng.IntN(8)): true}
-		l.pump(40+l.rng.IntN(160), 0.1)
-		for _, a := range l.disks {
+		sim.down = map[string]bool{fmt.Sprintf("d%d", sim.rng.IntN(8)): true}
+		sim.deliverRandomly(40+sim.rng.IntN(160), 0.1)
+		for _, a := range sim.disks {
 			if a.Value != nil {
 				accepted = max(accepted, int(a.Value.Version))
 			}
 		}
 	}
-	l.down = nil
-	l.pump(2000, 0)
+	sim.down = nil
+	sim.deliverRandomly(2000, 0)
 	return accepted
 }
 
 func TestRegisterIsLinearizable(t *testing.T) {
-	taken := 0
+	applied := 0
 	for seed := range uint64(*seeds) {
-		l := newLab(seed)
-		taken += l.run()
-		if l.gone {
-			t.Fatalf("seed %d: a voter set without the value", seed)
+		sim := newSimulation(seed)
+		applied += sim.run()
+		if sim.registerLost {
+			t.Fatalf("seed %d: an operation found no register: a voter set lacks the value", seed)
 		}
-		if !porcupine.CheckOperations(model, telling(l.ops)) {
-			t.Fatalf("seed %d: history is not linearizable: %v", seed, l.ops)
+		if !porcupine.CheckOperations(model, relevantOperations(sim.ops)) {
+			t.Fatalf("seed %d: history is not linearizable: %v", seed, sim.ops)
 		}
 	}
-	if taken < 4*(*seeds) {
-		t.Errorf("only %d changes were taken: the test proves little", taken)
+	if applied < 4*(*seeds) {
+		t.Errorf("only %d changes were applied: the test proves little", applied)
 	}
 }
--- a/register/forgottenorder_test.go
+++ b/register/restoreddisk_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestDiskSetBackLosesNothingKnown: of three voters one lacks the newest value, one is set back to an older copy of its
-// files. The two make a majority that has never heard of what was confirmed; who knows it is chosen does not read or build on less.
-func TestDiskSetBackLosesNothingKnown(t *testing.T) {
+// Of three voters, one lacks the newest value and one was restored from an older copy of its files, so that these two are a majority without
+// the confirmed value. A proposer that knows that the value was chosen must not read an older one or build on one.
+func TestRestoredDiskLosesNoKnownValue(t *testing.T) {
 	voters := []Voter{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}
 	old := &Value{Fleet: "f", Version: 1, Voters: voters}
 	confirmed := &Value{Fleet: "f", Version: 2, Voters: voters}
@@ -24,17 +24,17 @@
 			t.Fatalf("%+v", r)
 		}
 		if change != nil && r.Value.Version != confirmed.Version+1 {
-			t.Fatalf("a change builds on mark %d", r.Value.Version-1)
+			t.Fatalf("a change builds on version %d", r.Value.Version-1)
 		}
 		for _, d := range disks {
 			if d.Value.Version < confirmed.Version {
-				t.Errorf("%s still holds mark %d", d.Disk, d.Value.Version)
+				t.Errorf("%s still has version %d", d.Disk, d.Value.Version)
 			}
 		}
 	}
 }
 
-// runAlone delivers at once, to those disks that are there, until the proposer is done.
+// runAlone delivers messages to the given disks without delay, until the proposer's operation has ended.
 func runAlone(p *Proposer, disks map[string]*Acceptor) *Result {
 	for now := time.Duration(0); now < time.Second; now += time.Millisecond {
 		sends, results := p.TakeOutput()
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -2,58 +2,62 @@
 
 import "time"
 
-const stragglerWait = 50 * time.Millisecond
+// stragglerTimeout is how long a round that has a majority waits for the other voters if the operation is full.
+const stragglerTimeout = 50 * time.Millisecond
 
-// OnPromise takes the answer to a Prepare.
+// OnPromise handles the reply to a Prepare.
 func (p *Proposer) OnPromise(now time.Duration, r Promise) {
 	if p.current == nil || p.phase != preparing || r.RequestID != p.requestID {
 		p.highestBallot = max(p.highestBallot, r.Promised.N)
 		return
 	}
 	p.highestBallot = max(p.highestBallot, r.Promised.N)
-	if p.expired(now) {
+	if p.endIfExpired(now) {
 		return
 	}
 	if !r.OK {
-		p.preempted(now)
+		p.onRejectedPrepare(now)
 		return
 	}
 	p.promises[r.Disk] = r
 	if p.current.bootstrapValue != nil {
-		p.bootstrapped(now)
+		p.continueBootstrap(now)
 		return
 	}
 	if best := p.baseValue(); best != nil {
-		p.voters = best
-		p.prepareAt(best.AllVoters())
+		p.known = best
+		p.sendPrepares(best.AllVoters())
 	}
 	if len(p.promises) == len(p.asked) || (!p.current.full && p.hasQuorum()) {
 		p.finishRound(now)
 		return
 	}
 	if p.hasQuorum() {
-		p.nextActionAt = min(p.nextActionAt, now+stragglerWait)
+		p.nextActionAt = min(p.nextActionAt, now+stragglerTimeout)
 	}
 }
 
+// hasQuorum reports whether a majority has promised.
 func (p *Proposer) hasQuorum() bool {
-	return Quorum(p.voters, func(d string) bool { _, ok := p.promises[d]; return ok })
+	return Quorum(p.known, func(d string) bool { _, ok := p.promises[d]; return ok })
 }
 
-// baseValue is the value to build on: the one with the highest ballot, or the newest that is known to be chosen if that is newer still.
+// baseValue returns the value to build on: the accepted value with the highest ballot, or the newest value known to be chosen if that is
+// newer.
 func (p *Proposer) baseValue() *Value {
 	v := p.highestAccepted()
-	if p.knowsNewer(v) {
+	if p.knowsNewerThan(v) {
 		return p.chosen
 	}
 	return v
 }
 
-// knowsNewer says that a value of the same fleet is known to be chosen that is newer than v.
-func (p *Proposer) knowsNewer(v *Value) bool {
+// knowsNewerThan reports whether a value of the same fleet that is newer than v is known to be chosen.
+func (p *Proposer) knowsNewerThan(v *Value) bool {
 	return p.chosen.Newer(v) && (v == nil || v.Fleet == p.chosen.Fleet)
 }
 
+// highestAccepted returns the value with the highest accepted ballot in the promises, or nil.
 func (p *Proposer) highestAccepted() *Value {
 	var top Ballot
 	var v *Value
@@ -65,14 +69,14 @@
 	return v
 }
 
-// bootstrapped goes on with a bootstrap. Whatever a disk holds was accepted under a register that is there already, this one after an
-// earlier try or another: it is finished like any change, never proposed over.
-func (p *Proposer) bootstrapped(now time.Duration) {
+// continueBootstrap continues a bootstrap after a promise. If a disk has a value, a register exists already: this one, from an earlier attempt,
+// or another one. That value is then completed like any change and never replaced by the first value.
+func (p *Proposer) continueBootstrap(now time.Duration) {
 	first := p.current.bootstrapValue
 	if best := p.baseValue(); best != nil {
-		p.voters = best
+		p.known = best
 	}
-	if p.voters != first {
+	if p.known != first {
 		p.prepare(now)
 		return
 	}
@@ -81,16 +85,16 @@
 	}
 }
 
-// joinBootstrapped turns a bootstrap into a look for its own register, once any is known.
-func (p *Proposer) joinBootstrapped() {
+// convertBootstrap turns a bootstrap into a check whether the existing register is its own, once a register is known.
+func (p *Proposer) convertBootstrap() {
 	first := p.current.bootstrapValue
-	if first == nil || p.voters == first {
+	if first == nil || p.known == first {
 		return
 	}
-	p.current.bootstrapValue, p.current.change = nil, unfenced(confirmBootstrap(first.Fleet))
+	p.current.bootstrapValue, p.current.change = nil, unguarded(confirmBootstrap(first.Fleet))
 }
 
-// confirmBootstrap is a bootstrap that finds a register: done where it is its own.
+// confirmBootstrap returns the change for a bootstrap that has found a register. It succeeds if the register is that of the bootstrap.
 func confirmBootstrap(fleet string) Change {
 	return func(cur *Value) (*Value, error) {
 		if cur.Fleet == fleet {
@@ -100,54 +104,56 @@
 	}
 }
 
+// onQuorum continues the operation after a majority has promised: it ends the operation, or proposes a value.
 func (p *Proposer) onQuorum(now time.Duration) {
 	p.measureRoundTrip(now)
 	base := p.baseValue()
 	if base == nil {
-		p.end(now, nil, &NotBootstrappedError{})
+		p.endOperation(now, nil, &NotBootstrappedError{})
 		return
 	}
-	if p.cheapRead && !p.chosenByMajority() {
-		p.current.readFailed = true
+	if p.readOnly && !p.chosenByMajority() {
+		p.current.readOnlyFailed = true
 		p.prepare(now)
 		return
 	}
 	next := base
 	if p.current.change != nil {
-		changed, err := p.current.change(base.Clone(), &p.current.fence)
-		if err != nil && p.decided() {
-			p.end(now, base, err)
+		changed, err := p.current.change(base.Clone(), &p.current.guard)
+		if err != nil && p.isDecided() {
+			p.endOperation(now, base, err)
 			return
 		}
 		if err == nil && changed != nil {
 			next = changed
 		}
 	}
-	if next == base && p.decided() && (!p.current.full || p.acceptedEverywhere()) {
-		p.end(now, base, nil)
+	if next == base && p.isDecided() && (!p.current.full || p.acceptedByAllVoters()) {
+		p.endOperation(now, base, nil)
 		return
 	}
 	p.proposeValue(now, next, next != base)
 }
 
-// decided says that what was read is chosen, and that nothing which the operation itself proposed can still be: it was proposed under no
-// higher ballot. Otherwise a disk that holds the proposal may have it proposed again, after the operation was refused.
-func (p *Proposer) decided() bool {
+// isDecided reports whether the value read is chosen and no earlier proposal of this operation can still be chosen, because none has a higher
+// ballot than the value. Otherwise a disk that accepted the proposal could cause it to be proposed again after the operation was rejected.
+func (p *Proposer) isDecided() bool {
 	return p.chosenByMajority() && !p.highestAcceptedBallot().Less(p.current.proposedBallot)
 }
 
-// chosenByMajority says that a majority answered with one value, which is then chosen, and that nothing newer is known.
+// chosenByMajority reports whether a majority returned the same ballot, whose value is then chosen, and no newer chosen value is known.
 func (p *Proposer) chosenByMajority() bool {
-	if p.knowsNewer(p.highestAccepted()) {
+	if p.knowsNewerThan(p.highestAccepted()) {
 		return false
 	}
 	top := p.highestAcceptedBallot()
-	return Quorum(p.voters, func(d string) bool {
+	return Quorum(p.known, func(d string) bool {
 		r, ok := p.promises[d]
 		return ok && r.Accepted == top
 	})
 }
 
+// highestAcceptedBallot returns the highest accepted ballot in the promises.
 func (p *Proposer) highestAcceptedBallot() Ballot {
 	var top Ballot
 	for _, r := range p.promises {
@@ -158,9 +164,10 @@
 	return top
 }
 
-func (p *Proposer) acceptedEverywhere() bool {
+// acceptedByAllVoters reports whether all voters have accepted the value with the highest ballot.
+func (p *Proposer) acceptedByAllVoters() bool {
 	top := p.highestAcceptedBallot()
-	for _, v := range p.voters.AllVoters() {
+	for _, v := range p.known.AllVoters() {
 		if r, ok := p.promises[v.Disk]; !ok || r.Accepted != top {
 			return false
 		}
@@ -168,6 +175,8 @@
 	return true
 }
 
+// proposeValue starts an accept round. The value goes to the voters of both the value that it is based on and itself. changed means that it
+// contains the operation's change.
 func (p *Proposer) proposeValue(now time.Duration, v *Value, changed bool) {
 	p.requestID++
 	p.phase, p.nextActionAt, p.proposed = accepting, now+p.RoundTimeout, v
@@ -175,9 +184,9 @@
 	if changed {
 		p.current.proposed, p.current.proposedBallot = true, p.ballot
 	}
-	to := p.voters.AllVoters()
+	to := p.known.AllVoters()
 	for _, s := range v.AllVoters() {
-		if !contains(to, s.Disk) {
+		if !hasDisk(to, s.Disk) {
 			to = append(to, s)
 		}
 	}
@@ -186,7 +195,7 @@
 	}
 }
 
-func contains(vs []Voter, disk string) bool {
+func hasDisk(vs []Voter, disk string) bool {
 	for _, v := range vs {
 		if v.Disk == disk {
 			return true
@@ -195,38 +204,40 @@
 	return false
 }
 
-// OnAccepted takes the answer to an Accept. A majority that accepted has chosen the value, also after the deadline.
+// OnAccepted handles the reply to an Accept. Once a majority has accepted the value it is chosen, even after the deadline.
 func (p *Proposer) OnAccepted(now time.Duration, r Accepted) {
 	p.highestBallot = max(p.highestBallot, r.Promised.N)
 	if p.current == nil || p.phase != accepting || r.RequestID != p.requestID {
 		return
 	}
 	if !r.OK {
-		if contains(p.voters.AllVoters(), r.Disk) {
-			p.retry(now)
+		if hasDisk(p.known.AllVoters(), r.Disk) {
+			p.scheduleRetry(now)
 		}
 		return
 	}
 	p.acceptedBy[r.Disk] = true
-	if !Quorum(p.voters, func(d string) bool { return p.acceptedBy[d] }) {
+	if !Quorum(p.known, func(d string) bool { return p.acceptedBy[d] }) {
 		return
 	}
-	p.voters = p.proposed
-	p.end(now, p.proposed, p.changeResult())
+	p.known = p.proposed
+	p.endOperation(now, p.proposed, p.changeResult())
 }
 
+// changeResult runs the change on the chosen value and returns its error, which says why the change was rejected if another value was chosen.
 func (p *Proposer) changeResult() error {
 	if p.current.change == nil {
 		return nil
 	}
-	_, err := p.current.change(p.proposed.Clone(), &p.current.fence)
+	_, err := p.current.change(p.proposed.Clone(), &p.current.guard)
 	return err
 }
 
+// finishRound ends a round that has timed out or has all the replies that it needs.
 func (p *Proposer) finishRound(now time.Duration) {
 	if p.phase == preparing && p.current.bootstrapValue == nil && p.hasQuorum() {
 		p.onQuorum(now)
 		return
 	}
-	p.retry(now)
+	p.scheduleRetry(now)
 }
--- a/register/value.go
+++ b/register/value.go
@@ -6,56 +6,57 @@
 	"github.com/mallowbridge/mallowbridge/chunk"
 )
 
-// Ballot orders the rounds of all proposers: by number, then by the proposer's name.
+// Ballot identifies a round of a proposer. Ballots are ordered by number, then by the proposer's ID.
 type Ballot struct {
 	N  uint64
 	By string
 }
 
-// Less tells whether b comes before o.
+// Less reports whether b is lower than o.
 func (b Ballot) Less(o Ballot) bool {
 	return b.N < o.N || (b.N == o.N && b.By < o.By)
 }
 
-// Voter is a disk that votes, and the name of the node that holds it.
+// Voter is a disk that votes: its ID, and the name of the node that has it.
 type Voter struct {
 	Disk string `json:"disk"`
 	Name string `json:"name"`
 }
 
-// LegacyOrder is an order that builds before the packed lists kept whole; it is only read.
+// LegacyOrder is an applied order as stored by builds from before EditLog and OrderLog. It is read but never added.
 type LegacyOrder struct {
 	ID      string
 	Version uint64
 }
 
-// Value is what the register holds. It is never changed in place: a Change works on a Clone.
+// Value is the value of the register. It is never modified in place: a Change works on a Clone.
 type Value struct {
-	// Fleet names the register since it was bootstrapped.
+	// Fleet is the ID of the register, set when it was bootstrapped.
 	Fleet string
-	// Version rises with each change of the document or of the evacuated zones, Epoch with each change of voters.
+	// Version increases with each change of the document or of the evacuated zones, Epoch with each change of the voters.
 	Version uint64
 	Epoch   uint64
-	// Document is the operators' document as it was sent, EvacuatedZones the evacuated zones.
+	// Document is the configuration document as the operator sent it.
 	Document       []byte
 	EvacuatedZones []string
-	// Voters are the disks that vote. Next, unless empty, is the set that follows: until it has, majorities of both are needed.
+	// Voters are the disks that vote. NextVoters, unless empty, is the set that replaces them: until then, majorities of both sets are needed.
 	Voters     []Voter
 	NextVoters []Voter
-	// LegacyOrders is the memory of orders of older builds: kept while there is nothing better.
+	// LegacyOrders are the applied orders that older builds logged. Each order that is applied now removes the oldest one.
 	LegacyOrders []LegacyOrder
-	// EditLog and OrderLog are the memory of orders that were taken.
+	// EditLog and OrderLog are the logs of the orders that were applied most recently.
 	EditLog  EditLog
 	OrderLog OrderLog
-	// AppliedOrders counts the entries ever made in OrderLog.
+	// AppliedOrders is the number of entries ever added to OrderLog, including those that it no longer has.
 	AppliedOrders uint64
-	// DocumentManifest stands for Document in messages where that is large: one of the two is there. No state machine sees it.
+	// DocumentManifest replaces Document in messages if that is large: a value has one of the two. Proposers and acceptors only work on values that
+	// have the document.
 	DocumentManifest *chunk.Manifest
-	// LogManifest stands for EditLog and OrderLog in the same way.
+	// LogManifest replaces EditLog and OrderLog in the same way.
 	LogManifest *chunk.Manifest
 }
 
-// Clone copies a value so that a Change may alter it. Document, EditLog and OrderLog are shared: they are replaced, never written to.
+// Clone returns a copy that a Change may modify. The copy shares Document, EditLog and OrderLog, which are replaced but never written to.
 func (v *Value) Clone() *Value {
 	c := &Value{}
 	*c = *v
@@ -63,10 +64,10 @@
 	return c
 }
 
-// DocumentSize is the number of bytes of the document.
+// DocumentSize returns the size of the document in bytes.
 func (v *Value) DocumentSize() int { return len(v.Document) }
 
-// AllVoters lists the voters and the next ones, each once.
+// AllVoters returns the voters and the next voters, each disk once.
 func (v *Value) AllVoters() []Voter {
 	vs := slices.Clone(v.Voters)
 	for _, n := range v.NextVoters {
@@ -77,7 +78,7 @@
 	return vs
 }
 
-// Newer tells whether v was made after o, by version and epoch; any value is newer than none.
+// Newer reports whether v has a higher version than o, or the same version and a higher epoch. Any value is newer than nil.
 func (v *Value) Newer(o *Value) bool {
 	if v == nil || o == nil {
 		return v != nil
@@ -85,7 +86,7 @@
 	return v.Version > o.Version || (v.Version == o.Version && v.Epoch > o.Epoch)
 }
 
-func sameVoters(a, b []Voter) bool {
+func sameDisks(a, b []Voter) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -97,9 +98,9 @@
 	return true
 }
 
-// SameVoters tells whether two values have the same voters and next voters.
+// SameVoters reports whether two values have the same voters and next voters, in the same order.
 func SameVoters(a, b *Value) bool {
-	return sameVoters(a.Voters, b.Voters) && sameVoters(a.NextVoters, b.NextVoters)
+	return sameDisks(a.Voters, b.Voters) && sameDisks(a.NextVoters, b.NextVoters)
 }
 
 func majority(set []Voter, has func(disk string) bool) bool {
@@ -112,7 +113,7 @@
 	return n > len(set)/2
 }
 
-// Quorum tells whether the disks for which has returns true hold a majority of the voters, and of the next ones if there are any.
+// Quorum reports whether has returns true for the disks of a majority of the voters, and of a majority of the next voters if there are any.
 func Quorum(v *Value, has func(disk string) bool) bool {
 	return majority(v.Voters, has) && (len(v.NextVoters) == 0 || majority(v.NextVoters, has))
 }
