--- a/chunk/store.go
+++ b/chunk/store.go
@@ -101,7 +101,7 @@
 }
 
 // Document returns the document that a manifest describes. The error is a *ManifestError, a *SizeError or a *MissingError. After a
-// *MissingError, Put accepts the missing names: first the segments, and in a later call the chunks, once all segments are present.
+// *MissingError, Put accepts the missing data: segments first, and then, after another call that has found all segments, chunks.
 func (s *Store) Document(m *Manifest) ([]byte, error) {
 	if err := m.Check(); err != nil {
 		return nil, err
@@ -135,10 +135,10 @@
 }
 
 // missing returns those of the names that the store has no data for, each once.
-func (s *Store) missing(of []Name) []Name {
+func (s *Store) missing(wanted []Name) []Name {
 	seen := map[Name]bool{}
 	var names []Name
-	for _, name := range of {
+	for _, name := range wanted {
 		if s.chunks[name].data == nil && !seen[name] {
 			seen[name] = true
 			names = append(names, name)
@@ -242,6 +242,7 @@
 	}
 }
 
+// remove removes the document at an index of recent, and the chunks that only this document refers to.
 func (s *Store) remove(at int) {
 	d := s.recent[at]
 	s.recent = append(s.recent[:at:at], s.recent[at+1:]...)
--- a/register/editlog.go
+++ b/register/editlog.go
@@ -34,7 +34,8 @@
 // was based on (uvarint) and the order's hash. Revisions are strictly increasing, so that a revision has at most one entry.
 type EditLog []byte
 
-// BaseTooOldError means that an order is based on a revision that the log of applied orders no longer covers. It may have been applied.
+// BaseTooOldError means that an order is based on a revision that the log of applied orders no longer covers, so that it is unknown whether it
+// was applied.
 type BaseTooOldError struct {
 	// Base is the revision that the order is based on, Current the current revision.
 	Base, Current uint64
--- a/register/orderlog_test.go
+++ b/register/orderlog_test.go
@@ -11,11 +11,11 @@
 // rejectionStatus returns the HTTP status that belongs to a rejection.
 func rejectionStatus(err error) string {
 	var conflict *ConflictError
-	var forgotten *BaseTooOldError
+	var baseTooOld *BaseTooOldError
 	switch {
 	case errors.As(err, &conflict):
 		return "412"
-	case errors.As(err, &forgotten):
+	case errors.As(err, &baseTooOld):
 		return "503"
 	}
 	return fmt.Sprint(err)
--- a/register/outcome_test.go
+++ b/register/outcome_test.go
@@ -51,20 +51,21 @@
 	}
 }
 
+// x's order, which one disk has accepted, must not be applied after another order was chosen, whichever majority x reaches.
 func TestSupersededOrderNeverReturns(t *testing.T) {
-	for _, order := range [][]string{{"a", "b"}, {"a", "c"}, {"b", "c"}} {
+	for _, majority := range [][]string{{"a", "b"}, {"a", "c"}, {"b", "c"}} {
 		d := newProposerPair(t)
 		d.proposeTo(0, "a")
 		d.setReachable("b", "c")
 		if err := d.submitAndWait(d.y, edit(0, "theirs")); err != nil {
 			t.Fatal(err)
 		}
-		d.setReachable(order...)
+		d.setReachable(majority...)
 		if got := outcome(d.waitForResult(d.x)); got != "412" {
-			t.Errorf("%v: %s", order, got)
+			t.Errorf("%v: %s", majority, got)
 		}
 		if err := d.submitAndWait(d.y, nil); err != nil || string(d.last.Value.Document) != "theirs" {
-			t.Errorf("%v: %v, read %q", order, err, d.last.Value.Document)
+			t.Errorf("%v: %v, read %q", majority, err, d.last.Value.Document)
 		}
 	}
 }
@@ -86,14 +87,15 @@
 	if got := outcome(d.submitAndWait(d.x, edit(0, "mine"))); got != "412" {
 		t.Errorf("%s", got)
 	}
-	for _, two := range [][]string{{"b", "c"}, {"a", "c"}, {"a", "b"}} {
-		d.setReachable(two...)
+	for _, disks := range [][]string{{"b", "c"}, {"a", "c"}, {"a", "b"}} {
+		d.setReachable(disks...)
 		if err := d.submitAndWait(d.x, nil); err != nil || string(d.last.Value.Document) != "theirs" {
-			t.Errorf("%v: %v, read %q after the rejection", two, err, d.last.Value.Document)
+			t.Errorf("%v: %v, read %q after the rejection", disks, err, d.last.Value.Document)
 		}
 	}
 }
 
+// A proposer that was frozen past the deadline must not propose a change, although promises arrive then.
 func TestFrozenProposerStopsAtItsDeadline(t *testing.T) {
 	d := newProposerPair(t)
 	d.x.Submit(d.now, d.now+operationTimeout, 9, edit(0, "mine"))
--- a/register/proposerpair_test.go
+++ b/register/proposerpair_test.go
@@ -87,7 +87,7 @@
 
 // run runs a proposer for a time span.
 func (d *proposerPair) run(p *Proposer, span time.Duration) {
-	for submitAndWait := d.now + span; d.now < submitAndWait; d.now += 10 * time.Millisecond {
+	for end := d.now + span; d.now < end; d.now += 10 * time.Millisecond {
 		p.Tick(d.now)
 		d.deliver(p)
 	}
@@ -133,13 +133,13 @@
 // outcome returns the HTTP status that belongs to the result of an operation, and what is known of its effect.
 func outcome(err error) string {
 	var unknown *OutcomeUnknownError
-	var none *NoQuorumError
+	var noQuorum *NoQuorumError
 	switch {
 	case err == nil:
 		return "200"
 	case errors.As(err, &unknown):
 		return "503 unknown"
-	case errors.As(err, &none):
+	case errors.As(err, &noQuorum):
 		return "503 unchanged"
 	}
 	return rejectionStatus(err)
--- a/storage/open.go
+++ b/storage/open.go
@@ -15,7 +15,7 @@
 	valid bool
 }
 
-func (h slotFiles) exists() bool { return h.slotExists || h.logExists }
+func (files slotFiles) exists() bool { return files.slotExists || files.logExists }
 
 // Contents is the state that Open read: the newest valid snapshot, and the entries appended after it, oldest first.
 type Contents struct {
@@ -70,29 +70,29 @@
 
 func readSlotFiles(disk Disk, i uint64) (slotFiles, error) {
 	raw, exists, err := disk.Read(slotName(i))
-	var h slotFiles
+	var files slotFiles
 	if err != nil {
-		return h, trace.Wrap(&UnreadableError{File: slotName(i), Cause: err})
+		return files, trace.Wrap(&UnreadableError{File: slotName(i), Cause: err})
 	}
-	h.slotExists = exists
-	h.log, h.logExists, err = disk.Read(logName(i))
+	files.slotExists = exists
+	files.log, files.logExists, err = disk.Read(logName(i))
 	if err != nil {
-		return h, trace.Wrap(&UnreadableError{File: logName(i), Cause: err})
+		return files, trace.Wrap(&UnreadableError{File: logName(i), Cause: err})
 	}
 	r, ok := decodeRecord(raw)
-	h.generation, h.slot = r.generation, r.body
-	h.valid = ok && r.size() == len(raw) && r.generation%2 == i
-	return h, nil
+	files.generation, files.slot = r.generation, r.body
+	files.valid = ok && r.size() == len(raw) && r.generation%2 == i
+	return files, nil
 }
 
 // existingFiles lists the names of the files that exist.
 func existingFiles(slots [2]slotFiles) []string {
 	var names []string
-	for i, h := range slots {
-		if h.slotExists {
+	for i, files := range slots {
+		if files.slotExists {
 			names = append(names, slotName(uint64(i)))
 		}
-		if h.logExists {
+		if files.logExists {
 			names = append(names, logName(uint64(i)))
 		}
 	}
@@ -110,9 +110,9 @@
 }
 
 // startsWithRecord reports whether log begins with a valid record of the generation.
-func (*Store) startsWithRecord(log []byte, gen uint64) bool {
+func (*Store) startsWithRecord(log []byte, generation uint64) bool {
 	r, ok := decodeRecord(log)
-	return ok && r.generation == gen
+	return ok && r.generation == generation
 }
 
 // replay appends the log's entries of the current generation to entries. A torn record at the end is ignored, and the next Append
--- a/storage/write.go
+++ b/storage/write.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// nextGeneration selects the slot to overwrite: the older one, unless the newer one cannot be read. All state then depends on the older
-// slot, and the damaged one is overwritten.
+// nextGeneration returns the next generation, whose slot Rotate overwrites: the older slot or, if the newer one cannot be read, the newer one,
+// because all state then depends on the older one.
 func (s *Store) nextGeneration() uint64 {
 	if s.slotDamaged {
 		return s.generation + 2
