--- a/proxy/action.go
+++ b/proxy/action.go
@@ -6,25 +6,25 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// ActionKind names a step that an exchange asks for.
+// ActionKind is a step that an exchange asks the transfer to carry out.
 type ActionKind uint8
 
 const (
-	// Connect gets a connection to the place.
+	// Connect gets a connection to the replica.
 	Connect ActionKind = iota + 1
-	// WriteRequest sends the request and reads the answer.
+	// WriteRequest sends the request and reads the head of the response.
 	WriteRequest
-	// ReleaseConnection gives an unused connection back.
+	// ReleaseConnection returns an unused connection to the pool.
 	ReleaseConnection
-	// CloseConnection closes the connection.
+	// CloseConnection closes the connection to the replica.
 	CloseConnection
-	// NotifyRouter hands the router an event.
+	// NotifyRouter passes an event to the router.
 	NotifyRouter
-	// DiscardResponse reads the rest of an answer that is not passed on.
+	// DiscardResponse reads the rest of a response that is not forwarded.
 	DiscardResponse
-	// ForwardResponse passes the answer on, without its head where the place resumes.
+	// ForwardResponse sends the response to the client, without its head if the attempt resumes a stream.
 	ForwardResponse
-	// Finish ends the exchange with the outcome.
+	// Finish ends the exchange with an outcome.
 	Finish
 )
 
@@ -32,7 +32,7 @@
 type Outcome uint8
 
 const (
-	// Completed is a whole answer of a replica.
+	// Completed means that the client received the complete response of a replica.
 	Completed Outcome = iota + 1
 	// Rejected is a 503: the request has not run and will not run.
 	Rejected
@@ -40,11 +40,11 @@
 	NotFound
 	// Unknown is a 502: the request may have run.
 	Unknown
-	// Expired is a 504: the time is over and the request may have run.
+	// Expired is a 504: the request's time is over and it may have run.
 	Expired
-	// Aborted is an answer that was cut after its first bytes.
+	// Aborted means that the response was cut off after its first bytes.
 	Aborted
-	// AbandonedByClient is a client that closed its connection.
+	// AbandonedByClient means that the client closed its connection.
 	AbandonedByClient
 	// OverQuota is a 429: the tenant has used up its quota, and the request has not run.
 	OverQuota
@@ -52,7 +52,8 @@
 	Unauthorized
 )
 
-// Action is one step for the transfer: Event belongs to NotifyRouter; Outcome, Reason and RetryAfter (when the client may come back) to Finish.
+// Action is one step for the transfer. Event is set for NotifyRouter; Outcome, Reason and RetryAfter (when the client may send the request
+// again) are set for Finish.
 type Action struct {
 	Kind       ActionKind
 	Event      router.Event
@@ -61,51 +62,55 @@
 	RetryAfter time.Duration
 }
 
-// Signal is what a connection did.
+// Signal is an event on a connection or a deadline, as input of an exchange.
 type Signal interface{ signal() }
 
-// Connected tells that a connection to the place is there, with nothing written on it yet.
+// Connected signals that a connection to the replica is ready, with no request written to it yet.
 type Connected struct{}
 
-// ConnectFailed tells that there is no connection, and whether that is the replica's fault.
+// ConnectFailed signals that no connection could be had: the replica was not reached, or this node already has as many connections to it as
+// allowed.
 type ConnectFailed struct{ AtConnectionLimit bool }
 
-// ResponseHeadRead is the head of an answer.
+// ResponseHeadRead signals that the head of a response was read, and describes it.
 type ResponseHeadRead struct {
 	Status int
-	// Mismatched answers belong to another request, CloseDelimited ones end only with their connection, Unsealed ones lack the seal.
+	// Mismatched is set if the response belongs to another request, NotExecuted if the replica states that it did not and will not run the
+	// request, CloseDelimited if only the end of the connection ends the response, and Unsealed if the seal of the replica is missing.
 	Mismatched, NotExecuted, CloseDelimited, Unsealed bool
-	Stream                                            bool
-	// VersionRequested: the request named the weights to go on with, so a 421 says nothing about the instance. VersionMismatch: the answer is made
-	// with others than what was passed on.
+	// Stream is set if the response is a stream of events and the route permits streaming.
+	Stream bool
+	// VersionRequested is set if the request named the weights version to continue with, so that a 421 says nothing about the instance.
+	// VersionMismatch is set if the response was generated with other weights than the part already forwarded.
 	VersionRequested, VersionMismatch bool
-	Instance                          string
-	Load                              *router.ReplicaLoad
+	// Instance is the replica instance that the response names, and Load its load; both may be missing.
+	Instance string
+	Load     *router.ReplicaLoad
 }
 
-// ResponseStarted tells that the head is passed on before the answer is whole.
+// ResponseStarted signals that the head is forwarded before the response is complete.
 type ResponseStarted struct{}
 
-// ResponseEnded tells that the answer was read to its end.
+// ResponseEnded signals that the response was read completely.
 type ResponseEnded struct{}
 
-// ConnectionLost tells that the connection failed after bytes of the request may have left.
+// ConnectionLost signals that the connection failed after bytes of the request may have been sent.
 type ConnectionLost struct{}
 
-// Unwritten tells that no byte of the request that was to be written left this node.
+// Unwritten signals that writing the request failed before any byte of it left this node.
 type Unwritten struct{}
 
-// DeadlinePassed tells that the time of the request is over, and whether that was so before any byte of it was written.
+// DeadlinePassed signals that the request's time is over. Unwritten is set if no byte of the request had been written by then.
 type DeadlinePassed struct{ Unwritten bool }
 
-// ClientDisconnected tells that the client closed its connection or takes no more bytes.
+// ClientDisconnected signals that the client closed its connection or accepts no more bytes.
 type ClientDisconnected struct{}
 
 func (Connected) signal()          {}
 func (ConnectFailed) signal()      {}
-func (ResponseHeadRead) signal()     {}
-func (ResponseStarted) signal()      {}
-func (ResponseEnded) signal()        {}
+func (ResponseHeadRead) signal()   {}
+func (ResponseStarted) signal()    {}
+func (ResponseEnded) signal()      {}
 func (ConnectionLost) signal()     {}
 func (Unwritten) signal()          {}
 func (DeadlinePassed) signal()     {}
--- a/proxy/arrival.go
+++ b/proxy/arrival.go
@@ -6,28 +6,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// age is for how long the newest bytes have lain in the socket: long, where this process or its machine stood still.
-func (c *client) age() time.Duration {
+// timeSinceReceive returns how long ago the kernel received the newest bytes from the client. The time is long when this process or its
+// machine was stopped while the bytes waited in the socket buffer. It is 0 when the kernel does not report it.
+func (c *client) timeSinceReceive() time.Duration {
 	raw, err := c.TCPConn.SyscallConn()
 	if err != nil {
 		return 0
 	}
-	if c.inspect == nil {
-		c.inspect = func(fd uintptr) {
+	if c.readTCPInfo == nil {
+		c.readTCPInfo = func(fd uintptr) {
 			c.sinceLastBytes = 0
 			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 				c.sinceLastBytes = time.Duration(info.Last_data_recv) * time.Millisecond
 			}
 		}
 	}
-	if raw.Control(c.inspect) != nil {
+	if raw.Control(c.readTCPInfo) != nil {
 		return 0
 	}
 	return c.sinceLastBytes
 }
 
-// arrival gives when the request that is being served reached this machine, once; now where its bytes came along with earlier ones.
-func (c *client) arrival() time.Time {
+// takeArrivalTime returns when the first bytes of the current request reached this machine and clears that time. It returns the current
+// time if those bytes were read together with the previous request.
+func (c *client) takeArrivalTime() time.Time {
 	var at time.Time
 	at, c.firstByteAt = c.firstByteAt, time.Time{}
 	if at.IsZero() {
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -16,48 +16,49 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// plain is a router that places every request at once on the same replica.
-type plain struct {
-	place router.Decision
-	subs  chan map[string]chan router.Decision
+// singleReplicaRouter immediately places every request at the same replica.
+type singleReplicaRouter struct {
+	decision  router.Decision
+	decisions chan map[string]chan router.Decision
 }
 
-func (m *plain) Submit(a router.Arrival) <-chan router.Decision {
+func (stub *singleReplicaRouter) Submit(a router.Arrival) <-chan router.Decision {
 	out := make(chan router.Decision, 4)
-	all := <-m.subs
+	all := <-stub.decisions
 	all[a.Request] = out
-	m.subs <- all
-	out <- m.place
+	stub.decisions <- all
+	out <- stub.decision
 	return out
 }
 
-func (m *plain) Notify(ev router.Event) {
-	all := <-m.subs
+func (stub *singleReplicaRouter) Notify(ev router.Event) {
+	all := <-stub.decisions
 	switch e := ev.(type) {
 	case router.ReadyToSend:
 		all[e.Request] <- router.Decision{Verdict: router.Send, AttemptID: e.AttemptID}
 	case router.AttemptEnded:
 		delete(all, e.Request)
 	}
-	m.subs <- all
+	stub.decisions <- all
 }
 
-// echo answers the requests of a connection, which carry id1 and id2 by turns; it allocates nothing.
-func echo(b *testing.B, answer string) string {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+// startEchoReplica starts a replica that serves the requests of a connection, which alternate between the attempt IDs id1 and id2. It
+// allocates nothing while serving.
+func startEchoReplica(b *testing.B, response string) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { _ = lis.Close() })
+	b.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := lis.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer c.Close()
-				in, turn := bufio.NewReaderSize(c, 64<<10), [][]byte{[]byte(answer), []byte(strings.Replace(answer, "id1", "id2", 1))}
+				in, turn := bufio.NewReaderSize(c, 64<<10), [][]byte{[]byte(response), []byte(strings.Replace(response, "id1", "id2", 1))}
 				for n := 0; ; n++ {
 					for {
 						text, err := in.ReadSlice('\n')
@@ -78,23 +79,23 @@
 			}()
 		}
 	}()
-	return lis.Addr().String()
+	return listener.Addr().String()
 }
 
 const bodyBytes = 2000
 
-func benchmark(b *testing.B, route *config.Route, answer string, last string) {
-	m := &plain{subs: make(chan map[string]chan router.Decision, 1)}
-	m.place = router.Decision{Verdict: router.Place, AttemptID: "g", Addr: echo(b, answer), Replica: "r", Instance: "i1", Route: route}
-	m.subs <- map[string]chan router.Decision{}
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+func benchmark(b *testing.B, route *config.Route, response string, last string) {
+	stub := &singleReplicaRouter{decisions: make(chan map[string]chan router.Decision, 1)}
+	stub.decision = router.Decision{Verdict: router.Place, AttemptID: "g", Addr: startEchoReplica(b, response), Replica: "r", Instance: "i1", Route: route}
+	stub.decisions <- map[string]chan router.Decision{}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	tb := &tomb.Tomb{}
 	limits := func() config.Limits { return config.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20} }
-	proxy.Serve(tb, lis, proxy.New(m, names, proxy.Defaults(), limits, "b"), limits)
-	c, err := net.Dial("tcp", lis.Addr().String())
+	proxy.Serve(tb, listener, proxy.New(stub, testHeaders, proxy.Defaults(), limits, "b"), limits)
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -126,25 +127,25 @@
 	}
 }
 
-const sealed = "HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s1\r\nX-Load: 3,0,8\r\nContent-Type: application/json\r\nKeep-Alive: timeout=5\r\n"
+const sealedResponseHead = "HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s1\r\nX-Load: 3,0,8\r\nContent-Type: application/json\r\nKeep-Alive: timeout=5\r\n"
 
-// BenchmarkRequest is one short answer over kept connections on both sides.
+// BenchmarkRequest measures a request with a short response over reused connections on both sides.
 func BenchmarkRequest(b *testing.B) {
 	body := strings.Repeat("y", 500) + "\n"
-	benchmark(b, safe, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", sealed, len(body), body), body)
+	benchmark(b, idempotentRoute, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", sealedResponseHead, len(body), body), body)
 }
 
-func BenchmarkNonRepeatable(b *testing.B) {
+func BenchmarkNonIdempotent(b *testing.B) {
 	body := strings.Repeat("y", 500) + "\n"
-	benchmark(b, unsafe, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", sealed, len(body), body), body)
+	benchmark(b, onceRoute, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", sealedResponseHead, len(body), body), body)
 }
 
-// BenchmarkStream is a stream of 100 events that arrive in one piece or a few.
+// BenchmarkStream measures a stream of 100 events that arrive in a few large reads.
 func BenchmarkStream(b *testing.B) {
-	answer := strings.Replace(sealed, "application/json", "text/event-stream", 1) + "Transfer-Encoding: chunked\r\n\r\n"
+	response := strings.Replace(sealedResponseHead, "application/json", "text/event-stream", 1) + "Transfer-Encoding: chunked\r\n\r\n"
 	for i := range 100 {
 		e := fmt.Sprintf("id: %d\ndata: some words of text\n\n", i+1)
-		answer += fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
+		response += fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
 	}
-	benchmark(b, streams, answer+"0\r\n\r\n", "0\r\n")
+	benchmark(b, streamRoute, response+"0\r\n\r\n", "0\r\n")
 }
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -13,45 +13,48 @@
 	"github.com/gravitational/trace"
 )
 
-// BudgetExhaustedError says that the bodies and answers of other requests use up the budget.
+// BudgetExhaustedError reports that a request does not fit into the memory budget next to the bodies and responses of other requests.
 type BudgetExhaustedError struct{ Reserved int64 }
 
 func (e *BudgetExhaustedError) Error() string {
-	return "the " + strconv.FormatInt(e.Reserved, 10) + " bytes of other requests leave no room"
+	return "memory budget exhausted: " + strconv.FormatInt(e.Reserved, 10) + " bytes are reserved by other requests"
 }
 
-func (x *transfer) mostBody() int64 {
+// maxBodyBytes returns the limit of request bodies from the configuration or, if it sets none, from the settings.
+func (x *transfer) maxBodyBytes() int64 {
 	if n := int64(x.proxy.limits().BodyBytes); n > 0 {
 		return n
 	}
 	return int64(x.proxy.settings.MaxBodyBytes)
 }
 
-// readBody reads the request's body whole; a client that stops sending, or sends for too long, is waited for no longer.
+// readBody reads the whole body of the request into memory. It fails when the client stops sending, sends for too long, or sends more than
+// the limit, and when the budget is exhausted.
 func (x *transfer) readBody() (err error) {
-	if !x.memory.take(requestOverheadBytes) {
+	if !x.reserved.reserve(requestOverheadBytes) {
 		return trace.Wrap(&BudgetExhaustedError{Reserved: x.proxy.budget.Reserved()})
 	}
 	if x.r.ContentLength == 0 {
 		return nil
 	}
-	most := x.mostBody()
-	if x.r.ContentLength > most {
-		return &http.MaxBytesError{Limit: most}
+	limit := x.maxBodyBytes()
+	if x.r.ContentLength > limit {
+		return &http.MaxBytesError{Limit: limit}
 	}
 	defer func() {
 		if err == nil {
-			x.readUntil(time.Time{})
+			x.setReadDeadline(time.Time{})
 		}
 	}()
 	if x.r.ContentLength < 0 {
-		return x.readChunked(most)
+		return x.readChunked(limit)
 	}
 	return x.readSized()
 }
 
-// uploadLimit is when more of the body must have come.
-func (x *transfer) uploadLimit() time.Time {
+// nextUploadDeadline returns when the next bytes of the body must have arrived: one header timeout from now, but no later than the end of
+// the whole upload.
+func (x *transfer) nextUploadDeadline() time.Time {
 	at := time.Now().Add(cmp.Or(x.proxy.limits().Header, defaultHeaderTimeout))
 	end := x.arrived.Add(x.proxy.settings.UploadTimeout)
 	if !x.deadline.IsZero() && x.deadline.Before(end) {
@@ -63,7 +66,7 @@
 	return at
 }
 
-func (x *transfer) readUntil(at time.Time) {
+func (x *transfer) setReadDeadline(at time.Time) {
 	if x.client != nil {
 		_ = x.client.SetReadDeadline(at)
 	} else {
@@ -73,14 +76,14 @@
 
 func (x *transfer) readSized() error {
 	size := int(x.r.ContentLength)
-	if !x.memory.take(size) {
+	if !x.reserved.reserve(size) {
 		return trace.Wrap(&BudgetExhaustedError{Reserved: x.proxy.budget.Reserved()})
 	}
 	body := make([]byte, size)
-	for got := 0; got < size; {
-		x.readUntil(x.uploadLimit())
-		n, err := x.r.Body.Read(body[got:])
-		if got += n; err != nil && got < size {
+	for received := 0; received < size; {
+		x.setReadDeadline(x.nextUploadDeadline())
+		n, err := x.r.Body.Read(body[received:])
+		if received += n; err != nil && received < size {
 			return err
 		}
 	}
@@ -88,22 +91,22 @@
 	return nil
 }
 
-func (x *transfer) readChunked(most int64) error {
+func (x *transfer) readChunked(limit int64) error {
 	var body bytes.Buffer
-	in := http.MaxBytesReader(x.w, x.r.Body, most)
+	in := http.MaxBytesReader(x.w, x.r.Body, limit)
 	var err error
 	for err == nil {
 		if before := body.Cap(); body.Available() < bytes.MinRead {
 			body.Grow(max(bytes.MinRead, before))
-			if !x.memory.take(body.Cap() - before) {
+			if !x.reserved.reserve(body.Cap() - before) {
 				return trace.Wrap(&BudgetExhaustedError{Reserved: x.proxy.budget.Reserved()})
 			}
 		}
-		x.readUntil(x.uploadLimit())
+		x.setReadDeadline(x.nextUploadDeadline())
 		var n int
-		capacity := body.AvailableBuffer()
-		n, err = in.Read(capacity[:cap(capacity)])
-		body.Write(capacity[:n])
+		spare := body.AvailableBuffer()
+		n, err = in.Read(spare[:cap(spare)])
+		body.Write(spare[:n])
 	}
 	if err != io.EOF {
 		return err
@@ -112,39 +115,41 @@
 	return nil
 }
 
-// refuse answers a request whose body could not be taken; it did not run. The answer does not wait for the rest of the body: net/http
-// reads on before it replies where the connection is to be kept, and for a while after it has replied where not.
-func (x *transfer) refuse(err error) {
+// rejectUnforwarded responds to a request that was never forwarded, because its body could not be read or the process is shutting down. It
+// closes the connection and bounds how long the rest of the body is read: net/http reads the remaining body before it responds if the
+// connection is to be kept, and for a while after the response if not.
+func (x *transfer) rejectUnforwarded(err error) {
 	x.w.Header().Set("Connection", "close")
-	x.readUntil(time.Now().Add(afterRefusal))
-	var long *http.MaxBytesError
-	var full *BudgetExhaustedError
-	var ending *ShuttingDownError
+	x.setReadDeadline(time.Now().Add(rejectedBodyReadTime))
+	var tooLong *http.MaxBytesError
+	var exhausted *BudgetExhaustedError
+	var shuttingDown *ShuttingDownError
 	status := http.StatusBadRequest
 	switch {
-	case errors.As(err, &full):
+	case errors.As(err, &exhausted):
 		x.proxy.Counters.Full.Add(1)
-		x.retryAfter(defaultRetryAfter)
-		x.answerWith(http.StatusServiceUnavailable, "denied", err.Error())
+		x.setRetryAfter(defaultRetryAfter)
+		x.writeResponse(http.StatusServiceUnavailable, "denied", err.Error())
 		return
-	case errors.As(err, &ending):
+	case errors.As(err, &shuttingDown):
 		x.proxy.Counters.ShuttingDown.Add(1)
-		x.retryAfter(shutdownRetryAfter)
-		x.answerWith(http.StatusServiceUnavailable, "denied", err.Error())
+		x.setRetryAfter(shutdownRetryAfter)
+		x.writeResponse(http.StatusServiceUnavailable, "denied", err.Error())
 		return
-	case errors.As(err, &long):
+	case errors.As(err, &tooLong):
 		status = http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = http.StatusRequestTimeout
-		x.retryAfter(defaultRetryAfter)
+		x.setRetryAfter(defaultRetryAfter)
 	}
 	x.proxy.Counters.Bad.Add(1)
-	x.answerWith(status, "bad", err.Error())
+	x.writeResponse(status, "bad", err.Error())
 }
 
 const (
-	// requestOverheadBytes is counted for each request besides its body: connections, goroutines, headers.
+	// requestOverheadBytes is reserved for each request in addition to its body: for connections, goroutines and headers.
 	requestOverheadBytes = 8 << 10
-	// afterRefusal is how long the rest of a refused body is read, so that a reset does not overtake the answer.
-	afterRefusal = time.Second
+	// rejectedBodyReadTime bounds how long the rest of a rejected body is read. Without reading on, a TCP reset could reach the client
+	// before the response.
+	rejectedBodyReadTime = time.Second
 )
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -5,13 +5,14 @@
 	"sync/atomic"
 )
 
-// Budget bounds the bytes of bodies and held answers of all requests together.
+// Budget bounds the total memory for bodies and buffered responses of all requests.
 type Budget struct {
+	// Limit is in bytes; 0 means no limit.
 	Limit    int64
 	reserved atomic.Int64
 }
 
-// Reserve reserves n more bytes. What is alone may be larger than the bound.
+// Reserve reserves n more bytes and reports whether they fit. A single reservation may exceed the limit if there are no others.
 func (b *Budget) Reserve(n int) bool {
 	total := b.reserved.Add(int64(n))
 	if b.Limit > 0 && total > b.Limit && total != int64(n) {
@@ -24,30 +25,30 @@
 // Release returns n reserved bytes.
 func (b *Budget) Release(n int) { b.reserved.Add(-int64(n)) }
 
-// Reserved is how many bytes are reserved.
+// Reserved returns how many bytes are reserved.
 func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
-// reservation is what one request holds of the budget.
+// reservation is the part of the budget that one request has reserved.
 type reservation struct {
 	budget *Budget
 	bytes  int
 }
 
-func (s *reservation) take(n int) bool {
+func (r *reservation) reserve(n int) bool {
 	var ok bool
-	if ok = s.budget.Reserve(n); ok {
-		s.bytes += n
+	if ok = r.budget.Reserve(n); ok {
+		r.bytes += n
 	}
 	return ok
 }
 
-func (s *reservation) give(n int) {
-	s.budget.Release(n)
-	s.bytes -= n
+func (r *reservation) release(n int) {
+	r.budget.Release(n)
+	r.bytes -= n
 }
 
 const (
-	// bufferBytes is the size of buffers that are used again; larger ones are made and left to the collector.
+	// bufferBytes is the initial size of pooled buffers. Buffers larger than maxPooledBytes are left to the garbage collector.
 	bufferBytes    = 8 << 10
 	maxPooledBytes = 64 << 10
 )
@@ -68,5 +69,5 @@
 	}
 }
 
-// Reserved is how many bytes of bodies and answers are held now.
+// Reserved returns how many bytes of bodies and responses are reserved now.
 func (p *Proxy) Reserved() int64 { return p.budget.Reserved() }
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -15,7 +15,7 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// What a client's connection is doing. Only an idle one may be shut, and only before a byte of the next request was read.
+// States of a client's connection. Only an idle one may be closed, and only before a byte of the next request has been read.
 const (
 	stateNew int32 = iota
 	stateIdle
@@ -24,24 +24,27 @@
 	stateClosed
 )
 
-// client is the connection of a client: writes fail once nothing moves for the stall time, however long they take as a whole.
+// client is a connection from a client. A write fails once the client has accepted no bytes for maxStalledWindows stall timeouts in a row,
+// however long the write as a whole takes.
 type client struct {
 	*net.TCPConn
 	proxy *Proxy
-	// keepAlive is the value of Keep-Alive that fits how long the connection may be idle, if any.
+	// keepAlive is the value of the Keep-Alive header that matches the idle timeout of the connection, or nil.
 	keepAlive []string
 	state     atomic.Int32
-	// limits are those that the connection was accepted under.
+	// limits are the limits that were in force when the connection was accepted.
 	limits config.Limits
-	// readDeadline is the deadline for reads that net/http asked for, since boot; 0: none.
+	// readDeadline is the read deadline that net/http requested, in nanoseconds since processStart; 0 means none.
 	readDeadline atomic.Int64
-	ended        atomic.Bool
-	// firstByteAt is when the request's first bytes reached this machine, until its handler has asked.
+	// unregistered is set once Close has removed the connection from the proxy's clients.
+	unregistered atomic.Bool
+	// firstByteAt is when the first bytes of the current request reached this machine, until takeArrivalTime clears it.
 	firstByteAt time.Time
-	inspect     func(fd uintptr)
-	// sinceLastBytes is for how long the newest bytes have lain in the socket.
+	readTCPInfo func(fd uintptr)
+	// sinceLastBytes is the result of readTCPInfo: how long ago the kernel received the newest bytes.
 	sinceLastBytes time.Duration
-	// writeDeadline is the deadline in force for writes, finalDeadline one that holds even while bytes move.
+	// writeDeadline is the write deadline that is set on the socket. finalDeadline is when writes fail even if the client still accepts
+	// bytes.
 	writeDeadline, finalDeadline time.Time
 }
 
@@ -50,49 +53,53 @@
 func (c *client) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 && c.state.Load() != stateActive {
-		c.firstByteAt = time.Now().Add(-c.age())
+		c.firstByteAt = time.Now().Add(-c.timeSinceReceive())
 		c.activate()
 	}
 	return n, err
 }
 
-// activate notes that a byte of a request was read: from now on the request is served, also when the connection was just being shut.
+// activate marks the connection as in use once the first byte of a request has been read. From then on the request is served, even if
+// closeIdle closes the connection at the same moment.
 func (c *client) activate() {
 	for {
 		switch c.state.Load() {
 		case stateActive:
 			return
 		case stateNew:
-			c.begin(stateNew)
+			c.activateFrom(stateNew)
 		case stateIdle:
-			c.begin(stateIdle)
+			c.activateFrom(stateIdle)
 		case stateClosing:
 			runtime.Gosched()
 		case stateClosed:
-			c.begin(stateClosed)
-			_ = c.TCPConn.SetReadDeadline(c.intended())
+			c.activateFrom(stateClosed)
+			_ = c.TCPConn.SetReadDeadline(c.requestedReadDeadline())
 		}
 	}
 }
 
-func (c *client) begin(from int32) {
+// activateFrom makes the connection active if it is in state from, and counts it.
+func (c *client) activateFrom(from int32) {
 	if c.state.CompareAndSwap(from, stateActive) {
-		c.proxy.active.Add(1)
+		c.proxy.activeClients.Add(1)
 	}
 }
 
 func (c *client) deactivate() {
 	if c.state.CompareAndSwap(stateActive, stateIdle) {
-		c.proxy.active.Add(-1)
+		c.proxy.activeClients.Add(-1)
 	}
 }
 
-var boot = time.Now()
+// processStart is the reference point of deadlines that are stored as a duration.
+var processStart = time.Now()
 
-func (c *client) intended() time.Time {
+// requestedReadDeadline returns the read deadline that net/http requested last, or the zero time.
+func (c *client) requestedReadDeadline() time.Time {
 	var t time.Time
 	if at := c.readDeadline.Load(); at != 0 {
-		t = boot.Add(time.Duration(at))
+		t = processStart.Add(time.Duration(at))
 	}
 	return t
 }
@@ -100,7 +107,7 @@
 func (c *client) SetReadDeadline(t time.Time) error {
 	at := int64(0)
 	if !t.IsZero() {
-		at = int64(t.Sub(boot))
+		at = int64(t.Sub(processStart))
 	}
 	c.readDeadline.Store(at)
 	err := c.TCPConn.SetReadDeadline(t)
@@ -113,7 +120,8 @@
 	return err
 }
 
-// closeIdle ends the wait for the next request. Bytes that come at the same moment stay unread, so the client learns that it may send again.
+// closeIdle makes the read that waits for the next request fail. Bytes that arrive at the same moment stay unread in the socket, so closing
+// it resets the connection and the client learns that it may send the request again.
 func (c *client) closeIdle() {
 	if c.state.CompareAndSwap(stateIdle, stateClosing) {
 		_ = c.TCPConn.SetReadDeadline(longAgo)
@@ -121,44 +129,46 @@
 	}
 }
 
+// SetWriteDeadline sets the final deadline for writes; the stall timeout applies in addition.
 func (c *client) SetWriteDeadline(t time.Time) error {
 	c.finalDeadline, c.writeDeadline = t, time.Time{}
 	return nil
 }
 
-// renewal saves most settings of a deadline: one that is only a tenth nearer than a new one stays.
-const renewal = 10
+// deadlineRenewalFraction avoids setting the write deadline on the socket for most writes: a deadline that is earlier than the new one by
+// less than a tenth of the stall timeout is kept.
+const deadlineRenewalFraction = 10
 
-// quietWindows is for how many stall times in a row nothing may move before a write fails.
-const quietWindows = 2
+// maxStalledWindows is how many stall timeouts in a row must pass without progress before a write fails.
+const maxStalledWindows = 2
 
 func (c *client) Write(b []byte) (int, error) {
 	var n int
-	for quiet, reserved := 0, 0; ; {
+	for stalledWindows, unsent := 0, 0; ; {
 		now := time.Now()
-		if c.writeDeadline.Sub(now) < c.proxy.settings.StallTimeout-c.proxy.settings.StallTimeout/renewal {
+		if c.writeDeadline.Sub(now) < c.proxy.settings.StallTimeout-c.proxy.settings.StallTimeout/deadlineRenewalFraction {
 			c.writeDeadline = now.Add(c.proxy.settings.StallTimeout)
 			if !c.finalDeadline.IsZero() && c.finalDeadline.Before(c.writeDeadline) {
 				c.writeDeadline = c.finalDeadline
 			}
 			_ = c.TCPConn.SetWriteDeadline(c.writeDeadline)
 		}
-		m, err := c.TCPConn.Write(b[n:])
-		n += m
+		written, err := c.TCPConn.Write(b[n:])
+		n += written
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || (!c.finalDeadline.IsZero() && !time.Now().Before(c.finalDeadline)) {
 			return n, err
 		}
-		was := reserved
-		if reserved = c.unsent(); m > 0 || reserved < was {
-			quiet = 0
-		} else if quiet++; quiet == quietWindows {
+		unsentBefore := unsent
+		if unsent = c.unsentBytes(); written > 0 || unsent < unsentBefore {
+			stalledWindows = 0
+		} else if stalledWindows++; stalledWindows == maxStalledWindows {
 			return n, err
 		}
 	}
 }
 
-// unsent is how much the kernel still holds for the client; 0 where it does not tell.
-func (c *client) unsent() int {
+// unsentBytes returns how many bytes for the client are still in the kernel's send buffer, or 0 if the kernel does not report it.
+func (c *client) unsentBytes() int {
 	raw, err := c.TCPConn.SyscallConn()
 	if err != nil {
 		return 0
@@ -169,47 +179,50 @@
 }
 
 func (c *client) Close() error {
-	if c.ended.CompareAndSwap(false, true) {
+	if c.unregistered.CompareAndSwap(false, true) {
 		if c.state.Swap(stateClosed) == stateActive {
-			c.proxy.active.Add(-1)
+			c.proxy.activeClients.Add(-1)
 		}
-		all := <-c.proxy.clients
-		delete(all, c)
-		c.proxy.clients <- all
+		clients := <-c.proxy.clients
+		delete(clients, c)
+		c.proxy.clients <- clients
 	}
 	return c.TCPConn.Close()
 }
 
-// accept takes a client's connection in, under the limits in force.
-func (p *Proxy) accept(nc net.Conn, keep []string, limits config.Limits) net.Conn {
-	tcp, ok := nc.(*net.TCPConn)
+// accept registers a client's connection under the limits in force.
+func (p *Proxy) accept(conn net.Conn, keepAlive []string, limits config.Limits) net.Conn {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return nc
+		return conn
 	}
-	accepted := &client{TCPConn: tcp, proxy: p, keepAlive: keep, limits: limits}
-	all := <-p.clients
-	all[accepted] = struct{}{}
-	p.clients <- all
+	accepted := &client{TCPConn: tcp, proxy: p, keepAlive: keepAlive, limits: limits}
+	clients := <-p.clients
+	clients[accepted] = struct{}{}
+	p.clients <- clients
 	return accepted
 }
 
 type clientKey struct{}
 
-func withClient(ctx context.Context, nc net.Conn) context.Context {
+func contextWithClient(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, clientKey{}, nc)
 }
 
-// clientOf gives nothing where requests did not come by Serve.
-func clientOf(r *http.Request) *client {
+// clientFromContext returns the connection of a request, or nil if the request was not received through Serve.
+func clientFromContext(r *http.Request) *client {
 	c, _ := r.Context().Value(clientKey{}).(*client)
 	return c
 }
 
+// connState is the net/http hook that marks a connection as idle between requests.
 func connState(nc net.Conn, s http.ConnState) {
 	if c, ok := nc.(*client); ok && s == http.StateIdle {
 		c.deactivate()
 	}
 }
 
-// RequestsInFlight is how many requests are being read, served or written.
-func (p *Proxy) RequestsInFlight() int { return int(max(p.running.Load(), p.active.Load())) }
+// RequestsInFlight returns how many requests are being read, served or answered.
+func (p *Proxy) RequestsInFlight() int {
+	return int(max(p.handlersRunning.Load(), p.activeClients.Load()))
+}
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -8,19 +8,20 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// TestReadRequestOutlivesClosing: bytes of a request that were read just as the connection was shut keep it going.
+// TestReadRequestOutlivesClosing checks that a request is served if its first bytes were read at the moment when its idle connection was
+// closed.
 func TestReadRequestOutlivesClosing(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer lis.Close()
-	far, err := net.Dial("tcp", lis.Addr().String())
+	defer listener.Close()
+	remote, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	nc, err := lis.Accept()
+	defer remote.Close()
+	nc, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,13 +35,13 @@
 	}
 	c.closeIdle()
 	if _, err = c.Read(make([]byte, 1)); err == nil {
-		t.Error("an idle connection that was shut still reads")
+		t.Error("an idle connection that was closed can still be read")
 	}
 	c.activate()
-	if _, err = far.Write([]byte("x")); err != nil {
+	if _, err = remote.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err = c.Read(make([]byte, 1)); err != nil || p.RequestsInFlight() != 1 {
-		t.Errorf("read gives %v, %d run", err, p.RequestsInFlight())
+		t.Errorf("read returned %v with %d requests in flight", err, p.RequestsInFlight())
 	}
 }
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -14,71 +14,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// InvalidResponseError says that what came in the place of an answer is none.
+// InvalidResponseError reports that the replica sent something that is not a valid HTTP response.
 type InvalidResponseError struct{ Cause error }
 
-func (e *InvalidResponseError) Error() string { return "no answer: " + e.Cause.Error() }
+func (e *InvalidResponseError) Error() string { return "invalid response: " + e.Cause.Error() }
 
 func (e *InvalidResponseError) Unwrap() error { return e.Cause }
 
-// UnexpectedStatusError names a status that no answer to this request may have.
+// UnexpectedStatusError reports a status that is not allowed in the response to this request.
 type UnexpectedStatusError struct{ Status int }
 
-func (e *UnexpectedStatusError) Error() string { return "status " + strconv.Itoa(e.Status) }
+func (e *UnexpectedStatusError) Error() string { return "unexpected status " + strconv.Itoa(e.Status) }
 
+// conn is a connection to a replica.
 type conn struct {
 	net     net.Conn
 	raw     syscall.RawConn
-	key     key
+	replica poolKey
 	source  io.LimitedReader
 	reader  *bufio.Reader
-	attempt string
-	used    bool
-	// hadHEAD tells that a HEAD request was written: a late answer to it has a length, but no body.
-	hadHEAD bool
-	// usableUntil is when the connection is too old to be used, safeUntil when it is for requests that may not be repeated.
-	usableUntil, safeUntil time.Time
-	unacked                time.Duration
-	quiet                  bool
-	inspect                func(fd uintptr)
+	// lastAttemptID is the attempt ID of the last request written; written is set once any request has been.
+	lastAttemptID string
+	written       bool
+	// sentHEAD is set once a HEAD request was written: a late response to it names a length but has no body.
+	sentHEAD bool
+	// usableUntil is when the connection becomes too old to be reused; usableUntilNonRetryable is the same, usually earlier, time for
+	// requests that must not be sent twice. Both are zero until the connection has been idle.
+	usableUntil, usableUntilNonRetryable time.Time
+	// userTimeout is the current TCP_USER_TIMEOUT of the socket.
+	userTimeout time.Duration
+	// noneReadable is set by peek if the socket is open and has no bytes to read.
+	noneReadable bool
+	peek         func(fd uintptr)
 }
 
 const (
-	noBound  = 1 << 62
-	maxEarly = 8
+	// unlimited is the read limit while no response head is being read.
+	unlimited = 1 << 62
+	// maxInformational bounds how many informational responses (1xx) may precede the final one.
+	maxInformational = 8
 )
 
-func newConn(nc net.Conn, k key, unacked time.Duration) (*conn, error) {
-	c := &conn{net: nc, key: k, source: io.LimitedReader{R: nc, N: noBound}, unacked: unacked}
+func newConn(tcp net.Conn, replica poolKey, userTimeout time.Duration) (*conn, error) {
+	c := &conn{net: tcp, replica: replica, source: io.LimitedReader{R: tcp, N: unlimited}, userTimeout: userTimeout}
 	c.reader = bufio.NewReaderSize(&c.source, 4096)
 	var err error
-	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
+	if c.raw, err = tcp.(*net.TCPConn).SyscallConn(); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	c.inspect = func(fd uintptr) {
+	c.peek = func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		c.quiet = err == unix.EAGAIN
+		c.noneReadable = err == unix.EAGAIN
 	}
 	return c, nil
 }
 
-// alive tells whether the connection is neither closed nor holds bytes that nobody asked for.
+// alive reports whether the connection is open and has no unread bytes. Between requests any received byte is unexpected, and such a
+// connection must not be reused.
 func (c *conn) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	c.quiet = false
-	return c.raw.Control(c.inspect) == nil && c.quiet
+	c.noneReadable = false
+	return c.raw.Control(c.peek) == nil && c.noneReadable
 }
 
-// setUserTimeout lets a request that is longer than the window wait unsent for d. TCP_USER_TIMEOUT, which is to end connections to machines
-// that are gone, also ends those to a live replica that does not read on.
+// setUserTimeout changes TCP_USER_TIMEOUT, so that a request that is longer than the receive window may stay unacknowledged for d. The
+// option is meant to end connections to machines that are gone, but it also ends those to a live replica that stops reading for a while.
 func (c *conn) setUserTimeout(d time.Duration) {
-	if d == c.unacked {
+	if d == c.userTimeout {
 		return
 	}
-	c.unacked = d
+	c.userTimeout = d
 	_ = c.raw.Control(func(fd uintptr) { _ = setUserTimeout(fd, d) })
 }
 
@@ -86,14 +94,15 @@
 	return unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 }
 
-const joined = 64 << 10
+// maxJoinedBodyBytes is the longest body that is copied behind the request head and sent with a single write.
+const maxJoinedBodyBytes = 64 << 10
 
-// write sends the request; head has room after it for what is not long.
+// write sends the request and returns how many bytes the kernel accepted. It appends short bodies to head.
 func (c *conn) write(head *buffer, body []byte) (int, error) {
-	c.used = true
+	c.written = true
 	var err error
 	var n int
-	if len(body) <= joined {
+	if len(body) <= maxJoinedBodyBytes {
 		head.b = append(head.b, body...)
 		n, err = c.net.Write(head.b)
 		return n, trace.Wrap(err)
@@ -103,12 +112,13 @@
 	return int(n64), trace.Wrap(err)
 }
 
+// read reads the head of the final response, which may have at most headBytes including the informational responses before it.
 func (c *conn) read(r *http.Request, headBytes int) (*http.Response, error) {
 	c.source.N = int64(headBytes)
-	defer func() { c.source.N = noBound }()
+	defer func() { c.source.N = unlimited }()
 	var err error
 	var resp *http.Response
-	for range maxEarly {
+	for range maxInformational {
 		resp, err = http.ReadResponse(c.reader, r)
 		if err != nil {
 			return nil, trace.Wrap(&InvalidResponseError{Cause: err})
@@ -123,18 +133,21 @@
 	return nil, trace.Wrap(&InvalidResponseError{Cause: &UnexpectedStatusError{Status: resp.StatusCode}})
 }
 
-// setIdle says how long the connection may be idle after the answer. A replica that names no whole second may close it sooner than one.
-func (c *conn) setIdle(h http.Header, set Settings) {
-	idle, sure := set.IdleTimeout, set.IdleTimeoutNonIdempotent
+// setIdleLimits sets how long the connection may be idle after a response with header h. A Keep-Alive timeout from the replica takes
+// precedence over the settings: the connection is reused for four fifths of it less IdleMargin, and for half of it by requests that must
+// not be sent twice. A replica that names 0 seconds may close the connection at any time within the first second, so that connection is not
+// reused.
+func (c *conn) setIdleLimits(h http.Header, settings Settings) {
+	idle, nonRetryable := settings.IdleTimeout, settings.IdleTimeoutNonIdempotent
 	for _, v := range h["Keep-Alive"] {
 		for part := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 			if secs, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
 				advertised := time.Duration(secs) * time.Second
-				idle, sure = advertised*4/5-set.IdleMargin, advertised/2
+				idle, nonRetryable = advertised*4/5-settings.IdleMargin, advertised/2
 			}
 		}
 	}
 	now := time.Now()
-	c.usableUntil, c.safeUntil = now.Add(idle), now.Add(min(idle, sure))
+	c.usableUntil, c.usableUntilNonRetryable = now.Add(idle), now.Add(min(idle, nonRetryable))
 }
--- a/proxy/continuity.go
+++ b/proxy/continuity.go
@@ -5,165 +5,171 @@
 	"strconv"
 )
 
-// MissingIDError says that a resumed stream began with an event without an id: nobody knows whether the client has it.
+// MissingIDError reports that a resumed stream began with an event without an id, so the proxy can't tell whether the client already has
+// the event.
 type MissingIDError struct {
 	// After is the id of the newest event that the client has.
 	After string
 }
 
 func (e *MissingIDError) Error() string {
-	return "event without id where the one after " + strconv.Quote(e.After) + " is due"
+	return "event without id, but the one after " + strconv.Quote(e.After) + " was expected"
 }
 
-// GapError says that a resumed stream left out an event: the ids so far were consecutive.
+// GapError reports that a resumed stream left out an event, although the ids had been consecutive so far.
 type GapError struct {
-	// After is the id of the newest event that the client has, Got that of the event that came.
+	// After is the id of the newest event that the client has, Got the id of the event that arrived.
 	After, Got string
 }
 
 func (e *GapError) Error() string {
-	return "event " + strconv.Quote(e.Got) + " where the one after " + strconv.Quote(e.After) + " is due"
+	return "event " + strconv.Quote(e.Got) + ", but the one after " + strconv.Quote(e.After) + " was expected"
 }
 
-// WeightsMismatchError says that a resumed stream is made with other weights than what the client has.
+// WeightsMismatchError reports that a resumed stream was generated with another version of the model's weights than the events that the
+// client has.
 type WeightsMismatchError struct{ Expected, Got uint64 }
 
 func (e *WeightsMismatchError) Error() string {
-	return "weights of version " + strconv.FormatUint(e.Got, 10) + " where " + strconv.FormatUint(e.Expected, 10) + " is due"
+	return "weights version " + strconv.FormatUint(e.Got, 10) + ", but version " + strconv.FormatUint(e.Expected, 10) + " was expected"
 }
 
-// weights is a version of a model's weights, where one is known.
-type weights struct {
-	version uint64
-	known   bool
+// weightsVersion is a version of a model's weights, if it is known.
+type weightsVersion struct {
+	number uint64
+	known  bool
 }
 
-func parseWeights(text string) weights {
+func parseWeights(text string) weightsVersion {
 	n, err := strconv.ParseUint(text, 10, 64)
-	return weights{version: n, known: err == nil}
+	return weightsVersion{number: n, known: err == nil}
 }
 
-// differ tells whether both are known and not the same.
-func (w weights) differ(other weights) bool {
-	return w.known && other.known && w.version != other.version
+// differ reports whether both versions are known and not equal.
+func (w weightsVersion) differ(other weightsVersion) bool {
+	return w.known && other.known && w.number != other.number
 }
 
-// continuity tells whether the events of the run being read stand behind those that the client has. A run is the answer of one replica.
+// continuity checks that the events of a replica's response may follow the events that the client already has, which can come from the
+// responses of other replicas.
 type continuity struct {
-	// skip is the newest event that the client has from elsewhere; events up to it are left out.
-	skip []byte
-	// given tells that an event of any run was given out, onward that one of this run was.
-	given, onward bool
-	// successors counts events whose id was one above that of the event before, or 1 at the start of a stream; leaps tells of other ids.
+	// resumedAfter is the id of the newest event that the client had when the current response started; events up to it are left out.
+	resumedAfter []byte
+	// anyDelivered is set once any event has been delivered, anyDeliveredFromResponse once an event with an id has been delivered from the
+	// current response.
+	anyDelivered, anyDeliveredFromResponse bool
+	// successors counts the events whose id was the id of the previous event plus one, or 1 at the start of a stream. skippedIDs is set
+	// once an event had any other id.
 	successors int
-	leaps      bool
-	// current are the weights of the run at the event being read, versioned tells that this event names them; delivered are those of the
-	// newest event given out.
-	current, delivered weights
-	versioned          bool
+	skippedIDs bool
+	// currentWeights is the version of the event being parsed, and deliveredWeights that of the newest event delivered. namesWeights is set
+	// if the event being parsed names its version itself.
+	currentWeights, deliveredWeights weightsVersion
+	namesWeights                     bool
 }
 
-// tell takes the version that an event names.
-func (c *continuity) tell(version string) {
-	c.current, c.versioned = parseWeights(version), true
+// setCurrentWeights sets the version that the event being parsed names.
+func (c *continuity) setCurrentWeights(version string) {
+	c.currentWeights, c.namesWeights = parseWeights(version), true
 }
 
-// consecutive tells whether the ids so far left no number out.
-func (c *continuity) consecutive() bool { return c.successors > 0 && !c.leaps }
+// consecutive reports whether the ids so far are numbers without a gap.
+func (c *continuity) consecutive() bool { return c.successors > 0 && !c.skippedIDs }
 
-// StartResponse drops the rest of a run and goes on with another one, or with the first, behind the last event. Version is the weights' version
-// that its head tells, empty where it tells none.
+// StartResponse prepares for the response of the next replica, which follows the last event delivered. It drops the incomplete event of the
+// previous response. The parameter version is the weights version in the header of the new response, or empty.
 func (e *EventStream) StartResponse(version string) {
-	e.buf, e.seen, e.start = e.buf[:0], 0, 0
-	e.cr, e.lone, e.hasID, e.plain = false, false, false, false
-	e.run.skip, e.run.onward, e.run.versioned = append(e.run.skip[:0], e.LastID...), false, false
-	e.run.current = parseWeights(version)
+	e.buf, e.parsed, e.eventStart = e.buf[:0], 0, 0
+	e.endsInCR, e.loneCR, e.eventHasID, e.eventHasField = false, false, false, false
+	e.continuity.resumedAfter, e.continuity.anyDeliveredFromResponse, e.continuity.namesWeights = append(e.continuity.resumedAfter[:0], e.LastID...), false, false
+	e.continuity.currentWeights = parseWeights(version)
 }
 
-// ExpectedVersion is the weights' version with which a run may go on; empty where none is known.
+// ExpectedVersion returns the weights version with which a stream must be resumed, or an empty string if none is known.
 func (e *EventStream) ExpectedVersion() string {
-	if !e.run.delivered.known {
+	if !e.continuity.deliveredWeights.known {
 		return ""
 	}
-	return strconv.FormatUint(e.run.delivered.version, 10)
+	return strconv.FormatUint(e.continuity.deliveredWeights.number, 10)
 }
 
-// AcceptsVersion tells whether a run whose head tells the version may go on behind the events given out.
+// AcceptsVersion reports whether a response whose header names the weights version may follow the events delivered.
 func (e *EventStream) AcceptsVersion(version string) bool {
-	return !e.run.delivered.differ(parseWeights(version))
+	return !e.continuity.deliveredWeights.differ(parseWeights(version))
 }
 
-// joins checks that the event just read may stand behind what was given out of an earlier run.
-func (e *EventStream) joins() error {
-	c := &e.run
-	if !c.given || len(c.skip) == 0 || !e.plain || !e.isNew() {
+// checkContinuity returns an error if the event just parsed must not follow the events delivered from an earlier response.
+func (e *EventStream) checkContinuity() error {
+	c := &e.continuity
+	if !c.anyDelivered || len(c.resumedAfter) == 0 || !e.eventHasField || !e.isNew() {
 		return nil
 	}
-	if !c.onward && !e.hasID {
-		return &MissingIDError{After: string(c.skip)}
+	if !c.anyDeliveredFromResponse && !e.eventHasID {
+		return &MissingIDError{After: string(c.resumedAfter)}
 	}
-	if !c.onward && c.consecutive() && !succeeds(e.id, c.skip) {
-		return &GapError{After: string(c.skip), Got: string(e.id)}
+	if !c.anyDeliveredFromResponse && c.consecutive() && !succeeds(e.eventID, c.resumedAfter) {
+		return &GapError{After: string(c.resumedAfter), Got: string(e.eventID)}
 	}
-	unannounced := !c.onward && !c.versioned
-	if c.delivered.differ(c.current) && (unannounced || c.current.version < c.delivered.version) {
-		return &WeightsMismatchError{Expected: c.delivered.version, Got: c.current.version}
+	unannounced := !c.anyDeliveredFromResponse && !c.namesWeights
+	if c.deliveredWeights.differ(c.currentWeights) && (unannounced || c.currentWeights.number < c.deliveredWeights.number) {
+		return &WeightsMismatchError{Expected: c.deliveredWeights.number, Got: c.currentWeights.number}
 	}
 	return nil
 }
 
-// isNew tells whether the event just read comes after those that the client has.
+// isNew reports whether the event just parsed comes after those that the client has.
 func (e *EventStream) isNew() bool {
-	return !e.hasID || len(e.run.skip) == 0 || after(e.id, e.run.skip)
+	return !e.eventHasID || len(e.continuity.resumedAfter) == 0 || comesAfter(e.eventID, e.continuity.resumedAfter)
 }
 
-// gave notes that the event just read is given out.
-func (e *EventStream) gave() {
-	if !e.plain {
+// recordDelivery updates the state for the event just parsed, which is about to be delivered.
+func (e *EventStream) recordDelivery() {
+	if !e.eventHasField {
 		return
 	}
-	c := &e.run
-	c.given = true
-	if c.current.known {
-		c.delivered = c.current
+	c := &e.continuity
+	c.anyDelivered = true
+	if c.currentWeights.known {
+		c.deliveredWeights = c.currentWeights
 	}
-	if !e.hasID {
+	if !e.eventHasID {
 		e.CannotResume = true
 		return
 	}
-	before := e.last
-	if len(before) == 0 {
-		before = []byte(e.LastID)
+	previous := e.newLastID
+	if len(previous) == 0 {
+		previous = []byte(e.LastID)
 	}
-	if succeeds(e.id, before) {
+	if succeeds(e.eventID, previous) {
 		c.successors++
 	} else {
-		c.leaps = c.leaps || len(before) > 0
+		c.skippedIDs = c.skippedIDs || len(previous) > 0
 	}
-	e.last, c.onward = append(e.last[:0], e.id...), true
-	_, opaque := number(e.id)
-	e.CannotResume = opaque != nil
+	e.newLastID, c.anyDeliveredFromResponse = append(e.newLastID[:0], e.eventID...), true
+	_, err := parseNumber(e.eventID)
+	e.CannotResume = err != nil
 }
 
-func number(id []byte) (uint64, error) { return strconv.ParseUint(string(id), 10, 64) }
+func parseNumber(id []byte) (uint64, error) { return strconv.ParseUint(string(id), 10, 64) }
 
-// succeeds tells whether id is the number after last, or 1 at the start of a stream.
+// succeeds reports whether id is the number after last, or 1 if last is empty.
 func succeeds(id, last []byte) bool {
-	n, err := number(id)
+	n, err := parseNumber(id)
 	if err != nil {
 		return false
 	}
 	if len(last) == 0 {
 		return n == 1
 	}
-	before, err := number(last)
-	return err == nil && n == before+1
+	previous, err := parseNumber(last)
+	return err == nil && n == previous+1
 }
 
-// after tells whether the event of one id comes after that of another. Of ids that are no numbers nothing is known but whether they are one.
-func after(id, last []byte) bool {
-	a, errA := number(id)
-	b, errB := number(last)
+// comesAfter reports whether the event with one id comes after that with another. Ids that are not numbers have no known order; for them it
+// reports whether they differ.
+func comesAfter(id, last []byte) bool {
+	a, errA := parseNumber(id)
+	b, errB := parseNumber(last)
 	if errA != nil || errB != nil {
 		return !bytes.Equal(id, last)
 	}
--- a/proxy/continuity_test.go
+++ b/proxy/continuity_test.go
@@ -9,10 +9,10 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// event gives a short event.
+// event returns a short event.
 func event(id any) string { return fmt.Sprintf("id: %v\ndata: %v\n\n", id, id) }
 
-// events joins short events of the ids.
+// events returns short events with the ids.
 func events(ids ...any) string {
 	var all strings.Builder
 	for _, id := range ids {
@@ -21,111 +21,114 @@
 	return all.String()
 }
 
-// withHeader puts a header into the answer of a script.
+// withHeader adds a header to the response of a script.
 func withHeader(line string, s script) script {
-	return func(g got) (string, bool) {
-		text, end := s(g)
+	return func(request receivedRequest) (string, bool) {
+		text, end := s(request)
 		return strings.Replace(text, "\r\n", "\r\n"+line+"\r\n", 1), end
 	}
 }
 
-// resumed serves one request whose stream goes on at a second replica.
-func resumed(t *testing.T, first, second script) (reply, *replica, *stubRouter) {
+// serveResumed serves one request whose stream breaks off at the first replica and is resumed at a second one.
+func serveResumed(t *testing.T, first, second script) (receivedResponse, *replica, *stubRouter) {
 	t.Helper()
 	a, b := newReplica(t, first), newReplica(t, second)
-	onward := b.place(streams)
-	onward.Resumes = true
-	m := newStubRouter(partial, a.place(streams), onward)
-	_, url := serve(t, m)
-	return call(t, url, "id1", ""), b, m
+	resuming := b.place(streamRoute)
+	resuming.Resumes = true
+	stub := newStubRouter(partialDecision, a.place(streamRoute), resuming)
+	_, url := startHTTPTest(t, stub)
+	return post(t, url, "id1", ""), b, stub
 }
 
-// asked gives a header of the request that came next; empty where none came.
-func (r *replica) asked(header string) string {
+// requestHeader returns a header of the next request that the replica received, or an empty string if there is none.
+func (r *replica) requestHeader(header string) string {
 	select {
-	case g := <-r.got:
-		return g.req.Header.Get(header)
+	case request := <-r.requests:
+		return request.req.Header.Get(header)
 	default:
 		return ""
 	}
 }
 
-// TestStreamEndingInsideAnEventIsIncomplete has replicas that end an answer with proper framing in the middle of an event.
+// TestStreamEndingInsideAnEventIsIncomplete has replicas end a response in the middle of an event, with correct HTTP framing.
 func TestStreamEndingInsideAnEventIsIncomplete(t *testing.T) {
 	for name, rest := range map[string]string{
-		"in a line": "id: 2\nda", "after a line": "id: 2\ndata: b\n", "in the id": "i", "behind a comment": ": ping\nid: 2\n", "carriage return": "id: 2\r",
+		"in a line": "id: 2\nda", "after a line": "id: 2\ndata: b\n", "in the id": "i", "after a comment": ": ping\nid: 2\n", "carriage return": "id: 2\r",
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newReplica(t, stream(true, event(1), rest))
-			_, url := serve(t, newStubRouter(partial, a.place(streams)))
-			r := call(t, url, "id1", "")
+			_, url := startHTTPTest(t, newStubRouter(partialDecision, a.place(streamRoute)))
+			r := post(t, url, "id1", "")
 			want(t, "body", r.body, event(1))
 			if r.err == nil {
-				t.Error("the answer ended as if complete")
+				t.Error("the response ended as if complete")
 			}
-			r, b, _ := resumed(t, stream(true, event(1), rest), stream(true, event(2), event(3)))
+			r, b, _ := serveResumed(t, stream(true, event(1), rest), stream(true, event(2), event(3)))
 			want(t, "error", r.err, error(nil))
 			want(t, "body", r.body, events(1, 2, 3))
-			want(t, "last event", b.asked("Last-Event-Id"), "1")
+			want(t, "last event", b.requestHeader("Last-Event-Id"), "1")
 		})
 	}
 }
 
-// TestStreamMayEndInAComment: what is no part of an event may end an answer.
+// TestStreamMayEndInAComment checks that a response may end with bytes that are not part of an event.
 func TestStreamMayEndInAComment(t *testing.T) {
 	for _, rest := range []string{"\n", "\r\n", ": bye", ": bye\n", ": bye\n: again\n"} {
 		a := newReplica(t, stream(true, event(1), rest))
-		_, url := serve(t, newStubRouter(partial, a.place(streams)))
-		r := call(t, url, "id1", "")
+		_, url := startHTTPTest(t, newStubRouter(partialDecision, a.place(streamRoute)))
+		r := post(t, url, "id1", "")
 		want(t, "error", r.err, error(nil))
 		want(t, "body", r.body, event(1)+rest)
 	}
 }
 
-// TestResumedStreamLeavesNothingOut: where ids were consecutive, a run that goes on behind the next one has lost an event.
-func TestResumedStreamLeavesNothingOut(t *testing.T) {
+// TestResumedStreamWithGapIsCut checks that if ids were consecutive so far, a second response that starts after the next id is rejected, as
+// it has lost an event.
+func TestResumedStreamWithGapIsCut(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, second, body string
 		cut                 bool
 	}{
-		"one missing":         {events(1, 2), events(4, 5), events(1, 2), true},
-		"second of all":       {events(1), events(3, 4), events(1), true},
-		"begins anew, a hole": {events(1, 2), events(1, 2, 4), events(1, 2), true},
-		"begins anew":         {events(1, 2), events(1, 2, 3), events(1, 2, 3), false},
-		"goes on":             {events(7, 8), events(9, 10), events(7, 8, 9, 10), false},
-		"ids with steps":      {events(10, 20), events(30, 40), events(10, 20, 30, 40), false},
-		"opaque ids":          {events("a", "b"), events("c", "d"), events("a", "b"), true},
+		"one missing":              {events(1, 2), events(4, 5), events(1, 2), true},
+		"second of all missing":    {events(1), events(3, 4), events(1), true},
+		"starts again, with a gap": {events(1, 2), events(1, 2, 4), events(1, 2), true},
+		"starts again":             {events(1, 2), events(1, 2, 3), events(1, 2, 3), false},
+		"continues":                {events(7, 8), events(9, 10), events(7, 8, 9, 10), false},
+		"ids with steps":           {events(10, 20), events(30, 40), events(10, 20, 30, 40), false},
+		"opaque ids":               {events("a", "b"), events("c", "d"), events("a", "b"), true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, _, _ := resumed(t, stream(false, c.first), stream(true, c.second))
+			r, _, _ := serveResumed(t, stream(false, c.first), stream(true, c.second))
 			want(t, "body", r.body, c.body)
 			want(t, "cut", r.err != nil, c.cut)
 		})
 	}
 }
 
-// TestAnswerToAClientThatResumes leaves out what the client has, also where the replica begins anew.
-func TestAnswerToAClientThatResumes(t *testing.T) {
-	for name, c := range map[string]struct{ answer, body string }{
-		"begins anew": {events(1, 2, 3, 4), events(3, 4)},
-		"goes on":     {events(3, 4), events(3, 4)},
-		"has steps":   {events(5, 9), events(5, 9)},
-		"without ids": {"data: a\n\n" + events(3), "data: a\n\n" + events(3)},
+// TestClientThatResumesGetsOnlyNewEvents checks that events that the client has are left out, even if the replica starts from the
+// beginning.
+func TestClientThatResumesGetsOnlyNewEvents(t *testing.T) {
+	for name, c := range map[string]struct{ response, body string }{
+		"starts again": {events(1, 2, 3, 4), events(3, 4)},
+		"continues":    {events(3, 4), events(3, 4)},
+		"has steps":    {events(5, 9), events(5, 9)},
+		"without ids":  {"data: a\n\n" + events(3), "data: a\n\n" + events(3)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newReplica(t, stream(true, c.answer))
-			_, url := serve(t, newStubRouter(partial, a.place(streams)))
-			r := callWith(t, url, http.Header{"X-Attempt": {"id1"}, "Last-Event-Id": {"2"}})
+			a := newReplica(t, stream(true, c.response))
+			_, url := startHTTPTest(t, newStubRouter(partialDecision, a.place(streamRoute)))
+			r := postWithHeaders(t, url, http.Header{"X-Attempt": {"id1"}, "Last-Event-Id": {"2"}})
 			want(t, "error", r.err, error(nil))
 			want(t, "body", r.body, c.body)
 		})
 	}
 }
 
-// TestResumedStreamKeepsItsWeights: a run of other weights never goes on with an answer.
-func TestResumedStreamKeepsItsWeights(t *testing.T) {
+// TestResumedStreamKeepsItsWeightsVersion checks that a response with another weights version never continues a stream, unless its first
+// new event itself names a newer version.
+func TestResumedStreamKeepsItsWeightsVersion(t *testing.T) {
 	seven, eight := "X-Weights: 7", "X-Weights: 8"
-	told := func(version, id int) string { return fmt.Sprintf("x-weights: %d\n%s", version, event(id)) }
+	versionedEvent := func(version, id int) string { return fmt.Sprintf("x-weights: %d\n%s", version, event(id)) }
 	for name, c := range map[string]struct {
 		first, second  script
 		body, expected string
@@ -140,58 +143,60 @@
 		"newer": {
 			withHeader(seven, stream(false, event(1))), withHeader(eight, stream(true, event(2))), event(1), "7", true,
 		},
-		"older than an event said": {
-			withHeader(seven, stream(false, event(1), told(8, 2))), withHeader(seven, stream(true, event(3))), event(1) + told(8, 2), "8", true,
+		"older than an event named": {
+			withHeader(seven, stream(false, event(1), versionedEvent(8, 2))), withHeader(seven, stream(true, event(3))), event(1) + versionedEvent(8, 2), "8", true,
 		},
-		"an event goes back": {
-			withHeader(eight, stream(false, event(1))), withHeader(eight, stream(true, told(7, 2))), event(1), "8", true,
+		"an event names an older version": {
+			withHeader(eight, stream(false, event(1))), withHeader(eight, stream(true, versionedEvent(7, 2))), event(1), "8", true,
 		},
-		"an event goes on": {
-			withHeader(seven, stream(false, event(1))), withHeader(seven, stream(true, told(8, 2))), event(1) + told(8, 2), "7", false,
+		"an event names a newer version": {
+			withHeader(seven, stream(false, event(1))), withHeader(seven, stream(true, versionedEvent(8, 2))), event(1) + versionedEvent(8, 2), "7", false,
 		},
-		"only events say it": {
-			stream(false, event(1), told(8, 2)), stream(true, told(7, 2), event(3)), event(1) + told(8, 2), "8", true,
+		"only events name it": {
+			stream(false, event(1), versionedEvent(8, 2)), stream(true, versionedEvent(7, 2), event(3)), event(1) + versionedEvent(8, 2), "8", true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, b, _ := resumed(t, c.first, c.second)
+			r, b, _ := serveResumed(t, c.first, c.second)
 			want(t, "body", r.body, c.body)
 			want(t, "cut", r.err != nil, c.cut)
-			want(t, "expected weights", b.asked("X-Expected-Weights"), c.expected)
+			want(t, "expected weights", b.requestHeader("X-Expected-Weights"), c.expected)
 		})
 	}
 }
 
-// TestReplicaOfOtherWeightsIsNoOtherInstance: a 421 to a request that names weights says nothing about the instance.
-func TestReplicaOfOtherWeightsIsNoOtherInstance(t *testing.T) {
-	misdirected := say("421 Misdirected", "X-Not-Run: 1\r\n", "")
-	_, _, m := resumed(t, withHeader("X-Weights: 7", stream(false, event(1))), misdirected)
-	if all := m.notified(); strings.Contains(all, "WrongInstance") || !strings.Contains(all, "AttemptEnded(refused)") {
+// TestMisdirectedWithWeightsVersionIsNotWrongInstance checks that a 421 to a request that names a weights version is not reported as a
+// wrong instance.
+func TestMisdirectedWithWeightsVersionIsNotWrongInstance(t *testing.T) {
+	misdirected := respondWith("421 Misdirected", "X-Not-Run: 1\r\n", "")
+	_, _, stub := serveResumed(t, withHeader("X-Weights: 7", stream(false, event(1))), misdirected)
+	if all := stub.notified(); strings.Contains(all, "WrongInstance") || !strings.Contains(all, "AttemptEnded(refused)") {
 		t.Error(all)
 	}
 }
 
-// TestResumedAnswerIsAStreamOf200 has second replicas that answer with another status or no stream.
-func TestResumedAnswerIsAStreamOf200(t *testing.T) {
+// TestStreamIsResumedOnlyByStreamWithStatus200 uses second replicas that respond with another status or with something that is not a
+// stream.
+func TestStreamIsResumedOnlyByStreamWithStatus200(t *testing.T) {
 	for _, second := range []script{
-		say("204 No Content", "", ""), say("200 OK", "", events(2)), say("206 Partial", "Content-Type: text/event-stream\r\n", events(2)),
-		say("500 Oops", "Content-Type: text/event-stream\r\n", events(2)),
+		respondWith("204 No Content", "", ""), respondWith("200 OK", "", events(2)), respondWith("206 Partial", "Content-Type: text/event-stream\r\n", events(2)),
+		respondWith("500 Oops", "Content-Type: text/event-stream\r\n", events(2)),
 	} {
-		r, _, _ := resumed(t, stream(false, event(1)), second)
+		r, _, _ := serveResumed(t, stream(false, event(1)), second)
 		want(t, "body", r.body, event(1))
 		if r.err == nil {
-			t.Error("the answer ended as if complete")
+			t.Error("the response ended as if complete")
 		}
 	}
 }
 
-// TestGapIsNamed gives the error that tells what is missing.
-func TestGapIsNamed(t *testing.T) {
+// TestGapErrorNamesIDs checks the text of the error.
+func TestGapErrorNamesIDs(t *testing.T) {
 	e := proxy.EventStream{MaxEventBytes: 1 << 10}
 	if _, err := e.Feed([]byte(events(1, 2))); err != nil {
 		t.Fatal(err)
 	}
 	e.StartResponse("")
 	_, err := e.Feed([]byte(event(4)))
-	want(t, "error", err, `event "4" where the one after "2" is due`)
+	want(t, "error", err, `event "4", but the one after "2" was expected`)
 }
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -6,7 +6,8 @@
 	"sync/atomic"
 )
 
-// Map gives each counter by its name, "ferry.requests" and so on.
+// Map returns the counters by their names, which are "ferry." followed by the field name with a lower-case first letter, such as
+// "ferry.requests".
 func (n *Counters) Map() map[string]uint64 {
 	c := map[string]uint64{}
 	v := reflect.ValueOf(n).Elem()
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -8,49 +8,58 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// phase is how far the attempt under way has come.
+// phase is the progress of the current attempt.
 type phase uint8
 
 const (
-	none phase = iota
+	noAttempt phase = iota
+	// connecting: waiting for a connection.
 	connecting
+	// connected: waiting for the router to permit sending.
 	connected
+	// written: the request is being sent, or its response is awaited.
 	written
-	passing
+	// forwarding: the response is sent to the client.
+	forwarding
+	// draining: a response that is not forwarded is read to its end.
 	draining
 )
 
-// Exchange takes one request through: decisions and signals go in, actions come out.
+// Exchange is the state machine of one request: decisions of the router and signals are its input, actions its output.
 type Exchange struct {
+	// Request is the ID of the request, Placement the latest decision that chose a replica.
 	Request   string
 	Placement router.Decision
-	// CannotResume tells that what was passed on cannot be resumed at another replica.
+	// CannotResume is set while the part of the stream already forwarded can't be continued by another replica.
 	CannotResume bool
 	phase        phase
-	// placed tells that there was a placement; repeatable is what its route says. Placements that follow don't change it, whatever route
-	// they name: the body may be gone.
-	placed, repeatable bool
-	// stream tells that the answer being passed on is a stream, flat that bytes of one that is none were passed on.
-	stream, flat     bool
-	began            bool
+	// placed is set at the first placement, and retryable is what the route of that placement says. Later placements don't change it, even
+	// if they name another route, because the request's body may already have been released.
+	placed, retryable bool
+	// stream is set if the response being forwarded is a stream, nonStreamForwarded once bytes of a response that isn't one were forwarded.
+	stream, nonStreamForwarded bool
+	// responseStarted is set once any bytes of a response were forwarded.
+	responseStarted bool
+	// mayHaveRunBefore is set if an earlier attempt may have run.
 	mayHaveRunBefore bool
-	over             bool
+	finished         bool
 	actions          []Action
 }
 
-// Finished tells that the exchange has ended: it gives no more actions.
-func (e *Exchange) Finished() bool { return e.over }
+// Finished reports whether the exchange has ended and returns no more actions.
+func (e *Exchange) Finished() bool { return e.finished }
 
-const usualActions = 4
+// initialActions is the initial capacity of the list of actions.
+const initialActions = 4
 
-func (e *Exchange) do(m Action) {
+func (e *Exchange) emit(action Action) {
 	if e.actions == nil {
-		e.actions = make([]Action, 0, usualActions)
+		e.actions = make([]Action, 0, initialActions)
 	}
-	e.actions = append(e.actions, m)
+	e.actions = append(e.actions, action)
 }
 
-func (e *Exchange) notify(ev router.Event) { e.do(Action{Kind: NotifyRouter, Event: ev}) }
+func (e *Exchange) notify(ev router.Event) { e.emit(Action{Kind: NotifyRouter, Event: ev}) }
 
 func (e *Exchange) takeActions() []Action {
 	if len(e.actions) == 0 {
@@ -61,7 +70,7 @@
 	return actions
 }
 
-// recycle gives actions that were carried out back, so that their memory serves the next ones.
+// recycle takes back actions that were carried out, to reuse their memory.
 func (e *Exchange) recycle(actions []Action) {
 	if e.actions == nil && actions != nil {
 		clear(actions)
@@ -69,116 +78,125 @@
 	}
 }
 
-// mayHaveRun tells whether the request may have run: only an attempt that was never written, or one that a replica refused, has not.
+// mayHaveRun reports whether the request may have run: it has not only if each attempt was never written or was refused by its replica.
 func (e *Exchange) mayHaveRun() bool {
-	return e.mayHaveRunBefore || e.phase == written || e.phase == passing
+	return e.mayHaveRunBefore || e.phase == written || e.phase == forwarding
 }
 
+// abandonAttempt closes the connection of the current attempt, if any.
 func (e *Exchange) abandonAttempt() {
 	e.mayHaveRunBefore = e.mayHaveRun()
-	if e.phase != none {
-		e.do(Action{Kind: CloseConnection})
+	if e.phase != noAttempt {
+		e.emit(Action{Kind: CloseConnection})
 	}
-	e.phase = none
+	e.phase = noAttempt
 }
 
-func (e *Exchange) finish(o Outcome, why string, after time.Duration) {
+// finish ends the exchange. Once part of a response was forwarded, any outcome but Completed and AbandonedByClient becomes Aborted.
+func (e *Exchange) finish(outcome Outcome, reason string, retryAfter time.Duration) {
 	e.abandonAttempt()
-	e.over = true
-	if e.began && o != Completed && o != AbandonedByClient {
-		o = Aborted
+	e.finished = true
+	if e.responseStarted && outcome != Completed && outcome != AbandonedByClient {
+		outcome = Aborted
 	}
-	e.do(Action{Kind: Finish, Outcome: o, Reason: why, RetryAfter: after})
+	e.emit(Action{Kind: Finish, Outcome: outcome, Reason: reason, RetryAfter: retryAfter})
 }
 
-func (e *Exchange) end(how router.AttemptResult) {
-	if how == router.Failed {
+// endAttempt reports the result of the current attempt to the router.
+func (e *Exchange) endAttempt(result router.AttemptResult) {
+	if result == router.Failed {
 		e.abandonAttempt()
 	}
-	e.phase = none
-	e.notify(router.AttemptEnded{Request: e.Request, AttemptID: e.Placement.AttemptID, Result: how})
+	e.phase = noAttempt
+	e.notify(router.AttemptEnded{Request: e.Request, AttemptID: e.Placement.AttemptID, Result: result})
 }
 
-func mayRepeat(r *config.Route) bool { return r != nil && (r.Repeatable || r.Resumable) }
+// isRetryable reports whether a request of the route may be sent again after an attempt that may have run: the route is idempotent, or its
+// streams can be resumed.
+func isRetryable(route *config.Route) bool {
+	return route != nil && (route.Repeatable || route.Resumable)
+}
 
-// mayPlace tells whether the request may go to the replica that the router chose, after what became of it so far.
-func (e *Exchange) mayPlace(d router.Decision) bool {
-	if e.began && (e.CannotResume || e.flat || !d.Resumes) {
+// canPlace reports whether the request may be sent to the replica that the router chose, given what happened to it so far.
+func (e *Exchange) canPlace(decision router.Decision) bool {
+	if e.responseStarted && (e.CannotResume || e.nonStreamForwarded || !decision.Resumes) {
 		return false
 	}
-	return e.repeatable || !e.mayHaveRun()
+	return e.retryable || !e.mayHaveRun()
 }
 
-func (e *Exchange) place(d router.Decision) {
+func (e *Exchange) handlePlacement(decision router.Decision) {
 	if !e.placed {
-		e.placed, e.repeatable = true, mayRepeat(d.Route)
+		e.placed, e.retryable = true, isRetryable(decision.Route)
 	}
-	if !e.mayPlace(d) {
+	if !e.canPlace(decision) {
 		e.notify(router.ClientDisconnected{Request: e.Request})
 		e.finish(Unknown, "", 0)
 		return
 	}
 	e.abandonAttempt()
-	e.Placement, e.phase = d, connecting
-	e.do(Action{Kind: Connect})
+	e.Placement, e.phase = decision, connecting
+	e.emit(Action{Kind: Connect})
 }
 
-// HandleDecision takes a decision of the router and gives the actions to carry out, in order.
-func (e *Exchange) HandleDecision(d router.Decision) []Action {
-	if e.over || (e.phase != none && d.AttemptID != "" && d.AttemptID != e.Placement.AttemptID && d.Verdict != router.Place) {
+// HandleDecision processes a decision of the router and returns the actions to carry out, in order.
+func (e *Exchange) HandleDecision(decision router.Decision) []Action {
+	if e.finished || (e.phase != noAttempt && decision.AttemptID != "" && decision.AttemptID != e.Placement.AttemptID && decision.Verdict != router.Place) {
 		return nil
 	}
-	switch d.Verdict {
+	switch decision.Verdict {
 	case router.Place:
-		e.place(d)
+		e.handlePlacement(decision)
 	case router.Send:
 		if e.phase == connected {
 			e.phase = written
-			e.do(Action{Kind: WriteRequest})
+			e.emit(Action{Kind: WriteRequest})
 		}
 	case router.CancelBeforeSend:
 		if e.phase == connecting || e.phase == connected {
-			e.phase = none
-			e.do(Action{Kind: ReleaseConnection})
+			e.phase = noAttempt
+			e.emit(Action{Kind: ReleaseConnection})
 		}
 	case router.Reject:
-		e.reject(d)
+		e.reject(decision)
 	case router.Unknown, router.Partial:
-		e.finish(Unknown, d.Reason, d.RetryAfter)
+		e.finish(Unknown, decision.Reason, decision.RetryAfter)
 	}
 	return e.takeActions()
 }
 
-// reject keeps the promise of a 503: a request that may have run is not called rejected.
-func (e *Exchange) reject(d router.Decision) {
+// reject ends the exchange with the outcome for a rejection by the router. A 503 promises that the request did not run, so a request that
+// may have run gets the outcome Unknown instead.
+func (e *Exchange) reject(decision router.Decision) {
 	switch {
-	case e.mayHaveRun() || d.Repeat:
-		e.finish(Unknown, d.Reason, d.RetryAfter)
-	case d.Invalid:
-		e.finish(NotFound, d.Reason, 0)
-	case d.OverQuota:
-		e.finish(OverQuota, d.Reason, d.RetryAfter)
-	case d.Unauthorized:
-		e.finish(Unauthorized, d.Reason, 0)
+	case e.mayHaveRun() || decision.Repeat:
+		e.finish(Unknown, decision.Reason, decision.RetryAfter)
+	case decision.Invalid:
+		e.finish(NotFound, decision.Reason, 0)
+	case decision.OverQuota:
+		e.finish(OverQuota, decision.Reason, decision.RetryAfter)
+	case decision.Unauthorized:
+		e.finish(Unauthorized, decision.Reason, 0)
 	default:
-		e.finish(Rejected, d.Reason, cmp.Or(d.RetryAfter, defaultRetryAfter))
+		e.finish(Rejected, decision.Reason, cmp.Or(decision.RetryAfter, defaultRetryAfter))
 	}
 }
 
-// defaultRetryAfter is when a client whose request did not run may ask again where the router does not say.
+// defaultRetryAfter is the Retry-After time for requests that did not run if the router names none.
 const defaultRetryAfter = 250 * time.Millisecond
 
-// HandleRouterClosed is called when no more decisions will come.
+// HandleRouterClosed must be called when the router will make no more decisions about the request. It returns the actions to carry out, in
+// order.
 func (e *Exchange) HandleRouterClosed() []Action {
-	if !e.over {
+	if !e.finished {
 		e.reject(router.Decision{Reason: "node is stopping"})
 	}
 	return e.takeActions()
 }
 
-// HandleSignal takes what a connection or the clock did and gives the actions to carry out, in order.
+// HandleSignal processes a signal and returns the actions to carry out, in order.
 func (e *Exchange) HandleSignal(s Signal) []Action {
-	if e.over {
+	if e.finished {
 		return nil
 	}
 	switch s := s.(type) {
@@ -186,37 +204,37 @@
 		e.notify(router.ClientDisconnected{Request: e.Request})
 		e.finish(AbandonedByClient, "", 0)
 	case DeadlinePassed:
-		e.deadlinePassed(s)
+		e.handleDeadlinePassed(s)
 	case Connected:
 		if e.phase == connecting {
 			e.phase = connected
 			e.notify(router.ReadyToSend{Request: e.Request, AttemptID: e.Placement.AttemptID})
 		}
 	case ConnectFailed:
-		e.unconnected(s)
+		e.handleConnectFailed(s)
 	case Unwritten:
 		if e.phase == written {
-			e.do(Action{Kind: CloseConnection})
-			e.end(router.NotSent)
+			e.emit(Action{Kind: CloseConnection})
+			e.endAttempt(router.NotSent)
 		}
 	case ResponseHeadRead:
 		if e.phase == written {
-			e.replied(s)
+			e.handleResponseHead(s)
 		}
 	case ResponseStarted:
-		if e.phase == passing {
+		if e.phase == forwarding {
 			e.notify(router.ResponseStarted{Request: e.Request, AttemptID: e.Placement.AttemptID})
-			e.began, e.flat = true, !e.stream
+			e.responseStarted, e.nonStreamForwarded = true, !e.stream
 		}
 	case ResponseEnded:
-		e.ended()
+		e.handleResponseEnded()
 	case ConnectionLost:
 		switch e.phase {
-		case written, passing:
-			e.end(router.Failed)
+		case written, forwarding:
+			e.endAttempt(router.Failed)
 		case draining:
-			e.do(Action{Kind: CloseConnection})
-			e.end(router.Refused)
+			e.emit(Action{Kind: CloseConnection})
+			e.endAttempt(router.Refused)
 		}
 	}
 	return e.takeActions()
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -11,104 +11,104 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-var kinds = map[proxy.ActionKind]string{
-	proxy.Connect: "connect", proxy.WriteRequest: "write", proxy.ReleaseConnection: "park", proxy.CloseConnection: "drop", proxy.DiscardResponse: "drain", proxy.ForwardResponse: "pass",
+var actionNames = map[proxy.ActionKind]string{
+	proxy.Connect: "connect", proxy.WriteRequest: "write", proxy.ReleaseConnection: "release", proxy.CloseConnection: "close", proxy.DiscardResponse: "discard", proxy.ForwardResponse: "forward",
 }
 
-func show(actions []proxy.Action) string {
+func describeActions(actions []proxy.Action) string {
 	var all []string
-	for _, m := range actions {
-		switch m.Kind {
+	for _, action := range actions {
+		switch action.Kind {
 		case proxy.NotifyRouter:
-			name := strings.TrimPrefix(fmt.Sprintf("%T", m.Event), "router.")
-			if e, ok := m.Event.(router.AttemptEnded); ok {
+			name := strings.TrimPrefix(fmt.Sprintf("%T", action.Event), "router.")
+			if e, ok := action.Event.(router.AttemptEnded); ok {
 				name += "(" + string(e.Result) + ")"
 			}
 			all = append(all, name)
 		case proxy.Finish:
-			all = append(all, fmt.Sprint("finish", m.Outcome))
+			all = append(all, fmt.Sprint("finish", action.Outcome))
 		default:
-			all = append(all, kinds[m.Kind])
+			all = append(all, actionNames[action.Kind])
 		}
 	}
 	return strings.Join(all, " ")
 }
 
-func place(id string) router.Decision {
-	return router.Decision{Verdict: router.Place, AttemptID: id, Route: unsafe, Instance: "i1"}
+func placeDecision(id string) router.Decision {
+	return router.Decision{Verdict: router.Place, AttemptID: id, Route: onceRoute, Instance: "i1"}
 }
 
-func send(id string) router.Decision {
+func sendDecision(id string) router.Decision {
 	return router.Decision{Verdict: router.Send, AttemptID: id}
 }
 
 func TestExchangeSteps(t *testing.T) {
-	deny := router.Decision{Verdict: router.Reject, RetryAfter: time.Second}
-	repeated := place("b")
-	repeated.Route = safe
-	repeatable := place("a")
-	repeatable.Route = safe
-	resumable := place("a")
-	resumable.Route = streams
-	onward := place("b")
-	onward.Route, onward.Resumes = streams, true
+	reject := router.Decision{Verdict: router.Reject, RetryAfter: time.Second}
+	second := placeDecision("b")
+	second.Route = idempotentRoute
+	first := placeDecision("a")
+	first.Route = idempotentRoute
+	resumable := placeDecision("a")
+	resumable.Route = streamRoute
+	resuming := placeDecision("b")
+	resuming.Route, resuming.Resumes = streamRoute, true
 	stream := proxy.ResponseHeadRead{Status: 200, Stream: true}
 	for _, c := range []struct {
 		name  string
 		steps []any
 		want  string
 	}{
-		{"short answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 200}, proxy.ResponseEnded{}},
-			"connect|ReadyToSend|write|AnswerHead pass|AttemptEnded(whole) finish1"},
-		{"long answer", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 200}, proxy.ResponseStarted{}, proxy.ResponseEnded{}},
-			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
-		{"recalled", []any{place("a"), proxy.Connected{}, router.Decision{Verdict: router.CancelBeforeSend, AttemptID: "a"}, send("a"), deny},
-			"connect|ReadyToSend|park||finish2"},
-		{"denied before", []any{deny}, "finish2"},
-		{"no path", []any{router.Decision{Verdict: router.Reject, Invalid: true}}, "finish3"},
-		{"had its go elsewhere", []any{router.Decision{Verdict: router.Reject, Repeat: true}}, "finish4"},
-		{"lost, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, deny},
-			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
-		{"denied while it may run", []any{place("a"), proxy.Connected{}, send("a"), deny}, "connect|ReadyToSend|write|drop finish4"},
-		{"closed while it may run", []any{place("a"), proxy.Connected{}, send("a"), nil}, "connect|ReadyToSend|write|drop finish4"},
-		{"closed before", []any{place("a"), proxy.Connected{}, nil}, "connect|ReadyToSend|drop finish2"},
-		{"unwritten, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.Unwritten{}, deny},
-			"connect|ReadyToSend|write|drop AttemptEnded(unreached)|finish2"},
-		{"refused, then denied", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 503, NotExecuted: true}, proxy.ResponseEnded{}, deny},
-			"connect|ReadyToSend|write|drain|AttemptEnded(refused)|finish2"},
-		{"421", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 421}, proxy.ConnectionLost{}, deny},
-			"connect|ReadyToSend|write|WrongInstance drain|drop AttemptEnded(refused)|finish2"},
-		{"503 without proof", []any{place("a"), proxy.Connected{}, send("a"), proxy.ResponseHeadRead{Status: 503}, deny},
-			"connect|ReadyToSend|write|drop AttemptEnded(broken)|finish4"},
-		{"never twice", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, place("b")},
-			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
-		{"twice where it may be", []any{repeatable, proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated, proxy.Connected{}, send("b"), send("b")},
-			"connect|ReadyToSend|write|drop AttemptEnded(broken)|connect|ReadyToSend|write|"},
-		{"resumed", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, onward, proxy.Connected{}, send("b"), stream, proxy.ResponseStarted{}, proxy.ResponseEnded{}},
-			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|AttemptEnded(whole) finish1"},
-		{"not resumed where the route became resumable later", []any{place("a"), proxy.Connected{}, send("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, onward},
-			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
-		{"not repeated where the route became repeatable later", []any{place("a"), proxy.Connected{}, send("a"), proxy.ConnectionLost{}, repeated},
-			"connect|ReadyToSend|write|drop AttemptEnded(broken)|ClientDisconnected finish4"},
-		{"not resumed from the start", []any{resumable, proxy.Connected{}, send("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, repeated},
-			"connect|ReadyToSend|write|AnswerHead pass|AnswerStarted|drop AttemptEnded(broken)|ClientDisconnected finish6"},
-		{"capped", []any{place("a"), proxy.ConnectFailed{AtConnectionLimit: true}, deny}, "connect|AttemptEnded(refused)|finish2"},
-		{"overdue before the write", []any{place("a"), proxy.Connected{}, send("a"), proxy.DeadlinePassed{Unwritten: true}},
-			"connect|ReadyToSend|write|ClientDisconnected drop finish2"},
-		{"overdue", []any{place("a"), proxy.Connected{}, send("a"), proxy.DeadlinePassed{}}, "connect|ReadyToSend|write|ClientDisconnected drop finish5"},
-		{"hung up", []any{place("a"), proxy.Connected{}, send("a"), proxy.ClientDisconnected{}}, "connect|ReadyToSend|write|ClientDisconnected drop finish7"},
+		{"short response", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ResponseHeadRead{Status: 200}, proxy.ResponseEnded{}},
+			"connect|ReadyToSend|write|ResponseHead forward|AttemptEnded(whole) finish1"},
+		{"long response", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ResponseHeadRead{Status: 200}, proxy.ResponseStarted{}, proxy.ResponseEnded{}},
+			"connect|ReadyToSend|write|ResponseHead forward|ResponseStarted|AttemptEnded(whole) finish1"},
+		{"canceled before send", []any{placeDecision("a"), proxy.Connected{}, router.Decision{Verdict: router.CancelBeforeSend, AttemptID: "a"}, sendDecision("a"), reject},
+			"connect|ReadyToSend|release||finish2"},
+		{"rejected before placement", []any{reject}, "finish2"},
+		{"no route", []any{router.Decision{Verdict: router.Reject, Invalid: true}}, "finish3"},
+		{"had its attempt elsewhere", []any{router.Decision{Verdict: router.Reject, Repeat: true}}, "finish4"},
+		{"connection lost, then rejected", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ConnectionLost{}, reject},
+			"connect|ReadyToSend|write|close AttemptEnded(broken)|finish4"},
+		{"rejected while it may run", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), reject}, "connect|ReadyToSend|write|close finish4"},
+		{"decisions closed while it may run", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), nil}, "connect|ReadyToSend|write|close finish4"},
+		{"decisions closed before the write", []any{placeDecision("a"), proxy.Connected{}, nil}, "connect|ReadyToSend|close finish2"},
+		{"unwritten, then rejected", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.Unwritten{}, reject},
+			"connect|ReadyToSend|write|close AttemptEnded(unreached)|finish2"},
+		{"refused, then rejected", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ResponseHeadRead{Status: 503, NotExecuted: true}, proxy.ResponseEnded{}, reject},
+			"connect|ReadyToSend|write|discard|AttemptEnded(refused)|finish2"},
+		{"421", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ResponseHeadRead{Status: 421}, proxy.ConnectionLost{}, reject},
+			"connect|ReadyToSend|write|WrongInstance discard|close AttemptEnded(refused)|finish2"},
+		{"503 without proof", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ResponseHeadRead{Status: 503}, reject},
+			"connect|ReadyToSend|write|close AttemptEnded(broken)|finish4"},
+		{"not sent twice", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ConnectionLost{}, placeDecision("b")},
+			"connect|ReadyToSend|write|close AttemptEnded(broken)|ClientDisconnected finish4"},
+		{"sent twice where the route allows it", []any{first, proxy.Connected{}, sendDecision("a"), proxy.ConnectionLost{}, second, proxy.Connected{}, sendDecision("b"), sendDecision("b")},
+			"connect|ReadyToSend|write|close AttemptEnded(broken)|connect|ReadyToSend|write|"},
+		{"resumed", []any{resumable, proxy.Connected{}, sendDecision("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, resuming, proxy.Connected{}, sendDecision("b"), stream, proxy.ResponseStarted{}, proxy.ResponseEnded{}},
+			"connect|ReadyToSend|write|ResponseHead forward|ResponseStarted|close AttemptEnded(broken)|connect|ReadyToSend|write|ResponseHead forward|ResponseStarted|AttemptEnded(whole) finish1"},
+		{"not resumed where the route became resumable later", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, resuming},
+			"connect|ReadyToSend|write|ResponseHead forward|ResponseStarted|close AttemptEnded(broken)|ClientDisconnected finish6"},
+		{"not retried where the route became idempotent later", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ConnectionLost{}, second},
+			"connect|ReadyToSend|write|close AttemptEnded(broken)|ClientDisconnected finish4"},
+		{"not restarted after its first bytes", []any{resumable, proxy.Connected{}, sendDecision("a"), stream, proxy.ResponseStarted{}, proxy.ConnectionLost{}, second},
+			"connect|ReadyToSend|write|ResponseHead forward|ResponseStarted|close AttemptEnded(broken)|ClientDisconnected finish6"},
+		{"connection limit", []any{placeDecision("a"), proxy.ConnectFailed{AtConnectionLimit: true}, reject}, "connect|AttemptEnded(refused)|finish2"},
+		{"deadline passed before the write", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.DeadlinePassed{Unwritten: true}},
+			"connect|ReadyToSend|write|ClientDisconnected close finish2"},
+		{"deadline passed", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.DeadlinePassed{}}, "connect|ReadyToSend|write|ClientDisconnected close finish5"},
+		{"client disconnected", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ClientDisconnected{}}, "connect|ReadyToSend|write|ClientDisconnected close finish7"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e, said := proxy.Exchange{Request: "q"}, []string{}
+			e, described := proxy.Exchange{Request: "q"}, []string{}
 			for _, s := range c.steps {
-				said = append(said, show(step(&e, s)))
+				described = append(described, describeActions(apply(&e, s)))
 			}
-			want(t, "moves", strings.Join(said, "|"), c.want)
+			want(t, "actions", strings.Join(described, "|"), c.want)
 		})
 	}
 }
 
-func step(e *proxy.Exchange, s any) []proxy.Action {
+func apply(e *proxy.Exchange, s any) []proxy.Action {
 	switch s := s.(type) {
 	case router.Decision:
 		return e.HandleDecision(s)
@@ -118,100 +118,100 @@
 	return e.HandleRouterClosed()
 }
 
-// judge holds an exchange to what must hold in any order of decisions and signals.
-type judge struct {
-	t                       *testing.T
-	sends, writes, finishes int
-	open, written, passing  bool
-	began, mayRun           bool
-	// route is that of the first placement.
-	route *config.Route
-	steps []any
-	moves [][]proxy.Action
+// invariantChecker checks what must hold for an exchange whatever the order of decisions and signals.
+type invariantChecker struct {
+	t                              *testing.T
+	sends, writes, finishes        int
+	connected, written, forwarding bool
+	responseStarted, mayRun        bool
+	// route is the route of the first placement.
+	route   *config.Route
+	steps   []any
+	actions [][]proxy.Action
 }
 
-func (j *judge) fail(why string) {
+func (checker *invariantChecker) fail(why string) {
 	var trace []string
-	for i, s := range j.steps {
-		trace = append(trace, fmt.Sprintf("%T%+v -> %s", s, s, show(j.moves[i])))
+	for i, s := range checker.steps {
+		trace = append(trace, fmt.Sprintf("%T%+v -> %s", s, s, describeActions(checker.actions[i])))
 	}
-	j.t.Fatalf("%s: %s", why, strings.Join(trace, "; "))
+	checker.t.Fatalf("%s: %s", why, strings.Join(trace, "; "))
 }
 
-func (j *judge) step(e *proxy.Exchange, s any) {
-	if d, ok := s.(router.Decision); ok && d.Verdict == router.Send {
-		j.sends++
+func (checker *invariantChecker) step(e *proxy.Exchange, s any) {
+	if decision, ok := s.(router.Decision); ok && decision.Verdict == router.Send {
+		checker.sends++
 	}
-	wasWritten, wasPassing := j.written, j.passing
-	actions := step(e, s)
-	j.steps, j.moves = append(j.steps, s), append(j.moves, actions)
-	if len(actions) > 0 && j.finishes > 0 {
-		j.fail("moves after the end")
+	wasWritten, wasForwarding := checker.written, checker.forwarding
+	actions := apply(e, s)
+	checker.steps, checker.actions = append(checker.steps, s), append(checker.actions, actions)
+	if len(actions) > 0 && checker.finishes > 0 {
+		checker.fail("actions after the end")
 	}
-	if d, ok := s.(router.Decision); ok && d.Verdict == router.Place {
-		if j.route == nil {
-			j.route = d.Route
+	if decision, ok := s.(router.Decision); ok && decision.Verdict == router.Place {
+		if checker.route == nil {
+			checker.route = decision.Route
 		}
 	}
-	r, replied := s.(proxy.ResponseHeadRead)
+	head, isHead := s.(proxy.ResponseHeadRead)
 	overdue, isOverdue := s.(proxy.DeadlinePassed)
-	if _, ok := s.(proxy.Unwritten); wasWritten && (ok || (isOverdue && overdue.Unwritten) || (replied && !r.Mismatched && (r.NotExecuted || r.Status == 421))) {
-		j.written = false
+	if _, ok := s.(proxy.Unwritten); wasWritten && (ok || (isOverdue && overdue.Unwritten) || (isHead && !head.Mismatched && (head.NotExecuted || head.Status == 421))) {
+		checker.written = false
 	}
-	for _, m := range actions {
-		j.checkAction(m, s, wasPassing)
+	for _, action := range actions {
+		checker.checkAction(action, s, wasForwarding)
 	}
-	if _, ok := s.(proxy.ResponseStarted); ok && wasPassing && j.finishes == 0 {
-		j.began = true
+	if _, ok := s.(proxy.ResponseStarted); ok && wasForwarding && checker.finishes == 0 {
+		checker.responseStarted = true
 	}
 }
 
-func (j *judge) checkAction(m proxy.Action, s any, wasPassing bool) {
-	switch m.Kind {
+func (checker *invariantChecker) checkAction(action proxy.Action, s any, wasForwarding bool) {
+	switch action.Kind {
 	case proxy.Connect:
-		if j.open {
-			j.fail("two connections")
+		if checker.connected {
+			checker.fail("two connections")
 		}
-		j.open = true
+		checker.connected = true
 	case proxy.WriteRequest:
-		repeated := j.route.Repeatable || j.route.Resumable
-		if j.writes++; j.writes > j.sends || !j.open || (j.mayRun && !repeated) {
-			j.fail("written without leave")
+		retryable := checker.route.Repeatable || checker.route.Resumable
+		if checker.writes++; checker.writes > checker.sends || !checker.connected || (checker.mayRun && !retryable) {
+			checker.fail("written without permission")
 		}
-		j.written = true
+		checker.written = true
 	case proxy.CloseConnection, proxy.ReleaseConnection:
-		if m.Kind == proxy.ReleaseConnection && j.written {
-			j.fail("a used connection is parked as unused")
+		if action.Kind == proxy.ReleaseConnection && checker.written {
+			checker.fail("a used connection is released as unused")
 		}
-		j.mayRun = j.mayRun || j.written
-		j.open, j.written, j.passing = false, false, false
+		checker.mayRun = checker.mayRun || checker.written
+		checker.connected, checker.written, checker.forwarding = false, false, false
 	case proxy.ForwardResponse:
-		if r := s.(proxy.ResponseHeadRead); r.NotExecuted || r.Mismatched || r.CloseDelimited || (r.Unsealed && r.Status/100 == 2) || (j.began && !r.Stream) || j.passing {
-			j.fail("passed on what must not be")
+		if r := s.(proxy.ResponseHeadRead); r.NotExecuted || r.Mismatched || r.CloseDelimited || (r.Unsealed && r.Status/100 == 2) || (checker.responseStarted && !r.Stream) || checker.forwarding {
+			checker.fail("a response is forwarded that must not be")
 		}
-		j.passing = true
+		checker.forwarding = true
 	case proxy.NotifyRouter:
-		if end, ok := m.Event.(router.AttemptEnded); ok {
-			j.mayRun = j.mayRun || (j.written && end.Result != router.Refused && end.Result != router.NotSent)
-			j.open, j.written, j.passing = false, false, false
+		if end, ok := action.Event.(router.AttemptEnded); ok {
+			checker.mayRun = checker.mayRun || (checker.written && end.Result != router.Refused && end.Result != router.NotSent)
+			checker.connected, checker.written, checker.forwarding = false, false, false
 		}
 	case proxy.Finish:
-		j.finish(m, s, wasPassing)
+		checker.finish(action, s, wasForwarding)
 	}
 }
 
-func (j *judge) finish(m proxy.Action, s any, wasPassing bool) {
+func (checker *invariantChecker) finish(action proxy.Action, s any, wasForwarding bool) {
 	_, ended := s.(proxy.ResponseEnded)
-	switch j.finishes++; {
-	case j.finishes > 1:
-		j.fail("two ends")
-	case m.Outcome == proxy.Completed && !(ended && wasPassing):
-		j.fail("a clean end that the replica did not give")
-	case (m.Outcome == proxy.Rejected || m.Outcome == proxy.NotFound) && (j.mayRun || j.written):
-		j.fail("denied what may have run")
-	case j.began && m.Outcome != proxy.Completed && m.Outcome != proxy.Aborted && m.Outcome != proxy.AbandonedByClient:
-		j.fail("two answers")
-	case j.open:
-		j.fail("ended with a connection")
+	switch checker.finishes++; {
+	case checker.finishes > 1:
+		checker.fail("ended twice")
+	case action.Outcome == proxy.Completed && !(ended && wasForwarding):
+		checker.fail("completed although the replica did not end the response")
+	case (action.Outcome == proxy.Rejected || action.Outcome == proxy.NotFound) && (checker.mayRun || checker.written):
+		checker.fail("rejected a request that may have run")
+	case checker.responseStarted && action.Outcome != proxy.Completed && action.Outcome != proxy.Aborted && action.Outcome != proxy.AbandonedByClient:
+		checker.fail("two responses")
+	case checker.connected:
+		checker.fail("ended with an open connection")
 	}
 }
--- a/proxy/expire.go
+++ b/proxy/expire.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-const expireEvery = time.Second
+const expiryInterval = time.Second
 
-// plan must be called by the owner of the state.
-func (p *Pool) plan() {
-	if !p.expiring {
-		p.expiring = true
-		time.AfterFunc(expireEvery, p.expire)
+// scheduleExpiry makes closeExpired run once the expiry interval has passed. The caller must own the state of the pool.
+func (p *Pool) scheduleExpiry() {
+	if !p.expiryScheduled {
+		p.expiryScheduled = true
+		time.AfterFunc(expiryInterval, p.closeExpired)
 	}
 }
 
-func (p *Pool) expire() {
+// closeExpired closes idle connections that are too old to be used, and repeats while any idle connections are left.
+func (p *Pool) closeExpired() {
 	now := time.Now()
-	all := <-p.owner
-	p.expiring = false
-	for k, s := range all {
-		kept := s.idle[:0]
-		for _, c := range s.idle {
+	state := <-p.state
+	p.expiryScheduled = false
+	for replica, conns := range state {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
 			if now.Before(c.usableUntil) {
 				kept = append(kept, c)
 				continue
 			}
 			_ = c.net.Close()
-			s.open--
+			conns.open--
 		}
-		clear(s.idle[len(kept):])
-		s.idle = kept
-		if s.open <= 0 {
-			delete(all, k)
+		clear(conns.idle[len(kept):])
+		conns.idle = kept
+		if conns.open <= 0 {
+			delete(state, replica)
 		}
 		if len(kept) > 0 {
-			p.plan()
+			p.scheduleExpiry()
 		}
 	}
-	p.owner <- all
+	p.state <- state
 }
--- a/proxy/export_test.go
+++ b/proxy/export_test.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// OnDial has f called before each connection to a replica is opened.
+// OnDial makes the proxy call f before it opens a connection to a replica.
 func (p *Proxy) OnDial(f func()) {
 	p.pool.dialer.Control = func(network, address string, raw syscall.RawConn) error {
 		f()
@@ -10,7 +10,7 @@
 	}
 }
 
-// StockLargeBuffers puts the largest buffers that are kept into the pool, as long answers leave them behind.
+// StockLargeBuffers adds n buffers of the maximum size to the pool, as long responses do.
 func StockLargeBuffers(n int) {
 	for range n {
 		putBuffer(&buffer{b: make([]byte, 0, maxPooledBytes)})
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -15,10 +15,10 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// anything gives any decision or signal, by three bytes.
-func anything(kind, a, b byte) any {
+// decodeInput returns a decision, a signal, or nil for the end of the decisions, encoded in three bytes.
+func decodeInput(kind, a, b byte) any {
 	id := string('a' + rune(a%2))
-	route := []*config.Route{safe, unsafe, streams}[b%3]
+	route := []*config.Route{idempotentRoute, onceRoute, streamRoute}[b%3]
 	switch kind % 16 {
 	case 0, 1:
 		return router.Decision{Verdict: router.Place, AttemptID: id, Route: route, Resumes: b&16 > 0, Instance: "i1"}
@@ -53,40 +53,40 @@
 	return nil
 }
 
-func judged(t *testing.T, script []byte) {
-	e, j := proxy.Exchange{Request: "q"}, &judge{t: t}
+func runScript(t *testing.T, script []byte) {
+	e, checker := proxy.Exchange{Request: "q"}, &invariantChecker{t: t}
 	for ; len(script) >= 3; script = script[3:] {
 		e.CannotResume = script[2]&128 > 0
-		j.step(&e, anything(script[0], script[1], script[2]))
+		checker.step(&e, decodeInput(script[0], script[1], script[2]))
 	}
-	if e.Finished() != (j.finishes == 1) {
-		j.fail("over without an end")
+	if e.Finished() != (checker.finishes == 1) {
+		checker.fail("finished without a final action")
 	}
 }
 
 func FuzzExchange(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 7, 0, 0, 2, 0, 0, 10, 0, 0, 12, 0, 0, 15, 0, 0})
-	f.Fuzz(judged)
+	f.Fuzz(runScript)
 }
 
-func TestExchangeInAnyOrder(t *testing.T) {
+func TestExchangeWithRandomInputs(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 30000 {
 		script := make([]byte, 3*(4+rnd.IntN(30)))
 		for i := range script {
 			script[i] = byte(rnd.Uint32())
 		}
-		judged(t, script)
+		runScript(t, script)
 	}
 }
 
-// TestExchangeInUsualOrder comes further than any order does: each signal is mostly one that fits.
-func TestExchangeInUsualOrder(t *testing.T) {
+// TestExchangeWithMostlyUsualInputs reaches later phases than random inputs do: most signals are ones that can follow the previous action.
+func TestExchangeWithMostlyUsualInputs(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for range 30000 {
 		var script []byte
 		for range 1 + rnd.IntN(4) {
-			go0, b := byte(rnd.Uint32()), byte(rnd.Uint32())
+			attempt, b := byte(rnd.Uint32()), byte(rnd.Uint32())
 			for _, kind := range []byte{0, 7, 2, 10, 12, byte(13 + rnd.IntN(3))} {
 				if rnd.IntN(12) == 0 {
 					kind = byte(rnd.Uint32())
@@ -94,14 +94,14 @@
 				if kind > 6 {
 					b = byte(rnd.Uint32())
 				}
-				script = append(script, kind, go0, b&127)
+				script = append(script, kind, attempt, b&127)
 			}
 		}
-		judged(t, script)
+		runScript(t, script)
 	}
 }
 
-func connListener(t *testing.T, e *proxy.EventStream, text []byte, split func(left int) int) []byte {
+func feedInSplits(t *testing.T, e *proxy.EventStream, text []byte, split func(left int) int) []byte {
 	var out []byte
 	for len(text) > 0 {
 		n := min(max(split(len(text)), 1), len(text))
@@ -115,15 +115,16 @@
 	return out
 }
 
-// FuzzEvents feeds any bytes in any pieces: all of them come out once and in order, and the cuts change no event.
+// FuzzEvents feeds arbitrary bytes in pieces of any size: all bytes must be returned once and in order, and the splits must not change the
+// events.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n:c\r\rdata"), uint64(1))
 	f.Add([]byte("000000\r00000000\r\n\r"), uint64(62))
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
 		one, many := proxy.EventStream{MaxEventBytes: 1 << 20}, proxy.EventStream{MaxEventBytes: 1 << 20}
-		a := connListener(t, &one, text, func(left int) int { return left })
-		b := connListener(t, &many, text, func(int) int { return 1 + rnd.IntN(9) })
+		a := feedInSplits(t, &one, text, func(left int) int { return left })
+		b := feedInSplits(t, &many, text, func(int) int { return 1 + rnd.IntN(9) })
 		if !bytes.Equal(append(a, one.Remaining()...), text) || !bytes.Equal(append(b, many.Remaining()...), text) {
 			t.Fatalf("%q became %q and %q", text, a, b)
 		}
@@ -133,7 +134,7 @@
 	})
 }
 
-// TestEventsAcrossResumes cuts a stream anywhere, again and again; replicas go on after the last id, or earlier.
+// TestEventsAcrossResumes cuts a stream at random places again and again; each next replica continues after the last id or starts earlier.
 func TestEventsAcrossResumes(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 6))
 	for range 5000 {
@@ -151,7 +152,7 @@
 			if rnd.IntN(4) == 0 {
 				split = len(rest)
 			}
-			out = append(out, connListener(t, &e, []byte(rest[:split]), func(int) int { return 1 + rnd.IntN(40) })...)
+			out = append(out, feedInSplits(t, &e, []byte(rest[:split]), func(int) int { return 1 + rnd.IntN(40) })...)
 			if split == len(rest) {
 				out = append(out, e.Remaining()...)
 				break
@@ -167,31 +168,33 @@
 	}
 }
 
-// TestEventsComeOutAtOnce gives each event out with its last byte, whatever ends the lines; only an LF after a CR is waited for.
-func TestEventsComeOutAtOnce(t *testing.T) {
+// TestEventsAreReturnedAtOnce checks that each event is returned as soon as its last byte arrives, whatever the line ends are. Only after a
+// CR the next byte is awaited, as it may be the LF.
+func TestEventsAreReturnedAtOnce(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n", "\r"} {
 		e := proxy.EventStream{MaxEventBytes: 1 << 10}
 		for i := range 3 {
 			text := fmt.Sprintf("id: %d%sdata: x%s%s", i, end, end, end)
-			out := connListener(t, &e, []byte(text), func(int) int { return 1 })
+			out := feedInSplits(t, &e, []byte(text), func(int) int { return 1 })
 			want(t, "event", string(out), text)
 			want(t, "last", e.LastID, i)
 		}
 	}
 }
 
-func TestEventBound(t *testing.T) {
+func TestEventSizeLimit(t *testing.T) {
 	e := proxy.EventStream{MaxEventBytes: 10}
 	if _, err := e.Feed([]byte("data: 1\n\ndata")); err != nil {
 		t.Error(err)
 	}
 	if _, err := e.Feed([]byte(": 456789")); err == nil {
-		t.Error("a long event was taken")
+		t.Error("a too long event was accepted")
 	}
 }
 
-// FuzzAnswer lets a replica say anything: a success reaches the client only with its seal and its id, whole, and no byte is added.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse makes a replica send arbitrary bytes: a success reaches the client only if it is complete and has its seal and attempt ID,
+// and no byte is added.
+func FuzzResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 200 OK\r\nX-Attempt: id1\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Attempt: id1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
@@ -200,47 +203,47 @@
 	} {
 		f.Add([]byte(text))
 	}
-	h := newHand(f)
-	m := newStubRouter(router.Decision{Verdict: router.Reject}, h.place(streams))
-	set := proxy.Defaults()
-	set.MaxBufferedResponseBytes = 4 << 10
-	_, addr := front(f, m, set, config.Limits{})
+	manual := newManualReplica(f)
+	stub := newStubRouter(router.Decision{Verdict: router.Reject}, manual.place(streamRoute))
+	settings := proxy.Defaults()
+	settings.MaxBufferedResponseBytes = 4 << 10
+	_, addr := startWithListener(f, stub, settings, config.Limits{})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := dial(t, addr)
-		c.ask(t, "POST", "id1", "X-Wait-Ms: 5000\r\nConnection: close\r\n", "")
-		u := h.accept(t)
-		u.request(t)
-		_, _ = u.Write(text)
-		_ = u.Close()
-		r := c.answer(t, "POST")
-		m.notified()
-		for len(m.arrived) > 0 {
-			<-m.arrived
+		client := dial(t, addr)
+		client.sendRequest(t, "POST", "id1", "X-Wait-Ms: 5000\r\nConnection: close\r\n", "")
+		conn := manual.accept(t)
+		conn.nextRequest(t)
+		_, _ = conn.Write(text)
+		_ = conn.Close()
+		r := client.readResponse(t, "POST")
+		stub.notified()
+		for len(stub.arrived) > 0 {
+			<-stub.arrived
 		}
-		proof := readAnswer(text)
+		proof := parseResponse(text)
 		switch {
 		case r.status/100 == 2 && r.err == nil && (proof.err != nil || proof.status != r.status || proof.body != r.body):
 			t.Fatalf("%q became %d %q, not %d %q", text, r.status, r.body, proof.status, proof.body)
 		case r.status/100 == 2 && (r.header["X-Seal"] == nil || proof.header.Get("X-Attempt") != "id1"):
-			t.Fatalf("%q became a success", text)
+			t.Fatalf("%q became a success without seal or attempt ID", text)
 		case r.status == http.StatusServiceUnavailable && proof.header["X-Not-Run"] == nil && proof.status != http.StatusMisdirectedRequest:
-			t.Fatalf("%q became a denial", text)
+			t.Fatalf("%q became a rejection without proof", text)
 		}
 	})
 }
 
-// readAnswer reads past the early answers.
-func readAnswer(text []byte) reply {
+// parseResponse parses the first response that is not informational (1xx).
+func parseResponse(text []byte) receivedResponse {
 	in := bufio.NewReader(bytes.NewReader(text))
 	for {
 		resp, err := http.ReadResponse(in, &http.Request{Method: "POST"})
 		if err != nil {
-			return reply{err: err}
+			return receivedResponse{err: err}
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
 		body, err := io.ReadAll(resp.Body)
-		return reply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+		return receivedResponse{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 	}
 }
--- a/proxy/hand_test.go
+++ b/proxy/hand_test.go
@@ -19,31 +19,32 @@
 
 const testTimeout = 20 * time.Second
 
-// hand is a replica that the test moves by hand.
-type hand struct{ lis *net.TCPListener }
+// manualReplica is a replica whose connections and responses the test controls step by step.
+type manualReplica struct{ listener *net.TCPListener }
 
-type up struct {
+// replicaConn is the replica's end of a connection from the proxy.
+type replicaConn struct {
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func newHand(t testing.TB) *hand {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+func newManualReplica(t testing.TB) *manualReplica {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = lis.Close() })
-	return &hand{lis: lis.(*net.TCPListener)}
+	t.Cleanup(func() { _ = listener.Close() })
+	return &manualReplica{listener: listener.(*net.TCPListener)}
 }
 
-func (h *hand) place(route *config.Route) router.Decision {
-	return router.Decision{Addr: h.lis.Addr().String(), Replica: "r", Instance: "i1", Route: route}
+func (manual *manualReplica) place(route *config.Route) router.Decision {
+	return router.Decision{Addr: manual.listener.Addr().String(), Replica: "r", Instance: "i1", Route: route}
 }
 
-// acceptEach serves each connection in a goroutine of its own, which closes it at its end.
-func (h *hand) acceptEach(serve func(c *net.TCPConn)) {
+// acceptEach serves each connection in its own goroutine, which closes the connection at the end.
+func (manual *manualReplica) acceptEach(serve func(c *net.TCPConn)) {
 	for {
-		c, err := h.lis.AcceptTCP()
+		c, err := manual.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
@@ -54,21 +55,21 @@
 	}
 }
 
-func (h *hand) accept(t testing.TB) *up {
+func (manual *manualReplica) accept(t testing.TB) *replicaConn {
 	t.Helper()
-	_ = h.lis.SetDeadline(time.Now().Add(testTimeout))
-	c, err := h.lis.AcceptTCP()
+	_ = manual.listener.SetDeadline(time.Now().Add(testTimeout))
+	c, err := manual.listener.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &up{TCPConn: c, in: bufio.NewReader(c)}
+	return &replicaConn{TCPConn: c, reader: bufio.NewReader(c)}
 }
 
-func (u *up) request(t testing.TB) got {
+func (conn *replicaConn) nextRequest(t testing.TB) receivedRequest {
 	t.Helper()
-	req, err := http.ReadRequest(u.in)
+	req, err := http.ReadRequest(conn.reader)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,44 +77,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return got{req: req, body: string(body)}
+	return receivedRequest{req: req, body: string(body)}
 }
 
-func (u *up) say(t testing.TB, text string) {
+func (conn *replicaConn) write(t testing.TB, text string) {
 	t.Helper()
-	if _, err := io.WriteString(u, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reply answers in the manner of script say.
-func (u *up) reply(t testing.TB, g got, status, extra, body string) {
+// respond sends the response that the script respondWith would send.
+func (conn *replicaConn) respond(t testing.TB, request receivedRequest, status, extra, body string) {
 	t.Helper()
-	text, _ := say(status, extra, body)(g)
-	u.say(t, text)
+	text, _ := respondWith(status, extra, body)(request)
+	conn.write(t, text)
 }
 
-func (u *up) reset() {
-	_ = u.SetLinger(0)
-	_ = u.Close()
+func (conn *replicaConn) reset() {
+	_ = conn.SetLinger(0)
+	_ = conn.Close()
 }
 
-// ended waits until the proxy ends the connection.
-func (u *up) ended(t testing.TB) {
+// waitForClose waits until the proxy ends the connection.
+func (conn *replicaConn) waitForClose(t testing.TB) {
 	t.Helper()
-	_, err := io.Copy(io.Discard, u.in)
+	_, err := io.Copy(io.Discard, conn.reader)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Fatal("the connection stays open")
+		t.Fatal("the connection was not closed")
 	}
 }
 
-// user is a client's connection.
-type user struct {
+// clientConn is a client's end of a connection to the proxy.
+type clientConn struct {
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func dial(t testing.TB, addr string) *user {
+func dial(t testing.TB, addr string) *clientConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -121,66 +122,66 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &user{TCPConn: c.(*net.TCPConn), in: bufio.NewReader(c)}
+	return &clientConn{TCPConn: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-func (u *user) say(t testing.TB, text string) {
+func (client *clientConn) write(t testing.TB, text string) {
 	t.Helper()
-	if _, err := io.WriteString(u, text); err != nil {
+	if _, err := io.WriteString(client, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (u *user) ask(t testing.TB, method, id, extra, body string) {
+func (client *clientConn) sendRequest(t testing.TB, method, id, extra, body string) {
 	t.Helper()
 	if body != "" {
 		extra += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
-	u.say(t, method+" /a HTTP/1.1\r\nHost: h.example\r\nX-Attempt: "+id+"\r\n"+extra+"\r\n"+body)
+	client.write(t, method+" /a HTTP/1.1\r\nHost: h.example\r\nX-Attempt: "+id+"\r\n"+extra+"\r\n"+body)
 }
 
-func (u *user) answer(t testing.TB, method string) reply {
+func (client *clientConn) readResponse(t testing.TB, method string) receivedResponse {
 	t.Helper()
-	resp, err := http.ReadResponse(u.in, &http.Request{Method: method})
+	resp, err := http.ReadResponse(client.reader, &http.Request{Method: method})
 	if err != nil {
-		return reply{err: err}
+		return receivedResponse{err: err}
 	}
 	body, err := io.ReadAll(resp.Body)
-	r := reply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	r := receivedResponse{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 	if resp.Close {
 		r.header.Set("Connection", "close")
 	}
 	return r
 }
 
-// front starts a proxy behind a listener of its own.
-func front(t testing.TB, m proxy.Router, set proxy.Settings, l config.Limits) (*proxy.Proxy, string) {
+// startWithListener starts a proxy that serves a listener through proxy.Serve, and returns its address.
+func startWithListener(t testing.TB, decider proxy.Router, settings proxy.Settings, limits config.Limits) (*proxy.Proxy, string) {
 	t.Helper()
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := func() config.Limits { return l }
-	p := proxy.New(m, names, set, limits, "b")
+	currentLimits := func() config.Limits { return limits }
+	p := proxy.New(decider, testHeaders, settings, currentLimits, "b")
 	tb := &tomb.Tomb{}
-	proxy.Serve(tb, lis, p, limits)
+	proxy.Serve(tb, listener, p, currentLimits)
 	t.Cleanup(func() {
 		tb.Kill(nil)
 		_ = tb.Wait()
 	})
-	return p, lis.Addr().String()
+	return p, listener.Addr().String()
 }
 
-func usual(t testing.TB, m proxy.Router) (*proxy.Proxy, string) {
+func startDefault(t testing.TB, decider proxy.Router) (*proxy.Proxy, string) {
 	t.Helper()
-	return front(t, m, proxy.Defaults(), config.Limits{})
+	return startWithListener(t, decider, proxy.Defaults(), config.Limits{})
 }
 
 func idRequest(id string) *http.Request {
 	return &http.Request{Header: http.Header{"X-Attempt": {id}}}
 }
 
-// unacked is how many bytes the peer's kernel has not acknowledged.
+// unacked returns how many bytes the peer's kernel has not acknowledged.
 func unacked(t testing.TB, c *net.TCPConn) int {
 	t.Helper()
 	raw, err := c.SyscallConn()
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -14,46 +14,48 @@
 
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.Counters.Requests.Add(1)
-	p.running.Add(1)
-	defer p.running.Add(-1)
-	x := &transfer{proxy: p, w: w, r: r, arrived: time.Now(), memory: reservation{budget: &p.budget}, client: clientOf(r)}
+	p.handlersRunning.Add(1)
+	defer p.handlersRunning.Add(-1)
+	x := &transfer{proxy: p, w: w, r: r, arrived: time.Now(), reserved: reservation{budget: &p.budget}, client: clientFromContext(r)}
 	if x.client != nil {
 		x.client.activate()
-		x.arrived = x.client.arrival()
+		x.arrived = x.client.takeArrivalTime()
 	}
-	x.exchange.Request = p.name()
-	x.events = EventStream{MaxEventBytes: p.settings.MaxEventBytes, LastID: first(r.Header, lastEvent), VersionField: strings.ToLower(p.headers.WeightsVersion)}
-	defer x.free()
-	a := p.arrive(x)
+	x.exchange.Request = p.nextRequestID()
+	x.events = EventStream{MaxEventBytes: p.settings.MaxEventBytes, LastID: first(r.Header, lastEventIDHeader), VersionField: strings.ToLower(p.headers.WeightsVersion)}
+	defer x.cleanUp()
+	arrival := p.newArrival(x)
 	if err := p.shutdown.Load().admit(time.Now(), x.deadline); err != nil {
-		x.refuse(err)
+		x.rejectUnforwarded(err)
 		return
 	}
-	if err := x.takeBody(); err != nil {
-		x.refuse(err)
+	if err := x.readBodyAndAdmit(); err != nil {
+		x.rejectUnforwarded(err)
 		return
 	}
-	if elapsed := time.Since(x.arrived); a.Timeout > 0 && elapsed > slowUpload {
-		a.Timeout = max(a.Timeout-elapsed, time.Millisecond)
+	if elapsed := time.Since(x.arrived); arrival.Timeout > 0 && elapsed > slowUpload {
+		arrival.Timeout = max(arrival.Timeout-elapsed, time.Millisecond)
 	}
 	if !x.deadline.IsZero() && !time.Now().Before(x.deadline) {
 		x.signal(DeadlinePassed{})
 		return
 	}
-	x.run(a)
+	x.run(arrival)
 }
 
-// takeBody reads the request's body. A process that was told to end meanwhile passes the request on only if that surely ends in time.
-func (x *transfer) takeBody() error {
+// readBodyAndAdmit reads the body of the request. If the process started to shut down meanwhile, the request is forwarded only if it is
+// sure to end in time.
+func (x *transfer) readBodyAndAdmit() error {
 	if err := x.readBody(); err != nil || x.r.ContentLength == 0 {
 		return err
 	}
 	return x.proxy.shutdown.Load().admit(time.Now(), x.deadline)
 }
 
-// slowUpload is how long a body may take before the router is told that less time is left.
+// slowUpload is how long reading the body may take before the router is given a shorter timeout.
 const slowUpload = 100 * time.Millisecond
 
+// host returns the host of the request in lower case, without the port.
 func host(r *http.Request) string {
 	name := r.Host
 	if strings.IndexByte(name, ':') >= 0 {
@@ -64,6 +66,7 @@
 	return strings.ToLower(name)
 }
 
+// path returns the path of the request as the client encoded it, without the query.
 func path(r *http.Request) string {
 	p := r.RequestURI
 	if r.URL.IsAbs() {
@@ -76,47 +79,49 @@
 	return p
 }
 
-func (p *Proxy) arrive(x *transfer) router.Arrival {
-	h := x.r.Header
-	a := router.Arrival{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
-	a.Prefix, a.Model = first(h, p.headers.Prefix), first(h, p.headers.Model)
-	if v := first(h, p.headers.Tokens); v != "" && p.headers.ParseTokens != nil {
-		a.PromptTokens, a.MaxOutputTokens = p.headers.ParseTokens(v)
+// newArrival returns what the router needs to know about the request, and sets the transfer's deadline.
+func (p *Proxy) newArrival(x *transfer) router.Arrival {
+	header := x.r.Header
+	arrival := router.Arrival{Request: x.exchange.Request, Host: host(x.r), Path: path(x.r)}
+	arrival.Prefix, arrival.Model = first(header, p.headers.Prefix), first(header, p.headers.Model)
+	if v := first(header, p.headers.Tokens); v != "" && p.headers.ParseTokens != nil {
+		arrival.PromptTokens, arrival.MaxOutputTokens = p.headers.ParseTokens(v)
 	}
-	if key := first(h, p.headers.Credential); key != "" {
-		a.Key, a.HasKey = config.HashKey(key), true
+	if key := first(header, p.headers.Credential); key != "" {
+		arrival.Key, arrival.HasKey = config.HashKey(key), true
 	}
-	if ms, err := strconv.ParseInt(first(h, p.headers.Deadline), 10, 32); err == nil && ms > 0 {
-		a.Timeout = time.Duration(ms) * time.Millisecond
-		x.deadline = x.arrived.Add(a.Timeout)
+	if ms, err := strconv.ParseInt(first(header, p.headers.Deadline), 10, 32); err == nil && ms > 0 {
+		arrival.Timeout = time.Duration(ms) * time.Millisecond
+		x.deadline = x.arrived.Add(arrival.Timeout)
 	}
-	return a
+	return arrival
 }
 
-type answer struct {
+// errorBody is the JSON body of a response that the proxy itself writes.
+type errorBody struct {
 	Outcome string `json:"outcome"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 }
 
-func (x *transfer) answerWith(status int, outcome, why string) {
+func (x *transfer) writeResponse(status int, outcome, reason string) {
 	h := x.w.Header()
-	x.connection()
-	body, _ := json.Marshal(answer{Outcome: outcome, Why: why})
+	x.setConnectionHeader()
+	body, _ := json.Marshal(errorBody{Outcome: outcome, Reason: reason})
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(status)
 	_, _ = x.w.Write(body)
 }
 
-var closes = []string{"close"}
+var connectionClose = []string{"close"}
 
-// connection says what becomes of the client's connection: it ends when this node is leaving or the limits have changed, and is kept as long as idle
-// ones are.
-func (x *transfer) connection() {
+// setConnectionHeader tells the client what happens to its connection. It is closed if the node is shutting down or the limits have
+// changed; otherwise Keep-Alive names how long it may be idle.
+func (x *transfer) setConnectionHeader() {
 	h := x.w.Header()
 	switch {
-	case x.proxy.shutdown.Load() != nil, x.client != nil && x.client.outdated(x.proxy.limits()):
-		h["Connection"] = closes
+	case x.proxy.shutdown.Load() != nil, x.client != nil && x.client.acceptedUnderOtherLimits(x.proxy.limits()):
+		h["Connection"] = connectionClose
 	case x.client != nil && x.client.keepAlive != nil && !x.r.Close && h["Connection"] == nil:
 		h["Keep-Alive"] = x.client.keepAlive
 	}
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -13,103 +13,105 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// TestOldKeptConnections: a replica that forgets idle connections without a word answers nothing on them. Requests that may not be
-// repeated go there only while the connection is young.
-func TestOldKeptConnections(t *testing.T) {
+// TestOldIdleConnectionsAreNotReused guards against replicas that silently drop idle connections and never respond to requests on them:
+// requests that must not be sent twice reuse a connection only if it was idle for a short time.
+func TestOldIdleConnectionsAreNotReused(t *testing.T) {
 	for _, c := range []struct {
-		name, keep string
-		once       time.Duration
-		route      *config.Route
-		dials      int
+		name, keepAlive string
+		idleTimeout     time.Duration
+		route           *config.Route
+		dials           int
 	}{
-		{"young", "", time.Hour, unsafe, 1},
-		{"old", "", time.Nanosecond, unsafe, 2},
-		{"old but told", "Keep-Alive: timeout=100\r\n", time.Nanosecond, unsafe, 1},
-		{"told to go", "Keep-Alive: timeout=0\r\n", time.Hour, unsafe, 2},
-		{"repeatable", "", time.Nanosecond, safe, 1},
+		{"young", "", time.Hour, onceRoute, 1},
+		{"old", "", time.Nanosecond, onceRoute, 2},
+		{"old, with Keep-Alive", "Keep-Alive: timeout=100\r\n", time.Nanosecond, onceRoute, 1},
+		{"Keep-Alive of 0 s", "Keep-Alive: timeout=0\r\n", time.Hour, onceRoute, 2},
+		{"idempotent", "", time.Nanosecond, idempotentRoute, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHand(t)
-			place := h.place(c.route)
+			manual := newManualReplica(t)
+			place := manual.place(c.route)
 			place.MaxConns = 1
-			set := proxy.Defaults()
-			set.IdleTimeoutNonIdempotent, set.IdleTimeout = c.once, time.Hour
-			p, addr := front(t, newStubRouter(deny, place), set, config.Limits{})
-			u := dial(t, addr)
-			u.ask(t, "GET", "id1", "", "")
-			r := h.accept(t)
-			r.reply(t, r.request(t), "200 OK", c.keep, "one")
-			want(t, "first", u.answer(t, "GET").body, "one")
-			u.ask(t, "GET", "id2", "", "")
+			settings := proxy.Defaults()
+			settings.IdleTimeoutNonIdempotent, settings.IdleTimeout = c.idleTimeout, time.Hour
+			p, addr := startWithListener(t, newStubRouter(rejectDecision, place), settings, config.Limits{})
+			client := dial(t, addr)
+			client.sendRequest(t, "GET", "id1", "", "")
+			conn := manual.accept(t)
+			conn.respond(t, conn.nextRequest(t), "200 OK", c.keepAlive, "one")
+			want(t, "first", client.readResponse(t, "GET").body, "one")
+			client.sendRequest(t, "GET", "id2", "", "")
 			if c.dials == 2 {
-				r.ended(t)
-				r = h.accept(t)
+				conn.waitForClose(t)
+				conn = manual.accept(t)
 			}
-			r.reply(t, r.request(t), "200 OK", "", "two")
-			want(t, "second", u.answer(t, "GET").body, "two")
+			conn.respond(t, conn.nextRequest(t), "200 OK", "", "two")
+			want(t, "second", client.readResponse(t, "GET").body, "two")
 			want(t, "dials", p.Counters.Dials.Load(), c.dials)
 		})
 	}
 }
 
 func TestIdleConnectionsExpire(t *testing.T) {
-	h := newHand(t)
-	set := proxy.Defaults()
-	set.IdleTimeout = 100 * time.Millisecond
-	_, addr := front(t, newStubRouter(deny, h.place(safe)), set, config.Limits{})
-	u := dial(t, addr)
-	u.ask(t, "GET", "id1", "", "")
-	r := h.accept(t)
-	r.reply(t, r.request(t), "200 OK", "", "one")
-	want(t, "first", u.answer(t, "GET").body, "one")
-	r.ended(t)
+	manual := newManualReplica(t)
+	settings := proxy.Defaults()
+	settings.IdleTimeout = 100 * time.Millisecond
+	_, addr := startWithListener(t, newStubRouter(rejectDecision, manual.place(idempotentRoute)), settings, config.Limits{})
+	client := dial(t, addr)
+	client.sendRequest(t, "GET", "id1", "", "")
+	conn := manual.accept(t)
+	conn.respond(t, conn.nextRequest(t), "200 OK", "", "one")
+	want(t, "first", client.readResponse(t, "GET").body, "one")
+	conn.waitForClose(t)
 }
 
-// TestSurplusNeverReachesAnother: whatever a replica sends beyond a whole answer, at whatever moment, belongs to nobody.
-func TestSurplusNeverReachesAnother(t *testing.T) {
-	extra, _ := say("200 OK", "", "extra")(got{req: idRequest("id1")})
+// TestSurplusBytesReachNoOtherRequest checks that bytes that a replica sends after a complete response, at any time, are not taken as the
+// response to another request.
+func TestSurplusBytesReachNoOtherRequest(t *testing.T) {
+	extra, _ := respondWith("200 OK", "", "extra")(receivedRequest{req: idRequest("id1")})
 	for _, when := range []string{"at once", "while idle", "in place of the next"} {
 		t.Run(when, func(t *testing.T) {
-			h := newHand(t)
-			m := newStubRouter(unknown, h.place(unsafe))
-			p, addr := usual(t, m)
-			u := dial(t, addr)
-			u.ask(t, "GET", "id1", "", "")
-			r := h.accept(t)
-			text, _ := say("200 OK", "", "one")(r.request(t))
+			manual := newManualReplica(t)
+			stub := newStubRouter(unknownDecision, manual.place(onceRoute))
+			p, addr := startDefault(t, stub)
+			client := dial(t, addr)
+			client.sendRequest(t, "GET", "id1", "", "")
+			conn := manual.accept(t)
+			text, _ := respondWith("200 OK", "", "one")(conn.nextRequest(t))
 			if when == "at once" {
 				text += extra
 			}
-			r.say(t, text)
-			want(t, "first", u.answer(t, "GET").body, "one")
+			conn.write(t, text)
+			want(t, "first", client.readResponse(t, "GET").body, "one")
 			switch when {
 			case "at once":
-				r.ended(t)
+				conn.waitForClose(t)
 			case "while idle":
-				r.say(t, extra)
+				conn.write(t, extra)
 			}
-			u.ask(t, "GET", "id2", "", "")
+			client.sendRequest(t, "GET", "id2", "", "")
 			if when == "while idle" {
-				r.ended(t)
+				conn.waitForClose(t)
 			}
 			if when != "in place of the next" {
-				r = h.accept(t)
+				conn = manual.accept(t)
 			}
-			g := r.request(t)
+			request := conn.nextRequest(t)
 			if when == "in place of the next" {
-				r.say(t, extra)
+				conn.write(t, extra)
 			}
-			r.reply(t, g, "200 OK", "", "two")
-			want(t, "second", u.answer(t, "GET").body, "two")
+			conn.respond(t, request, "200 OK", "", "two")
+			want(t, "second", client.readResponse(t, "GET").body, "two")
 			want(t, "surplus or stale", p.Counters.Surplus.Load()+p.Counters.Stale.Load(), 1)
 		})
 	}
 }
 
-// forgetful is a replica that forgets connections that were idle for a time: it says nothing and answers nothing on them.
-func forgetful(t *testing.T, idle time.Duration) *hand {
-	h := newHand(t)
-	go h.acceptEach(func(c *net.TCPConn) {
+// newForgetfulReplica returns a replica that silently drops connections that were idle for a time: it neither closes them nor responds to
+// requests on them.
+func newForgetfulReplica(t *testing.T, idle time.Duration) *manualReplica {
+	manual := newManualReplica(t)
+	go manual.acceptEach(func(c *net.TCPConn) {
 		in, last := bufio.NewReader(c), time.Now()
 		for {
 			req, err := http.ReadRequest(in)
@@ -119,28 +121,28 @@
 			if time.Since(last) > idle {
 				continue
 			}
-			text, _ := say("200 OK", "", "hi")(got{req: req})
+			text, _ := respondWith("200 OK", "", "hi")(receivedRequest{req: req})
 			_, _ = io.WriteString(c, text)
 			last = time.Now()
 		}
 	})
-	return h
+	return manual
 }
 
-// TestAbandonedConnections pauses for 100 ms between requests to a replica that forgets connections after 50: with the bound on their
-// age each request is answered, without it every second one (the one between goes on a new connection) runs out of time.
-func TestAbandonedConnections(t *testing.T) {
-	for young, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
-		set := proxy.Defaults()
-		set.IdleTimeoutNonIdempotent = young
-		p, addr := front(t, newStubRouter(deny, forgetful(t, 50*time.Millisecond).place(unsafe)), set, config.Limits{})
-		u := dial(t, addr)
+// TestForgottenConnectionsAreNotUsedOnceOld waits 100 ms between requests to a replica that drops connections after 50 ms. With a limit on
+// the idle time each request is answered. Without it every second request runs into its deadline; the ones between use a new connection.
+func TestForgottenConnectionsAreNotUsedOnceOld(t *testing.T) {
+	for idleTimeout, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
+		settings := proxy.Defaults()
+		settings.IdleTimeoutNonIdempotent = idleTimeout
+		p, addr := startWithListener(t, newStubRouter(rejectDecision, newForgetfulReplica(t, 50*time.Millisecond).place(onceRoute)), settings, config.Limits{})
+		client := dial(t, addr)
 		pause := time.NewTicker(100 * time.Millisecond)
 		defer pause.Stop()
 		statuses := map[int]int{}
 		for i := range 6 {
-			u.ask(t, "GET", fmt.Sprint("id", i), "X-Wait-Ms: 500\r\n", "")
-			statuses[u.answer(t, "GET").status]++
+			client.sendRequest(t, "GET", fmt.Sprint("id", i), "X-Wait-Ms: 500\r\n", "")
+			statuses[client.readResponse(t, "GET").status]++
 			for drained := false; !drained; {
 				select {
 				case <-pause.C:
@@ -150,7 +152,7 @@
 			}
 			<-pause.C
 		}
-		want(t, young.String(), statuses[http.StatusOK], answered)
+		want(t, idleTimeout.String(), statuses[http.StatusOK], answered)
 		want(t, "others", statuses[http.StatusGatewayTimeout], 6-answered)
 		waitIdle(t, p)
 	}
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -2,22 +2,23 @@
 
 import "github.com/mallowbridge/mallowbridge/config"
 
-// outdated tells whether the connection was accepted under limits of a connection that are not those in force.
-func (c *client) outdated(inForce config.Limits) bool {
-	former := c.limits
-	former.BodyBytes = inForce.BodyBytes
-	return former != inForce
+// acceptedUnderOtherLimits reports whether any limit of connections has changed since the connection was accepted. The limit of body bytes
+// is not one of them, as it is read anew for each request.
+func (c *client) acceptedUnderOtherLimits(inForce config.Limits) bool {
+	accepted := c.limits
+	accepted.BodyBytes = inForce.BodyBytes
+	return accepted != inForce
 }
 
-// LimitsChanged ends kept connections that were accepted under other limits, so that clients' next requests come under those in force: idle ones
-// at once, those in use with their next answer.
+// LimitsChanged closes client connections that were accepted under other limits, so that the clients' next requests are subject to the
+// limits in force: idle connections at once, those in use after their next response.
 func (p *Proxy) LimitsChanged() {
 	inForce := p.limits()
-	all := <-p.clients
-	for c := range all {
-		if c.outdated(inForce) {
+	clients := <-p.clients
+	for c := range clients {
+		if c.acceptedUnderOtherLimits(inForce) {
 			c.closeIdle()
 		}
 	}
-	p.clients <- all
+	p.clients <- clients
 }
--- a/proxy/limits_test.go
+++ b/proxy/limits_test.go
@@ -15,25 +15,25 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// limited is a proxy whose limits change.
-type limited struct {
+// proxyWithLimits is a proxy whose limits can be changed.
+type proxyWithLimits struct {
 	*proxy.Proxy
 	addr   string
 	limits atomic.Pointer[config.Limits]
 }
 
-func newLimited(t *testing.T, m proxy.Router, l config.Limits) *limited {
+func startWithLimits(t *testing.T, decider proxy.Router, l config.Limits) *proxyWithLimits {
 	t.Helper()
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &limited{addr: lis.Addr().String()}
+	p := &proxyWithLimits{addr: listener.Addr().String()}
 	p.limits.Store(&l)
-	now := func() config.Limits { return *p.limits.Load() }
-	p.Proxy = proxy.New(m, names, proxy.Defaults(), now, "b")
+	current := func() config.Limits { return *p.limits.Load() }
+	p.Proxy = proxy.New(decider, testHeaders, proxy.Defaults(), current, "b")
 	tb := &tomb.Tomb{}
-	proxy.Serve(tb, lis, p.Proxy, now)
+	proxy.Serve(tb, listener, p.Proxy, current)
 	t.Cleanup(func() {
 		tb.Kill(nil)
 		_ = tb.Wait()
@@ -41,76 +41,78 @@
 	return p
 }
 
-func (p *limited) change(l config.Limits) {
-	p.limits.Store(&l)
+func (p *proxyWithLimits) changeLimits(limits config.Limits) {
+	p.limits.Store(&limits)
 	p.LimitsChanged()
 }
 
-var usualLimits = config.Limits{HeaderBytes: 16 << 10, BodyBytes: 1000, Header: 3 * time.Second, Idle: 15 * time.Second}
+var initialLimits = config.Limits{HeaderBytes: 16 << 10, BodyBytes: 1000, Header: 3 * time.Second, Idle: 15 * time.Second}
 
-// longHeader is more than usualLimits allow, with what net/http allows on top.
+// longHeader is longer than initialLimits allow, including the extra bytes that net/http permits.
 func longHeader() string { return "X-Long: " + strings.Repeat("x", 24<<10) + "\r\n" }
 
-// TestKeptConnectionsFollowChangedLimits guards against DENIED: a connection from before a change refuses, with 431, what the new limits allow. An
-// idle one is closed, and a new one takes the request.
-func TestKeptConnectionsFollowChangedLimits(t *testing.T) {
+// TestReusedConnectionsFollowChangedLimits guards against wrong rejections: a connection accepted before a change rejected requests with
+// 431 that the new limits allow. An idle connection is closed instead, and a new one serves the request.
+func TestReusedConnectionsFollowChangedLimits(t *testing.T) {
 	for name, change := range map[string]func(l *config.Limits){
 		"header bytes": func(l *config.Limits) { l.HeaderBytes = 32 << 10 },
 		"header time":  func(l *config.Limits) { l.Header = 9 * time.Second },
 		"idle time":    func(l *config.Limits) { l.Idle = time.Minute },
 	} {
 		t.Run(name, func(t *testing.T) {
-			replica := newReplica(t, say("200 OK", "", "one"), say("200 OK", "", "two"))
-			p := newLimited(t, newStubRouter(deny, replica.place(safe)), usualLimits)
+			replica := newReplica(t, respondWith("200 OK", "", "one"), respondWith("200 OK", "", "two"))
+			p := startWithLimits(t, newStubRouter(rejectDecision, replica.place(idempotentRoute)), initialLimits)
 			kept := dial(t, p.addr)
-			kept.ask(t, "GET", "id1", "", "")
-			want(t, "first", kept.answer(t, "GET").body, "one")
+			kept.sendRequest(t, "GET", "id1", "", "")
+			want(t, "first", kept.readResponse(t, "GET").body, "one")
 			waitIdle(t, p.Proxy)
-			later := usualLimits
+			later := initialLimits
 			change(&later)
-			p.change(later)
+			p.changeLimits(later)
 			if n, err := kept.Read(make([]byte, 1)); err != io.EOF {
-				t.Errorf("the idle connection gives %d bytes, %v", n, err)
+				t.Errorf("read %d bytes from the idle connection, error %v, want EOF", n, err)
 			}
 			extra := ""
-			if later.HeaderBytes > usualLimits.HeaderBytes {
+			if later.HeaderBytes > initialLimits.HeaderBytes {
 				extra = longHeader()
 			}
 			fresh := dial(t, p.addr)
-			fresh.ask(t, "GET", "id2", extra, "")
-			r := fresh.answer(t, "GET")
+			fresh.sendRequest(t, "GET", "id2", extra, "")
+			r := fresh.readResponse(t, "GET")
 			want(t, "on a new connection", fmt.Sprint(r.status, " ", r.body), "200 two")
 		})
 	}
 }
 
-// TestConnectionInUseEndsWithItsAnswerAfterLimitsChanged: the request that runs is answered, and the client told to come on a new connection.
-func TestConnectionInUseEndsWithItsAnswerAfterLimitsChanged(t *testing.T) {
-	h := newHand(t)
-	p := newLimited(t, newStubRouter(deny, h.place(safe)), usualLimits)
-	u := dial(t, p.addr)
-	u.ask(t, "GET", "id1", "", "")
-	r := h.accept(t)
-	g := r.request(t)
-	later := usualLimits
+// TestConnectionInUseEndsWithItsResponseAfterLimitsChanged checks that the request in flight is answered and that its response closes the
+// connection.
+func TestConnectionInUseEndsWithItsResponseAfterLimitsChanged(t *testing.T) {
+	manual := newManualReplica(t)
+	p := startWithLimits(t, newStubRouter(rejectDecision, manual.place(idempotentRoute)), initialLimits)
+	client := dial(t, p.addr)
+	client.sendRequest(t, "GET", "id1", "", "")
+	conn := manual.accept(t)
+	request := conn.nextRequest(t)
+	later := initialLimits
 	later.HeaderBytes *= 2
-	p.change(later)
-	r.reply(t, g, "200 OK", "", "one")
-	a := u.answer(t, "GET")
-	want(t, "answer", fmt.Sprint(a.status, " ", a.body, a.header["Connection"]), "200 one[close]")
+	p.changeLimits(later)
+	conn.respond(t, request, "200 OK", "", "one")
+	a := client.readResponse(t, "GET")
+	want(t, "response", fmt.Sprint(a.status, " ", a.body, a.header["Connection"]), "200 one[close]")
 }
 
-// TestBodyLimitHoldsOnKeptConnections: it is read for each request, so the connection stays.
-func TestBodyLimitHoldsOnKeptConnections(t *testing.T) {
-	replica := newReplica(t, say("200 OK", "", "one"), say("200 OK", "", "two"))
-	p := newLimited(t, newStubRouter(deny, replica.place(safe)), usualLimits)
-	u := dial(t, p.addr)
-	u.ask(t, "POST", "id1", "", "body")
-	want(t, "first", u.answer(t, "POST").body, "one")
-	later := usualLimits
+// TestChangedBodyLimitAppliesToReusedConnections checks that a change of the body limit doesn't close connections, because that limit is
+// read for each request.
+func TestChangedBodyLimitAppliesToReusedConnections(t *testing.T) {
+	replica := newReplica(t, respondWith("200 OK", "", "one"), respondWith("200 OK", "", "two"))
+	p := startWithLimits(t, newStubRouter(rejectDecision, replica.place(idempotentRoute)), initialLimits)
+	client := dial(t, p.addr)
+	client.sendRequest(t, "POST", "id1", "", "body")
+	want(t, "first", client.readResponse(t, "POST").body, "one")
+	later := initialLimits
 	later.BodyBytes = 4000
-	p.change(later)
-	u.ask(t, "POST", "id2", "", strings.Repeat("x", 3000))
-	r := u.answer(t, "POST")
+	p.changeLimits(later)
+	client.sendRequest(t, "POST", "id2", "", strings.Repeat("x", 3000))
+	r := client.readResponse(t, "POST")
 	want(t, "second", fmt.Sprint(r.status, " ", r.body, r.header["Connection"]), "200 two[]")
 }
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -15,8 +15,8 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// TestPartlyWrittenRequestMayHaveRun ends a connection, or the request's time, after some bytes of a long request left: it is neither
-// denied nor sent again.
+// TestPartlyWrittenRequestMayHaveRun ends a connection, or lets the deadline pass, after a part of a long request was sent: the request is
+// neither rejected nor sent again.
 func TestPartlyWrittenRequestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait   string
@@ -24,28 +24,28 @@
 		status int
 	}{"reset": {"60000", true, 502}, "out of time": {"3000", false, 504}} {
 		t.Run(name, func(t *testing.T) {
-			h := newHand(t)
-			p, addr := usual(t, newStubRouter(deny, h.place(unsafe), h.place(unsafe)))
-			u := dial(t, addr)
-			u.ask(t, "POST", "id1", "X-Wait-Ms: "+c.wait+"\r\n", strings.Repeat("x", 12<<20))
-			r := h.accept(t)
-			if _, err := r.in.ReadByte(); err != nil {
+			manual := newManualReplica(t)
+			p, addr := startDefault(t, newStubRouter(rejectDecision, manual.place(onceRoute), manual.place(onceRoute)))
+			client := dial(t, addr)
+			client.sendRequest(t, "POST", "id1", "X-Wait-Ms: "+c.wait+"\r\n", strings.Repeat("x", 12<<20))
+			conn := manual.accept(t)
+			if _, err := conn.reader.ReadByte(); err != nil {
 				t.Fatal(err)
 			}
 			if c.reset {
-				r.reset()
+				conn.reset()
 			}
-			want(t, "status", u.answer(t, "POST").status, c.status)
+			want(t, "status", client.readResponse(t, "POST").status, c.status)
 			want(t, "dialled", p.Counters.Dials.Load(), 1)
 		})
 	}
 }
 
-// closer is a replica that closes connections which were idle for a time, and reads nothing in the last part of it. Each id that it reads
-// is told to ran.
-func closer(t *testing.T, idle, deaf time.Duration, ran chan<- string) *hand {
-	h := newHand(t)
-	go h.acceptEach(func(c *net.TCPConn) {
+// newClosingReplica returns a replica that closes connections that were idle for a time, and reads nothing in the last part of that time,
+// called deaf. It sends each attempt ID that it reads to ran.
+func newClosingReplica(t *testing.T, idle, deaf time.Duration, ran chan<- string) *manualReplica {
+	manual := newManualReplica(t)
+	go manual.acceptEach(func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		for {
 			_ = c.SetReadDeadline(time.Now().Add(idle - deaf))
@@ -55,29 +55,29 @@
 				return
 			}
 			ran <- req.Header.Get("X-Attempt")
-			text, _ := say("200 OK", "", "hi")(got{req: req})
+			text, _ := respondWith("200 OK", "", "hi")(receivedRequest{req: req})
 			_, _ = io.WriteString(c, text)
 		}
 	})
-	return h
+	return manual
 }
 
-// TestRequestLostToIdleClose counts what a replica that closes idle connections costs requests that may not be repeated, with and without a
-// bound on the connections' age. Whatever is lost is called unknown, and nothing runs twice.
+// TestRequestLostToIdleClose counts how many requests that must not be sent twice are lost to a replica that closes idle connections, with
+// and without a limit on their idle time. Each lost request is reported as unknown, and none runs twice.
 func TestRequestLostToIdleClose(t *testing.T) {
 	const callers, calls, idle, deaf = 16, 12, 200 * time.Millisecond, 20 * time.Millisecond
-	for _, young := range []time.Duration{time.Hour, idle / 2} {
+	for _, idleTimeout := range []time.Duration{time.Hour, idle / 2} {
 		ran := make(chan string, callers*calls)
 		statuses := make(chan int, callers*calls)
 		for n := range callers {
-			set := proxy.Defaults()
-			set.IdleTimeoutNonIdempotent = young
-			_, addr := front(t, newStubRouter(deny, closer(t, idle, deaf, ran).place(unsafe)), set, config.Limits{})
-			u, rnd := dial(t, addr), rand.New(rand.NewPCG(uint64(n), 1))
+			settings := proxy.Defaults()
+			settings.IdleTimeoutNonIdempotent = idleTimeout
+			_, addr := startWithListener(t, newStubRouter(rejectDecision, newClosingReplica(t, idle, deaf, ran).place(onceRoute)), settings, config.Limits{})
+			client, rnd := dial(t, addr), rand.New(rand.NewPCG(uint64(n), 1))
 			go func() {
 				for i := range calls {
-					u.ask(t, "GET", fmt.Sprint("id", n, "-", i), "", "")
-					statuses <- u.answer(t, "GET").status
+					client.sendRequest(t, "GET", fmt.Sprint("id", n, "-", i), "", "")
+					statuses <- client.readResponse(t, "GET").status
 					<-time.After(time.Duration(rnd.Int64N(int64(idle * 3 / 2))))
 				}
 			}()
@@ -95,6 +95,6 @@
 			seen[id] = true
 		}
 		want(t, "answered or unknown", count[200]+count[502], callers*calls)
-		t.Logf("bound %v: %d of %d lost", young, count[502], callers*calls)
+		t.Logf("limit on the idle time %v: %d of %d requests lost", idleTimeout, count[502], callers*calls)
 	}
 }
--- a/proxy/message.go
+++ b/proxy/message.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	lastEvent   = "Last-Event-Id"
-	eventStream = "text/event-stream"
+	lastEventIDHeader = "Last-Event-Id"
+	eventStreamType   = "text/event-stream"
 )
 
-// hopByHop are the headers that concern one connection, besides those its Connection header names, and those that are written anew.
+// hopByHop are the headers that concern a single connection or that the proxy writes itself. Headers named in a Connection header come in
+// addition.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
 }
 
-func nominated(h http.Header) []string {
+// connectionHeaderNames returns the names listed in the Connection headers, which are hop-by-hop too (RFC 9110, section 7.6.1).
+func connectionHeaderNames(h http.Header) []string {
 	var names []string
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
@@ -53,50 +55,51 @@
 	return append(b, "\r\n"...)
 }
 
-// field is a header that replaces whatever the request has of its name; an empty value only takes that away.
-type field struct{ name, value string }
+// headerOverride replaces all headers of its name in the request; an empty value removes them.
+type headerOverride struct{ name, value string }
 
-// maxRewritten is how many headers are written anew, or taken away, at most.
-const maxRewritten = 7
+// maxOverrides is the maximum number of headers that are replaced or removed.
+const maxOverrides = 7
 
-type fields struct {
-	all [maxRewritten]field
+type headerOverrides struct {
+	all [maxOverrides]headerOverride
 	n   int
 }
 
-func (f *fields) set(name, value string) {
-	f.all[f.n] = field{name: name, value: value}
-	f.n++
+func (o *headerOverrides) set(name, value string) {
+	o.all[o.n] = headerOverride{name: name, value: value}
+	o.n++
 }
 
-func (f *fields) has(name string) bool {
-	for _, x := range f.all[:f.n] {
-		if x.name == name {
+func (o *headerOverrides) has(name string) bool {
+	for _, override := range o.all[:o.n] {
+		if override.name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// requestHead writes the head of a request anew.
-func requestHead(b []byte, r *http.Request, bodyLen int, set *fields) []byte {
+// requestHead appends the request line and the headers for the replica to b. It keeps the client's headers except for hop-by-hop headers
+// and overrides.
+func requestHead(b []byte, r *http.Request, bodyLen int, overrides *headerOverrides) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.RequestURI...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = addHeader(b, "Host", r.Host)
-	names := nominated(r.Header)
+	names := connectionHeaderNames(r.Header)
 	for name, values := range r.Header {
-		if set.has(name) || isHopByHop(name, names) {
+		if overrides.has(name) || isHopByHop(name, names) {
 			continue
 		}
 		for _, v := range values {
 			b = addHeader(b, name, v)
 		}
 	}
-	for _, x := range set.all[:set.n] {
-		if x.value != "" {
-			b = addHeader(b, x.name, x.value)
+	for _, override := range overrides.all[:overrides.n] {
+		if override.value != "" {
+			b = addHeader(b, override.name, override.value)
 		}
 	}
 	if bodyLen > 0 || r.ContentLength != 0 || r.Header["Content-Length"] != nil {
@@ -107,8 +110,10 @@
 	return append(b, "\r\n"...)
 }
 
-func copyHead(dst, src http.Header) {
-	names := nominated(src)
+// copyResponseHeaders copies the headers of a replica's response, without hop-by-hop headers. If the replica sent no Content-Type, it keeps
+// net/http from guessing one.
+func copyResponseHeaders(dst, src http.Header) {
+	names := connectionHeaderNames(src)
 	for name, values := range src {
 		if !isHopByHop(name, names) {
 			dst[name] = values
@@ -122,7 +127,8 @@
 	}
 }
 
+// isEventStream reports whether the response is a successful stream of server-sent events.
 func isEventStream(resp *http.Response) bool {
 	kind, _, _ := strings.Cut(first(resp.Header, "Content-Type"), ";")
-	return resp.StatusCode == http.StatusOK && strings.EqualFold(strings.TrimSpace(kind), eventStream)
+	return resp.StatusCode == http.StatusOK && strings.EqualFold(strings.TrimSpace(kind), eventStreamType)
 }
--- a/proxy/orders_test.go
+++ b/proxy/orders_test.go
@@ -10,77 +10,77 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// piece is something that a replica does on a connection while the second of two requests is due.
-type piece struct {
+// replicaStep is something that a replica does on a connection while the second of two requests is in flight.
+type replicaStep struct {
 	name string
-	// bytes are what it says; ends tells that the connection is closed after it, resets that it is reset.
-	bytes        string
-	ends, resets bool
-	// own tells that the bytes are the second request's answer, refuses that they prove that it did not run.
-	own, refuses bool
+	// output is what the replica writes. Afterwards the connection is closed if closes is set, and reset if resets is set.
+	output         string
+	closes, resets bool
+	// isResponse is set if the output is the response to the second request, provesNotRun if it proves that this request did not run.
+	isResponse, provesNotRun bool
 }
 
-func pieces() []piece {
-	first, second := got{req: idRequest("id1")}, got{req: idRequest("id2")}
-	overdue, _ := say("200 OK", "", "late")(first)
-	lateRefusal, _ := say("503 Full", "X-Not-Run: 1\r\n", "")(first)
-	answer, _ := say("200 OK", "", "two")(second)
-	refusal, _ := say("503 Full", "X-Not-Run: 1\r\n", "")(second)
-	unproved, _ := say("503 Full", "", "")(second)
-	return []piece{
-		{name: "late answer", bytes: overdue}, {name: "late refusal", bytes: lateRefusal}, {name: "early hint", bytes: "HTTP/1.1 103 Early Hints\r\n\r\n"},
-		{name: "junk", bytes: "junk\r\n\r\n"}, {name: "part", bytes: answer[:len(answer)-1], ends: true}, {name: "close", ends: true}, {name: "reset", resets: true},
-		{name: "answer", bytes: answer, own: true}, {name: "refusal", bytes: refusal, own: true, refuses: true}, {name: "503 without proof", bytes: unproved},
+func replicaSteps() []replicaStep {
+	first, second := receivedRequest{req: idRequest("id1")}, receivedRequest{req: idRequest("id2")}
+	lateResponse, _ := respondWith("200 OK", "", "late")(first)
+	lateRefusal, _ := respondWith("503 Full", "X-Not-Run: 1\r\n", "")(first)
+	response, _ := respondWith("200 OK", "", "two")(second)
+	refusal, _ := respondWith("503 Full", "X-Not-Run: 1\r\n", "")(second)
+	refusalWithoutProof, _ := respondWith("503 Full", "", "")(second)
+	return []replicaStep{
+		{name: "late response", output: lateResponse}, {name: "late refusal", output: lateRefusal}, {name: "early hint", output: "HTTP/1.1 103 Early Hints\r\n\r\n"},
+		{name: "junk", output: "junk\r\n\r\n"}, {name: "part", output: response[:len(response)-1], closes: true}, {name: "close", closes: true}, {name: "reset", resets: true},
+		{name: "response", output: response, isResponse: true}, {name: "refusal", output: refusal, isResponse: true, provesNotRun: true}, {name: "503 without proof", output: refusalWithoutProof},
 	}
 }
 
-// orders gives every order of up to most pieces; none follows the end of the connection.
-func orders(most int) [][]piece {
-	all := [][]piece{nil}
-	for from := 0; most > 0; most-- {
+// stepSequences returns every sequence of at most maxSteps steps; no step follows the end of the connection.
+func stepSequences(maxSteps int) [][]replicaStep {
+	all := [][]replicaStep{nil}
+	for from := 0; maxSteps > 0; maxSteps-- {
 		until := len(all)
 		for ; from < until; from++ {
-			o := all[from]
-			if n := len(o); n > 0 && (o[n-1].ends || o[n-1].resets) {
+			sequence := all[from]
+			if n := len(sequence); n > 0 && (sequence[n-1].closes || sequence[n-1].resets) {
 				continue
 			}
-			for _, p := range pieces() {
-				all = append(all, append(o[:len(o):len(o)], p))
+			for _, step := range replicaSteps() {
+				all = append(all, append(sequence[:len(sequence):len(sequence)], step))
 			}
 		}
 	}
 	return all
 }
 
-func (u *up) play(order []piece) {
-	for _, p := range order {
-		_, _ = u.Write([]byte(p.bytes))
+func (conn *replicaConn) play(steps []replicaStep) {
+	for _, step := range steps {
+		_, _ = conn.Write([]byte(step.output))
 		switch {
-		case p.resets:
-			u.reset()
-		case p.ends:
-			_ = u.Close()
+		case step.resets:
+			conn.reset()
+		case step.closes:
+			_ = conn.Close()
 		}
 	}
 }
 
-func nameOf(order []piece) string {
-	var all []string
-	for _, p := range order {
-		all = append(all, p.name)
+func sequenceName(steps []replicaStep) string {
+	var names []string
+	for _, step := range steps {
+		names = append(names, step.name)
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(names, ", ")
 }
 
-// TestEveryOrderOnAKeptConnection keeps a connection after one request and has the replica do anything, in any order, before and after the
-// second request is written on it. The second client gets its own answer or none; it is denied only with proof; and a request that may not
-// be repeated is read at most once.
-func TestEveryOrderOnAKeptConnection(t *testing.T) {
+// TestEveryReplicaBehaviourOnReusedConnection makes a replica act in every way, on an idle connection after the first request and after the
+// second request has been written to it. The second client must get its own response or none, and a rejection only if the replica proved
+// that the request did not run. A request that must not be sent twice is read at most once.
+func TestEveryReplicaBehaviourOnReusedConnection(t *testing.T) {
 	n := 0
-	for name, route := range map[string]*config.Route{"once": unsafe, "repeatable": safe} {
-		for _, before := range orders(1) {
-			for _, later := range orders(2) {
-				onKept(t, name+"; before: "+nameOf(before)+"; then: "+nameOf(later), route, before, later)
+	for name, route := range map[string]*config.Route{"once": onceRoute, "idempotent": idempotentRoute} {
+		for _, before := range stepSequences(1) {
+			for _, later := range stepSequences(2) {
+				checkSequence(t, name+"; before: "+sequenceName(before)+"; then: "+sequenceName(later), route, before, later)
 				n++
 				if t.Failed() {
 					return
@@ -88,68 +88,70 @@
 			}
 		}
 	}
-	t.Logf("%d orders", n)
+	t.Logf("%d sequences", n)
 }
 
-func onKept(t *testing.T, name string, route *config.Route, before, later []piece) {
-	h := newHand(t)
-	defer h.lis.Close()
-	p, addr := usual(t, newStubRouter(deny, h.place(route), h.place(route)))
-	u := dial(t, addr)
-	defer u.Close()
-	u.ask(t, "GET", "id1", "", "")
-	r := h.accept(t)
-	r.reply(t, r.request(t), "200 OK", "", "one")
-	want(t, name+": first", u.answer(t, "GET").body, "one")
-	r.play(before)
-	reads, proved, answers := make(chan struct{}, 9), make(chan bool, 9), make(chan bool, 9)
-	go serveOrder(r, later, reads, proved, answers)
+func checkSequence(t *testing.T, name string, route *config.Route, before, later []replicaStep) {
+	manual := newManualReplica(t)
+	defer manual.listener.Close()
+	p, addr := startDefault(t, newStubRouter(rejectDecision, manual.place(route), manual.place(route)))
+	client := dial(t, addr)
+	defer client.Close()
+	client.sendRequest(t, "GET", "id1", "", "")
+	conn := manual.accept(t)
+	conn.respond(t, conn.nextRequest(t), "200 OK", "", "one")
+	want(t, name+": first", client.readResponse(t, "GET").body, "one")
+	conn.play(before)
+	requests, proofs, responses := make(chan struct{}, 9), make(chan bool, 9), make(chan bool, 9)
+	go serveSequence(conn, later, requests, proofs, responses)
 	go func() {
 		for {
-			c, err := h.lis.AcceptTCP()
+			c, err := manual.listener.AcceptTCP()
 			if err != nil {
 				return
 			}
-			go serveOrder(newUp(c), later, reads, proved, answers)
+			go serveSequence(newReplicaConn(c), later, requests, proofs, responses)
 		}
 	}()
-	u.ask(t, "GET", "id2", "X-Wait-Ms: 2000\r\n", "")
-	got := u.answer(t, "GET")
+	client.sendRequest(t, "GET", "id2", "X-Wait-Ms: 2000\r\n", "")
+	got := client.readResponse(t, "GET")
 	waitIdle(t, p)
-	switch ran := len(reads); {
-	case route == unsafe && ran-len(proved) > 1:
-		t.Errorf("%s: read %d times, refused %d times", name, ran, len(proved))
-	case got.status == 200 && got.err == nil && (got.body != "two" || len(answers) == 0):
+	switch ran := len(requests); {
+	case route == onceRoute && ran-len(proofs) > 1:
+		t.Errorf("%s: read %d times, refused %d times", name, ran, len(proofs))
+	case got.status == 200 && got.err == nil && (got.body != "two" || len(responses) == 0):
 		t.Errorf("%s: got %q", name, got.body)
-	case got.status == 503 && ran > len(proved):
-		t.Errorf("%s: denied without proof", name)
+	case got.status == 503 && ran > len(proofs):
+		t.Errorf("%s: rejected without proof", name)
 	case got.status != 200 && got.status != 503 && got.status != 502 && got.status != 504:
 		t.Errorf("%s: status %d, %v", name, got.status, got.err)
 	}
 }
 
-// reads tells whether a request came.
-func (u *up) reads() bool {
-	_, err := http.ReadRequest(u.in)
+// readRequest reports whether a request arrived.
+func (conn *replicaConn) readRequest() bool {
+	_, err := http.ReadRequest(conn.reader)
 	return err == nil
 }
 
-func newUp(c *net.TCPConn) *up { return &up{TCPConn: c, in: bufio.NewReader(c)} }
+func newReplicaConn(c *net.TCPConn) *replicaConn {
+	return &replicaConn{TCPConn: c, reader: bufio.NewReader(c)}
+}
 
-// serveOrder reads a request and does what the order says; silence is ended by a close.
-func serveOrder(u *up, order []piece, reads chan<- struct{}, proved, answers chan<- bool) {
-	defer u.Close()
-	if !u.reads() {
+// serveSequence reads a request and executes the steps; at the end it closes the connection.
+func serveSequence(conn *replicaConn, steps []replicaStep, requests chan<- struct{}, proofs, responses chan<- bool) {
+	defer conn.Close()
+	if !conn.readRequest() {
 		return
 	}
-	reads <- struct{}{}
-	for _, p := range order {
-		if p.refuses {
-			proved <- true
+	requests <- struct{}{}
+	for _, step := range steps {
+		if step.provesNotRun {
+			proofs <- true
 		}
-		if p.own && !p.refuses {
-			answers <- true
+		if step.isResponse && !step.provesNotRun {
+			responses <- true
 		}
 	}
-	u.play(order)
+	conn.play(steps)
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 )
 
-// ConnectionLimitError says that this node keeps as many connections to the replica as it may, all in use.
+// ConnectionLimitError reports that this node already has the maximum number of connections to the replica and that all are in use.
 type ConnectionLimitError struct {
 	Addr  string
 	Limit int
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s: all %d connections are in use", e.Addr, e.Limit)
 }
 
-// DialError says that no connection to a replica could be opened.
+// DialError reports that no connection to a replica could be opened.
 type DialError struct {
 	Addr  string
 	Cause error
@@ -31,155 +31,166 @@
 
 func (e *DialError) Unwrap() error { return e.Cause }
 
-type key struct{ addr, instance string }
+// poolKey identifies one incarnation of a replica: connections are never shared between instances at the same address.
+type poolKey struct{ addr, instance string }
 
-type addressConns struct {
+// replicaConns are the connections to one replica instance. The newest idle connection is the last element of idle; open counts idle
+// connections and those in use.
+type replicaConns struct {
 	idle []*conn
 	open int
 }
 
-type poolState map[key]*addressConns
+type poolState map[poolKey]*replicaConns
 
-// Pool keeps connections to replicas. Whoever has received the state from owner owns it, and sends it back.
+// Pool keeps idle connections to replicas for reuse. Its state is passed through a channel of capacity 1: a goroutine that has received the
+// state owns it exclusively until it sends it back.
 type Pool struct {
-	settings Settings
-	counters *Counters
-	owner    chan poolState
-	dialer   net.Dialer
-	expiring bool
+	settings        Settings
+	counters        *Counters
+	state           chan poolState
+	dialer          net.Dialer
+	expiryScheduled bool
 }
 
-// NewPool makes an empty pool that counts in n.
-func NewPool(set Settings, n *Counters) *Pool {
-	p := &Pool{settings: set, counters: n, owner: make(chan poolState, 1)}
-	p.dialer = net.Dialer{Timeout: set.DialTimeout, KeepAlive: -1, Control: p.control}
-	p.owner <- poolState{}
+// NewPool returns an empty pool that records what it does in counters.
+func NewPool(settings Settings, counters *Counters) *Pool {
+	p := &Pool{settings: settings, counters: counters, state: make(chan poolState, 1)}
+	p.dialer = net.Dialer{Timeout: settings.DialTimeout, KeepAlive: -1, Control: p.control}
+	p.state <- poolState{}
 	return p
 }
 
+// control sets TCP_USER_TIMEOUT on a new socket.
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
 	var err error
-	ctlErr := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		if p.settings.UserTimeout > 0 {
 			err = setUserTimeout(fd, p.settings.UserTimeout)
 		}
 	})
 	if err == nil {
-		err = ctlErr
+		err = controlErr
 	}
 	return err
 }
 
-// connRequest is what a request asks of a connection.
+// connRequest describes the connection that a request needs.
 type connRequest struct {
-	key     key
-	conns   int
-	attempt string
-	// repeatable tells that the request may be repeated; where not, whoever writes it looks at the connection then.
-	repeatable bool
-	// newOnly tells that only a new connection will do.
+	replica poolKey
+	// maxConns is the maximum number of connections to the replica; 0 means no limit.
+	maxConns  int
+	attemptID string
+	// retryable is set if the request may be sent again. If not, get skips the check of whether the connection is still open, because the
+	// transfer makes it right before it writes.
+	retryable bool
+	// newOnly excludes idle connections: only a newly opened one will do.
 	newOnly bool
 }
 
-// take gives a kept connection that is still good, or a new one. One that last carried the same attempt is not taken:
-// a surplus copy of the answer to it could not be told from the answer.
-func (p *Pool) take(ctx context.Context, w connRequest) (*conn, error) {
+// get returns an idle connection that is still usable, or else a new one. An idle connection whose last request had the same attempt ID is
+// closed instead: a duplicate response to that request could not be told apart from the response to this one.
+func (p *Pool) get(ctx context.Context, want connRequest) (*conn, error) {
 	var err error
 	var c *conn
 	for {
-		c, err = p.kept(w, time.Now())
+		c, err = p.takeIdle(want, time.Now())
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
-			return p.dial(ctx, w.key)
+			return p.dial(ctx, want.replica)
 		}
-		if (w.attempt == "" || c.attempt != w.attempt) && time.Now().Before(c.usableUntil) && (!w.repeatable || c.alive()) {
+		if (want.attemptID == "" || c.lastAttemptID != want.attemptID) && time.Now().Before(c.usableUntil) && (!want.retryable || c.alive()) {
 			p.counters.Reused.Add(1)
 			return c, nil
 		}
 		p.counters.Stale.Add(1)
-		p.drop(c)
+		p.close(c)
 	}
 }
 
-// dial opens a connection that is counted already.
-func (p *Pool) dial(ctx context.Context, k key) (*conn, error) {
+// dial opens a connection that is already counted as open.
+func (p *Pool) dial(ctx context.Context, replica poolKey) (*conn, error) {
 	p.counters.Dials.Add(1)
-	nc, err := p.dialer.DialContext(ctx, "tcp", k.addr)
+	nc, err := p.dialer.DialContext(ctx, "tcp", replica.addr)
 	if err != nil {
 		p.counters.DialFails.Add(1)
-		p.leave(k)
-		return nil, trace.Wrap(&DialError{Addr: k.addr, Cause: err})
+		p.uncount(replica)
+		return nil, trace.Wrap(&DialError{Addr: replica.addr, Cause: err})
 	}
-	c, err := newConn(nc, k, p.settings.UserTimeout)
+	c, err := newConn(nc, replica, p.settings.UserTimeout)
 	if err != nil {
 		_ = nc.Close()
-		p.leave(k)
-		return nil, trace.Wrap(&DialError{Addr: k.addr, Cause: err})
+		p.uncount(replica)
+		return nil, trace.Wrap(&DialError{Addr: replica.addr, Cause: err})
 	}
 	return c, nil
 }
 
-// renew opens a connection in the place of one that is closed.
-func (p *Pool) renew(ctx context.Context, old *conn) (*conn, error) {
+// replace closes a connection and opens a new one, which takes its place in the count of open connections.
+func (p *Pool) replace(ctx context.Context, old *conn) (*conn, error) {
 	_ = old.net.Close()
 	p.counters.Stale.Add(1)
-	return p.dial(ctx, old.key)
+	return p.dial(ctx, old.replica)
 }
 
-// kept gives nothing when a new connection may be opened, which then is counted already.
-func (p *Pool) kept(w connRequest, now time.Time) (*conn, error) {
-	all := <-p.owner
-	defer func() { p.owner <- all }()
-	s := all[w.key]
-	if s == nil {
-		s = &addressConns{}
-		all[w.key] = s
+// takeIdle returns an idle connection, or nil if the caller is to open a new one, which is then already counted as open. At the connection
+// limit, the oldest idle connection is closed to make room.
+func (p *Pool) takeIdle(want connRequest, now time.Time) (*conn, error) {
+	state := <-p.state
+	defer func() { p.state <- state }()
+	conns := state[want.replica]
+	if conns == nil {
+		conns = &replicaConns{}
+		state[want.replica] = conns
 	}
-	n := len(s.idle)
+	n := len(conns.idle)
 	var c *conn
-	if n > 0 && !w.newOnly && (w.repeatable || now.Before(s.idle[n-1].safeUntil)) {
-		c, s.idle[n-1] = s.idle[n-1], nil
-		s.idle = s.idle[:n-1]
+	if n > 0 && !want.newOnly && (want.retryable || now.Before(conns.idle[n-1].usableUntilNonRetryable)) {
+		c, conns.idle[n-1] = conns.idle[n-1], nil
+		conns.idle = conns.idle[:n-1]
 		return c, nil
 	}
-	if w.conns > 0 && s.open >= w.conns {
+	if want.maxConns > 0 && conns.open >= want.maxConns {
 		if n == 0 {
 			p.counters.Capped.Add(1)
-			return nil, trace.Wrap(&ConnectionLimitError{Addr: w.key.addr, Limit: w.conns})
+			return nil, trace.Wrap(&ConnectionLimitError{Addr: want.replica.addr, Limit: want.maxConns})
 		}
-		_ = s.idle[0].net.Close()
-		s.idle = slices.Delete(s.idle, 0, 1)
+		_ = conns.idle[0].net.Close()
+		conns.idle = slices.Delete(conns.idle, 0, 1)
 		return nil, nil
 	}
-	s.open++
+	conns.open++
 	return nil, nil
 }
 
-func (p *Pool) leave(k key) {
-	all := <-p.owner
-	if s := all[k]; s != nil {
-		if s.open--; s.open <= 0 {
-			delete(all, k)
+// uncount removes a closed connection, or one that could not be opened, from the count of open connections.
+func (p *Pool) uncount(replica poolKey) {
+	state := <-p.state
+	if conns := state[replica]; conns != nil {
+		if conns.open--; conns.open <= 0 {
+			delete(state, replica)
 		}
 	}
-	p.owner <- all
+	p.state <- state
 }
 
-func (p *Pool) drop(c *conn) {
+// close closes a connection that is not idle.
+func (p *Pool) close(c *conn) {
 	_ = c.net.Close()
-	p.leave(c.key)
+	p.uncount(c.replica)
 }
 
-func (p *Pool) park(c *conn) {
+// putIdle makes a connection available to other requests, or closes it if it is too old.
+func (p *Pool) putIdle(c *conn) {
 	if !time.Now().Before(c.usableUntil) {
-		p.drop(c)
+		p.close(c)
 		return
 	}
-	all := <-p.owner
-	s := all[c.key]
-	s.idle = append(s.idle, c)
-	p.plan()
-	p.owner <- all
+	state := <-p.state
+	conns := state[c.replica]
+	conns.idle = append(conns.idle, c)
+	p.scheduleExpiry()
+	p.state <- state
 }
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func (e *Exchange) deadlinePassed(s DeadlinePassed) {
+func (e *Exchange) handleDeadlinePassed(s DeadlinePassed) {
 	if s.Unwritten && e.phase == written {
 		e.phase = connected
 	}
@@ -19,34 +19,34 @@
 	}
 }
 
-func (e *Exchange) unconnected(s ConnectFailed) {
+func (e *Exchange) handleConnectFailed(s ConnectFailed) {
 	switch {
 	case e.phase != connecting:
 	case s.AtConnectionLimit:
-		e.end(router.Refused)
+		e.endAttempt(router.Refused)
 	default:
-		e.end(router.NotSent)
+		e.endAttempt(router.NotSent)
 	}
 }
 
-func (e *Exchange) ended() {
+func (e *Exchange) handleResponseEnded() {
 	switch e.phase {
 	case draining:
-		e.end(router.Refused)
-	case passing:
-		e.end(router.Completed)
+		e.endAttempt(router.Refused)
+	case forwarding:
+		e.endAttempt(router.Completed)
 		e.finish(Completed, "", 0)
 	}
 }
 
-// promises tells whether a status says that the request did not run and never will.
-func promises(status int) bool {
+// claimsNotRun reports whether a status means that the request did not run and never will.
+func claimsNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout
 }
 
-func (e *Exchange) replied(s ResponseHeadRead) {
+func (e *Exchange) handleResponseHead(s ResponseHeadRead) {
 	if s.Mismatched {
-		e.end(router.Failed)
+		e.endAttempt(router.Failed)
 		return
 	}
 	if s.Load != nil {
@@ -58,17 +58,17 @@
 	switch {
 	case s.NotExecuted || s.Status == http.StatusMisdirectedRequest:
 		e.phase = draining
-		e.do(Action{Kind: DiscardResponse})
-	case s.CloseDelimited, s.Unsealed && s.Status/100 == 2, e.began && (!s.Stream || s.VersionMismatch), promises(s.Status):
-		e.end(router.Failed)
+		e.emit(Action{Kind: DiscardResponse})
+	case s.CloseDelimited, s.Unsealed && s.Status/100 == 2, e.responseStarted && (!s.Stream || s.VersionMismatch), claimsNotRun(s.Status):
+		e.endAttempt(router.Failed)
 	default:
-		e.phase, e.stream = passing, s.Stream
-		e.notify(router.ResponseHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: failure(s.Status)})
-		e.do(Action{Kind: ForwardResponse})
+		e.phase, e.stream = forwarding, s.Stream
+		e.notify(router.ResponseHead{Request: e.Request, AttemptID: e.Placement.AttemptID, InstanceID: cmp.Or(s.Instance, e.Placement.Instance), Failed: isReplicaFailure(s.Status)})
+		e.emit(Action{Kind: ForwardResponse})
 	}
 }
 
-// failure tells whether a status says that the replica is ill; one that only ran out of time is not.
-func failure(status int) bool {
+// isReplicaFailure reports whether a status indicates a fault of the replica. A timeout does not.
+func isReplicaFailure(status int) bool {
 	return status >= 500 && status != http.StatusGatewayTimeout
 }
--- a/proxy/retryafter_test.go
+++ b/proxy/retryafter_test.go
@@ -8,46 +8,48 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// TestEachRejectionHasRetryAfter: a request that was given up without having run is answered at once, with the time to come back.
+// TestEachRejectionHasRetryAfter checks that a request that certainly did not run is rejected at once with the time after which the client
+// may send it again.
 func TestEachRejectionHasRetryAfter(t *testing.T) {
-	closed := newHand(t).place(unsafe)
+	closed := newManualReplica(t).place(onceRoute)
 	closed.Addr = "127.0.0.1:1"
 	short := &config.Route{Timeout: 1}
 	bare := router.Decision{Verdict: router.Reject}
 	for name, c := range map[string]struct {
-		market proxy.Router
+		router proxy.Router
 		method string
 		extra  string
 		status int
 	}{
 		"refused by the router":         {newStubRouter(bare), "GET", "", 503},
 		"unreached":                     {newStubRouter(bare, closed), "GET", "", 503},
-		"no more decisions":             {ends{}, "GET", "", 503},
-		"out of time before it is sent": {newStubRouter(deny, newHand(t).place(short)), "GET", "", 503},
-		"upload out of time":            {newStubRouter(deny), "POST", "X-Wait-Ms: 20\r\nContent-Length: 9\r\n", 408},
+		"no more decisions":             {singleDecisionRouter{}, "GET", "", 503},
+		"out of time before it is sent": {newStubRouter(rejectDecision, newManualReplica(t).place(short)), "GET", "", 503},
+		"upload out of time":            {newStubRouter(rejectDecision), "POST", "X-Wait-Ms: 20\r\nContent-Length: 9\r\n", 408},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr := usual(t, c.market)
-			u := dial(t, addr)
-			u.ask(t, c.method, "id1", c.extra, "")
-			r := u.answer(t, c.method)
+			_, addr := startDefault(t, c.router)
+			client := dial(t, addr)
+			client.sendRequest(t, c.method, "id1", c.extra, "")
+			r := client.readResponse(t, c.method)
 			want(t, "status", r.status, c.status)
 			want(t, "Retry-After", r.header.Get("Retry-After"), "0.25")
 		})
 	}
 }
 
-// TestExchangeThatMayHaveRunIsNotRejected: no decision that comes after the write, and none that is missing, makes a denial of it.
-func TestExchangeThatMayHaveRunIsNotRejected(t *testing.T) {
+// TestRequestThatMayHaveRunIsNotRejected checks that neither a decision after the write nor a missing one turns a request that may have run
+// into a rejected one.
+func TestRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	for name, last := range map[string]router.Decision{
-		"denied": deny, "bad": {Verdict: router.Reject, Invalid: true}, "unknown": unknown, "placed again": {Verdict: router.Place, AttemptID: "z", Route: unsafe},
+		"rejected": rejectDecision, "invalid": {Verdict: router.Reject, Invalid: true}, "unknown": unknownDecision, "placed again": {Verdict: router.Place, AttemptID: "z", Route: onceRoute},
 	} {
 		t.Run(name, func(t *testing.T) {
-			replica := newReplica(t, func(got) (string, bool) { return "", true })
-			_, addr := usual(t, newStubRouter(last, replica.place(unsafe)))
-			u := dial(t, addr)
-			u.ask(t, "GET", "id1", "", "")
-			want(t, "status", u.answer(t, "GET").status, 502)
+			replica := newReplica(t, func(receivedRequest) (string, bool) { return "", true })
+			_, addr := startDefault(t, newStubRouter(last, replica.place(onceRoute)))
+			client := dial(t, addr)
+			client.sendRequest(t, "GET", "id1", "", "")
+			want(t, "status", client.readResponse(t, "GET").status, 502)
 		})
 	}
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// sendAndRead writes the request once and reads its answer.
+// sendAndRead writes the request to the replica and reads the head of its response. Responses that belong to an earlier request on the
+// connection are skipped where that is safe.
 func (x *transfer) sendAndRead() {
 	if s := x.send(); s != nil {
 		x.signal(s)
 		return
 	}
-	for range maxSurplus {
+	for range maxResponsesRead {
 		resp, err := x.conn.read(x.r, x.proxy.settings.MaxResponseHeadBytes)
 		if err != nil {
-			x.connectionLost(err)
+			x.reportReadFailure(err)
 			return
 		}
 		x.resp = resp
-		s := x.replied(resp)
-		if !s.Mismatched || s.CloseDelimited || x.exchange.repeatable || x.conn.hadHEAD || !x.discard() {
+		s := x.responseHead(resp)
+		if !s.Mismatched || s.CloseDelimited || x.exchange.retryable || x.conn.sentHEAD || !x.discard() {
 			x.signal(s)
 			return
 		}
@@ -32,13 +33,13 @@
 	x.signal(ConnectionLost{})
 }
 
-// maxSurplus is how many answers are read at most in search of the one that is due.
-const maxSurplus = 4
+// maxResponsesRead bounds how many responses are read while looking for the one that belongs to the request.
+const maxResponsesRead = 4
 
-// send writes the request once; where that failed it gives the signal of it. The time is read before each write, as this machine may have
-// stood still since the request was let go, or while a connection was opened.
+// send writes the request and returns the signal to report if that failed, else nil. It reads the clock before each write, because this
+// machine may have been stopped since the router permitted the request to be sent, or while a connection was being opened.
 func (x *transfer) send() Signal {
-	if x.reused && !x.fit(time.Now()) && !x.renew() {
+	if x.reused && !x.connUsable(time.Now()) && !x.reconnect() {
 		return Unwritten{}
 	}
 	for {
@@ -57,49 +58,51 @@
 		case n > 0:
 			x.disconnect()
 			return ConnectionLost{}
-		case !x.reused || !x.renew():
+		case !x.reused || !x.reconnect():
 			return Unwritten{}
 		}
 	}
 }
 
-// fit tells whether a kept connection is still to be used: it was taken before the leave to send came.
-func (x *transfer) fit(now time.Time) bool {
-	if x.exchange.repeatable {
+// connUsable reports whether a reused connection may still be used: time has passed since it was taken from the pool, as the router had to
+// permit sending first.
+func (x *transfer) connUsable(now time.Time) bool {
+	if x.exchange.retryable {
 		return now.Before(x.conn.usableUntil)
 	}
-	return now.Before(x.conn.safeUntil) && x.conn.alive()
+	return now.Before(x.conn.usableUntilNonRetryable) && x.conn.alive()
 }
 
-// write gives the request to the kernel; n is how many bytes of it the kernel took. The connection's deadline outlasts the request's.
+// write hands the request to the kernel; n is how many bytes the kernel accepted. The deadline of the connection is later than that of the
+// request by the DeadlineGrace time.
 func (x *transfer) write(now, expiry time.Time) (n int, err error) {
-	c, limit, unacked := x.conn, time.Time{}, x.proxy.settings.UserTimeout
+	c, connDeadline, userTimeout := x.conn, time.Time{}, x.proxy.settings.UserTimeout
 	if !expiry.IsZero() {
-		limit = expiry.Add(x.proxy.settings.DeadlineGrace)
+		connDeadline = expiry.Add(x.proxy.settings.DeadlineGrace)
 		if len(x.body) > x.proxy.settings.ReceiveWindow {
-			unacked = max(unacked, limit.Sub(now))
+			userTimeout = max(userTimeout, connDeadline.Sub(now))
 		}
 	}
-	x.release = context.AfterFunc(x.r.Context(), func() { _ = c.net.Close() })
-	_ = c.net.SetDeadline(limit)
-	c.attempt, c.hadHEAD = x.attempt(), c.hadHEAD || x.r.Method == http.MethodHead
-	c.setUserTimeout(unacked)
-	set := x.rewrittenHeaders(expiry.Sub(now).Milliseconds())
+	x.stopClosingOnCancel = context.AfterFunc(x.r.Context(), func() { _ = c.net.Close() })
+	_ = c.net.SetDeadline(connDeadline)
+	c.lastAttemptID, c.sentHEAD = x.attemptID(), c.sentHEAD || x.r.Method == http.MethodHead
+	c.setUserTimeout(userTimeout)
+	overrides := x.overrides(expiry.Sub(now).Milliseconds())
 	head := getBuffer()
 	defer putBuffer(head)
-	head.b = requestHead(head.b, x.r, len(x.body), &set)
+	head.b = requestHead(head.b, x.r, len(x.body), &overrides)
 	return c.write(head, x.body)
 }
 
-// renew puts a new connection in the place of a kept one to which nothing could be written.
-func (x *transfer) renew() bool {
-	if x.release != nil {
-		x.release()
-		x.release = nil
+// reconnect replaces a reused connection that can't be written to by a new one.
+func (x *transfer) reconnect() bool {
+	if x.stopClosingOnCancel != nil {
+		x.stopClosingOnCancel()
+		x.stopClosingOnCancel = nil
 	}
 	old := x.conn
 	x.conn, x.reused = nil, false
-	c, err := x.proxy.pool.renew(x.r.Context(), old)
+	c, err := x.proxy.pool.replace(x.r.Context(), old)
 	if err != nil {
 		x.proxy.Counters.Unwritten.Add(1)
 		return false
@@ -108,40 +111,40 @@
 	return true
 }
 
-// rewrittenHeaders gives the headers that are written anew; left is how many milliseconds the request has.
-func (x *transfer) rewrittenHeaders(left int64) fields {
-	h, d := &x.proxy.headers, &x.exchange.Placement
-	var set fields
-	if h.Credential != "" {
-		set.set(h.Credential, "")
+// overrides returns the headers that the proxy sets or removes; leftMs is the remaining time of the request in milliseconds.
+func (x *transfer) overrides(leftMs int64) headerOverrides {
+	names, placement := &x.proxy.headers, &x.exchange.Placement
+	var overrides headerOverrides
+	if names.Credential != "" {
+		overrides.set(names.Credential, "")
 	}
-	if h.Tenant != "" {
-		set.set(h.Tenant, d.Tenant)
+	if names.Tenant != "" {
+		overrides.set(names.Tenant, placement.Tenant)
 	}
-	if d.Instance != "" && h.TargetInstance != "" {
-		set.set(h.TargetInstance, d.Instance)
+	if placement.Instance != "" && names.TargetInstance != "" {
+		overrides.set(names.TargetInstance, placement.Instance)
 	}
 	if !x.deadline.IsZero() {
-		set.set(h.Deadline, strconv.FormatInt(left, 10))
+		overrides.set(names.Deadline, strconv.FormatInt(leftMs, 10))
 	}
-	if d.Route != nil && h.Priority != "" && x.r.Header[h.Priority] == nil {
-		set.set(h.Priority, strconv.Itoa(d.Priority))
+	if placement.Route != nil && names.Priority != "" && x.r.Header[names.Priority] == nil {
+		overrides.set(names.Priority, strconv.Itoa(placement.Priority))
 	}
 	if x.resumes() {
-		set.set(lastEvent, x.events.LastID)
+		overrides.set(lastEventIDHeader, x.events.LastID)
 	}
 	if version := x.expectedVersion(); version != "" {
-		set.set(h.ExpectedVersion, version)
+		overrides.set(names.ExpectedVersion, version)
 	}
-	return set
+	return overrides
 }
 
-// resumes tells whether the attempt is to go on behind the last event that the client has.
+// resumes reports whether this attempt is to continue a stream after the last event that the client has.
 func (x *transfer) resumes() bool {
-	return x.exchange.Placement.Resumes && x.headed && x.events.LastID != ""
+	return x.exchange.Placement.Resumes && x.headWritten && x.events.LastID != ""
 }
 
-// expectedVersion is the weights' version that the replica must have to go on; empty where any will do.
+// expectedVersion returns the weights version that the replica needs to continue the stream, or an empty string if any will do.
 func (x *transfer) expectedVersion() string {
 	if !x.resumes() || x.proxy.headers.ExpectedVersion == "" {
 		return ""
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -14,34 +14,34 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// connListener is a listener that is handed its connections.
+// connListener is a net.Listener that returns connections accepted elsewhere.
 type connListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  chan struct{}
-	// replaced tells that the limits changed and another listener is handed the connections from now on.
+	// replaced is closed when the limits have changed and another listener receives the connections from now on.
 	replaced chan struct{}
 }
 
-func (f *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	var c net.Conn
 	select {
-	case c = <-f.conns:
+	case c = <-l.conns:
 		return c, nil
-	case <-f.done:
-	case <-f.replaced:
+	case <-l.done:
+	case <-l.replaced:
 	}
 	return nil, net.ErrClosed
 }
 
 func (*connListener) Close() error { return nil }
 
-func (f *connListener) Addr() net.Addr { return f.addr }
+func (l *connListener) Addr() net.Addr { return l.addr }
 
-func server(p *Proxy, l config.Limits) *http.Server {
+func newServer(p *Proxy, l config.Limits) *http.Server {
 	return &http.Server{
 		Handler: p, ReadHeaderTimeout: cmp.Or(l.Header, defaultHeaderTimeout), IdleTimeout: cmp.Or(l.Idle, defaultIdleTimeout), MaxHeaderBytes: l.HeaderBytes,
-		DisableGeneralOptionsHandler: true, ErrorLog: log.New(io.Discard, "", 0), ConnContext: withClient, ConnState: connState,
+		DisableGeneralOptionsHandler: true, ErrorLog: log.New(io.Discard, "", 0), ConnContext: contextWithClient, ConnState: connState,
 	}
 }
 
@@ -49,41 +49,45 @@
 	acceptPause          = 5 * time.Millisecond
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = time.Minute
-	// keepMargin is for a request that is on its way when its connection's idle time ends.
-	keepMargin = 500 * time.Millisecond
+	// keepAliveMargin is how much earlier than the idle timeout a client should stop using a connection, for requests that are on their way
+	// when the timeout ends.
+	keepAliveMargin = 500 * time.Millisecond
 )
 
-// keepAlive gives the Keep-Alive value for connections that may be idle for d: whole seconds, or nothing where there are none.
-func keepAlive(d time.Duration) []string {
+// keepAliveHeader returns the Keep-Alive header for connections that may be idle for d, in whole seconds, or nil if less than one second is
+// left after the margin.
+func keepAliveHeader(d time.Duration) []string {
 	var value []string
-	if secs := (d - keepMargin) / time.Second; secs > 0 {
+	if secs := (d - keepAliveMargin) / time.Second; secs > 0 {
 		value = []string{"timeout=" + strconv.Itoa(int(secs))}
 	}
 	return value
 }
 
-// Serve takes clients' connections until the tomb dies. A connection keeps the limits of the time it came, but for that of bodies, which is read for
-// each request; see LimitsChanged.
-func Serve(t *tomb.Tomb, lis net.Listener, p *Proxy, limits func() config.Limits) {
+// Serve accepts connections from clients until the tomb dies. A connection keeps the limits that were in force when it was accepted, except
+// the limit of body bytes, which is read for each request; see LimitsChanged.
+func Serve(t *tomb.Tomb, listener net.Listener, p *Proxy, limits func() config.Limits) {
 	t.Go(func() error {
 		<-t.Dying()
-		_ = lis.Close()
+		_ = listener.Close()
 		return nil
 	})
 	t.Go(func() error {
-		accept(t, lis, p, limits)
+		acceptConnections(t, listener, p, limits)
 		return nil
 	})
 }
 
-func accept(t *tomb.Tomb, lis net.Listener, p *Proxy, limits func() config.Limits) {
-	var now config.Limits
-	var in *connListener
-	var keep []string
+// acceptConnections passes each connection to an HTTP server with the current limits. When the limits change, it starts another server; the
+// old one continues to serve its connections.
+func acceptConnections(t *tomb.Tomb, listener net.Listener, p *Proxy, limits func() config.Limits) {
+	var current config.Limits
+	var handoff *connListener
+	var keepAlive []string
 	done := make(chan struct{})
 	defer close(done)
 	for {
-		c, err := lis.Accept()
+		c, err := listener.Accept()
 		if err != nil && !t.Alive() {
 			return
 		}
@@ -91,20 +95,20 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		if l := limits(); in == nil || l != now {
-			if in != nil {
-				close(in.replaced)
+		if l := limits(); handoff == nil || l != current {
+			if handoff != nil {
+				close(handoff.replaced)
 			}
-			now, in = l, &connListener{addr: lis.Addr(), conns: make(chan net.Conn), done: done, replaced: make(chan struct{})}
-			s, f := server(p, l), in
-			keep = keepAlive(s.IdleTimeout)
+			current, handoff = l, &connListener{addr: listener.Addr(), conns: make(chan net.Conn), done: done, replaced: make(chan struct{})}
+			server, conns := newServer(p, l), handoff
+			keepAlive = keepAliveHeader(server.IdleTimeout)
 			t.Go(func() error {
-				_ = s.Serve(f)
+				_ = server.Serve(conns)
 				<-done
-				_ = s.Close()
+				_ = server.Close()
 				return nil
 			})
 		}
-		in.conns <- p.accept(c, keep, now)
+		handoff.conns <- p.accept(c, keepAlive, current)
 	}
 }
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// maxAdmission bounds how long a process that shuts down still admits requests. The platform asks for readiness each second and takes a
-// machine out at the second miss in a row, so new connections come for about as long.
+// maxAdmission bounds how long a process that shuts down still admits requests. The platform checks readiness every second and takes a
+// machine out of service after two failed checks in a row, so new connections keep coming for about that long.
 const maxAdmission = 2 * time.Second
 
 // ShutdownSchedule divides the grace period of a process, the time from SIGTERM until it is killed, into phases.
 type ShutdownSchedule struct {
-	// Grace is the grace period of the settings.
+	// Grace is the configured grace period.
 	Grace time.Duration
 }
 
-// AdmitFor is how long after SIGTERM requests are still admitted.
+// AdmitFor returns how long after SIGTERM new requests are still admitted.
 func (s ShutdownSchedule) AdmitFor() time.Duration { return min(s.Grace/4, maxAdmission) }
 
-// LeaveAfter is how long after SIGTERM the node gives up what it does for others.
+// LeaveAfter returns how long after SIGTERM the node gives up its tasks for other nodes.
 func (s ShutdownSchedule) LeaveAfter() time.Duration { return s.Grace * 3 / 5 }
 
-// ExitAfter is how long after SIGTERM the process ends, with or without requests in flight.
+// ExitAfter returns how long after SIGTERM the process exits, with or without requests in flight.
 func (s ShutdownSchedule) ExitAfter() time.Duration { return s.Grace - s.Grace/10 }
 
-// Admits tells whether a request that comes so long after SIGTERM is admitted: only if it ends before the process does. Remaining is the
-// time that its client waits; 0 where that is unknown, and then the request may take any time.
+// Admits reports whether a request is admitted that arrives elapsed after SIGTERM: only if it is sure to end before the process exits. The
+// parameter remaining is how long the client still waits for the response; 0 means unknown, and such a request is rejected because it may
+// take any time.
 func (s ShutdownSchedule) Admits(elapsed, remaining time.Duration) bool {
 	return elapsed < s.AdmitFor() && remaining > 0 && elapsed+remaining <= s.ExitAfter()
 }
 
-// shutdown is the state of a proxy whose process was told to end; begun at most once.
+// shutdown is the state of a proxy whose process has been told to exit. It is set at most once.
 type shutdown struct {
 	started  time.Time
 	schedule ShutdownSchedule
 }
 
-// ShuttingDownError says that the process ends before the request would surely have ended.
+// ShuttingDownError reports that the process may exit before the request would have ended.
 type ShuttingDownError struct{}
 
 func (*ShuttingDownError) Error() string { return "shutting down" }
 
-// shutdownRetryAfter is when a client that is sent to another machine may ask there.
+// shutdownRetryAfter is the Retry-After time for a client that should send its request to another machine.
 const shutdownRetryAfter = 10 * time.Millisecond
 
-// admit refuses a request that a process in shutdown can't be sure to finish.
+// admit returns a ShuttingDownError if the process is shutting down and the request might not end in time. A nil shutdown admits every
+// request; a zero deadline means that the client named none.
 func (s *shutdown) admit(now, deadline time.Time) error {
 	var remaining time.Duration
 	if !deadline.IsZero() {
@@ -53,19 +55,21 @@
 	return &ShuttingDownError{}
 }
 
-// Shutdown lets clients take their next requests elsewhere: each answer closes its connection, connections on which nothing comes are
-// closed after the linger time, those in use as they fall idle. Of the requests that come all the same, those are served that end within
-// the grace period and come early in it; others are answered at once with 503 and Retry-After, unread.
+// Shutdown makes clients move to other machines. Every response from now on closes its connection. After the ShutdownLinger time idle
+// connections are closed at once, and connections in use as soon as they become idle. A request that arrives meanwhile is served if it
+// arrives early in the grace period and its deadline lies within it; any other gets a 503 with Retry-After immediately, and its body is not
+// read.
 func (p *Proxy) Shutdown(grace time.Duration) {
 	p.shutdown.Store(&shutdown{started: time.Now(), schedule: ShutdownSchedule{Grace: grace}})
 	time.AfterFunc(p.settings.ShutdownLinger, p.closeIdle)
 }
 
+// closeIdle closes all idle client connections and makes the others close when they become idle.
 func (p *Proxy) closeIdle() {
 	p.closing.Store(true)
-	all := <-p.clients
-	for c := range all {
+	clients := <-p.clients
+	for c := range clients {
 		c.closeIdle()
 	}
-	p.clients <- all
+	p.clients <- clients
 }
--- a/proxy/splits_test.go
+++ b/proxy/splits_test.go
@@ -8,8 +8,9 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// TestEventsSplitAtEveryByte cuts a stream at each byte, takes it up at a replica that goes on after the last id, or earlier, cuts that one at
-// each byte too, and goes on with a third: the client gets each event once, in order, whichever line ends are used.
+// TestEventsSplitAtEveryByte cuts a stream at each byte, resumes it at a replica that continues after the last id or starts earlier, cuts
+// that response at each byte too, and completes the stream at a third replica: the client must get each event once and in order, for all
+// line ends.
 func TestEventsSplitAtEveryByte(t *testing.T) {
 	runs := 0
 	for _, end := range []string{"\n", "\r\n", "\r"} {
@@ -19,18 +20,19 @@
 			for skipped := range len(events) {
 				rest := strings.Join(events[skipped:], "")
 				for second := range len(rest) + 1 {
-					if splitTwice(t, events, complete[:first], skipped, rest[:second]) {
+					if deliversEachEventOnce(t, events, complete[:first], skipped, rest[:second]) {
 						runs++
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%d runs", runs)
+	t.Logf("%d pairs of cuts", runs)
 }
 
-// splitTwice tells whether the second replica may begin after so many events: not after one that the client lacks.
-func splitTwice(t *testing.T, events []string, first string, skipped int, second string) bool {
+// deliversEachEventOnce checks one pair of cuts. It returns false for an impossible case: a second replica that would skip events the
+// client lacks.
+func deliversEachEventOnce(t *testing.T, events []string, first string, skipped int, second string) bool {
 	t.Helper()
 	e, out := proxy.EventStream{MaxEventBytes: 1 << 10}, ""
 	take := func(text string) {
@@ -50,13 +52,13 @@
 	e.StartResponse("")
 	take(strings.Join(events[last:], ""))
 	out += string(e.Remaining())
-	if strip(out) != strip(strings.Join(events, "")) {
+	if normalizeLineEnds(out) != normalizeLineEnds(strings.Join(events, "")) {
 		t.Fatalf("%q, then %q from %d: became %q", first, second, skipped, out)
 	}
 	return true
 }
 
-// strip leaves line feeds alone: one that a cut left out is no loss.
-func strip(text string) string {
+// normalizeLineEnds leaves only line feeds: a cut may drop the LF of a CR LF, which loses nothing.
+func normalizeLineEnds(text string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(text, "\r\n", "\n"), "\r", "\n")
 }
