--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -11,100 +11,107 @@
 )
 
 var (
-	statesDepth    = flag.Int("states-depth", 60, "most events of an order that TestExchangeStates looks at")
-	statesAttempts = flag.Int("states-attempts", 8, "most attempts in such an order")
+	statesDepth    = flag.Int("states-depth", 60, "maximum number of inputs in a sequence that TestExchangeStates checks")
+	statesAttempts = flag.Int("states-attempts", 8, "maximum number of attempts in such a sequence")
 )
 
-// replicaTruth is what became of one attempt at its replica.
-type replicaTruth uint8
+// attemptTruth is what actually happened to an attempt at its replica, as opposed to what the exchange has recorded.
+type attemptTruth uint8
 
 const (
-	truthUntouched replicaTruth = iota
+	truthUntouched attemptTruth = iota
 	truthMayRun
 	truthRefused
 )
 
-// world is the exchange with all that is known of replicas, client and clock. It is compared whole, so that equal worlds are visited once.
+// world is the state of the exchange together with the actual state of replicas, client and clock. Worlds are compared as a whole, so that
+// equal ones are visited once.
 type world struct {
-	exchange      exchangeKey
-	attempts      uint8
-	open          bool
-	mayRun        bool
-	current       replicaTruth
-	passingStream bool
-	clientHas     content
-	finishes      uint8
-	late          bool
-	sends         uint8
+	exchange exchangeState
+	// attempts counts placements. connected is set while the exchange has a connection.
+	attempts  uint8
+	connected bool
+	// mayRun is set if an earlier attempt may have run; current is what happened to the current attempt.
+	mayRun           bool
+	current          attemptTruth
+	forwardingStream bool
+	clientHas        clientContent
+	// finalActions counts Finish actions. sendPermitted is 1 if the router has permitted the current attempt to be sent.
+	finalActions   uint8
+	deadlinePassed bool
+	sendPermitted  uint8
 }
 
-// content is what the client holds of the answer.
-type content uint8
+// clientContent is the kind of response that the client has received a part of.
+type clientContent uint8
 
 const (
-	contentNone content = iota
+	contentNone clientContent = iota
 	contentStream
-	contentFlat
+	contentNonStream
 )
 
-// exchangeKey is the state of an Exchange without its buffers.
-type exchangeKey struct {
-	place                                    placeKey
-	stuck, stream, flat, began, mayRun, over bool
-	phase                                    phase
+// exchangeState is the state of an Exchange without its buffers.
+type exchangeState struct {
+	placement                                                                             placementState
+	cannotResume, stream, nonStreamForwarded, responseStarted, mayHaveRunBefore, finished bool
+	phase                                                                                 phase
 }
 
-type placeKey struct {
-	attempt string
-	resumes bool
+type placementState struct {
+	attemptID string
+	resumes   bool
 }
 
-// node is a world, and how it was reached.
-type node struct {
-	w      world
+// visitedWorld is a world with the input that led to it and the index of the world before.
+type visitedWorld struct {
+	world  world
 	parent int
-	event  string
+	input  string
 }
 
-// event is one thing that may happen in a world; apply gives the moves, or false where it cannot happen there.
-type event struct {
+// input is something that may happen to the exchange. The apply function returns the actions of the exchange, or false if the input can't
+// occur in this world.
+type input struct {
 	name  string
 	apply func(e *Exchange, w *world) ([]Action, bool)
 }
 
+// restore returns an Exchange in the state that save recorded.
 func (w *world) restore(route *config.Route) Exchange {
-	k := w.exchange
-	e := Exchange{Request: "q", CannotResume: k.stuck, stream: k.stream, flat: k.flat, began: k.began, mayHaveRunBefore: k.mayRun, over: k.over, phase: k.phase, placed: true, repeatable: mayRepeat(route)}
-	e.Placement = router.Decision{AttemptID: k.place.attempt, Resumes: k.place.resumes, Route: route}
+	state := w.exchange
+	e := Exchange{Request: "q", CannotResume: state.cannotResume, stream: state.stream, nonStreamForwarded: state.nonStreamForwarded, responseStarted: state.responseStarted, mayHaveRunBefore: state.mayHaveRunBefore, finished: state.finished, phase: state.phase, placed: true, retryable: isRetryable(route)}
+	e.Placement = router.Decision{AttemptID: state.placement.attemptID, Resumes: state.placement.resumes, Route: route}
 	return e
 }
 
-func (w *world) keep(e *Exchange) {
-	w.exchange = exchangeKey{
-		place: placeKey{attempt: e.Placement.AttemptID, resumes: e.Placement.Resumes}, stuck: e.CannotResume, stream: e.stream, flat: e.flat, began: e.began,
-		mayRun: e.mayHaveRunBefore, over: e.over, phase: e.phase,
+func (w *world) save(e *Exchange) {
+	w.exchange = exchangeState{
+		placement: placementState{attemptID: e.Placement.AttemptID, resumes: e.Placement.Resumes}, cannotResume: e.CannotResume, stream: e.stream, nonStreamForwarded: e.nonStreamForwarded, responseStarted: e.responseStarted,
+		mayHaveRunBefore: e.mayHaveRunBefore, finished: e.finished, phase: e.phase,
 	}
 }
 
-func signal(name string, s Signal) event {
-	return event{name, func(e *Exchange, w *world) ([]Action, bool) {
-		if !possible(w, s) {
+// signalInput returns the input that delivers the signal s.
+func signalInput(name string, s Signal) input {
+	return input{name, func(e *Exchange, w *world) ([]Action, bool) {
+		if !mayHappen(w, s) {
 			return nil, false
 		}
 		return e.HandleSignal(s), true
 	}}
 }
 
-// possible keeps deadlines to the clock. Everything else may come at any moment, also where the transfer would not let it.
-func possible(w *world, s Signal) bool {
-	_, overdue := s.(DeadlinePassed)
-	return w.late || !overdue
+// mayHappen restricts DeadlinePassed to worlds whose clock has passed the deadline. All other signals may come at any time, even those that
+// the transfer would never send then.
+func mayHappen(w *world, s Signal) bool {
+	_, isDeadline := s.(DeadlinePassed)
+	return w.deadlinePassed || !isDeadline
 }
 
-// decided are decisions: placed, placed again, from the start or after the last event, let go, called back, refused, given up.
-// decided is the event that the router decides d.
-func decided(name string, d router.Decision) event {
-	return event{name, func(e *Exchange, w *world) ([]Action, bool) {
+// decisionInput returns the input that delivers the decision d with the attempt ID that fits. Each placement starts a new attempt.
+func decisionInput(name string, d router.Decision) input {
+	return input{name, func(e *Exchange, w *world) ([]Action, bool) {
 		d := d
 		switch d.Verdict {
 		case router.Place:
@@ -118,7 +125,7 @@
 				d.AttemptID = e.Placement.AttemptID
 			}
 			if d.AttemptID == e.Placement.AttemptID {
-				w.sends = 1
+				w.sendPermitted = 1
 			}
 		case router.CancelBeforeSend:
 			d.AttemptID = e.Placement.AttemptID
@@ -127,48 +134,48 @@
 	}}
 }
 
-func routerEvents() []event {
-	return []event{
-		decided("placed", router.Decision{Verdict: router.Place}),
-		decided("placed to go on", router.Decision{Verdict: router.Place, Resumes: true}),
-		decided("let go", router.Decision{Verdict: router.Send}),
-		decided("another let go", router.Decision{Verdict: router.Send, AttemptID: "go0"}),
-		decided("called back", router.Decision{Verdict: router.CancelBeforeSend}),
-		decided("denied", router.Decision{Verdict: router.Reject}),
-		decided("no route", router.Decision{Verdict: router.Reject, Invalid: true}),
-		decided("denied as a repeat", router.Decision{Verdict: router.Reject, Repeat: true}),
-		decided("given up", router.Decision{Verdict: router.Unknown}),
-		{"router ends", func(e *Exchange, _ *world) ([]Action, bool) { return e.HandleRouterClosed(), true }},
+func routerInputs() []input {
+	return []input{
+		decisionInput("placed", router.Decision{Verdict: router.Place}),
+		decisionInput("placed to resume", router.Decision{Verdict: router.Place, Resumes: true}),
+		decisionInput("send", router.Decision{Verdict: router.Send}),
+		decisionInput("send for another attempt", router.Decision{Verdict: router.Send, AttemptID: "go0"}),
+		decisionInput("canceled before send", router.Decision{Verdict: router.CancelBeforeSend}),
+		decisionInput("rejected", router.Decision{Verdict: router.Reject}),
+		decisionInput("no route", router.Decision{Verdict: router.Reject, Invalid: true}),
+		decisionInput("rejected as a repeat", router.Decision{Verdict: router.Reject, Repeat: true}),
+		decisionInput("given up", router.Decision{Verdict: router.Unknown}),
+		{"no more decisions", func(e *Exchange, _ *world) ([]Action, bool) { return e.HandleRouterClosed(), true }},
 	}
 }
 
-func connectionEvents() []event {
-	var all []event
+func connectionInputs() []input {
+	var all []input
 	for _, v := range []struct {
 		name string
 		s    Signal
 	}{
 		{"connected", Connected{}}, {"unreached", ConnectFailed{}}, {"no connection free", ConnectFailed{AtConnectionLimit: true}}, {"reset before the write", Unwritten{}},
-		{"answer", ResponseHeadRead{Status: 200}}, {"stream", ResponseHeadRead{Status: 200, Stream: true}}, {"failure", ResponseHeadRead{Status: 500}},
+		{"response", ResponseHeadRead{Status: 200}}, {"stream", ResponseHeadRead{Status: 200, Stream: true}}, {"failure", ResponseHeadRead{Status: 500}},
 		{"503 with proof", ResponseHeadRead{Status: 503, NotExecuted: true}}, {"503 without proof", ResponseHeadRead{Status: 503}}, {"421", ResponseHeadRead{Status: 421}},
-		{"408 without proof", ResponseHeadRead{Status: 408}}, {"429 without proof", ResponseHeadRead{Status: 429}}, {"another's answer", ResponseHeadRead{Status: 200, Mismatched: true}},
+		{"408 without proof", ResponseHeadRead{Status: 408}}, {"429 without proof", ResponseHeadRead{Status: 429}}, {"another's response", ResponseHeadRead{Status: 200, Mismatched: true}},
 		{"another's refusal", ResponseHeadRead{Status: 503, Mismatched: true, NotExecuted: true}}, {"another's 421", ResponseHeadRead{Status: 421, Mismatched: true}},
-		{"answer without length", ResponseHeadRead{Status: 200, CloseDelimited: true}}, {"answer without seal", ResponseHeadRead{Status: 200, Unsealed: true}},
+		{"response without length", ResponseHeadRead{Status: 200, CloseDelimited: true}}, {"response without seal", ResponseHeadRead{Status: 200, Unsealed: true}},
 		{"first bytes", ResponseStarted{}}, {"end", ResponseEnded{}}, {"reset", ConnectionLost{}}, {"client closes", ClientDisconnected{}},
 		{"time over", DeadlinePassed{}}, {"time over before the write", DeadlinePassed{Unwritten: true}},
 	} {
-		all = append(all, signal(v.name, v.s))
+		all = append(all, signalInput(v.name, v.s))
 	}
 	return append(all,
-		event{"clock passes the deadline", func(_ *Exchange, w *world) ([]Action, bool) {
-			if w.late {
+		input{"clock passes the deadline", func(_ *Exchange, w *world) ([]Action, bool) {
+			if w.deadlinePassed {
 				return nil, false
 			}
-			w.late = true
+			w.deadlinePassed = true
 			return nil, true
 		}},
-		event{"event without an id is passed on", func(e *Exchange, _ *world) ([]Action, bool) {
-			if e.phase != passing || !e.began || e.CannotResume {
+		input{"event without an id is forwarded", func(e *Exchange, _ *world) ([]Action, bool) {
+			if e.phase != forwarding || !e.responseStarted || e.CannotResume {
 				return nil, false
 			}
 			e.CannotResume = true
@@ -177,31 +184,31 @@
 	)
 }
 
-// wayTo tells how a world was reached.
-func wayTo(nodes []node, at int) string {
+// inputsTo returns the names of the inputs that lead to a world.
+func inputsTo(worlds []visitedWorld, at int) string {
 	var steps []string
-	for ; at > 0; at = nodes[at].parent {
-		steps = append([]string{nodes[at].event}, steps...)
+	for ; at > 0; at = worlds[at].parent {
+		steps = append([]string{worlds[at].input}, steps...)
 	}
 	return strings.Join(steps, " > ")
 }
 
 var statesRoutes = map[string]*config.Route{
-	"once": {}, "repeatable": {Repeatable: true}, "stream": {Streaming: true}, "stream to be taken up": {Streaming: true, Resumable: true},
-	"repeatable stream": {Streaming: true, Repeatable: true},
+	"once": {}, "idempotent": {Repeatable: true}, "stream": {Streaming: true}, "resumable stream": {Streaming: true, Resumable: true},
+	"idempotent stream": {Streaming: true, Repeatable: true},
 }
 
-// TestExchangeStates looks at every order of events to a depth, for each kind of route.
+// TestExchangeStates checks the rules in checkStep for every sequence of inputs up to a depth, for each kind of route.
 func TestExchangeStates(t *testing.T) {
 	for name, route := range statesRoutes {
 		t.Run(name, func(t *testing.T) {
 			x := explore(route, *statesDepth)
-			if x.breach != "" {
-				t.Fatal(x.breach)
+			if x.violation != "" {
+				t.Fatal(x.violation)
 			}
-			t.Logf("%d states, %d steps, none new after %d events", x.states, x.steps, x.depth)
+			t.Logf("%d states, %d steps, none new after %d inputs", x.states, x.steps, x.depth)
 			if x.depth == *statesDepth {
-				t.Errorf("not all: %d events were not enough", x.depth)
+				t.Errorf("not all states were visited: %d inputs were not enough", x.depth)
 			}
 		})
 	}
--- a/proxy/statesexplore_test.go
+++ b/proxy/statesexplore_test.go
@@ -2,56 +2,57 @@
 
 import "github.com/mallowbridge/mallowbridge/config"
 
-// An exploration is what explore saw: breach is the first broken rule, with the shortest order of events that leads to it, or "".
+// exploration is the result of explore. The violation is the first rule that was broken, with the shortest sequence of inputs that leads to
+// it, or empty.
 type exploration struct {
 	states, steps, depth int
-	breach               string
+	violation            string
 }
 
-// explore looks at every order of events to the depth. It ends sooner where no world is new.
+// explore visits every state that any sequence of at most depth inputs reaches. It ends earlier once no input leads to a new state.
 func explore(route *config.Route, depth int) exploration {
-	x := explorer{route: route, events: append(routerEvents(), connectionEvents()...), nodes: []node{{}}, seen: map[world]bool{{}: true}}
-	deepest := 0
-	for from := 0; deepest < depth && from < len(x.nodes); deepest++ {
-		until := len(x.nodes)
+	x := explorer{route: route, inputs: append(routerInputs(), connectionInputs()...), visited: []visitedWorld{{}}, seen: map[world]bool{{}: true}}
+	depthReached := 0
+	for from := 0; depthReached < depth && from < len(x.visited); depthReached++ {
+		until := len(x.visited)
 		for at := from; at < until; at++ {
-			if breach := x.expand(at); breach != "" {
-				return exploration{states: len(x.nodes), steps: x.steps, depth: deepest, breach: breach}
+			if violation := x.expand(at); violation != "" {
+				return exploration{states: len(x.visited), steps: x.steps, depth: depthReached, violation: violation}
 			}
 		}
 		from = until
 	}
-	return exploration{states: len(x.nodes), steps: x.steps, depth: deepest}
+	return exploration{states: len(x.visited), steps: x.steps, depth: depthReached}
 }
 
 // explorer visits the states of an exchange, each once.
 type explorer struct {
-	route  *config.Route
-	events []event
-	nodes  []node
-	seen   map[world]bool
-	steps  int
+	route   *config.Route
+	inputs  []input
+	visited []visitedWorld
+	seen    map[world]bool
+	steps   int
 }
 
-// expand applies each event to a state. It says what rule a step broke, and by which way, or "".
+// expand applies each input to a state. It returns the rule that a step broke, with the inputs that lead to it, or an empty string.
 func (x *explorer) expand(at int) string {
-	for _, v := range x.events {
-		w := x.nodes[at].w
+	for _, in := range x.inputs {
+		w := x.visited[at].world
 		e := w.restore(x.route)
 		before := e.phase
-		actions, happens := v.apply(&e, &w)
+		actions, happens := in.apply(&e, &w)
 		if !happens {
 			continue
 		}
 		x.steps++
-		why := w.judge(&e, x.route, before, v.name, actions)
-		w.keep(&e)
-		if why != "" {
-			return why + ": " + wayTo(append(x.nodes, node{w, at, v.name}), len(x.nodes))
+		violation := w.checkStep(&e, x.route, before, in.name, actions)
+		w.save(&e)
+		if violation != "" {
+			return violation + ": " + inputsTo(append(x.visited, visitedWorld{w, at, in.name}), len(x.visited))
 		}
 		if !x.seen[w] {
 			x.seen[w] = true
-			x.nodes = append(x.nodes, node{w, at, v.name})
+			x.visited = append(x.visited, visitedWorld{w, at, in.name})
 		}
 	}
 	return ""
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -7,98 +7,98 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// replies tells what an answer proves: whether it is this request's, and whether it says that nothing ran.
-func replies(name string) (accepted, refuses bool) {
+// responseProves returns whether the named response belongs to this request and whether it proves that the request did not run.
+func responseProves(name string) (accepted, refuses bool) {
 	accepted = !strings.HasPrefix(name, "another's")
 	return accepted, accepted && (name == "503 with proof" || name == "421")
 }
 
-// judge carries the moves of one step out in the world, and gives the rule that they break, if any.
-func (w *world) judge(e *Exchange, route *config.Route, before phase, name string, actions []Action) string {
-	if w.finishes > 0 && len(actions) > 0 {
-		return "moves after the final answer"
+// checkStep applies the actions of one step to the world. It returns the rule that they break, or an empty string.
+func (w *world) checkStep(e *Exchange, route *config.Route, before phase, name string, actions []Action) string {
+	if w.finalActions > 0 && len(actions) > 0 {
+		return "actions after the final response"
 	}
 	if before == written && w.current == truthMayRun {
-		switch _, refuses := replies(name); {
+		switch _, refuses := responseProves(name); {
 		case refuses:
 			w.current = truthRefused
 		case name == "reset before the write", name == "time over before the write":
 			w.current = truthUntouched
 		}
 	}
-	for _, m := range actions {
-		if breach := w.applyAction(route, before, name, m); breach != "" {
-			return breach
+	for _, action := range actions {
+		if violation := w.applyAction(route, before, name, action); violation != "" {
+			return violation
 		}
 	}
-	if name == "first bytes" && before == passing && w.finishes == 0 {
-		w.received()
+	if name == "first bytes" && before == forwarding && w.finalActions == 0 {
+		w.responseReceived()
 	}
-	if e.Finished() != (w.finishes == 1) {
-		return "over without a final answer"
+	if e.Finished() != (w.finalActions == 1) {
+		return "finished without a final response"
 	}
 	return ""
 }
 
-// received notes what the client holds once the first bytes of an attempt reach it.
-func (w *world) received() {
-	w.clientHas = contentFlat
-	if w.passingStream {
+// responseReceived records what kind of response the client has once the first bytes of an attempt reach it.
+func (w *world) responseReceived() {
+	w.clientHas = contentNonStream
+	if w.forwardingStream {
 		w.clientHas = contentStream
 	}
 }
 
-// ended notes that the attempt under way is over.
-func (w *world) ended() {
+// attemptEnded records that the current attempt is over.
+func (w *world) attemptEnded() {
 	w.mayRun = w.mayRun || w.current == truthMayRun
-	w.current, w.passingStream, w.sends = truthUntouched, false, 0
+	w.current, w.forwardingStream, w.sendPermitted = truthUntouched, false, 0
 }
 
-func (w *world) applyAction(route *config.Route, before phase, name string, m Action) string {
-	switch m.Kind {
+func (w *world) applyAction(route *config.Route, before phase, name string, action Action) string {
+	switch action.Kind {
 	case Connect:
 		return w.connect()
 	case WriteRequest:
 		return w.write(route)
 	case ReleaseConnection:
 		if w.current != truthUntouched {
-			return "a connection that carries a request is kept as unused"
+			return "a connection that carries a request is released as unused"
 		}
-		w.open = false
+		w.connected = false
 	case CloseConnection:
-		w.open = false
-		w.ended()
+		w.connected = false
+		w.attemptEnded()
 	case DiscardResponse:
-		if _, refuses := replies(name); !refuses {
-			return "read over as a refusal what is none"
+		if _, refuses := responseProves(name); !refuses {
+			return "discarded a response that is not a refusal"
 		}
 	case ForwardResponse:
-		return w.pass(name)
+		return w.forward(name)
 	case NotifyRouter:
-		if end, ok := m.Event.(router.AttemptEnded); ok {
-			return w.told(end)
+		if end, ok := action.Event.(router.AttemptEnded); ok {
+			return w.routerNotified(end)
 		}
 	case Finish:
-		return w.finish(before, name, m)
+		return w.finish(before, name, action)
 	}
 	return ""
 }
 
 func (w *world) connect() string {
-	if w.open {
+	if w.connected {
 		return "two connections"
 	}
-	w.open = true
-	w.ended()
+	w.connected = true
+	w.attemptEnded()
 	return ""
 }
 
 func (w *world) write(route *config.Route) string {
 	switch {
-	case !w.open || w.sends == 0:
-		return "written without leave"
+	case !w.connected || w.sendPermitted == 0:
+		return "written without permission"
 	case w.mayRun && !route.Repeatable && !route.Resumable:
-		return "what may not be repeated may run twice"
+		return "a request that must not be sent twice may run twice"
 	case w.current != truthUntouched:
 		return "written twice to one replica"
 	}
@@ -106,53 +106,55 @@
 	return ""
 }
 
-func (w *world) pass(name string) string {
-	accepted, refuses := replies(name)
+func (w *world) forward(name string) string {
+	accepted, refuses := responseProves(name)
 	stream := name == "stream"
 	switch {
 	case !accepted:
-		return "another request's answer is passed on"
+		return "another request's response is forwarded"
 	case refuses, strings.HasSuffix(name, "without proof"):
-		return "a promise of the replica is passed on as an answer"
-	case name == "answer without length", name == "answer without seal":
-		return "an answer that may be a part is passed on"
-	case w.clientHas == contentFlat, w.clientHas == contentStream && !stream:
-		return "two answers are joined"
+		return "a statement that the request did not run is forwarded as a response"
+	case name == "response without length", name == "response without seal":
+		return "a response that may be incomplete is forwarded"
+	case w.clientHas == contentNonStream, w.clientHas == contentStream && !stream:
+		return "two responses are joined"
 	case w.clientHas == contentStream && !w.exchangeResumes():
-		return "a stream begins anew behind its first part"
+		return "a stream starts again after its first part"
 	}
-	w.passingStream = stream
+	w.forwardingStream = stream
 	return ""
 }
 
-// exchangeResumes tells whether the newest place goes on after the last event passed on, all of which had ids.
-func (w *world) exchangeResumes() bool { return w.exchange.place.resumes && !w.exchange.stuck }
+// exchangeResumes reports whether the newest placement continues after the last event forwarded, and all events forwarded had ids.
+func (w *world) exchangeResumes() bool {
+	return w.exchange.placement.resumes && !w.exchange.cannotResume
+}
 
-func (w *world) told(end router.AttemptEnded) string {
+func (w *world) routerNotified(end router.AttemptEnded) string {
 	if (end.Result == router.NotSent || end.Result == router.Refused) && w.current == truthMayRun {
-		return "the router is told that nothing ran, but it may have"
+		return "the router is told that the request did not run, but it may have"
 	}
-	w.open = false
-	w.ended()
+	w.connected = false
+	w.attemptEnded()
 	return ""
 }
 
-func (w *world) finish(before phase, name string, m Action) string {
-	w.finishes++
-	has := w.clientHas != contentNone
+func (w *world) finish(before phase, name string, action Action) string {
+	w.finalActions++
+	responseStarted := w.clientHas != contentNone
 	switch {
-	case w.finishes > 1:
-		return "two final answers"
-	case w.open:
-		return "ended with a connection"
-	case m.Outcome == Completed && (before != passing || name != "end"):
-		return "a part is made to look whole"
-	case (m.Outcome == Rejected || m.Outcome == NotFound) && w.mayRun:
-		return "denied what may have run"
-	case has && m.Outcome != Completed && m.Outcome != Aborted && m.Outcome != AbandonedByClient:
-		return "a second answer after the first bytes of one"
-	case m.Outcome == Rejected && m.RetryAfter <= 0:
-		return "denied without when to come back"
+	case w.finalActions > 1:
+		return "two final responses"
+	case w.connected:
+		return "ended with an open connection"
+	case action.Outcome == Completed && (before != forwarding || name != "end"):
+		return "a truncated response looks complete"
+	case (action.Outcome == Rejected || action.Outcome == NotFound) && w.mayRun:
+		return "rejected a request that may have run"
+	case responseStarted && action.Outcome != Completed && action.Outcome != Aborted && action.Outcome != AbandonedByClient:
+		return "a second response after the first bytes of one"
+	case action.Outcome == Rejected && action.RetryAfter <= 0:
+		return "rejected without Retry-After"
 	}
 	return ""
 }
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -8,41 +8,44 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// transfer carries out the actions of one exchange, all in the goroutine of the handler.
+// transfer carries out the actions of one exchange, all in the goroutine of the HTTP handler.
 type transfer struct {
 	proxy    *Proxy
 	w        http.ResponseWriter
 	r        *http.Request
 	client   *client
 	body     []byte
-	memory   reservation
+	reserved reservation
 	arrived  time.Time
 	deadline time.Time
 	exchange Exchange
 	conn     *conn
-	reused   bool
-	release  func() bool
-	resp     *http.Response
-	stream   bool
-	headed   bool
-	bounded  bool
-	buf      *buffer
-	events   EventStream
+	// reused is set if conn was an idle connection from the pool.
+	reused bool
+	// stopClosingOnCancel stops the function that closes conn when the client disconnects. It returns false if that function has run.
+	stopClosingOnCancel func() bool
+	resp                *http.Response
+	stream              bool
+	// headWritten is set once the head of a response was sent to the client, writesBounded once boundWrites has set a deadline.
+	headWritten    bool
+	writesBounded  bool
+	responseBuffer *buffer
+	events         EventStream
 }
 
-func (x *transfer) run(a router.Arrival) {
-	in := x.proxy.router.Submit(a)
+func (x *transfer) run(arrival router.Arrival) {
+	decisions := x.proxy.router.Submit(arrival)
 	disconnected := x.r.Context().Done()
 	for !x.exchange.Finished() {
 		select {
 		case <-disconnected:
 			x.signal(ClientDisconnected{})
-		case d, ok := <-in:
+		case decision, ok := <-decisions:
 			if !ok {
 				x.perform(x.exchange.HandleRouterClosed())
 				return
 			}
-			x.perform(x.exchange.HandleDecision(d))
+			x.perform(x.exchange.HandleDecision(decision))
 		}
 	}
 }
@@ -50,8 +53,8 @@
 func (x *transfer) signal(s Signal) { x.perform(x.exchange.HandleSignal(s)) }
 
 func (x *transfer) perform(actions []Action) {
-	for _, m := range actions {
-		switch m.Kind {
+	for _, action := range actions {
+		switch action.Kind {
 		case Connect:
 			x.connect()
 		case WriteRequest:
@@ -61,20 +64,20 @@
 		case CloseConnection:
 			x.disconnect()
 		case NotifyRouter:
-			x.notify(m.Event)
+			x.notify(action.Event)
 		case DiscardResponse:
-			x.discardAnswer()
+			x.discardResponse()
 		case ForwardResponse:
-			x.passAnswer()
+			x.forwardResponse()
 		case Finish:
-			x.finish(m)
+			x.finish(action)
 		}
 	}
 	x.exchange.recycle(actions)
 }
 
-func (x *transfer) notify(ev router.Event) {
-	switch e := ev.(type) {
+func (x *transfer) notify(event router.Event) {
+	switch e := event.(type) {
 	case router.AttemptEnded:
 		switch e.Result {
 		case router.Failed:
@@ -85,19 +88,22 @@
 	case router.WrongInstance:
 		x.proxy.Counters.Misplaced.Add(1)
 	}
-	x.proxy.router.Notify(ev)
+	x.proxy.router.Notify(event)
 }
 
-func (x *transfer) attempt() string { return first(x.r.Header, x.proxy.headers.AttemptID) }
+func (x *transfer) attemptID() string { return first(x.r.Header, x.proxy.headers.AttemptID) }
 
-// nameless tells that answers to this request cannot be told from others': replicas answer with an id, but it has none.
-func (x *transfer) nameless() bool { return x.proxy.headers.AttemptID != "" && x.attempt() == "" }
+// lacksAttemptID reports whether replicas echo an attempt ID but this request has none, so that a response to it can't be told apart from
+// responses to other requests.
+func (x *transfer) lacksAttemptID() bool {
+	return x.proxy.headers.AttemptID != "" && x.attemptID() == ""
+}
 
 func (x *transfer) connect() {
-	d := &x.exchange.Placement
-	w := connRequest{key: key{addr: d.Addr, instance: d.Instance}, conns: d.MaxConns, attempt: x.attempt(), repeatable: x.exchange.repeatable, newOnly: x.nameless()}
-	c, err := x.proxy.pool.take(x.r.Context(), w)
-	var capped *ConnectionLimitError
+	placement := &x.exchange.Placement
+	want := connRequest{replica: poolKey{addr: placement.Addr, instance: placement.Instance}, maxConns: placement.MaxConns, attemptID: x.attemptID(), retryable: x.exchange.retryable, newOnly: x.lacksAttemptID()}
+	c, err := x.proxy.pool.get(x.r.Context(), want)
+	var limitError *ConnectionLimitError
 	switch {
 	case err == nil:
 		x.conn, x.reused = c, !c.usableUntil.IsZero()
@@ -105,43 +111,43 @@
 	case x.r.Context().Err() != nil:
 		x.signal(ClientDisconnected{})
 	default:
-		x.signal(ConnectFailed{AtConnectionLimit: errors.As(err, &capped)})
+		x.signal(ConnectFailed{AtConnectionLimit: errors.As(err, &limitError)})
 	}
 }
 
 func (x *transfer) releaseConnection() {
 	if c := x.conn; c != nil {
 		x.conn = nil
-		if !c.used {
-			c.setIdle(nil, x.proxy.settings)
+		if !c.written {
+			c.setIdleLimits(nil, x.proxy.settings)
 		}
-		x.proxy.pool.park(c)
+		x.proxy.pool.putIdle(c)
 	}
 }
 
 func (x *transfer) disconnect() {
-	if x.release != nil {
-		x.release()
-		x.release = nil
+	if x.stopClosingOnCancel != nil {
+		x.stopClosingOnCancel()
+		x.stopClosingOnCancel = nil
 	}
 	if c := x.conn; c != nil {
 		x.conn = nil
-		x.proxy.pool.drop(c)
+		x.proxy.pool.close(c)
 	}
 }
 
-// free gives back what the request held.
-func (x *transfer) free() {
+// cleanUp releases all resources of the request.
+func (x *transfer) cleanUp() {
 	x.disconnect()
-	putBuffer(x.buf)
-	x.buf = nil
-	x.memory.give(x.memory.bytes)
-	if x.bounded {
+	putBuffer(x.responseBuffer)
+	x.responseBuffer = nil
+	x.reserved.release(x.reserved.bytes)
+	if x.writesBounded {
 		_ = http.NewResponseController(x.w).SetWriteDeadline(time.Time{})
 	}
 }
 
-// expiry is when the time of the request is over; zero where nothing bounds it.
+// expiry returns the earlier of the client's deadline and the end of the route's timeout, or the zero time if there is neither.
 func (x *transfer) expiry() time.Time {
 	at := x.deadline
 	if route := x.exchange.Placement.Route; route != nil && route.Timeout > 0 {
