--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -138,7 +138,7 @@
 // not be sent twice. A replica that names 0 seconds may close the connection at any time within the first second, so that connection is not
 // reused.
 func (c *conn) setIdleLimits(h http.Header, settings Settings) {
-	idle, nonRetryable := settings.IdleTimeout, settings.IdleTimeoutNonIdempotent
+	idle, nonRetryable := settings.IdleTimeout, settings.IdleTimeoutNonRetryable
 	for _, v := range h["Keep-Alive"] {
 		for part := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -105,7 +105,7 @@
 			manual := newManualReplica(t)
 			stub := &disconnectBeforeSend{stubRouter: newStubRouter(rejectDecision, manual.place(route))}
 			settings := proxy.Defaults()
-			settings.IdleTimeoutNonIdempotent, settings.IdleTimeout = 300*time.Millisecond, 300*time.Millisecond
+			settings.IdleTimeoutNonRetryable, settings.IdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 			_, addr := startWithListener(t, stub, settings, config.Limits{})
 			client := dial(t, addr)
 			client.sendRequest(t, "GET", "id1", "", "")
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -33,7 +33,7 @@
 			place := manual.place(c.route)
 			place.MaxConns = 1
 			settings := proxy.Defaults()
-			settings.IdleTimeoutNonIdempotent, settings.IdleTimeout = c.idleTimeout, time.Hour
+			settings.IdleTimeoutNonRetryable, settings.IdleTimeout = c.idleTimeout, time.Hour
 			p, addr := startWithListener(t, newStubRouter(rejectDecision, place), settings, config.Limits{})
 			client := dial(t, addr)
 			client.sendRequest(t, "GET", "id1", "", "")
@@ -134,7 +134,7 @@
 func TestForgottenConnectionsAreNotUsedOnceOld(t *testing.T) {
 	for idleTimeout, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
 		settings := proxy.Defaults()
-		settings.IdleTimeoutNonIdempotent = idleTimeout
+		settings.IdleTimeoutNonRetryable = idleTimeout
 		p, addr := startWithListener(t, newStubRouter(rejectDecision, newForgetfulReplica(t, 50*time.Millisecond).place(onceRoute)), settings, config.Limits{})
 		client := dial(t, addr)
 		pause := time.NewTicker(100 * time.Millisecond)
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -71,7 +71,7 @@
 		statuses := make(chan int, callers*calls)
 		for n := range callers {
 			settings := proxy.Defaults()
-			settings.IdleTimeoutNonIdempotent = idleTimeout
+			settings.IdleTimeoutNonRetryable = idleTimeout
 			_, addr := startWithListener(t, newStubRouter(rejectDecision, newClosingReplica(t, idle, deaf, ran).place(onceRoute)), settings, config.Limits{})
 			client, rnd := dial(t, addr), rand.New(rand.NewPCG(uint64(n), 1))
 			go func() {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -76,8 +76,8 @@
 	// IdleMargin shortens the reuse of a connection if the replica names a Keep-Alive timeout: the connection is reused for four fifths of
 	// that timeout less IdleMargin.
 	IdleMargin time.Duration
-	// IdleTimeoutNonIdempotent replaces IdleTimeout for requests that must not be sent twice.
-	IdleTimeoutNonIdempotent time.Duration
+	// IdleTimeoutNonRetryable replaces IdleTimeout for requests that must not be sent twice.
+	IdleTimeoutNonRetryable time.Duration
 	// UserTimeout bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
 	// ReceiveWindow is the longest request body, in bytes, that the kernel of any replica accepts before the replica reads it. A longer one
@@ -107,7 +107,7 @@
 // Defaults returns the settings that the daemon uses.
 func Defaults() Settings {
 	return Settings{
-		DialTimeout: 400 * time.Millisecond, IdleTimeout: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleTimeoutNonIdempotent: 500 * time.Millisecond,
+		DialTimeout: 400 * time.Millisecond, IdleTimeout: 4 * time.Second, IdleMargin: 200 * time.Millisecond, IdleTimeoutNonRetryable: 500 * time.Millisecond,
 		UserTimeout: 1500 * time.Millisecond, ReceiveWindow: 8 << 10, DeadlineGrace: 250 * time.Millisecond, StallTimeout: 5 * time.Second, UploadTimeout: time.Minute,
 		ShutdownLinger: 500 * time.Millisecond, MaxBufferedResponseBytes: 256 << 10, MaxEventBytes: 1 << 20, MaxResponseHeadBytes: 64 << 10, MaxBodyBytes: 16 << 20, BudgetBytes: 32 << 20,
 	}
--- a/proxy/shutdownconns_test.go
+++ b/proxy/shutdownconns_test.go
@@ -58,7 +58,7 @@
 func TestShutdownClosesIdleConnectionsOnly(t *testing.T) {
 	manual := newManualReplica(t)
 	settings := settingsWithLinger(time.Millisecond)
-	settings.IdleTimeout, settings.IdleTimeoutNonIdempotent = time.Hour, time.Hour
+	settings.IdleTimeout, settings.IdleTimeoutNonRetryable = time.Hour, time.Hour
 	p, addr := startWithListener(t, newStubRouter(rejectDecision, manual.place(onceRoute)), settings, config.Limits{})
 	idle, waiting, uploading, unused := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
 	idle.sendRequest(t, "GET", "id1", "", "")
