--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -10,16 +10,18 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// bootstrapStagger is the delay between the bootstrap attempts of consecutive seeds, and the timeout and retry interval of each.
 const bootstrapStagger = 1500 * time.Millisecond
 
-// bootstrapState is whether this node is bootstrap the register by itself, and when it last began.
+// bootstrapState records whether this node's own bootstrap of the register is in progress, and when it last started one.
 type bootstrapState struct {
 	running bool
 	at      time.Duration
 }
 
-// bootstrapFromSeeds bootstraps the register on a first start: the seeds with a disk become its voters, once all seeds are known.
-// The first seed begins, the others follow at a distance; whoever comes late finds the value of who was first.
+// bootstrapFromSeeds bootstraps the register on a fleet's first start: once all seeds are known, those with a disk become its voters. The
+// first seed starts and the others follow, each bootstrapStagger later. A seed that starts after another one finds the value that the
+// earlier one wrote.
 func (n *Node) bootstrapFromSeeds(now time.Duration) {
 	if !n.config.Bootstraps || n.acceptor == nil || n.knownValue() != nil || n.bootstrapping.running || len(n.config.Seeds) == 0 {
 		return
--- a/control/checkzones.go
+++ b/control/checkzones.go
@@ -11,7 +11,7 @@
 	"github.com/mallowbridge/mallowbridge/membership"
 )
 
-// runSingletonRoles does what one node at a time does for the fleet, where this node has the lease or may ask for it.
+// runSingletonRoles runs the roles that only one node has at a time, if this node has the lease or may request it.
 func (n *Node) runSingletonRoles(now time.Duration) {
 	if !n.joining.joined || n.value == nil || n.serving.leaving || n.Members.Isolated(now) {
 		return
@@ -25,12 +25,12 @@
 	n.maintainVoters(now)
 }
 
-// checkZone has a zone's replicas checked by the holder of its lease. Where nobody has reported for long, the first by rank checks them
-// without a lease.
+// checkZone checks a zone's replicas if this node has the zone's lease. If there have been no reports on the zone for takeoverAfter, the
+// first node in rank requests the lease; after probeWithoutLeaseAfter, it checks the replicas without one.
 func (n *Node) checkZone(now time.Duration, zone string) {
 	role := "probe/" + zone
 	token, holds := n.leases.Holds(now, role)
-	overdue := n.health.overdue(now, zone)
+	overdue := n.health.sinceLastReports(now, zone)
 	never := n.health.zone(zone).reportedAt == 0
 	if holds || ((never || overdue > takeoverAfter) && n.ranksFirst(role, zone)) {
 		n.sendToGrantors(n.leases.Acquire(now, role, n.value))
@@ -54,7 +54,7 @@
 	if len(reports.Rows) == 0 {
 		return
 	}
-	item := gossip.Item{Key: "u/" + zone, Version: n.health.published(now, zone), Data: reports}
+	item := gossip.Item{Key: "u/" + zone, Version: n.health.markPublished(now, zone), Data: reports}
 	if n.Gossip.Put(item) {
 		n.onLoadReports(now, item.Version, reports)
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// zones are those of the document's replicas, in order.
+// zones returns the zones of the replicas in the operators' document, sorted.
 func (n *Node) zones() []string {
 	if n.snapshot == nil {
 		return nil
@@ -113,7 +113,8 @@
 	return replicas
 }
 
-// ranksFirst tells whether this node comes first for a role: among the members of the zone where there are any, else among all.
+// ranksFirst reports whether this node ranks first for a role: among the alive members of the zone if there are any, otherwise among all
+// alive members.
 func (n *Node) ranksFirst(role, zone string) bool {
 	near := false
 	for _, m := range n.Members.Table.All() {
@@ -123,12 +124,12 @@
 	if near {
 		kind = "near/" + zone + "/"
 	}
-	return n.place(kind, role, func(m membership.Member) bool {
+	return n.rankAmong(kind, role, func(m membership.Member) bool {
 		return m.State == membership.Alive && (!near || m.Zone == zone)
 	}) == 0
 }
 
-// KnowsZone says whether a zone is known: by the document, by a member in it, or as evacuated.
+// KnowsZone reports whether a zone appears in the operators' document, in the member table or among the evacuated zones.
 func (n *Node) KnowsZone(zone string) bool {
 	if n.value != nil && slices.Contains(n.value.EvacuatedZones, zone) || slices.Contains(n.zones(), zone) {
 		return true
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	// chunksBuild is the first build that reads manifests.
+	// chunksBuild is the first build that can decode manifests.
 	chunksBuild = 3
-	// keptDocuments, keptBodies and keptBytes bound the documents, whole documents and bytes of chunks that a node holds for others.
+	// keptDocuments, keptBodies and keptBytes bound what a node stores for others: the documents whose chunks it keeps, the documents that
+	// it also keeps assembled, and the bytes of the chunks.
 	keptDocuments = 64
 	keptBodies    = 8
 	keptBytes     = 8 << 20
-	// offeredBytes is the most that a proposal carries of a document besides its manifest.
-	offeredBytes = 64 << 10
+	// maxProposalChunkBytes is the maximum size of the chunks that a proposal contains beside a manifest.
+	maxProposalChunkBytes = 64 << 10
 )
 
-// ChunkPull asks for chunks by name.
+// ChunkPull requests chunks. Names are their names, one after another.
 type ChunkPull struct{ Names []byte }
 
-// ChunkData answers a ChunkPull, in several messages where the chunks are many. Missing names those that the sender doesn't have.
+// ChunkData replies to a ChunkPull, in several messages if the chunks are many. Missing are the names of the chunks that the sender does
+// not have.
 type ChunkData struct {
 	Chunks  [][]byte
 	Missing []byte
 }
 
-// Since is the first build that reads the message.
+// Since returns the first build that can decode the message.
 func (ChunkPull) Since() uint32 { return chunksBuild }
 
-// Since is the first build that reads the message.
+// Since returns the first build that can decode the message.
 func (ChunkData) Since() uint32 { return chunksBuild }
 
-// documents holds chunks, what is being fetched, and the builds of neighbours as they said themselves.
+// documents contains stored chunks, the fetches in progress and the builds of other nodes as they last reported them, by address. offered
+// is the value that this node proposed last; requestedAt is when each missing chunk was requested.
 type documents struct {
 	store       *chunk.Store
 	offered     *register.Value
@@ -49,26 +52,26 @@
 	return documents{store: chunk.NewStore(keptDocuments, keptBodies, keptBytes), requestedAt: map[chunk.Name]time.Duration{}, builds: map[string]uint32{}}
 }
 
-// stripDocuments puts manifests in place of a large document and a large memory of orders.
+// stripDocuments returns the value with manifests in place of a large document and large order logs.
 func (n *Node) stripDocuments(v *register.Value) *register.Value {
 	if v == nil {
 		return nil
 	}
-	body, memory := len(v.Document) > register.MaxInlineDocument, len(v.EditLog)+len(v.OrderLog) > register.MaxInlineLogs
-	if !body && !memory {
+	largeDocument, largeLogs := len(v.Document) > register.MaxInlineDocument, len(v.EditLog)+len(v.OrderLog) > register.MaxInlineLogs
+	if !largeDocument && !largeLogs {
 		return v
 	}
-	same := v.Clone()
-	if body {
-		same.Document, same.DocumentManifest = nil, n.documents.store.Add(v.Document)
+	stripped := v.Clone()
+	if largeDocument {
+		stripped.Document, stripped.DocumentManifest = nil, n.documents.store.Add(v.Document)
 	}
-	if memory {
-		same.EditLog, same.OrderLog, same.LogManifest = nil, nil, n.documents.store.AddFine(v.EncodeOrderLogs())
+	if largeLogs {
+		stripped.EditLog, stripped.OrderLog, stripped.LogManifest = nil, nil, n.documents.store.AddFine(v.EncodeOrderLogs())
 	}
-	return same
+	return stripped
 }
 
-// storeDocuments takes the documents of a value into the store, unless they are there.
+// storeDocuments adds a value's document and order logs to the store, unless they are there.
 func (n *Node) storeDocuments(v *register.Value) {
 	if v != nil {
 		n.documents.store.Add(v.Document)
@@ -76,32 +79,32 @@
 	}
 }
 
-// withMissingChunks is a value that is proposed, as voters get it: with what they lack of it, if they have the value that this node applied
-// and that isn't much.
+// withMissingChunks returns a proposed value as it is sent to voters: with manifests, and with the chunks that voters lack if they have the
+// value that this node applied and the chunks are few.
 func (n *Node) withMissingChunks(v *register.Value) *register.Value {
-	same := n.stripDocuments(v)
-	if same == v {
+	stripped := n.stripDocuments(v)
+	if stripped == v {
 		return v
 	}
 	n.documents.offered = v
 	if n.value == nil {
-		return same
+		return stripped
 	}
 	store := n.documents.store
-	if same.DocumentManifest != nil && len(n.value.Document) > 0 {
-		same.DocumentManifest = n.addMissingChunks(same.DocumentManifest, store.Add(n.value.Document))
+	if stripped.DocumentManifest != nil && len(n.value.Document) > 0 {
+		stripped.DocumentManifest = n.addMissingChunks(stripped.DocumentManifest, store.Add(n.value.Document))
 	}
-	if same.LogManifest != nil {
-		same.LogManifest = n.addMissingChunks(same.LogManifest, store.AddFine(n.value.EncodeOrderLogs()))
+	if stripped.LogManifest != nil {
+		stripped.LogManifest = n.addMissingChunks(stripped.LogManifest, store.AddFine(n.value.EncodeOrderLogs()))
 	}
-	return same
+	return stripped
 }
 
 func (n *Node) addMissingChunks(m, base *chunk.Manifest) *chunk.Manifest {
-	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.AddedChunks(m, base, offeredBytes)}
+	return &chunk.Manifest{Size: m.Size, Segments: m.Segments, Fresh: n.documents.store.AddedChunks(m, base, maxProposalChunkBytes)}
 }
 
-// stripMessage is the message as a neighbour that reads manifests gets it.
+// stripMessage returns the message as it is sent to a node that can decode manifests.
 func (n *Node) stripMessage(msg any) any {
 	switch m := msg.(type) {
 	case register.Promise:
@@ -122,8 +125,8 @@
 	return msg
 }
 
-// restoreDocuments puts documents in the place of manifests. A message whose chunks aren't all here waits for them, and comes in again then:
-// no acceptor, proposer or gossip store sees a value without its document.
+// restoreDocuments replaces manifests in a message with the documents. A message whose chunks are not all here waits for them and is then
+// received again: no acceptor, proposer or gossip store ever gets a value without its document.
 func (n *Node) restoreDocuments(now time.Duration, r Received) (Received, bool) {
 	var ok bool
 	switch m := r.Msg.(type) {
@@ -141,7 +144,7 @@
 	return r, ok
 }
 
-// restoreItems takes the other items first: they may name nearer machines that have the chunks.
+// restoreItems merges the other items first: they may contain the member entries of nearer machines that have the chunks.
 func (n *Node) restoreItems(now time.Duration, from string, m gossip.Update) (gossip.Update, bool) {
 	at := slices.IndexFunc(m.Items, func(it gossip.Item) bool { v, is := it.Data.(*register.Value); return is && !v.Complete() })
 	if at < 0 {
@@ -159,28 +162,28 @@
 	if v == nil || v.Complete() {
 		return v, true
 	}
-	same := v.Clone()
+	restored := v.Clone()
 	var ok bool
 	if v.DocumentManifest != nil {
-		same.Document, ok = n.restorePart(now, r, v.DocumentManifest, true)
-		same.DocumentManifest = nil
+		restored.Document, ok = n.restorePart(now, r, v.DocumentManifest, true)
+		restored.DocumentManifest = nil
 	}
 	if v.LogManifest == nil {
-		return same, ok
+		return restored, ok
 	}
-	memory, here := n.restorePart(now, r, v.LogManifest, v.DocumentManifest == nil || ok)
-	if !here || (v.DocumentManifest != nil && !ok) {
+	orderLogs, complete := n.restorePart(now, r, v.LogManifest, v.DocumentManifest == nil || ok)
+	if !complete || (v.DocumentManifest != nil && !ok) {
 		return nil, false
 	}
-	same.LogManifest = nil
-	if err := same.DecodeOrderLogs(memory); err != nil {
+	restored.LogManifest = nil
+	if err := restored.DecodeOrderLogs(orderLogs); err != nil {
 		n.logChange(ChangeOrderLogRejected, err.Error())
 		return nil, false
 	}
-	return same, true
+	return restored, true
 }
 
-// restorePart is what a manifest stands for. Where it isn't here it is fetched, and the message waits for it, unless it waits already.
+// restorePart returns the content of a manifest. If chunks are missing, they are fetched and, if waits is set, the message waits for them.
 func (n *Node) restorePart(now time.Duration, r Received, m *chunk.Manifest, waits bool) ([]byte, bool) {
 	parts := &chunk.Manifest{Size: m.Size, Segments: m.Segments}
 	body, err := n.documents.store.DocumentWith(parts, m.Fresh)
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -7,11 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/mallowbridge/mallowbridge/chunk"
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// applyWithin is how long after its acknowledgement a change may not be in force somewhere.
+// applyWithin is the maximum time from a change's acknowledgement until all nodes have applied it.
 const applyWithin = 2500 * time.Millisecond
 
 func TestChangeOfOneRouteCostsWhatItChanges(t *testing.T) {
@@ -24,10 +23,10 @@
 	if a := l.put("n3", complete); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(complete, applyWithin)
+	l.untilApplied(complete, applyWithin)
 	l.run(5 * time.Second)
 	if kept := len(l.nodes["n3"].value.EditLog); kept < 6*register.MaxLoggedOrders {
-		t.Errorf("the memory of orders has %d bytes: the test proves little", kept)
+		t.Errorf("the order log has %d bytes: the test proves little", kept)
 	}
 	m := l.meter()
 	const changes = 10
@@ -36,7 +35,7 @@
 		if a := l.put(fmt.Sprint("n", i%7), next); a.Err != nil {
 			t.Fatal(a.Err)
 		}
-		l.obeyed(next, applyWithin)
+		l.untilApplied(next, applyWithin)
 		l.run(3 * time.Second)
 	}
 	for _, zone := range []string{"0", "1", "2"} {
@@ -56,7 +55,7 @@
 	if a := l.put("n3", complete); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	t.Logf("in force after %v", l.obeyed(complete, applyWithin))
+	t.Logf("applied after %v", l.untilApplied(complete, applyWithin))
 	l.run(3 * time.Second)
 	for _, zone := range []string{"0", "1", "2"} {
 		t.Logf("zone %s: %d bytes of %d", zone, m.into(zone), len(complete))
@@ -82,7 +81,7 @@
 			accepts++
 			asked[to] = x.Ballot
 			if x.Value.DocumentManifest == nil || x.Value.Document != nil {
-				t.Errorf("%s sends %d bytes and a manifest: %v", from, len(x.Value.Document), x.Value.DocumentManifest != nil)
+				t.Errorf("%s sent an inline document of %d bytes, with a manifest: %v", from, len(x.Value.Document), x.Value.DocumentManifest != nil)
 			}
 		case register.Accepted:
 			if x.OK && x.Promised == asked[from] {
@@ -95,20 +94,20 @@
 	}
 	next := bytes.ReplaceAll(document(2, 1250), []byte("site.example"), []byte("another.example"))
 	if a := l.put("n0", next); a.Err == nil {
-		t.Error("a change was acknowledged whose chunks no other voter has")
+		t.Error("a change whose chunks no other voter has was acknowledged")
 	}
 	if accepts == 0 || votes > 0 {
-		t.Errorf("%d votes for a document that isn't there, of %d asked", votes, accepts)
+		t.Errorf("%d of %d voters accepted a document that they do not have", votes, accepts)
 	}
 	l.sent = nil
 	a := l.put("n1", document(3, 7))
 	if a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(document(3, 7), applyWithin)
+	l.untilApplied(document(3, 7), applyWithin)
 }
 
-// The nodes that are left are two voters of three, with what their disks say.
+// TestRemainingMajorityHasTheDocument restarts two of three voters with what their disks contain.
 func TestRemainingMajorityHasTheDocument(t *testing.T) {
 	for seed := range 6 {
 		checkRemainingMajority(t, seed)
@@ -129,7 +128,7 @@
 	for _, name := range l.order {
 		l.down[name] = true
 	}
-	l.mail = nil
+	l.inFlight = nil
 	l.run(time.Second)
 	remaining := slices.Delete([]string{"n0", "n1", "n2"}, seed%3, seed%3+1)
 	for _, name := range remaining {
@@ -138,7 +137,7 @@
 	l.run(8 * time.Second)
 	for _, name := range remaining {
 		if l.read(name) != string(last) {
-			t.Fatalf("seed %d: %s doesn't have the document that was acknowledged", seed, name)
+			t.Fatalf("seed %d: %s does not have the acknowledged document", seed, name)
 		}
 	}
 }
@@ -161,7 +160,7 @@
 	last := l.nodes["n0"].value.Document
 	for _, name := range []string{"n7", "n2"} {
 		l.boot(name, false)
-		t.Logf("%s obeys after %v", name, l.obeyed(last, applyWithin))
+		t.Logf("%s applied the document after %v", name, l.untilApplied(last, applyWithin))
 	}
 	t.Log(m.kinds)
 	for name, folder := range l.folders {
@@ -171,12 +170,13 @@
 	}
 	for name, n := range l.nodes {
 		if stored := n.documents.store.StoredBytes(); stored > keptBytes {
-			t.Errorf("%s holds %d bytes of chunks", name, stored)
+			t.Errorf("%s stores %d bytes of chunks", name, stored)
 		}
 	}
 }
 
-// Machines without a disk start with nothing, and get the document from the machine with a disk in their zone.
+// TestRestartedNodesFetchInTheirZone checks that machines without a disk start with nothing and get the document from the machine with a
+// disk in their zone.
 func TestRestartedNodesFetchInTheirZone(t *testing.T) {
 	l := newDiskLab(t, 36)
 	l.run(6 * time.Second)
@@ -184,7 +184,7 @@
 	if a := l.put("n3", complete); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(complete, applyWithin)
+	l.untilApplied(complete, applyWithin)
 	l.run(2 * time.Second)
 	m := l.meter()
 	for i := 4; i < 36; i++ {
@@ -195,7 +195,7 @@
 		l.boot(fmt.Sprint("n", i), false)
 	}
 	l.run(time.Second)
-	l.obeyed(complete, 3*time.Second)
+	l.untilApplied(complete, 3*time.Second)
 	for _, zone := range []string{"0", "1", "2"} {
 		if m.into(zone) > len(complete)/4 {
 			t.Errorf("%d bytes came into zone %s for a document that a machine there has", m.into(zone), zone)
@@ -203,14 +203,15 @@
 	}
 }
 
-// A change of one route is accepted without a question: what voters lack comes with the proposal.
+// TestProposalBringsWhatVotersLack checks that voters accept a change of one route without requesting chunks: the proposal contains those
+// that they lack.
 func TestProposalBringsWhatVotersLack(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
 	if a := l.put("n4", document(1, -1)); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(document(1, -1), applyWithin)
+	l.untilApplied(document(1, -1), applyWithin)
 	l.run(time.Second)
 	l.sent = func(_, _ string, msg any) bool {
 		_, lost := msg.(ChunkPull)
@@ -220,31 +221,3 @@
 		t.Error(a.Err)
 	}
 }
-
-// However many other documents came by, a node gives what its values consist of.
-func TestChunksOfLocalValuesAreAlwaysSent(t *testing.T) {
-	l := newLab(t, 8)
-	l.run(6 * time.Second)
-	if a := l.put("n4", document(1, -1)); a.Err != nil {
-		t.Fatal(a.Err)
-	}
-	l.obeyed(document(1, -1), applyWithin)
-	for _, name := range []string{"n0", "n4", "n6"} {
-		n := l.nodes[name]
-		other := chunk.NewStore(4, 4, 8<<20)
-		parts := other.Add(document(1, -1))
-		for i := range 2 * keptDocuments {
-			n.documents.store.Add(bytes.Repeat([]byte(fmt.Sprintf("another document, %d;", i)), 1000))
-		}
-		out := n.Step(l.now, Received{From: "n5", Build: chunksBuild, Msg: ChunkPull{Names: parts.Segments}})
-		given := 0
-		for _, s := range out.Sends {
-			if data, is := s.Msg.(ChunkData); is {
-				given += len(data.Chunks)
-			}
-		}
-		if given != len(parts.Segments)/chunk.NameBytes {
-			t.Errorf("%s gives %d pieces of %d", name, given, len(parts.Segments)/chunk.NameBytes)
-		}
-	}
-}
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -12,33 +12,33 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// memory is a disk in memory.
-type memory struct{ files map[string][]byte }
+// memoryDisk is a storage.Disk in memory.
+type memoryDisk struct{ files map[string][]byte }
 
-func (m *memory) Read(name string) ([]byte, bool, error) {
+func (m *memoryDisk) Read(name string) ([]byte, bool, error) {
 	data, stored := m.files[name]
 	return slices.Clone(data), stored, nil
 }
 
-func (m *memory) Write(name string, data []byte) error {
+func (m *memoryDisk) Write(name string, data []byte) error {
 	m.files[name] = slices.Clone(data)
 	return nil
 }
 
-func (m *memory) Append(name string, data []byte) error {
+func (m *memoryDisk) Append(name string, data []byte) error {
 	m.files[name] = append(m.files[name], data...)
 	return nil
 }
 
-func (m *memory) Truncate(name string, size int) error {
+func (m *memoryDisk) Truncate(name string, size int) error {
 	m.files[name] = m.files[name][:min(size, len(m.files[name]))]
 	return nil
 }
 
-func (*memory) Sync(string) error { return nil }
-func (*memory) SyncFolder() error { return nil }
+func (*memoryDisk) Sync(string) error { return nil }
+func (*memoryDisk) SyncFolder() error { return nil }
 
-func (m *memory) size() int {
+func (m *memoryDisk) size() int {
 	var bytes int
 	for _, data := range m.files {
 		bytes += len(data)
@@ -46,14 +46,14 @@
 	return bytes
 }
 
-// open takes a node's state from its journal, in a lab that has them.
+// open reads a node's state from its journal, in a lab with journals.
 func (l *lab) open(name string, cfg *Config) {
 	if l.journals == nil {
 		return
 	}
 	id := l.disks[name]
 	if l.folders[id] == nil {
-		l.folders[id] = &memory{files: map[string][]byte{}}
+		l.folders[id] = &memoryDisk{files: map[string][]byte{}}
 	}
 	k, err := OpenJournal(l.folders[id], id)
 	if err != nil {
@@ -72,18 +72,18 @@
 	}
 }
 
-// speaks is the build that a node says it is when it connects.
-func (l *lab) speaks(name string) uint32 {
+// buildOf returns the build that a node reports when it connects.
+func (l *lab) buildOf(name string) uint32 {
 	if build := l.builds[name]; build > 0 {
 		return build
 	}
 	return transport.Build
 }
 
-// newDiskLab is a lab whose disks are journals.
+// newDiskLab returns a lab whose disks are journals.
 func newDiskLab(t *testing.T, size int) *lab {
 	l := newLab(t, 0)
-	l.journals, l.folders = map[string]*Journal{}, map[string]*memory{}
+	l.journals, l.folders = map[string]*Journal{}, map[string]*memoryDisk{}
 	for i := range size {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
@@ -97,7 +97,7 @@
 	return l
 }
 
-// document is one of 2,500 routes of 240 bytes, the last changed route of which is marked.
+// document returns a document of 2,500 routes of 240 bytes. The route with index changed differs in each revision.
 func document(revision, changed int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":[`, revision)
@@ -118,7 +118,7 @@
 	return l.call(at, Edit{ID: fmt.Sprint("put", l.ids), BaseVersion: l.ids, Apply: func([]byte) ([]byte, error) { return raw, nil }})
 }
 
-// meter counts bytes of messages that carry configuration by the zones they go between, as the transport frames them.
+// meter counts the bytes of messages that carry configuration, as framed by the transport, by the zones of sender and receiver.
 type meter struct {
 	l       *lab
 	writers map[[2]string]*transport.Writer
@@ -163,7 +163,7 @@
 	return false
 }
 
-// into is how many bytes came into a zone from the others.
+// into returns how many bytes a zone received from the others.
 func (m *meter) into(zone string) int {
 	var bytes int
 	for between, n := range m.zones {
@@ -174,8 +174,8 @@
 	return bytes
 }
 
-// obeyed waits until all nodes that run have the document in force.
-func (l *lab) obeyed(raw []byte, within time.Duration) time.Duration {
+// untilApplied runs until all running nodes have applied the document and returns the time that took.
+func (l *lab) untilApplied(raw []byte, within time.Duration) time.Duration {
 	l.t.Helper()
 	from := l.now
 	for l.now < from+within {
@@ -187,7 +187,7 @@
 	}
 	for _, name := range l.order {
 		if !l.down[name] && !l.applied(name, raw) {
-			l.t.Errorf("%s doesn't obey after %v", name, within)
+			l.t.Errorf("%s has not applied the document after %v", name, within)
 		}
 	}
 	return within
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -21,7 +21,7 @@
 			t.Errorf("%T from %s to %s", msg, from, to)
 		}
 		for _, v := range valuesOf(msg) {
-			seen.thin, seen.whole = count(t, old, v, seen.thin, seen.whole)
+			seen.withManifest, seen.inline = count(t, old, v, seen.withManifest, seen.inline)
 		}
 		return false
 	}
@@ -31,14 +31,14 @@
 		if a := l.put(fmt.Sprint("n", i), next); a.Err != nil {
 			t.Fatal(a.Err)
 		}
-		l.obeyed(next, applyWithin)
+		l.untilApplied(next, applyWithin)
 	}
-	if seen.thin == 0 || seen.whole == 0 {
-		t.Errorf("%d values went as manifests and %d inline: the test proves little", seen.thin, seen.whole)
+	if seen.withManifest == 0 || seen.inline == 0 {
+		t.Errorf("%d values were sent as manifests and %d inline: the test proves little", seen.withManifest, seen.inline)
 	}
 }
 
-// newMixedLab has so many nodes, every other one of the build before, four of them with disks.
+// newMixedLab returns a lab with the given number of nodes. Every other node runs the build before chunks; four nodes have disks.
 func newMixedLab(t *testing.T, nodes int) *lab {
 	t.Helper()
 	l := newLab(t, 0)
@@ -66,10 +66,10 @@
 	return false
 }
 
-// valueForms counts values that were sent with manifests, and with their documents.
-type valueForms struct{ thin, whole int }
+// valueForms counts the values that were sent with manifests and those with inline documents.
+type valueForms struct{ withManifest, inline int }
 
-// valuesOf are the register's values that a message carries.
+// valuesOf returns the register values in a message.
 func valuesOf(msg any) []*register.Value {
 	var values []*register.Value
 	switch m := msg.(type) {
@@ -87,52 +87,54 @@
 	return values
 }
 
-func count(t *testing.T, old bool, v *register.Value, thin, complete int) (newThin, newWhole int) {
+func count(t *testing.T, old bool, v *register.Value, manifests, inline int) (newManifests, newInline int) {
 	switch {
 	case v == nil:
 	case !v.Complete() && old, v.DocumentManifest != nil && len(v.Document) > 0, v.LogManifest != nil && len(v.EditLog)+len(v.OrderLog) > 0:
-		t.Error("a manifest to or from an older build, or beside a document")
+		t.Error("a manifest to or from an older build, or together with a document")
 	case v.DocumentManifest != nil:
-		return thin + 1, complete
+		return manifests + 1, inline
 	case len(v.Document) > register.MaxInlineDocument:
 		if !old {
-			t.Error("a whole document between builds that know manifests")
+			t.Error("an inline document between builds that can decode manifests")
 		}
-		return thin, complete + 1
+		return manifests, inline + 1
 	}
-	return thin, complete
+	return manifests, inline
 }
 
-// Chunks that nobody asked for, or that were changed on the way, take no room and make no document.
+// TestModifiedChunkIsRejected checks that chunks that were modified in transit, and so are not those requested, are neither stored nor used
+// in a document.
 func TestModifiedChunkIsRejected(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(6 * time.Second)
-	spoil := true
+	modify := true
 	l.sent = func(from, to string, msg any) bool {
-		if data, is := msg.(ChunkData); is && spoil {
+		if data, is := msg.(ChunkData); is && modify {
 			for _, piece := range data.Chunks {
 				bad := bytes.Clone(piece)
 				bad[len(bad)/2] ^= 1
-				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: from, to: to, msg: ChunkData{Chunks: [][]byte{bad}}})
+				l.inFlight = append(l.inFlight, delivery{at: l.now + time.Millisecond, from: from, to: to, msg: ChunkData{Chunks: [][]byte{bad}}})
 			}
 			return true
 		}
 		return false
 	}
 	if a := l.put("n4", document(1, -1)); a.Err == nil {
-		t.Error("a document of spoiled chunks was acknowledged")
+		t.Error("a document with modified chunks was acknowledged")
 	}
-	spoil = false
+	modify = false
 	next := document(2, 5)
 	if a := l.put("n4", next); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	l.obeyed(next, applyWithin)
+	l.untilApplied(next, applyWithin)
 }
 
-// The machines with a disk are asked first; where they don't answer, or lack the pieces, the one that told of the document is.
+// TestNextChunkSourceIsAskedInTurn checks that machines with a disk are asked first and that the node that announced the document is asked
+// if they do not reply or do not have the chunks.
 func TestNextChunkSourceIsAskedInTurn(t *testing.T) {
-	for _, how := range []string{"silent", "lacking"} {
+	for _, how := range []string{"silent", "without chunks"} {
 		l := newLab(t, 18)
 		l.run(6 * time.Second)
 		asked := 0
@@ -142,8 +144,8 @@
 				return false
 			}
 			asked++
-			if how == "lacking" {
-				l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: to, to: from, msg: ChunkData{Missing: pull.Names}})
+			if how == "without chunks" {
+				l.inFlight = append(l.inFlight, delivery{at: l.now + time.Millisecond, from: to, to: from, msg: ChunkData{Missing: pull.Names}})
 			}
 			return true
 		}
@@ -151,31 +153,32 @@
 		if a := l.put("n4", next); a.Err != nil {
 			t.Fatal(how, a.Err)
 		}
-		t.Logf("%s: in force after %v, disks asked %d times", how, l.obeyed(next, applyWithin), asked)
+		t.Logf("%s: applied after %v, disks asked %d times", how, l.untilApplied(next, applyWithin), asked)
 		if asked == 0 {
 			t.Errorf("%s: the test proves nothing", how)
 		}
 	}
 }
 
-// Updates that waited for chunks through a pause bring nobody up to date: they were sent before it.
+// TestMessagesWaitingThroughPauseAreDropped checks that updates that waited for chunks through a pause do not let the node join: they were
+// sent before the pause.
 func TestMessagesWaitingThroughPauseAreDropped(t *testing.T) {
 	for _, paused := range []bool{false, true} {
-		l := newLone()
+		l := newLoneNode()
 		l.run(500 * time.Millisecond)
 		v, store := value(7), chunk.NewStore(4, 4, 8<<20)
 		v.Document = append(bytes.Repeat([]byte(" "), 2*register.MaxInlineDocument), v.Document...)
-		thin := v.Clone()
-		thin.Document, thin.DocumentManifest = nil, store.Add(v.Document)
+		stripped := v.Clone()
+		stripped.Document, stripped.DocumentManifest = nil, store.Add(v.Document)
 		for _, from := range []string{"a2", "a4"} {
-			item := gossip.Item{Key: "c", Version: gossip.Version{Hi: 7, Lo: 1}, Data: thin}
+			item := gossip.Item{Key: "c", Version: gossip.Version{Hi: 7, Lo: 1}, Data: stripped}
 			l.step(Received{From: from, Build: chunksBuild, Msg: gossip.Update{Items: []gossip.Item{item}}})
 		}
 		if paused {
 			l.now += 5 * time.Second
 		}
 		for range 4 {
-			l.step(Received{From: "a2", Build: chunksBuild, Msg: data(store, thin.DocumentManifest)})
+			l.step(Received{From: "a2", Build: chunksBuild, Msg: data(store, stripped.DocumentManifest)})
 		}
 		if known := l.n.value != nil; known == paused || len(l.n.joining.neighboursRead) != map[bool]int{false: 2, true: 0}[paused] {
 			t.Errorf("paused %v: value known %v, neighbours read %v", paused, known, l.n.joining.neighboursRead)
@@ -183,7 +186,7 @@
 	}
 }
 
-// data are all pieces of a document, segments first.
+// data returns all chunks of a document, segments first.
 func data(from *chunk.Store, m *chunk.Manifest) ChunkData {
 	empty := chunk.NewStore(2, 2, 8<<20)
 	var msg ChunkData
--- a/control/command.go
+++ b/control/command.go
@@ -10,10 +10,10 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// proposeTimeout bounds the control side's own operations, and the product's own change by versions where it names no deadline.
+// proposeTimeout is the timeout of the node's own operations, and of a Put without a deadline.
 const proposeTimeout = 4 * time.Second
 
-// votersScope is the scope of changes of voters in the memory of orders: no zone has this name.
+// votersScope is the scope under which changes of voters are logged in the order log. No zone has this name.
 const votersScope = "\x00voters"
 
 func (n *Node) command(now time.Duration, c Command) {
@@ -26,13 +26,13 @@
 		if c.Deadline == 0 {
 			c.Deadline = now + proposeTimeout
 		}
-		n.order(now, c, putChange(op), n.replyTo(c.ID, op.ID))
+		n.submitRequest(now, c, putChange(op), n.replyTo(c.ID, op.ID))
 	case Edit:
-		n.order(now, c, editChange(op), n.replyTo(c.ID, op.ID))
+		n.submitRequest(now, c, editChange(op), n.replyTo(c.ID, op.ID))
 	case Get:
-		n.order(now, c, nil, n.replyTo(c.ID, ""))
+		n.submitRequest(now, c, nil, n.replyTo(c.ID, ""))
 	case Evacuate:
-		n.fencedOrder(now, c, evacuateChange(op), n.replyTo(c.ID, op.ID))
+		n.submitGuardedRequest(now, c, evacuateChange(op), n.replyTo(c.ID, op.ID))
 	case Bootstrap:
 		n.bootstrap(now, c.ID, op)
 	case ReplaceVoters:
@@ -132,8 +132,8 @@
 	}
 	n.serving.leaving = true
 	if n.value != nil {
-		for _, d := range n.leases.Roles() {
-			n.sendToGrantors(n.leases.Release(d, n.value))
+		for _, role := range n.leases.Roles() {
+			n.sendToGrantors(n.leases.Release(role, n.value))
 		}
 	}
 	n.Members.Update(now, func(m *membership.Member) { m.State = membership.Left })
--- a/control/contention_test.go
+++ b/control/contention_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tick is how often the lab's nodes get a Tick, all at once.
+// tick is the interval at which all of the lab's nodes get a Tick.
 const tick = 50 * time.Millisecond
 
 // untilTick runs the lab until a Tick has just passed.
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestPreemptedOrderRetriesBeforeNextTick: an idle node's ballot is old, so that its first round is refused.
+// TestPreemptedOrderRetriesBeforeNextTick covers a node whose ballot is old because it was idle, so that its first round is refused.
 func TestPreemptedOrderRetriesBeforeNextTick(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(1500 * time.Millisecond)
@@ -29,11 +29,11 @@
 		t.Fatal(a.Err)
 	}
 	if elapsed := l.now - begun; elapsed >= tick-2*time.Millisecond {
-		t.Errorf("an order took %v", elapsed)
+		t.Errorf("the request took %v", elapsed)
 	}
 }
 
-// TestVoterChangeGoesBeforeQueuedOrders at the same node.
+// TestVoterChangeGoesBeforeQueuedOrders checks that a change of the voters overtakes operator requests queued at the same node.
 func TestVoterChangeGoesBeforeQueuedOrders(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(1500 * time.Millisecond)
@@ -49,10 +49,10 @@
 		t.Fatal(a.Err)
 	}
 	if _, over := l.answers[last]; over {
-		t.Error("the change of voters came after the orders that waited")
+		t.Error("the voters changed only after the queued requests")
 	}
 	l.run(2 * time.Second)
 	if a, over := l.answers[last]; !over || a.Err != nil {
-		t.Errorf("the last order: %v, %v", over, a.Err)
+		t.Errorf("last request: answered %v, error %v", over, a.Err)
 	}
 }
--- a/control/durablereplies.go
+++ b/control/durablereplies.go
@@ -6,54 +6,56 @@
 	"github.com/mallowbridge/mallowbridge/membership"
 )
 
-// NoOp is a log entry that changes nothing. It is written before the first answer of an incarnation, for what the node read from its
-// disk may have been written by a process that was killed before its sync, and a loss of power may yet take it back.
+// NoOp is a log entry that changes nothing. It is written before the first reply of an incarnation. What the node read from its disk at
+// start may have been written by a process that was killed before its sync, and could still be lost in a power failure; the sync of this
+// entry makes it durable.
 type NoOp struct{}
 
 const (
-	// stalledAfter is how long a write may take until the disk counts as degraded.
+	// stalledAfter is how long a write may take before the disk counts as degraded.
 	stalledAfter = time.Second
-	// MaxPendingReplies is the most replies that wait for the disk; requests beyond it are dropped.
+	// MaxPendingReplies is the maximum number of replies that wait for the disk; requests beyond it are dropped.
 	MaxPendingReplies = 256
 )
 
 type pendingReply struct {
-	ticket uint64
-	send   Send
+	seq  uint64
+	send Send
 }
 
-// durableReplies are the voter's answers that wait until what they tell is on the disk. They leave in the order of the writes.
+// durableReplies are the acceptor's replies that wait until the state they depend on is on the disk. They are sent in the order of the
+// writes.
 type durableReplies struct {
-	// ticket numbers the last write, 0 before the first.
-	ticket  uint64
+	// lastSeq is the sequence number of the last write, 0 before the first.
+	lastSeq uint64
 	pending []pendingReply
-	// pendingSince is when the first of the pending answers began to be the first.
+	// pendingSince is since when the first pending reply has been the first.
 	pendingSince time.Duration
-	// err is why the last write failed; nothing is answered until the disk is repaired.
+	// err is the error of the last write; no reply is sent until the disk is repaired.
 	err error
 }
 
-// accepts tells whether a request to the voter may be taken.
+// accepts reports whether a request to this voter may be handled.
 func (d *durableReplies) accepts() bool { return d.err == nil && len(d.pending) < MaxPendingReplies }
 
-// write numbers an entry for the log.
+// write returns the log write for an entry, with the next sequence number.
 func (d *durableReplies) write(now time.Duration, entry LogEntry) LogWrite {
-	d.ticket++
+	d.lastSeq++
 	if len(d.pending) == 0 {
 		d.pendingSince = now
 	}
-	return LogWrite{Seq: d.ticket, Entry: entry}
+	return LogWrite{Seq: d.lastSeq, Entry: entry}
 }
 
-// hold keeps an answer until all writes so far are durable.
-func (d *durableReplies) hold(s Send) {
-	d.pending = append(d.pending, pendingReply{ticket: d.ticket, send: s})
+// enqueue keeps a reply until all writes so far are durable.
+func (d *durableReplies) enqueue(s Send) {
+	d.pending = append(d.pending, pendingReply{seq: d.lastSeq, send: s})
 }
 
-// release gives the answers for which the writes up to ticket suffice.
-func (d *durableReplies) release(now time.Duration, ticket uint64) []Send {
+// release removes and returns the replies that depend only on writes up to seq.
+func (d *durableReplies) release(now time.Duration, seq uint64) []Send {
 	var sends []Send
-	for len(d.pending) > 0 && d.pending[0].ticket <= ticket {
+	for len(d.pending) > 0 && d.pending[0].seq <= seq {
 		sends = append(sends, d.pending[0].send)
 		d.pending = d.pending[1:]
 		d.pendingSince = now
@@ -61,16 +63,16 @@
 	return sends
 }
 
-// fail drops the answers that wait: what they would tell is not on the disk.
+// fail records a write error and drops the pending replies: the state they depend on is not on the disk.
 func (d *durableReplies) fail(err error) { d.err, d.pending = err, nil }
 
 func (d *durableReplies) stalled(now time.Duration) bool {
 	return len(d.pending) > 0 && now-d.pendingSince > stalledAfter
 }
 
-// reply answers a request to the voter once the entry is on the disk, with all before it; nil: there is nothing to write.
+// reply sends a reply once the entry and all earlier ones are on the disk. A nil entry means that there is nothing to write for this reply.
 func (n *Node) reply(now time.Duration, s Send, entry LogEntry) {
-	if n.disk.ticket == 0 && entry == nil {
+	if n.disk.lastSeq == 0 && entry == nil {
 		entry = NoOp{}
 	}
 	if entry == nil && len(n.disk.pending) == 0 {
@@ -80,7 +82,7 @@
 	if entry != nil {
 		n.out.Writes = append(n.out.Writes, n.disk.write(now, entry))
 	}
-	n.disk.hold(s)
+	n.disk.enqueue(s)
 }
 
 func (n *Node) onPersisted(now time.Duration, s Persisted) {
--- a/control/effects.go
+++ b/control/effects.go
@@ -2,7 +2,7 @@
 
 import "github.com/mallowbridge/mallowbridge/router"
 
-// effects collects what the present Step wants done. The parts of a node share it.
+// effects collects the Output of the current Step. The parts of a node share it.
 type effects struct{ out *Output }
 
 func (e *effects) emit(ev router.Event) { e.out.Events = append(e.out.Events, ev) }
--- a/control/encoding.go
+++ b/control/encoding.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
-// The types of this file are what messages, gossip items and log entries hold. Their field names, and the names registered here, are a
-// format between nodes and on disk and stay as they are.
+// The types of this file are the encoded forms of messages, gossip items and log entries. Their field names and the registered names are a
+// format between nodes and on disk, and must not change.
 
 func init() {
 	wire.Register("cu", encodeLoadReports, decodeLoadReports)
@@ -107,7 +107,7 @@
 	return WitnessForget(decodeWitnessAsk(encodedWitnessAsk(f)))
 }
 
-// encodedDiskState is a DiskState as the slots hold it.
+// encodedDiskState is the encoded form of a DiskState in the slots.
 type encodedDiskState struct {
 	Pact   register.EncodedState
 	Grants map[string]lease.EncodedRecord
@@ -135,7 +135,7 @@
 	return s
 }
 
-// encodedEntry is an entry as the log holds it.
+// encodedEntry is the encoded form of an entry in the log.
 type encodedEntry struct {
 	Promised *Promised
 	Accepted *encodedAcceptedEntry
--- a/control/errors.go
+++ b/control/errors.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/membership"
 )
 
-// NameError says why a node that an operator named cannot do what was asked.
+// NameError reports why a node or zone that an operator named cannot be used for the request.
 type NameError struct {
 	Name  string
 	Cause error
@@ -16,22 +16,23 @@
 
 func (e *NameError) Error() string { return e.Name + ": " + e.Cause.Error() }
 
-// StaleRequestError says that an order may have lain here while the process stood still: its caller may have left long ago. It has had no
-// effect.
+// StaleRequestError reports that an operator request may have waited here while the process was paused, so that its client may have
+// disconnected long ago. The request had no effect.
 type StaleRequestError struct{ Pause time.Duration }
 
 func (e *StaleRequestError) Error() string {
-	return fmt.Sprintf("this process stood still for %s and takes no order that may have come before; nothing was changed", e.Pause)
+	return fmt.Sprintf("this process was paused for %s and rejects requests that may have arrived before; nothing was changed", e.Pause)
 }
 
-// ClientDisconnectedError says that the caller of an order closed its connection before the order was begun. It has had no effect.
+// ClientDisconnectedError reports that the client of an operator request closed its connection before the request was started. The request
+// had no effect.
 type ClientDisconnectedError struct{}
 
 func (*ClientDisconnectedError) Error() string {
-	return "the caller closed its connection before the order was begun; nothing was changed"
+	return "the client closed its connection before the request was started; nothing was changed"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NameError) Unwrap() error { return e.Cause }
 
 // The causes of a NameError.
@@ -43,7 +44,7 @@
 	ErrNoneNamed   = errors.New("must be named")
 )
 
-// NodeStateError says that a node isn't alive.
+// NodeStateError reports that a node is not alive.
 type NodeStateError struct{ State membership.State }
 
 func (e *NodeStateError) Error() string { return "is " + e.State.String() }
--- a/control/failures_test.go
+++ b/control/failures_test.go
@@ -23,12 +23,13 @@
 			}
 		}
 		if missed > 3 {
-			t.Errorf("round %d: %d of 29 nodes did not hear of it", i, missed)
+			t.Errorf("round %d: %d of 29 nodes did not receive the failures", i, missed)
 		}
 	}
 }
 
-// An item that is replaced every second must not keep digests from ever agreeing: each difference costs both sides all versions.
+// TestListConfirmationsStayOutOfDigests guards against an item that is replaced every second and keeps digests from ever agreeing: each
+// difference makes both sides send all versions.
 func TestListConfirmationsStayOutOfDigests(t *testing.T) {
 	l := newLab(t, 24)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
@@ -36,7 +37,7 @@
 	l.digests = 0
 	l.run(10 * time.Second)
 	if l.digests > 24 {
-		t.Errorf("%d lists of marks in 10 s of calm", l.digests)
+		t.Errorf("%d digests in 10 s without changes", l.digests)
 	}
 }
 
@@ -61,6 +62,6 @@
 		sum += n
 	}
 	if sum > 14 {
-		t.Errorf("%d readings in 10 s: %v", sum, fmt.Sprint(l.lists))
+		t.Errorf("%d reads of the list in 10 s: %v", sum, fmt.Sprint(l.lists))
 	}
 }
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -12,21 +12,24 @@
 )
 
 const (
-	// pullMost is how many chunks are asked for at once, and chunkBatchBytes how many bytes of them one message carries, so that pings
-	// wait behind no more.
-	pullMost        = 96
+	// maxPullChunks is the maximum number of chunks requested at once, and chunkBatchBytes the number of their bytes after which a message
+	// is full, so that pings are not delayed by more.
+	maxPullChunks   = 96
 	chunkBatchBytes = 64 << 10
-	// pullFew segments are asked of who announced them if it is near; more are asked of the nearest machine with a disk first.
-	pullFew = 2
-	// pullRetryAfter is how long an answer may stay away before the next holder is asked.
+	// maxNearPull is the maximum number of missing segments for which the sender of the announcement is asked alone, if it is near. For
+	// more, the machines with a disk in this node's zone are asked first.
+	maxNearPull = 2
+	// pullRetryAfter is how long to wait for a reply before the next source is asked.
 	pullRetryAfter = 400 * time.Millisecond
-	// fetchFor and fetchMost bound how long messages wait for chunks, and for how many documents.
-	fetchFor   = 4 * time.Second
-	fetchMost  = 16
-	maxPending = 32
+	// fetchTimeout, maxFetches and maxPendingMessages bound how long messages wait for chunks, for how many documents, and how many
+	// messages wait for each.
+	fetchTimeout       = 4 * time.Second
+	maxFetches         = 16
+	maxPendingMessages = 32
 )
 
-// fetch is a document whose chunks are being fetched, and the messages that wait for it.
+// fetch is a document whose chunks are being fetched, with the messages that wait for it. current is the index of the source that is asked
+// now, missing the number of chunks missing, and progressAt when the last of them arrived or the source last changed.
 type fetch struct {
 	manifest   *chunk.Manifest
 	pending    []Received
@@ -41,21 +44,21 @@
 	d := &n.documents
 	at := slices.IndexFunc(d.fetches, func(f *fetch) bool { return f.manifest.Equal(parts) })
 	if at < 0 {
-		if len(d.fetches) >= fetchMost {
+		if len(d.fetches) >= maxFetches {
 			d.fetches = d.fetches[1:]
 		}
 		d.fetches = append(d.fetches, &fetch{manifest: parts, missing: len(missing), startedAt: now, progressAt: now})
 		at = len(d.fetches) - 1
 	}
 	f := d.fetches[at]
-	if waits && len(f.pending) < maxPending {
+	if waits && len(f.pending) < maxPendingMessages {
 		f.pending = append(f.pending, r)
 	}
 	f.addSources(n.sources(r, len(missing)))
 	n.pull(now, f, missing)
 }
 
-// addSources puts holders that a later message names before those known, where it names another one first.
+// addSources adds the sources named by a later message. They go before the known ones if the message names another first source.
 func (f *fetch) addSources(sources []string) {
 	first, rest := sources, f.sources
 	if len(rest) > 0 && rest[0] == first[0] {
@@ -72,11 +75,12 @@
 	f.sources = first
 }
 
-// sources are who may have the chunks of a message, in the order in which they are asked. The sender has them; where it is far, or
-// they are many, a near machine with a disk may have them by its vote.
+// sources returns the nodes that may have the chunks of a message, in the order in which to ask them. The sender has them. If the sender is
+// in another zone, or many chunks are missing, machines with a disk in this node's zone are asked first: they may have the chunks because
+// they voted for the value.
 func (n *Node) sources(r Received, missing int) []string {
 	_, gossiped := r.Msg.(gossip.Update)
-	if !gossiped || (missing <= pullFew && n.near(r.From)) {
+	if !gossiped || (missing <= maxNearPull && n.near(r.From)) {
 		return []string{r.From}
 	}
 	var addrs []string
@@ -88,7 +92,7 @@
 	return append(addrs, r.From)
 }
 
-// pull asks the fetch's current source for what is missing and not on its way.
+// pull requests the missing chunks that are not already requested from the fetch's current source.
 func (n *Node) pull(now time.Duration, f *fetch, missing []chunk.Name) {
 	var names []byte
 	for _, name := range missing {
@@ -98,7 +102,7 @@
 		}
 		n.documents.requestedAt[name] = now
 		names = append(names, name[:]...)
-		if len(names) >= pullMost*chunk.NameBytes {
+		if len(names) >= maxPullChunks*chunk.NameBytes {
 			break
 		}
 	}
@@ -142,39 +146,40 @@
 		delete(n.documents.requestedAt, chunk.NameOf(data))
 		n.documents.store.Put(data)
 	}
-	lacks := map[chunk.Name]bool{}
+	missingAtSender := map[chunk.Name]bool{}
 	for names := m.Missing; len(names) >= chunk.NameBytes; names = names[chunk.NameBytes:] {
-		lacks[chunk.Name(names)] = true
+		missingAtSender[chunk.Name(names)] = true
 		delete(n.documents.requestedAt, chunk.Name(names))
 	}
 	n.advance(now, func(f *fetch, missing []chunk.Name) bool {
 		if len(missing) < f.missing {
 			f.missing, f.progressAt = len(missing), now
 		}
-		if f.sources[f.current] == from && slices.ContainsFunc(missing, func(name chunk.Name) bool { return lacks[name] }) {
+		if f.sources[f.current] == from && slices.ContainsFunc(missing, func(name chunk.Name) bool { return missingAtSender[name] }) {
 			f.current++
 		}
 		return f.current < len(f.sources)
 	})
 }
 
-// tickFetches turns to the next holder where an answer stays away, and gives up what nobody brought in time.
+// tickFetches switches to the next source if the current one does not reply, and gives up fetches that did not finish within fetchTimeout.
 func (n *Node) tickFetches(now time.Duration) {
 	n.advance(now, func(f *fetch, _ []chunk.Name) bool {
 		if now-f.progressAt >= pullRetryAfter {
 			f.current, f.progressAt = (f.current+1)%len(f.sources), now
 		}
-		return now-f.startedAt < fetchFor
+		return now-f.startedAt < fetchTimeout
 	})
 	for name, since := range n.documents.requestedAt {
-		if now-since >= fetchFor {
+		if now-since >= fetchTimeout {
 			delete(n.documents.requestedAt, name)
 		}
 	}
 }
 
-// advance hands on the messages whose documents are whole, and asks for more of the others where go on says so.
-func (n *Node) advance(now time.Duration, goOn func(f *fetch, missing []chunk.Name) bool) {
+// advance handles the messages whose documents are complete, and requests more chunks for the other fetches for which keepFetching returns
+// true.
+func (n *Node) advance(now time.Duration, keepFetching func(f *fetch, missing []chunk.Name) bool) {
 	fetches := n.documents.fetches
 	n.documents.fetches = nil
 	var ready []Received
@@ -184,7 +189,7 @@
 		switch {
 		case err == nil:
 			ready = append(ready, f.pending...)
-		case errors.As(err, &missing) && goOn(f, missing.Names):
+		case errors.As(err, &missing) && keepFetching(f, missing.Names):
 			n.documents.fetches = append(n.documents.fetches, f)
 			n.pull(now, f, missing.Names)
 		}
--- a/control/finish_test.go
+++ b/control/finish_test.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// A handRegister delivers by hand: each proposer reaches the disks that the test names, first to prepare, then to accept.
-type handRegister struct {
+// manualRegister delivers messages manually: each proposer reaches the disks that the test names, first for prepare, then for accept.
+type manualRegister struct {
 	t     *testing.T
 	now   time.Duration
 	disks map[string]*register.Acceptor
@@ -25,8 +25,8 @@
 	return vs
 }
 
-func newHandRegister(t *testing.T) *handRegister {
-	h := &handRegister{t: t, disks: map[string]*register.Acceptor{}, first: &register.Value{Fleet: "f", Voters: votersOf("a", "b", "c")}}
+func newManualRegister(t *testing.T) *manualRegister {
+	h := &manualRegister{t: t, disks: map[string]*register.Acceptor{}, first: &register.Value{Fleet: "f", Voters: votersOf("a", "b", "c")}}
 	for _, d := range []string{"a", "b", "c", "d", "e"} {
 		h.disks[d] = &register.Acceptor{State: register.State{Disk: d}}
 		if d < "d" {
@@ -36,7 +36,7 @@
 	return h
 }
 
-func (h *handRegister) proposer(by string, change register.Change) *register.Proposer {
+func (h *manualRegister) proposer(by string, change register.Change) *register.Proposer {
 	p := register.NewProposer(by, 1)
 	p.LearnVoters(h.first)
 	h.ids++
@@ -44,8 +44,9 @@
 	return p
 }
 
-// prepare runs a proposer, whose messages reach only some disks, until it asks to accept or rounds have gone by.
-func (h *handRegister) prepare(p *register.Proposer, rounds int, reach ...string) ([]register.Accept, []register.Result) {
+// prepare runs a proposer whose messages reach only some disks until it sends accepts, returns a result, or the time of the given number of
+// rounds has passed.
+func (h *manualRegister) prepare(p *register.Proposer, rounds int, reach ...string) ([]register.Accept, []register.Result) {
 	var accepts []register.Accept
 	var results []register.Result
 	for range rounds * 60 {
@@ -71,11 +72,11 @@
 	return nil, nil
 }
 
-func (h *handRegister) accept(p *register.Proposer, accepts []register.Accept, reach ...string) []register.Result {
+func (h *manualRegister) accept(p *register.Proposer, accepts []register.Accept, reach ...string) []register.Result {
 	for _, m := range accepts {
 		if slices.Contains(reach, m.Disk) {
-			said, _ := h.disks[m.Disk].Accept(m)
-			p.OnAccepted(h.now, said)
+			accepted, _ := h.disks[m.Disk].Accept(m)
+			p.OnAccepted(h.now, accepted)
 		}
 	}
 	_, results := p.TakeOutput()
@@ -86,17 +87,17 @@
 	return putChange(Put{ID: body, ExpectedVersion: base, Document: []byte(body)})
 }
 
-// TestLateFinishDoesNotSplitVoters: a change of voters that one disk accepted was never chosen; a finish that was meant for an
-// earlier change must leave it alone, or both the old voters and the new ones choose by themselves.
+// TestLateFinishDoesNotSplitVoters guards against finishing a change of voters that one disk accepted but that was never chosen. A delayed
+// finish of an earlier change must not finish it; otherwise both the old and the new voters could choose values on their own.
 func TestLateFinishDoesNotSplitVoters(t *testing.T) {
-	h := newHandRegister(t)
+	h := newManualRegister(t)
 	begin := h.proposer("p1", beginVoterChangeAt(0, votersOf("a", "b", "d")))
 	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
 	h.accept(begin, accepts, "c")
 
-	overdue := h.proposer("p2", finishVoterChangeAt(0))
-	accepts, _ = h.prepare(overdue, 3, "b", "c", "d")
-	h.accept(overdue, accepts, "d")
+	lateFinish := h.proposer("p2", finishVoterChangeAt(0))
+	accepts, _ = h.prepare(lateFinish, 3, "b", "c", "d")
+	h.accept(lateFinish, accepts, "d")
 
 	second := h.proposer("q", edit(0, "second"))
 	h.prepare(second, 1, "c")
@@ -109,10 +110,10 @@
 	secondDone := h.accept(second, accepts, "a", "d")
 	firstDone := h.accept(first, firstAccepts, "b", "c")
 	if confirmed(firstDone) && confirmed(secondDone) {
-		t.Fatal("two changes of one version are both confirmed")
+		t.Fatal("two changes of the same version were both confirmed")
 	}
 	if !confirmed(firstDone) && !confirmed(secondDone) && len(firstAccepts) == 0 {
-		t.Fatal("nothing was tried")
+		t.Fatal("the test proves little: no change was attempted")
 	}
 }
 
--- a/control/firstanswer_test.go
+++ b/control/firstanswer_test.go
@@ -8,23 +8,24 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// TestFirstReplyAfterStartWaitsForSync: what was read at the start may not outlive a loss of power until it is synced.
+// TestFirstReplyAfterStartWaitsForSync guards against a reply with state that was read at start but is not synced yet, and so may not
+// survive a power failure.
 func TestFirstReplyAfterStartWaitsForSync(t *testing.T) {
 	kept := &DiskState{Register: register.State{Disk: "d", Accepted: register.Ballot{N: 4, By: "x"}, Value: &register.Value{Version: 7}}}
 	n := New(0, Config{Name: "n0", Addr: "n0", Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, Disk: kept})
-	look := Received{From: "n1", Msg: register.Prepare{RequestID: 1, Disk: "d", ReadOnly: true}}
-	out := n.Step(1, look)
+	prepare := Received{From: "n1", Msg: register.Prepare{RequestID: 1, Disk: "d", ReadOnly: true}}
+	out := n.Step(1, prepare)
 	if promises(out) != 0 || len(out.Writes) != 1 {
-		t.Fatalf("%d answers and %d writes", promises(out), len(out.Writes))
+		t.Fatalf("%d replies and %d writes", promises(out), len(out.Writes))
 	}
-	if out = n.Step(2, look); promises(out) != 0 {
-		t.Fatal("a second look is answered before the disk is synced")
+	if out = n.Step(2, prepare); promises(out) != 0 {
+		t.Fatal("a second prepare got a reply before the disk was synced")
 	}
 	if out = n.Step(3, Persisted{Seq: 1}); promises(out) != 2 {
-		t.Fatalf("%d answers after the sync", promises(out))
+		t.Fatalf("%d replies after the sync", promises(out))
 	}
-	if out = n.Step(4, look); promises(out) != 1 || len(out.Writes) != 0 {
-		t.Fatal("a later look is written")
+	if out = n.Step(4, prepare); promises(out) != 1 || len(out.Writes) != 0 {
+		t.Fatal("a later prepare caused a write")
 	}
 }
 
--- a/control/format_test.go
+++ b/control/format_test.go
@@ -29,10 +29,10 @@
 
 const formatFolder = "testdata/format"
 
-// notSent is the type of a snapshot's tenants, which no message holds (config.EncodeSnapshot).
+// notSent is the type of a snapshot's tenants, which no message contains (config.EncodeSnapshot).
 var notSent = reflect.TypeFor[[]config.Tenant]()
 
-// filler sets each exported field of a value to something else, in the order of declaration.
+// filler sets each exported field of a value to a different value, in the order of declaration.
 type filler struct{ n int }
 
 func (f *filler) next() int {
@@ -84,7 +84,7 @@
 	return v
 }
 
-// item is a gossip update that holds data of one kind.
+// item returns a gossip update that contains one item with the data.
 func item(data any) gossip.Update {
 	u := filled[gossip.Update]()
 	u.Items = u.Items[:1]
@@ -96,7 +96,7 @@
 	return router.NumberedEvent{Seq: 1, Event: e}
 }
 
-// formatMessages are all messages between nodes and to followers, by the name of their file.
+// formatMessages returns all messages between nodes and to followers, by the name of their file.
 func formatMessages() map[string]any {
 	member, load, value := filled[membership.Member](), filled[control.LoadReports](), filled[*register.Value]()
 	load.Urgent = true
@@ -127,7 +127,7 @@
 	}
 }
 
-// formatFile reads a frozen file; where it is missing and may be written, it holds what the present build writes.
+// formatFile reads a frozen file. If it is missing and -write-format is set, it writes the file with what the present build produces.
 func formatFile(t *testing.T, name string, present []byte) []byte {
 	t.Helper()
 	path := filepath.Join(formatFolder, name)
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestFormerBuildReadsOurMessages compares the field names and types that a frame carries with those that the former build wrote: it finds
-// the fields of a message by their names.
+// TestFormerBuildReadsOurMessages compares the field names and types in a frame with those that the former build wrote, because that build
+// finds a message's fields by their names.
 func TestFormerBuildReadsOurMessages(t *testing.T) {
 	for name, msg := range formatMessages() {
 		t.Run(name, func(t *testing.T) {
@@ -182,13 +182,13 @@
 				t.Errorf("written\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 			}
 			if !reflect.DeepEqual(readFrame(t, ours), msg) {
-				t.Error("a message is another after it was written and read")
+				t.Error("a message differs after it was encoded and decoded")
 			}
 		})
 	}
 }
 
-// TestEveryFormatFileIsTested finds files that no message stands for any more.
+// TestEveryFormatFileIsTested finds files that belong to no message any more.
 func TestEveryFormatFileIsTested(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(formatFolder, "*.frame"))
 	if err != nil {
@@ -203,14 +203,14 @@
 	}
 }
 
-// BenchmarkFrame writes and reads a promise with a large value, the costliest message of a quiet fleet, on one connection.
+// BenchmarkFrame encodes and decodes a promise with a large value, the most expensive message of a fleet without load, on one connection.
 func BenchmarkFrame(b *testing.B) {
 	msg := filled[register.Promise]()
 	msg.Value.Document = bytes.Repeat([]byte("x"), 4000)
 	benchmarkFrames(b, msg)
 }
 
-// BenchmarkFrameLoads is the same for the most frequent item of gossip.
+// BenchmarkFrameLoads does the same for the most frequent gossip item.
 func BenchmarkFrameLoads(b *testing.B) {
 	loads := filled[control.LoadReports]()
 	row := loads.Rows[0]
--- a/control/formatadded_test.go
+++ b/control/formatadded_test.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// addedFields are what messages have got since the former build, each at the end of its message: that build skips them, and its messages leave
-// them at zero.
+// addedFields are the fields that messages have got since the former build, each at the end of its message. The former build skips them,
+// and its messages leave them at zero.
 var addedFields = map[string][]string{"quota-answer": {"Left"}}
 
-// withoutAdded is the message as the former build knows it.
+// withoutAdded returns the message as the former build decodes it.
 func withoutAdded(name string, msg any) any {
 	former := reflect.New(reflect.TypeOf(msg)).Elem()
 	former.Set(reflect.ValueOf(msg))
@@ -20,7 +20,7 @@
 	return former.Interface()
 }
 
-// formerSchema leaves the added fields out of what a frame carries.
+// formerSchema removes the added fields from the schema of a frame.
 func formerSchema(name string, lines []string) []string {
 	former := slices.Clone(lines)
 	for _, field := range addedFields[name] {
--- a/control/formatdisk_test.go
+++ b/control/formatdisk_test.go
@@ -12,10 +12,10 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
-// diskFolder holds a data folder that the former build wrote: a slot with a document, and a log of every kind of entry behind it.
+// diskFolder is a data folder that the former build wrote: a slot with a document, followed by a log with an entry of every kind.
 const diskFolder = "testdata/disk"
 
-// diskWrites are the entries behind the slot: a promise, a grant, and an accepted value whose document is a delta.
+// diskWrites returns the entries after the slot: a promise, a grant, and an accepted value whose document is a delta.
 func diskWrites() []control.LogWrite {
 	value := filled[*register.Value]()
 	value.Document = text(2)
@@ -26,7 +26,7 @@
 	}
 }
 
-// writeDisk writes the folder that the tests of the disk's format read.
+// writeDisk writes the data folder that the tests of the disk's format read.
 func writeDisk(t *testing.T, path string) {
 	t.Helper()
 	journal := openFolder(t, path)
@@ -54,7 +54,7 @@
 	return journal
 }
 
-// formerDisk copies the frozen folder to where it may be written to.
+// formerDisk copies the frozen folder to one that may be written to.
 func formerDisk(t *testing.T) string {
 	t.Helper()
 	if _, err := os.Stat(diskFolder); os.IsNotExist(err) && *writeFormat {
@@ -83,12 +83,12 @@
 		t.Errorf("read\n%+v, want\n%+v", got, want)
 	}
 	if what := journal.RepairReport(); what != "" {
-		t.Errorf("a sound disk was repaired: %s", what)
+		t.Errorf("an undamaged disk was repaired: %s", what)
 	}
 }
 
-// TestFormerBuildReadsOurDisk compares the field names and types in the slot and in each entry of the log with those that the former build
-// wrote: it finds the fields by their names.
+// TestFormerBuildReadsOurDisk compares the field names and types in the slot and in each log entry with those that the former build wrote,
+// because that build finds the fields by their names.
 func TestFormerBuildReadsOurDisk(t *testing.T) {
 	ours := t.TempDir()
 	writeDisk(t, ours)
@@ -103,7 +103,7 @@
 	}
 }
 
-// records are the slot of a data folder and the entries behind it, as they are encoded.
+// records returns the encoded slot of a data folder and the encoded entries after it.
 func records(t *testing.T, path string) [][]byte {
 	t.Helper()
 	folder, err := storage.OpenFolder(path)
@@ -117,7 +117,7 @@
 	return append([][]byte{contents.Snapshot}, contents.Entries...)
 }
 
-// TestFormerBuildsDiskIsWrittenOn appends to a disk of the former build, and reads both builds' entries.
+// TestFormerBuildsDiskIsWrittenOn appends to a disk of the former build and reads the entries of both builds.
 func TestFormerBuildsDiskIsWrittenOn(t *testing.T) {
 	path := formerDisk(t)
 	if err := openFolder(t, path).Append(accepted(3)); err != nil {
--- a/control/formatschema_test.go
+++ b/control/formatschema_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// gobReader reads the integers and strings of a gob stream, see the page of encoding/gob.
+// gobReader decodes the integers and strings of a gob stream, as documented in package encoding/gob.
 type gobReader struct {
 	t   *testing.T
 	raw []byte
@@ -17,7 +17,7 @@
 
 func (r *gobReader) take(n int) []byte {
 	if n > len(r.raw) {
-		r.t.Fatalf("a gob stream ends early: %d of %d bytes", len(r.raw), n)
+		r.t.Fatalf("the gob stream ends early: %d of %d bytes", len(r.raw), n)
 	}
 	b := r.raw[:n]
 	r.raw = r.raw[n:]
@@ -45,7 +45,7 @@
 
 func (r *gobReader) string() string { return string(r.take(int(r.uint()))) }
 
-// fields reads a struct's fields by number until its end.
+// fields decodes a struct's field numbers, until the end of the struct, and calls read for each.
 func (r *gobReader) fields(read func(field int)) {
 	for field := 0; ; {
 		delta := int(r.uint())
@@ -57,14 +57,14 @@
 	}
 }
 
-// gobType is a type that a stream defines: parts holds the field names of a struct, or what the type is made of.
+// gobType is a type that a stream defines: names are the field names of a struct, ids the types of its fields or elements.
 type gobType struct {
 	kind  string
 	names []string
 	ids   []int64
 }
 
-// The kinds of type definitions, by their field in gob's wireType.
+// gobKinds maps the fields of gob's wireType to the kinds of types they define.
 var gobKinds = map[int]string{1: "array", 2: "slice", 3: "struct", 4: "map", 5: "encoder", 6: "binary", 7: "text"}
 
 func (r *gobReader) definition() gobType {
@@ -107,7 +107,7 @@
 	}
 }
 
-// The numbers that gob gives its basic types.
+// The type numbers of gob's basic types.
 const (
 	gobBool      = 1
 	gobInt       = 2
@@ -118,8 +118,8 @@
 	gobInterface = 8
 )
 
-// gobStream reads message after message of a stream: the reader's bytes are what is left of the present one, rest are the messages behind
-// it. It keeps the types that were defined, by number, and the names of the types that interfaces held.
+// gobStream decodes a stream message by message. The embedded reader has the rest of the current message, and rest the messages after it.
+// It records the defined types by number and the names of the types in interfaces.
 type gobStream struct {
 	*gobReader
 	rest  *gobReader
@@ -127,7 +127,7 @@
 	names map[string]bool
 }
 
-// sequence reads definitions of types up to the number of the type of the value that follows. They may be spread over messages.
+// sequence decodes type definitions, which may span messages, and returns the type number of the value that follows them.
 func (s *gobStream) sequence() int64 {
 	for {
 		if len(s.raw) == 0 {
@@ -144,10 +144,10 @@
 	}
 }
 
-// whole reads a value that stands alone: all but structs follow a zero.
+// whole decodes a top-level value. All but structs follow a zero byte.
 func (s *gobStream) whole(id int64) {
 	if s.types[id].kind != "struct" && s.uint() != 0 {
-		s.t.Fatal("a value that stands alone follows no zero")
+		s.t.Fatal("a top-level value does not follow a zero byte")
 	}
 	s.value(id)
 }
@@ -186,7 +186,7 @@
 	}
 }
 
-// held reads what an interface holds.
+// held decodes the value in an interface.
 func (s *gobStream) held() {
 	name := s.string()
 	if name == "" {
@@ -198,8 +198,8 @@
 	s.whole(id)
 }
 
-// schema lists the types that a gob stream defines and the names of those that interfaces hold. Each type is spelt out to its basic types,
-// and all are sorted: the numbers of types and the names of structs differ between processes and don't matter to a reader.
+// schema returns the types that a gob stream defines and the names of those in interfaces. Each type is expanded to its basic types, and
+// the result is sorted, because the numbers of types and the names of structs differ between processes and do not matter to a reader.
 func schema(t *testing.T, raw []byte) []string {
 	t.Helper()
 	stream := &gobStream{gobReader: &gobReader{t: t}, rest: &gobReader{t: t, raw: raw}, types: map[int64]gobType{}, names: map[string]bool{}}
--- a/control/freeze_test.go
+++ b/control/freeze_test.go
@@ -7,8 +7,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// TestReadFromBeforePauseDoesNotJoin freezes a starting node for 8 s while the answers to its first read are under way. They
-// wait in its sockets; what they tell was replaced meanwhile, and must not be obeyed.
+// TestReadFromBeforePauseDoesNotJoin freezes a starting node for 8 s while the replies to its first read are in flight. They wait in its
+// sockets. The value they contain is replaced meanwhile, and the node must not apply it.
 func TestReadFromBeforePauseDoesNotJoin(t *testing.T) {
 	for _, name := range []string{"n0", "n1", "n2", "n3"} {
 		l := newLab(t, 8)
@@ -21,7 +21,7 @@
 		l.boot(name, false)
 		l.step(name, Tick{})
 		if !l.runToAnswer(name) {
-			t.Fatal("caught up without a read")
+			t.Fatal("the node caught up without a read")
 		}
 		l.frozen = map[string]bool{name: true}
 		l.run(4 * time.Second)
@@ -30,16 +30,16 @@
 		l.frozen = nil
 		for range 2000 {
 			if l.run(time.Millisecond); l.nodes[name].applied == old {
-				t.Fatalf("%s obeys what was replaced 4 s before it woke", name)
+				t.Fatalf("%s applied a value that was replaced 4 s before the node resumed", name)
 			}
 		}
 		if l.nodes[name].applied != old+1 {
-			t.Fatalf("obeys mark %d two seconds after it woke", l.nodes[name].applied)
+			t.Fatalf("applied version is %d two seconds after the node resumed", l.nodes[name].applied)
 		}
 	}
 }
 
-// runToAnswer runs until answers to a read of a starting node are under way; false: it caught up before.
+// runToAnswer runs until replies to a starting node's read are in flight. It returns false if the node caught up before.
 func (l *lab) runToAnswer(name string) bool {
 	for range 1000 {
 		if l.nodes[name].applied > 0 {
@@ -55,7 +55,7 @@
 
 func (l *lab) answersTo(name string) bool {
 	var yes bool
-	for _, p := range l.mail {
+	for _, p := range l.inFlight {
 		_, promise := p.msg.(register.Promise)
 		yes = yes || (promise && p.to == name)
 	}
--- a/control/healthchecks.go
+++ b/control/healthchecks.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// probeEvery is the time between two probes of a replica, publishEvery that between two publications of a zone's reports.
-	probeEvery   = 250 * time.Millisecond
-	publishEvery = time.Second
-	// takeoverAfter is how long a zone may be without reports until another node asks for its lease.
+	// probeInterval is the time between two probes of a replica, publishInterval the time between two publications of a zone's reports.
+	probeInterval   = 250 * time.Millisecond
+	publishInterval = time.Second
+	// takeoverAfter is how long a zone may have no reports until another node requests its lease.
 	takeoverAfter = 2500 * time.Millisecond
-	// probeWithoutLeaseAfter is how long it may be without them until the first by rank probes without a lease.
+	// probeWithoutLeaseAfter is how long a zone may have no reports until the first node in rank probes its replicas without a lease.
 	probeWithoutLeaseAfter = 4 * time.Second
-	// missesDown is how many probes in a row a replica misses until it counts as down.
-	missesDown = 2
+	// missesUntilDown is the number of consecutive failed probes after which a replica counts as down.
+	missesUntilDown = 2
 )
 
-// replicaRecord is the last load report of a replica, and how many probes in a row it missed.
+// replicaRecord is the last load report of a replica. since is when its instance was first seen, at is when the report's figures were
+// received, and misses is the number of consecutive failed probes.
 type replicaRecord struct {
 	row    router.LoadReport
 	since  time.Duration
@@ -30,24 +31,24 @@
 
 // zoneChecks is the state of the health checks of one zone's replicas. The holder of the zone's lease probes them and publishes reports.
 type zoneChecks struct {
-	// reportedAt is when reports were last received or published here; 0: never.
+	// reportedAt is when reports were last received, or published by this node; 0: never.
 	reportedAt  time.Duration
 	probedAt    time.Duration
 	publishedAt time.Duration
-	// token is the newest lease token under which reports were made, packed; seq numbers the reports under it.
+	// token is the newest lease token under which reports were made, packed into one number; seq numbers the reports under it.
 	token, seq uint64
-	// urgent: a replica went up, down or began to drain since the last publication.
+	// urgent is set if a replica went up, went down or began to drain since the last publication.
 	urgent bool
 }
 
-// healthChecks are the health checks of replicas: active ones by the holders of the zones' leases, and what this node's own idle
-// connections show.
+// healthChecks are the health checks of replicas: active probes by the holders of the zones' leases, and observations of this node's own
+// idle connections.
 type healthChecks struct {
 	*effects
 	zones        map[string]*zoneChecks
 	replicas     map[string]*replicaRecord
 	observations map[string]*observation
-	// startedAt is when this node was first able to take part; 0: not yet.
+	// startedAt is when this node was first able to run singleton roles; 0: not yet.
 	startedAt time.Duration
 }
 
@@ -64,26 +65,26 @@
 	return zone
 }
 
-// overdue is how long ago a zone's last reports came, or this node started.
-func (h *healthChecks) overdue(now time.Duration, zone string) time.Duration {
+// sinceLastReports returns the time since a zone's last reports, or since startedAt if that is later.
+func (h *healthChecks) sinceLastReports(now time.Duration, zone string) time.Duration {
 	return now - max(h.zone(zone).reportedAt, h.startedAt)
 }
 
-// check probes a zone's replicas under a lease token, and tells whether reports are to be published. An older token than one that reports
-// were seen under has no effect.
+// check probes a zone's replicas under a lease token and reports whether their reports must be published. It does nothing if reports under
+// a newer token have been seen.
 func (h *healthChecks) check(now time.Duration, zone string, token uint64, replicas []config.Replica) bool {
 	z := h.zone(zone)
 	if token < z.token {
 		return false
 	}
 	z.token = token
-	if now-z.probedAt >= probeEvery {
+	if now-z.probedAt >= probeInterval {
 		z.probedAt = now
 		for _, r := range replicas {
 			h.probeReplica(now, r)
 		}
 	}
-	return now-z.publishedAt >= publishEvery || z.urgent
+	return now-z.publishedAt >= publishInterval || z.urgent
 }
 
 func (h *healthChecks) probeReplica(now time.Duration, r config.Replica) {
@@ -93,12 +94,13 @@
 	h.probe(Probe{Replica: r.Name, Addr: r.Addr})
 }
 
-// reports are a zone's load reports as of now, without replicas that have not answered yet and may.
+// reports returns a zone's load reports as of now. It omits replicas that have never responded and have not missed enough probes to count
+// as down.
 func (h *healthChecks) reports(now time.Duration, replicas []config.Replica) []router.LoadReport {
 	var rows []router.LoadReport
 	for _, r := range replicas {
 		record := h.replicas[r.Name]
-		if record == nil || (record.row.InstanceID == "" && record.misses < missesDown) {
+		if record == nil || (record.row.InstanceID == "" && record.misses < missesUntilDown) {
 			continue
 		}
 		row := record.row
@@ -109,15 +111,15 @@
 	return rows
 }
 
-// published notes that reports of a zone go out, and numbers them.
-func (h *healthChecks) published(now time.Duration, zone string) gossip.Version {
+// markPublished records that a zone's reports are published and returns their version.
+func (h *healthChecks) markPublished(now time.Duration, zone string) gossip.Version {
 	z := h.zone(zone)
 	z.publishedAt, z.urgent = now, false
 	z.seq++
 	return gossip.Version{Hi: z.token, Lo: z.seq}
 }
 
-// onReports takes in a zone's reports, published here where local is set.
+// onReports records a zone's reports; local is set if this node published them.
 func (h *healthChecks) onReports(now time.Duration, version gossip.Version, reports LoadReports, local bool) {
 	z := h.zone(reports.Zone)
 	z.reportedAt, z.token, z.seq = now, max(z.token, version.Hi), version.Lo
@@ -129,7 +131,7 @@
 	}
 }
 
-// onProbed takes in the outcome of a probe of a replica in a zone.
+// onProbed records the outcome of a probe of a replica in a zone.
 func (h *healthChecks) onProbed(now time.Duration, p Probed, zone string) {
 	record := h.replicas[p.Replica]
 	if record == nil {
@@ -142,14 +144,14 @@
 		record.missed()
 	}
 	row := record.row
-	if before.InstanceID != row.InstanceID || before.Down != row.Down || before.Leaving != row.Leaving || (row.Down && record.misses == missesDown) {
+	if before.InstanceID != row.InstanceID || before.Down != row.Down || before.Leaving != row.Leaving || (row.Down && record.misses == missesUntilDown) {
 		h.zone(zone).urgent = true
 	}
 }
 
 func (r *replicaRecord) missed() {
 	r.misses++
-	if r.misses >= missesDown {
+	if r.misses >= missesUntilDown {
 		r.row.Down = true
 	}
 }
--- a/control/incident_test.go
+++ b/control/incident_test.go
@@ -21,7 +21,8 @@
 	return l.nodes[name].Snapshot() != nil && l.nodes[name].serving.reason == ""
 }
 
-// docs/incidents/inc-3a1a.md: right after a yes all three voters lose power, and one of them its disk; no other disk is there.
+// TestAllVotersLosePowerAndOneItsDisk covers docs/incidents/inc-3a1a.md: right after a change is acknowledged, all three voters lose power
+// and one of them its disk. There is no standby disk.
 func TestAllVotersLosePowerAndOneItsDisk(t *testing.T) {
 	l := newLab(t, 9)
 	l.down["n3"] = true
@@ -42,7 +43,7 @@
 		l.boot(name, false)
 		l.step(name, Tick{})
 	}
-	l.await("the emptied disk votes", 1500*time.Millisecond, func() bool { return slices.Contains(l.voters(), l.disks["n2"]) })
+	l.await("the wiped disk becomes a voter", 1500*time.Millisecond, func() bool { return slices.Contains(l.voters(), l.disks["n2"]) })
 	for _, name := range l.order {
 		if name != "n3" && !l.serves(name) {
 			t.Errorf("%s does not serve", name)
@@ -50,14 +51,15 @@
 	}
 	l.down["n0"] = true
 	if got := l.read("n2"); got != "x" {
-		t.Errorf("%q is read", got)
+		t.Errorf("read %q", got)
 	}
 	if a := l.write("n6", "y"); a.Err != nil {
-		t.Fatalf("after one further loss: %v", a.Err)
+		t.Fatalf("change after one further loss: %v", a.Err)
 	}
 }
 
-// docs/incidents/inc-d97d.md: a voter loses power after a yes, later all machines do, and those without a disk are back first.
+// TestDisklessMachinesRestartBeforeVoters covers docs/incidents/inc-d97d.md: a voter loses power after a change is acknowledged. Later all
+// machines do, and those without a disk restart first.
 func TestDisklessMachinesRestartBeforeVoters(t *testing.T) {
 	l := newLab(t, 12)
 	l.list = []router.Instance{{ID: "i1", Service: "o"}}
@@ -73,7 +75,7 @@
 	for _, name := range l.order {
 		l.down[name] = true
 	}
-	l.mail = nil
+	l.inFlight = nil
 	l.run(time.Second)
 	back := slices.Clone(l.order)
 	slices.Reverse(back)
@@ -87,7 +89,7 @@
 	})
 	for _, name := range l.order {
 		if got := l.read(name); got != "y" {
-			t.Errorf("%s reads %q", name, got)
+			t.Errorf("%s read %q", name, got)
 		}
 	}
 }
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -5,26 +5,27 @@
 // Input is an input of Node.Step.
 type Input interface{ in() }
 
-// Received is a message of another node, of the types that Send may carry. Build is the sender's as its connection said it, 0 where that isn't known.
+// Received is a message from another node, of one of the types that Send may carry. Build is the build that the sender reported on its
+// connection, 0 if unknown.
 type Received struct {
 	From  string
 	Build uint32
 	Msg   any
 }
 
-// Tick has the node do what is due by its clock. It is expected several times within membership.Config.PauseGap.
+// Tick makes the node do what is due at the time of the Step. The caller must send several within membership.Config.PauseGap.
 type Tick struct{}
 
-// Persisted reports that the log writes up to Ticket are durable, or that writing failed with Err.
+// Persisted reports that the log writes up to the sequence number Seq are durable, or that writing failed with Err.
 type Persisted struct {
 	Seq uint64
 	Err error
-	// Repaired tells that everything was written anew after a failure.
+	// Repaired is set if the whole state was written anew after a failure.
 	Repaired bool
 }
 
-// Probed is the outcome of a Probe. Local repeats that of the Probe; OK says whether the replica answered, and only then do the other fields
-// hold: the instance, its running requests, whether it drains, and by how much its figures lag behind.
+// Probed is the outcome of a Probe. Local is that of the Probe. OK reports whether the replica responded; the other fields are valid only
+// then: the instance ID, its running requests, whether it is draining, and the age of these figures (Lag).
 type Probed struct {
 	Replica    string
 	Local      bool
@@ -35,18 +36,19 @@
 	Lag        time.Duration
 }
 
-// Command is a call of an operator or of the daemon. ID ties its Answer to it.
+// Command is a call by an operator or by the daemon. ID links its Answer to it.
 type Command struct {
 	ID uint64
 	Op Op
-	// Deadline is when an order may last take effect, on the node's clock; 0 for the operation's own bound, counted from the Step.
+	// Deadline is the latest time at which an operator request may take effect, on the node's clock; 0 for the operation's own timeout,
+	// counted from the Step.
 	Deadline time.Duration
 }
 
-// Cancel says that the caller of a Command has left. An order that was not proposed to voters by now never is; the Command is answered all
-// the same. Other operations run on.
+// Cancel reports that the client of a Command has disconnected. An operator request that has not been proposed to voters yet never will be;
+// the Command is answered all the same. Other operations continue.
 type Cancel struct {
-	// ID is the Command's.
+	// ID is the ID of the Command.
 	ID uint64
 }
 
@@ -57,18 +59,20 @@
 func (Command) in()   {}
 func (Cancel) in()    {}
 
-// Op is the operation that a Command asks for.
+// Op is the operation that a Command requests.
 type Op interface{ op() }
 
-// Put replaces the document if its revision is Expect, else it fails with a register.ConflictError. ID makes repetitions harmless.
+// Put replaces the document if the register has version ExpectedVersion, and fails with a register.ConflictError otherwise. ID makes the
+// operation idempotent.
 type Put struct {
 	ID              string
 	ExpectedVersion uint64
 	Document        []byte
 }
 
-// Edit changes the document by a function of the one in place, which may be called several times.
-// Base is the revision that it builds on, the ConflictErrors of Apply tell the current one; an id belongs to one base.
+// Edit replaces the document with the result of Apply on the current one. Apply may be called several times. BaseVersion is the operators'
+// own revision that the edit was made on; Apply fails with a register.ConflictError that contains the current revision. An ID belongs to a
+// single base.
 type Edit struct {
 	ID          string
 	BaseVersion uint64
@@ -78,47 +82,50 @@
 // Get reads the register from a majority of voters.
 type Get struct{}
 
-// Evacuate takes all traffic from a zone, or with Restore gives it back. It fails with a register.FencedError if another order on the zone
-// was taken meanwhile.
+// Evacuate removes all traffic from a zone or, with Restore, readmits it. It fails with a register.ScopeConflictError if another request
+// for the zone has been applied in the meantime.
 type Evacuate struct {
 	ID      string
 	Zone    string
 	Restore bool
 }
 
-// Bootstrap bootstraps the register with the nodes named as its voters. It fails with a NameError or, where a register exists, a
+// Bootstrap creates the register with the named nodes as its voters. It fails with a NameError or, if a register exists, a
 // register.ConflictError.
 type Bootstrap struct{ Names []string }
 
-// ReplaceVoters makes the nodes named the voters. It fails with a NameError, or a register.ConflictError while another change is under way.
+// ReplaceVoters makes the named nodes the voters. It fails with a NameError, or with a register.ConflictError while another change of
+// voters is in progress.
 type ReplaceVoters struct {
 	ID    string
 	Names []string
 }
 
-// SetReplicaStates publishes what operators say of replicas. At is when they said it, in milliseconds of Unix time.
+// SetReplicaStates publishes the states that operators set for replicas. At is when they set them, in milliseconds of Unix time.
 type SetReplicaStates struct {
 	Rows []ReplicaState
 	At   uint64
 }
 
-// Witness asks the witnesses of a request whether another router has sent it. SpareTime is the time that they may take; Peek only looks.
+// Witness asks the witnesses of a request whether another router has sent it. SpareTime is how long they may take. With Peek, the witnesses
+// remember nothing.
 type Witness struct {
 	Request   string
 	SpareTime time.Duration
 	Peek      bool
 }
 
-// SetSeeds replaces the addresses that a node contacts when it knows no other node.
+// SetSeeds replaces the addresses that the node contacts while it joins the fleet.
 type SetSeeds struct{ Addrs []string }
 
-// SetEmbeddedRouters tells how many routers in other programs follow this node; they count as routers of the fleet.
+// SetEmbeddedRouters sets how many routers embedded in other programs follow this node; they count as routers of the fleet.
 type SetEmbeddedRouters struct{ Count int }
 
-// Retire says that the process was told to end and will soon leave: until then it votes on, and its voter slot goes to a standby disk.
+// Retire announces that the process was told to terminate and will leave soon. Until then the node still votes, and its voter slot moves to
+// a standby disk.
 type Retire struct{}
 
-// Leave releases the node's leases and tells its peers that it leaves the fleet.
+// Leave releases the node's leases and announces to its peers that it leaves the fleet.
 type Leave struct{}
 
 func (Put) op()                {}
--- a/control/join.go
+++ b/control/join.go
@@ -10,42 +10,48 @@
 )
 
 const (
-	joinDelay       = 2200 * time.Millisecond
-	askEvery        = 300 * time.Millisecond
-	askFirst        = 80 * time.Millisecond
-	readWithin      = time.Second
-	neighboursAfter = 1500 * time.Millisecond
+	// joinDelay is how long a node that has joined waits before it serves, so that the other routers count its router first.
+	joinDelay = 2200 * time.Millisecond
+	// digestInterval is the maximum time between two digests that a joining node sends, firstDigestDelay the minimum; in between it grows
+	// by a quarter of the time since the node started to join.
+	digestInterval   = 300 * time.Millisecond
+	firstDigestDelay = 80 * time.Millisecond
+	// readTimeout is the timeout of the read that completes a join.
+	readTimeout = time.Second
+	// neighboursReadDelay is how long a node waits before it joins without a read of the register, with what its neighbours sent.
+	neighboursReadDelay = 1500 * time.Millisecond
 )
 
-// FirstIncarnation is where a node's incarnations start. The clock only saves a round trip: a node whose clock was set back, or that drew a lower
-// number than before, receives its own older member from others and goes above.
-func FirstIncarnation(now time.Time, chance uint64) uint64 {
-	return uint64(now.UnixMilli())<<16 | chance&0xffff
+// FirstIncarnation returns a node's first incarnation after a start, from the clock and the low 16 bits of random. The clock only saves a round trip:
+// a node whose clock was set back, or that drew a lower number than before, receives its own older member entry from other nodes and takes
+// a higher incarnation.
+func FirstIncarnation(now time.Time, random uint64) uint64 {
+	return uint64(now.UnixMilli())<<16 | random&0xffff
 }
 
-// joinState is how far a node is in catching up with its fleet, after a start or a pause.
+// joinState is a node's progress in catching up with its fleet after a start or a pause.
 type joinState struct {
-	joined        bool
-	startedOverAt time.Duration
-	askedAt       time.Duration
-	// inputAt is when the last input came, 0 before the first.
+	joined       bool
+	restartedAt  time.Duration
+	digestSentAt time.Duration
+	// inputAt is the time of the last input, 0 before the first.
 	inputAt        time.Duration
 	neighboursRead map[string]bool
-	// servesFrom is when the others have had time to count this node's router in; 0: not joined yet.
+	// servesFrom is when the other routers have had time to count this node's router; 0: not joined yet.
 	servesFrom time.Duration
 }
 
 func newJoinState(now time.Duration) joinState {
-	return joinState{startedOverAt: now, askedAt: -time.Hour, neighboursRead: map[string]bool{}}
+	return joinState{restartedAt: now, digestSentAt: -time.Hour, neighboursRead: map[string]bool{}}
 }
 
-// restart has the node catch up anew.
+// restart makes the node catch up again from the start.
 func (j *joinState) restart(now time.Duration) {
-	j.joined, j.startedOverAt, j.servesFrom = false, now, 0
+	j.joined, j.restartedAt, j.servesFrom = false, now, 0
 	j.neighboursRead = map[string]bool{}
 }
 
-// pause is how long no input came before this one.
+// pause returns how long there was no input before this one, and records the time of this one.
 func (j *joinState) pause(now time.Duration) time.Duration {
 	last := j.inputAt
 	j.inputAt = now
@@ -55,22 +61,22 @@
 	return now - last
 }
 
-// askDue tells whether to ask other nodes for what they know, and notes that it is asked.
-func (j *joinState) askDue(now time.Duration) bool {
-	if now-j.askedAt < min(askEvery, askFirst+(now-j.startedOverAt)/4) {
+// digestDue reports whether to send digests to other nodes now, and if so records the time.
+func (j *joinState) digestDue(now time.Duration) bool {
+	if now-j.digestSentAt < min(digestInterval, firstDigestDelay+(now-j.restartedAt)/4) {
 		return false
 	}
-	j.askedAt = now
+	j.digestSentAt = now
 	return true
 }
 
-// servingState is what the node last told its router about serving.
+// servingState is what the node last reported to its router about serving.
 type servingState struct {
 	leaving bool
-	// reason is why the router may not serve, empty where it may.
+	// reason is why the router may not serve, empty if it may.
 	reason     string
 	reportedAt time.Duration
-	// routers are the names of the routers last told.
+	// routers are the names of the fleet's routers as last reported, separated by commas.
 	routers string
 }
 
@@ -78,13 +84,13 @@
 	if n.joining.joined {
 		return
 	}
-	if n.joining.askDue(now) {
-		n.greet()
+	if n.joining.digestDue(now) {
+		n.sendDigests()
 	}
 	if n.knownValue() != nil && !n.operations.reading {
-		n.read(now, readWithin)
+		n.read(now, readTimeout)
 	}
-	if now-n.joining.startedOverAt < neighboursAfter {
+	if now-n.joining.restartedAt < neighboursReadDelay {
 		return
 	}
 	others := 0
@@ -112,13 +118,13 @@
 	return nil
 }
 
-func (n *Node) greet() {
+func (n *Node) sendDigests() {
 	sent := map[string]bool{n.config.Addr: true}
-	versions := n.Gossip.ReplyDigest()
+	digest := n.Gossip.ReplyDigest()
 	for _, s := range n.config.Seeds {
 		if !sent[s] {
 			sent[s] = true
-			n.send(s, versions)
+			n.send(s, digest)
 		}
 	}
 	for _, m := range n.Members.Table.All() {
@@ -127,28 +133,28 @@
 		}
 		if !sent[m.Addr] {
 			sent[m.Addr] = true
-			n.send(m.Addr, versions)
+			n.send(m.Addr, digest)
 		}
 	}
 }
 
-// noticeFreeze starts over at the first input after a pause, before that is taken in: it may have lain in a socket since before the
-// pause, as may the answers to a read.
-func (n *Node) noticeFreeze(now time.Duration) {
+// detectPause restarts the join at the first input after a pause of the process, before the input is handled: it may have waited in a
+// socket since before the pause, and so may the replies to a read.
+func (n *Node) detectPause(now time.Duration) {
 	if pause := n.joining.pause(now); pause > n.config.Membership.PauseGap {
 		n.rejoin(now, fmt.Sprintf("%s without an input", pause))
 	}
 }
 
-// rejoin starts over as after a start: what this node knows may be old, and others may have taken its share of room.
-// Messages that wait for chunks were sent before.
+// rejoin restarts the join as after a start of the process: what this node knows may be out of date, and other nodes may have taken over
+// its share of the capacity. Messages that wait for chunks are dropped, because they were sent before.
 func (n *Node) rejoin(now time.Duration, why string) {
 	if n.joining.joined {
 		n.logChange(ChangeRejoining, why)
 	}
 	n.joining.restart(now)
 	n.documents.fetches = nil
-	n.quotas.owner.Reset(now + quotaTakeover)
+	n.quotas.owner.Reset(now + quotaTakeoverDelay)
 }
 
 func (n *Node) finishJoin(now time.Duration, how string) {
@@ -165,7 +171,7 @@
 	n.reportServing(now)
 }
 
-// reportServing reports at once when serving becomes possible or impossible.
+// reportServing reports to the router whether it may serve. A change is reported without waiting for the next tick.
 func (n *Node) reportServing(now time.Duration) {
 	why := n.notServingReason(now)
 	if why != n.serving.reason {
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -16,15 +16,15 @@
 	return &register.Value{Fleet: "f", Version: version, Epoch: 1, Document: []byte(body), Voters: []register.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
 }
 
-type lone struct {
-	n      *Node
-	now    time.Duration
-	orders []uint64
+type loneNode struct {
+	n       *Node
+	now     time.Duration
+	applied []uint64
 }
 
-// newLone is a core with an old picture on its disk and two neighbours that answer its pings; no voter answers.
-func newLone() *lone {
-	l := &lone{n: New(0, Config{
+// newLoneNode returns a voter with an old value on its disk and two neighbours that acknowledge its pings; no voter responds.
+func newLoneNode() *loneNode {
+	l := &loneNode{n: New(0, Config{
 		Name: "n1", Addr: "a1", Boot: "b", Zone: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Register: register.State{Disk: "d1", Value: value(1)}},
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})}
@@ -34,21 +34,21 @@
 	return l
 }
 
-func (l *lone) step(in Input) Output {
+func (l *loneNode) step(in Input) Output {
 	out := l.n.Step(l.now, in)
 	for _, ev := range out.Events {
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			l.orders = append(l.orders, o.Snapshot.Version)
+			l.applied = append(l.applied, o.Snapshot.Version)
 		}
 	}
 	return out
 }
 
-func (l *lone) tell(from string, version uint64) {
+func (l *loneNode) sendValue(from string, version uint64) {
 	l.step(Received{From: from, Msg: gossip.Update{Items: []gossip.Item{{Key: "c", Version: gossip.Version{Hi: version, Lo: 1}, Data: value(version)}}}})
 }
 
-func (l *lone) run(until time.Duration) {
+func (l *loneNode) run(until time.Duration) {
 	for ; l.now < until; l.now += 50 * time.Millisecond {
 		for _, s := range l.step(Tick{}).Sends {
 			if p, ok := s.Msg.(membership.Ping); ok {
@@ -58,8 +58,8 @@
 	}
 }
 
-// nextPing runs until the node pings, and leaves that ping unanswered.
-func (l *lone) nextPing() membership.Ping {
+// nextPing runs until the node sends a ping, and returns it without an acknowledgement.
+func (l *loneNode) nextPing() membership.Ping {
 	var last membership.Ping
 	for last.Seq == 0 {
 		for _, s := range l.step(Tick{}).Sends {
@@ -73,24 +73,25 @@
 }
 
 func TestNoSnapshotIsAppliedBeforeARead(t *testing.T) {
-	l := newLone()
-	l.tell("a2", 1)
+	l := newLoneNode()
+	l.sendValue("a2", 1)
 	l.run(20 * time.Second)
-	if why := l.n.notServingReason(l.now); len(l.orders) > 0 || why != "catching up" {
-		t.Fatalf("orders %v, hindrance %q after one neighbour was read", l.orders, why)
+	if why := l.n.notServingReason(l.now); len(l.applied) > 0 || why != "catching up" {
+		t.Fatalf("applied %v, not serving because of %q after one neighbour was read", l.applied, why)
 	}
-	l.tell("a4", 2)
+	l.sendValue("a4", 2)
 	l.step(Tick{})
-	if len(l.orders) != 1 || l.orders[0] != 2 {
-		t.Errorf("obeyed %v after another neighbour told mark 2", l.orders)
+	if len(l.applied) != 1 || l.applied[0] != 2 {
+		t.Errorf("applied %v after another neighbour sent version 2", l.applied)
 	}
 }
 
-// The answer to a ping that left just before a freeze waits in the machine and is read first when it wakes.
+// TestThawedNodeRejoinsThoughPeersAnswered guards against an acknowledgement of a ping that was sent just before a freeze: it waits in a
+// socket and is read first when the node resumes.
 func TestThawedNodeRejoinsThoughPeersAnswered(t *testing.T) {
-	l := newLone()
-	l.tell("a2", 1)
-	l.tell("a4", 1)
+	l := newLoneNode()
+	l.sendValue("a2", 1)
+	l.sendValue("a4", 1)
 	l.run(10 * time.Second)
 	if why := l.n.notServingReason(l.now); why != "" {
 		t.Fatal(why)
@@ -104,18 +105,19 @@
 	}
 }
 
-// A node that wakes hears messages before its first tick finds out that it was frozen; it must not say that it serves.
+// TestNoServingReportBetweenThawAndFirstTick covers messages that a resumed node receives before its first tick detects the freeze. The
+// node must not report that it serves.
 func TestNoServingReportBetweenThawAndFirstTick(t *testing.T) {
-	l := newLone()
-	l.tell("a2", 1)
-	l.tell("a4", 1)
+	l := newLoneNode()
+	l.sendValue("a2", 1)
+	l.sendValue("a4", 1)
 	l.run(10 * time.Second)
 	last := l.nextPing()
 	l.now += 6 * time.Second
 	for _, seq := range []uint64{0, last.Seq} {
 		for _, ev := range l.step(Received{From: "a2", Msg: membership.Ack{Seq: seq}}).Events {
 			if f, ok := ev.(router.ControlStatus); ok && f.Why == "" {
-				t.Fatal("serves by what it knew before it was frozen")
+				t.Fatal("the node serves with what it knew before the freeze")
 			}
 		}
 	}
--- a/control/journal.go
+++ b/control/journal.go
@@ -14,16 +14,17 @@
 	"github.com/mallowbridge/mallowbridge/storage"
 )
 
+// logBytes is the size of the log, in bytes, at which the state is written as a new snapshot.
 const logBytes = 1 << 20
 
-// DiskState is what a node keeps on its disk: its part of the register, and what it granted.
+// DiskState is the state that a node keeps on its disk: its acceptor's state and the leases that it granted.
 type DiskState struct {
 	Register register.State
 	Grants   map[string]lease.Record
 }
 
-// entry is what one write adds to the log. An accepted value with a large document has the document as a delta to that of the value
-// accepted before it.
+// entry is the record that one write appends to the log. For an accepted value with a large document, Document is the document as a delta
+// to that of the previously accepted value.
 type entry struct {
 	Promised *Promised
 	Accepted *AcceptedEntry
@@ -53,126 +54,127 @@
 	return nil
 }
 
-// OpenJournal reads what the disk kept, or begins a new disk under newID. A new disk that takes no bytes yet is opened as well: Append
-// fails until Recover has succeeded.
+// OpenJournal reads the state from a disk, or initializes a new disk with the ID newID. It also opens a new disk that accepts no writes
+// yet: Append then fails until Recover has succeeded.
 func OpenJournal(disk storage.Disk, newID string) (*Journal, error) {
-	v, contents, err := storage.Open(disk, logBytes)
+	store, contents, err := storage.Open(disk, logBytes)
 	if err != nil {
 		return nil, err
 	}
-	k := &Journal{store: v}
-	if v.Empty() {
-		k.state = DiskState{Register: register.State{Disk: newID}}
-		return k, k.initialize()
+	j := &Journal{store: store}
+	if store.Empty() {
+		j.state = DiskState{Register: register.State{Disk: newID}}
+		return j, j.initialize()
 	}
 	var state encodedDiskState
 	if err = decode("slot", contents.Snapshot, &state); err != nil {
 		return nil, err
 	}
-	k.state = state.decode()
+	j.state = state.decode()
 	for _, raw := range contents.Entries {
-		var form encodedEntry
-		if err = decode("log", raw, &form); err != nil {
+		var encoded encodedEntry
+		if err = decode("log", raw, &encoded); err != nil {
 			return nil, err
 		}
-		e := form.decode()
-		if err = k.restore(&e); err != nil {
+		e := encoded.decode()
+		if err = j.restoreDocument(&e); err != nil {
 			return nil, err
 		}
-		k.apply(e)
+		j.apply(e)
 	}
-	return k, nil
+	return j, nil
 }
 
-// State is a copy of what is kept.
-func (k *Journal) State() DiskState {
-	kept := k.state
-	kept.Grants = maps.Clone(k.state.Grants)
-	return kept
+// State returns a copy of the state.
+func (j *Journal) State() DiskState {
+	state := j.state
+	state.Grants = maps.Clone(j.state.Grants)
+	return state
 }
 
-// RepairReport says what was damaged and made good at the opening; empty for a sound disk.
-func (k *Journal) RepairReport() string { return k.store.Repair }
+// RepairReport describes the damage that was found and repaired when the journal was opened; it is empty for an undamaged disk.
+func (j *Journal) RepairReport() string { return j.store.Repair }
 
-// initialize writes the first snapshot. A disk that refuses it is broken until it is recovered, as at any other time.
-func (k *Journal) initialize() error {
+// initialize writes the first snapshot. If the disk refuses it, the journal stays in the failed state until Recover succeeds, as after any
+// other failed write.
+func (j *Journal) initialize() error {
 	var broken *storage.WriteFailedError
 	var err error
-	if err = k.rotate(); errors.As(err, &broken) {
+	if err = j.rotate(); errors.As(err, &broken) {
 		return nil
 	}
 	return err
 }
 
-func (k *Journal) rotate() error {
-	raw, err := encode(encodeDiskState(k.state))
+func (j *Journal) rotate() error {
+	raw, err := encode(encodeDiskState(j.state))
 	if err != nil {
 		return err
 	}
-	return k.store.Rotate(raw)
+	return j.store.Rotate(raw)
 }
 
-// Recover writes the whole state anew after a failure.
-func (k *Journal) Recover() error {
-	raw, err := encode(encodeDiskState(k.state))
+// Recover writes the whole state anew after a failed write.
+func (j *Journal) Recover() error {
+	raw, err := encode(encodeDiskState(j.state))
 	if err != nil {
 		return err
 	}
-	return k.store.Recover(raw)
+	return j.store.Recover(raw)
 }
 
-func (k *Journal) apply(e entry) {
+func (j *Journal) apply(e entry) {
 	switch {
 	case e.Promised != nil:
-		k.state.Register.Promised = e.Promised.Ballot
+		j.state.Register.Promised = e.Promised.Ballot
 	case e.Accepted != nil:
-		k.state.Register.Promised, k.state.Register.Accepted, k.state.Register.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
+		j.state.Register.Promised, j.state.Register.Accepted, j.state.Register.Value = e.Accepted.Ballot, e.Accepted.Ballot, e.Accepted.Value
 	case e.Granted != nil:
-		if k.state.Grants == nil {
-			k.state.Grants = map[string]lease.Record{}
+		if j.state.Grants == nil {
+			j.state.Grants = map[string]lease.Record{}
 		}
-		k.state.Grants[e.Granted.Role] = e.Granted.Record
+		j.state.Grants[e.Granted.Role] = e.Granted.Record
 	}
 }
 
-// document is the document of the value accepted last.
-func (k *Journal) document() []byte {
-	if v := k.state.Register.Value; v != nil {
+// document returns the document of the last accepted value.
+func (j *Journal) document() []byte {
+	if v := j.state.Register.Value; v != nil {
 		return v.Document
 	}
 	return nil
 }
 
-// restore puts the document into an entry that was written with a delta.
-func (k *Journal) restore(e *entry) error {
+// restoreDocument restores the document of an entry that was written with a delta.
+func (j *Journal) restoreDocument(e *entry) error {
 	if e.Document == nil || e.Accepted == nil {
 		return nil
 	}
 	var err error
-	e.Accepted.Value.Document, err = e.Document.Apply(k.document())
+	e.Accepted.Value.Document, err = e.Document.Apply(j.document())
 	if err != nil {
 		return trace.Wrap(&storage.UnreadableError{File: "log", Cause: err})
 	}
 	return nil
 }
 
-// shorten makes of an entry what is written: only what differs from the document accepted before.
-func (k *Journal) shorten(e entry) entry {
+// withDelta returns an entry in the form that is written: a large document is replaced by its delta to the previously accepted one.
+func (j *Journal) withDelta(e entry) entry {
 	if e.Accepted == nil || len(e.Accepted.Value.Document) <= register.MaxInlineDocument {
 		return e
 	}
-	base, next := k.document(), e.Accepted.Value.Document
-	if k.index == nil || !k.index.SameDocument(base) {
-		k.index = chunk.NewIndex(base)
+	base, next := j.document(), e.Accepted.Value.Document
+	if j.index == nil || !j.index.SameDocument(base) {
+		j.index = chunk.NewIndex(base)
 	}
-	delta, index := k.index.Diff(next)
-	k.index = index
-	bare := e.Accepted.Value.Clone()
-	bare.Document = nil
-	return entry{Accepted: &AcceptedEntry{Ballot: e.Accepted.Ballot, Value: bare}, Document: &delta}
+	delta, index := j.index.Diff(next)
+	j.index = index
+	stripped := e.Accepted.Value.Clone()
+	stripped.Document = nil
+	return entry{Accepted: &AcceptedEntry{Ballot: e.Accepted.Ballot, Value: stripped}, Document: &delta}
 }
 
-func wrap(w LogWrite) entry {
+func newEntry(w LogWrite) entry {
 	var e entry
 	switch x := w.Entry.(type) {
 	case Promised:
@@ -185,21 +187,21 @@
 	return e
 }
 
-// Append writes entries and returns once they are durable. After an error nothing is written until Recover.
-func (k *Journal) Append(ws []LogWrite) error {
+// Append writes entries and returns once they are durable. After an error nothing more is written until Recover succeeds.
+func (j *Journal) Append(ws []LogWrite) error {
 	var raws [][]byte
 	for _, w := range ws {
-		e := wrap(w)
-		short := k.shorten(e)
-		k.apply(e)
-		raw, err := encode(encodeEntry(short))
+		e := newEntry(w)
+		shortened := j.withDelta(e)
+		j.apply(e)
+		raw, err := encode(encodeEntry(shortened))
 		if err != nil {
 			return err
 		}
 		raws = append(raws, raw)
 	}
-	if err := k.store.Append(raws); err != nil || !k.store.Full() {
+	if err := j.store.Append(raws); err != nil || !j.store.Full() {
 		return err
 	}
-	return k.rotate()
+	return j.rotate()
 }
--- a/control/journal_test.go
+++ b/control/journal_test.go
@@ -11,7 +11,7 @@
 	"github.com/mallowbridge/mallowbridge/sim/disk"
 )
 
-// TestNewFullDiskIsRepairedLater: a machine whose disk came back empty starts while the disk takes no bytes, and writes its state
+// TestNewFullDiskIsRepairedLater starts a machine whose disk came back empty while the disk accepts no writes. The state must be written
 // once it does.
 func TestNewFullDiskIsRepairedLater(t *testing.T) {
 	d := disk.New(1)
@@ -22,7 +22,7 @@
 	}
 	promised := control.Promised{Ballot: register.Ballot{N: 3, By: "p"}}
 	if k.Append([]control.LogWrite{{Seq: 1, Entry: promised}}) == nil {
-		t.Fatal("a full disk took an entry")
+		t.Fatal("a full disk accepted an entry")
 	}
 	d.Full = false
 	if err = k.Recover(); err != nil {
@@ -43,7 +43,7 @@
 	return raw
 }
 
-// TestJournalKeepsHundredsOfChanges writes values that have nothing in common through many rotations, with a restart after each
+// TestJournalKeepsHundredsOfChanges writes values that have nothing in common through many rotations of the log, with a restart after each
 // hundred.
 func TestJournalKeepsHundredsOfChanges(t *testing.T) {
 	d := disk.New(2)
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if kept := k.State().Register; incarnation > 0 && (kept.Value == nil || kept.Value.Version != uint64(100*incarnation) || !bytes.Equal(kept.Value.Document, noise(uint64(100*incarnation)))) {
-			t.Fatalf("life %d: kept %+v", incarnation, kept)
+			t.Fatalf("incarnation %d: kept %+v", incarnation, kept)
 		}
 		for i := range 100 {
 			version := uint64(100*incarnation + i + 1)
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -16,7 +16,7 @@
 
 var texts = map[int][]byte{}
 
-// text is a document of 60 KB, of which one line differs by the number; each eighth has nothing of the others.
+// text returns a document of 60 KB in which one line depends on the number. No two eighths of it have content in common.
 func text(number int) (raw []byte) {
 	if raw = texts[number]; raw != nil {
 		return raw
@@ -43,7 +43,7 @@
 	return []control.LogWrite{{Seq: 1, Entry: control.Promised{Ballot: ballot}}, {Seq: 2, Entry: control.AcceptedEntry{Ballot: ballot, Value: v}}}
 }
 
-// opened reads the disk and returns the number of the document that was accepted last.
+// opened opens the disk and returns its journal and the number of the last accepted document.
 func opened(t *testing.T, d *disk.Disk) (*control.Journal, int) {
 	t.Helper()
 	k, err := control.OpenJournal(d, "disk")
@@ -55,18 +55,18 @@
 		return k, 0
 	}
 	if !bytes.Equal(v.Document, text(int(v.Version))) {
-		t.Fatalf("document %d is another after a restart", v.Version)
+		t.Fatalf("document %d differs after a restart", v.Version)
 	}
 	if v.DocumentManifest != nil {
-		t.Error("a manifest comes from the disk")
+		t.Error("the value from the disk has a manifest")
 	}
 	return k, int(v.Version)
 }
 
-// Power goes at each write in turn: what was written whole before is there, chunks and vote together.
+// TestPowerIsLostAtEachWrite loses power at each write in turn. Every acknowledged write must survive, with both the chunks and the vote.
 func TestPowerIsLostAtEachWrite(t *testing.T) {
 	const changes = 20
-	turned := false
+	rotated := false
 	for cut := 1; cut < 2*changes+20; cut++ {
 		d := disk.New(uint64(cut))
 		k, _ := opened(t, d)
@@ -81,18 +81,18 @@
 		d.PowerLoss()
 		k, number := opened(t, d)
 		if number < kept || number > kept+1 {
-			t.Fatalf("cut at write %d: document %d is there, %d was acknowledged", cut, number, kept)
+			t.Fatalf("power lost at write %d: read document %d, but %d was acknowledged", cut, number, kept)
 		}
 		if err := k.Append(accepted(changes + 1)); err != nil {
 			t.Fatal(err)
 		}
 		if _, number = opened(t, d); number != changes+1 {
-			t.Fatalf("cut at write %d: document %d after another change", cut, number)
+			t.Fatalf("power lost at write %d: read document %d after another change", cut, number)
 		}
-		turned = turned || d.Size("slot0") > 0 && d.Size("slot1") > 0
+		rotated = rotated || d.Size("slot0") > 0 && d.Size("slot1") > 0
 	}
-	if !turned {
-		t.Error("the log never turned: the test proves little")
+	if !rotated {
+		t.Error("the log was never rotated: the test proves little")
 	}
 }
 
@@ -107,10 +107,10 @@
 	d.Full = true
 	var broken *storage.WriteFailedError
 	if err := k.Append(accepted(6)); !errors.As(err, &broken) {
-		t.Fatalf("a full disk says %v", err)
+		t.Fatalf("append to a full disk: %v", err)
 	}
 	if err := k.Append(accepted(7)); !errors.As(err, &broken) {
-		t.Fatalf("a disk that broke down says %v", err)
+		t.Fatalf("append after a failed write: %v", err)
 	}
 	d.Full = false
 	if err := k.Recover(); err != nil {
@@ -120,11 +120,12 @@
 		t.Fatal(err)
 	}
 	if _, number := opened(t, d); number != 8 {
-		t.Errorf("document %d is there", number)
+		t.Errorf("read document %d", number)
 	}
 }
 
-// The log grows by what changes, and the disk stays within a few times the document.
+// TestDiskHoldsOnlyChanges checks that the log grows only by what changes and that the disk's size stays within a few times that of the
+// document.
 func TestDiskHoldsOnlyChanges(t *testing.T) {
 	d := disk.New(1)
 	k, _ := opened(t, d)
@@ -152,16 +153,16 @@
 		}
 		most = max(most, size())
 	}
-	// Two slots of a document each, two logs of a mebibyte and the entry that fills them.
+	// The bound is two slots of one document each, and two logs of a mebibyte each with the entry that fills them.
 	if bound := 2*2*len(text(8)) + 2<<20; most > bound+bound/20 {
 		t.Errorf("%d bytes on disk, more than %d", most, bound)
 	}
 	if _, number := opened(t, d); number != 999 {
-		t.Errorf("document %d is there", number)
+		t.Errorf("read document %d", number)
 	}
 }
 
-// The entries that the build before wrote hold whole documents.
+// TestDiskOfTheBuildBeforeIsRead covers the entries of the previous build, which contain whole documents.
 func TestDiskOfTheBuildBeforeIsRead(t *testing.T) {
 	type oldAcceptedEntry struct {
 		Ballot register.Ballot
@@ -191,12 +192,12 @@
 	}
 	k, number := opened(t, d)
 	if number != 3 {
-		t.Fatalf("document %d is there", number)
+		t.Fatalf("read document %d", number)
 	}
 	if err = k.Append(accepted(4)); err != nil {
 		t.Fatal(err)
 	}
 	if _, number = opened(t, d); number != 4 {
-		t.Errorf("document %d is there", number)
+		t.Errorf("read document %d", number)
 	}
 }
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -12,14 +12,15 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-type parcel struct {
+// delivery is a message to a node, or an input of the node itself (from is empty), that is due at the time at.
+type delivery struct {
 	at   time.Duration
 	from string
 	to   string
 	msg  any
 }
 
-// A lab runs whole nodes in one process: three zones where nothing else is said, the first three nodes are the seeds.
+// lab runs whole nodes in one process. Nodes are spread over three zones unless a test says otherwise; the first three nodes are the seeds.
 type lab struct {
 	t     *testing.T
 	now   time.Duration
@@ -27,33 +28,33 @@
 	order []string
 	disks map[string]string
 	down  map[string]bool
-	// cut tells which ways carry nothing; nil: none is cut.
-	cut     func(from, to string) bool
-	mail    []parcel
-	answers map[uint64]Answer
-	ids     uint64
-	list    []router.Instance
-	listBad bool
-	lists   map[string]int
-	rosters map[string][]router.Instance
-	changes []string
-	// failures are the last ones each node heard of, versions the lists of versions sent.
+	// cut reports whether messages from one node to another are lost; nil: none are.
+	cut          func(from, to string) bool
+	inFlight     []delivery
+	answers      map[uint64]Answer
+	ids          uint64
+	list         []router.Instance
+	listFails    bool
+	lists        map[string]int
+	replicaLists map[string][]router.Instance
+	changes      []string
+	// failures are the last failures that each node received; digests counts the digests sent.
 	failures map[string]router.Failures
 	digests  int
-	// frozen nodes take nothing; what is sent to them waits until they wake.
+	// frozen nodes get no inputs; what is sent to them waits until they resume.
 	frozen map[string]bool
-	// zones and tolerate are those of every node.
+	// zones and tolerate are the number of zones and the fault tolerance.
 	zones    int
 	tolerate int
-	// sent sees each message, and tells whether it is lost; builds are those of nodes that run another one.
+	// sent is called for each message and reports whether it is lost; builds are the builds of nodes that do not run the current one.
 	sent   func(from, to string, msg any) bool
 	builds map[string]uint32
-	// journals keep the disks' state as the daemon does, where a test wants it.
+	// journals keep the nodes' state on disks as the daemon does, if a test needs that; folders are the disks by ID.
 	journals map[string]*Journal
-	// decided sees what becomes of requests for tenants' quotas.
+	// decided is called with the outcome of each request for a tenant's quota.
 	decided func(name string, q router.QuotaDecided)
-	folders map[string]*memory
-	// seeds are those of nodes that start; nil: the first three nodes.
+	folders map[string]*memoryDisk
+	// seeds are the seeds of nodes that start; nil: the first three nodes.
 	seeds []string
 }
 
@@ -61,9 +62,9 @@
 	return newSizedLab(t, fleetShape{nodes: size, zones: 3, disks: 4, tolerate: 1}, 0)
 }
 
-// newSizedLab has the nodes of the shape over its zones in turn; another seed draws everything else anew.
+// newSizedLab returns a lab with the given shape. Another seed changes all random draws.
 func newSizedLab(t *testing.T, shape fleetShape, seed uint64) *lab {
-	l := &lab{t: t, zones: shape.zones, tolerate: shape.tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, rosters: map[string][]router.Instance{}, builds: map[string]uint32{}}
+	l := &lab{t: t, zones: shape.zones, tolerate: shape.tolerate, ids: seed << 20, nodes: map[string]*Node{}, disks: map[string]string{}, down: map[string]bool{}, answers: map[uint64]Answer{}, lists: map[string]int{}, replicaLists: map[string][]router.Instance{}, builds: map[string]uint32{}}
 	for i := range shape.nodes {
 		name := fmt.Sprint("n", i)
 		l.order = append(l.order, name)
@@ -114,14 +115,14 @@
 	l.sendAll(name, out.Sends)
 	if n := len(out.Writes); n > 0 {
 		l.save(name, out.Writes)
-		l.mail = append(l.mail, parcel{at: l.now + 3*time.Millisecond, to: name, msg: Persisted{Seq: out.Writes[n-1].Seq}})
+		l.inFlight = append(l.inFlight, delivery{at: l.now + 3*time.Millisecond, to: name, msg: Persisted{Seq: out.Writes[n-1].Seq}})
 	}
 	if out.ReadReplicaList {
 		l.readList(name)
 	}
 	for _, ev := range out.Events {
 		if r, ok := ev.(router.ReplicaList); ok {
-			l.rosters[name] = r.Instances
+			l.replicaLists[name] = r.Instances
 		}
 		if q, ok := ev.(router.QuotaDecided); ok && l.decided != nil {
 			l.decided(name, q)
@@ -146,23 +147,23 @@
 		if l.sent != nil && l.sent(name, s.To, s.Msg) {
 			continue
 		}
-		l.mail = append(l.mail, parcel{at: l.now + time.Millisecond, from: name, to: s.To, msg: s.Msg})
+		l.inFlight = append(l.inFlight, delivery{at: l.now + time.Millisecond, from: name, to: s.To, msg: s.Msg})
 	}
 }
 
 func (l *lab) readList(name string) {
 	l.lists[name]++
 	r := ListRead{Rows: l.list}
-	if l.listBad {
-		r = ListRead{Err: errors.New("list is down")}
+	if l.listFails {
+		r = ListRead{Err: errors.New("list is unavailable")}
 	}
-	l.mail = append(l.mail, parcel{at: l.now + 2*time.Millisecond, to: name, msg: r})
+	l.inFlight = append(l.inFlight, delivery{at: l.now + 2*time.Millisecond, to: name, msg: r})
 }
 
 func (l *lab) run(d time.Duration) {
 	for until := l.now + d; l.now < until; l.now += time.Millisecond {
-		due := l.mail
-		l.mail = nil
+		due := l.inFlight
+		l.inFlight = nil
 		for _, p := range due {
 			l.deliver(p)
 		}
@@ -172,18 +173,18 @@
 	}
 }
 
-// deliver hands a message or an input in, or keeps it until its time has come and its node has thawed.
-func (l *lab) deliver(p parcel) {
+// deliver delivers a message or an input, or keeps it until it is due and its node is not frozen.
+func (l *lab) deliver(p delivery) {
 	in, local := p.msg.(Input)
 	switch {
 	case p.at > l.now || l.frozen[p.to]:
-		l.mail = append(l.mail, p)
+		l.inFlight = append(l.inFlight, p)
 	case l.nodes[p.to] == nil || l.down[p.to] || l.down[p.from]:
 	case l.cut != nil && p.from != "" && l.cut(p.from, p.to):
 	case local:
 		l.step(p.to, in)
 	default:
-		l.step(p.to, Received{From: p.from, Build: l.speaks(p.from), Msg: p.msg})
+		l.step(p.to, Received{From: p.from, Build: l.buildOf(p.from), Msg: p.msg})
 	}
 }
 
--- a/control/list.go
+++ b/control/list.go
@@ -14,36 +14,40 @@
 	replicaListKey      = "l"
 	listConfirmationKey = "lt/"
 	listRole            = "list"
-	// confirmationTimeout is how long confirmations may stay away until a node reads for itself; each next in rank waits one step more.
+	// confirmationTimeout is how long a node waits for a confirmation by another node before it reads the list itself. Each position in
+	// rank adds listRankDelay.
 	confirmationTimeout = 1300 * time.Millisecond
-	listStep            = 200 * time.Millisecond
-	listStride          = 8
-	// firstListRetry paces a starting node's own readings, and its rank spreads those of many that start together.
+	listRankDelay       = 200 * time.Millisecond
+	// maxListRank is the highest rank that counts in these delays.
+	maxListRank = 8
+	// firstListRetry is the minimum time between reads by a starting node; listRankDelay per position in rank spreads the reads of nodes
+	// that start at once.
 	firstListRetry = 200 * time.Millisecond
-	firstListWait  = 150 * time.Millisecond
-	// firstListSpread is over how many milliseconds those that are no seeds spread their first reading.
+	// firstListWait is how long after its start a node that is not a seed waits before its first read.
+	firstListWait = 150 * time.Millisecond
+	// firstListSpread is the interval, in milliseconds, over which nodes that are not seeds spread their first read.
 	firstListSpread = 400
 )
 
-// ReplicaListItem is the gossip item with the platform's list of replicas as one node read it. It is published only when it changes.
+// ReplicaListItem is the gossip item with the platform's replica list as read by one node. It is published only when it changes.
 type ReplicaListItem struct{ Rows []router.Instance }
 
-// Size is about the bytes that the item takes in a message.
+// Size returns the approximate size of the item in a message, in bytes.
 func (r ReplicaListItem) Size() int { return 96 * len(r.Rows) }
 
-// Since is the first build that reads the item.
+// Since returns the first build that can decode the item.
 func (ReplicaListItem) Since() uint32 { return 2 }
 
-// ListConfirmation is the gossip item which says that the list was read and that the ReplicaListItem of that version still holds.
+// ListConfirmation is the gossip item which confirms that the list was read and that the ReplicaListItem of that version is still current.
 type ListConfirmation struct{ Version gossip.Version }
 
-// Ephemeral says that the item is worth nothing to a node that starts later.
+// Ephemeral reports that a node that starts later does not need the item.
 func (ListConfirmation) Ephemeral() bool { return true }
 
-// Since is the first build that reads the item.
+// Since returns the first build that can decode the item.
 func (ListConfirmation) Since() uint32 { return 2 }
 
-// ListRead is what a reading of the platform's list brought.
+// ListRead is the input with the result of a read of the platform's replica list.
 type ListRead struct {
 	Rows []router.Instance
 	Err  error
@@ -51,16 +55,18 @@
 
 func (ListRead) in() {}
 
-// listReader is when the list was last confirmed by any node and read by this one, and counts failed and successful readings.
+// listReader records when any node last confirmed the list and when this node last started to read it, and counts its failed and successful
+// reads.
 type listReader struct {
-	confirmedAt time.Duration
-	askedAt     time.Duration
-	reading     bool
-	fails       uint64
-	reads       uint64
+	confirmedAt   time.Duration
+	readStartedAt time.Duration
+	reading       bool
+	fails         uint64
+	reads         uint64
 }
 
-// readList has the platform's list read: by the holder of the lease, and by each node that receives no confirmation.
+// readList requests a read of the platform's list. The holder of the lease does so every ListEvery, any other node only while it receives
+// no confirmation.
 func (n *Node) readList(now time.Duration) {
 	l := &n.replicaList
 	if n.config.ListEvery == 0 || n.serving.leaving || l.reading {
@@ -73,18 +79,18 @@
 	if !due(now) {
 		return
 	}
-	l.reading, l.askedAt = true, now
+	l.reading, l.readStartedAt = true, now
 	n.out.ReadReplicaList = true
 }
 
 func (n *Node) listDue(now time.Duration) bool {
-	if now-n.replicaList.askedAt < n.config.ListEvery {
+	if now-n.replicaList.readStartedAt < n.config.ListEvery {
 		return false
 	}
-	return n.holdsListRole(now) || now-n.replicaList.confirmedAt >= confirmationTimeout+time.Duration(n.rank(listRole))*listStep
+	return n.holdsListRole(now) || now-n.replicaList.confirmedAt >= confirmationTimeout+time.Duration(n.rank(listRole))*listRankDelay
 }
 
-// holdsListRole renews or asks for the lease, where this node holds it or is the first by rank.
+// holdsListRole reports whether this node has the list lease. It renews the lease, or requests it if this node ranks first.
 func (n *Node) holdsListRole(now time.Duration) bool {
 	if n.value == nil || !n.joining.joined || n.Members.Isolated(now) {
 		return false
@@ -96,18 +102,18 @@
 	return yes
 }
 
-// firstListDue has the list read soon after a start: until some node has, nothing can be served. Seeds begin, and most others receive their
-// result.
+// firstListDue reports whether to read the list while no node is known to have read it. Until then nothing can be served. Seeds read first,
+// and most other nodes receive their result.
 func (n *Node) firstListDue(now time.Duration) bool {
 	spread := time.Duration(scheduler.RendezvousWeight(listRole, n.config.Name)%firstListSpread) * time.Millisecond
 	if !slices.Contains(n.config.Seeds, n.config.Addr) && now-n.startedAt < firstListWait+spread {
 		return false
 	}
-	return now-n.replicaList.askedAt >= firstListRetry+time.Duration(n.rank(listRole))*listStep
+	return now-n.replicaList.readStartedAt >= firstListRetry+time.Duration(n.rank(listRole))*listRankDelay
 }
 
 func (n *Node) rank(role string) int {
-	return min(n.place("live/", role, membership.Member.Live), listStride)
+	return min(n.rankAmong("live/", role, membership.Member.Live), maxListRank)
 }
 
 func (n *Node) onListRead(now time.Duration, r ListRead) {
@@ -133,7 +139,7 @@
 	n.Gossip.Put(gossip.Item{Key: listConfirmationKey + n.config.Name, Version: n.itemVersion(l.reads), Data: ListConfirmation{Version: version}})
 }
 
-// sameInstances ignores how long a replica keeps warming up, but not whether it is.
+// sameInstances compares two lists. It ignores how much longer a replica warms up, but not whether it does.
 func sameInstances(a, b []router.Instance) bool {
 	return slices.EqualFunc(a, b, func(x, y router.Instance) bool {
 		if (x.WarmUpRemaining > 0) != (y.WarmUpRemaining > 0) {
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -9,8 +9,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// power takes all nodes down at once and starts them again with what their disks hold.
-func (l *lab) power() {
+// restartAll stops all nodes at once and starts them again with what their disks contain.
+func (l *lab) restartAll() {
 	for _, name := range l.order {
 		l.down[name] = true
 	}
@@ -37,13 +37,13 @@
 		l.run(900 * time.Millisecond)
 		l.boot(name, false)
 		l.run(4 * time.Second)
-		l.power()
+		l.restartAll()
 		for i := range 5 {
 			if a := l.call("n5", onBase(i, i+1)); a.Err != nil {
-				t.Errorf("after %s was emptied: order %d: %v", name, i, a.Err)
+				t.Errorf("after %s was wiped: request %d: %v", name, i, a.Err)
 			}
 			if a := l.call("n5", onBase(i, 77)); !isConflict(a.Err) {
-				t.Errorf("after %s was emptied: another on %d: %v", name, i, a.Err)
+				t.Errorf("after %s was wiped: another request on base %d: %v", name, i, a.Err)
 			}
 		}
 	}
@@ -61,29 +61,30 @@
 	}
 	for i := range uint64(puts) {
 		if a := l.call("n4", put(i)); a.Err != nil || a.Version != i+1 {
-			t.Fatalf("put %d: %v, mark %d", i, a.Err, a.Version)
+			t.Fatalf("put %d: %v, version %d", i, a.Err, a.Version)
 		}
 	}
 	if a := l.call("n4", Evacuate{ID: "e", Zone: "z"}); a.Err != nil || a.Version != puts+1 {
-		t.Fatalf("%v, mark %d", a.Err, a.Version)
+		t.Fatalf("%v, version %d", a.Err, a.Version)
 	}
 	for _, i := range []uint64{puts - 400, puts - 1} {
 		if a := l.call("n5", put(i)); a.Err != nil || a.Version != i+1 {
-			t.Errorf("put %d again: %v, mark %d", i, a.Err, a.Version)
+			t.Errorf("repeated put %d: %v, version %d", i, a.Err, a.Version)
 		}
 	}
 	var forgotten *register.BaseTooOldError
 	if a := l.call("n5", put(3)); !errors.As(a.Err, &forgotten) {
-		t.Errorf("a put that is forgotten: %v", a.Err)
+		t.Errorf("a put that is no longer logged: %v", a.Err)
 	}
 	for _, i := range []uint64{puts - 400, puts, puts + 2} {
 		if a := l.call("n5", Put{ID: "other", ExpectedVersion: i}); !isConflict(a.Err) {
-			t.Errorf("another on mark %d: %v", i, a.Err)
+			t.Errorf("another put on version %d: %v", i, a.Err)
 		}
 	}
 }
 
-// Eight orders under way at once, each on a zone of its own, are all acknowledged within a second, and none by a second call.
+// TestConcurrentEvacuationsAreAcknowledged checks that eight concurrent requests, each for a zone of its own, are all acknowledged within a
+// second without being sent again.
 func TestConcurrentEvacuationsAreAcknowledged(t *testing.T) {
 	for seed := range 20 {
 		l := newLab(t, 6)
@@ -98,11 +99,11 @@
 		l.run(time.Second)
 		for _, id := range ids {
 			if a, ok := l.answers[id]; !ok || a.Err != nil {
-				t.Errorf("seed %d: order %d: %v %v", seed, id, ok, a.Err)
+				t.Errorf("seed %d: request %d: answered %v, error %v", seed, id, ok, a.Err)
 			}
 		}
 		if a := l.call("n5", Get{}); len(a.Value.EvacuatedZones) != 8 {
-			t.Errorf("seed %d, from %s: %v", seed, from, a.Value.EvacuatedZones)
+			t.Errorf("seed %d, started at %s: evacuated zones %v", seed, from, a.Value.EvacuatedZones)
 		}
 	}
 }
--- a/control/node.go
+++ b/control/node.go
@@ -13,9 +13,10 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public side) and Zone (its zone) are told to
-// the other nodes. Boot tells one process of a name from the next, Build is the build of its messages (0: transport.Build), Incarnation the first
-// incarnation of its member (see FirstIncarnation), Seed feeds its random choices. Disk is what its disk kept; nil: the node has none.
+// Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public HTTP side) and Zone are published to
+// the other nodes. Boot distinguishes a node's successive processes, Build is the build of its messages (0: transport.Build), Incarnation
+// the first incarnation of its member entry (see FirstIncarnation), and Seed seeds its random choices. Seeds are the addresses that it
+// contacts while it joins. Disk is the state that its disk kept; nil if the node has no disk.
 type Config struct {
 	Name, Addr, HTTP, Zone string
 	Seeds                  []string
@@ -27,24 +28,24 @@
 	Membership             membership.Config
 	Gossip                 gossip.Config
 
-	// Read reads and checks the operators' document; nil: that of the product's own documents.
+	// Read parses and validates the operators' document; nil: the reader of the product's own documents.
 	Read config.Reader
-	// ListEvery is how often the platform's list of replicas is read; 0: there is none.
+	// ListEvery is how often the platform's replica list is read; 0: there is no such list.
 	ListEvery time.Duration
-	// FaultTolerance is how many voters may be lost together; the fleet then chooses voters by itself. 0: operators do.
+	// FaultTolerance is how many voters may be lost at once; the fleet then chooses its voters automatically. 0: operators choose them.
 	FaultTolerance int
-	// Bootstraps has the seeds found the register by themselves.
+	// Bootstraps makes the seeds create the register automatically.
 	Bootstraps bool
-	// HidesDocument leaves the operators' document out of the status: it holds secrets.
+	// HidesDocument omits the operators' document from the status, because it contains secrets.
 	HidesDocument bool
-	// Quota is how strictly tenants' limits are kept; zero: quota.DefaultRule.
+	// Quota is how strictly tenants' limits are enforced; zero: quota.DefaultRule.
 	Quota quota.Rule
-	// ServesIsolated keeps a node serving by its last snapshot while it is isolated.
+	// ServesIsolated lets a node serve with its last snapshot while it is isolated.
 	ServesIsolated bool
 }
 
-// Node is the control state machine of one node. It is owned by one goroutine; only Step changes it. It wires its parts together: each
-// keeps its own state, and what a step wants done is collected in effects.
+// Node is the control state machine of one node. It is owned by one goroutine; only Step changes it. Each of its parts keeps its own state,
+// and all of them add what a step requests to effects.
 type Node struct {
 	config Config
 	*effects
@@ -56,15 +57,15 @@
 	grantor  *lease.Grantor
 	leases   *lease.Holder
 
-	// value is the latest value of the register known to be chosen, snapshot what its document says, applied the version that the router
-	// goes by.
+	// value is the newest value of the register known to be chosen, snapshot the configuration in its document, and applied the version
+	// that the router applies.
 	value          *register.Value
 	snapshot       *config.Snapshot
 	replicasByName map[string]config.Replica
 	applied        uint64
 
 	startedAt time.Duration
-	// local are messages of this node to itself, taken in at the end of the step.
+	// local are messages of this node to itself, handled at the end of the step.
 	local []Received
 	// failureSeq numbers this router's reports of failed requests.
 	failureSeq uint64
@@ -75,18 +76,18 @@
 	serving       servingState
 	reconciling   reconciliation
 	bootstrapping bootstrapState
-	derived       derived
+	memberCache   memberCache
 	replicaList   listReader
 	health        healthChecks
 	voters        voterRepair
-	// platformStates is what operators said of replicas here.
+	// platformStates are the states that operators set for replicas at this node.
 	platformStates map[string]platformState
 	witness        witnessState
 	documents      documents
 	quotas         quotaState
 }
 
-// New makes a node that starts at now, on the clock of all further steps.
+// New returns a node that starts at now. All later steps use the same clock.
 func New(now time.Duration, cfg Config) *Node {
 	if cfg.Read == nil {
 		cfg.Read = (&config.Documents{}).Read
@@ -99,7 +100,7 @@
 	n := &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
 		effects: &effects{}, startedAt: now, operations: newOperations(), joining: newJoinState(now), serving: servingState{reportedAt: -time.Hour},
-		bootstrapping: bootstrapState{at: -time.Hour}, replicaList: listReader{confirmedAt: now, askedAt: -time.Hour},
+		bootstrapping: bootstrapState{at: -time.Hour}, replicaList: listReader{confirmedAt: now, readStartedAt: -time.Hour},
 		witness: newWitness(now), platformStates: map[string]platformState{}, documents: newDocuments(), quotas: newQuotaState(now, cfg),
 	}
 	n.health = newHealthChecks(n.effects)
@@ -116,11 +117,11 @@
 	return n
 }
 
-// Step takes one input at the time now, which never falls, and returns what is to be done.
+// Step handles one input at the time now, which must never decrease, and returns what the caller must do.
 func (n *Node) Step(now time.Duration, in Input) Output {
 	var out Output
 	n.out = &out
-	n.noticeFreeze(now)
+	n.detectPause(now)
 	switch i := in.(type) {
 	case Received:
 		n.recv(now, i)
@@ -133,7 +134,7 @@
 	case QuotaRequested:
 		n.quotaRequested(now, i)
 	case FailuresObserved:
-		n.failed(i)
+		n.publishFailures(i)
 	case ListRead:
 		n.onListRead(now, i)
 	case Command:
@@ -141,7 +142,7 @@
 	case Cancel:
 		n.cancel(now, i)
 	case Prefills:
-		n.tellPrefills(i)
+		n.sendPrefills(i)
 	case Tick:
 		n.tick(now)
 	}
--- a/control/observations.go
+++ b/control/observations.go
@@ -6,15 +6,15 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// ConnectionState is what became of a node's own idle connection to a replica.
+// ConnectionState is the state of a node's own idle connection to a replica.
 type ConnectionState uint8
 
 const (
-	// ConnectionClosed says that the replica closed the connection.
+	// ConnectionClosed means that the replica closed the connection.
 	ConnectionClosed ConnectionState = iota + 1
-	// ConnectionRefused says that nobody listens at the replica's address.
+	// ConnectionRefused means that nothing listens at the replica's address.
 	ConnectionRefused
-	// ConnectionUp says that the replica answered.
+	// ConnectionUp means that the replica responded.
 	ConnectionUp
 )
 
@@ -27,39 +27,42 @@
 func (ConnectionChange) in() {}
 
 const (
-	// localProbeRetry is the least time between two checks of one replica that other nodes report on differently.
+	// localProbeRetry is the minimum time between two checks of a replica on which this node's observation and other nodes' reports differ.
 	localProbeRetry = 500 * time.Millisecond
-	// localObservationTTL is how long an own observation that a replica is down outweighs what other nodes report.
+	// localObservationTTL is how long this node's observation that a replica is down overrides other nodes' reports.
 	localObservationTTL = time.Second
 )
 
-// observation is what this node's own idle connection to a replica last showed.
+// observation is the last state of this node's own idle connection to a replica.
 type observation struct {
-	state    ConnectionState
+	state ConnectionState
+	// instance is the ID of the replica's last instance that responded.
 	instance string
-	since    time.Duration
-	at       time.Duration
-	askedAt  time.Duration
+	// since is when that instance was first seen, by this node or in other nodes' reports.
+	since time.Duration
+	// at is the time of the last change of the connection.
+	at          time.Duration
+	recheckedAt time.Duration
 }
 
-// observe takes in a change of this node's own connection to a replica. The router learns it before anything that other nodes report.
-func (h *healthChecks) observe(now time.Duration, i ConnectionChange) {
-	seen := h.observations[i.Replica]
+// observe applies a change of this node's own connection to a replica. The router receives it before any report of another node.
+func (h *healthChecks) observe(now time.Duration, change ConnectionChange) {
+	seen := h.observations[change.Replica]
 	if seen == nil {
 		seen = &observation{}
-		h.observations[i.Replica] = seen
+		h.observations[change.Replica] = seen
 	}
 	before := seen.state
-	seen.state, seen.at = i.State, now
-	switch i.State {
+	seen.state, seen.at = change.State, now
+	switch change.State {
 	case ConnectionClosed:
-		h.emit(router.ReplicaSuspect{Replica: i.Replica})
+		h.emit(router.ReplicaSuspect{Replica: change.Replica})
 	case ConnectionRefused:
 		if before != ConnectionRefused {
-			h.emit(router.LoadReport{Replica: i.Replica, Down: true})
+			h.emit(router.LoadReport{Replica: change.Replica, Down: true})
 		}
 	case ConnectionUp:
-		h.observeInstance(now, seen, i.Probed)
+		h.observeInstance(now, seen, change.Probed)
 	}
 }
 
@@ -75,8 +78,8 @@
 	})
 }
 
-// accepts compares another node's report on a replica with this node's own observation, and has the replica at addr checked again where
-// they differ.
+// accepts reports whether a report of another node agrees with, or overrides, this node's own observation of the replica. If they differ,
+// the replica at addr is checked again.
 func (h *healthChecks) accepts(now time.Duration, r router.LoadReport, addr string) bool {
 	seen := h.observations[r.Replica]
 	if seen == nil || seen.state == 0 {
@@ -99,11 +102,11 @@
 	return false
 }
 
-// recheckDue tells whether the replica may be checked now, and notes that it is.
+// recheckDue reports whether the replica may be checked now, and if so records the time of the check.
 func (o *observation) recheckDue(now time.Duration) bool {
-	if now-o.askedAt <= localProbeRetry {
+	if now-o.recheckedAt <= localProbeRetry {
 		return false
 	}
-	o.askedAt = now
+	o.recheckedAt = now
 	return true
 }
--- a/control/operations.go
+++ b/control/operations.go
@@ -6,38 +6,39 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
+// completion receives the result of an operation of the proposer.
 type completion func(now time.Duration, r register.Result)
 
-// A pendingOp waits for the proposer since it was submitted.
+// pendingOp is an operation of the proposer whose result has not arrived.
 type pendingOp struct {
 	since time.Duration
 	done  completion
-	// command is the ID of the Command that it carries out, 0 for the node's own operations.
+	// command is the ID of the Command that the operation carries out, 0 for the node's own operations.
 	command uint64
 }
 
-// operations are the proposer's operations that this node waits for, by number.
+// operations are the proposer's pending operations, by number.
 type operations struct {
 	seq     uint64
 	pending map[uint64]pendingOp
-	// reading: the node's own read of a majority is under way.
+	// reading is set while the node's own read of a majority is in progress.
 	reading bool
 }
 
 func newOperations() operations { return operations{pending: map[uint64]pendingOp{}} }
 
-// add numbers an operation of the node's own.
+// add registers an operation of the node itself and returns its number.
 func (o *operations) add(now time.Duration, done completion) uint64 { return o.addFor(now, 0, done) }
 
-// addFor numbers an operation that carries out a command.
+// addFor registers an operation that carries out a command and returns its number.
 func (o *operations) addFor(now time.Duration, command uint64, done completion) uint64 {
 	o.seq++
 	o.pending[o.seq] = pendingOp{since: now, done: done, command: command}
 	return o.seq
 }
 
-// of gives the operation under way that carries out a command.
-func (o *operations) of(command uint64) (uint64, bool) {
+// operationFor returns the pending operation that carries out a command.
+func (o *operations) operationFor(command uint64) (uint64, bool) {
 	for id, op := range o.pending {
 		if op.command == command && command != 0 {
 			return id, true
@@ -56,27 +57,28 @@
 	n.proposer.Submit(now, now+within, n.operations.add(now, done), change)
 }
 
-// proposeUrgent is for changes of voters, which must not starve behind operators' orders.
+// proposeUrgent submits a change of the voters ahead of queued operator requests, which must not starve it.
 func (n *Node) proposeUrgent(now time.Duration, change register.Change, done completion) {
 	n.proposer.SubmitUrgent(now, now+proposeTimeout, n.operations.add(now, done), change)
 }
 
-// read reads a majority.
+// read reads the register from a majority of voters.
 func (n *Node) read(now, within time.Duration) {
-	n.propose(now, within, nil, n.readBegun())
+	n.propose(now, within, nil, n.beginRead())
 }
 
-// readAll reads all voters, and brings those that lag to the latest value.
+// readAll reads all voters and brings those that are out of date to the latest value.
 func (n *Node) readAll(now, within time.Duration) {
-	n.proposer.SubmitFull(now, now+within, n.operations.add(now, n.readBegun()), nil)
+	n.proposer.SubmitFull(now, now+within, n.operations.add(now, n.beginRead()), nil)
 }
 
-func (n *Node) readBegun() completion {
+func (n *Node) beginRead() completion {
 	n.operations.reading = true
 	return func(time.Duration, register.Result) { n.operations.reading = false }
 }
 
-// replyTo answers a command with the result of its operation; order is the id under which the operation was logged, if any.
+// replyTo returns a completion that answers a command with the result of its operation. order is the ID under which the operation is
+// logged, if any.
 func (n *Node) replyTo(id uint64, order string) completion {
 	return func(_ time.Duration, r register.Result) {
 		a := Answer{ID: id, Value: r.Value, Err: r.Err}
@@ -90,7 +92,8 @@
 	}
 }
 
-// drainProposer has the proposer act on what is due at each input, not at ticks only: its pauses are shorter than a tick.
+// drainProposer ticks the proposer and handles its output. It runs after each input and not only at ticks, because the proposer's pauses
+// are shorter than the interval between ticks.
 func (n *Node) drainProposer(now time.Duration) {
 	n.proposer.Tick(now)
 	sends, results := n.proposer.TakeOutput()
@@ -110,7 +113,7 @@
 	if newer {
 		n.sendGossip(n.Gossip.PushNow(n.peers()))
 	}
-	if op.since >= n.joining.startedOverAt {
+	if op.since >= n.joining.restartedAt {
 		n.finishJoin(now, "a majority was read")
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// OperationTimeout is how long an operator's call is tried after it arrived, where it says nothing else: callers leave after a second without
-	// an answer, and what takes effect later could undo what they ordered elsewhere since.
+	// OperationTimeout is how long after its arrival an operator request is attempted, unless it has a deadline. Clients give up after a
+	// second without a response, and a request that takes effect later could undo what the operator did through another node in the
+	// meantime.
 	OperationTimeout = 850 * time.Millisecond
-	// timeoutPerKiB is added for each KiB of a call's body: callers wait longer for large ones.
+	// timeoutPerKiB is added for each KiB of a request's body: clients wait longer for large ones.
 	timeoutPerKiB = time.Millisecond
 )
 
-// Deadline is when a call that arrived at arrived, with a body of size bytes, may last take effect.
+// Deadline returns the latest time at which a request may take effect that arrived at arrived with a body of size bytes.
 func Deadline(arrived time.Duration, size int) time.Duration {
 	return arrived + OperationTimeout + time.Duration(size>>10)*timeoutPerKiB
 }
 
-// order proposes an operator's order, to be offered before its deadline or not at all; the proposer ends what comes too late.
-func (n *Node) order(now time.Duration, c Command, change register.Change, done completion) {
-	n.proposer.Submit(now, orderUntil(now, c), n.operations.addFor(now, c.ID, done), change)
+// submitRequest submits the change of an operator request. The proposer starts it before the request's deadline or fails it.
+func (n *Node) submitRequest(now time.Duration, c Command, change register.Change, done completion) {
+	n.proposer.Submit(now, requestDeadline(now, c), n.operations.addFor(now, c.ID, done), change)
 }
 
-// fencedOrder is order for a change that keeps a fence.
-func (n *Node) fencedOrder(now time.Duration, c Command, change register.GuardedChange, done completion) {
-	n.proposer.SubmitGuarded(now, orderUntil(now, c), n.operations.addFor(now, c.ID, done), change)
+// submitGuardedRequest is submitRequest for a change that keeps a scope guard.
+func (n *Node) submitGuardedRequest(now time.Duration, c Command, change register.GuardedChange, done completion) {
+	n.proposer.SubmitGuarded(now, requestDeadline(now, c), n.operations.addFor(now, c.ID, done), change)
 }
 
-// cancel ends an order whose caller has left.
+// cancel cancels an operator request whose client has disconnected.
 func (n *Node) cancel(now time.Duration, c Cancel) {
-	if id, ok := n.operations.of(c.ID); ok {
+	if id, ok := n.operations.operationFor(c.ID); ok {
 		n.proposer.Cancel(now, id)
 	}
 }
 
-func orderUntil(now time.Duration, c Command) time.Duration {
+func requestDeadline(now time.Duration, c Command) time.Duration {
 	if c.Deadline != 0 {
 		return c.Deadline
 	}
@@ -84,15 +85,16 @@
 	}
 }
 
-// evacuateChange sets a fence at its first reading of a majority, and is refused once another order on the zone was taken. An order that
-// changes nothing is remembered all the same: whoever heard that it was confirmed must not be overtaken by an older one.
+// evacuateChange returns a change that sets its scope guard when it first reads a majority, and that is rejected if another request for the
+// zone has been applied since. A request that changes nothing is logged all the same: once it is confirmed to its client, an older request
+// must not take effect after it.
 func evacuateChange(op Evacuate) register.GuardedChange {
-	return func(cur *register.Value, fence *register.ScopeGuard) (*register.Value, error) {
+	return func(cur *register.Value, guard *register.ScopeGuard) (*register.Value, error) {
 		if _, done := cur.AppliedAt(op.ID); done {
 			return nil, nil
 		}
-		fence.Set(cur, op.Zone)
-		if !fence.Holds(cur, op.Zone) {
+		guard.Set(cur, op.Zone)
+		if !guard.Holds(cur, op.Zone) {
 			return nil, &register.ScopeConflictError{Scope: op.Zone}
 		}
 		at := slices.Index(cur.EvacuatedZones, op.Zone)
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -12,10 +12,10 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// cancelSeeds is how many seeds the test of orders whose callers left plays.
+// cancelSeeds is the number of seeds of TestOrderOfCallerThatLeftDoesNotUndoLaterOne.
 const cancelSeeds = 20
 
-// onBase is an order that replaces the document of the revision base, as an operator's call does.
+// onBase returns a request that replaces the document of the revision base, as an operator's call does.
 func onBase(base, revision int) Edit {
 	body := strconv.Itoa(revision)
 	return Edit{ID: fmt.Sprint(base, "/", revision), BaseVersion: uint64(base), Apply: func(cur []byte) ([]byte, error) {
@@ -45,18 +45,18 @@
 	for _, i := range []int{0, 100, changes - 500, changes - 65, changes - 2, changes - 1} {
 		a := l.call("n5", onBase(2*i, 2*i+2))
 		if isConflict(a.Err) {
-			t.Errorf("change %d was taken and is refused: %v", i, a.Err)
+			t.Errorf("change %d was applied and is now rejected: %v", i, a.Err)
 		}
 		if a.Err == nil {
 			acknowledged++
 		}
 	}
 	if acknowledged < 4 {
-		t.Errorf("only %d of the repeats are acknowledged", acknowledged)
+		t.Errorf("only %d of the repeated requests are acknowledged", acknowledged)
 	}
 	for _, never := range []Edit{onBase(2*changes-4, 9999), onBase(2*changes-3, 9999), onBase(2*changes+2, 9999)} {
 		if a := l.call("n5", never); !isConflict(a.Err) {
-			t.Errorf("order %s can't have been taken: %v", never.ID, a.Err)
+			t.Errorf("request %s cannot have been applied: %v", never.ID, a.Err)
 		}
 	}
 }
@@ -67,7 +67,8 @@
 	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	// n5 is cut off with an order to restore under way; its caller leaves, and another order is confirmed meanwhile.
+	// n5 cannot reach the voters while a request to restore the zone is pending. The request's client disconnects, and another request is
+	// confirmed in the meantime.
 	l.down["n0"], l.down["n1"], l.down["n2"], l.down["n3"] = true, true, true, true
 	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "old", Zone: "z", Restore: true}})
 	l.run(1100 * time.Millisecond)
@@ -77,7 +78,7 @@
 	}
 	l.run(5 * time.Second)
 	if a := l.call("n4", Get{}); !slices.Contains(a.Value.EvacuatedZones, "z") {
-		t.Error("an order whose caller had left undid a later one")
+		t.Error("a request whose client had disconnected undid a later one")
 	}
 }
 
@@ -118,9 +119,9 @@
 	}
 }
 
-// TestOrderOfCallerThatLeftDoesNotUndoLaterOne guards against EVAC: an order to restore a zone waits at a node that is cut off from the
-// voters, its caller leaves, a later evacuation is acknowledged elsewhere, and the order is executed when the voters are back, before its
-// deadline.
+// TestOrderOfCallerThatLeftDoesNotUndoLaterOne guards against EVAC: a request to restore a zone waited at a node that was cut off from the
+// voters, its client disconnected, a later evacuation was acknowledged elsewhere, and the request was executed when the voters were
+// reachable again, before its deadline.
 func TestOrderOfCallerThatLeftDoesNotUndoLaterOne(t *testing.T) {
 	for seed := range uint64(cancelSeeds) {
 		rng := rand.New(rand.NewPCG(seed, 33))
@@ -135,7 +136,7 @@
 		l.run(time.Duration(rng.IntN(100)) * time.Millisecond)
 		l.step("n5", Cancel{ID: 900})
 		if _, answered := l.answers[900]; !answered {
-			t.Errorf("seed %d: the order goes on after its caller left", seed)
+			t.Errorf("seed %d: the request continues after its client disconnected", seed)
 		}
 		if a := l.call("n4", Evacuate{ID: "new", Zone: "z"}); a.Err != nil {
 			t.Fatal(a.Err)
@@ -144,7 +145,7 @@
 		apart = false
 		l.run(3 * time.Second)
 		if a := l.call("n4", Get{}); !slices.Contains(a.Value.EvacuatedZones, "z") {
-			t.Errorf("seed %d: an order whose caller had left undid a later one", seed)
+			t.Errorf("seed %d: a request whose client had disconnected undid a later one", seed)
 		}
 	}
 }
--- a/control/outputs.go
+++ b/control/outputs.go
@@ -5,14 +5,15 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// Send is a message to the node at the address To. Msg is a message of this package or a register.Message, lease.Message,
-// membership.Message or gossip.Message: an interface with an unexported method can't unite those of several packages.
+// Send is a message to the node with the address To. Msg is a message of this package or a register.Message, lease.Message,
+// membership.Message or gossip.Message. It has type any because no interface with an unexported method can include those of several
+// packages.
 type Send struct {
 	To  string
 	Msg any
 }
 
-// LogEntry is what the journal can hold: Promised, AcceptedEntry, Granted or Opened.
+// LogEntry is an entry of the journal: Promised, AcceptedEntry, Granted or NoOp.
 type LogEntry interface{ logEntry() }
 
 func (Promised) logEntry()      {}
@@ -20,14 +21,14 @@
 func (Granted) logEntry()       {}
 func (NoOp) logEntry()          {}
 
-// LogWrite is an entry to append to the journal. Tickets rise; Persisted names the last one that is durable.
+// LogWrite is an entry to append to the journal. Sequence numbers rise; Persisted reports the last one that is durable.
 type LogWrite struct {
 	Seq   uint64
 	Entry LogEntry
 }
 
-// Answer ends the Command with this ID. Value and Version are the register's value and the revision that the operation made or found; Witnesses
-// answers a Witness. Err is nil on success.
+// Answer is the result of the Command with this ID. Value and Version are the register's value and the version that the operation created
+// or found; WitnessVerdict is the result of a Witness operation. Err is nil on success.
 type Answer struct {
 	ID             uint64
 	Value          *register.Value
@@ -36,37 +37,38 @@
 	Err            error
 }
 
-// Probe is a request for a replica's load. Local: it checks this node's own observation and is not shared with other nodes.
+// Probe is a request for a replica's load. If Local is set, it checks this node's own connection to the replica and the result is not
+// shared with other nodes.
 type Probe struct {
 	Replica, Addr string
 	Local         bool
 }
 
-// Output is what a Step wants done. The fields may be acted on in any order and at once: a reply that tells of an entry in Writes is not
-// among the Sends; it comes out of the Step whose input is the Persisted for that entry.
+// Output is what a Step requests. The caller may act on the fields in any order and at once: a reply that depends on an entry in Writes is
+// not among the Sends, but is returned by the Step whose input is the Persisted for that entry.
 type Output struct {
-	// Sends are messages to other nodes. They may be lost, and overtake each other.
+	// Sends are messages to other nodes. They may be lost or reordered.
 	Sends []Send
 	// Writes are entries to append to the journal, in this order.
 	Writes []LogWrite
-	// Answers end commands.
+	// Answers are the results of commands.
 	Answers []Answer
-	// Events are for this node's router, and for the programs that follow the node, in this order.
+	// Events are for this node's router and for the programs that follow the node, in this order.
 	Events []router.Event
-	// Probes are replicas to ask for their load. Each is answered by a Probed, also where it failed.
+	// Probes are requests for the load of replicas. Each is answered by a Probed input, even if it failed.
 	Probes []Probe
-	// Reconnects are the replicas whose idle connection is to be opened again now.
+	// Reconnects are the replicas whose idle connection must be reopened now.
 	Reconnects []string
-	// ReadReplicaList says that the platform's list of replicas is to be read; a ListRead answers.
+	// ReadReplicaList requests a read of the platform's replica list; a ListRead input reports the result.
 	ReadReplicaList bool
 	// Changes are lines for the operators' log.
 	Changes []Change
 }
 
-// ChangeKind says what happened to a node; it stands in the operators' log under the key what.
+// ChangeKind is the kind of a Change; the operators' log has it under the key "what".
 type ChangeKind string
 
-// The kinds of changes. That of a member is "member " and its state.
+// The kinds of changes. The kind of a member's change is "member " followed by its state.
 const (
 	ChangeBootstrap             ChangeKind = "bootstrapping register"
 	ChangeConfigurationApplied  ChangeKind = "configuration applied"
@@ -80,7 +82,7 @@
 	ChangeRejoining             ChangeKind = "rejoining"
 	ChangeServing               ChangeKind = "serving"
 	ChangeVoters                ChangeKind = "voters"
-	// ChangeVotersBegun says that this node begins to replace voters; the simulator waits for it.
+	// ChangeVotersBegun is logged when this node starts to replace voters; the simulator waits for it.
 	ChangeVotersBegun ChangeKind = "replacing voters"
 )
 
--- a/control/partition_test.go
+++ b/control/partition_test.go
@@ -10,22 +10,22 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// freeze lets a node stand still: nothing is lost, and all that came meanwhile lies there when it goes on.
+// freeze pauses a node's process for d: no message to it is lost, and all that arrive meanwhile are delivered when it resumes.
 func (l *lab) freeze(name string, d time.Duration) {
 	all := l.order
 	l.order = slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == name })
-	var holder []parcel
+	var held []delivery
 	for until := l.now + d; l.now < until; {
-		for _, p := range l.mail {
+		for _, p := range l.inFlight {
 			if p.to == name {
-				holder = append(holder, p)
+				held = append(held, p)
 			}
 		}
-		l.mail = slices.DeleteFunc(l.mail, func(p parcel) bool { return p.to == name })
+		l.inFlight = slices.DeleteFunc(l.inFlight, func(p delivery) bool { return p.to == name })
 		l.run(time.Millisecond)
 	}
 	l.order = all
-	l.mail = append(holder, l.mail...)
+	l.inFlight = append(held, l.inFlight...)
 }
 
 func convergedLab(t *testing.T, size int) *lab {
@@ -38,8 +38,9 @@
 	return l
 }
 
-// denied calls each kind of order and the read at a node, and wants a 503 for each while the caller waits.
-func (l *lab) denied(at string) {
+// wantDenied calls each kind of operator request and the read at a node, and wants an error other than a conflict (a 503) for each before
+// the client's timeout.
+func (l *lab) wantDenied(at string) {
 	l.t.Helper()
 	for i, op := range []Op{Get{}, onBase(1, 2), Evacuate{ID: "e", Zone: "z"}} {
 		from := l.now
@@ -53,7 +54,7 @@
 	}
 }
 
-func (l *lab) unchanged(at string) {
+func (l *lab) wantUnchanged(at string) {
 	l.t.Helper()
 	if a := l.call(at, Get{}); a.Err != nil || string(a.Value.Document) != "1" || len(a.Value.EvacuatedZones) > 0 {
 		l.t.Errorf("%v %+v", a.Err, a.Value)
@@ -62,18 +63,18 @@
 
 func TestNodePartitionedOneWayRejectsReadsAndOrders(t *testing.T) {
 	for what, cut := range map[string]func(from, to string) bool{
-		"hears and isn't heard":   func(from, to string) bool { return from == "n5" && to != "n5" },
-		"is heard and hears none": func(from, to string) bool { return to == "n5" && from != "n5" },
+		"receives but cannot send": func(from, to string) bool { return from == "n5" && to != "n5" },
+		"sends but cannot receive": func(from, to string) bool { return to == "n5" && from != "n5" },
 	} {
 		t.Log(what)
 		l := convergedLab(t, 6)
 		l.cut = cut
-		l.denied("n5")
+		l.wantDenied("n5")
 		l.run(5 * time.Second)
-		l.denied("n5")
+		l.wantDenied("n5")
 		l.cut = nil
 		l.run(5 * time.Second)
-		l.unchanged("n5")
+		l.wantUnchanged("n5")
 	}
 }
 
@@ -82,35 +83,35 @@
 	l.cut = func(from, to string) bool {
 		return (from == "n5" && l.disks[to] != "") || (to == "n5" && l.disks[from] != "")
 	}
-	l.denied("n5")
+	l.wantDenied("n5")
 	if a := l.call("n4", onBase(1, 2)); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	l.run(2 * time.Second)
 	if got := string(l.nodes["n5"].Value().Document); got != "2" {
-		t.Errorf("goes by %q, though others tell it of a newer one", got)
+		t.Errorf("applied %q, although its neighbours have a newer value", got)
 	}
-	l.denied("n5")
+	l.wantDenied("n5")
 }
 
 func TestPartitionedVoterHoldsNoLeaseAndChangesNoVoters(t *testing.T) {
 	for what, cut := range map[string]func(from, to string) bool{
-		"both ways":               func(from, to string) bool { return (from == "n0") != (to == "n0") },
-		"hears and isn't heard":   func(from, to string) bool { return from == "n0" && to != "n0" },
-		"is heard and hears none": func(from, to string) bool { return to == "n0" && from != "n0" },
+		"both ways":                func(from, to string) bool { return (from == "n0") != (to == "n0") },
+		"receives but cannot send": func(from, to string) bool { return from == "n0" && to != "n0" },
+		"sends but cannot receive": func(from, to string) bool { return to == "n0" && from != "n0" },
 	} {
 		l := convergedLab(t, 8)
 		epoch := l.nodes["n0"].Value().Epoch
 		l.cut = cut
 		l.run(4 * time.Second)
 		if held := l.nodes["n0"].HeldRoles(l.now); len(held) > 0 {
-			t.Errorf("%s: holds %v after 4 s", what, held)
+			t.Errorf("%s: still has the leases %v after 4 s", what, held)
 		}
-		l.denied("n0")
+		l.wantDenied("n0")
 		l.run(6 * time.Second)
 		for _, v := range []*register.Value{l.nodes["n0"].Value(), l.nodes["n5"].Value()} {
 			if slices.ContainsFunc(v.Voters, func(v register.Voter) bool { return v.Disk == "disk-n0" }) && v.Epoch != epoch {
-				t.Errorf("%s: voters %v, seat %d was %d", what, v.Voters, v.Epoch, epoch)
+				t.Errorf("%s: voters %v, epoch %d, was %d", what, v.Voters, v.Epoch, epoch)
 			}
 		}
 	}
@@ -124,7 +125,7 @@
 	}
 	arrived := l.now
 	l.freeze("n5", 20*time.Second)
-	// This one was read off its connection before the freeze, and reaches the owner of control state after it.
+	// This request was read off its connection before the freeze and reaches the goroutine that owns the control state after it.
 	l.step("n5", Command{ID: 900, Op: Evacuate{ID: "late", Zone: "z"}, Deadline: Deadline(arrived, 0)})
 	l.run(2 * time.Second)
 	for _, id := range []uint64{l.ids, l.ids - 1, 900} {
@@ -132,10 +133,11 @@
 			t.Errorf("%d: %v %v", id, ok, a.Err)
 		}
 	}
-	l.unchanged("n4")
+	l.wantUnchanged("n4")
 }
 
-// A voter that took an order's offer just before it froze must not bring it back over a later one.
+// TestProposalDelayedAtFrozenVoterIsSuperseded checks that a voter that received a request's proposal just before it froze does not make it
+// replace a later one.
 func TestProposalDelayedAtFrozenVoterIsSuperseded(t *testing.T) {
 	l := convergedLab(t, 6)
 	if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
@@ -156,14 +158,15 @@
 	}
 }
 
-// The caller of the old order is given ten seconds here, so that nothing but the fence keeps it from taking effect.
+// TestEvacuationIsFencedByLaterOne gives the old request a timeout of ten seconds, so that only the scope guard keeps it from taking
+// effect.
 func TestEvacuationIsFencedByLaterOne(t *testing.T) {
-	for what, first := range map[string]bool{"later order changes nothing": false, "later order restores": true} {
+	for what, first := range map[string]bool{"later request changes nothing": false, "later request restores": true} {
 		l := convergedLab(t, 6)
 		if a := l.call("n4", Evacuate{ID: "first", Zone: "z"}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
-		// This node's ballot is the highest from here on, so that its next round isn't turned back before it has read.
+		// This node's ballot is the highest from now on, so that its next round is not refused before it has read.
 		if a := l.call("n5", Evacuate{ID: "other", Zone: "y"}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
@@ -172,53 +175,55 @@
 		l.step("n5", Command{ID: l.ids, Op: Evacuate{ID: "old", Zone: "z", Restore: !first}, Deadline: l.now + 10*time.Second})
 		old := l.ids
 		l.run(2 * time.Millisecond)
-		// The promises are on their way back: from here on nobody hears this node's offer, and it goes on with what it read.
+		// The promises are in flight. From now on this node's proposal reaches no other node, and the node continues with the value that it
+		// read.
 		l.cut = func(from, to string) bool { return from == "n5" && to != "n5" }
 		if a := l.call("n4", Evacuate{ID: "later", Zone: "z", Restore: first}); a.Err != nil {
 			t.Fatal(a.Err)
 		}
 		l.cut = nil
 		l.run(11 * time.Second)
-		var fenced *register.ScopeConflictError
-		if a := l.answers[old]; !errors.As(a.Err, &fenced) {
-			t.Errorf("%s: the old order ends with %v", what, a.Err)
+		var conflict *register.ScopeConflictError
+		if a := l.answers[old]; !errors.As(a.Err, &conflict) {
+			t.Errorf("%s: the old request ended with %v", what, a.Err)
 		}
 		if a := l.call("n4", Get{}); slices.Contains(a.Value.EvacuatedZones, "z") == first {
-			t.Errorf("%s: an old order came after it: %v", what, a.Value.EvacuatedZones)
+			t.Errorf("%s: an old request took effect after it: %v", what, a.Value.EvacuatedZones)
 		}
 	}
 }
 
 func TestEvacuationOfAnotherZoneIsNotFenced(t *testing.T) {
-	var fence register.ScopeGuard
+	var guard register.ScopeGuard
 	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
 	first := &register.Value{}
-	if _, err := change(first.Clone(), &fence); err != nil {
+	if _, err := change(first.Clone(), &guard); err != nil {
 		t.Fatal(err)
 	}
 	first.LogScoped("y", "b", true)
-	if next, err := change(first.Clone(), &fence); err != nil || next == nil {
+	if next, err := change(first.Clone(), &guard); err != nil || next == nil {
 		t.Errorf("%v", err)
 	}
 	for i := range register.MaxLoggedOrders {
 		first.LogScoped("y", string(rune('c'+i)), true)
 	}
-	var fenced *register.ScopeConflictError
-	if _, err := change(first.Clone(), &fence); !errors.As(err, &fenced) {
-		t.Errorf("the memory has turned over, and the order is taken: %v", err)
+	var conflict *register.ScopeConflictError
+	if _, err := change(first.Clone(), &guard); !errors.As(err, &conflict) {
+		t.Errorf("the request was applied although the order log no longer covers its guard: %v", err)
 	}
 }
 
-// An order that took effect in an earlier round is acknowledged though another was taken on top of it.
+// TestAppliedEvacuationIsAcknowledgedThoughFenced checks that a request that took effect in an earlier round is acknowledged even though
+// another request was applied after it.
 func TestAppliedEvacuationIsAcknowledgedThoughFenced(t *testing.T) {
-	var fence register.ScopeGuard
+	var guard register.ScopeGuard
 	change := evacuateChange(Evacuate{ID: "a", Zone: "z"})
-	next, err := change(&register.Value{}, &fence)
+	next, err := change(&register.Value{}, &guard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.LogScoped("z", "b", true)
-	if repeated, err := change(next.Clone(), &fence); err != nil || repeated != nil {
+	if repeated, err := change(next.Clone(), &guard); err != nil || repeated != nil {
 		t.Errorf("%v %v", repeated, err)
 	}
 }
--- a/control/placement.go
+++ b/control/placement.go
@@ -6,47 +6,51 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-// derived holds what follows from the members alone. It is kept until they change, since every tick of every node asks for it.
-type derived struct {
-	rev    uint64
-	places map[string]int
-	peers  []gossip.Peer
-	joined bool
-	shared bool
+// memberCache contains values computed from the member table alone. They are kept until the table changes, because every tick of every node
+// reads them.
+type memberCache struct {
+	// rev is the revision of the member table that the values were computed from.
+	rev              uint64
+	ranks            map[string]int
+	peers            []gossip.Peer
+	joined           bool
+	routersPublished bool
 }
 
-const absent = -1
+// notEligible is the result of rankAmong on a node that is not eligible itself.
+const notEligible = -1
 
-func (n *Node) derive() *derived {
-	if rev := n.Members.Table.Generation(); n.derived.places == nil || n.derived.rev != rev {
-		n.derived = derived{rev: rev, places: map[string]int{}}
+func (n *Node) cachedMembers() *memberCache {
+	if rev := n.Members.Table.Generation(); n.memberCache.ranks == nil || n.memberCache.rev != rev {
+		n.memberCache = memberCache{rev: rev, ranks: map[string]int{}}
 	}
-	return &n.derived
+	return &n.memberCache
 }
 
-// place is how many of the members that fit come before this node in the ranking for a role, or absent where it does not fit itself.
-func (n *Node) place(kind, role string, fits func(m membership.Member) bool) int {
-	d := n.derive()
-	above, ok := d.places[kind+role]
+// rankAmong returns the number of eligible members that come before this node in the ranking for a role, or notEligible. kind identifies
+// the condition eligible in the cache.
+func (n *Node) rankAmong(kind, role string, eligible func(m membership.Member) bool) int {
+	cache := n.cachedMembers()
+	before, ok := cache.ranks[kind+role]
 	if ok {
-		return above
+		return before
 	}
-	mine, here := scheduler.RendezvousWeight(role, n.config.Name), false
+	weight, found := scheduler.RendezvousWeight(role, n.config.Name), false
 	for _, m := range n.Members.Table.All() {
-		if !fits(m) {
+		if !eligible(m) {
 			continue
 		}
 		if m.Name == n.config.Name {
-			here = true
+			found = true
 			continue
 		}
-		if w := scheduler.RendezvousWeight(role, m.Name); w > mine || (w == mine && m.Name < n.config.Name) {
-			above++
+		if w := scheduler.RendezvousWeight(role, m.Name); w > weight || (w == weight && m.Name < n.config.Name) {
+			before++
 		}
 	}
-	if !here {
-		above = absent
+	if !found {
+		before = notEligible
 	}
-	d.places[kind+role] = above
-	return above
+	cache.ranks[kind+role] = before
+	return before
 }
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -9,17 +9,17 @@
 	"github.com/mallowbridge/mallowbridge/scheduler"
 )
 
-func TestPlacesFollowTheMembers(t *testing.T) {
+func TestRanksFollowTheMembers(t *testing.T) {
 	l := newLab(t, 12)
 	l.run(3 * time.Second)
-	l.checkPlaces(t, "all are up")
+	l.checkRanks(t, "all are up")
 	l.down[scheduler.SortByWeight("mend", l.order)[0]] = true
 	l.run(4 * time.Second)
-	l.checkPlaces(t, "the first is down")
+	l.checkRanks(t, "the first is down")
 }
 
-// checkPlaces compares what each node thinks of its place with rendezvous hashing; one node is first for each role.
-func (l *lab) checkPlaces(t *testing.T, when string) {
+// checkRanks compares each node's own rank with rendezvous hashing, and checks that one node is first for each role.
+func (l *lab) checkRanks(t *testing.T, when string) {
 	t.Helper()
 	firsts := map[string]int{}
 	for _, name := range l.order {
@@ -27,23 +27,23 @@
 			continue
 		}
 		for _, role := range []string{"mend", "list"} {
-			checkPlace(t, when, l.nodes[name], role)
+			checkRank(t, when, l.nodes[name], role)
 			if l.nodes[name].ranksFirst(role, "") {
 				firsts[role]++
 			}
 		}
 	}
 	if firsts["mend"] != 1 || firsts["list"] != 1 {
-		t.Errorf("%s: %v are first", when, firsts)
+		t.Errorf("%s: number of nodes that are first: %v", when, firsts)
 	}
 }
 
-func checkPlace(t *testing.T, when string, n *Node, role string) {
+func checkRank(t *testing.T, when string, n *Node, role string) {
 	t.Helper()
 	name := n.config.Name
 	ranked, near := scheduler.SortByWeight(role, aliveNames(n, "")), scheduler.SortByWeight(role, aliveNames(n, "1"))
-	if got, want := n.place("all/", role, isAlive), slices.Index(ranked, name); got != want {
-		t.Errorf("%s: %s is at place %d of %s, want %d", when, name, got, role, want)
+	if got, want := n.rankAmong("all/", role, isAlive), slices.Index(ranked, name); got != want {
+		t.Errorf("%s: %s has rank %d for %s, want %d", when, name, got, role, want)
 	}
 	if n.ranksFirst(role, "1") != (near[0] == name) || n.ranksFirst(role, "nowhere") != (ranked[0] == name) {
 		t.Errorf("%s: %s disagrees on who is first for %s", when, name, role)
@@ -52,7 +52,7 @@
 
 func isAlive(m membership.Member) bool { return m.State == membership.Alive }
 
-// aliveNames are the members that a node knows to be alive, in a zone or, for "", in all.
+// aliveNames returns the members that a node knows to be alive, in a zone or, for "", in all zones.
 func aliveNames(n *Node, zone string) []string {
 	var names []string
 	for _, m := range n.Members.Table.All() {
--- a/control/prefill.go
+++ b/control/prefill.go
@@ -2,15 +2,15 @@
 
 import "github.com/mallowbridge/mallowbridge/router"
 
-// Prefills tells other nodes which long prompts were sent to which replicas.
+// Prefills is a message that reports to other nodes which long prompts were sent to which replicas.
 type Prefills struct{ Rows []router.Prefill }
 
-// Since is the first build that reads the message.
+// Since returns the first build that can decode the message.
 func (Prefills) Since() uint32 { return 2 }
 
 func (Prefills) in() {}
 
-func (n *Node) tellPrefills(p Prefills) {
+func (n *Node) sendPrefills(p Prefills) {
 	for _, peer := range n.peers() {
 		n.send(peer.Addr, p)
 	}
--- a/control/prefill_test.go
+++ b/control/prefill_test.go
@@ -21,7 +21,7 @@
 	}
 	slices.Sort(to)
 	if !slices.Equal(to, []string{"n0", "n1", "n2", "n3", "n5"}) {
-		t.Errorf("told %v", to)
+		t.Errorf("sent to %v", to)
 	}
 	out = l.nodes["n5"].Step(l.now, Received{From: "n4", Msg: Prefills{Rows: []router.Prefill{row}}})
 	if len(out.Events) != 1 || out.Events[0] != row {
@@ -29,7 +29,7 @@
 	}
 	for _, s := range out.Sends {
 		if _, is := s.Msg.(Prefills); is {
-			t.Error("passed on")
+			t.Error("a received message was forwarded")
 		}
 	}
 }
--- a/control/quotas.go
+++ b/control/quotas.go
@@ -15,13 +15,13 @@
 const (
 	// quotaBuild is the first build that answers a QuotaAsk.
 	quotaBuild = 5
-	// quotaTakeover is how long a new owner of a share grants nothing, until all know that the former one lost it.
-	quotaTakeover = 2 * time.Second
-	// quotaMemory is how long a dead member counts when a node looks for a majority of its zone.
+	// quotaTakeoverDelay is how long a new owner of a share grants nothing, until all nodes know that the previous owner lost it.
+	quotaTakeoverDelay = 2 * time.Second
+	// quotaMemory is how long a dead member is counted when a node checks for a majority of its zone's members.
 	quotaMemory = time.Minute
 )
 
-// QuotaAsk asks the owner of a share of a tenant's limit for the cost of a request.
+// QuotaAsk asks the owner of a share of a tenant's limit to grant the cost of a request.
 type QuotaAsk struct {
 	ID     uint64
 	Tenant string
@@ -33,27 +33,28 @@
 	ID                   uint64
 	OK                   bool
 	RetryAfter, EmptyFor time.Duration
-	// Left is what can be granted at once besides; builds before it was added leave it at 0.
+	// Left is how much more could be granted at once; builds from before it was added leave it at 0.
 	Left float64
 }
 
-// Since is the first build that reads the message.
+// Since returns the first build that can decode the message.
 func (QuotaAsk) Since() uint32 { return quotaBuild }
 
-// Since is the first build that reads the message.
+// Since returns the first build that can decode the message.
 func (QuotaAnswer) Since() uint32 { return quotaBuild }
 
-// QuotaRequested asks for the cost of an attempt that this node's router is about to send; a router.QuotaDecided answers.
+// QuotaRequested is the input that requests a grant for an attempt that this node's router is about to send; a router.QuotaDecided event
+// reports the result.
 type QuotaRequested struct{ quota.Request }
 
 func (QuotaRequested) in() {}
 
-// quotaState is this node's part in keeping tenants' limits: as owner of shares, and as one who asks owners.
+// quotaState is this node's part in enforcing tenants' limits: as the owner of shares, and as a node that requests grants from owners.
 type quotaState struct {
 	owner     *quota.Owner
 	requester *quota.Requester
-	// zone is who may own shares of this node's zone, as last seen.
-	zone string
+	// owners are the names of the members that may own shares of this node's zone as last seen, separated by commas.
+	owners string
 }
 
 func newQuotaState(now time.Duration, cfg Config) quotaState {
@@ -61,10 +62,10 @@
 	if rule.Window == 0 {
 		rule = quota.DefaultRule()
 	}
-	return quotaState{owner: quota.NewOwner(rule, now+quotaTakeover), requester: quota.NewRequester(cfg.Seed)}
+	return quotaState{owner: quota.NewOwner(rule, now+quotaTakeoverDelay), requester: quota.NewRequester(cfg.Seed)}
 }
 
-// applyQuotas follows the limits of a configuration.
+// applyQuotas sets the limits of a configuration.
 func (q *quotaState) applyQuotas(now time.Duration, tenants []config.Tenant) {
 	limits := map[string]quota.Limit{}
 	for _, t := range tenants {
@@ -75,8 +76,9 @@
 	q.owner.SetLimits(now, limits)
 }
 
-// quotaZones lists by zone the members that may own shares of the zone: those that live and stay, where they are the majority of the members
-// that live or died lately. Zones are those of all members that did not leave, so that both sides of a partition divide limits alike.
+// quotaZones returns, by zone, the members that may own shares of the zone: those that are live, not retiring and of a build that answers a
+// QuotaAsk, if they outnumber the zone's members that died recently. A zone without such members is listed as empty as long as it has a
+// member that has not left, so that both sides of a partition divide the limits by the same number of zones.
 func (n *Node) quotaZones(now time.Duration) map[string][]membership.Member {
 	owners, lost := map[string][]membership.Member{}, map[string]int{}
 	for _, m := range n.Members.Table.All() {
@@ -87,7 +89,7 @@
 		switch {
 		case m.Live() && !m.Retiring && m.Build >= quotaBuild:
 			members = append(members, m)
-		case !m.Live() && n.diedLately(now, m.Name):
+		case !m.Live() && n.diedRecently(now, m.Name):
 			lost[m.Zone]++
 		}
 		owners[m.Zone] = members
@@ -100,12 +102,12 @@
 	return owners
 }
 
-func (n *Node) diedLately(now time.Duration, name string) bool {
+func (n *Node) diedRecently(now time.Duration, name string) bool {
 	died, known := n.witness.deadSince[name]
 	return !known || now-died < quotaMemory
 }
 
-// quotaOwner is the one of a zone's members that owns its share of a tenant's limit.
+// quotaOwner returns the member of a zone that owns its share of a tenant's limit.
 func quotaOwner(tenant string, members []membership.Member) membership.Member {
 	var owner membership.Member
 	var highest uint64
@@ -118,7 +120,7 @@
 	return owner
 }
 
-// quotaRequested asks the owner in this node's zone first, then those of the other zones.
+// quotaRequested asks the owner in this node's zone first, then the owners in the other zones.
 func (n *Node) quotaRequested(now time.Duration, q QuotaRequested) {
 	zones := n.quotaZones(now)
 	var names, owners []string
@@ -139,18 +141,19 @@
 	n.flushQuotas()
 }
 
-// onQuotaAsk grants out of what this node owns. A node that is not in touch with its fleet may have lost it to another.
+// onQuotaAsk grants from the shares that this node owns. A node that is isolated grants nothing, because it may have lost its shares to
+// another node.
 func (n *Node) onQuotaAsk(now time.Duration, from string, m QuotaAsk) {
-	n.followQuotaZones(now)
-	grant := quota.Grant{RetryAfter: answerLater, EmptyFor: answerLater}
+	n.updateQuotaZones(now)
+	grant := quota.Grant{RetryAfter: notOwnerRetryAfter, EmptyFor: notOwnerRetryAfter}
 	if n.ownsQuota(now, m.Tenant) {
 		grant = n.quotas.owner.Take(now, m.Tenant, m.Cost)
 	}
 	n.send(from, QuotaAnswer{ID: m.ID, OK: grant.Granted, Left: grant.Remaining, RetryAfter: grant.RetryAfter, EmptyFor: grant.EmptyFor})
 }
 
-// answerLater is when to ask a node again that does not own the share asked for.
-const answerLater = 200 * time.Millisecond
+// notOwnerRetryAfter is when to ask again after a node that does not own the share was asked.
+const notOwnerRetryAfter = 200 * time.Millisecond
 
 func (n *Node) ownsQuota(now time.Duration, tenant string) bool {
 	return n.joining.joined && !n.Members.Isolated(now) && quotaOwner(tenant, n.quotaZones(now)[n.config.Zone]).Name == n.config.Name
@@ -162,7 +165,7 @@
 }
 
 func (n *Node) tickQuotas(now time.Duration) {
-	n.followQuotaZones(now)
+	n.updateQuotaZones(now)
 	n.quotas.requester.Tick(now)
 	n.flushQuotas()
 }
@@ -176,8 +179,8 @@
 	}
 }
 
-// followQuotaZones drops what this node owns no longer, and has what it gets to own begin empty.
-func (n *Node) followQuotaZones(now time.Duration) {
+// updateQuotaZones drops the shares that this node no longer owns. Shares that it has just acquired start empty.
+func (n *Node) updateQuotaZones(now time.Duration) {
 	zones := n.quotaZones(now)
 	n.quotas.owner.SetZones(now, len(zones))
 	members := zones[n.config.Zone]
@@ -185,13 +188,13 @@
 	for _, m := range members {
 		names = append(names, m.Name)
 	}
-	if zone := strings.Join(names, ","); zone != n.quotas.zone {
-		n.quotas.zone = zone
-		n.quotas.owner.KeepOwned(now+quotaTakeover, func(tenant string) bool { return quotaOwner(tenant, members).Name == n.config.Name })
+	if zone := strings.Join(names, ","); zone != n.quotas.owners {
+		n.quotas.owners = zone
+		n.quotas.owner.KeepOwned(now+quotaTakeoverDelay, func(tenant string) bool { return quotaOwner(tenant, members).Name == n.config.Name })
 	}
 }
 
-// QuotaStatus lists the limited tenants as this node knows them.
+// QuotaStatus returns the limited tenants as this node knows them.
 func (n *Node) QuotaStatus(now time.Duration) []quota.TenantStatus {
 	return quota.Status(now, n.quotas.owner, n.quotas.requester)
 }
--- a/control/quotas_test.go
+++ b/control/quotas_test.go
@@ -12,23 +12,23 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// labTenant is the tenant of a lab's document.
+// labTenant is the tenant in every document of a lab.
 var labTenant = config.Tenant{Name: "t", Rate: 2000, Burst: 2000}
 
 const (
 	labNodes = 12
-	// labCost is what a request costs, demandEvery the time between two: five times what the limit bears.
+	// labCost is the cost of a request and demandEvery the time between two requests: five times what the limit allows.
 	labCost     = 100
 	demandEvery = 10 * time.Millisecond
 )
 
-// quotaLab asks for a tenant's quota at the nodes of a lab, and sums up what they were granted.
+// quotaLab requests a tenant's quota at the nodes of a lab and records what was granted.
 type quotaLab struct {
 	*lab
 	rng   *rand.Rand
 	ids   uint64
 	asked map[uint64]time.Duration
-	// charges are the times of grants that came early enough to be used.
+	// charges are the times of grants that arrived early enough to be used.
 	charges             []time.Duration
 	refused, unanswered int
 }
@@ -55,7 +55,7 @@
 	return q
 }
 
-// run asks at nodes that run, at random.
+// run sends requests to random running nodes.
 func (q *quotaLab) run(d time.Duration) {
 	for until := q.now + d; q.now < until; {
 		name := q.order[q.rng.IntN(len(q.order))]
@@ -68,8 +68,8 @@
 	}
 }
 
-// wantWithin holds every window of what was granted against the rule.
-func (q *quotaLab) wantWithin(t *testing.T) {
+// wantWithinLimit checks that no window contains more grants than the rule allows.
+func (q *quotaLab) wantWithinLimit(t *testing.T) {
 	t.Helper()
 	rule := quota.DefaultRule()
 	allowed := rule.Allowed(quota.Limit{Rate: labTenant.Rate, Burst: labTenant.Burst})
@@ -81,14 +81,14 @@
 		}
 		most = max(most, labCost*float64(i-first+1)/allowed)
 	}
-	t.Logf("%d granted, %d refused, %d unanswered, a window holds %.3f of what is allowed", len(q.charges), q.refused, q.unanswered, most)
+	t.Logf("%d granted, %d refused, %d unanswered, the fullest window has %.3f of what is allowed", len(q.charges), q.refused, q.unanswered, most)
 	if most > 1 {
-		t.Errorf("a window holds %.3f of what is allowed", most)
+		t.Errorf("the fullest window has %.3f of what is allowed", most)
 	}
 }
 
-// strike has a node be killed, stand still or leave, or a zone or a node be cut off, and undoes that later.
-func (q *quotaLab) strike() {
+// injectFault kills, freezes or stops a node, or partitions a zone or a node, and undoes that later.
+func (q *quotaLab) injectFault() {
 	name, pause := q.order[q.rng.IntN(len(q.order))], time.Duration(200+q.rng.IntN(3000))*time.Millisecond
 	switch q.rng.IntN(5) {
 	case 0:
@@ -118,32 +118,32 @@
 	q.cut = nil
 }
 
-// TestQuotaHoldsWhileNodesFailInSeries over many seeds.
+// TestQuotaHoldsWhileNodesFailInSeries injects random faults one after another, with many seeds.
 func TestQuotaHoldsWhileNodesFailInSeries(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			q := newQuotaLab(t, seed)
 			for end := q.now + 40*time.Second; q.now < end; {
-				q.strike()
+				q.injectFault()
 				q.run(time.Duration(q.rng.IntN(500)) * time.Millisecond)
 			}
-			q.wantWithin(t)
+			q.wantWithinLimit(t)
 		})
 	}
 }
 
-// TestQuotaIsUsedWhereAllIsWell: nearly all of the limit is granted, and within the first seconds.
+// TestQuotaIsUsedWhereAllIsWell checks that without faults nearly all of the limit is granted, already within the first seconds.
 func TestQuotaIsUsedWhereAllIsWell(t *testing.T) {
 	q := newQuotaLab(t, 1)
 	q.run(10 * time.Second)
-	q.wantWithin(t)
+	q.wantWithinLimit(t)
 	if got := labCost * float64(len(q.charges)); q.unanswered > 0 || got < 0.95*10*labTenant.Rate {
 		t.Errorf("%g of %g granted, %d unanswered", got, 10*labTenant.Rate, q.unanswered)
 	}
 }
 
-// TestQuotaSharesOfZonesThatDied stay unused; the other zones serve theirs.
+// TestQuotaSharesOfZonesThatDied checks that the shares of a dead zone stay unused while the other zones grant theirs.
 func TestQuotaSharesOfZonesThatDied(t *testing.T) {
 	q := newQuotaLab(t, 1)
 	for _, name := range q.order {
@@ -152,13 +152,13 @@
 	q.run(5 * time.Second)
 	before := len(q.charges)
 	q.run(10 * time.Second)
-	q.wantWithin(t)
+	q.wantWithinLimit(t)
 	if got, want := labCost*float64(len(q.charges)-before), 10*labTenant.Rate*2/3; got < 0.9*want || got > 1.1*want {
-		t.Errorf("%g granted, not about %g", got, want)
+		t.Errorf("%g granted, want about %g", got, want)
 	}
 }
 
-// TestNodesOfOlderBuildsOwnNoQuota: they would not answer.
+// TestNodesOfOlderBuildsOwnNoQuota checks that nodes that cannot answer a QuotaAsk own no shares.
 func TestNodesOfOlderBuildsOwnNoQuota(t *testing.T) {
 	n := newQuotaLab(t, 1).nodes["n0"]
 	members := n.quotaZones(0)["1"]
--- a/control/receive.go
+++ b/control/receive.go
@@ -9,7 +9,7 @@
 
 func (n *Node) recv(now time.Duration, r Received) {
 	if r.From != n.config.Addr {
-		n.greetReturned(r)
+		n.sendDigestToReturned(r)
 	}
 	if r.Build > 0 {
 		n.documents.builds[r.From] = r.Build
@@ -56,7 +56,7 @@
 	}
 }
 
-func (n *Node) greetReturned(r Received) {
+func (n *Node) sendDigestToReturned(r Received) {
 	switch r.Msg.(type) {
 	case membership.Ping, membership.Ack:
 	default:
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// aheadFor and behindFor are how long a voter's own value may be newer or older than what the node knows to be chosen.
+	// aheadFor and behindFor are how long a voter's accepted value may be newer or older than the value that the node knows to be chosen.
 	aheadFor  = 300 * time.Millisecond
 	behindFor = 500 * time.Millisecond
-	// rereadInterval is the least time between two repairs of a voter.
+	// rereadInterval is the minimum time between two repair reads by one voter.
 	rereadInterval = 700 * time.Millisecond
-	rereadWithin   = 2 * time.Second
+	// rereadTimeout is the timeout of a repair read.
+	rereadTimeout = 2 * time.Second
 )
 
-// reconciliation notes since when the value on this node's disk is newer, or older, than the one that is known to be chosen.
+// reconciliation records since when the value on this node's disk has been newer, or older, than the value known to be chosen.
 type reconciliation struct {
 	aheadSince, behindSince time.Duration
 	rereadAt                time.Duration
 }
 
-// due tells whether a difference has lasted for so long that a read of all voters is to repair it.
+// due reports whether a difference has lasted so long that the node should read all voters to repair it.
 func (r *reconciliation) due(now time.Duration, ahead, behind bool) bool {
 	switch {
 	case now < r.rereadAt:
@@ -39,7 +40,8 @@
 	return true
 }
 
-// reconcileAcceptor has a voter that lags, or that accepted what was never seen chosen, brought to the latest value.
+// reconcileAcceptor reads from all voters if this voter's value is out of date, or if it accepted a value that never became known as
+// chosen. The read brings all voters to the latest value.
 func (n *Node) reconcileAcceptor(now time.Duration) {
 	if n.acceptor == nil || n.disk.err != nil || !n.joining.joined || n.operations.reading {
 		return
@@ -48,7 +50,7 @@
 	ahead := accepted.Newer(n.value)
 	behind := !ahead && n.value != nil && n.value.Newer(accepted) && n.isVoter()
 	if n.reconciling.due(now, ahead, behind) {
-		n.readAll(now, rereadWithin)
+		n.readAll(now, rereadTimeout)
 	}
 }
 
--- a/control/register.go
+++ b/control/register.go
@@ -7,22 +7,22 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// Promised is the log entry of a promise to a ballot.
+// Promised is the log entry for a promised ballot.
 type Promised struct{ Ballot register.Ballot }
 
-// AcceptedEntry is the log entry of an accepted value.
+// AcceptedEntry is the log entry for an accepted value.
 type AcceptedEntry struct {
 	Ballot register.Ballot
 	Value  *register.Value
 }
 
-// Granted is the log entry of a lease that was granted.
+// Granted is the log entry for a granted lease.
 type Granted struct {
 	Role   string
 	Record lease.Record
 }
 
-// loggedIf is the entry where there is something to write, else nil.
+// loggedIf returns the entry if it must be written, else nil.
 func loggedIf(write bool, entry LogEntry) LogEntry {
 	if write {
 		return entry
@@ -49,7 +49,8 @@
 	}
 }
 
-// handleVoterRequest has the voter answer. Requests to another disk than its own, the one that it had before, stay without an answer.
+// handleVoterRequest handles a request to this node's acceptor or lease grantor. Requests for a disk that the node had earlier get no
+// reply.
 func (n *Node) handleVoterRequest(now time.Duration, r Received) {
 	switch m := r.Msg.(type) {
 	case register.Prepare:
--- a/control/repairers_test.go
+++ b/control/repairers_test.go
@@ -10,8 +10,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// A repairWorld has several nodes change the voters at once while operators change the document. Messages are lost, doubled and delivered
-// in any order; each actor knows the newest value that it was told of, which may be old.
+// repairWorld has several nodes change the voters concurrently while operators change the document. Messages are lost, duplicated and
+// reordered. Each actor knows the newest value that it has received, which may be out of date.
 type repairWorld struct {
 	t         *testing.T
 	seed      uint64
@@ -19,7 +19,7 @@
 	now       time.Duration
 	disks     map[string]*register.Acceptor
 	actors    []*repairActor
-	bag       []repairMessage
+	inFlight  []repairMessage
 	ids       uint64
 	confirmed map[uint64]string
 	highest   uint64
@@ -40,7 +40,7 @@
 
 const repairDisks = 6
 
-var menderSeeds = flag.Int("menders", 150, "seeds of TestConcurrentVoterChanges")
+var voterChangeSeeds = flag.Int("menders", 150, "seeds of TestConcurrentVoterChanges")
 
 func newRepairWorld(t *testing.T, seed uint64) *repairWorld {
 	w := &repairWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 13)), disks: map[string]*register.Acceptor{}, confirmed: map[uint64]string{}}
@@ -60,8 +60,8 @@
 	return w
 }
 
-// act has an idle actor submit what it would by what it knows.
-func (w *repairWorld) act(a *repairActor) {
+// submitNext makes an idle actor submit its next change, computed from the value that it knows.
+func (w *repairWorld) submitNext(a *repairActor) {
 	if len(a.busy) > 0 {
 		return
 	}
@@ -69,10 +69,10 @@
 	body := fmt.Sprint(w.ids)
 	within := w.now + time.Duration(100+w.rng.IntN(1500))*time.Millisecond
 	a.busy[w.ids] = body
-	a.proposer.Submit(w.now, within, w.ids, w.wish(a, body))
+	a.proposer.Submit(w.now, within, w.ids, w.nextChange(a, body))
 }
 
-func (w *repairWorld) wish(a *repairActor, body string) register.Change {
+func (w *repairWorld) nextChange(a *repairActor, body string) register.Change {
 	switch {
 	case a.operator:
 		return edit(a.known.Version, body)
@@ -93,7 +93,7 @@
 	for i, a := range w.actors {
 		sends, results := a.proposer.TakeOutput()
 		for _, s := range sends {
-			w.bag = append(w.bag, repairMessage{to: s.Disk, by: i, msg: s.Msg})
+			w.inFlight = append(w.inFlight, repairMessage{to: s.Disk, by: i, msg: s.Msg})
 		}
 		for _, r := range results {
 			w.done(a, r)
@@ -116,14 +116,14 @@
 		return
 	}
 	if other, ok := w.confirmed[version]; ok && other != body {
-		w.t.Fatalf("seed %d at %s: mark %d is confirmed for orders %s and %s", w.seed, w.now, version, other, body)
+		w.t.Fatalf("seed %d at %s: version %d is confirmed for requests %s and %s", w.seed, w.now, version, other, body)
 	}
 	w.confirmed[version] = body
 	w.highest = max(w.highest, version)
 }
 
 func (w *repairWorld) deliver(m repairMessage) {
-	reply := func(msg any) { w.bag = append(w.bag, repairMessage{by: m.by, msg: msg}) }
+	reply := func(msg any) { w.inFlight = append(w.inFlight, repairMessage{by: m.by, msg: msg}) }
 	switch x := m.msg.(type) {
 	case register.Prepare:
 		r, _ := w.disks[m.to].Prepare(x)
@@ -142,29 +142,29 @@
 	w.now += time.Duration(w.rng.IntN(3)) * time.Millisecond
 	for _, a := range w.actors {
 		if w.rng.IntN(40) == 0 {
-			w.act(a)
+			w.submitNext(a)
 		}
 		a.proposer.Tick(w.now)
 	}
 	w.collect()
-	if len(w.bag) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	at := w.rng.IntN(len(w.bag))
-	m := w.bag[at]
+	at := w.rng.IntN(len(w.inFlight))
+	m := w.inFlight[at]
 	if w.rng.IntN(20) > 0 {
-		w.bag[at] = w.bag[len(w.bag)-1]
-		w.bag = w.bag[:len(w.bag)-1]
+		w.inFlight[at] = w.inFlight[len(w.inFlight)-1]
+		w.inFlight = w.inFlight[:len(w.inFlight)-1]
 	}
 	if w.rng.IntN(6) > 0 {
 		w.deliver(m)
 	}
 }
 
-// TestConcurrentVoterChanges: no version is confirmed twice, which one that was lost would be.
+// TestConcurrentVoterChanges checks that no version is confirmed for two different requests, which would mean that one of them was lost.
 func TestConcurrentVoterChanges(t *testing.T) {
 	const steps = 6000
-	seeds := *menderSeeds
+	seeds := *voterChangeSeeds
 	epochs, versions := uint64(0), uint64(0)
 	for seed := range uint64(seeds) {
 		w := newRepairWorld(t, seed)
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -17,9 +17,9 @@
 	l.run(3 * time.Second)
 	for _, name := range l.order {
 		l.down[name] = true
-		l.rosters[name] = nil
+		l.replicaLists[name] = nil
 	}
-	l.mail = nil
+	l.inFlight = nil
 	l.run(500 * time.Millisecond)
 	for i, name := range l.order {
 		l.boot(name, false)
@@ -29,7 +29,7 @@
 	back := l.now
 	ready := func() bool {
 		for _, name := range l.order {
-			if l.nodes[name].Snapshot() == nil || l.nodes[name].serving.reason != "" || l.rosters[name] == nil {
+			if l.nodes[name].Snapshot() == nil || l.nodes[name].serving.reason != "" || l.replicaLists[name] == nil {
 				return false
 			}
 		}
@@ -51,17 +51,17 @@
 		sum += n
 	}
 	for _, name := range l.order {
-		if l.rosters[name] == nil {
+		if l.replicaLists[name] == nil {
 			t.Errorf("%s knows no replicas", name)
 		}
 	}
 	if sum > 20 {
-		t.Errorf("%d readings by %d nodes", sum, len(l.order))
+		t.Errorf("%d reads of the list by %d nodes", sum, len(l.order))
 	}
 }
 
-// TestNodesThatWereToldToEndRejoinWhileTheirSeedsAreDown guards against CONFIG: core nodes that shut down gracefully come back knowing only seeds
-// that are down, nobody contacts a member that has left, and after the second one there is no majority of voters any more.
+// TestNodesThatWereToldToEndRejoinWhileTheirSeedsAreDown guards against CONFIG: core nodes that shut down gracefully came back knowing only
+// seeds that were down. No node contacted a member that had left, and after the second restart there was no majority of voters any more.
 func TestNodesThatWereToldToEndRejoinWhileTheirSeedsAreDown(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(3 * time.Second)
