--- a/control/send.go
+++ b/control/send.go
@@ -7,20 +7,21 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// newer is a kind of message or news that older builds cannot read: gob has no name for it there.
-type newer interface{ Since() uint32 }
+// buildLimited is implemented by messages and gossip items that builds before Since cannot decode: they have no gob type registered under
+// the name.
+type buildLimited interface{ Since() uint32 }
 
 func (n *Node) send(to string, msg any) {
 	if to == n.config.Addr {
 		n.local = append(n.local, Received{From: to, Msg: msg})
 		return
 	}
-	if msg, ok := n.readable(to, msg); ok && to != "" {
+	if msg, ok := n.compatibleMessage(to, msg); ok && to != "" {
 		n.out.Sends = append(n.out.Sends, Send{To: to, Msg: msg})
 	}
 }
 
-// addrOf is the address of the node with that disk, which may be this one; empty: none is known.
+// addrOf returns the address of the node with that disk, which may be this node, or an empty string if none is known.
 func (n *Node) addrOf(disk string) string {
 	if n.acceptor != nil && disk == n.acceptor.Disk {
 		return n.config.Addr
@@ -46,11 +47,11 @@
 }
 
 func (n *Node) peers() (ps []gossip.Peer) {
-	d := n.derive()
-	if d.peers != nil {
-		return d.peers
+	cache := n.cachedMembers()
+	if cache.peers != nil {
+		return cache.peers
 	}
-	defer func() { d.peers = ps }()
+	defer func() { cache.peers = ps }()
 	for _, m := range n.Members.Table.All() {
 		if m.Name != n.config.Name && m.Live() {
 			ps = append(ps, gossip.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Zone, SameZone: m.Zone == n.config.Zone})
@@ -71,10 +72,11 @@
 	}
 }
 
-// readable leaves out what the peer's build cannot read: one unknown kind would cost it the whole frame and the connection.
-func (n *Node) readable(to string, msg any) (any, bool) {
+// compatibleMessage removes what the peer's build cannot decode, and reports whether a message remains. A single unknown type would cost
+// the peer the whole frame and the connection.
+func (n *Node) compatibleMessage(to string, msg any) (any, bool) {
 	build := n.buildOf(to)
-	if k, is := msg.(newer); is && k.Since() > build {
+	if k, is := msg.(buildLimited); is && k.Since() > build {
 		return nil, false
 	}
 	if min(build, n.config.Build) >= chunksBuild {
@@ -84,16 +86,16 @@
 	if !is {
 		return msg, true
 	}
-	var fitting gossip.Update
+	var compatible gossip.Update
 	for _, it := range updates.Items {
-		if k, is := it.Data.(newer); !is || k.Since() <= build {
-			fitting.Items = append(fitting.Items, it)
+		if k, is := it.Data.(buildLimited); !is || k.Since() <= build {
+			compatible.Items = append(compatible.Items, it)
 		}
 	}
-	return fitting, true
+	return compatible, true
 }
 
-// buildOf is what a peer said last, else what its member says, bounded by what this node's own build knows of.
+// buildOf returns the build that a peer last reported on its connection, or else the build in its member entry (1 if it is not a member).
 func (n *Node) buildOf(addr string) uint32 {
 	build, known := n.documents.builds[addr]
 	if known {
--- a/control/status.go
+++ b/control/status.go
@@ -9,15 +9,16 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// MemberStatus is a member with its state in words.
+// MemberStatus is a member with its state as a word.
 type MemberStatus struct {
 	membership.Member
 	State string `json:"state"`
 }
 
-// Status is what a node tells operators of itself. Serving and NotServing say whether its router serves and if not why; Version is the newest revision
-// that it knows, AppliedVersion the one its router goes by. EvacuatedZones are the evacuated zones, Leases the leases held here, Deaths and Refutes count
-// members that were declared dead and took that back, GossipItems the gossip items held.
+// Status is a node's state as shown to operators. Serving and NotServing are whether its router serves and, if not, the reason. Version is
+// the newest version that the node knows, AppliedVersion the one that its router applies. Next are the next voters during a change of
+// voters. Leases are the roles whose lease this node has. Deaths counts members that were declared dead, Refutes those that refuted it.
+// GossipItems is the number of gossip items in the store.
 type Status struct {
 	Name           string           `json:"name"`
 	Zone           string           `json:"domain"`
@@ -35,11 +36,11 @@
 	Deaths         uint64           `json:"deaths"`
 	Refutes        uint64           `json:"refutes"`
 	GossipItems    int              `json:"news"`
-	// Config is the operators' document, where it holds no secrets.
+	// Config is the operators' document, unless it contains secrets.
 	Config json.RawMessage `json:"config,omitempty"`
 }
 
-// Status is the node's state at the time now.
+// Status returns the node's state at the time now.
 func (n *Node) Status(now time.Duration) Status {
 	s := Status{
 		Name: n.config.Name, Zone: n.config.Zone, Serving: n.serving.reason == "" && n.serving.reportedAt > 0, NotServing: n.serving.reason, AppliedVersion: n.applied, Degraded: n.Members.Self.Degraded,
@@ -48,9 +49,9 @@
 	for _, m := range n.Members.Table.All() {
 		s.Members = append(s.Members, MemberStatus{Member: m, State: m.State.String()})
 	}
-	for _, d := range n.leases.Roles() {
-		if _, ok := n.leases.Holds(now, d); ok {
-			s.Leases = append(s.Leases, d)
+	for _, role := range n.leases.Roles() {
+		if _, ok := n.leases.Holds(now, role); ok {
+			s.Leases = append(s.Leases, role)
 		}
 	}
 	if n.value != nil {
@@ -64,18 +65,18 @@
 	return s
 }
 
-// HeldRoles names the roles whose lease the node holds at the time now.
+// HeldRoles returns the roles whose lease the node has at the time now.
 func (n *Node) HeldRoles(now time.Duration) []string {
 	var roles []string
-	for _, d := range n.leases.Roles() {
-		if _, ok := n.leases.Holds(now, d); ok {
-			roles = append(roles, d)
+	for _, role := range n.leases.Roles() {
+		if _, ok := n.leases.Holds(now, role); ok {
+			roles = append(roles, role)
 		}
 	}
 	return roles
 }
 
-// Snapshot is the configuration that this node's router goes by, or nil.
+// Snapshot returns the configuration that this node's router applies, or nil.
 func (n *Node) Snapshot() *config.Snapshot {
 	if n.applied == 0 {
 		return nil
@@ -83,5 +84,5 @@
 	return n.snapshot
 }
 
-// Value is the newest value of the register that the node knows, or nil.
+// Value returns the newest value of the register that the node knows, or nil.
 func (n *Node) Value() *register.Value { return n.value }
--- a/control/status_test.go
+++ b/control/status_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestStatusShowsNoKeys: the document of a platform may hold secrets, the product's own is part of the status.
+// TestStatusShowsNoKeys checks that the status contains the product's own document, but not that of a platform, which may contain secrets.
 func TestStatusShowsNoKeys(t *testing.T) {
 	for _, platform := range []bool{false, true} {
-		l := newLone()
+		l := newLoneNode()
 		l.n.value = value(1)
 		l.n.config.HidesDocument = platform
 		text, err := json.Marshal(l.n.Status(l.now))
--- a/control/tenantusage.go
+++ b/control/tenantusage.go
@@ -1,6 +1,7 @@
 package control
 
-// TenantUsage is a gossip item of builds before quotaBuild, whose routers told each other what they admitted. It is read and ignored.
+// TenantUsage is a gossip item that builds before quotaBuild send: their routers exchange what they admitted for each tenant. This build
+// decodes and ignores it.
 type TenantUsage struct{ TenantUsage legacyUsageItem }
 
 type legacyUsageItem struct{ Usage legacyUsage }
@@ -15,8 +16,8 @@
 	Admitted, Demand uint64
 }
 
-// Ephemeral says that the item is worth nothing to a node that starts later.
+// Ephemeral reports that a node that starts later does not need the item.
 func (TenantUsage) Ephemeral() bool { return true }
 
-// Since is the first build that reads the item.
+// Since returns the first build that can decode the item.
 func (TenantUsage) Since() uint32 { return 4 }
--- a/control/updates.go
+++ b/control/updates.go
@@ -73,24 +73,24 @@
 	if n.joining.servesFrom == 0 && n.joining.joined {
 		n.joining.servesFrom = now + joinDelay
 	}
-	d := n.derive()
-	if d.shared && d.joined == n.joining.joined {
+	cache := n.cachedMembers()
+	if cache.routersPublished && cache.joined == n.joining.joined {
 		return
 	}
-	d.shared, d.joined = true, n.joining.joined
-	var names, domains []string
+	cache.routersPublished, cache.joined = true, n.joining.joined
+	var names, zones []string
 	for _, m := range n.Members.Table.All() {
 		if !m.Live() || (m.Name == n.config.Name && !n.joining.joined) {
 			continue
 		}
-		names, domains = append(names, m.Name), append(domains, m.Zone)
+		names, zones = append(names, m.Name), append(zones, m.Zone)
 		for i := range m.EmbeddedRouters {
-			names, domains = append(names, m.Name+"#"+strconv.Itoa(i+1)), append(domains, m.Zone)
+			names, zones = append(names, m.Name+"#"+strconv.Itoa(i+1)), append(zones, m.Zone)
 		}
 	}
 	if key := strings.Join(names, ","); key != n.serving.routers {
 		n.serving.routers = key
-		n.emit(router.Routers{Names: names, Zones: domains})
+		n.emit(router.Routers{Names: names, Zones: zones})
 	}
 }
 
@@ -130,10 +130,10 @@
 	n.logChange(ChangeConfigurationApplied, fmt.Sprintf("version %d", n.applied))
 	n.quotas.applyQuotas(now, n.snapshot.Config.Tenants)
 	n.emit(router.SnapshotUpdate{Snapshot: n.snapshot})
-	n.replay(now)
+	n.replayGossip(now)
 }
 
-func (n *Node) replay(now time.Duration) {
+func (n *Node) replayGossip(now time.Duration) {
 	for _, service := range n.snapshot.Config.Services {
 		for _, r := range service.Replicas {
 			if state, ok := gossiped[ReplicaState](n, "p/"+r.Name); ok {
@@ -148,7 +148,7 @@
 	}
 }
 
-// gossiped is the gossip item under a key, where there is one with data of that type.
+// gossiped returns the data of the gossip item under a key, if it has that type.
 func gossiped[Data any](n *Node, key string) (Data, bool) {
 	item, _ := n.Gossip.Get(key)
 	data, ok := item.Data.(Data)
--- a/control/voterinterrupt_test.go
+++ b/control/voterinterrupt_test.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// subset is the disks whose bit is set.
+// subset returns the disks whose bit is set.
 func subset(disks []string, bits int) []string {
 	var some []string
 	for i, d := range disks {
@@ -18,9 +18,10 @@
 	return some
 }
 
-// TestVoterChangeInterruptedAtEachPoint: an order was confirmed by a majority of a, b and c. Then c's voter slot goes to d, whose disk is
-// empty; the accepts of both rounds reach any of the disks and no others, and after that any one disk is lost and comes back empty under
-// its name, with another id. Who knows the first voters alone still reads the order.
+// TestVoterChangeInterruptedAtEachPoint confirms a request with a majority of a, b and c. Then c's voter slot moves to d, whose disk is
+// empty; the accepts of each of the two rounds reach an arbitrary subset of the disks. After that no disk or any one disk is lost: its
+// machine comes back under the same name with an empty disk that has another ID. A node that knows only the first voters must still read
+// the request's document.
 func TestVoterChangeInterruptedAtEachPoint(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	runs := 0
@@ -39,21 +40,21 @@
 
 func interruptVoterChange(t *testing.T, confirmedBy []string, begun, finished []string, lost string) {
 	t.Helper()
-	h := newHandRegister(t)
+	h := newManualRegister(t)
 	order := h.proposer("o", edit(0, "order"))
 	accepts, _ := h.prepare(order, 1, "a", "b", "c")
 	if !confirmed(h.accept(order, accepts, confirmedBy...)) {
-		t.Fatal("the order was not confirmed")
+		t.Fatal("the request was not confirmed")
 	}
 	h.changeVoters(begun, finished)
 	delete(h.disks, lost)
 	if got := h.readAll(); got != "order" {
-		t.Fatalf("confirmed by %v, begun at %v, finished at %v, %s lost: reads %q", confirmedBy, begun, finished, lost, got)
+		t.Fatalf("confirmed by %v, started at %v, finished at %v, lost %s: read %q", confirmedBy, begun, finished, lost, got)
 	}
 }
 
-// changeVoters begins the change and, where that was chosen, finishes it.
-func (h *handRegister) changeVoters(begins, finishes []string) {
+// changeVoters starts the change and, if it was chosen, finishes it.
+func (h *manualRegister) changeVoters(begins, finishes []string) {
 	begin := h.proposer("m", beginVoterChangeAt(0, votersOf("a", "b", "d")))
 	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
 	done := h.accept(begin, accepts, begins...)
@@ -65,8 +66,8 @@
 	h.accept(finish, accepts, finishes...)
 }
 
-// readAll has a node that knows the first voters alone read, with all disks in reach that are left.
-func (h *handRegister) readAll() string {
+// readAll reads the register from a node that knows only the first voters and reaches all remaining disks.
+func (h *manualRegister) readAll() string {
 	p := h.proposer("z", nil)
 	for range 200 {
 		sends, results := p.TakeOutput()
--- a/control/voters.go
+++ b/control/voters.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// voterLostAfter is how long a voter may be out of touch before another disk replaces it, where the fleet chooses voters itself.
+	// voterLostAfter is how long a voter may be unreachable or degraded before another disk replaces it, in a fleet that chooses its voters
+	// automatically.
 	voterLostAfter = 2500 * time.Millisecond
-	// voterChangeInterval is the time between two tries of one node to change the voters.
+	// voterChangeInterval is the minimum time between two attempts of one node to change the voters.
 	voterChangeInterval = time.Second
-	// voterRole ranks the nodes that may change the voters.
+	// voterRole is the role that ranks the nodes that may change the voters.
 	voterRole = "mend"
 )
 
-// voterRepair is what a node remembers of the voters: since when each is lost, and when it last tried to change them.
+// voterRepair records since when each voter has been lost, and when this node last tried to change the voters.
 type voterRepair struct {
 	lostSince map[string]time.Duration
 	changedAt time.Duration
 }
 
-// track notes since when each voter is lost. Every node does, so that whoever is first by rank next need not wait anew.
+// track records since when each voter has been lost. Every node does, so that the node that becomes first in rank need not wait for the
+// whole timeout again.
 func (r *voterRepair) track(now time.Duration, s voterSet) {
 	since := map[string]time.Duration{}
 	for _, v := range s.value.Voters {
@@ -37,8 +39,8 @@
 	r.lostSince = since
 }
 
-// lostVoterTimeout is how long a voter may be lost before another disk replaces it: fixed where the fleet bears losses by itself
-// (FaultTolerance), else as the operators' document says. 0: voters stay as they are.
+// lostVoterTimeout returns how long a voter may be lost before another disk replaces it: voterLostAfter if the fleet chooses its voters
+// automatically (FaultTolerance), otherwise the value of the operators' document. 0 means that voters are not replaced.
 func (n *Node) lostVoterTimeout() time.Duration {
 	if n.config.FaultTolerance > 0 {
 		return voterLostAfter
@@ -49,8 +51,9 @@
 	return n.snapshot.Config.ReplaceVoter
 }
 
-// maintainVoters keeps the set of voters complete. One node does it, the first by rank; where two believe that they are first, the epoch
-// on which each change builds lets one through. A change that was begun is finished before another is thought of.
+// maintainVoters keeps the voter set complete. Only the node that is first in rank does so. If two nodes both consider themselves first,
+// only one of their changes succeeds, because each change requires the epoch it was computed for. A change that has started is finished
+// before another one is considered.
 func (n *Node) maintainVoters(now time.Duration) {
 	set := voterSet{value: n.value, members: &n.Members.Table}
 	n.voters.track(now, set)
@@ -79,7 +82,8 @@
 	n.proposeUrgent(now, finishVoterChangeAt(epoch), func(time.Duration, register.Result) {})
 }
 
-// beginVoterChangeAt installs the next voters beside the present ones, if the epoch is still the one that the choice was made on.
+// beginVoterChangeAt returns a change that installs the next voters beside the current ones, if the epoch is still the one for which they
+// were chosen.
 func beginVoterChangeAt(epoch uint64, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
 		if slices.Equal(cur.NextVoters, vs) || slices.Equal(cur.Voters, vs) {
@@ -94,8 +98,9 @@
 	}
 }
 
-// finishVoterChangeAt lets the next voters of the epoch in which a change is known to have been chosen take over. A later one that was
-// merely accepted somewhere must not be finished: the old voters may never hear of it, and would choose by themselves beside the new ones.
+// finishVoterChangeAt returns a change that makes the next voters of the given epoch the voters. The epoch must be one whose change is
+// known to be chosen. A later change that was only accepted somewhere must not be finished: the old voters may never learn of it and could
+// choose values on their own beside the new voters.
 func finishVoterChangeAt(epoch uint64) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
 		if len(cur.NextVoters) == 0 || cur.Epoch != epoch {
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -30,15 +30,15 @@
 	for _, name := range l.order {
 		v := l.nodes[name].Value()
 		if v == nil {
-			t.Fatalf("%s knows no register", name)
+			t.Fatalf("%s knows no value of the register", name)
 		}
 		fleets[v.Fleet] = true
 		if got := l.read(name); got != "first" {
-			t.Errorf("%s reads %q", name, got)
+			t.Errorf("%s read %q", name, got)
 		}
 	}
 	if len(fleets) != 1 {
-		t.Errorf("%d registers were founded", len(fleets))
+		t.Errorf("%d registers were bootstrapped", len(fleets))
 	}
 }
 
@@ -80,7 +80,7 @@
 		l.boot(name, false)
 		l.run(4 * time.Second)
 		if got := l.read("n5"); got != text {
-			t.Fatalf("round %d: after %s came back empty, %q is read", i, name, got)
+			t.Fatalf("round %d: after %s came back empty, read %q", i, name, got)
 		}
 		if !slices.Contains(l.voters(), l.disks[name]) && len(l.voters()) != 3 {
 			t.Fatalf("round %d: voters %v", i, l.voters())
@@ -126,8 +126,8 @@
 	l.list = []router.Instance{{ID: "i1", Service: "o", Draining: true}}
 	l.run(1500 * time.Millisecond)
 	for _, name := range l.order {
-		if r := l.rosters[name]; len(r) != 1 || !r[0].Draining {
-			t.Errorf("%s holds %v", name, r)
+		if r := l.replicaLists[name]; len(r) != 1 || !r[0].Draining {
+			t.Errorf("%s has %v", name, r)
 		}
 	}
 	l.run(8500 * time.Millisecond)
@@ -139,14 +139,14 @@
 		}
 	}
 	if sum > 14 || reader == "" {
-		t.Errorf("%d readings in 10 s: %v", sum, l.lists)
+		t.Errorf("%d reads of the list in 10 s: %v", sum, l.lists)
 	}
 	l.down[reader] = true
 	l.list = nil
 	l.run(2200 * time.Millisecond)
 	for _, name := range l.order {
-		if r := l.rosters[name]; len(r) != 0 && !l.down[name] {
-			t.Errorf("%s holds %v, 2.2 s after its reader died", name, r)
+		if r := l.replicaLists[name]; len(r) != 0 && !l.down[name] {
+			t.Errorf("%s has %v, 2.2 s after the node that reads the list died", name, r)
 		}
 	}
 }
@@ -160,8 +160,8 @@
 	}
 	l.list = nil
 	l.run(4 * time.Second)
-	if len(l.rosters["n8"]) != 0 {
-		t.Error("a node that is alone keeps a replica that is gone")
+	if len(l.replicaLists["n8"]) != 0 {
+		t.Error("an isolated node still lists a removed replica")
 	}
 }
 
@@ -170,7 +170,7 @@
 	l.run(2 * time.Second)
 	l.step("n0", Persisted{Err: errors.New("no space left")})
 	if !l.nodes["n0"].Members.Self.Degraded {
-		t.Fatal("a full disk votes on")
+		t.Fatal("a voter with a full disk still votes")
 	}
 	l.step("n0", Persisted{Repaired: true})
 	l.run(time.Second)
--- a/control/voterset.go
+++ b/control/voterset.go
@@ -7,15 +7,15 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// voterSet is the voters of a value, seen beside the members that a node knows. It changes nothing.
+// voterSet compares the voters of a value with the members that a node knows. Its methods change nothing.
 type voterSet struct {
 	value   *register.Value
 	members *membership.Table
 }
 
-// next names the voters that should take over from the present ones, and why; nil: the present ones stay. The order is that of need: a
-// disk that came back empty, a voter lost for longer than timeout, one that is about to leave, and a disk that may join until there are
-// enough for the fault tolerance.
+// next returns the voters that should replace the current ones and the reason, or nil if the current ones stay. Reasons by priority: a
+// voter's disk came back empty, a voter was lost for longer than timeout, a voter is about to leave, there are fewer voters than the fault
+// tolerance requires.
 func (s voterSet) next(now time.Duration, lostSince map[string]time.Duration, timeout time.Duration, faultTolerance int) ([]register.Voter, string) {
 	if timeout <= 0 {
 		return nil, ""
@@ -25,26 +25,26 @@
 			return s.replace(v, m), "disk of " + v.Name + " came back empty"
 		}
 	}
-	if lost := s.lost(now, lostSince, timeout); lost != "" {
-		if vs := s.without(lost); vs != nil {
+	if lost := s.firstLost(now, lostSince, timeout); lost != "" {
+		if vs := s.replaceWithStandby(lost); vs != nil {
 			return vs, "disk " + lost + " is lost"
 		}
 	}
-	if leaving := s.leaving(); leaving != "" {
-		if vs := s.without(leaving); vs != nil {
+	if leaving := s.firstLeaving(); leaving != "" {
+		if vs := s.replaceWithStandby(leaving); vs != nil {
 			return vs, "disk " + leaving + " leaves"
 		}
 	}
 	if len(s.value.Voters) < 2*faultTolerance+1 {
-		if vs := s.without(""); vs != nil {
+		if vs := s.replaceWithStandby(""); vs != nil {
 			return vs, "a disk joins"
 		}
 	}
 	return nil, ""
 }
 
-// lost names the disk of the first voter that has been lost for as long as timeout.
-func (s voterSet) lost(now time.Duration, lostSince map[string]time.Duration, timeout time.Duration) string {
+// firstLost returns the disk of the first voter that has been lost for at least timeout, or an empty string.
+func (s voterSet) firstLost(now time.Duration, lostSince map[string]time.Duration, timeout time.Duration) string {
 	for _, v := range s.value.Voters {
 		if since, ok := lostSince[v.Disk]; ok && now-since >= timeout {
 			return v.Disk
@@ -53,9 +53,9 @@
 	return ""
 }
 
-// leaving names the disk of the first voter whose process was told to end, or has left. Whether it is only restarted nobody can tell: with
-// a standby disk that one votes from then on, and the one that comes back is the next standby.
-func (s voterSet) leaving() string {
+// firstLeaving returns the disk of the first voter whose process was told to terminate or has left. A restart cannot be distinguished from a
+// permanent exit: if there is a standby disk, it becomes the voter, and the returning disk becomes a standby.
+func (s voterSet) firstLeaving() string {
 	for _, v := range s.value.Voters {
 		m, ok := s.memberWith(v.Disk)
 		if ok && (m.Retiring || m.State == membership.Left) {
@@ -79,12 +79,12 @@
 	return ok && m.State == membership.Alive && !m.Degraded
 }
 
-// standby says whether a member has a healthy disk that could vote and means to stay.
+// standby reports whether a member has a healthy disk that is not a voter and is not about to leave.
 func (s voterSet) standby(m membership.Member) bool {
 	return m.Disk != "" && m.State == membership.Alive && !m.Degraded && !m.Retiring && !isVoter(s.value.Voters, m.Disk)
 }
 
-// replacedDisk finds the machine of a voter that is back with another disk.
+// replacedDisk returns the member of a voter that came back with another disk.
 func (s voterSet) replacedDisk(v register.Voter) (membership.Member, bool) {
 	m, ok := s.members.Get(v.Name)
 	return m, ok && m.Disk != v.Disk && s.standby(m)
@@ -101,8 +101,9 @@
 	return vs
 }
 
-// without puts a standby disk in the place of a lost one, in the zone with the fewest voters; nil: there is none.
-func (s voterSet) without(lost string) []register.Voter {
+// replaceWithStandby replaces the voter with the lost disk by a standby disk from the zone with the fewest voters. If lost is empty, it
+// adds one. It returns nil if there is no standby disk.
+func (s voterSet) replaceWithStandby(lost string) []register.Voter {
 	votersIn := map[string]int{}
 	var vs []register.Voter
 	for _, v := range s.value.Voters {
--- a/control/witness.go
+++ b/control/witness.go
@@ -11,60 +11,71 @@
 )
 
 const (
-	witnessCount       = 6
-	witnessesPerDomain = 2
-	witnessQuorum      = 4
-	witnessResend      = 60 * time.Millisecond
-	witnessMemory      = 10 * time.Minute
-	witnessTimeout     = 200 * time.Millisecond
-	witnessTimeoutMax  = 2500 * time.Millisecond
-	rememberedMost     = 200000
+	// witnessCount is the number of witnesses of a request, witnessesPerZone the maximum number of them in one zone, and witnessQuorum
+	// the number of replies that suffice, or fewer if fewer witnesses are live.
+	witnessCount     = 6
+	witnessesPerZone = 2
+	witnessQuorum    = 4
+	// witnessResend is how long a query waits for a reply before it is sent again.
+	witnessResend = 60 * time.Millisecond
+	// witnessMemory is how long a witness remembers a request.
+	witnessMemory = 10 * time.Minute
+	// witnessTimeout is the minimum timeout of a query, and how long it insists on replies from witnesses that have been up for all of
+	// witnessMemory; witnessTimeoutMax is the maximum timeout.
+	witnessTimeout    = 200 * time.Millisecond
+	witnessTimeoutMax = 2500 * time.Millisecond
+	// maxRemembered is the maximum number of requests that a witness remembers.
+	maxRemembered = 200000
 )
 
 // WitnessVerdict is the outcome of a Witness operation.
 type WitnessVerdict uint8
 
 const (
-	// NotAskedBefore says that no witness knows of another router that asked.
+	// NotAskedBefore means that no witness knows of another router that asked.
 	NotAskedBefore WitnessVerdict = iota
-	// AskedBefore says that a witness knows of another router that asked.
+	// AskedBefore means that a witness knows of another router that asked.
 	AskedBefore
-	// TooFewReplies says that fewer witnesses than needed answered in time.
+	// TooFewReplies means that fewer witnesses than needed replied in time.
 	TooFewReplies
 )
 
-// inquiry is a Witness operation under way. complete counts the replies of witnesses that have been up for all of witnessMemory.
+// inquiry is a Witness operation in progress. pending are the addresses of the witnesses that have not replied, needed is the number of
+// replies that suffice, and fullHistory counts the replies from witnesses that have been up for all of witnessMemory.
 type inquiry struct {
-	command   uint64
-	startedAt time.Duration
-	sentAt    time.Duration
-	msg       WitnessQuery
-	addrs     []string
-	pending   []string
-	timeout   time.Duration
-	replies   int
-	needed    int
-	complete  int
+	command     uint64
+	startedAt   time.Duration
+	sentAt      time.Duration
+	msg         WitnessQuery
+	addrs       []string
+	pending     []string
+	timeout     time.Duration
+	replies     int
+	needed      int
+	fullHistory int
 }
 
-// rememberedRequest is the router that asked first about a request, and the number of its newest inquiry.
+// rememberedRequest is the router that first asked about a request, when it did, and the number of its newest query.
 type rememberedRequest struct {
-	by        string
-	requestID uint64
-	at        time.Duration
+	by      string
+	queryID uint64
+	at      time.Duration
 }
 
+// witnessState is a node's state as a witness (seen, oldestFirst) and as a node that asks witnesses (inquiries, lastQueryID). deadSince is
+// when each dead member died as this node saw it; forgotten are the members that have been dead for witnessMemory.
 type witnessState struct {
-	startedAt time.Duration
-	seen      map[string]rememberedRequest
-	order     []string
-	inquiries map[uint64]*inquiry
-	deadSince map[string]time.Duration
-	forgotten map[string]bool
-	requestID uint64
+	startedAt   time.Duration
+	seen        map[string]rememberedRequest
+	oldestFirst []string
+	inquiries   map[uint64]*inquiry
+	deadSince   map[string]time.Duration
+	forgotten   map[string]bool
+	lastQueryID uint64
 }
 
-// WitnessOutcome is how an attempt ends by the witnesses' answer before it began; empty: the request may be sent.
+// WitnessOutcome returns the result with which an attempt ends before it is sent, given the witnesses' answer, or an empty string if the
+// request may be sent.
 func WitnessOutcome(a Answer) router.AttemptResult {
 	switch {
 	case a.Err != nil || a.WitnessVerdict == TooFewReplies:
@@ -80,20 +91,20 @@
 }
 
 func (w *witnessState) remember(now time.Duration, m WitnessQuery) WitnessReply {
-	for len(w.order) > 0 && (len(w.order) > rememberedMost || now-w.seen[w.order[0]].at > witnessMemory) {
-		delete(w.seen, w.order[0])
-		w.order = w.order[1:]
+	for len(w.oldestFirst) > 0 && (len(w.oldestFirst) > maxRemembered || now-w.seen[w.oldestFirst[0]].at > witnessMemory) {
+		delete(w.seen, w.oldestFirst[0])
+		w.oldestFirst = w.oldestFirst[1:]
 	}
 	s, ok := w.seen[m.Request]
 	if m.Peek {
 		return WitnessReply{QueryID: m.QueryID, First: !ok || s.by == m.By, RecentlyStarted: now-w.startedAt < witnessMemory}
 	}
 	if !ok {
-		w.order = append(w.order, m.Request)
+		w.oldestFirst = append(w.oldestFirst, m.Request)
 		s = rememberedRequest{by: m.By, at: now}
 	}
 	if s.by == m.By {
-		s.requestID = max(s.requestID, m.QueryID)
+		s.queryID = max(s.queryID, m.QueryID)
 		w.seen[m.Request] = s
 	}
 	return WitnessReply{QueryID: m.QueryID, First: s.by == m.By, RecentlyStarted: now-w.startedAt < witnessMemory}
@@ -101,16 +112,16 @@
 
 func (w *witnessState) forget(m WitnessForget) {
 	s, ok := w.seen[m.Request]
-	if !ok || s.by != m.By || s.requestID != m.QueryID {
+	if !ok || s.by != m.By || s.queryID != m.QueryID {
 		return
 	}
 	delete(w.seen, m.Request)
-	w.order = slices.DeleteFunc(w.order, func(r string) bool { return r == m.Request })
+	w.oldestFirst = slices.DeleteFunc(w.oldestFirst, func(r string) bool { return r == m.Request })
 }
 
 func (w *witnessState) ask(now time.Duration, n *Node, id uint64, op Witness) {
-	w.requestID++
-	a := &inquiry{command: id, startedAt: now, msg: WitnessQuery{QueryID: w.requestID, Request: op.Request, By: n.proposer.ID, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
+	w.lastQueryID++
+	a := &inquiry{command: id, startedAt: now, msg: WitnessQuery{QueryID: w.lastQueryID, Request: op.Request, By: n.proposer.ID, Peek: op.Peek}, timeout: min(max(op.SpareTime, witnessTimeout), witnessTimeoutMax)}
 	for _, m := range n.witnesses(op.Request) {
 		a.addrs = append(a.addrs, m.Addr)
 		if m.Live() {
@@ -118,7 +129,7 @@
 		}
 	}
 	a.needed = min(witnessQuorum, len(a.pending))
-	w.inquiries[w.requestID] = a
+	w.inquiries[w.lastQueryID] = a
 	a.send(now, n)
 }
 
@@ -129,8 +140,8 @@
 	}
 }
 
-// witnesses are the same for all routers that know the same members; the dead keep their place as long as they would have
-// remembered, so that a death does not move the others'.
+// witnesses returns the witnesses of a request. They are the same for all routers that know the same members. A dead member keeps its place
+// for witnessMemory, so that its death does not change which other members are witnesses.
 func (n *Node) witnesses(request string) []membership.Member {
 	var names []string
 	for _, m := range n.Members.Table.All() {
@@ -138,12 +149,12 @@
 			names = append(names, m.Name)
 		}
 	}
-	taken := map[string]int{}
+	inZone := map[string]int{}
 	var ms []membership.Member
 	for _, name := range scheduler.SortByWeight("once/"+request, names) {
 		m, _ := n.Members.Table.Get(name)
-		if len(ms) < witnessCount && taken[m.Zone] < witnessesPerDomain {
-			taken[m.Zone]++
+		if len(ms) < witnessCount && inZone[m.Zone] < witnessesPerZone {
+			inZone[m.Zone]++
 			ms = append(ms, m)
 		}
 	}
@@ -158,17 +169,17 @@
 	a.pending = slices.DeleteFunc(a.pending, func(addr string) bool { return addr == from })
 	a.replies++
 	if !m.RecentlyStarted {
-		a.complete++
+		a.fullHistory++
 	}
 	switch {
 	case !m.First:
-		w.close(n, a, AskedBefore)
-	case a.complete >= a.needed || len(a.pending) == 0:
-		w.close(n, a, NotAskedBefore)
+		w.finish(n, a, AskedBefore)
+	case a.fullHistory >= a.needed || len(a.pending) == 0:
+		w.finish(n, a, NotAskedBefore)
 	}
 }
 
-func (w *witnessState) close(n *Node, a *inquiry, v WitnessVerdict) {
+func (w *witnessState) finish(n *Node, a *inquiry, v WitnessVerdict) {
 	delete(w.inquiries, a.msg.QueryID)
 	n.answer(Answer{ID: a.command, WitnessVerdict: v})
 	if v != TooFewReplies || a.msg.Peek {
@@ -189,16 +200,16 @@
 		}
 		switch {
 		case waited >= witnessTimeout && a.replies >= a.needed:
-			w.close(n, a, NotAskedBefore)
+			w.finish(n, a, NotAskedBefore)
 		case waited >= a.timeout:
-			w.close(n, a, TooFewReplies)
+			w.finish(n, a, TooFewReplies)
 		case now-a.sentAt >= witnessResend:
 			a.send(now, n)
 		}
 	}
 }
 
-// dropDead no longer waits for witnesses that were found dead meanwhile.
+// dropDead stops waiting for witnesses that have died in the meantime.
 func (a *inquiry) dropDead(n *Node) {
 	a.pending = slices.DeleteFunc(a.pending, func(addr string) bool {
 		return slices.ContainsFunc(n.Members.Table.All(), func(m membership.Member) bool { return m.Addr == addr && !m.Live() })
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -10,17 +10,18 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-type fleet struct {
-	t     *testing.T
-	now   time.Duration
-	nodes map[string]*Node
-	mute  map[string]bool
-	said  map[uint64]Answer
-	asked uint64
+// witnessFleet is a set of nodes that exchange only the messages of witnesses, without delay. Silent nodes neither receive nor send any.
+type witnessFleet struct {
+	t       *testing.T
+	now     time.Duration
+	nodes   map[string]*Node
+	silent  map[string]bool
+	answers map[uint64]Answer
+	asked   uint64
 }
 
-func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{t: t, nodes: map[string]*Node{}, mute: map[string]bool{}, said: map[uint64]Answer{}}
+func newWitnessFleet(t *testing.T, size int) *witnessFleet {
+	f := &witnessFleet{t: t, nodes: map[string]*Node{}, silent: map[string]bool{}, answers: map[uint64]Answer{}}
 	for i := range size {
 		f.boot(i, 1)
 	}
@@ -32,7 +33,7 @@
 	return f
 }
 
-func (f *fleet) boot(i int, incarnation uint64) {
+func (f *witnessFleet) boot(i int, incarnation uint64) {
 	name := fmt.Sprint("n", i)
 	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(incarnation), Zone: fmt.Sprint(i % 3), Incarnation: incarnation, Seed: incarnation, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 	for _, o := range f.nodes {
@@ -40,31 +41,31 @@
 	}
 }
 
-func (f *fleet) carry(from string, out Output) {
+func (f *witnessFleet) carry(from string, out Output) {
 	for _, a := range out.Answers {
-		f.said[a.ID] = a
+		f.answers[a.ID] = a
 	}
 	for _, s := range out.Sends {
 		switch s.Msg.(type) {
 		case WitnessQuery, WitnessReply, WitnessForget:
-			if !f.mute[s.To] && !f.mute[from] {
+			if !f.silent[s.To] && !f.silent[from] {
 				f.carry(s.To, f.nodes[s.To].Step(f.now, Received{From: from, Msg: s.Msg}))
 			}
 		}
 	}
 }
 
-func (f *fleet) ask(at, request string) (router.AttemptResult, time.Duration) {
-	return f.order(at, Witness{Request: request})
+func (f *witnessFleet) ask(at, request string) (router.AttemptResult, time.Duration) {
+	return f.run(at, Witness{Request: request})
 }
 
-func (f *fleet) order(at string, op Witness) (router.AttemptResult, time.Duration) {
+func (f *witnessFleet) run(at string, op Witness) (router.AttemptResult, time.Duration) {
 	request := op.Request
 	f.asked++
 	id, from := f.asked, f.now
 	f.carry(at, f.nodes[at].Step(f.now, Command{ID: id, Op: op}))
 	for ; f.now-from < 3*time.Second; f.now += 10 * time.Millisecond {
-		if a, ok := f.said[id]; ok {
+		if a, ok := f.answers[id]; ok {
 			return WitnessOutcome(a), f.now - from
 		}
 		n := f.nodes[at]
@@ -72,15 +73,15 @@
 		n.witness.tick(f.now, n)
 		f.carry(at, *n.out)
 	}
-	f.t.Fatalf("%s was never answered", request)
+	f.t.Fatalf("the query for %s was never answered", request)
 	return "", 0
 }
 
 func TestWitnesses(t *testing.T) {
-	f := newFleet(t, 12)
+	f := newWitnessFleet(t, 12)
 	f.now = 11 * time.Minute
 	if how, elapsed := f.ask("n0", "q1"); how != "" || elapsed != 0 {
-		t.Errorf("the first asker: %q after %s", how, elapsed)
+		t.Errorf("the first router: %q after %s", how, elapsed)
 	}
 	if how, _ := f.ask("n0", "q1"); how != "" {
 		t.Errorf("the same router again: %q", how)
@@ -88,72 +89,73 @@
 	if how, _ := f.ask("n7", "q1"); how != router.Suppressed {
 		t.Errorf("another router: %q", how)
 	}
-	if how, _ := f.order("n7", Witness{Request: "q1", Peek: true}); how != router.Suppressed {
-		t.Errorf("another router that peeks: %q", how)
+	if how, _ := f.run("n7", Witness{Request: "q1", Peek: true}); how != router.Suppressed {
+		t.Errorf("another router with peek: %q", how)
 	}
-	if how, _ := f.order("n7", Witness{Request: "q0", Peek: true}); how != "" {
-		t.Errorf("peeking for a new request: %q", how)
+	if how, _ := f.run("n7", Witness{Request: "q0", Peek: true}); how != "" {
+		t.Errorf("peek for a new request: %q", how)
 	}
 	if how, _ := f.ask("n3", "q0"); how != "" {
-		t.Errorf("peeking was remembered: %q", how)
+		t.Errorf("the witnesses remembered a peek: %q", how)
 	}
 	set := f.nodes["n0"].witnesses("q2")
 	for _, m := range set[:2] {
-		f.mute[m.Name] = true
+		f.silent[m.Name] = true
 	}
 	if how, elapsed := f.ask(set[3].Name, "q2"); how != "" || elapsed != 0 {
-		t.Errorf("two of six are silent: %q after %s", how, elapsed)
+		t.Errorf("two of six witnesses are silent: %q after %s", how, elapsed)
 	}
-	f.mute[set[2].Name] = true
+	f.silent[set[2].Name] = true
 	if how, elapsed := f.ask(set[3].Name, "q3"); how != "" && elapsed < witnessTimeout {
 		t.Errorf("gave up after %s", elapsed)
 	}
 	if how, elapsed := f.ask(set[3].Name, "q2b"+find(f, set[:3])); how != router.NoWitnessQuorum || elapsed < witnessTimeout || elapsed > 2*witnessTimeout {
-		t.Errorf("three of six are silent: %q after %s", how, elapsed)
+		t.Errorf("three of six witnesses are silent: %q after %s", how, elapsed)
 	}
-	f.mute = map[string]bool{}
+	f.silent = map[string]bool{}
 	if how, _ := f.ask(set[4].Name, "q2b"+find(f, set[:3])); how != "" {
-		t.Errorf("what was denied as not run is still remembered: %q", how)
+		t.Errorf("a withdrawn query is still remembered: %q", how)
 	}
 }
 
-// find gives an ending that makes the three witnesses of one request those of another.
-func find(f *fleet, overdue []membership.Member) string {
+// find returns a suffix for which three of the request's witnesses are the given ones.
+func find(f *witnessFleet, wanted []membership.Member) string {
 	for i := 0; ; i++ {
 		n := 0
 		for _, m := range f.nodes["n0"].witnesses(fmt.Sprint("q2b", i)) {
-			for _, s := range overdue {
+			for _, s := range wanted {
 				if s.Name == m.Name {
 					n++
 				}
 			}
 		}
-		if n == len(overdue) {
+		if n == len(wanted) {
 			return fmt.Sprint(i)
 		}
 	}
 }
 
-// The first router reached four of six, three of those die, the fourth is slow: the second router must not find four others.
+// TestDeathChangesNoWitness covers a first router that reached four of six witnesses, of which three die and the fourth is slow. The second
+// router must not get enough replies from other witnesses.
 func TestDeathChangesNoWitness(t *testing.T) {
 	for i := range 100 {
-		f := newFleet(t, 12)
+		f := newWitnessFleet(t, 12)
 		f.now = 11 * time.Minute
 		request := fmt.Sprint("r", i)
 		set := f.nodes["n0"].witnesses(request)
 		first, second := set[0].Name, set[5].Name
-		f.mute[set[4].Name], f.mute[second] = true, true
+		f.silent[set[4].Name], f.silent[second] = true, true
 		if how, _ := f.ask(first, request); how != "" {
 			t.Fatal(request, how)
 		}
-		f.mute = map[string]bool{set[3].Name: true}
+		f.silent = map[string]bool{set[3].Name: true}
 		for _, m := range set[:3] {
 			m.State = membership.Dead
 			f.nodes[second].Members.Merge(f.now, m)
-			f.mute[m.Name] = true
+			f.silent[m.Name] = true
 		}
 		if how, _ := f.ask(second, request); how == "" {
-			t.Errorf("%s ran twice: its three living witnesses were not enough to go by", request)
+			t.Errorf("%s was sent twice: its three live witnesses did not suffice to prevent it", request)
 		}
 	}
 }
