--- a/control/join.go
+++ b/control/join.go
@@ -31,11 +31,13 @@
 
 // joinState is a node's progress in catching up with its fleet after a start or a pause.
 type joinState struct {
-	joined       bool
+	joined bool
+	// restartedAt is when the node last started to join: at its start, after a pause or because of isolation.
 	restartedAt  time.Duration
 	digestSentAt time.Duration
 	// inputAt is the time of the last input, 0 before the first.
-	inputAt        time.Duration
+	inputAt time.Duration
+	// neighboursRead contains the addresses of the nodes that have sent a gossip update since restartedAt.
 	neighboursRead map[string]bool
 	// servesFrom is when the other routers have had time to count this node's router; 0: not joined yet.
 	servesFrom time.Duration
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -16,6 +16,7 @@
 	return &register.Value{Fleet: "f", Version: version, Epoch: 1, Document: []byte(body), Voters: []register.Voter{{Disk: "d1", Name: "n1"}, {Disk: "d2", Name: "n2"}, {Disk: "d3", Name: "n3"}}}
 }
 
+// loneNode is a node whose peers are simulated by the test. applied are the versions of the snapshots that its router received.
 type loneNode struct {
 	n       *Node
 	now     time.Duration
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -25,19 +25,23 @@
 	t     *testing.T
 	now   time.Duration
 	nodes map[string]*Node
+	// order are the names of the nodes, in the order in which they start and get ticks; disks are their disk IDs.
 	order []string
 	disks map[string]string
 	down  map[string]bool
 	// cut reports whether messages from one node to another are lost; nil: none are.
-	cut          func(from, to string) bool
-	inFlight     []delivery
-	answers      map[uint64]Answer
-	ids          uint64
+	cut      func(from, to string) bool
+	inFlight []delivery
+	answers  map[uint64]Answer
+	ids      uint64
+	// list is the platform's replica list, which cannot be read while listFails is set. lists counts each node's reads, and replicaLists
+	// has the last list that each router received.
 	list         []router.Instance
 	listFails    bool
 	lists        map[string]int
 	replicaLists map[string][]router.Instance
-	changes      []string
+	// changes are the nodes' logged changes, as the node's name and the kind.
+	changes []string
 	// failures are the last failures that each node received; digests counts the digests sent.
 	failures map[string]router.Failures
 	digests  int
--- a/control/placement.go
+++ b/control/placement.go
@@ -10,9 +10,11 @@
 // reads them.
 type memberCache struct {
 	// rev is the revision of the member table that the values were computed from.
-	rev              uint64
-	ranks            map[string]int
-	peers            []gossip.Peer
+	rev uint64
+	// ranks caches the results of rankAmong by kind and role.
+	ranks map[string]int
+	peers []gossip.Peer
+	// routersPublished is set once the routers of these members have been published; joined is whether this node had joined then.
 	joined           bool
 	routersPublished bool
 }
--- a/control/quotas.go
+++ b/control/quotas.go
@@ -30,7 +30,9 @@
 
 // QuotaAnswer answers the QuotaAsk with the same ID.
 type QuotaAnswer struct {
-	ID                   uint64
+	ID uint64
+	// OK reports whether the cost is granted. If not, the request may be granted after RetryAfter, and any other request of the tenant
+	// after EmptyFor.
 	OK                   bool
 	RetryAfter, EmptyFor time.Duration
 	// Left is how much more could be granted at once; builds from before it was added leave it at 0.
--- a/control/quotas_test.go
+++ b/control/quotas_test.go
@@ -25,8 +25,9 @@
 // quotaLab requests a tenant's quota at the nodes of a lab and records what was granted.
 type quotaLab struct {
 	*lab
-	rng   *rand.Rand
-	ids   uint64
+	rng *rand.Rand
+	ids uint64
+	// asked is the time of each request by ID.
 	asked map[uint64]time.Duration
 	// charges are the times of grants that arrived early enough to be used.
 	charges             []time.Duration
--- a/control/receive.go
+++ b/control/receive.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// sendDigestToReturned sends a digest to a node that sends pings or acknowledgements although the member table has it as not live.
 func (n *Node) sendDigestToReturned(r Received) {
 	switch r.Msg.(type) {
 	case membership.Ping, membership.Ack:
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -15,7 +15,8 @@
 // reconciliation records since when the value on this node's disk has been newer, or older, than the value known to be chosen.
 type reconciliation struct {
 	aheadSince, behindSince time.Duration
-	rereadAt                time.Duration
+	// rereadAt is the earliest time of the next repair read.
+	rereadAt time.Duration
 }
 
 // due reports whether a difference has lasted so long that the node should read all voters to repair it.
--- a/control/repairers_test.go
+++ b/control/repairers_test.go
@@ -13,18 +13,20 @@
 // repairWorld has several nodes change the voters concurrently while operators change the document. Messages are lost, duplicated and
 // reordered. Each actor knows the newest value that it has received, which may be out of date.
 type repairWorld struct {
-	t         *testing.T
-	seed      uint64
-	rng       *rand.Rand
-	now       time.Duration
-	disks     map[string]*register.Acceptor
-	actors    []*repairActor
-	inFlight  []repairMessage
-	ids       uint64
+	t        *testing.T
+	seed     uint64
+	rng      *rand.Rand
+	now      time.Duration
+	disks    map[string]*register.Acceptor
+	actors   []*repairActor
+	inFlight []repairMessage
+	ids      uint64
+	// confirmed is the request that each version was confirmed for, highest the highest such version.
 	confirmed map[uint64]string
 	highest   uint64
 }
 
+// repairActor is an operator or a node that changes voters. busy are its pending requests by operation.
 type repairActor struct {
 	proposer *register.Proposer
 	known    *register.Value
@@ -32,6 +34,7 @@
 	busy     map[uint64]string
 }
 
+// repairMessage is a message from the actor by to the disk to, or a reply to that actor (to is empty).
 type repairMessage struct {
 	to  string
 	by  int
--- a/control/send.go
+++ b/control/send.go
@@ -7,8 +7,8 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// buildLimited is implemented by messages and gossip items that builds before Since cannot decode: they have no gob type registered under
-// the name.
+// buildLimited is implemented by messages and gossip items that builds before Since cannot decode: those builds have no type registered
+// under the gob name.
 type buildLimited interface{ Since() uint32 }
 
 func (n *Node) send(to string, msg any) {
--- a/control/updates.go
+++ b/control/updates.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// near reports whether the node at addr is in this node's zone, or is not a known member.
 func (n *Node) near(addr string) bool {
 	for _, m := range n.Members.Table.All() {
 		if m.Addr == addr {
@@ -133,6 +134,7 @@
 	n.replayGossip(now)
 }
 
+// replayGossip emits the gossiped states and load reports of the replicas in the newly applied snapshot.
 func (n *Node) replayGossip(now time.Duration) {
 	for _, service := range n.snapshot.Config.Services {
 		for _, r := range service.Replicas {
