--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -107,7 +107,7 @@
 func remembered() Sweep {
 	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		n := &light.Node{Name: "n1", Zone: "a1", Router: router.New(router.Defaults("n1", "b", "a1"))}
-		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
+		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", BootID: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
 		for i := range int(x) {
 			in := control.Received{From: "10.0.0.2:1", Msg: control.WitnessQuery{QueryID: uint64(i), Request: fmt.Sprintf("q-%08d", i), By: "n2/b"}}
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -43,7 +43,7 @@
 	n.bootstrapping.running, n.bootstrapping.at = true, now
 	n.logChange(ChangeBootstrap, fmt.Sprint(vs))
 	id := n.operations.add(now, func(time.Duration, register.Result) { n.bootstrapping.running = false })
-	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
+	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.BootID, strconv.FormatUint(n.config.Seed, 36))
 	n.proposer.Bootstrap(now, now+bootstrapStagger, id, &register.Value{Fleet: fleet, Voters: vs})
 }
 
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -115,7 +115,7 @@
 
 func (l *lab) put(at string, raw []byte) Answer {
 	l.ids++
-	return l.call(at, Edit{ID: fmt.Sprint("put", l.ids), BaseVersion: l.ids, Apply: func([]byte) ([]byte, error) { return raw, nil }})
+	return l.call(at, Edit{ID: fmt.Sprint("put", l.ids), BaseRevision: l.ids, Apply: func([]byte) ([]byte, error) { return raw, nil }})
 }
 
 // meter counts the bytes of messages that carry configuration, as framed by the transport, by the zones of sender and receiver.
--- a/control/command.go
+++ b/control/command.go
@@ -88,7 +88,7 @@
 		n.answer(Answer{ID: id, Err: err})
 		return
 	}
-	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.Boot, strconv.FormatUint(n.config.Seed, 36))
+	fleet := fmt.Sprintf("%s.%s.%s", n.config.Name, n.config.BootID, strconv.FormatUint(n.config.Seed, 36))
 	n.proposer.Bootstrap(now, now+proposeTimeout, n.operations.add(now, n.replyTo(id, "")), &register.Value{Fleet: fleet, Voters: vs})
 }
 
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -75,7 +75,7 @@
 // single base.
 type Edit struct {
 	ID          string
-	BaseVersion uint64
+	BaseRevision uint64
 	Apply       func(body []byte) ([]byte, error)
 }
 
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -26,7 +26,7 @@
 // newLoneNode returns a voter with an old value on its disk and two neighbours that acknowledge its pings; no voter responds.
 func newLoneNode() *loneNode {
 	l := &loneNode{n: New(0, Config{
-		Name: "n1", Addr: "a1", Boot: "b", Zone: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Register: register.State{Disk: "d1", Value: value(1)}},
+		Name: "n1", Addr: "a1", BootID: "b", Zone: "a", Seeds: []string{"a2", "a4"}, Disk: &DiskState{Register: register.State{Disk: "d1", Value: value(1)}},
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})}
 	for _, name := range []string{"n2", "n4"} {
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -87,7 +87,7 @@
 	fmt.Sscanf(name, "n%d", &at)
 	l.ids++
 	cfg := Config{
-		Name: name, Addr: name, Boot: fmt.Sprint(l.ids), Zone: fmt.Sprint(at % l.zones), Incarnation: l.ids << 20, Seed: l.ids, Seeds: l.startSeeds(),
+		Name: name, Addr: name, BootID: fmt.Sprint(l.ids), Zone: fmt.Sprint(at % l.zones), Incarnation: l.ids << 20, Seed: l.ids, Seeds: l.startSeeds(),
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Read: anyDocument, ListEvery: time.Second, FaultTolerance: l.tolerate, Bootstraps: first, ServesIsolated: true,
 		Build: l.builds[name],
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Name, Addr, HTTP, Zone string
 	Seeds                  []string
-	Boot                   string
+	BootID                   string
 	Build                  uint32
 	Incarnation            uint64
 	Seed                   uint64
@@ -96,7 +96,7 @@
 		cfg.Build = transport.Build
 	}
 	self := membership.Member{Name: cfg.Name, Addr: cfg.Addr, HTTP: cfg.HTTP, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Build: cfg.Build}
-	by := cfg.Name + "/" + cfg.Boot
+	by := cfg.Name + "/" + cfg.BootID
 	n := &Node{
 		config: cfg, proposer: register.NewProposer(by, cfg.Seed), leases: lease.NewHolder(by, cfg.Seed), Gossip: gossip.New(cfg.Gossip, cfg.Seed),
 		effects: &effects{}, startedAt: now, operations: newOperations(), joining: newJoinState(now), serving: servingState{reportedAt: -time.Hour},
--- a/control/orders.go
+++ b/control/orders.go
@@ -64,13 +64,13 @@
 
 func editChange(op Edit) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
-		if cur.AppliedEdit(op.BaseVersion, op.ID) {
+		if cur.AppliedEdit(op.BaseRevision, op.ID) {
 			return nil, nil
 		}
 		body, err := op.Apply(cur.Document)
 		var conflict *register.ConflictError
 		if errors.As(err, &conflict) {
-			return nil, cur.EditRejection(op.BaseVersion, conflict.Version)
+			return nil, cur.EditRejection(op.BaseRevision, conflict.Version)
 		}
 		if err != nil {
 			return nil, err
@@ -80,7 +80,7 @@
 		}
 		cur.Version++
 		cur.Document = body
-		cur.LogEdit(op.BaseVersion, op.ID)
+		cur.LogEdit(op.BaseRevision, op.ID)
 		return cur, nil
 	}
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -18,7 +18,7 @@
 // onBase returns a request that replaces the document of the revision base, as an operator's call does.
 func onBase(base, revision int) Edit {
 	body := strconv.Itoa(revision)
-	return Edit{ID: fmt.Sprint(base, "/", revision), BaseVersion: uint64(base), Apply: func(cur []byte) ([]byte, error) {
+	return Edit{ID: fmt.Sprint(base, "/", revision), BaseRevision: uint64(base), Apply: func(cur []byte) ([]byte, error) {
 		at, _ := strconv.Atoi(string(cur))
 		if at != base {
 			return nil, &register.ConflictError{Version: uint64(at)}
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -35,7 +35,7 @@
 
 func (f *witnessFleet) boot(i int, incarnation uint64) {
 	name := fmt.Sprint("n", i)
-	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, Boot: fmt.Sprint(incarnation), Zone: fmt.Sprint(i % 3), Incarnation: incarnation, Seed: incarnation, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
+	f.nodes[name] = New(f.now, Config{Name: name, Addr: name, BootID: fmt.Sprint(incarnation), Zone: fmt.Sprint(i % 3), Incarnation: incarnation, Seed: incarnation, Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 	for _, o := range f.nodes {
 		f.nodes[name].Members.Merge(f.now, o.Members.Self)
 	}
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -56,7 +56,7 @@
 
 func TestStalledDiskBoundsPendingReplies(t *testing.T) {
 	n := control.New(0, control.Config{
-		Name: "n1", Addr: "a", Boot: "b", Zone: "d", Disk: &control.DiskState{Register: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
+		Name: "n1", Addr: "a", BootID: "b", Zone: "d", Disk: &control.DiskState{Register: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	})
 	writes := make(chan []control.LogWrite, control.MaxPendingReplies)
 	for i := range uint64(4 * control.MaxPendingReplies) {
--- a/daemon/document.go
+++ b/daemon/document.go
@@ -13,7 +13,7 @@
 
 // Edit changes the document of the revision base; size is the length of the order's body. See control.Edit.
 func (d Documents) Edit(ctx context.Context, id string, base uint64, size int, edit func(cur []byte) ([]byte, error)) ([]byte, error) {
-	a := d.order(ctx, size, control.Edit{ID: id, BaseVersion: base, Apply: edit})
+	a := d.order(ctx, size, control.Edit{ID: id, BaseRevision: base, Apply: edit})
 	if a.Err != nil {
 		return nil, a.Err
 	}
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -105,7 +105,7 @@
 	case Put:
 		return p.Rules.Put(control.Put{ID: o.ID, ExpectedVersion: o.Expect, Document: []byte(o.ID)})
 	case Edit:
-		return p.Rules.Edit(control.Edit{ID: o.ID, BaseVersion: o.Expect, Apply: o.apply})
+		return p.Rules.Edit(control.Edit{ID: o.ID, BaseRevision: o.Expect, Apply: o.apply})
 	}
 	return nil
 }
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -105,7 +105,7 @@
 		c.Revision = o.last + 1 + uint64(i)
 		flaw(&c)
 		v := &version{revision: c.Revision, doc: c, raw: writeDocument(c), flawed: true}
-		o.send(&order{op: control.Edit{ID: o.id(), BaseVersion: base.revision, Apply: putEdit(base.revision, v.raw)}, v: v, base: base.revision})
+		o.send(&order{op: control.Edit{ID: o.id(), BaseRevision: base.revision, Apply: putEdit(base.revision, v.raw)}, v: v, base: base.revision})
 	}
 	o.last += uint64(len(violations))
 }
--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -47,7 +47,7 @@
 func (n *Node) start() {
 	h := n.h
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Zone: n.Zone, Boot: "b" + n.Name, Incarnation: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
+		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Zone: n.Zone, BootID: "b" + n.Name, Incarnation: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
 	}
 	for _, o := range h.Nodes[:min(3, len(h.Nodes))] {
@@ -63,7 +63,7 @@
 		cfg.Disk = &kept
 	}
 	n.Control = control.New(h.Now, cfg)
-	n.Router = router.New(router.Defaults(n.Name, cfg.Boot, n.Zone))
+	n.Router = router.New(router.Defaults(n.Name, cfg.BootID, n.Zone))
 	n.tick()
 }
 
--- a/sim/node.go
+++ b/sim/node.go
@@ -97,7 +97,7 @@
 	n.reset(w.incarnations)
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot,
+		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), BootID: boot,
 		Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.incarnation,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -182,7 +182,7 @@
 		e = patchEdit(base.revision, c.Revision, c.Routes, gone(base.doc.Routes, c.Routes))
 		v.raw, _ = e(base.raw)
 	}
-	o.send(&order{op: control.Edit{ID: o.id(), BaseVersion: base.revision, Apply: e}, v: v, base: base.revision, end: func(ok bool) {
+	o.send(&order{op: control.Edit{ID: o.id(), BaseRevision: base.revision, Apply: e}, v: v, base: base.revision, end: func(ok bool) {
 		if end != nil {
 			end(v, ok)
 		}
