--- a/control/inputs.go
+++ b/control/inputs.go
@@ -74,9 +74,9 @@
 // own revision that the edit was made on; Apply fails with a register.ConflictError that contains the current revision. An ID belongs to a
 // single base.
 type Edit struct {
-	ID          string
+	ID           string
 	BaseRevision uint64
-	Apply       func(body []byte) ([]byte, error)
+	Apply        func(body []byte) ([]byte, error)
 }
 
 // Get reads the register from a majority of voters.
--- a/control/node.go
+++ b/control/node.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Name, Addr, HTTP, Zone string
 	Seeds                  []string
-	BootID                   string
+	BootID                 string
 	Build                  uint32
 	Incarnation            uint64
 	Seed                   uint64
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -90,7 +90,7 @@
 		HTTP:           s.HTTP,
 		Zone:           s.Zone,
 		Seeds:          s.Seeds,
-		BootID:           h.boot,
+		BootID:         h.boot,
 		Incarnation:    control.FirstIncarnation(time.Now(), seed()),
 		Seed:           seed(),
 		Membership:     membership.Defaults(),
