--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -37,9 +37,9 @@
 		c.Flag("domain", "Zone this node is in.").StringVar(&s.Zone)
 		c.Flag("seed", "IP:port of another node; give up to three.").StringsVar(&s.Seeds)
 		if role == "core" {
-			c.Flag("data", "Data folder.").StringVar(&s.Data)
+			c.Flag("data", "Data folder.").StringVar(&s.DataDir)
 		}
-		c.Flag("max-body", "Longest request body in bytes (1048576).").IntVar(&s.MaxBody)
+		c.Flag("max-body", "Longest request body in bytes (1048576).").IntVar(&s.MaxBodyBytes)
 		c.Flag("max-streams", "Most requests at once (1024).").IntVar(&s.MaxStreams)
 		c.Flag("backlog", "Most requests that wait for a replica (256).").IntVar(&s.Backlog)
 		c.Flag("drain-ms", "Longest wait for running streams at a stop (10000).").IntVar(&s.DrainMs)
@@ -65,14 +65,14 @@
 	}
 	s.Role = flags.Role
 	for _, f := range []struct{ to, from *string }{
-		{&s.Name, &flags.Name}, {&s.Listen, &flags.Listen}, {&s.HTTP, &flags.HTTP}, {&s.Zone, &flags.Zone}, {&s.Data, &flags.Data},
+		{&s.Name, &flags.Name}, {&s.Listen, &flags.Listen}, {&s.HTTP, &flags.HTTP}, {&s.Zone, &flags.Zone}, {&s.DataDir, &flags.DataDir},
 	} {
 		if *f.from != "" {
 			*f.to = *f.from
 		}
 	}
 	for _, f := range []struct{ to, from *int }{
-		{&s.MaxBody, &flags.MaxBody}, {&s.MaxStreams, &flags.MaxStreams}, {&s.Backlog, &flags.Backlog}, {&s.DrainMs, &flags.DrainMs},
+		{&s.MaxBodyBytes, &flags.MaxBodyBytes}, {&s.MaxStreams, &flags.MaxStreams}, {&s.Backlog, &flags.Backlog}, {&s.DrainMs, &flags.DrainMs},
 	} {
 		if *f.from != 0 {
 			*f.to = *f.from
@@ -81,7 +81,7 @@
 	if len(flags.Seeds) > 0 {
 		s.Seeds = flags.Seeds
 	}
-	return daemon.Check(s)
+	return daemon.ValidateSettings(s)
 }
 
 // serve runs a core or edge until a signal, then drains it.
@@ -99,16 +99,16 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Loop, func(request string, margin time.Duration, peek bool) router.AttemptResult {
+	g := httpapi.New(h.RouterLoop, func(request string, margin time.Duration, peek bool) router.AttemptResult {
 		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: margin, Peek: peek}))
-	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
+	}, httpapi.DefaultLimits(s.MaxBodyBytes, s.MaxStreams))
 	g.NodeID = h.FrontendID
-	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return daemonCounters(h) }}
+	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, ExtraCounters: func() map[string]uint64 { return daemonCounters(h) }}
 	routes := bunrouter.New()
 	ops.Routes(routes)
 	srv := &http.Server{
 		Handler: routes, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10,
-		ConnContext: h.Gate.ConnContext,
+		ConnContext: h.PauseGuard.ConnContext,
 	}
 	t.Go(func() error { return served(srv.Serve(lis)) })
 	lg.Info().Str("listen", s.Listen).Str("http", s.HTTP).Str("domain", s.Zone).Msg("started")
@@ -129,11 +129,11 @@
 
 // daemonCounters are published as "wire.*", as operators know them, and "orders.*": orders that were not begun.
 func daemonCounters(h *daemon.Daemon) map[string]uint64 {
-	n := &h.Net.N
+	n := &h.Endpoint.Counters
 	return map[string]uint64{
 		"wire.sent": n.Sent.Load(), "wire.bytes": n.Bytes.Load(), "wire.dropped": n.Dropped.Load(),
-		"wire.unreadable": n.Unreadable.Load(), "wire.dials": n.Dials.Load(),
-		"orders.stale": h.Gate.Stale.Load(), "orders.callersLeft": h.Gate.CallersLeft.Load(),
+		"wire.unreadable": n.ProtocolErrors.Load(), "wire.dials": n.Dials.Load(),
+		"orders.stale": h.PauseGuard.StaleRequests.Load(), "orders.callersLeft": h.PauseGuard.ClientsDisconnected.Load(),
 	}
 }
 
@@ -156,7 +156,7 @@
 // streams.
 func drain(h *daemon.Daemon, g *httpapi.Frontend, reload chan os.Signal, most time.Duration) {
 	g.Retire()
-	h.CallBy(context.Background(), daemon.Clock()+retireWithin, control.Retire{})
+	h.CallWithDeadline(context.Background(), daemon.Clock()+retireWithin, control.Retire{})
 	end := time.After(most)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -178,12 +178,12 @@
 			continue
 		}
 		unsent := 0
-		h.Loop.Inspect(func(r *router.Router) { unsent = r.UnsentRequests() })
+		h.RouterLoop.Inspect(func(r *router.Router) { unsent = r.UnsentRequests() })
 		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
 			departed = true
 			h.Call(control.Leave{})
 		}
-		if departed && g.Running() == 0 {
+		if departed && g.RunningRequests() == 0 {
 			return
 		}
 	}
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -75,15 +75,15 @@
 // nodeSettings puts the platform's settings into the daemon's.
 func nodeSettings(s platform.Settings, documents *platform.Reader) daemon.Settings {
 	h := daemon.Settings{
-		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Zone: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
-		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
-		Host: daemon.Host{
-			Read: reader(documents, s.Bounds), ListEvery: listEvery, FaultTolerance: s.FaultTolerance.Machines, Bootstraps: s.FirstStart, ServesIsolated: true,
+		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Zone: s.Zone, DataDir: s.Data, Seeds: s.InternalSeeds(),
+		Backlog: 1024, MaxBodyBytes: 1, MaxStreams: 1, DrainMs: 1,
+		Platform: daemon.PlatformOptions{
+			ReadDocument: reader(documents, s.Bounds), ListInterval: listEvery, FaultTolerance: s.FaultTolerance.Machines, Bootstraps: s.FirstStart, ServesIsolated: true,
 			Quota: s.Bounds.Quota, HidesDocument: true,
 		},
 	}
 	get := platform.Getter(s.Cloud.Address)
-	h.Host.List = func() ([]router.Instance, error) { return platform.List(get) }
+	h.Platform.ListReplicas = func() ([]router.Instance, error) { return platform.List(get) }
 	return h
 }
 
@@ -129,8 +129,8 @@
 		n.tomb.Kill(nil)
 		return err
 	}
-	n.daemon.Loop.Inspect(func(r *router.Router) { placement(r, way) })
-	n.proxy = proxy.New(n.daemon.Loop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
+	n.daemon.RouterLoop.Inspect(func(r *router.Router) { placement(r, way) })
+	n.proxy = proxy.New(n.daemon.RouterLoop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
 	n.daemon.OnSnapshot(n.followLimits)
 	n.serve(listeners)
 	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
@@ -159,18 +159,18 @@
 		serveOps(n.tomb, lis, platform.Readiness(func() string { return readiness(n.daemon, &n.retired) }), nil)
 	}
 	if lis := listeners[controlInterface]; lis != nil {
-		serveOps(n.tomb, lis, n.controlRoutes(), n.daemon.Gate.ConnContext)
+		serveOps(n.tomb, lis, n.controlRoutes(), n.daemon.PauseGuard.ConnContext)
 	}
 }
 
 func (n *platformNode) controlRoutes() *bunrouter.Router {
 	routes := bunrouter.New()
-	platform.Routes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
+	platform.Routes(routes, daemon.OperatorControl{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
-		Control: n.daemon, Router: n.daemon.Loop, Clock: daemon.Clock,
-		Extra: func() map[string]uint64 { return merged(daemonCounters(n.daemon), n.proxy.Counters.Map()) },
+		Control: n.daemon, Router: n.daemon.RouterLoop, Clock: daemon.Clock,
+		ExtraCounters: func() map[string]uint64 { return merged(daemonCounters(n.daemon), n.proxy.Counters.Map()) },
 	}
-	operations.Watch(routes)
+	operations.StatusRoutes(routes)
 	return routes
 }
 
--- a/cmd/mallowbridge/readiness.go
+++ b/cmd/mallowbridge/readiness.go
@@ -38,6 +38,6 @@
 		return "draining"
 	}
 	var why string
-	h.Loop.Inspect(func(r *router.Router) { why = r.NotReady(daemon.Clock()) })
+	h.RouterLoop.Inspect(func(r *router.Router) { why = r.NotReady(daemon.Clock()) })
 	return why
 }
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -55,7 +55,7 @@
 	schedule := proxy.ShutdownSchedule{Grace: n.settings.Bounds.GracePeriod}
 	n.retired.Store(true)
 	n.proxy.Shutdown(schedule.Grace)
-	n.daemon.CallBy(context.Background(), daemon.Clock()+retireWithin, control.Retire{})
+	n.daemon.CallWithDeadline(context.Background(), daemon.Clock()+retireWithin, control.Retire{})
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	end, leave := time.After(schedule.ExitAfter()), time.After(schedule.LeaveAfter())
--- a/config/encoding.go
+++ b/config/encoding.go
@@ -59,7 +59,7 @@
 
 func encodeService(service Service) encodedService {
 	return encodedService{
-		Name: service.Name, Model: service.Model, Replicas: wire.Each(service.Replicas, encodeReplica), Kinds: wire.Each(service.Classes, encodeRequestClass),
+		Name: service.Name, Model: service.Model, Replicas: wire.ConvertSlice(service.Replicas, encodeReplica), Kinds: wire.ConvertSlice(service.Classes, encodeRequestClass),
 		ColdRoom: service.WarmupCapacity, ColdRamp: service.SlowStart, SecondShare: service.RetryRatio, SecondPlus: service.RetryExtra,
 		StaleCap: service.StaleCap, Base: service.Base, PerToken: service.PerToken, KeepTokens: service.KeepTokens, CrossCost: service.CrossCost,
 		Discovered: service.Discovered, Queues: service.Queues, Health: service.Health, MaxConns: service.MaxConns,
@@ -69,7 +69,7 @@
 
 func decodeService(f encodedService) Service {
 	return Service{
-		Name: f.Name, Model: f.Model, Replicas: wire.Each(f.Replicas, decodeReplica), Classes: wire.Each(f.Kinds, decodeRequestClass),
+		Name: f.Name, Model: f.Model, Replicas: wire.ConvertSlice(f.Replicas, decodeReplica), Classes: wire.ConvertSlice(f.Kinds, decodeRequestClass),
 		WarmupCapacity: f.ColdRoom, SlowStart: f.ColdRamp, RetryRatio: f.SecondShare, RetryExtra: f.SecondPlus,
 		StaleCap: f.StaleCap, Base: f.Base, PerToken: f.PerToken, KeepTokens: f.KeepTokens, CrossCost: f.CrossCost,
 		Discovered: f.Discovered, Queues: f.Queues, Health: f.Health, MaxConns: f.MaxConns,
@@ -101,7 +101,7 @@
 
 func encodeRoute(r Route) encodedRoute {
 	return encodedRoute{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Split: wire.Each(r.TrafficSplit, encodeWeightedService),
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Split: wire.ConvertSlice(r.TrafficSplit, encodeWeightedService),
 		Streaming: r.Streaming, Repeatable: r.Repeatable, Resumable: r.Resumable,
 		Timeout: r.Timeout, FirstToken: r.FirstToken, Gap: r.TargetGap, Attempts: r.MaxAttempts, Rank: r.Priority,
 	}
@@ -109,7 +109,7 @@
 
 func decodeRoute(f encodedRoute) Route {
 	return Route{
-		Name: f.Name, Host: f.Host, Prefix: f.Prefix, TrafficSplit: wire.Each(f.Split, decodeWeightedService),
+		Name: f.Name, Host: f.Host, Prefix: f.Prefix, TrafficSplit: wire.ConvertSlice(f.Split, decodeWeightedService),
 		Streaming: f.Streaming, Repeatable: f.Repeatable, Resumable: f.Resumable,
 		Timeout: f.Timeout, FirstToken: f.FirstToken, TargetGap: f.Gap, MaxAttempts: f.Attempts, Priority: f.Rank,
 	}
@@ -125,14 +125,14 @@
 
 func encodeConfig(c Config) encodedConfig {
 	return encodedConfig{
-		Offers: wire.Each(c.Services, encodeService), Routes: wire.Each(c.Routes, encodeRoute), Limits: c.Limits,
+		Offers: wire.ConvertSlice(c.Services, encodeService), Routes: wire.ConvertSlice(c.Routes, encodeRoute), Limits: c.Limits,
 		ReplaceVoter: c.ReplaceVoter, Revision: c.Revision,
 	}
 }
 
 func decodeConfig(f encodedConfig) Config {
 	return Config{
-		Services: wire.Each(f.Offers, decodeService), Routes: wire.Each(f.Routes, decodeRoute), Limits: f.Limits,
+		Services: wire.ConvertSlice(f.Offers, decodeService), Routes: wire.ConvertSlice(f.Routes, decodeRoute), Limits: f.Limits,
 		ReplaceVoter: f.ReplaceVoter, Revision: f.Revision,
 	}
 }
--- a/control/encoding.go
+++ b/control/encoding.go
@@ -48,11 +48,11 @@
 }
 
 func encodeReplicaListItem(r ReplicaListItem) encodedReplicaListItem {
-	return encodedReplicaListItem{Rows: wire.Each(r.Rows, router.EncodeInstance)}
+	return encodedReplicaListItem{Rows: wire.ConvertSlice(r.Rows, router.EncodeInstance)}
 }
 
 func decodeReplicaListItem(f encodedReplicaListItem) ReplicaListItem {
-	return ReplicaListItem{Rows: wire.Each(f.Rows, router.EncodedInstance.Decode)}
+	return ReplicaListItem{Rows: wire.ConvertSlice(f.Rows, router.EncodedInstance.Decode)}
 }
 
 type encodedChunkData struct {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -40,18 +40,18 @@
 	return h.call(context.Background(), h.newCall(op, 0), nil)
 }
 
-// CallBy runs an operation that has no effect after the deadline, on Clock, and answers soon after it at the latest, also where the
+// CallWithDeadline runs an operation that has no effect after the deadline, on Clock, and answers soon after it at the latest, also where the
 // owner of control state is stuck. An order is not begun once ctx is done.
-func (h *Daemon) CallBy(ctx context.Context, deadline time.Duration, op control.Op) control.Answer {
+func (h *Daemon) CallWithDeadline(ctx context.Context, deadline time.Duration, op control.Op) control.Answer {
 	overdue := time.NewTimer(deadline + answerSlack - Clock())
 	defer overdue.Stop()
 	return h.call(ctx, h.newCall(op, deadline), overdue.C)
 }
 
-// Order runs an operator's order that came with the request of ctx, within the operation's own bound. It has no effect where the request
+// CallForOperator runs an operator's order that came with the request of ctx, within the operation's own bound. It has no effect where the request
 // may have lain here while the process stood still, nor where its caller has left.
-func (h *Daemon) Order(ctx context.Context, op control.Op) control.Answer {
-	_, err := h.Gate.Admit(ctx, 0)
+func (h *Daemon) CallForOperator(ctx context.Context, op control.Op) control.Answer {
+	_, err := h.PauseGuard.Admit(ctx, 0)
 	if err == nil {
 		err = h.confirmCaller(ctx, op)
 	}
@@ -65,13 +65,13 @@
 func (h *Daemon) confirmCaller(ctx context.Context, op control.Op) error {
 	err := awaitCaller(ctx, waitFor(op))
 	if err != nil {
-		h.Gate.CallersLeft.Add(1)
+		h.PauseGuard.ClientsDisconnected.Add(1)
 	}
 	return err
 }
 
-// Look runs look at the owner of control state and waits until it is done.
-func (h *Daemon) Look(look func(n *control.Node)) {
+// Inspect runs look at the owner of control state and waits until it is done.
+func (h *Daemon) Inspect(look func(n *control.Node)) {
 	h.call(context.Background(), call{look: look, reply: make(chan control.Answer, 1)}, nil)
 }
 
@@ -97,7 +97,7 @@
 			return a
 		case <-left:
 			left, cancels = nil, h.calls
-			h.Gate.CallersLeft.Add(1)
+			h.PauseGuard.ClientsDisconnected.Add(1)
 		case cancels <- call{id: c.id, cancelled: true}:
 			cancels = nil
 		case <-overdue:
--- a/daemon/caller_test.go
+++ b/daemon/caller_test.go
@@ -27,13 +27,13 @@
 	t.Cleanup(stop)
 	for h.Call(control.Bootstrap{Names: []string{"n1"}}).Err != nil {
 	}
-	if err := (Documents{Daemon: h}).Evacuate(t.Context(), "first", "a"); err != nil {
+	if err := (OperatorControl{Daemon: h}).Evacuate(t.Context(), "first", "a"); err != nil {
 		t.Fatal(err)
 	}
 	routes := bunrouter.New()
-	platform.Routes(routes, Documents{Daemon: h}, &platform.Reader{})
+	platform.Routes(routes, OperatorControl{Daemon: h}, &platform.Reader{})
 	server := httptest.NewUnstartedServer(routes)
-	server.Config.ConnContext = h.Gate.ConnContext
+	server.Config.ConnContext = h.PauseGuard.ConnContext
 	server.Start()
 	t.Cleanup(server.Close)
 	return h, server.Listener.Addr().String()
@@ -74,7 +74,7 @@
 			t.Fatalf("trial %d: executed, though its caller left %s after sending it", i, behind)
 		}
 	}
-	if left := h.Gate.CallersLeft.Load(); left != trials {
+	if left := h.PauseGuard.ClientsDisconnected.Load(); left != trials {
 		t.Errorf("%d orders counted whose callers left, not %d", left, trials)
 	}
 }
@@ -107,14 +107,14 @@
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(callerWait/2, leave)
 	var left *control.ClientDisconnectedError
-	if a := h.Order(ctx, control.Evacuate{ID: "late", Zone: "a", Restore: true}); !errors.As(a.Err, &left) || !h.evacuated(t, "a") {
+	if a := h.CallForOperator(ctx, control.Evacuate{ID: "late", Zone: "a", Restore: true}); !errors.As(a.Err, &left) || !h.evacuated(t, "a") {
 		t.Errorf("%v, evacuated %v", a.Err, h.evacuated(t, "a"))
 	}
 	began := time.Now()
-	if a := h.Order(t.Context(), control.Put{ID: "one", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil || time.Since(began) >= callerWait {
+	if a := h.CallForOperator(t.Context(), control.Put{ID: "one", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil || time.Since(began) >= callerWait {
 		t.Errorf("%v after %s", a.Err, time.Since(began))
 	}
-	if a := h.Order(t.Context(), control.Evacuate{ID: "now", Zone: "a", Restore: true}); a.Err != nil || h.evacuated(t, "a") {
+	if a := h.CallForOperator(t.Context(), control.Evacuate{ID: "now", Zone: "a", Restore: true}); a.Err != nil || h.evacuated(t, "a") {
 		t.Errorf("%v, evacuated %v", a.Err, h.evacuated(t, "a"))
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -24,14 +24,14 @@
 type Daemon struct {
 	Settings Settings
 	// Tomb ends all goroutines of the daemon.
-	Tomb *tomb.Tomb
-	Log  *log.Logger
-	Loop *router.Loop
-	Net  *transport.Net
+	Tomb       *tomb.Tomb
+	Log        *log.Logger
+	RouterLoop *router.Loop
+	Endpoint   *transport.Endpoint
 	// FrontendID names this process of the node in answers to clients.
 	FrontendID string
-	// Gate rejects orders that lay here while the process stood still.
-	Gate *Gate
+	// PauseGuard rejects orders that lay here while the process stood still.
+	PauseGuard *PauseGuard
 
 	in    chan control.Input
 	calls chan call
@@ -69,8 +69,8 @@
 			first, in = nil, control.Tick{}
 		case <-tick.C:
 			in = control.Tick{}
-		case m := <-h.Net.In:
-			in = control.Received{From: m.Hello.Addr, Build: m.Hello.Build, Msg: m.Msg}
+		case m := <-h.Endpoint.Received:
+			in = control.Received{From: m.From.Addr, Build: m.From.Build, Msg: m.Msg}
 		case in = <-h.in:
 		case p := <-h.prefills:
 			in = h.collectPrefills(p)
@@ -107,12 +107,12 @@
 		h.writes <- out.Writes
 	}
 	for _, s := range out.Sends {
-		h.Net.Send(s.To, s.Msg)
+		h.Endpoint.Send(s.To, s.Msg)
 	}
 	for _, ev := range out.Events {
 		switch ev.(type) {
 		case router.Prefill, router.QuotaDecided:
-			h.Loop.NotifyIfIdle(ev)
+			h.RouterLoop.NotifyIfIdle(ev)
 			continue
 		}
 		h.notify(ev)
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -24,7 +24,7 @@
 
 func daemon(t *testing.T, addr, data string) (*Daemon, func()) {
 	tb := &tomb.Tomb{}
-	s, err := Check(Settings{Role: "core", Name: "n1", Zone: "a", Listen: addr, HTTP: addr, Data: data})
+	s, err := ValidateSettings(Settings{Role: "core", Name: "n1", Zone: "a", Listen: addr, HTTP: addr, DataDir: data})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/frozen_test.go
+++ b/daemon/frozen_test.go
@@ -15,7 +15,7 @@
 
 // gated is a fleet that admits orders by its gate and counts those that it took.
 type gated struct {
-	g     *Gate
+	g     *PauseGuard
 	taken atomic.Int64
 }
 
@@ -39,7 +39,7 @@
 func TestOrderOnConnectionFromBeforePauseIsRejectedAndClosed(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
-	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
+	g := NewPauseGuard(func() time.Duration { return time.Duration(now.Load()) })
 	f := &gated{g: g}
 	routes := bunrouter.New()
 	platform.Routes(routes, f, &platform.Reader{})
--- a/daemon/gate_test.go
+++ b/daemon/gate_test.go
@@ -15,19 +15,19 @@
 func (h *hands) clock() time.Duration { return h.now }
 
 // run lets the process run for d, with its ticks.
-func (h *hands) run(g *Gate, d time.Duration) {
+func (h *hands) run(g *PauseGuard, d time.Duration) {
 	for until := h.now + d; h.now < until; {
 		h.now += gateTicks
 		g.Tick()
 	}
 }
 
-func gateAt(now time.Duration) (*Gate, *hands) {
+func gateAt(now time.Duration) (*PauseGuard, *hands) {
 	h := &hands{now: now}
-	return NewGate(h.clock), h
+	return NewPauseGuard(h.clock), h
 }
 
-func opened(g *Gate) context.Context { return g.ConnContext(context.Background(), nil) }
+func opened(g *PauseGuard) context.Context { return g.ConnContext(context.Background(), nil) }
 
 func isStale(err error) bool {
 	var stale *control.StaleRequestError
@@ -105,7 +105,7 @@
 	if err != nil || large-small != 400*time.Millisecond {
 		t.Errorf("%v, %s more for 400 KiB", err, large-small)
 	}
-	if at := g.Read(); at != small {
+	if at := g.ReadDeadline(); at != small {
 		t.Errorf("a read is tried until %s, not %s", at, small)
 	}
 }
--- a/daemon/persist.go
+++ b/daemon/persist.go
@@ -9,7 +9,7 @@
 const recoverEvery = 500 * time.Millisecond
 
 func (h *Daemon) readList() error {
-	rows, err := h.Settings.Host.List()
+	rows, err := h.Settings.Platform.ListReplicas()
 	h.submit(control.ListRead{Rows: rows, Err: err})
 	return nil
 }
@@ -21,9 +21,9 @@
 		select {
 		case <-h.Tomb.Dying():
 			return nil
-		case f := <-h.Loop.Failures:
+		case f := <-h.RouterLoop.Failures:
 			h.submit(control.FailuresObserved{Failures: f})
-		case q := <-h.Loop.QuotaRequests:
+		case q := <-h.RouterLoop.QuotaRequests:
 			h.submit(control.QuotaRequested{Request: q})
 		}
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -17,20 +17,20 @@
 // protocol (Listen) and the public side (HTTP), its zone, the folder of its disk and its seeds' addresses. MaxBody is in bytes, Backlog the
 // most requests that wait, DrainMs how long streams may go on after SIGTERM, in milliseconds. 0 stands for a default.
 type Settings struct {
-	Role, Name, Listen, HTTP, Zone, Data string
-	Seeds                                []string
-	MaxBody, MaxStreams, Backlog         int
-	DrainMs                              int
-	Host                                 Host
+	Role, Name, Listen, HTTP, Zone, DataDir string
+	Seeds                                   []string
+	MaxBodyBytes, MaxStreams, Backlog       int
+	DrainMs                                 int
+	Platform                                PlatformOptions
 }
 
-// Host is what the platform that the daemon runs on provides and asks for; its zero value is the product on its own.
-type Host struct {
-	// Read reads the operators' document; nil: config.Documents.Read.
-	Read config.Reader
-	// List reads the platform's list of replicas every ListEvery; nil: there is none.
-	List      func() ([]router.Instance, error)
-	ListEvery time.Duration
+// PlatformOptions is what the platform that the daemon runs on provides and asks for; its zero value is the product on its own.
+type PlatformOptions struct {
+	// ReadDocument reads the operators' document; nil: config.Documents.Read.
+	ReadDocument config.Reader
+	// ListReplicas reads the platform's list of replicas every ListEvery; nil: there is none.
+	ListReplicas func() ([]router.Instance, error)
+	ListInterval time.Duration
 	// FaultTolerance, Bootstraps and ServesIsolated: see control.Config.
 	FaultTolerance             int
 	Bootstraps, ServesIsolated bool
@@ -45,7 +45,7 @@
 	for _, d := range []struct {
 		at  *int
 		def int
-	}{{&full.MaxBody, 1 << 20}, {&full.MaxStreams, 1024}, {&full.Backlog, 256}, {&full.DrainMs, 10000}} {
+	}{{&full.MaxBodyBytes, 1 << 20}, {&full.MaxStreams, 1024}, {&full.Backlog, 256}, {&full.DrainMs, 10000}} {
 		if *d.at == 0 {
 			*d.at = d.def
 		}
@@ -53,31 +53,31 @@
 	return full
 }
 
-// FileError says why the settings file cannot be read.
-type FileError struct {
+// SettingsFileError says why the settings file cannot be read.
+type SettingsFileError struct {
 	Path  string
 	Cause error
 }
 
-func (e *FileError) Error() string { return "settings file " + e.Path + ": " + e.Cause.Error() }
+func (e *SettingsFileError) Error() string { return "settings file " + e.Path + ": " + e.Cause.Error() }
 
-// ReadSettings reads a settings file. It fails with a FileError or a config.InvalidError.
+// ReadSettings reads a settings file. It fails with a SettingsFileError or a config.InvalidError.
 func ReadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	var s Settings
 	if err != nil {
-		return s, trace.Wrap(&FileError{Path: path, Cause: err})
+		return s, trace.Wrap(&SettingsFileError{Path: path, Cause: err})
 	}
 	d, err := config.Open(raw)
 	if err != nil {
 		return s, err
 	}
 	s.Name, s.Listen, s.HTTP = d.Str("name", false, 64), d.Str("listen", false, 64), d.Str("http", false, 64)
-	s.Zone, s.Data = d.Str("domain", false, 64), d.Str("data", false, 4096)
+	s.Zone, s.DataDir = d.Str("domain", false, 64), d.Str("data", false, 4096)
 	for _, e := range d.List("seeds", 0, 16) {
 		s.Seeds = append(s.Seeds, e.Text(64))
 	}
-	s.MaxBody = d.Int("maxBody", 0, 1, 64<<20)
+	s.MaxBodyBytes = d.Int("maxBody", 0, 1, 64<<20)
 	s.MaxStreams = d.Int("maxStreams", 0, 1, 1<<20)
 	s.Backlog = d.Int("backlog", 0, 1, 1<<16)
 	s.DrainMs = d.Int("drainMs", 0, 1, 600000)
@@ -86,10 +86,10 @@
 }
 
 // Unwrap gives the cause.
-func (e *FileError) Unwrap() error { return e.Cause }
+func (e *SettingsFileError) Unwrap() error { return e.Cause }
 
-// Check fills in defaults and checks the settings. It fails with a config.InvalidError that lists all violations.
-func Check(in Settings) (Settings, error) {
+// ValidateSettings fills in defaults and checks the settings. It fails with a config.InvalidError that lists all violations.
+func ValidateSettings(in Settings) (Settings, error) {
 	s := in.withDefaults()
 	var bad violations
 	s.checkNames(&bad)
@@ -115,11 +115,11 @@
 	if s.Zone == "" || len(s.Zone) > 64 {
 		bad.add("domain", s.Zone, "1 to 64 bytes")
 	}
-	if s.Role == "core" && s.Data == "" {
-		bad.add("data", s.Data, "a folder, for a core")
+	if s.Role == "core" && s.DataDir == "" {
+		bad.add("data", s.DataDir, "a folder, for a core")
 	}
-	if s.Role == "edge" && s.Data != "" {
-		bad.add("data", s.Data, "absent, for an edge")
+	if s.Role == "edge" && s.DataDir != "" {
+		bad.add("data", s.DataDir, "absent, for an edge")
 	}
 }
 
@@ -140,7 +140,7 @@
 	for _, n := range []struct {
 		field      string
 		val, limit int
-	}{{"maxBody", s.MaxBody, 64 << 20}, {"maxStreams", s.MaxStreams, 1 << 20}, {"backlog", s.Backlog, 1 << 16}, {"drainMs", s.DrainMs, 600000}} {
+	}{{"maxBody", s.MaxBodyBytes, 64 << 20}, {"maxStreams", s.MaxStreams, 1 << 20}, {"backlog", s.Backlog, 1 << 16}, {"drainMs", s.DrainMs, 600000}} {
 		if n.val < 1 || n.val > n.limit {
 			bad.add(n.field, fmt.Sprint(n.val), fmt.Sprintf("1 to %d", n.limit))
 		}
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -44,12 +44,12 @@
 	if cfg.Disk, err = h.openDisk(); err != nil {
 		return nil, err
 	}
-	h.Loop = router.NewLoop(t, router.New(h.routerConfig()), Clock, routerTicks)
-	h.Loop.OnPrefill(h.forwardPrefill)
-	h.coalescer = newCoalescer(t, h.Loop.Notify)
+	h.RouterLoop = router.NewLoop(t, router.New(h.routerConfig()), Clock, routerTicks)
+	h.RouterLoop.OnPrefill(h.forwardPrefill)
+	h.coalescer = newCoalescer(t, h.RouterLoop.Notify)
 	h.node = control.New(Clock(), cfg)
 	self := transport.Hello{Build: transport.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
-	if h.Net, err = transport.Listen(t, self, h.follow, h.logFault); err != nil {
+	if h.Endpoint, err = transport.Listen(t, self, h.follow, h.logFault); err != nil {
 		return nil, err
 	}
 	if h.journal != nil {
@@ -69,7 +69,7 @@
 		Tomb:        t,
 		Log:         lg,
 		FrontendID:  s.Name + "." + boot,
-		Gate:        NewGate(Clock),
+		PauseGuard:  NewPauseGuard(Clock),
 		in:          make(chan control.Input, 1024),
 		calls:       make(chan call, 64),
 		writes:      make(chan []control.LogWrite, control.MaxPendingReplies),
@@ -95,13 +95,13 @@
 		Seed:           seed(),
 		Membership:     membership.Defaults(),
 		Gossip:         gossip.Defaults(),
-		Read:           s.Host.Read,
-		ListEvery:      s.Host.ListEvery,
-		FaultTolerance: s.Host.FaultTolerance,
-		Bootstraps:     s.Host.Bootstraps,
-		ServesIsolated: s.Host.ServesIsolated,
-		HidesDocument:  s.Host.HidesDocument,
-		Quota:          s.Host.Quota,
+		Read:           s.Platform.ReadDocument,
+		ListEvery:      s.Platform.ListInterval,
+		FaultTolerance: s.Platform.FaultTolerance,
+		Bootstraps:     s.Platform.Bootstraps,
+		ServesIsolated: s.Platform.ServesIsolated,
+		HidesDocument:  s.Platform.HidesDocument,
+		Quota:          s.Platform.Quota,
 	}
 }
 
@@ -109,7 +109,7 @@
 	s := h.Settings
 	cfg := router.Defaults(s.Name, h.boot, s.Zone)
 	cfg.Scheduler.QueueLimit = s.Backlog
-	if s.Host.ServesIsolated {
+	if s.Platform.ServesIsolated {
 		cfg.Scheduler.ControlTimeout = isolatedFeedTimeout
 	}
 	return cfg
@@ -117,10 +117,10 @@
 
 // openDisk opens the journal and returns what it kept; nil where the node has no disk.
 func (h *Daemon) openDisk() (*control.DiskState, error) {
-	if h.Settings.Data == "" {
+	if h.Settings.DataDir == "" {
 		return nil, nil
 	}
-	folder, err := storage.OpenFolder(h.Settings.Data)
+	folder, err := storage.OpenFolder(h.Settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
--- a/follow.go
+++ b/follow.go
@@ -57,7 +57,7 @@
 	}()
 	r := transport.NewReader(conn)
 	hello := transport.Hello{Build: transport.Build, Name: name, Role: "follower"}
-	if _, err = transport.Greet(conn, transport.NewWriter(), r, hello); err != nil {
+	if _, err = transport.Handshake(conn, transport.NewWriter(), r, hello); err != nil {
 		return err
 	}
 	return readEvents(conn, r, start, feed)
--- a/gossip/encoding.go
+++ b/gossip/encoding.go
@@ -29,10 +29,12 @@
 type encodedUpdate struct{ Items []encodedItem }
 
 func encodeUpdate(m Update) encodedUpdate {
-	return encodedUpdate{Items: wire.Each(m.Items, encodeItem)}
+	return encodedUpdate{Items: wire.ConvertSlice(m.Items, encodeItem)}
 }
 
-func decodeUpdate(f encodedUpdate) Update { return Update{Items: wire.Each(f.Items, decodeItem)} }
+func decodeUpdate(f encodedUpdate) Update {
+	return Update{Items: wire.ConvertSlice(f.Items, decodeItem)}
+}
 
 type encodedKeyVersion struct {
 	Key  string
@@ -53,19 +55,19 @@
 }
 
 func encodeDigest(m Digest) encodedDigest {
-	return encodedDigest{Marks: wire.Each(m.Versions, encodeKeyVersion), Reply: m.Reply}
+	return encodedDigest{Marks: wire.ConvertSlice(m.Versions, encodeKeyVersion), Reply: m.Reply}
 }
 
 func decodeDigest(f encodedDigest) Digest {
-	return Digest{Versions: wire.Each(f.Marks, decodeKeyVersion), Reply: f.Reply}
+	return Digest{Versions: wire.ConvertSlice(f.Marks, decodeKeyVersion), Reply: f.Reply}
 }
 
 type encodedAnnouncement struct{ Marks []encodedKeyVersion }
 
 func encodeAnnouncement(m Announcement) encodedAnnouncement {
-	return encodedAnnouncement{Marks: wire.Each(m.Versions, encodeKeyVersion)}
+	return encodedAnnouncement{Marks: wire.ConvertSlice(m.Versions, encodeKeyVersion)}
 }
 
 func decodeAnnouncement(f encodedAnnouncement) Announcement {
-	return Announcement{Versions: wire.Each(f.Marks, decodeKeyVersion)}
+	return Announcement{Versions: wire.ConvertSlice(f.Marks, decodeKeyVersion)}
 }
--- a/httpapi/bounds_test.go
+++ b/httpapi/bounds_test.go
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 	}
-	for r.gate.Running() < len(slow) {
+	for r.gate.RunningRequests() < len(slow) {
 		runtime.Gosched()
 	}
 	body, w := io.Pipe()
--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -13,27 +13,27 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// AskWitnesses tells how an attempt ends before it is sent, or "" when it may be sent. spare is how long the witnesses may take
+// WitnessCheck tells how an attempt ends before it is sent, or "" when it may be sent. spare is how long the witnesses may take
 // without harm; poll asks early, for a request that has no attempt yet.
-type AskWitnesses func(request string, margin time.Duration, poll bool) router.AttemptResult
+type WitnessCheck func(request string, margin time.Duration, poll bool) router.AttemptResult
 
 // Limits bound what clients may send and how long replicas and clients may take.
 type Limits struct {
-	// MaxBody is in bytes, MaxStreams the most requests at once.
-	MaxBody, MaxStreams int
-	// Dial, Head and Line bound the wait for a connection to a replica, for the head of its answer and for each line, Write each
+	// MaxBodyBytes is in bytes, MaxStreams the most requests at once.
+	MaxBodyBytes, MaxStreams int
+	// DialTimeout, ResponseHeadTimeout and ResponseLineTimeout bound the wait for a connection to a replica, for the head of its answer and for each line, Write each
 	// write to a replica or client.
-	Dial, Head, Line time.Duration
-	Write            time.Duration
-	// LineBytes is the longest line of an answer.
-	LineBytes int
+	DialTimeout, ResponseHeadTimeout, ResponseLineTimeout time.Duration
+	WriteTimeout                                          time.Duration
+	// MaxLineBytes is the longest line of an answer.
+	MaxLineBytes int
 }
 
 // DefaultLimits are the limits of production nodes.
 func DefaultLimits(maxBody, maxStreams int) Limits {
 	return Limits{
-		MaxBody: maxBody, MaxStreams: maxStreams, Dial: 500 * time.Millisecond, Head: 60 * time.Second, Line: 30 * time.Second,
-		Write: 10 * time.Second, LineBytes: 256 << 10,
+		MaxBodyBytes: maxBody, MaxStreams: maxStreams, DialTimeout: 500 * time.Millisecond, ResponseHeadTimeout: 60 * time.Second, ResponseLineTimeout: 30 * time.Second,
+		WriteTimeout: 10 * time.Second, MaxLineBytes: 256 << 10,
 	}
 }
 
@@ -44,14 +44,14 @@
 
 // Counters count requests by outcome since the start; they are published as "gate.*".
 type Counters struct {
-	Requests, Rejected, RejectedRepeated, Done, Partial, Unknown, Bad, Hangups, Breaks atomic.Uint64
+	Requests, Rejected, Repeated, Done, Partial, Unknown, Invalid, ClientDisconnects, FailedAttempts atomic.Uint64
 }
 
 // Frontend serves requests to services: POST /v1/offers/:service/:class. Each request runs in its own goroutine and asks the node's router
 // through its router.Loop.
 type Frontend struct {
 	router  *router.Loop
-	witness AskWitnesses
+	witness WitnessCheck
 	limits  Limits
 	// NodeID is the node's name and boot, which answers carry in X-Node.
 	NodeID   string
@@ -62,7 +62,7 @@
 }
 
 // New gives a frontend that is open.
-func New(loop *router.Loop, witness AskWitnesses, limits Limits) *Frontend {
+func New(loop *router.Loop, witness WitnessCheck, limits Limits) *Frontend {
 	return &Frontend{router: loop, witness: witness, limits: limits, slots: make(chan struct{}, limits.MaxStreams)}
 }
 
@@ -72,11 +72,11 @@
 // Retire tells the platform to send clients elsewhere; who comes all the same is still admitted.
 func (f *Frontend) Retire() { f.retired.Store(true) }
 
-// Open tells whether clients should be sent here.
-func (f *Frontend) Open() bool { return !f.closed.Load() && !f.retired.Load() }
+// InRotation tells whether clients should be sent here.
+func (f *Frontend) InRotation() bool { return !f.closed.Load() && !f.retired.Load() }
 
-// Running counts the requests under way.
-func (f *Frontend) Running() int { return len(f.slots) }
+// RunningRequests counts the requests under way.
+func (f *Frontend) RunningRequests() int { return len(f.slots) }
 
 // Exchange is one request of a client as it goes through the filters.
 type Exchange struct {
@@ -111,20 +111,20 @@
 	}
 }
 
-// Answer is the body of an answer that is no stream. Its JSON names are published: go is the id of the attempt.
-type Answer struct {
-	Request string `json:"request,omitempty"`
-	Outcome string `json:"outcome"`
-	Attempt string `json:"go,omitempty"`
-	Why     string `json:"why"`
-	AfterMs int64  `json:"retryAfterMs,omitempty"`
+// ErrorResponse is the body of an answer that is no stream. Its JSON names are published: go is the id of the attempt.
+type ErrorResponse struct {
+	Request      string `json:"request,omitempty"`
+	Outcome      string `json:"outcome"`
+	Attempt      string `json:"go,omitempty"`
+	Reason       string `json:"why"`
+	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 }
 
-func (f *Frontend) answer(x *Exchange, status int, a Answer, after time.Duration) {
+func (f *Frontend) answer(x *Exchange, status int, a ErrorResponse, after time.Duration) {
 	if after > 0 {
 		secs := int64((after + time.Second - 1) / time.Second)
 		x.w.Header().Set("Retry-After", strconv.FormatInt(secs, 10))
-		a.AfterMs = after.Milliseconds()
+		a.RetryAfterMs = after.Milliseconds()
 	}
 	a.Request = x.request
 	x.w.Header().Set("X-Node", f.NodeID)
@@ -135,20 +135,20 @@
 }
 
 func (f *Frontend) bad(x *Exchange, status int, why string) bool {
-	f.Counters.Bad.Add(1)
-	f.answer(x, status, Answer{Outcome: router.OutcomeInvalid, Why: why}, 0)
+	f.Counters.Invalid.Add(1)
+	f.answer(x, status, ErrorResponse{Outcome: router.OutcomeInvalid, Reason: why}, 0)
 	return true
 }
 
 func (f *Frontend) reject(x *Exchange, why string, after time.Duration) bool {
 	f.Counters.Rejected.Add(1)
-	f.answer(x, http.StatusServiceUnavailable, Answer{Outcome: router.OutcomeRejected, Why: why}, after)
+	f.answer(x, http.StatusServiceUnavailable, ErrorResponse{Outcome: router.OutcomeRejected, Reason: why}, after)
 	return true
 }
 
 func (f *Frontend) rejectRepeated(x *Exchange, why string) bool {
-	f.Counters.RejectedRepeated.Add(1)
-	f.answer(x, http.StatusConflict, Answer{Outcome: router.OutcomeRepeat, Why: why}, 0)
+	f.Counters.Repeated.Add(1)
+	f.answer(x, http.StatusConflict, ErrorResponse{Outcome: router.OutcomeRepeat, Reason: why}, 0)
 	return true
 }
 
@@ -196,9 +196,9 @@
 }
 
 func (f *Frontend) readBody(x *Exchange) bool {
-	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, int64(f.limits.MaxBody)))
+	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, int64(f.limits.MaxBodyBytes)))
 	if _, long := err.(*http.MaxBytesError); long {
-		return f.bad(x, http.StatusRequestEntityTooLarge, "body: must be at most "+strconv.Itoa(f.limits.MaxBody)+" bytes")
+		return f.bad(x, http.StatusRequestEntityTooLarge, "body: must be at most "+strconv.Itoa(f.limits.MaxBodyBytes)+" bytes")
 	}
 	if err != nil {
 		return f.bad(x, http.StatusBadRequest, "body: "+err.Error())
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -25,7 +25,7 @@
 
 func (o *Operations) readiness(w http.ResponseWriter, _ bunrouter.Request) error {
 	why := "draining"
-	if o.Frontend.Open() {
+	if o.Frontend.InRotation() {
 		o.Frontend.router.Inspect(func(r *router.Router) { why = r.NotReady(o.Clock()) })
 	}
 	if why != "" {
@@ -37,13 +37,13 @@
 
 func (o *Operations) status(w http.ResponseWriter, _ bunrouter.Request) error {
 	var s control.Status
-	o.Control.Look(func(n *control.Node) { s = n.Status(o.Clock()) })
+	o.Control.Inspect(func(n *control.Node) { s = n.Status(o.Clock()) })
 	return reply(w, http.StatusOK, s)
 }
 
 func (o *Operations) quotas(w http.ResponseWriter, _ bunrouter.Request) error {
 	var rows []quota.TenantStatus
-	o.Control.Look(func(n *control.Node) { rows = n.QuotaStatus(o.Clock()) })
+	o.Control.Inspect(func(n *control.Node) { rows = n.QuotaStatus(o.Clock()) })
 	return reply(w, http.StatusOK, rows)
 }
 
@@ -61,8 +61,8 @@
 		o.Frontend.count(c)
 	}
 	o.loop().Inspect(func(r *router.Router) { count(c, r) })
-	if o.Extra != nil {
-		for k, v := range o.Extra() {
+	if o.ExtraCounters != nil {
+		for k, v := range o.ExtraCounters() {
 			c[k] = v
 		}
 	}
@@ -72,9 +72,9 @@
 // count adds the published counters. Their prefixes gate, bid and hint are those that operators know.
 func (f *Frontend) count(c map[string]uint64) {
 	n := &f.Counters
-	c["gate.requests"], c["gate.denied"], c["gate.repeats"] = n.Requests.Load(), n.Rejected.Load(), n.RejectedRepeated.Load()
+	c["gate.requests"], c["gate.denied"], c["gate.repeats"] = n.Requests.Load(), n.Rejected.Load(), n.Repeated.Load()
 	c["gate.done"], c["gate.partial"], c["gate.unknown"] = n.Done.Load(), n.Partial.Load(), n.Unknown.Load()
-	c["gate.bad"], c["gate.hangups"], c["gate.breaks"] = n.Bad.Load(), n.Hangups.Load(), n.Breaks.Load()
+	c["gate.bad"], c["gate.hangups"], c["gate.breaks"] = n.Invalid.Load(), n.ClientDisconnects.Load(), n.FailedAttempts.Load()
 }
 
 func count(c map[string]uint64, r *router.Router) {
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -21,32 +21,32 @@
 // request of ctx; Look calls look in the goroutine that owns the control state.
 type Control interface {
 	Call(op control.Op) control.Answer
-	Order(ctx context.Context, op control.Op) control.Answer
-	Look(look func(n *control.Node))
+	CallForOperator(ctx context.Context, op control.Op) control.Answer
+	Inspect(look func(n *control.Node))
 }
 
 // Operations serves operators' calls, health, status and counters. Frontend is nil, and Router set, where this node serves another
 // interface; Extra adds counters to the published ones.
 type Operations struct {
-	Control  Control
-	Frontend *Frontend
-	Router   *router.Loop
-	Clock    func() time.Duration
-	Extra    func() map[string]uint64
+	Control       Control
+	Frontend      *Frontend
+	Router        *router.Loop
+	Clock         func() time.Duration
+	ExtraCounters func() map[string]uint64
 }
 
-// Configuration is the answer to operators' calls that succeed: the version of this change, the newest one, and what holds there. The
+// ConfigurationResponse is the answer to operators' calls that succeed: the version of this change, the newest one, and what holds there. The
 // JSON names are published: version is a version, emptied the evacuated zones.
-type Configuration struct {
-	Version   uint64           `json:"mark"`
-	Now       uint64           `json:"now"`
-	Evacuated []string         `json:"emptied"`
-	Voters    []register.Voter `json:"voters"`
-	Config    json.RawMessage  `json:"config,omitempty"`
+type ConfigurationResponse struct {
+	Version       uint64           `json:"mark"`
+	LatestVersion uint64           `json:"now"`
+	Evacuated     []string         `json:"emptied"`
+	Voters        []register.Voter `json:"voters"`
+	Config        json.RawMessage  `json:"config,omitempty"`
 }
 
-// Failure is the answer to operators' calls that fail. Its JSON name fate says "unchanged", or "unknown" where the change may yet hold.
-type Failure struct {
+// OperatorErrorResponse is the answer to operators' calls that fail. Its JSON name fate says "unchanged", or "unknown" where the change may yet hold.
+type OperatorErrorResponse struct {
 	Error      string             `json:"error"`
 	Effect     string             `json:"fate"`
 	Version    *uint64            `json:"mark,omitempty"`
@@ -58,7 +58,7 @@
 	r.POST("/v1/offers/:offer/:kind", o.Frontend.Handler())
 	r.GET("/healthz", o.health)
 	r.GET("/readyz", o.readiness)
-	o.Watch(r)
+	o.StatusRoutes(r)
 	r.GET("/v1/config", o.get)
 	r.PUT("/v1/config", o.put)
 	r.POST("/v1/domains/:domain/empty", o.zone(control.Evacuate{}))
@@ -68,8 +68,8 @@
 	r.POST("/v1/replicas", o.replicas)
 }
 
-// Watch adds what an operator looks at: the node's status, its counters, and tenants' quotas as it sees them.
-func (o *Operations) Watch(r *bunrouter.Router) {
+// StatusRoutes adds what an operator looks at: the node's status, its counters, and tenants' quotas as it sees them.
+func (o *Operations) StatusRoutes(r *bunrouter.Router) {
 	r.GET("/v1/status", o.status)
 	r.GET("/v1/counters", o.counters)
 	r.GET("/v1/quotas", o.quotas)
@@ -95,7 +95,7 @@
 	var left *control.ClientDisconnectedError
 	var name *control.NameError
 	var long *http.MaxBytesError
-	t := Failure{Error: err.Error(), Effect: "unchanged"}
+	t := OperatorErrorResponse{Error: err.Error(), Effect: "unchanged"}
 	status := http.StatusInternalServerError
 	switch {
 	case errors.As(err, &bad):
@@ -145,7 +145,7 @@
 		return fail(w, a.Err)
 	}
 	v := a.Value
-	return reply(w, http.StatusOK, Configuration{Version: a.Version, Now: v.Version, Evacuated: append([]string{}, v.EvacuatedZones...), Voters: v.Voters, Config: v.Document})
+	return reply(w, http.StatusOK, ConfigurationResponse{Version: a.Version, LatestVersion: v.Version, Evacuated: append([]string{}, v.EvacuatedZones...), Voters: v.Voters, Config: v.Document})
 }
 
 func (o *Operations) get(w http.ResponseWriter, _ bunrouter.Request) error {
@@ -168,7 +168,7 @@
 	if _, err = config.Read(raw); err != nil {
 		return fail(w, err)
 	}
-	return o.answer(w, o.Control.Order(r.Context(), control.Put{ID: id, ExpectedVersion: expect, Document: raw}))
+	return o.answer(w, o.Control.CallForOperator(r.Context(), control.Put{ID: id, ExpectedVersion: expect, Document: raw}))
 }
 
 // zone answers a call on one zone; kind is the order without its zone and id.
@@ -180,13 +180,13 @@
 		}
 		name := r.Param("domain")
 		known := false
-		o.Control.Look(func(n *control.Node) { known = n.KnowsZone(name) })
+		o.Control.Inspect(func(n *control.Node) { known = n.KnowsZone(name) })
 		if !known {
 			return fail(w, &control.NameError{Name: name, Cause: control.ErrUnknownZone})
 		}
 		op := kind
 		op.ID, op.Zone = id, name
-		return o.answer(w, o.Control.Order(r.Context(), op))
+		return o.answer(w, o.Control.CallForOperator(r.Context(), op))
 	}
 }
 
@@ -208,7 +208,7 @@
 		if err = d.Err(); err != nil {
 			return fail(w, err)
 		}
-		return o.answer(w, o.Control.Order(r.Context(), op(id, names)))
+		return o.answer(w, o.Control.CallForOperator(r.Context(), op(id, names)))
 	}
 }
 
@@ -235,7 +235,7 @@
 	if err = d.Err(); err != nil {
 		return fail(w, err)
 	}
-	if a := o.Control.Order(r.Context(), op); a.Err != nil {
+	if a := o.Control.CallForOperator(r.Context(), op); a.Err != nil {
 		return fail(w, a.Err)
 	}
 	return reply(w, http.StatusOK, takenAnswer{Taken: strconv.Itoa(len(op.Rows))})
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -49,7 +49,7 @@
 }
 
 func (c *replicaConn) run() {
-	conn, err := net.DialTimeout("tcp", c.placement.Addr, c.frontend.limits.Dial)
+	conn, err := net.DialTimeout("tcp", c.placement.Addr, c.frontend.limits.DialTimeout)
 	if err != nil {
 		c.report(router.ConnectResult{AttemptID: c.placement.AttemptID})
 		return
@@ -91,13 +91,13 @@
 
 // sendAndRead sends the request and reports the answer's head and lines until it ends or fails.
 func (c *replicaConn) sendAndRead(conn net.Conn) error {
-	_ = conn.SetWriteDeadline(time.Now().Add(c.frontend.limits.Write))
+	_ = conn.SetWriteDeadline(time.Now().Add(c.frontend.limits.WriteTimeout))
 	req := c.request()
 	var err error
 	if err = req.Write(conn); err != nil {
 		return err
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.Head))
+	_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.ResponseHeadTimeout))
 	resp, err := readHead(conn, req)
 	if err != nil {
 		return err
@@ -124,9 +124,9 @@
 
 func (c *replicaConn) readLines(conn net.Conn, body io.Reader) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), c.frontend.limits.LineBytes)
+	lines.Buffer(make([]byte, 0, 4096), c.frontend.limits.MaxLineBytes)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.Line))
+		_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.ResponseLineTimeout))
 		if !lines.Scan() {
 			return lines.Err()
 		}
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -46,7 +46,7 @@
 		}
 		select {
 		case <-s.exchange.r.Context().Done():
-			s.frontend.Counters.Hangups.Add(1)
+			s.frontend.Counters.ClientDisconnects.Add(1)
 			s.perform(s.request.OnConnectionEvent(router.ClientClosed{}))
 			return
 		case d, ok := <-decisions:
@@ -83,7 +83,7 @@
 			s.drop()
 		case router.NotifyRouter:
 			if e, ok := m.Event.(router.AttemptEnded); ok && e.Result == router.Failed {
-				s.frontend.Counters.Breaks.Add(1)
+				s.frontend.Counters.FailedAttempts.Add(1)
 			}
 			s.frontend.router.Notify(m.Event)
 		case router.ForwardLine:
@@ -107,7 +107,7 @@
 		f.reject(x, d.Reason, d.RetryAfter)
 	case router.OutcomeUnknown:
 		f.Counters.Unknown.Add(1)
-		f.answer(x, http.StatusBadGateway, Answer{Outcome: outcome, Attempt: d.AttemptID, Why: d.Reason}, d.RetryAfter)
+		f.answer(x, http.StatusBadGateway, ErrorResponse{Outcome: outcome, Attempt: d.AttemptID, Reason: d.Reason}, d.RetryAfter)
 	case router.OutcomePartial:
 		f.Counters.Partial.Add(1)
 		panic(http.ErrAbortHandler)
@@ -126,7 +126,7 @@
 		h.Set("X-Request-Attempt-Id", m.Placement.AttemptID)
 		s.exchange.w.WriteHeader(http.StatusOK)
 	}
-	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.Write))
+	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.WriteTimeout))
 	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
 		s.perform(s.request.OnConnectionEvent(router.ClientClosed{}))
 		panic(http.ErrAbortHandler)
--- a/register/encoding.go
+++ b/register/encoding.go
@@ -114,7 +114,7 @@
 	}
 	return &EncodedValue{
 		Fleet: v.Fleet, Mark: v.Version, Seat: v.Epoch, Body: v.Document, Emptied: v.EvacuatedZones, Voters: v.Voters, Next: v.NextVoters,
-		Ops: wire.Each(v.LegacyOrders, encodeLegacyOrder), Edits: v.EditLog, Recent: v.OrderLog, Taken: v.AppliedOrders, Parts: v.DocumentManifest, Orders: v.LogManifest,
+		Ops: wire.ConvertSlice(v.LegacyOrders, encodeLegacyOrder), Edits: v.EditLog, Recent: v.OrderLog, Taken: v.AppliedOrders, Parts: v.DocumentManifest, Orders: v.LogManifest,
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 	return &Value{
 		Fleet: f.Fleet, Version: f.Mark, Epoch: f.Seat, Document: f.Body, EvacuatedZones: f.Emptied, Voters: f.Voters, NextVoters: f.Next,
-		LegacyOrders: wire.Each(f.Ops, decodeLegacyOrder), EditLog: f.Edits, OrderLog: f.Recent, AppliedOrders: f.Taken, DocumentManifest: f.Parts, LogManifest: f.Orders,
+		LegacyOrders: wire.ConvertSlice(f.Ops, decodeLegacyOrder), EditLog: f.Edits, OrderLog: f.Recent, AppliedOrders: f.Taken, DocumentManifest: f.Parts, LogManifest: f.Orders,
 	}
 }
 
--- a/router/encoding.go
+++ b/router/encoding.go
@@ -100,9 +100,9 @@
 }
 
 func encodeReplicaList(l ReplicaList) encodedReplicaList {
-	return encodedReplicaList{Rows: wire.Each(l.Instances, EncodeInstance), Age: l.Age}
+	return encodedReplicaList{Rows: wire.ConvertSlice(l.Instances, EncodeInstance), Age: l.Age}
 }
 
 func decodeReplicaList(f encodedReplicaList) ReplicaList {
-	return ReplicaList{Instances: wire.Each(f.Rows, EncodedInstance.Decode), Age: f.Age}
+	return ReplicaList{Instances: wire.ConvertSlice(f.Rows, EncodedInstance.Decode), Age: f.Age}
 }
--- a/transport/accept.go
+++ b/transport/accept.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-func (n *Net) accept() error {
+func (n *Endpoint) accept() error {
 	slots := make(chan struct{}, maxInbound)
 	for {
 		conn, err := n.lis.Accept()
@@ -34,7 +34,7 @@
 	}
 }
 
-func (n *Net) serve(conn net.Conn) {
+func (n *Endpoint) serve(conn net.Conn) {
 	defer conn.Close()
 	closed := make(chan struct{})
 	defer close(closed)
@@ -46,7 +46,7 @@
 		}
 	}()
 	r := NewReader(conn)
-	theirs, err := Greet(conn, NewWriter(), r, n.self)
+	theirs, err := Handshake(conn, NewWriter(), r, n.self)
 	if err != nil {
 		n.ended(conn, err)
 		return
@@ -63,14 +63,14 @@
 			return
 		}
 		select {
-		case n.In <- Inbound{Hello: theirs, Msg: msg}:
+		case n.Received <- Inbound{From: theirs, Msg: msg}:
 		case <-n.t.Dying():
 			return
 		}
 	}
 }
 
-func (n *Net) ended(conn net.Conn, err error) {
+func (n *Endpoint) ended(conn net.Conn, err error) {
 	var ne net.Error
 	if trace.Unwrap(err) == io.EOF || errors.Is(err, net.ErrClosed) || errors.As(err, &ne) || !n.t.Alive() {
 		return
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -32,32 +32,32 @@
 	Role  string
 }
 
-// TooLongError says that a frame is longer than MaxFrame, or empty.
-type TooLongError struct{ Bytes, Bound int }
+// FrameSizeError says that a frame is longer than MaxFrame, or empty.
+type FrameSizeError struct{ Bytes, Bound int }
 
-func (e *TooLongError) Error() string {
+func (e *FrameSizeError) Error() string {
 	return fmt.Sprintf("frame of %d bytes: must be 1 to %d", e.Bytes, e.Bound)
 }
 
-// UnreadableError says that a frame holds no message of a known kind.
-type UnreadableError struct{ Cause error }
+// CodecError says that a frame holds no message of a known kind.
+type CodecError struct{ Cause error }
 
-func (e *UnreadableError) Error() string { return "frame cannot be read: " + e.Cause.Error() }
+func (e *CodecError) Error() string { return "frame cannot be read: " + e.Cause.Error() }
 
-// BuildError says that the builds of two nodes are too far apart.
-type BuildError struct{ Ours, Theirs uint32 }
+// IncompatibleBuildError says that the builds of two nodes are too far apart.
+type IncompatibleBuildError struct{ Ours, Theirs uint32 }
 
-func (e *BuildError) Error() string {
+func (e *IncompatibleBuildError) Error() string {
 	return fmt.Sprintf("build %d does not speak with build %d", e.Ours, e.Theirs)
 }
 
 // Unwrap gives the cause.
-func (e *UnreadableError) Unwrap() error { return e.Cause }
+func (e *CodecError) Unwrap() error { return e.Cause }
 
-// Speak returns a *BuildError unless the builds are the same or neighbours.
-func Speak(ours, theirs uint32) error {
+// CheckBuild returns an *IncompatibleBuildError unless the builds are the same or neighbours.
+func CheckBuild(ours, theirs uint32) error {
 	if theirs+1 < ours || theirs > ours+1 {
-		return trace.Wrap(&BuildError{Ours: ours, Theirs: theirs})
+		return trace.Wrap(&IncompatibleBuildError{Ours: ours, Theirs: theirs})
 	}
 	return nil
 }
@@ -75,17 +75,17 @@
 	return w
 }
 
-// Frame encodes a message behind its length. Errors: *UnreadableError, *TooLongError.
+// Frame encodes a message behind its length. Errors: *CodecError, *FrameSizeError.
 func (w *Writer) Frame(msg any) ([]byte, error) {
 	w.buf.Reset()
 	w.buf.Write([]byte{0, 0, 0, 0})
 	form := wire.Encode(msg)
 	if err := w.enc.Encode(&form); err != nil {
-		return nil, trace.Wrap(&UnreadableError{Cause: err})
+		return nil, trace.Wrap(&CodecError{Cause: err})
 	}
 	n := w.buf.Len() - 4
 	if n > MaxFrame {
-		return nil, trace.Wrap(&TooLongError{Bytes: n, Bound: MaxFrame})
+		return nil, trace.Wrap(&FrameSizeError{Bytes: n, Bound: MaxFrame})
 	}
 	frame := bytes.Clone(w.buf.Bytes())
 	binary.BigEndian.PutUint32(frame, uint32(n))
@@ -106,7 +106,7 @@
 	return r
 }
 
-// Next reads one message. Errors: *UnreadableError, *TooLongError, or the source's; after any of them nothing more can be read.
+// Next reads one message. Errors: *CodecError, *FrameSizeError, or the source's; after any of them nothing more can be read.
 func (r *Reader) Next() (msg any, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(r.src, head[:]); err != nil {
@@ -114,7 +114,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
 	if n < 1 || n > MaxFrame {
-		return nil, trace.Wrap(&TooLongError{Bytes: n, Bound: MaxFrame})
+		return nil, trace.Wrap(&FrameSizeError{Bytes: n, Bound: MaxFrame})
 	}
 	r.body.Reset()
 	if _, err = io.CopyN(&r.body, r.src, int64(n)); err != nil {
@@ -122,15 +122,15 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			msg, err = nil, trace.Wrap(&UnreadableError{Cause: fmt.Errorf("panic: %v", p)})
+			msg, err = nil, trace.Wrap(&CodecError{Cause: fmt.Errorf("panic: %v", p)})
 		}
 	}()
 	var form any
 	if err = r.dec.Decode(&form); err != nil {
-		return nil, trace.Wrap(&UnreadableError{Cause: err})
+		return nil, trace.Wrap(&CodecError{Cause: err})
 	}
 	if form == nil || r.body.Len() > 0 {
-		return nil, trace.Wrap(&UnreadableError{Cause: errNotOneMessage})
+		return nil, trace.Wrap(&CodecError{Cause: errNotOneMessage})
 	}
 	return wire.Decode(form), nil
 }
--- a/transport/net.go
+++ b/transport/net.go
@@ -23,13 +23,13 @@
 
 // Counters count messages sent, their bytes, messages dropped, connections closed over unreadable frames, and connection attempts.
 type Counters struct {
-	Sent, Bytes, Dropped, Unreadable, Dials atomic.Uint64
+	Sent, Bytes, Dropped, ProtocolErrors, Dials atomic.Uint64
 }
 
 // Inbound is a message and who sent it.
 type Inbound struct {
-	Hello Hello
-	Msg   any
+	From Hello
+	Msg  any
 }
 
 type envelope struct {
@@ -37,27 +37,27 @@
 	msg any
 }
 
-// Net sends messages to other nodes over one connection each way, and takes theirs in In. Nothing is kept for a peer that can't be
+// Endpoint sends messages to other nodes over one connection each way, and takes theirs in In. Nothing is kept for a peer that can't be
 // reached.
-type Net struct {
-	t       *tomb.Tomb
-	self    Hello
-	lis     net.Listener
-	out     chan envelope
-	In      chan Inbound
-	N       Counters
-	OnFault func(peer string, err error)
-	follow  func(c net.Conn, h Hello, r *Reader)
+type Endpoint struct {
+	t        *tomb.Tomb
+	self     Hello
+	lis      net.Listener
+	out      chan envelope
+	Received chan Inbound
+	Counters Counters
+	OnError  func(peer string, err error)
+	follow   func(c net.Conn, h Hello, r *Reader)
 }
 
 // Listen opens the port of self and serves until t dies. Connections of followers are handed to follow; fault hears of connections that
 // were closed over an error. Errors are those of the listener.
-func Listen(t *tomb.Tomb, self Hello, follow func(c net.Conn, h Hello, r *Reader), fault func(peer string, err error)) (*Net, error) {
+func Listen(t *tomb.Tomb, self Hello, follow func(c net.Conn, h Hello, r *Reader), fault func(peer string, err error)) (*Endpoint, error) {
 	lis, err := net.Listen("tcp", self.Addr)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	n := &Net{t: t, self: self, lis: lis, out: make(chan envelope, queued), In: make(chan Inbound, queued), OnFault: fault, follow: follow}
+	n := &Endpoint{t: t, self: self, lis: lis, out: make(chan envelope, queued), Received: make(chan Inbound, queued), OnError: fault, follow: follow}
 	t.Go(n.accept)
 	t.Go(n.dispatch)
 	t.Go(func() error {
@@ -69,15 +69,15 @@
 }
 
 // Send queues a message, or drops it where the queue is full.
-func (n *Net) Send(to string, msg any) {
+func (n *Endpoint) Send(to string, msg any) {
 	select {
 	case n.out <- envelope{to: to, msg: msg}:
 	default:
-		n.N.Dropped.Add(1)
+		n.Counters.Dropped.Add(1)
 	}
 }
 
-func (n *Net) dispatch() error {
+func (n *Endpoint) dispatch() error {
 	peers := map[string]chan any{}
 	for {
 		select {
@@ -93,7 +93,7 @@
 			select {
 			case q <- p.msg:
 			default:
-				n.N.Dropped.Add(1)
+				n.Counters.Dropped.Add(1)
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 
 // outbound is the connection on which a node sends to one other node. It is owned by one goroutine.
 type outbound struct {
-	net  *Net
+	net  *Endpoint
 	addr string
 	conn net.Conn
 	w    *Writer
@@ -110,7 +110,7 @@
 }
 
 // peer sends what is queued for a node until the tomb dies.
-func (n *Net) peer(addr string, q chan any) error {
+func (n *Endpoint) peer(addr string, q chan any) error {
 	out := &outbound{net: n, addr: addr}
 	defer out.close()
 	for {
@@ -119,7 +119,7 @@
 			return nil
 		case msg := <-q:
 			if !out.deliver(msg) {
-				n.N.Dropped.Add(1)
+				n.Counters.Dropped.Add(1)
 			}
 		}
 	}
@@ -159,15 +159,15 @@
 	}
 }
 
-func (n *Net) dial(addr string) (net.Conn, *Writer, error) {
-	n.N.Dials.Add(1)
+func (n *Endpoint) dial(addr string) (net.Conn, *Writer, error) {
+	n.Counters.Dials.Add(1)
 	d := net.Dialer{Timeout: dialFor, Control: setUserTimeout}
 	conn, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
 	}
 	w := NewWriter()
-	_, err = Greet(conn, w, NewReader(conn), n.self)
+	_, err = Handshake(conn, w, NewReader(conn), n.self)
 	if err != nil {
 		n.fault(addr, err)
 		_ = conn.Close()
@@ -190,14 +190,14 @@
 	return err
 }
 
-func (*Net) drain(conn net.Conn) {
+func (*Endpoint) drain(conn net.Conn) {
 	var b [1]byte
 	_, _ = conn.Read(b[:])
 	_ = conn.Close()
 }
 
-// Greet exchanges hellos on a new connection. Errors: *UnreadableError, *BuildError, or the connection's.
-func Greet(conn net.Conn, w *Writer, r *Reader, self Hello) (Hello, error) {
+// Handshake exchanges hellos on a new connection. Errors: *CodecError, *IncompatibleBuildError, or the connection's.
+func Handshake(conn net.Conn, w *Writer, r *Reader, self Hello) (Hello, error) {
 	_ = conn.SetDeadline(time.Now().Add(writeFor))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
 	frame, err := w.Frame(self)
@@ -214,12 +214,12 @@
 	}
 	theirs, ok := msg.(Hello)
 	if !ok {
-		return theirs, trace.Wrap(&UnreadableError{Cause: errNoHello})
+		return theirs, trace.Wrap(&CodecError{Cause: errNoHello})
 	}
-	return theirs, Speak(self.Build, theirs.Build)
+	return theirs, CheckBuild(self.Build, theirs.Build)
 }
 
-func (n *Net) write(conn net.Conn, w *Writer, msg any) error {
+func (n *Endpoint) write(conn net.Conn, w *Writer, msg any) error {
 	frame, err := w.Frame(msg)
 	if err != nil {
 		n.fault(conn.RemoteAddr().String(), err)
@@ -229,14 +229,14 @@
 	if _, err = conn.Write(frame); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	n.N.Sent.Add(1)
-	n.N.Bytes.Add(uint64(len(frame)))
+	n.Counters.Sent.Add(1)
+	n.Counters.Bytes.Add(uint64(len(frame)))
 	return nil
 }
 
-func (n *Net) fault(peer string, err error) {
-	n.N.Unreadable.Add(1)
-	if n.OnFault != nil {
-		n.OnFault(peer, err)
+func (n *Endpoint) fault(peer string, err error) {
+	n.Counters.ProtocolErrors.Add(1)
+	if n.OnError != nil {
+		n.OnError(peer, err)
 	}
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -36,7 +36,7 @@
 	if _, err := r.Next(); trace.Unwrap(err) != io.EOF {
 		t.Error(err)
 	}
-	var unread *transport.UnreadableError
+	var unread *transport.CodecError
 	if _, err := transport.NewWriter().Frame(stranger{X: 1}); !errors.As(err, &unread) {
 		t.Errorf("an unknown kind was framed: %v", err)
 	}
@@ -44,11 +44,11 @@
 
 func TestBadFramesAreTypedErrors(t *testing.T) {
 	long := binary.BigEndian.AppendUint32(nil, transport.MaxFrame+1)
-	var tooLong *transport.TooLongError
+	var tooLong *transport.FrameSizeError
 	if _, err := transport.NewReader(bytes.NewReader(long)).Next(); !errors.As(err, &tooLong) {
 		t.Errorf("over the bound: %v", err)
 	}
-	var unread *transport.UnreadableError
+	var unread *transport.CodecError
 	junk := append(binary.BigEndian.AppendUint32(nil, 5), "junk!"...)
 	if _, err := transport.NewReader(bytes.NewReader(junk)).Next(); !errors.As(err, &unread) {
 		t.Errorf("junk: %v", err)
@@ -56,10 +56,10 @@
 }
 
 func TestNeighbouringBuildsSpeak(t *testing.T) {
-	var apart *transport.BuildError
+	var apart *transport.IncompatibleBuildError
 	for ours := uint32(1); ours < 6; ours++ {
 		for theirs := uint32(1); theirs < 6; theirs++ {
-			err := transport.Speak(ours, theirs)
+			err := transport.CheckBuild(ours, theirs)
 			if near := ours-theirs+1 <= 2; near != (err == nil) || (!near && !errors.As(err, &apart)) {
 				t.Errorf("%d and %d: %v", ours, theirs, err)
 			}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -54,8 +54,8 @@
 	return form
 }
 
-// Each converts a list item by item; nil stays nil.
-func Each[From, To any](list []From, convert func(From) To) []To {
+// ConvertSlice converts a list item by item; nil stays nil.
+func ConvertSlice[From, To any](list []From, convert func(From) To) []To {
 	if list == nil {
 		return nil
 	}
