--- a/transport/accept.go
+++ b/transport/accept.go
@@ -9,15 +9,16 @@
 	"github.com/gravitational/trace"
 )
 
-func (n *Endpoint) accept() error {
+// accept accepts connections until the tomb is killed. Connections beyond maxInbound are closed at once.
+func (e *Endpoint) accept() error {
 	slots := make(chan struct{}, maxInbound)
 	for {
-		conn, err := n.lis.Accept()
+		conn, err := e.lis.Accept()
 		if err != nil {
-			if !n.t.Alive() {
+			if !e.t.Alive() {
 				return nil
 			}
-			time.Sleep(redialMin)
+			time.Sleep(redialDelay)
 			continue
 		}
 		select {
@@ -26,54 +27,56 @@
 			_ = conn.Close()
 			continue
 		}
-		n.t.Go(func() error {
+		e.t.Go(func() error {
 			defer func() { <-slots }()
-			n.serve(conn)
+			e.serve(conn)
 			return nil
 		})
 	}
 }
 
-func (n *Endpoint) serve(conn net.Conn) {
+// serve receives the messages of one connection, or passes the connection of a follower to the follower handler.
+func (e *Endpoint) serve(conn net.Conn) {
 	defer conn.Close()
 	closed := make(chan struct{})
 	defer close(closed)
 	go func() {
 		select {
-		case <-n.t.Dying():
+		case <-e.t.Dying():
 			_ = conn.Close()
 		case <-closed:
 		}
 	}()
 	r := NewReader(conn)
-	theirs, err := Handshake(conn, NewWriter(), r, n.self)
+	theirs, err := Handshake(conn, NewWriter(), r, e.self)
 	if err != nil {
-		n.ended(conn, err)
+		e.connectionFailed(conn, err)
 		return
 	}
 	if theirs.Role == "follower" {
-		n.follow(conn, theirs, r)
+		e.onFollower(conn, theirs, r)
 		return
 	}
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idleLimit))
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		msg, err := r.Next()
 		if err != nil {
-			n.ended(conn, err)
+			e.connectionFailed(conn, err)
 			return
 		}
 		select {
-		case n.Received <- Inbound{From: theirs, Msg: msg}:
-		case <-n.t.Dying():
+		case e.Received <- Inbound{From: theirs, Msg: msg}:
+		case <-e.t.Dying():
 			return
 		}
 	}
 }
 
-func (n *Endpoint) ended(conn net.Conn, err error) {
+// connectionFailed counts and reports a protocol error. Connections that the peer closed and network errors are normal and not reported.
+func (e *Endpoint) connectionFailed(conn net.Conn, err error) {
 	var ne net.Error
-	if trace.Unwrap(err) == io.EOF || errors.Is(err, net.ErrClosed) || errors.As(err, &ne) || !n.t.Alive() {
+	if trace.Unwrap(err) == io.EOF || errors.Is(err, net.ErrClosed) || errors.As(err, &ne) || !e.t.Alive() {
 		return
 	}
-	n.fault(conn.RemoteAddr().String(), err)
+	e.protocolError(conn.RemoteAddr().String(), err)
 }
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -14,47 +14,51 @@
 )
 
 var (
-	errNotOneMessage = errors.New("not one message")
-	errNoHello       = errors.New("no hello")
+	errNotOneMessage = errors.New("frame does not contain exactly one message")
+	errNoHello       = errors.New("first message is not a hello")
 )
 
-// Build is raised with the messages between nodes; neighbouring builds speak with each other. MaxFrame bounds a message in bytes.
 const (
-	Build    = 5
+	// Build is the version of the protocol between nodes. It is incremented when the messages change; nodes whose builds differ by at most one can
+	// communicate.
+	Build = 5
+	// MaxFrame is the maximum length of an encoded message in bytes.
 	MaxFrame = 4 << 20
 )
 
-// Hello is the first message on each connection, of both sides. Role is "follower" for one that embeds a router.
+// Hello is the first message that each side of a connection sends.
 type Hello struct {
 	Build uint32
 	Name  string
-	Addr  string
-	Role  string
+	// Addr is the address on which the sender accepts connections from other nodes.
+	Addr string
+	// Role is "follower" for a program that embeds a router, otherwise the role of the node, such as "core" or "edge".
+	Role string
 }
 
-// FrameSizeError says that a frame is longer than MaxFrame, or empty.
+// FrameSizeError reports that a frame is empty or longer than MaxFrame.
 type FrameSizeError struct{ Bytes, Bound int }
 
 func (e *FrameSizeError) Error() string {
 	return fmt.Sprintf("frame of %d bytes: must be 1 to %d", e.Bytes, e.Bound)
 }
 
-// CodecError says that a frame holds no message of a known kind.
+// CodecError reports that a message cannot be encoded, or that a frame does not contain a message of a registered type.
 type CodecError struct{ Cause error }
 
-func (e *CodecError) Error() string { return "frame cannot be read: " + e.Cause.Error() }
+func (e *CodecError) Error() string { return "cannot encode or decode message: " + e.Cause.Error() }
 
-// IncompatibleBuildError says that the builds of two nodes are too far apart.
+// IncompatibleBuildError reports that the builds of two nodes differ by more than one.
 type IncompatibleBuildError struct{ Ours, Theirs uint32 }
 
 func (e *IncompatibleBuildError) Error() string {
-	return fmt.Sprintf("build %d does not speak with build %d", e.Ours, e.Theirs)
+	return fmt.Sprintf("build %d is not compatible with build %d of the peer", e.Ours, e.Theirs)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CodecError) Unwrap() error { return e.Cause }
 
-// CheckBuild returns an *IncompatibleBuildError unless the builds are the same or neighbours.
+// CheckBuild returns an *IncompatibleBuildError if the builds differ by more than one.
 func CheckBuild(ours, theirs uint32) error {
 	if theirs+1 < ours || theirs > ours+1 {
 		return trace.Wrap(&IncompatibleBuildError{Ours: ours, Theirs: theirs})
@@ -62,25 +66,27 @@
 	return nil
 }
 
-// Writer frames messages for one connection: types are described once.
+// Writer encodes the messages that are sent on one connection. Its gob encoder describes each type only once, so its frames are valid only on
+// that connection and in the order in which they were encoded.
 type Writer struct {
 	buf bytes.Buffer
 	enc *gob.Encoder
 }
 
-// NewWriter makes a writer for a new connection.
+// NewWriter returns a writer for a new connection.
 func NewWriter() *Writer {
 	w := &Writer{}
 	w.enc = gob.NewEncoder(&w.buf)
 	return w
 }
 
-// Frame encodes a message behind its length. Errors: *CodecError, *FrameSizeError.
+// Frame returns a frame: the length of the encoded message as 4 bytes in big-endian order, and the encoded message. Errors are *CodecError and
+// *FrameSizeError.
 func (w *Writer) Frame(msg any) ([]byte, error) {
 	w.buf.Reset()
 	w.buf.Write([]byte{0, 0, 0, 0})
-	form := wire.Encode(msg)
-	if err := w.enc.Encode(&form); err != nil {
+	encoded := wire.Encode(msg)
+	if err := w.enc.Encode(&encoded); err != nil {
 		return nil, trace.Wrap(&CodecError{Cause: err})
 	}
 	n := w.buf.Len() - 4
@@ -92,27 +98,28 @@
 	return frame, nil
 }
 
-// Reader reads the frames of one connection.
+// Reader decodes the messages that are received on one connection.
 type Reader struct {
 	src  io.Reader
 	body bytes.Buffer
 	dec  *gob.Decoder
 }
 
-// NewReader reads a new connection.
+// NewReader returns a reader for a new connection.
 func NewReader(src io.Reader) *Reader {
 	r := &Reader{src: src}
 	r.dec = gob.NewDecoder(&r.body)
 	return r
 }
 
-// Next reads one message. Errors: *CodecError, *FrameSizeError, or the source's; after any of them nothing more can be read.
+// Next reads and decodes the next message. Errors are *CodecError, *FrameSizeError and those of the underlying reader; the Reader cannot be used after
+// an error.
 func (r *Reader) Next() (msg any, err error) {
-	var head [4]byte
-	if _, err = io.ReadFull(r.src, head[:]); err != nil {
+	var length [4]byte
+	if _, err = io.ReadFull(r.src, length[:]); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	n := int(binary.BigEndian.Uint32(head[:]))
+	n := int(binary.BigEndian.Uint32(length[:]))
 	if n < 1 || n > MaxFrame {
 		return nil, trace.Wrap(&FrameSizeError{Bytes: n, Bound: MaxFrame})
 	}
@@ -125,12 +132,12 @@
 			msg, err = nil, trace.Wrap(&CodecError{Cause: fmt.Errorf("panic: %v", p)})
 		}
 	}()
-	var form any
-	if err = r.dec.Decode(&form); err != nil {
+	var encoded any
+	if err = r.dec.Decode(&encoded); err != nil {
 		return nil, trace.Wrap(&CodecError{Cause: err})
 	}
-	if form == nil || r.body.Len() > 0 {
+	if encoded == nil || r.body.Len() > 0 {
 		return nil, trace.Wrap(&CodecError{Cause: errNotOneMessage})
 	}
-	return wire.Decode(form), nil
+	return wire.Decode(encoded), nil
 }
--- a/transport/timeout_test.go
+++ b/transport/timeout_test.go
@@ -8,7 +8,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// A machine that lost power does not reset connections: without a bound, what is sent to it when it is back waits for TCP's next try.
+// TestConnectionsToPeersBoundUnacknowledgedBytes: a machine that lost power does not reset its connections. Without TCP_USER_TIMEOUT, messages
+// sent to it after it is back wait for the next TCP retransmission.
 func TestConnectionsToPeersBoundUnacknowledgedBytes(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -17,11 +18,11 @@
 	addr := lis.Addr().String()
 	_ = lis.Close()
 	tb := &tomb.Tomb{}
-	n, err := Listen(tb, Hello{Build: Build, Name: "a", Addr: addr, Role: "core"}, nil, nil)
+	e, err := Listen(tb, Hello{Build: Build, Name: "a", Addr: addr, Role: "core"}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, _, err := n.dial(addr)
+	conn, _, err := e.dial(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +36,7 @@
 		t.Fatal(err, ctlErr)
 	}
 	if ms < 1 || ms > 1000 {
-		t.Errorf("sent bytes may stay unacknowledged for %d ms, 0 without end", ms)
+		t.Errorf("TCP_USER_TIMEOUT is %d ms, want 1 to 1000 (0 means no limit)", ms)
 	}
 	_ = conn.Close()
 	tb.Kill(nil)
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -15,9 +15,10 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-type stranger struct{ X int }
+// unregistered is a message type that is not registered in package wire.
+type unregistered struct{ X int }
 
-func TestFrames(t *testing.T) {
+func TestMessagesAreReadInOrder(t *testing.T) {
 	var buf bytes.Buffer
 	w := transport.NewWriter()
 	for range 3 {
@@ -36,32 +37,32 @@
 	if _, err := r.Next(); trace.Unwrap(err) != io.EOF {
 		t.Error(err)
 	}
-	var unread *transport.CodecError
-	if _, err := transport.NewWriter().Frame(stranger{X: 1}); !errors.As(err, &unread) {
-		t.Errorf("an unknown kind was framed: %v", err)
+	var codec *transport.CodecError
+	if _, err := transport.NewWriter().Frame(unregistered{X: 1}); !errors.As(err, &codec) {
+		t.Errorf("encoding an unregistered type returned %v, not a CodecError", err)
 	}
 }
 
-func TestBadFramesAreTypedErrors(t *testing.T) {
+func TestInvalidFramesReturnTypedErrors(t *testing.T) {
 	long := binary.BigEndian.AppendUint32(nil, transport.MaxFrame+1)
 	var tooLong *transport.FrameSizeError
 	if _, err := transport.NewReader(bytes.NewReader(long)).Next(); !errors.As(err, &tooLong) {
-		t.Errorf("over the bound: %v", err)
+		t.Errorf("a frame longer than MaxFrame returned %v, not a FrameSizeError", err)
 	}
-	var unread *transport.CodecError
+	var codec *transport.CodecError
 	junk := append(binary.BigEndian.AppendUint32(nil, 5), "junk!"...)
-	if _, err := transport.NewReader(bytes.NewReader(junk)).Next(); !errors.As(err, &unread) {
-		t.Errorf("junk: %v", err)
+	if _, err := transport.NewReader(bytes.NewReader(junk)).Next(); !errors.As(err, &codec) {
+		t.Errorf("a frame that is not gob returned %v, not a CodecError", err)
 	}
 }
 
-func TestNeighbouringBuildsSpeak(t *testing.T) {
-	var apart *transport.IncompatibleBuildError
+func TestBuildsThatDifferByAtMostOneAreCompatible(t *testing.T) {
+	var incompatible *transport.IncompatibleBuildError
 	for ours := uint32(1); ours < 6; ours++ {
 		for theirs := uint32(1); theirs < 6; theirs++ {
 			err := transport.CheckBuild(ours, theirs)
-			if near := ours-theirs+1 <= 2; near != (err == nil) || (!near && !errors.As(err, &apart)) {
-				t.Errorf("%d and %d: %v", ours, theirs, err)
+			if compatible := ours-theirs+1 <= 2; compatible != (err == nil) || (!compatible && !errors.As(err, &incompatible)) {
+				t.Errorf("CheckBuild(%d, %d) returned %v", ours, theirs, err)
 			}
 		}
 	}
