--- a/httpapi/bounds_test.go
+++ b/httpapi/bounds_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-func TestBounds(t *testing.T) {
-	r := newRig(t, true)
+func TestRequestValidation(t *testing.T) {
+	f := newFixture(t, true)
 	post := func(path, id, prefix, body string) int {
-		req, err := http.NewRequest(http.MethodPost, r.srv.URL+path, strings.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, f.srv.URL+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,19 +36,19 @@
 		{"/v1/offers/o/again", "e", "", `"` + strings.Repeat("x", 5000) + `"`, 413}, {"/v1/offers/o/again", "f", "p/10", "{}", 200},
 	} {
 		if got := post(c.path, c.id, c.prefix, c.body); got != c.want {
-			t.Errorf("%+v gave %d", c, got)
+			t.Errorf("%+v: status %d", c, got)
 		}
 	}
-	r.gate.StopAdmitting()
+	f.frontend.StopAdmitting()
 	if got := post("/v1/offers/o/again", "z", "", "{}"); got != 503 {
-		t.Errorf("a draining gate gave %d", got)
+		t.Errorf("a draining frontend: status %d", got)
 	}
 }
 
-func TestBodiesWaitForCapacity(t *testing.T) {
-	r := newRig(t, true)
+func TestRequestsBeyondMaxStreamsAreRejected(t *testing.T) {
+	f := newFixture(t, true)
 	post := func(id string, body io.Reader) int {
-		req, err := http.NewRequest(http.MethodPost, r.srv.URL+"/v1/offers/o/again", body)
+		req, err := http.NewRequest(http.MethodPost, f.srv.URL+"/v1/offers/o/again", body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,19 +71,19 @@
 			t.Fatal(err)
 		}
 	}
-	for r.gate.RunningRequests() < len(slow) {
+	for f.frontend.RunningRequests() < len(slow) {
 		runtime.Gosched()
 	}
 	body, w := io.Pipe()
 	defer w.Close()
 	if got := post("third", body); got != http.StatusServiceUnavailable {
-		t.Errorf("a third body was read beyond the room of two: %d", got)
+		t.Errorf("a third request, with MaxStreams 2: status %d", got)
 	}
 	for i := range slow {
 		_, _ = slow[i].Write([]byte(`"`))
 		slow[i].Close()
 		if got := <-done; got != http.StatusOK {
-			t.Errorf("a slow body ended as %d", got)
+			t.Errorf("a request with a slow body: status %d", got)
 		}
 	}
 }
--- a/httpapi/doc.go
+++ b/httpapi/doc.go
@@ -1,2 +1,6 @@
-// Package httpapi is the product's own HTTP interface: requests to services, operators' calls, status and counters, as chains of filters.
+// Package httpapi implements the HTTP interface of a node that runs without a platform: requests to services, operators' calls, health checks,
+// status and counters.
+//
+// A Frontend serves requests to services. It passes each request through a chain of filters, of which the last drives the request's
+// router.RequestFlow to its end. Operations serves the other paths; its Routes method adds all paths to a router of package bunrouter.
 package httpapi
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -25,26 +25,31 @@
 	"github.com/mallowbridge/mallowbridge/standin"
 )
 
-type rig struct {
-	t     *testing.T
-	addrs []string
-	logs  [2]bytes.Buffer
-	desk  *router.Loop
-	gate  *httpapi.Frontend
-	srv   *httptest.Server
-	tomb  *tomb.Tomb
-	now   atomic.Int64
+// fixture is a frontend with its HTTP server and two stand-in replicas, r1 in the node's zone a and r2 in zone b.
+type fixture struct {
+	t *testing.T
+	// addrs and logs contain the addresses of the replicas and the logs of their runs.
+	addrs    []string
+	logs     [2]bytes.Buffer
+	loop     *router.Loop
+	frontend *httpapi.Frontend
+	srv      *httptest.Server
+	tomb     *tomb.Tomb
+	// now is the time of the fixture's clock in nanoseconds.
+	now atomic.Int64
 }
 
-func (r *rig) later(d time.Duration) {
-	r.desk.Inspect(func(*router.Router) {})
-	r.now.Add(int64(d))
-	r.desk.Notify(router.ControlStatus{})
+// advance waits until the router has processed all earlier events, then moves the clock forward.
+func (f *fixture) advance(d time.Duration) {
+	f.loop.Inspect(func(*router.Router) {})
+	f.now.Add(int64(d))
+	f.loop.Notify(router.ControlStatus{})
 }
 
-func newRig(t *testing.T, first bool) *rig {
-	r := &rig{t: t, tomb: &tomb.Tomb{}}
-	clock := func() time.Duration { return time.Duration(r.now.Load()) }
+// newFixture starts a fixture whose witnesses allow each request to be sent if allowed is set, otherwise none.
+func newFixture(t *testing.T, allowed bool) *fixture {
+	f := &fixture{t: t, tomb: &tomb.Tomb{}}
+	clock := func() time.Duration { return time.Duration(f.now.Load()) }
 	m := replica.DefaultModel()
 	m.Base, m.PerToken, m.Every, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
 	reps := ""
@@ -53,10 +58,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		standin.NewReplica(r.tomb, standin.ReplicaOptions{
-			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Runs: &r.logs[i], Clock: clock,
+		standin.NewReplica(f.tomb, standin.ReplicaOptions{
+			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Runs: &f.logs[i], Clock: clock,
 		}).Serve(lis)
-		r.addrs = append(r.addrs, lis.Addr().String())
+		f.addrs = append(f.addrs, lis.Addr().String())
 		reps += fmt.Sprintf(`,{"name":"r%d","addr":"%s","domain":"%c"}`, i+1, lis.Addr(), 'a'+i)
 	}
 	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[` + reps[1:] +
@@ -64,59 +69,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk = router.NewLoop(r.tomb, router.New(router.Defaults("n1", "b", "a")), clock, time.Millisecond)
+	f.loop = router.NewLoop(f.tomb, router.New(router.Defaults("n1", "b", "a")), clock, time.Millisecond)
 	for _, ev := range []router.Event{
 		router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 1, Config: c}}, router.Routers{Names: []string{"n1"}}, router.ControlStatus{},
 		router.LoadReport{Replica: "r1", InstanceID: "i1"}, router.LoadReport{Replica: "r2", InstanceID: "i2"},
 	} {
-		r.desk.Notify(ev)
+		f.loop.Notify(ev)
 	}
-	r.later(3 * time.Second)
-	r.gate = httpapi.New(r.desk, func(string, time.Duration, bool) router.AttemptResult {
-		return map[bool]router.AttemptResult{true: "", false: router.Suppressed}[first]
+	f.advance(3 * time.Second)
+	f.frontend = httpapi.New(f.loop, func(string, time.Duration, bool) router.AttemptResult {
+		return map[bool]router.AttemptResult{true: "", false: router.Suppressed}[allowed]
 	}, httpapi.DefaultLimits(4096, 2))
-	r.gate.NodeID = "n1.b"
+	f.frontend.NodeID = "n1.b"
 	mux := bunrouter.New()
-	mux.POST("/v1/offers/:offer/:kind", r.gate.Handler())
-	r.srv = httptest.NewServer(mux)
+	mux.POST("/v1/offers/:offer/:kind", f.frontend.Handler())
+	f.srv = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		r.srv.Close()
-		r.tomb.Kill(nil)
-		_ = r.tomb.Wait()
+		f.srv.Close()
+		f.tomb.Kill(nil)
+		_ = f.tomb.Wait()
 	})
-	return r
+	return f
 }
 
-func (r *rig) fault(replica int, f standin.Fault) {
-	raw, err := json.Marshal(f)
+func (f *fixture) injectFault(replica int, fault standin.Fault) {
+	raw, err := json.Marshal(fault)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	resp, err := http.Post("http://"+r.addrs[replica]+"/faults", "application/json", bytes.NewReader(raw))
+	resp, err := http.Post("http://"+f.addrs[replica]+"/faults", "application/json", bytes.NewReader(raw))
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	resp.Body.Close()
 }
 
-func (r *rig) ask(kind, id string) ledger.Got {
+// send sends a request and returns what the client received.
+func (f *fixture) send(kind, id string) ledger.Got {
 	a := standin.NewAgent(nil)
-	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), workload.Request{
+	return a.Once(context.Background(), strings.TrimPrefix(f.srv.URL, "http://"), workload.Request{
 		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
-func (r *rig) ran() []ledger.Ran {
-	r.srv.Close()
-	r.tomb.Kill(nil)
-	_ = r.tomb.Wait()
+// stopAndReadRuns stops the fixture and returns the runs that the replicas logged.
+func (f *fixture) stopAndReadRuns() []ledger.Ran {
+	f.srv.Close()
+	f.tomb.Kill(nil)
+	_ = f.tomb.Wait()
 	var runs []ledger.Ran
-	for i := range r.logs {
-		dec := json.NewDecoder(&r.logs[i])
+	for i := range f.logs {
+		dec := json.NewDecoder(&f.logs[i])
 		for dec.More() {
 			var x ledger.Ran
 			if err := dec.Decode(&x); err != nil {
-				r.t.Fatal(err)
+				f.t.Fatal(err)
 			}
 			runs = append(runs, x)
 		}
@@ -124,41 +131,43 @@
 	return runs
 }
 
-func TestEachStageOfAFailedAttempt(t *testing.T) {
+// TestFailuresAtEachStageOfAnAttempt checks the outcome of a request whose first attempt fails at a certain stage, for the idempotent class
+// "again" and the non-idempotent class "once". An idempotent request is retried unless a part of the response was forwarded.
+func TestFailuresAtEachStageOfAnAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		fault       standin.Fault
 		again, once string
 	}{
-		{"sound", standin.Fault{}, "done", "done"},
-		{"cut before it runs", standin.Fault{DisconnectAt: "read"}, "done", "unknown"},
-		{"cut after it began", standin.Fault{DisconnectAt: "begun"}, "done", "unknown"},
-		{"cut before the first piece", standin.Fault{DisconnectAt: "piece"}, "done", "unknown"},
-		{"cut after two pieces", standin.Fault{DisconnectAt: "piece", DisconnectAfter: 2}, "partial", "partial"},
-		{"ends without an end mark", standin.Fault{Twist: "end", DisconnectAfter: 3}, "partial", "partial"},
-		{"another go's id", standin.Fault{Twist: "go", DisconnectAfter: 2}, "partial", "partial"},
-		{"another go's id at once", standin.Fault{Twist: "go"}, "done", "unknown"},
-		{"another instance", standin.Fault{Twist: "instance", DisconnectAfter: 2}, "partial", "partial"},
-		{"a piece is skipped", standin.Fault{Twist: "skip", DisconnectAfter: 2}, "partial", "partial"},
+		{"no fault", standin.Fault{}, "done", "done"},
+		{"disconnected before the run", standin.Fault{DisconnectAt: "read"}, "done", "unknown"},
+		{"disconnected after the run began", standin.Fault{DisconnectAt: "begun"}, "done", "unknown"},
+		{"disconnected before the first chunk", standin.Fault{DisconnectAt: "piece"}, "done", "unknown"},
+		{"disconnected after two chunks", standin.Fault{DisconnectAt: "piece", DisconnectAfter: 2}, "partial", "partial"},
+		{"ends without an end line", standin.Fault{Twist: "end", DisconnectAfter: 3}, "partial", "partial"},
+		{"wrong attempt ID after two chunks", standin.Fault{Twist: "go", DisconnectAfter: 2}, "partial", "partial"},
+		{"wrong attempt ID in the first line", standin.Fault{Twist: "go"}, "done", "unknown"},
+		{"wrong instance ID after two chunks", standin.Fault{Twist: "instance", DisconnectAfter: 2}, "partial", "partial"},
+		{"a chunk is skipped", standin.Fault{Twist: "skip", DisconnectAfter: 2}, "partial", "partial"},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			for kind, want := range map[string]string{"again": c.again, "once": c.once} {
-				r := newRig(t, true)
-				f := c.fault
-				f.Times = 1
+				f := newFixture(t, true)
+				fault := c.fault
+				fault.Times = 1
 				if kind == "again" {
 					for i := range 6 {
-						if g := r.ask("again", fmt.Sprintf("warm-%d", i)); g.Outcome != "done" {
-							t.Fatalf("warming up gave %s", g.Outcome)
+						if g := f.send("again", fmt.Sprintf("warm-%d", i)); g.Outcome != "done" {
+							t.Fatalf("a request before the fault ended as %s", g.Outcome)
 						}
 					}
 				}
-				r.fault(0, f)
-				g := r.ask(kind, "q1")
+				f.injectFault(0, fault)
+				g := f.send(kind, "q1")
 				if g.Outcome != want {
 					t.Errorf("%s: %s, want %s", kind, g.Outcome, want)
 				}
-				if bs := ledger.Check(r.ran(), []ledger.Got{g}); len(bs) > 0 {
+				if bs := ledger.Check(f.stopAndReadRuns(), []ledger.Got{g}); len(bs) > 0 {
 					t.Errorf("%s: %v", kind, bs)
 				}
 			}
@@ -166,10 +175,10 @@
 	}
 }
 
-func TestUnreachedReplicaCostsNoAttempt(t *testing.T) {
-	r := newRig(t, true)
+func TestFailedConnectionDoesNotCountAsAttempt(t *testing.T) {
+	f := newFixture(t, true)
 	for i := range 6 {
-		r.ask("again", fmt.Sprintf("warm-%d", i))
+		f.send("again", fmt.Sprintf("warm-%d", i))
 	}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -178,33 +187,33 @@
 	closed := lis.Addr().String()
 	lis.Close()
 	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","crossCost":50,"cold":{"rampMs":0},"replicas":[{"name":"r9","addr":"` + closed +
-		`","domain":"a"},{"name":"r2","addr":"` + r.addrs[1] + `","domain":"b"}],"kinds":[{"name":"once"}]}]}`))
+		`","domain":"a"},{"name":"r2","addr":"` + f.addrs[1] + `","domain":"b"}],"kinds":[{"name":"once"}]}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.desk.Notify(router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 2, Config: c}})
-	r.desk.Notify(router.LoadReport{Replica: "r9", InstanceID: "i9"})
-	r.later(3 * time.Second)
-	if g := r.ask("once", "q1"); g.Outcome != "done" {
-		t.Errorf("%s, though nothing had left for the dead replica", g.Outcome)
+	f.loop.Notify(router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: 2, Config: c}})
+	f.loop.Notify(router.LoadReport{Replica: "r9", InstanceID: "i9"})
+	f.advance(3 * time.Second)
+	if g := f.send("once", "q1"); g.Outcome != "done" {
+		t.Errorf("outcome %s, although nothing was sent to the unreachable replica", g.Outcome)
 	}
 }
 
-func TestRepeatsAreNotRun(t *testing.T) {
-	r := newRig(t, true)
+func TestRepeatedNonIdempotentRequestsAreNotSent(t *testing.T) {
+	f := newFixture(t, true)
 	for i, want := range []string{"done", "repeat"} {
-		if g := r.ask("once", "same"); g.Outcome != want {
-			t.Errorf("time %d: %s", i+1, g.Outcome)
+		if g := f.send("once", "same"); g.Outcome != want {
+			t.Errorf("request %d: outcome %s", i+1, g.Outcome)
 		}
 	}
-	w := newRig(t, false)
-	if g := w.ask("once", "seen elsewhere"); g.Outcome != "bad" {
-		t.Errorf("an id with a blank in it: %s", g.Outcome)
+	suppressing := newFixture(t, false)
+	if g := suppressing.send("once", "seen elsewhere"); g.Outcome != "bad" {
+		t.Errorf("a request ID with a space: outcome %s", g.Outcome)
 	}
-	if g := w.ask("once", "seen-elsewhere"); g.Outcome != "repeat" {
-		t.Errorf("a witness had seen it: %s", g.Outcome)
+	if g := suppressing.send("once", "seen-elsewhere"); g.Outcome != "repeat" {
+		t.Errorf("a request that the witnesses saw before: outcome %s", g.Outcome)
 	}
-	if runs := w.ran(); len(runs) > 0 {
-		t.Errorf("it ran all the same: %v", runs)
+	if runs := suppressing.stopAndReadRuns(); len(runs) > 0 {
+		t.Errorf("suppressed requests ran: %v", runs)
 	}
 }
--- a/httpapi/health.go
+++ b/httpapi/health.go
@@ -10,45 +10,45 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-type healthAnswer struct {
+type healthResponse struct {
 	Health string `json:"health"`
 }
 
-type readyAnswer struct {
-	Ready string `json:"ready"`
-	Why   string `json:"why,omitempty"`
+type readinessResponse struct {
+	Ready  string `json:"ready"`
+	Reason string `json:"why,omitempty"`
 }
 
 func (*Operations) health(w http.ResponseWriter, _ bunrouter.Request) error {
-	return reply(w, http.StatusOK, healthAnswer{Health: "ok"})
+	return respondJSON(w, http.StatusOK, healthResponse{Health: "ok"})
 }
 
 func (o *Operations) readiness(w http.ResponseWriter, _ bunrouter.Request) error {
-	why := "draining"
+	reason := "draining"
 	if o.Frontend.InRotation() {
-		o.Frontend.router.Inspect(func(r *router.Router) { why = r.NotReady(o.Clock()) })
+		o.Frontend.router.Inspect(func(r *router.Router) { reason = r.NotReady(o.Clock()) })
 	}
-	if why != "" {
+	if reason != "" {
 		w.Header().Set("Retry-After", "1")
-		return reply(w, http.StatusServiceUnavailable, readyAnswer{Ready: "no", Why: why})
+		return respondJSON(w, http.StatusServiceUnavailable, readinessResponse{Ready: "no", Reason: reason})
 	}
-	return reply(w, http.StatusOK, readyAnswer{Ready: "yes"})
+	return respondJSON(w, http.StatusOK, readinessResponse{Ready: "yes"})
 }
 
 func (o *Operations) status(w http.ResponseWriter, _ bunrouter.Request) error {
 	var s control.Status
 	o.Control.Inspect(func(n *control.Node) { s = n.Status(o.Clock()) })
-	return reply(w, http.StatusOK, s)
+	return respondJSON(w, http.StatusOK, s)
 }
 
 func (o *Operations) quotas(w http.ResponseWriter, _ bunrouter.Request) error {
 	var rows []quota.TenantStatus
 	o.Control.Inspect(func(n *control.Node) { rows = n.QuotaStatus(o.Clock()) })
-	return reply(w, http.StatusOK, rows)
+	return respondJSON(w, http.StatusOK, rows)
 }
 
-// loop is that of this node's router.
-func (o *Operations) loop() *router.Loop {
+// routerLoop returns the loop of this node's router.
+func (o *Operations) routerLoop() *router.Loop {
 	if o.Frontend != nil {
 		return o.Frontend.router
 	}
@@ -58,26 +58,28 @@
 func (o *Operations) counters(w http.ResponseWriter, _ bunrouter.Request) error {
 	c := map[string]uint64{}
 	if o.Frontend != nil {
-		o.Frontend.count(c)
+		o.Frontend.addCounters(c)
 	}
-	o.loop().Inspect(func(r *router.Router) { count(c, r) })
+	o.routerLoop().Inspect(func(r *router.Router) { addRouterCounters(c, r) })
 	if o.ExtraCounters != nil {
 		for k, v := range o.ExtraCounters() {
 			c[k] = v
 		}
 	}
-	return reply(w, http.StatusOK, c)
+	return respondJSON(w, http.StatusOK, c)
 }
 
-// count adds the published counters. Their prefixes gate, bid and hint are those that operators know.
-func (f *Frontend) count(c map[string]uint64) {
+// addCounters adds the frontend's counters to c. The published names have the prefixes "gate" (frontend), "bid" (scheduler) and "hint" (prefix
+// index), which operators' tools rely on.
+func (f *Frontend) addCounters(c map[string]uint64) {
 	n := &f.Counters
 	c["gate.requests"], c["gate.denied"], c["gate.repeats"] = n.Requests.Load(), n.Rejected.Load(), n.Repeated.Load()
 	c["gate.done"], c["gate.partial"], c["gate.unknown"] = n.Done.Load(), n.Partial.Load(), n.Unknown.Load()
 	c["gate.bad"], c["gate.hangups"], c["gate.breaks"] = n.Invalid.Load(), n.ClientDisconnects.Load(), n.FailedAttempts.Load()
 }
 
-func count(c map[string]uint64, r *router.Router) {
+// addRouterCounters adds the counters of the scheduler and of the prefix index to c.
+func addRouterCounters(c map[string]uint64, r *router.Router) {
 	m := r.Counters()
 	h, t := r.IndexStats()
 	early, stale := r.Alerts()
@@ -89,13 +91,13 @@
 		"bid.silent": m.ResponseTimeouts, "bid.unreached": m.NotSent, "bid.refused": m.Refused, "bid.firstTokenInTime": m.FirstTokenInTime,
 		"hint.recorded": h.Recorded, "hint.confirmed": h.Confirmed, "hint.earlyExpiry": h.EarlyExpiries,
 		"hint.staleExpiry": h.StaleExpiries, "hint.inferredEvictions": h.InferredEvictions, "hint.resets": h.Resets,
-		"hint.ttlMs": uint64(t.Milliseconds()), "hint.earlyAlert": flag(early), "hint.staleAlert": flag(stale),
+		"hint.ttlMs": uint64(t.Milliseconds()), "hint.earlyAlert": oneIfTrue(early), "hint.staleAlert": oneIfTrue(stale),
 	} {
 		c[k] = v
 	}
 }
 
-func flag(b bool) uint64 {
+func oneIfTrue(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -13,192 +11,127 @@
 
 	"github.com/mallowbridge/mallowbridge/config"
 	"github.com/mallowbridge/mallowbridge/control"
-	"github.com/mallowbridge/mallowbridge/register"
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// Control is the node's control side: the daemon. Call runs a read and waits for its answer, Order an operator's order that came with the
-// request of ctx; Look calls look in the goroutine that owns the control state.
+// Control runs operations on the node's control state. *daemon.Daemon implements it.
 type Control interface {
+	// Call runs an operation and waits for its result.
 	Call(op control.Op) control.Answer
+	// CallForOperator runs an operator request that arrived with the HTTP request of ctx, and waits for its result.
 	CallForOperator(ctx context.Context, op control.Op) control.Answer
-	Inspect(look func(n *control.Node))
+	// Inspect calls inspect in the goroutine that owns the control state.
+	Inspect(inspect func(n *control.Node))
 }
 
-// Operations serves operators' calls, health, status and counters. Frontend is nil, and Router set, where this node serves another
-// interface; Extra adds counters to the published ones.
+// Operations serves operators' calls, health checks, status and counters.
 type Operations struct {
-	Control       Control
-	Frontend      *Frontend
-	Router        *router.Loop
-	Clock         func() time.Duration
+	Control Control
+	// Frontend is nil, and Router is set, if the node does not serve requests through a Frontend.
+	Frontend *Frontend
+	Router   *router.Loop
+	Clock    func() time.Duration
+	// ExtraCounters, if set, returns further counters to publish.
 	ExtraCounters func() map[string]uint64
 }
 
-// ConfigurationResponse is the answer to operators' calls that succeed: the version of this change, the newest one, and what holds there. The
-// JSON names are published: version is a version, emptied the evacuated zones.
-type ConfigurationResponse struct {
-	Version       uint64           `json:"mark"`
-	LatestVersion uint64           `json:"now"`
-	Evacuated     []string         `json:"emptied"`
-	Voters        []register.Voter `json:"voters"`
-	Config        json.RawMessage  `json:"config,omitempty"`
-}
-
-// OperatorErrorResponse is the answer to operators' calls that fail. Its JSON name fate says "unchanged", or "unknown" where the change may yet hold.
-type OperatorErrorResponse struct {
-	Error      string             `json:"error"`
-	Effect     string             `json:"fate"`
-	Version    *uint64            `json:"mark,omitempty"`
-	Violations []config.Violation `json:"flaws,omitempty"`
-}
-
-// Routes adds all paths of the product's own interface.
+// Routes adds all paths of this interface.
 func (o *Operations) Routes(r *bunrouter.Router) {
 	r.POST("/v1/offers/:offer/:kind", o.Frontend.Handler())
 	r.GET("/healthz", o.health)
 	r.GET("/readyz", o.readiness)
 	o.StatusRoutes(r)
-	r.GET("/v1/config", o.get)
-	r.PUT("/v1/config", o.put)
-	r.POST("/v1/domains/:domain/empty", o.zone(control.Evacuate{}))
-	r.POST("/v1/domains/:domain/restore", o.zone(control.Evacuate{Restore: true}))
-	r.POST("/v1/found", o.voters(func(_ string, names []string) control.Op { return control.Bootstrap{Names: names} }))
-	r.POST("/v1/voters", o.voters(func(id string, names []string) control.Op { return control.ReplaceVoters{ID: id, Names: names} }))
-	r.POST("/v1/replicas", o.replicas)
+	r.GET("/v1/config", o.getConfig)
+	r.PUT("/v1/config", o.putConfig)
+	r.POST("/v1/domains/:domain/empty", o.zoneHandler(control.Evacuate{}))
+	r.POST("/v1/domains/:domain/restore", o.zoneHandler(control.Evacuate{Restore: true}))
+	r.POST("/v1/found", o.votersHandler(func(_ string, names []string) control.Op { return control.Bootstrap{Names: names} }))
+	r.POST("/v1/voters", o.votersHandler(func(id string, names []string) control.Op { return control.ReplaceVoters{ID: id, Names: names} }))
+	r.POST("/v1/replicas", o.setReplicaStates)
 }
 
-// StatusRoutes adds what an operator looks at: the node's status, its counters, and tenants' quotas as it sees them.
+// StatusRoutes adds the read-only paths for operators: the node's status, its counters, and the tenants' quotas as this node knows them.
 func (o *Operations) StatusRoutes(r *bunrouter.Router) {
 	r.GET("/v1/status", o.status)
 	r.GET("/v1/counters", o.counters)
 	r.GET("/v1/quotas", o.quotas)
 }
 
-func reply(w http.ResponseWriter, status int, v any) error {
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v)
-	return nil
-}
-
-// fail answers with the status that belongs to an error's type.
-func fail(w http.ResponseWriter, err error) error {
-	var bad *config.InvalidError
-	var conflict *register.ConflictError
-	var unknown *register.OutcomeUnknownError
-	var forgotten *register.BaseTooOldError
-	var fenced *register.ScopeConflictError
-	var unreached *register.NoQuorumError
-	var unfounded *register.NotBootstrappedError
-	var stale *control.StaleRequestError
-	var left *control.ClientDisconnectedError
-	var name *control.NameError
-	var long *http.MaxBytesError
-	t := OperatorErrorResponse{Error: err.Error(), Effect: "unchanged"}
-	status := http.StatusInternalServerError
-	switch {
-	case errors.As(err, &bad):
-		status, t.Violations, t.Error = http.StatusUnprocessableEntity, bad.Violations, "configuration is flawed"
-	case errors.As(err, &conflict):
-		status, t.Version = http.StatusConflict, &conflict.Version
-	case errors.As(err, &unknown), errors.As(err, &forgotten):
-		status, t.Effect = http.StatusGatewayTimeout, "unknown"
-	case errors.As(err, &unreached), errors.As(err, &unfounded), errors.As(err, &fenced), errors.As(err, &stale), errors.As(err, &left):
-		status = http.StatusServiceUnavailable
-		w.Header().Set("Retry-After", "2")
-	case errors.As(err, &name):
-		status = http.StatusUnprocessableEntity
-	case errors.As(err, &long):
-		status = http.StatusRequestEntityTooLarge
-	}
-	return reply(w, status, t)
-}
-
-func violation(path, val, bound string) error {
-	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}}
-}
-
-// changeID is the id by which a change that is sent again is known.
+// changeID returns the X-Change-Id header. An operator that repeats a change sends the same ID again, so that the change takes effect only
+// once.
 func (*Operations) changeID(r bunrouter.Request) (string, error) {
 	id := r.Header.Get("X-Change-Id")
-	if !clean(id, 128) {
+	if !validID(id, 128) {
 		return "", violation("X-Change-Id", strconv.Quote(id), "1 to 128 printable bytes, the same when a change is repeated")
 	}
 	return id, nil
 }
 
-func body(w http.ResponseWriter, r bunrouter.Request) ([]byte, error) {
+func readBody(w http.ResponseWriter, r bunrouter.Request) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
 }
 
-func open(w http.ResponseWriter, r bunrouter.Request) (*config.Decoder, error) {
-	raw, err := body(w, r)
+// decodeBody reads the body of a request and returns a decoder for it.
+func decodeBody(w http.ResponseWriter, r bunrouter.Request) (*config.Decoder, error) {
+	raw, err := readBody(w, r)
 	if err != nil {
 		return nil, err
 	}
 	return config.Open(raw)
 }
 
-func (*Operations) answer(w http.ResponseWriter, a control.Answer) error {
-	if a.Err != nil {
-		return fail(w, a.Err)
-	}
-	v := a.Value
-	return reply(w, http.StatusOK, ConfigurationResponse{Version: a.Version, LatestVersion: v.Version, Evacuated: append([]string{}, v.EvacuatedZones...), Voters: v.Voters, Config: v.Document})
-}
-
-func (o *Operations) get(w http.ResponseWriter, _ bunrouter.Request) error {
-	return o.answer(w, o.Control.Call(control.Get{}))
+func (o *Operations) getConfig(w http.ResponseWriter, _ bunrouter.Request) error {
+	return o.respondAnswer(w, o.Control.Call(control.Get{}))
 }
 
-func (o *Operations) put(w http.ResponseWriter, r bunrouter.Request) error {
+func (o *Operations) putConfig(w http.ResponseWriter, r bunrouter.Request) error {
 	id, err := o.changeID(r)
 	if err != nil {
-		return fail(w, err)
+		return respondFailure(w, err)
 	}
 	expect, err := strconv.ParseUint(r.URL.Query().Get("expect"), 10, 64)
 	if err != nil {
-		return fail(w, violation("?expect", strconv.Quote(r.URL.Query().Get("expect")), "the mark this change expects"))
+		return respondFailure(w, violation("?expect", strconv.Quote(r.URL.Query().Get("expect")), "the version (mark) that this change expects"))
 	}
-	raw, err := body(w, r)
+	raw, err := readBody(w, r)
 	if err != nil {
-		return fail(w, err)
+		return respondFailure(w, err)
 	}
 	if _, err = config.Read(raw); err != nil {
-		return fail(w, err)
+		return respondFailure(w, err)
 	}
-	return o.answer(w, o.Control.CallForOperator(r.Context(), control.Put{ID: id, ExpectedVersion: expect, Document: raw}))
+	return o.respondAnswer(w, o.Control.CallForOperator(r.Context(), control.Put{ID: id, ExpectedVersion: expect, Document: raw}))
 }
 
-// zone answers a call on one zone; kind is the order without its zone and id.
-func (o *Operations) zone(kind control.Evacuate) bunrouter.HandlerFunc {
+// zoneHandler returns the handler of a call that evacuates or restores one zone. template is the operation without its zone and ID.
+func (o *Operations) zoneHandler(template control.Evacuate) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
-			return fail(w, err)
+			return respondFailure(w, err)
 		}
 		name := r.Param("domain")
 		known := false
 		o.Control.Inspect(func(n *control.Node) { known = n.KnowsZone(name) })
 		if !known {
-			return fail(w, &control.NameError{Name: name, Cause: control.ErrUnknownZone})
+			return respondFailure(w, &control.NameError{Name: name, Cause: control.ErrUnknownZone})
 		}
-		op := kind
+		op := template
 		op.ID, op.Zone = id, name
-		return o.answer(w, o.Control.CallForOperator(r.Context(), op))
+		return o.respondAnswer(w, o.Control.CallForOperator(r.Context(), op))
 	}
 }
 
-func (o *Operations) voters(op func(id string, names []string) control.Op) bunrouter.HandlerFunc {
+// votersHandler returns the handler of a call whose body lists the names of voters. op returns the operation.
+func (o *Operations) votersHandler(op func(id string, names []string) control.Op) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		id, err := o.changeID(r)
 		if err != nil {
-			return fail(w, err)
+			return respondFailure(w, err)
 		}
-		d, err := open(w, r)
+		d, err := decodeBody(w, r)
 		if err != nil {
-			return fail(w, err)
+			return respondFailure(w, err)
 		}
 		var names []string
 		for _, e := range d.List("voters", 1, 15) {
@@ -206,37 +139,33 @@
 		}
 		d.Close()
 		if err = d.Err(); err != nil {
-			return fail(w, err)
+			return respondFailure(w, err)
 		}
-		return o.answer(w, o.Control.CallForOperator(r.Context(), op(id, names)))
+		return o.respondAnswer(w, o.Control.CallForOperator(r.Context(), op(id, names)))
 	}
 }
 
-type takenAnswer struct {
-	Taken string `json:"taken"`
-}
-
-// replicas takes what operators say of replicas of the document.
-func (o *Operations) replicas(w http.ResponseWriter, r bunrouter.Request) error {
-	d, err := open(w, r)
+// setReplicaStates publishes the states (present, leaving or gone) that operators report for replicas of the configuration.
+func (o *Operations) setReplicaStates(w http.ResponseWriter, r bunrouter.Request) error {
+	d, err := decodeBody(w, r)
 	if err != nil {
-		return fail(w, err)
+		return respondFailure(w, err)
 	}
 	op := control.SetReplicaStates{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
-		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: router.ListingState(e.Str("state", true, 16))}
-		if !l.State.Valid() {
-			e.AddViolation(e.At("state"), string(l.State), "present, leaving or gone")
+		row := control.ReplicaState{Replica: e.Str("replica", true, 64), State: router.ListingState(e.Str("state", true, 16))}
+		if !row.State.Valid() {
+			e.AddViolation(e.At("state"), string(row.State), "present, leaving or gone")
 		}
 		e.Close()
-		op.Rows = append(op.Rows, l)
+		op.Rows = append(op.Rows, row)
 	}
 	d.Close()
 	if err = d.Err(); err != nil {
-		return fail(w, err)
+		return respondFailure(w, err)
 	}
 	if a := o.Control.CallForOperator(r.Context(), op); a.Err != nil {
-		return fail(w, a.Err)
+		return respondFailure(w, a.Err)
 	}
-	return reply(w, http.StatusOK, takenAnswer{Taken: strconv.Itoa(len(op.Rows))})
+	return respondJSON(w, http.StatusOK, acceptedResponse{Accepted: strconv.Itoa(len(op.Rows))})
 }
--- a/httpapi/replicaconn.go
+++ b/httpapi/replicaconn.go
@@ -14,36 +14,41 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// headBytes bounds the head of a replica's answer.
-const headBytes = 64 << 10
+// maxResponseHeadBytes is the maximum length of the head of a replica's response.
+const maxResponseHeadBytes = 64 << 10
 
-// replicaConn is one attempt at a replica: a connection of its own, whose goroutine reports to the session what happens on it.
+// replicaConn is one attempt of a request. It has its own connection to a replica and its own goroutine, which reports the events on the
+// connection to the session.
 type replicaConn struct {
 	frontend  *Frontend
 	placement router.Decision
 	exchange  *Exchange
-	events    chan router.ConnectionEvent
-	orders    chan router.ActionKind
-	quit      chan struct{}
+	// events contains the events for the session.
+	events chan router.ConnectionEvent
+	// actions contains the session's actions for this connection: router.AskWitnesses and router.Write.
+	actions chan router.ActionKind
+	// stopped is closed by stop.
+	stopped chan struct{}
 }
 
-// connect starts an attempt; stop ends it at once.
+// connect starts an attempt, which runs until it ends or stop is called.
 func (f *Frontend) connect(x *Exchange, place router.Decision) *replicaConn {
 	c := &replicaConn{
-		frontend: f, placement: place, exchange: x, events: make(chan router.ConnectionEvent), orders: make(chan router.ActionKind, 2), quit: make(chan struct{}),
+		frontend: f, placement: place, exchange: x, events: make(chan router.ConnectionEvent), actions: make(chan router.ActionKind, 2), stopped: make(chan struct{}),
 	}
 	go c.run()
 	return c
 }
 
-func (c *replicaConn) stop() { close(c.quit) }
+// stop ends the attempt at once and closes its connection.
+func (c *replicaConn) stop() { close(c.stopped) }
 
-// report gives the session an event; it is not ok once the attempt was stopped.
-func (c *replicaConn) report(s router.ConnectionEvent) bool {
+// report passes an event to the session. It returns false if the attempt was stopped.
+func (c *replicaConn) report(event router.ConnectionEvent) bool {
 	select {
-	case c.events <- s:
+	case c.events <- event:
 		return true
-	case <-c.quit:
+	case <-c.stopped:
 		return false
 	}
 }
@@ -58,7 +63,7 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-c.quit:
+		case <-c.stopped:
 		case <-done:
 		}
 		_ = conn.Close()
@@ -69,50 +74,50 @@
 	c.perform(conn)
 }
 
-// perform asks the witnesses and sends the request as the session orders, and ends with the answer.
+// perform performs the session's actions, asking the witnesses and sending the request, until the response ends or the attempt is stopped.
 func (c *replicaConn) perform(conn net.Conn) {
 	for {
 		select {
-		case order := <-c.orders:
-			if order == router.Write {
+		case action := <-c.actions:
+			if action == router.Write {
 				_ = c.sendAndRead(conn)
 				c.report(router.ConnectionLost{AttemptID: c.placement.AttemptID})
 				return
 			}
-			how := c.frontend.witness(c.exchange.request, c.placement.SpareTime, false)
-			if !c.report(router.WitnessesAnswered{AttemptID: c.placement.AttemptID, Result: how}) {
+			result := c.frontend.checkWitnesses(c.exchange.requestID, c.placement.SpareTime, false)
+			if !c.report(router.WitnessesAnswered{AttemptID: c.placement.AttemptID, Result: result}) {
 				return
 			}
-		case <-c.quit:
+		case <-c.stopped:
 			return
 		}
 	}
 }
 
-// sendAndRead sends the request and reports the answer's head and lines until it ends or fails.
+// sendAndRead sends the request and reports the head and the lines of the response until it ends or fails.
 func (c *replicaConn) sendAndRead(conn net.Conn) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(c.frontend.limits.WriteTimeout))
-	req := c.request()
+	req := c.newRequest()
 	var err error
 	if err = req.Write(conn); err != nil {
 		return err
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(c.frontend.limits.ResponseHeadTimeout))
-	resp, err := readHead(conn, req)
+	resp, err := readResponseHead(conn, req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	replied := router.ResponseHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
-	if !c.report(replied) {
+	head := router.ResponseHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: resp.Header.Get("X-Request-Attempt-Id"), Status: resp.StatusCode}
+	if !c.report(head) {
 		return nil
 	}
 	return c.readLines(conn, resp.Body)
 }
 
-// readHead reads the head of an answer, of bounded length, and passes over interim ones.
-func readHead(conn net.Conn, req *http.Request) (*http.Response, error) {
-	src := &io.LimitedReader{R: conn, N: headBytes}
+// readResponseHead reads the head of a response, at most maxResponseHeadBytes. It skips interim (1xx) responses.
+func readResponseHead(conn net.Conn, req *http.Request) (*http.Response, error) {
+	src := &io.LimitedReader{R: conn, N: maxResponseHeadBytes}
 	r := bufio.NewReader(src)
 	resp, err := http.ReadResponse(r, req)
 	for err == nil && resp.StatusCode/100 == 1 {
@@ -122,6 +127,7 @@
 	return resp, err
 }
 
+// readLines reports the lines of a response's body, each of which is a JSON object. Blank lines are skipped.
 func (c *replicaConn) readLines(conn net.Conn, body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), c.frontend.limits.MaxLineBytes)
@@ -143,14 +149,15 @@
 	}
 }
 
-func (c *replicaConn) request() *http.Request {
+// newRequest returns the HTTP request for the replica.
+func (c *replicaConn) newRequest() *http.Request {
 	req := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.placement.Addr, Path: "/v1/run"}, Host: c.placement.Addr,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Close: true,
 		Body: io.NopCloser(bytes.NewReader(c.exchange.body)), ContentLength: int64(len(c.exchange.body)),
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Request-Id", c.exchange.request)
+	req.Header.Set("X-Request-Id", c.exchange.requestID)
 	req.Header.Set("X-Request-Attempt-Id", c.placement.AttemptID)
 	if c.exchange.prefix != "" {
 		req.Header.Set("X-Prompt-Prefix", c.exchange.prefix)
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -8,32 +8,35 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// bytesPerToken reckons the tokens of a body.
+// bytesPerToken is used to estimate the number of tokens in a body.
 const bytesPerToken = 4
 
-// session drives one request: the router's decisions, the client and the attempt's connection feed its state machine, and it performs
-// the actions that come out.
+// session drives one request. It passes the router's decisions and the events of the client and of the current attempt's connection to a
+// router.RequestFlow, and performs the actions that the flow returns.
 type session struct {
 	frontend *Frontend
 	exchange *Exchange
-	request  router.RequestFlow
-	conn     *replicaConn
-	began    bool
-	polled   chan router.AttemptResult
-	enc      *json.Encoder
-	ctl      *http.ResponseController
+	flow     router.RequestFlow
+	// conn is the connection of the current attempt, or nil.
+	conn *replicaConn
+	// headerSent is set once the header of the client's response was sent.
+	headerSent bool
+	// earlyWitnessResults contains the answer of the witnesses to router.AskWitnessesEarly.
+	earlyWitnessResults chan router.AttemptResult
+	enc                 *json.Encoder
+	ctl                 *http.ResponseController
 }
 
-// route is the last filter: it runs the request to its end.
+// route is the last filter. It returns when the request has ended.
 func (f *Frontend) route(x *Exchange) bool {
 	s := &session{
-		frontend: f, exchange: x, request: router.RequestFlow{Request: x.request}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
-		polled: make(chan router.AttemptResult, 1),
+		frontend: f, exchange: x, flow: router.RequestFlow{Request: x.requestID}, enc: json.NewEncoder(x.w), ctl: http.NewResponseController(x.w),
+		earlyWitnessResults: make(chan router.AttemptResult, 1),
 	}
-	defer s.drop()
+	defer s.disconnect()
 	defer func() { _ = s.ctl.SetWriteDeadline(time.Time{}) }()
 	s.run(f.router.Submit(router.Arrival{
-		Request: x.request, Service: x.r.Param("offer"), Class: x.r.Param("kind"), Prefix: x.prefix, TailTokens: len(x.body) / bytesPerToken,
+		Request: x.requestID, Service: x.r.Param("offer"), Class: x.r.Param("kind"), Prefix: x.prefix, TailTokens: len(x.body) / bytesPerToken,
 	}))
 	return true
 }
@@ -47,67 +50,69 @@
 		select {
 		case <-s.exchange.r.Context().Done():
 			s.frontend.Counters.ClientDisconnects.Add(1)
-			s.perform(s.request.OnConnectionEvent(router.ClientClosed{}))
+			s.perform(s.flow.OnConnectionEvent(router.ClientClosed{}))
 			return
 		case d, ok := <-decisions:
 			if !ok {
 				d = router.Decision{Verdict: router.Unknown, Reason: "node is stopping"}
 			}
-			final = s.perform(s.request.OnDecision(d))
-		case how := <-s.polled:
-			final = s.perform(s.request.OnConnectionEvent(router.WitnessesAnswered{Result: how}))
+			final = s.perform(s.flow.OnDecision(d))
+		case result := <-s.earlyWitnessResults:
+			final = s.perform(s.flow.OnConnectionEvent(router.WitnessesAnswered{Result: result}))
 		case event := <-events:
-			final = s.perform(s.request.OnConnectionEvent(event))
+			final = s.perform(s.flow.OnConnectionEvent(event))
 		}
 	}
 }
 
-func (s *session) drop() {
+func (s *session) disconnect() {
 	if s.conn != nil {
 		s.conn.stop()
 		s.conn = nil
 	}
 }
 
-// perform does the actions in order and tells whether the request has ended.
+// perform performs actions in order and reports whether the request has ended.
 func (s *session) perform(actions []router.Action) bool {
-	for _, m := range actions {
-		switch m.Kind {
+	for _, action := range actions {
+		switch action.Kind {
 		case router.Connect:
-			s.conn = s.frontend.connect(s.exchange, m.Placement)
+			s.conn = s.frontend.connect(s.exchange, action.Placement)
 		case router.AskWitnesses, router.Write:
-			s.conn.orders <- m.Kind
+			s.conn.actions <- action.Kind
 		case router.AskWitnessesEarly:
-			go func() { s.polled <- s.frontend.witness(s.exchange.request, 0, true) }()
+			go func() { s.earlyWitnessResults <- s.frontend.checkWitnesses(s.exchange.requestID, 0, true) }()
 		case router.Disconnect:
-			s.drop()
+			s.disconnect()
 		case router.NotifyRouter:
-			if e, ok := m.Event.(router.AttemptEnded); ok && e.Result == router.Failed {
+			if e, ok := action.Event.(router.AttemptEnded); ok && e.Result == router.Failed {
 				s.frontend.Counters.FailedAttempts.Add(1)
 			}
-			s.frontend.router.Notify(m.Event)
+			s.frontend.router.Notify(action.Event)
 		case router.ForwardLine:
-			s.pass(m)
+			s.forwardLine(action)
 		case router.Finish:
-			s.close(m.Placement, m.Outcome)
+			s.finish(action.Placement, action.Outcome)
 			return true
 		}
 	}
 	return false
 }
 
-func (s *session) close(d router.Decision, outcome string) {
+// finish sends the response of a request that has no complete response yet, and counts the outcome. It aborts the connection of a client that
+// received a part of the response.
+func (s *session) finish(d router.Decision, outcome string) {
 	f, x := s.frontend, s.exchange
 	switch outcome {
 	case router.OutcomeInvalid:
-		f.bad(x, http.StatusNotFound, d.Reason)
+		f.respondInvalid(x, http.StatusNotFound, d.Reason)
 	case router.OutcomeRepeat:
 		f.rejectRepeated(x, d.Reason)
 	case router.OutcomeRejected:
 		f.reject(x, d.Reason, d.RetryAfter)
 	case router.OutcomeUnknown:
 		f.Counters.Unknown.Add(1)
-		f.answer(x, http.StatusBadGateway, ErrorResponse{Outcome: outcome, Attempt: d.AttemptID, Reason: d.Reason}, d.RetryAfter)
+		f.respondError(x, http.StatusBadGateway, ErrorResponse{Outcome: outcome, Attempt: d.AttemptID, Reason: d.Reason}, d.RetryAfter)
 	case router.OutcomePartial:
 		f.Counters.Partial.Add(1)
 		panic(http.ErrAbortHandler)
@@ -116,19 +121,19 @@
 	}
 }
 
-// pass sends a line to the client. A client that does not take it is gone.
-func (s *session) pass(m router.Action) {
-	if !s.began {
-		s.began = true
+// forwardLine sends a line of the response to the client. A client to which it cannot be written counts as disconnected.
+func (s *session) forwardLine(action router.Action) {
+	if !s.headerSent {
+		s.headerSent = true
 		h := s.exchange.w.Header()
 		h.Set("Content-Type", "application/x-ndjson")
-		h.Set("X-Request-Id", s.exchange.request)
-		h.Set("X-Request-Attempt-Id", m.Placement.AttemptID)
+		h.Set("X-Request-Id", s.exchange.requestID)
+		h.Set("X-Request-Attempt-Id", action.Placement.AttemptID)
 		s.exchange.w.WriteHeader(http.StatusOK)
 	}
 	_ = s.ctl.SetWriteDeadline(time.Now().Add(s.frontend.limits.WriteTimeout))
-	if s.enc.Encode(m.Line) != nil || s.ctl.Flush() != nil {
-		s.perform(s.request.OnConnectionEvent(router.ClientClosed{}))
+	if s.enc.Encode(action.Line) != nil || s.ctl.Flush() != nil {
+		s.perform(s.flow.OnConnectionEvent(router.ClientClosed{}))
 		panic(http.ErrAbortHandler)
 	}
 }
