--- a/daemon/call.go
+++ b/daemon/call.go
@@ -8,101 +8,108 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// answerSlack is how long after its deadline the answer to a call may come: the owner of control state acts on deadlines each tick.
-const answerSlack = 2 * ticks
+// answerGrace is how long after its deadline the answer to a call may arrive: the control loop checks deadlines only at each tick.
+const answerGrace = 2 * controlTickInterval
 
-// A call runs an operation, or a look, at the owner of control state. A deadline of 0 leaves the bound to the operation.
+// call is a message to the control loop. It runs an operation, calls inspect, or cancels an earlier call.
 type call struct {
-	// id is the Command's.
-	id       uint64
-	op       control.Op
+	// id is the ID of the control.Command.
+	id uint64
+	op control.Op
+	// deadline is the deadline of the control.Command, on Clock; 0 means the operation's own timeout.
 	deadline time.Duration
-	// cancelled says that the caller of the call of this id has left.
+	// cancelled is set in a message that cancels the earlier call with the same ID, because its client disconnected.
 	cancelled bool
-	look      func(n *control.Node)
-	reply     chan control.Answer
+	inspect   func(n *control.Node)
+	answer    chan control.Answer
 }
 
-// StoppingError says that the process ends. What was under way may have had its effect.
+// StoppingError reports that the process is stopping. An operation that was running may have taken effect.
 type StoppingError struct{}
 
 func (*StoppingError) Error() string { return "node is stopping" }
 
-func (h *Daemon) submit(in control.Input) {
+// submit passes an input to the control loop.
+func (d *Daemon) submit(in control.Input) {
 	select {
-	case h.in <- in:
-	case <-h.Tomb.Dying():
+	case d.inputs <- in:
+	case <-d.Tomb.Dying():
 	}
 }
 
-// Call runs an operation of this process's own and waits for its answer.
-func (h *Daemon) Call(op control.Op) control.Answer {
-	return h.call(context.Background(), h.newCall(op, 0), nil)
+// Call runs an operation within the operation's own timeout and waits for its answer. It checks neither for a pause of the process nor for a
+// disconnected client, so it is for reads and for operations that this process itself requests.
+func (d *Daemon) Call(op control.Op) control.Answer {
+	return d.call(context.Background(), d.newCall(op, 0), nil)
 }
 
-// CallWithDeadline runs an operation that has no effect after the deadline, on Clock, and answers soon after it at the latest, also where the
-// owner of control state is stuck. An order is not begun once ctx is done.
-func (h *Daemon) CallWithDeadline(ctx context.Context, deadline time.Duration, op control.Op) control.Answer {
-	overdue := time.NewTimer(deadline + answerSlack - Clock())
-	defer overdue.Stop()
-	return h.call(ctx, h.newCall(op, deadline), overdue.C)
+// CallWithDeadline runs an operation that has no effect after the deadline, which is a time on Clock. It returns at most answerGrace after the
+// deadline, even if the control loop is blocked. An operator request is not started once ctx is done.
+func (d *Daemon) CallWithDeadline(ctx context.Context, deadline time.Duration, op control.Op) control.Answer {
+	expired := time.NewTimer(deadline + answerGrace - Clock())
+	defer expired.Stop()
+	return d.call(ctx, d.newCall(op, deadline), expired.C)
 }
 
-// CallForOperator runs an operator's order that came with the request of ctx, within the operation's own bound. It has no effect where the request
-// may have lain here while the process stood still, nor where its caller has left.
-func (h *Daemon) CallForOperator(ctx context.Context, op control.Op) control.Answer {
-	_, err := h.PauseGuard.Admit(ctx, 0)
+// CallForOperator runs an operator request that arrived with the HTTP request of ctx, within the operation's own timeout. It has no effect if
+// the HTTP request may have waited on this machine while the process was paused, or if the client has disconnected.
+func (d *Daemon) CallForOperator(ctx context.Context, op control.Op) control.Answer {
+	_, err := d.PauseGuard.Admit(ctx, 0)
 	if err == nil {
-		err = h.confirmCaller(ctx, op)
+		err = d.checkClientConnected(ctx, op)
 	}
 	if err != nil {
 		return control.Answer{Err: err}
 	}
-	return h.call(ctx, h.newCall(op, 0), nil)
+	return d.call(ctx, d.newCall(op, 0), nil)
 }
 
-// confirmCaller fails where the caller of an order has left. Later the context tells.
-func (h *Daemon) confirmCaller(ctx context.Context, op control.Op) error {
-	err := awaitCaller(ctx, waitFor(op))
+// checkClientConnected returns an error if the client of an operator request has disconnected, after waiting as long as the operation requires.
+// From then on, the context reports whether the client disconnects.
+func (d *Daemon) checkClientConnected(ctx context.Context, op control.Op) error {
+	err := awaitDisconnect(ctx, disconnectWaitFor(op))
 	if err != nil {
-		h.PauseGuard.ClientsDisconnected.Add(1)
+		d.PauseGuard.ClientsDisconnected.Add(1)
 	}
 	return err
 }
 
-// Inspect runs look at the owner of control state and waits until it is done.
-func (h *Daemon) Inspect(look func(n *control.Node)) {
-	h.call(context.Background(), call{look: look, reply: make(chan control.Answer, 1)}, nil)
+// Inspect calls inspect in the goroutine that owns the control state, and waits until it returns.
+func (d *Daemon) Inspect(inspect func(n *control.Node)) {
+	d.call(context.Background(), call{inspect: inspect, answer: make(chan control.Answer, 1)}, nil)
 }
 
-func (h *Daemon) newCall(op control.Op, deadline time.Duration) call {
-	return call{id: h.calledIDs.Add(1), op: op, deadline: deadline, reply: make(chan control.Answer, 1)}
+func (d *Daemon) newCall(op control.Op, deadline time.Duration) call {
+	return call{id: d.lastCallID.Add(1), op: op, deadline: deadline, answer: make(chan control.Answer, 1)}
 }
 
-func (h *Daemon) call(ctx context.Context, c call, overdue <-chan time.Time) control.Answer {
+// call passes c to the control loop and waits for its answer. expired ends the wait: with a register.NoQuorumError if the control loop has not
+// received c, otherwise with a register.OutcomeUnknownError, because the operation may have taken effect. When ctx is done, c is cancelled;
+// if the control loop has received c, call still waits for the answer.
+func (d *Daemon) call(ctx context.Context, c call, expired <-chan time.Time) control.Answer {
 	select {
-	case h.calls <- c:
+	case d.calls <- c:
 	case <-ctx.Done():
 		return control.Answer{Err: &control.ClientDisconnectedError{}}
-	case <-overdue:
+	case <-expired:
 		return control.Answer{Err: &register.NoQuorumError{}}
-	case <-h.Tomb.Dying():
+	case <-d.Tomb.Dying():
 		return control.Answer{Err: &StoppingError{}}
 	}
-	left := ctx.Done()
+	disconnected := ctx.Done()
 	var cancels chan<- call
 	for {
 		select {
-		case a := <-c.reply:
+		case a := <-c.answer:
 			return a
-		case <-left:
-			left, cancels = nil, h.calls
-			h.PauseGuard.ClientsDisconnected.Add(1)
+		case <-disconnected:
+			disconnected, cancels = nil, d.calls
+			d.PauseGuard.ClientsDisconnected.Add(1)
 		case cancels <- call{id: c.id, cancelled: true}:
 			cancels = nil
-		case <-overdue:
+		case <-expired:
 			return control.Answer{Err: &register.OutcomeUnknownError{}}
-		case <-h.Tomb.Dying():
+		case <-d.Tomb.Dying():
 			return control.Answer{Err: &StoppingError{}}
 		}
 	}
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -12,19 +12,19 @@
 )
 
 func TestCallIsAnsweredWhileControlLoopIsBlocked(t *testing.T) {
-	h := &Daemon{Tomb: &tomb.Tomb{}, calls: make(chan call)}
-	overdue := make(chan time.Time, 1)
-	overdue <- time.Time{}
-	var none *register.NoQuorumError
-	if a := h.call(t.Context(), call{op: control.Get{}, reply: make(chan control.Answer, 1)}, overdue); !errors.As(a.Err, &none) {
-		t.Errorf("not taken over: %v", a.Err)
+	d := &Daemon{Tomb: &tomb.Tomb{}, calls: make(chan call)}
+	expired := make(chan time.Time, 1)
+	expired <- time.Time{}
+	var noQuorum *register.NoQuorumError
+	if a := d.call(t.Context(), call{op: control.Get{}, answer: make(chan control.Answer, 1)}, expired); !errors.As(a.Err, &noQuorum) {
+		t.Errorf("a call that the control loop did not receive returned %v, not a NoQuorumError", a.Err)
 	}
 	go func() {
-		<-h.calls
-		overdue <- time.Time{}
+		<-d.calls
+		expired <- time.Time{}
 	}()
 	var unknown *register.OutcomeUnknownError
-	if a := h.call(t.Context(), call{op: control.Get{}, reply: make(chan control.Answer, 1)}, overdue); !errors.As(a.Err, &unknown) {
-		t.Errorf("taken over, and no answer: %v", a.Err)
+	if a := d.call(t.Context(), call{op: control.Get{}, answer: make(chan control.Answer, 1)}, expired); !errors.As(a.Err, &unknown) {
+		t.Errorf("a call that the control loop did not answer returned %v, not an OutcomeUnknownError", a.Err)
 	}
 }
--- a/daemon/clock.go
+++ b/daemon/clock.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is the time since the machine's start, which runs on while the machine sleeps and is never set.
+// Clock returns the time since the machine's boot. It includes the time that the machine was suspended, and is never adjusted.
 func Clock() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/daemon/coalesce.go
+++ b/daemon/coalesce.go
@@ -6,46 +6,47 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// A coalescer passes events from the owner of control state to the router and never makes the former wait: an event that a later one
-// replaces is dropped.
+// coalescer passes events from the control loop to the router without blocking the control loop. If the router is slow, an event that a later
+// one replaces is dropped, which bounds the queue.
 type coalescer struct {
 	in  chan router.Event
 	out chan router.Event
 }
 
-type queued struct {
+type queuedEvent struct {
 	key string
 	ev  router.Event
 }
 
-func newCoalescer(t *tomb.Tomb, to func(ev router.Event)) *coalescer {
-	v := &coalescer{in: make(chan router.Event), out: make(chan router.Event)}
-	t.Go(func() error { return v.run(t) })
+func newCoalescer(t *tomb.Tomb, notify func(ev router.Event)) *coalescer {
+	c := &coalescer{in: make(chan router.Event), out: make(chan router.Event)}
+	t.Go(func() error { return c.run(t) })
 	t.Go(func() error {
 		for {
 			select {
 			case <-t.Dying():
 				return nil
-			case ev := <-v.out:
-				to(ev)
+			case ev := <-c.out:
+				notify(ev)
 			}
 		}
 	})
-	return v
+	return c
 }
 
-func (v *coalescer) run(t *tomb.Tomb) error {
-	var q []queued
+// run queues events until the router receives them.
+func (c *coalescer) run(t *tomb.Tomb) error {
+	var q []queuedEvent
 	for {
 		var out chan router.Event
 		var first router.Event
 		if len(q) > 0 {
-			out, first = v.out, q[0].ev
+			out, first = c.out, q[0].ev
 		}
 		select {
 		case <-t.Dying():
 			return nil
-		case ev := <-v.in:
+		case ev := <-c.in:
 			q = enqueue(q, ev)
 		case out <- first:
 			q = q[1:]
@@ -53,19 +54,21 @@
 	}
 }
 
-func enqueue(q []queued, ev router.Event) []queued {
-	key := keyOf(ev)
+// enqueue appends an event and removes the earlier event that it replaces.
+func enqueue(q []queuedEvent, ev router.Event) []queuedEvent {
+	key := coalesceKey(ev)
 	for i := range q {
 		if q[i].key == key {
 			q = append(q[:i:i], q[i+1:]...)
 			break
 		}
 	}
-	return append(q, queued{key: key, ev: ev})
+	return append(q, queuedEvent{key: key, ev: ev})
 }
 
-// keyOf names what a later event of the same key makes void; its order is the order for a newcomer.
-func keyOf(ev router.Event) string {
+// coalesceKey returns a key such that an event replaces earlier events with the same key. A new follower receives the latest events in the
+// order of their keys, so the snapshot comes first.
+func coalesceKey(ev router.Event) string {
 	switch e := ev.(type) {
 	case router.SnapshotUpdate:
 		return "0"
@@ -87,9 +90,10 @@
 	return ""
 }
 
-func (h *Daemon) notify(ev router.Event) {
+// notify passes an event to the router, through the coalescer.
+func (d *Daemon) notify(ev router.Event) {
 	select {
-	case h.coalescer.in <- ev:
-	case <-h.Tomb.Dying():
+	case d.coalescer.in <- ev:
+	case <-d.Tomb.Dying():
 	}
 }
--- a/daemon/coalesce_test.go
+++ b/daemon/coalesce_test.go
@@ -13,27 +13,27 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func TestBusyRouterNeverBlocksControl(t *testing.T) {
-	tb, busy, elapsed := &tomb.Tomb{}, make(chan struct{}), make(chan router.Event, 4096)
-	v := newCoalescer(tb, func(ev router.Event) {
-		<-busy
-		elapsed <- ev
+func TestSlowRouterDoesNotBlockControlLoop(t *testing.T) {
+	tb, unblock, received := &tomb.Tomb{}, make(chan struct{}), make(chan router.Event, 4096)
+	c := newCoalescer(tb, func(ev router.Event) {
+		<-unblock
+		received <- ev
 	})
 	for i := range 20000 {
-		v.in <- router.LoadReport{Replica: fmt.Sprint(i % 50), Running: i}
-		v.in <- router.ReplicaSuspect{Replica: "7"}
+		c.in <- router.LoadReport{Replica: fmt.Sprint(i % 50), Running: i}
+		c.in <- router.ReplicaSuspect{Replica: "7"}
 	}
-	close(busy)
+	close(unblock)
 	last := map[string]int{}
 	n := 0
 	for last["49"] != 19999 {
 		n++
-		if u, ok := (<-elapsed).(router.LoadReport); ok {
-			last[u.Replica] = u.Running
+		if report, ok := (<-received).(router.LoadReport); ok {
+			last[report.Replica] = report.Running
 		}
 	}
 	if n > 53 || len(last) != 50 || last["0"] != 19950 {
-		t.Errorf("%d events for %d replicas, replica 0 has %d", n, len(last), last["0"])
+		t.Errorf("%d events received for %d replicas, the last load of replica 0 is %d", n, len(last), last["0"])
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
@@ -41,19 +41,22 @@
 	}
 }
 
-func TestFollowerOfManyReplicasGetsAllState(t *testing.T) {
+// TestNewFollowerReceivesLatestLoadOfAllReplicas uses more replicas than fit into the follower's queue.
+func TestNewFollowerReceivesLatestLoadOfAllReplicas(t *testing.T) {
 	fs := newFollowers(&Daemon{})
 	for i := range 3000 {
-		fs.tell(router.LoadReport{Replica: fmt.Sprint(i)})
+		fs.publish(router.LoadReport{Replica: fmt.Sprint(i)})
 	}
-	f := &follower{q: make(chan any, followQueue), ready: make(chan struct{})}
-	fs.join(f, nil)
-	fs.tell(router.ControlStatus{})
-	if last := (<-f.q).(router.NumberedEvent); len(f.first) != 3001 || last.Seq != 3000 {
-		t.Errorf("%d at the start, then number %d", len(f.first), last.Seq)
+	f := &follower{queue: make(chan any, followerQueueLength), ready: make(chan struct{})}
+	fs.add(f, nil)
+	fs.publish(router.ControlStatus{})
+	if last := (<-f.queue).(router.NumberedEvent); len(f.initial) != 3001 || last.Seq != 3000 {
+		t.Errorf("%d initial messages, then sequence number %d", len(f.initial), last.Seq)
 	}
 }
 
+// TestStalledDiskBoundsPendingReplies checks that a node produces at most control.MaxPendingReplies writes while no write becomes durable, so
+// that the control loop is never blocked by the channel of the writes.
 func TestStalledDiskBoundsPendingReplies(t *testing.T) {
 	n := control.New(0, control.Config{
 		Name: "n1", Addr: "a", Boot: "b", Zone: "d", Disk: &control.DiskState{Register: register.State{Disk: "x"}}, Membership: membership.Defaults(), Gossip: gossip.Defaults(),
@@ -63,7 +66,7 @@
 		out := n.Step(0, control.Received{From: "other", Msg: register.Prepare{RequestID: i, Disk: "x", Ballot: register.Ballot{N: i + 1}}})
 		for _, s := range out.Sends {
 			if p, ok := s.Msg.(register.Promise); ok {
-				t.Fatalf("a promise left before its sync: %v", p)
+				t.Fatalf("a promise was sent before its entry was durable: %v", p)
 			}
 		}
 		if len(out.Writes) == 0 {
@@ -72,10 +75,10 @@
 		select {
 		case writes <- out.Writes:
 		default:
-			t.Fatalf("write %d would stop the control owner", i)
+			t.Fatalf("write %d would block the control loop", i)
 		}
 	}
 	if len(writes) != control.MaxPendingReplies {
-		t.Errorf("%d writes wait", len(writes))
+		t.Errorf("%d writes are waiting", len(writes))
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -14,127 +14,138 @@
 )
 
 const (
-	ticks       = 50 * time.Millisecond
-	routerTicks = router.MaxLoopSleep
-	// isolatedFeedTimeout keeps the scheduler serving over a freeze, where serving by an old snapshot is allowed.
-	isolatedFeedTimeout = time.Minute
+	// controlTickInterval is the time between two ticks of the control loop.
+	controlTickInterval = 50 * time.Millisecond
+	maxRouterSleep      = router.MaxLoopSleep
+	// isolatedControlTimeout is the scheduler's ControlTimeout on a node that may serve requests with an old snapshot while it is isolated. It is
+	// long enough for the scheduler to keep serving after the machine was frozen.
+	isolatedControlTimeout = time.Minute
 )
 
-// Daemon is one node as a process. Its exported fields are set by Start and not changed later.
+// Daemon is one node, run by this process. Its exported fields are set by Start and not changed later.
 type Daemon struct {
 	Settings Settings
-	// Tomb ends all goroutines of the daemon.
+	// Tomb stops all goroutines of the daemon when it is killed.
 	Tomb       *tomb.Tomb
 	Log        *log.Logger
 	RouterLoop *router.Loop
 	Endpoint   *transport.Endpoint
-	// FrontendID names this process of the node in answers to clients.
+	// FrontendID identifies this process in responses to clients. It consists of the name of the node and bootID.
 	FrontendID string
-	// PauseGuard rejects orders that lay here while the process stood still.
+	// PauseGuard rejects operator requests that may have waited while the process was paused.
 	PauseGuard *PauseGuard
 
-	in    chan control.Input
-	calls chan call
-	// calledIDs numbers the calls.
-	calledIDs   atomic.Uint64
+	// inputs, calls, subscribe, unsubscribe and prefills contain messages for the control loop.
+	inputs chan control.Input
+	calls  chan call
+	// lastCallID is the ID of the last call.
+	lastCallID atomic.Uint64
+	// writes contains the entries to append to the journal. Sending to it does not block the control loop, because the node does not produce
+	// further writes while control.MaxPendingReplies replies wait for the disk.
 	writes      chan []control.LogWrite
 	subscribe   chan *follower
 	unsubscribe chan *follower
-	snapshots   chan *config.Snapshot
-	looks       chan string
-	prefills    chan router.Prefill
-	coalescer   *coalescer
-	node        *control.Node
-	journal     *control.Journal
-	boot        string
-	onSnapshot  func(p *config.Snapshot)
+	// snapshots contains the latest snapshot for the replica watchers, reconnects the names of replicas to reconnect to at once.
+	snapshots  chan *config.Snapshot
+	reconnects chan string
+	prefills   chan router.Prefill
+	coalescer  *coalescer
+	// node and onSnapshot are owned by the control loop.
+	node *control.Node
+	// journal is nil if the node has no disk.
+	journal *control.Journal
+	// bootID is a random ID that is new at each start of the process.
+	bootID     string
+	onSnapshot func(p *config.Snapshot)
 }
 
-func (h *Daemon) logFault(peer string, err error) {
-	h.Log.Warn().Str("peer", peer).Err(err).Msg("connection closed")
+func (d *Daemon) logPeerError(peer string, err error) {
+	d.Log.Warn().Str("peer", peer).Err(err).Msg("connection closed")
 }
 
-func (h *Daemon) control() error {
-	tick := time.NewTicker(ticks)
+// runControl is the control loop. It owns the control state: it passes inputs to control.Node.Step and performs the outputs.
+func (d *Daemon) runControl() error {
+	tick := time.NewTicker(controlTickInterval)
 	defer tick.Stop()
-	replies := map[uint64]chan control.Answer{}
-	fs := newFollowers(h)
+	answers := map[uint64]chan control.Answer{}
+	fs := newFollowers(d)
 	first := time.After(0)
 	for {
 		var in control.Input
 		select {
-		case <-h.Tomb.Dying():
+		case <-d.Tomb.Dying():
 			return nil
 		case <-first:
 			first, in = nil, control.Tick{}
 		case <-tick.C:
 			in = control.Tick{}
-		case m := <-h.Endpoint.Received:
+		case m := <-d.Endpoint.Received:
 			in = control.Received{From: m.From.Addr, Build: m.From.Build, Msg: m.Msg}
-		case in = <-h.in:
-		case p := <-h.prefills:
-			in = h.collectPrefills(p)
-		case f := <-h.subscribe:
-			in = fs.join(f, h.node)
-		case f := <-h.unsubscribe:
-			in = fs.leave(f)
-		case c := <-h.calls:
-			if c.look != nil {
-				c.look(h.node)
-				c.reply <- control.Answer{}
+		case in = <-d.inputs:
+		case p := <-d.prefills:
+			in = d.collectPrefills(p)
+		case f := <-d.subscribe:
+			in = fs.add(f, d.node)
+		case f := <-d.unsubscribe:
+			in = fs.remove(f)
+		case c := <-d.calls:
+			if c.inspect != nil {
+				c.inspect(d.node)
+				c.answer <- control.Answer{}
 				continue
 			}
 			if c.cancelled {
 				in = control.Cancel{ID: c.id}
 				break
 			}
-			replies[c.id] = c.reply
+			answers[c.id] = c.answer
 			in = control.Command{ID: c.id, Op: c.op, Deadline: c.deadline}
 		}
-		out := h.node.Step(Clock(), in)
-		h.perform(out, fs)
+		out := d.node.Step(Clock(), in)
+		d.perform(out, fs)
 		for _, a := range out.Answers {
-			if r := replies[a.ID]; r != nil {
-				delete(replies, a.ID)
-				r <- a
+			if answer := answers[a.ID]; answer != nil {
+				delete(answers, a.ID)
+				answer <- a
 			}
 		}
 	}
 }
 
-func (h *Daemon) perform(out control.Output, fs *followers) {
+// perform performs the outputs of one step.
+func (d *Daemon) perform(out control.Output, fs *followers) {
 	if len(out.Writes) > 0 {
-		h.writes <- out.Writes
+		d.writes <- out.Writes
 	}
 	for _, s := range out.Sends {
-		h.Endpoint.Send(s.To, s.Msg)
+		d.Endpoint.Send(s.To, s.Msg)
 	}
 	for _, ev := range out.Events {
 		switch ev.(type) {
 		case router.Prefill, router.QuotaDecided:
-			h.RouterLoop.NotifyIfIdle(ev)
+			d.RouterLoop.NotifyIfIdle(ev)
 			continue
 		}
-		h.notify(ev)
-		fs.tell(ev)
+		d.notify(ev)
+		fs.publish(ev)
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			h.sendSnapshot(o.Snapshot)
-			if h.onSnapshot != nil {
-				h.onSnapshot(o.Snapshot)
+			d.sendSnapshot(o.Snapshot)
+			if d.onSnapshot != nil {
+				d.onSnapshot(o.Snapshot)
 			}
 		}
 	}
 	for _, p := range out.Probes {
-		h.Tomb.Go(func() error {
-			h.probe(p)
+		d.Tomb.Go(func() error {
+			d.probe(p)
 			return nil
 		})
 	}
 	if out.ReadReplicaList {
-		h.Tomb.Go(h.readList)
+		d.Tomb.Go(d.readReplicaList)
 	}
-	h.lookNow(out.Reconnects)
+	d.reconnect(out.Reconnects)
 	for _, c := range out.Changes {
-		h.Log.Info().Str("what", string(c.What)).Str("detail", c.Detail).Msg("change")
+		d.Log.Info().Str("what", string(c.What)).Str("detail", c.Detail).Msg("change")
 	}
 }
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -13,7 +13,8 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func address(t *testing.T) string {
+// freeAddress returns a local address with a free port.
+func freeAddress(t *testing.T) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -22,17 +23,18 @@
 	return lis.Addr().String()
 }
 
-func daemon(t *testing.T, addr, data string) (*Daemon, func()) {
+// startDaemon starts the daemon of node n1 and returns it with a function that stops it.
+func startDaemon(t *testing.T, addr, data string) (*Daemon, func()) {
 	tb := &tomb.Tomb{}
 	s, err := ValidateSettings(Settings{Role: "core", Name: "n1", Zone: "a", Listen: addr, HTTP: addr, DataDir: data})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := Start(tb, s, &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}})
+	d, err := Start(tb, s, &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h, func() {
+	return d, func() {
 		tb.Kill(nil)
 		if err := tb.Wait(); err != nil {
 			t.Error(err)
@@ -43,36 +45,36 @@
 const document = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"127.0.0.1:9","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
 func TestFollowerSurvivesDaemonRestart(t *testing.T) {
-	addr, data := address(t), t.TempDir()
-	h, stop := daemon(t, addr, data)
-	for h.Call(control.Bootstrap{Names: []string{"n1"}}).Err != nil {
+	addr, data := freeAddress(t), t.TempDir()
+	d, stop := startDaemon(t, addr, data)
+	for d.Call(control.Bootstrap{Names: []string{"n1"}}).Err != nil {
 	}
-	if a := h.Call(control.Put{ID: "one", Document: []byte(document)}); a.Err != nil || a.Version != 1 {
+	if a := d.Call(control.Put{ID: "one", Document: []byte(document)}); a.Err != nil || a.Version != 1 {
 		t.Fatal(a)
 	}
 	tb := &tomb.Tomb{}
 	versions, names := make(chan uint64, 64), make(chan string, 64)
 	mallowbridge.Follow(tb, addr, "program", func(w router.Welcome) { names <- w.Self }, func(ev router.Event) {
-		if o, ok := ev.(router.SnapshotUpdate); ok {
-			versions <- o.Snapshot.Version
+		if update, ok := ev.(router.SnapshotUpdate); ok {
+			versions <- update.Snapshot.Version
 		}
 	})
 	if name := <-names; name != "n1#1" {
-		t.Errorf("it is called %s", name)
+		t.Errorf("the name of the follower's router is %s", name)
 	}
-	if m := <-versions; m != 1 {
-		t.Errorf("the picture has mark %d", m)
+	if v := <-versions; v != 1 {
+		t.Errorf("the first snapshot has version %d", v)
 	}
-	if a := h.Call(control.Put{ID: "two", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil {
+	if a := d.Call(control.Put{ID: "two", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	if m := <-versions; m != 2 {
-		t.Errorf("the change has mark %d", m)
+	if v := <-versions; v != 2 {
+		t.Errorf("the snapshot after the change has version %d", v)
 	}
 	stop()
-	_, stop = daemon(t, addr, data)
-	if m := <-versions; m != 2 {
-		t.Errorf("from its disk the daemon gives mark %d", m)
+	_, stop = startDaemon(t, addr, data)
+	if v := <-versions; v != 2 {
+		t.Errorf("the snapshot after the restart of the daemon has version %d", v)
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
--- a/daemon/prefill.go
+++ b/daemon/prefill.go
@@ -5,22 +5,24 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-const prefillQueue = 64
+// prefillQueueLength is the maximum number of prefill reports that wait for the control loop.
+const prefillQueueLength = 64
 
-// forwardPrefill passes a long prompt on to the owner of control state, unless that is busy: the message is worth nothing later.
-func (h *Daemon) forwardPrefill(p router.Prefill) {
+// forwardPrefill passes the router's report of a long prompt to the control loop, which sends it to the other nodes. If the queue is full, the
+// report is dropped, because it is useless when it is late.
+func (d *Daemon) forwardPrefill(p router.Prefill) {
 	select {
-	case h.prefills <- p:
+	case d.prefills <- p:
 	default:
 	}
 }
 
-// collectPrefills takes all that wait into one message.
-func (h *Daemon) collectPrefills(first router.Prefill) control.Prefills {
+// collectPrefills returns one message with the first report and all others that are waiting.
+func (d *Daemon) collectPrefills(first router.Prefill) control.Prefills {
 	var ps control.Prefills
 	ps.Rows = []router.Prefill{first}
-	for range len(h.prefills) {
-		ps.Rows = append(ps.Rows, <-h.prefills)
+	for range len(d.prefills) {
+		ps.Rows = append(ps.Rows, <-d.prefills)
 	}
 	return ps
 }
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -11,29 +11,33 @@
 )
 
 const (
-	// probeTimeout bounds a probe of a replica, from the dial to the end of the answer.
+	// probeTimeout bounds a probe of a replica, from the dial to the end of the response.
 	probeTimeout = 400 * time.Millisecond
-	// probeBytes is how much of an answer is read.
-	probeBytes = 64 << 10
+	// maxProbeBytes is the number of bytes of a response's body that are read at most.
+	maxProbeBytes = 64 << 10
 )
 
-var prober = &http.Client{
+var probeClient = &http.Client{
 	Transport:     &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-type usageAnswer struct {
+// loadResponse is a replica's response to GET /v1/usage.
+type loadResponse struct {
 	InstanceID string `json:"instanceId"`
-	Running    int    `json:"running"`
-	Leaving    bool   `json:"leaving"`
-	LagMs      int    `json:"lagMs"`
+	// Running is the number of running requests.
+	Running  int  `json:"running"`
+	Draining bool `json:"leaving"`
+	// LagMs is the age of the figures in milliseconds.
+	LagMs int `json:"lagMs"`
 }
 
-func (h *Daemon) probe(p control.Probe) {
-	h.submit(ask(p))
+// probe probes a replica and passes the result to the control loop.
+func (d *Daemon) probe(p control.Probe) {
+	d.submit(probeReplica(p))
 }
 
-func ask(p control.Probe) control.Probed {
+func probeReplica(p control.Probe) control.Probed {
 	res := control.Probed{Replica: p.Replica, Local: p.Local}
 	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
@@ -41,16 +45,16 @@
 	if err != nil {
 		return res
 	}
-	resp, err := prober.Do(req)
+	resp, err := probeClient.Do(req)
 	if err != nil {
 		return res
 	}
 	defer resp.Body.Close()
-	var u usageAnswer
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(io.LimitReader(resp.Body, probeBytes)).Decode(&u) != nil {
+	var load loadResponse
+	if resp.StatusCode != http.StatusOK || json.NewDecoder(io.LimitReader(resp.Body, maxProbeBytes)).Decode(&load) != nil {
 		return res
 	}
-	got, ok := u.probed()
+	got, ok := load.probed()
 	if !ok {
 		return res
 	}
@@ -58,12 +62,13 @@
 	return got
 }
 
-func (u usageAnswer) probed() (control.Probed, bool) {
+// probed returns the load as a probe result. It returns false if the response is invalid.
+func (l loadResponse) probed() (control.Probed, bool) {
 	var p control.Probed
-	if u.InstanceID == "" || u.Running < 0 || u.LagMs < 0 {
+	if l.InstanceID == "" || l.Running < 0 || l.LagMs < 0 {
 		return p, false
 	}
 	return control.Probed{
-		OK: true, InstanceID: u.InstanceID, Running: u.Running, Draining: u.Leaving, Lag: time.Duration(u.LagMs) * time.Millisecond,
+		OK: true, InstanceID: l.InstanceID, Running: l.Running, Draining: l.Draining, Lag: time.Duration(l.LagMs) * time.Millisecond,
 	}, true
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -13,47 +13,57 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// Settings are the daemon's settings file and command line: the role ("core" or "edge") and name of the node, the addresses of the node
-// protocol (Listen) and the public side (HTTP), its zone, the folder of its disk and its seeds' addresses. MaxBody is in bytes, Backlog the
-// most requests that wait, DrainMs how long streams may go on after SIGTERM, in milliseconds. 0 stands for a default.
+// Settings are the settings of a daemon, from the settings file and the command line. ValidateSettings replaces numbers that are 0 by defaults.
 type Settings struct {
-	Role, Name, Listen, HTTP, Zone, DataDir string
-	Seeds                                   []string
-	MaxBodyBytes, MaxStreams, Backlog       int
-	DrainMs                                 int
-	Platform                                PlatformOptions
+	// Role is "core" for a node with a disk, which may be a voter, and "edge" for a node without one.
+	Role string
+	// Name is the name of the node, unique within the fleet.
+	Name string
+	// Listen is the address for other nodes, HTTP the address for clients and operators.
+	Listen, HTTP string
+	// Zone is the zone that the node runs in.
+	Zone string
+	// DataDir is the directory of the node's disk. It is empty for an edge.
+	DataDir string
+	// Seeds contains the addresses of nodes that this node contacts to join the fleet.
+	Seeds []string
+	// MaxBodyBytes is the maximum length of a request's body, MaxStreams the maximum number of concurrent requests, and Backlog the maximum number
+	// of requests that wait for a replica.
+	MaxBodyBytes, MaxStreams, Backlog int
+	// DrainMs is how long running streams may continue after SIGTERM, in milliseconds.
+	DrainMs  int
+	Platform PlatformOptions
 }
 
-// PlatformOptions is what the platform that the daemon runs on provides and asks for; its zero value is the product on its own.
+// PlatformOptions describe what the platform that the daemon runs on provides and requires. The zero value is for a daemon without a platform.
 type PlatformOptions struct {
-	// ReadDocument reads the operators' document; nil: config.Documents.Read.
+	// ReadDocument parses the operators' document. If it is nil, config.Documents.Read is used.
 	ReadDocument config.Reader
-	// ListReplicas reads the platform's list of replicas every ListEvery; nil: there is none.
+	// ListReplicas reads the platform's list of replicas. It is called every ListInterval, or never if ListInterval is 0.
 	ListReplicas func() ([]router.Instance, error)
 	ListInterval time.Duration
-	// FaultTolerance, Bootstraps and ServesIsolated: see control.Config.
+	// The following fields are copied to control.Config, which describes them. ServesIsolated also sets the timeout after which the scheduler stops
+	// serving without contact to the control loop.
 	FaultTolerance             int
 	Bootstraps, ServesIsolated bool
-	// HidesDocument: see control.Config.
-	HidesDocument bool
-	// Quota: see control.Config.
-	Quota quota.Rule
+	HidesDocument              bool
+	Quota                      quota.Rule
 }
 
 func (s Settings) withDefaults() Settings {
 	full := s
 	for _, d := range []struct {
-		at  *int
-		def int
+		setting      *int
+		defaultValue int
 	}{{&full.MaxBodyBytes, 1 << 20}, {&full.MaxStreams, 1024}, {&full.Backlog, 256}, {&full.DrainMs, 10000}} {
-		if *d.at == 0 {
-			*d.at = d.def
+		if *d.setting == 0 {
+			*d.setting = d.defaultValue
 		}
 	}
 	return full
 }
 
-// SettingsFileError says why the settings file cannot be read.
+// SettingsFileError reports that the settings file cannot be read.
 type SettingsFileError struct {
 	Path  string
 	Cause error
@@ -61,7 +71,7 @@
 
 func (e *SettingsFileError) Error() string { return "settings file " + e.Path + ": " + e.Cause.Error() }
 
-// ReadSettings reads a settings file. It fails with a SettingsFileError or a config.InvalidError.
+// ReadSettings reads a settings file in JSON. Errors are *SettingsFileError and *config.InvalidError.
 func ReadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	var s Settings
@@ -85,64 +95,64 @@
 	return s, d.Err()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SettingsFileError) Unwrap() error { return e.Cause }
 
-// ValidateSettings fills in defaults and checks the settings. It fails with a config.InvalidError that lists all violations.
+// ValidateSettings returns the settings with defaults filled in. If they are invalid, it returns a *config.InvalidError with all violations.
 func ValidateSettings(in Settings) (Settings, error) {
 	s := in.withDefaults()
-	var bad violations
-	s.checkNames(&bad)
-	s.checkAddresses(&bad)
-	s.checkNumbers(&bad)
-	if len(bad) > 0 {
-		return s, trace.Wrap(&config.InvalidError{Violations: bad})
+	var found violations
+	s.checkNames(&found)
+	s.checkAddresses(&found)
+	s.checkNumbers(&found)
+	if len(found) > 0 {
+		return s, trace.Wrap(&config.InvalidError{Violations: found})
 	}
 	return s, nil
 }
 
-// violations are what is wrong with settings.
+// violations collects the violations in settings.
 type violations []config.Violation
 
-func (v *violations) add(field, val, bound string) {
-	*v = append(*v, config.Violation{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
+func (v *violations) add(field, value, bound string) {
+	*v = append(*v, config.Violation{Path: field, Value: fmt.Sprintf("%q", value), Bound: bound})
 }
 
-func (s *Settings) checkNames(bad *violations) {
+func (s *Settings) checkNames(found *violations) {
 	if s.Name == "" || len(s.Name) > 64 {
-		bad.add("name", s.Name, "1 to 64 bytes")
+		found.add("name", s.Name, "1 to 64 bytes")
 	}
 	if s.Zone == "" || len(s.Zone) > 64 {
-		bad.add("domain", s.Zone, "1 to 64 bytes")
+		found.add("domain", s.Zone, "1 to 64 bytes")
 	}
 	if s.Role == "core" && s.DataDir == "" {
-		bad.add("data", s.DataDir, "a folder, for a core")
+		found.add("data", s.DataDir, "a folder, for a core")
 	}
 	if s.Role == "edge" && s.DataDir != "" {
-		bad.add("data", s.DataDir, "absent, for an edge")
+		found.add("data", s.DataDir, "absent, for an edge")
 	}
 }
 
-func (s *Settings) checkAddresses(bad *violations) {
+func (s *Settings) checkAddresses(found *violations) {
 	for field, addr := range map[string]string{"listen": s.Listen, "http": s.HTTP} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			bad.add(field, addr, "an IP number and port")
+			found.add(field, addr, "an IP number and port")
 		}
 	}
 	for i, addr := range s.Seeds {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			bad.add(fmt.Sprintf("seeds[%d]", i), addr, "an IP number and port")
+			found.add(fmt.Sprintf("seeds[%d]", i), addr, "an IP number and port")
 		}
 	}
 }
 
-func (s *Settings) checkNumbers(bad *violations) {
+func (s *Settings) checkNumbers(found *violations) {
 	for _, n := range []struct {
-		field      string
-		val, limit int
+		field        string
+		value, limit int
 	}{{"maxBody", s.MaxBodyBytes, 64 << 20}, {"maxStreams", s.MaxStreams, 1 << 20}, {"backlog", s.Backlog, 1 << 16}, {"drainMs", s.DrainMs, 600000}} {
-		if n.val < 1 || n.val > n.limit {
-			bad.add(n.field, fmt.Sprint(n.val), fmt.Sprintf("1 to %d", n.limit))
+		if n.value < 1 || n.value > n.limit {
+			found.add(n.field, fmt.Sprint(n.value), fmt.Sprintf("1 to %d", n.limit))
 		}
 	}
 }
--- a/daemon/start.go
+++ b/daemon/start.go
@@ -19,7 +19,7 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func seed() uint64 {
+func randomUint64() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -27,7 +27,8 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-func diskID() string {
+// newDiskID returns a random ID for a disk that is used for the first time.
+func newDiskID() string {
 	var b [16]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -35,64 +36,64 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Start opens the disk, listens for other nodes and runs the node in goroutines of t. The settings must have passed Check. It fails where
-// the disk can't be read or the address can't be bound.
+// Start opens the node's disk, listens for other nodes and runs the node in goroutines of t. The settings must have been returned by
+// ValidateSettings. It returns an error if the disk cannot be read or the address cannot be bound.
 func Start(t *tomb.Tomb, s Settings, lg *log.Logger) (*Daemon, error) {
-	h := newDaemon(t, s, lg)
-	cfg := h.controlConfig()
+	d := newDaemon(t, s, lg)
+	cfg := d.controlConfig()
 	var err error
-	if cfg.Disk, err = h.openDisk(); err != nil {
+	if cfg.Disk, err = d.openDisk(); err != nil {
 		return nil, err
 	}
-	h.RouterLoop = router.NewLoop(t, router.New(h.routerConfig()), Clock, routerTicks)
-	h.RouterLoop.OnPrefill(h.forwardPrefill)
-	h.coalescer = newCoalescer(t, h.RouterLoop.Notify)
-	h.node = control.New(Clock(), cfg)
+	d.RouterLoop = router.NewLoop(t, router.New(d.routerConfig()), Clock, maxRouterSleep)
+	d.RouterLoop.OnPrefill(d.forwardPrefill)
+	d.coalescer = newCoalescer(t, d.RouterLoop.Notify)
+	d.node = control.New(Clock(), cfg)
 	self := transport.Hello{Build: transport.Build, Name: s.Name, Addr: s.Listen, Role: s.Role}
-	if h.Endpoint, err = transport.Listen(t, self, h.follow, h.logFault); err != nil {
+	if d.Endpoint, err = transport.Listen(t, self, d.serveFollower, d.logPeerError); err != nil {
 		return nil, err
 	}
-	if h.journal != nil {
-		t.Go(h.persist)
+	if d.journal != nil {
+		t.Go(d.persist)
 	}
-	t.Go(h.watch)
-	t.Go(h.forwardReports)
-	t.Go(h.control)
-	t.Go(h.tickGate)
-	return h, nil
+	t.Go(d.watchReplicas)
+	t.Go(d.forwardReports)
+	t.Go(d.runControl)
+	t.Go(d.tickPauseGuard)
+	return d, nil
 }
 
 func newDaemon(t *tomb.Tomb, s Settings, lg *log.Logger) *Daemon {
-	boot := strconv.FormatUint(seed(), 36)
+	bootID := strconv.FormatUint(randomUint64(), 36)
 	return &Daemon{
 		Settings:    s,
 		Tomb:        t,
 		Log:         lg,
-		FrontendID:  s.Name + "." + boot,
+		FrontendID:  s.Name + "." + bootID,
 		PauseGuard:  NewPauseGuard(Clock),
-		in:          make(chan control.Input, 1024),
+		inputs:      make(chan control.Input, 1024),
 		calls:       make(chan call, 64),
 		writes:      make(chan []control.LogWrite, control.MaxPendingReplies),
 		subscribe:   make(chan *follower),
 		unsubscribe: make(chan *follower),
 		snapshots:   make(chan *config.Snapshot, 1),
-		looks:       make(chan string, 64),
-		prefills:    make(chan router.Prefill, prefillQueue),
-		boot:        boot,
+		reconnects:  make(chan string, 64),
+		prefills:    make(chan router.Prefill, prefillQueueLength),
+		bootID:      bootID,
 	}
 }
 
-func (h *Daemon) controlConfig() control.Config {
-	s := h.Settings
+func (d *Daemon) controlConfig() control.Config {
+	s := d.Settings
 	return control.Config{
 		Name:           s.Name,
 		Addr:           s.Listen,
 		HTTP:           s.HTTP,
 		Zone:           s.Zone,
 		Seeds:          s.Seeds,
-		Boot:           h.boot,
-		Incarnation:    control.FirstIncarnation(time.Now(), seed()),
-		Seed:           seed(),
+		Boot:           d.bootID,
+		Incarnation:    control.FirstIncarnation(time.Now(), randomUint64()),
+		Seed:           randomUint64(),
 		Membership:     membership.Defaults(),
 		Gossip:         gossip.Defaults(),
 		Read:           s.Platform.ReadDocument,
@@ -105,31 +106,31 @@
 	}
 }
 
-func (h *Daemon) routerConfig() router.Config {
-	s := h.Settings
-	cfg := router.Defaults(s.Name, h.boot, s.Zone)
+func (d *Daemon) routerConfig() router.Config {
+	s := d.Settings
+	cfg := router.Defaults(s.Name, d.bootID, s.Zone)
 	cfg.Scheduler.QueueLimit = s.Backlog
 	if s.Platform.ServesIsolated {
-		cfg.Scheduler.ControlTimeout = isolatedFeedTimeout
+		cfg.Scheduler.ControlTimeout = isolatedControlTimeout
 	}
 	return cfg
 }
 
-// openDisk opens the journal and returns what it kept; nil where the node has no disk.
-func (h *Daemon) openDisk() (*control.DiskState, error) {
-	if h.Settings.DataDir == "" {
+// openDisk opens the journal and returns the state that it contains, or nil if the node has no disk.
+func (d *Daemon) openDisk() (*control.DiskState, error) {
+	if d.Settings.DataDir == "" {
 		return nil, nil
 	}
-	folder, err := storage.OpenFolder(h.Settings.DataDir)
+	folder, err := storage.OpenFolder(d.Settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	if h.journal, err = control.OpenJournal(folder, diskID()); err != nil {
+	if d.journal, err = control.OpenJournal(folder, newDiskID()); err != nil {
 		return nil, err
 	}
-	if what := h.journal.RepairReport(); what != "" {
-		h.Log.Warn().Str("what", what).Msg("disk was repaired")
+	if report := d.journal.RepairReport(); report != "" {
+		d.Log.Warn().Str("what", report).Msg("disk was repaired")
 	}
-	state := h.journal.State()
+	state := d.journal.State()
 	return &state, nil
 }
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -15,43 +15,49 @@
 )
 
 const (
-	// lookPauseMin and lookPauseMax bound the pause between two tries to connect, which doubles with each failure.
-	lookPauseMin = 100 * time.Millisecond
-	lookPauseMax = 5 * time.Second
-	// lookTimeout bounds the connecting, and the first answer on the connection.
-	lookTimeout = 500 * time.Millisecond
-	// A replica that closes shortConnectionsMost connections in a row within shortConnection keeps none: that says nothing of its health.
-	shortConnection      = time.Second
-	shortConnectionsMost = 3
+	// reconnectDelayMin and reconnectDelayMax bound the delay between two attempts to connect, which doubles with each failure.
+	reconnectDelayMin = 100 * time.Millisecond
+	reconnectDelayMax = 5 * time.Second
+	// replicaTimeout bounds the dial, and the first request and response on the connection.
+	replicaTimeout = 500 * time.Millisecond
+	// A replica that closes maxShortConnections connections in a row, each within shortConnection, does not keep idle connections open. For such a
+	// replica, a closed connection does not indicate a failure and is not reported.
+	shortConnection     = time.Second
+	maxShortConnections = 3
 )
 
-// A replicaWatcher keeps one idle connection to a replica: when the replica's process ends, the connection closes at once.
+// replicaWatcher keeps one idle connection to a replica open. When the replica's process ends, the connection closes at once.
 type replicaWatcher struct {
-	daemon      *Daemon
-	name, addr  string
-	stop        chan struct{}
-	lookNow     chan struct{}
-	shortInARow int
-	pause       time.Duration
-	pauseMax    time.Duration
+	daemon     *Daemon
+	name, addr string
+	// stop is closed when the replica is no longer part of the configuration or has another address.
+	stop chan struct{}
+	// reconnectNow skips the current delay.
+	reconnectNow chan struct{}
+	// shortInRow is the number of short connections since the last longer one.
+	shortInRow int
+	// delay is the time until the next attempt to connect after a failure, maxDelay its upper bound.
+	delay    time.Duration
+	maxDelay time.Duration
 }
 
-func (h *Daemon) newWatcher(name, addr string, most time.Duration) *replicaWatcher {
-	return &replicaWatcher{daemon: h, name: name, addr: addr, stop: make(chan struct{}), lookNow: make(chan struct{}, 1), pause: lookPauseMin, pauseMax: most}
+func (d *Daemon) newWatcher(name, addr string, maxDelay time.Duration) *replicaWatcher {
+	return &replicaWatcher{daemon: d, name: name, addr: addr, stop: make(chan struct{}), reconnectNow: make(chan struct{}, 1), delay: reconnectDelayMin, maxDelay: maxDelay}
 }
 
-func (h *Daemon) watch() error {
+// watchReplicas runs one replicaWatcher per replica of the latest snapshot.
+func (d *Daemon) watchReplicas() error {
 	watchers := map[string]*replicaWatcher{}
 	for {
 		select {
-		case <-h.Tomb.Dying():
+		case <-d.Tomb.Dying():
 			return nil
-		case p := <-h.snapshots:
-			h.watchAll(watchers, p)
-		case name := <-h.looks:
-			if e := watchers[name]; e != nil {
+		case p := <-d.snapshots:
+			d.updateWatchers(watchers, p)
+		case name := <-d.reconnects:
+			if w := watchers[name]; w != nil {
 				select {
-				case e.lookNow <- struct{}{}:
+				case w.reconnectNow <- struct{}{}:
 				default:
 				}
 			}
@@ -59,79 +65,84 @@
 	}
 }
 
-// sendSnapshot leaves the newest snapshot for the watchers and never waits for them.
-func (h *Daemon) sendSnapshot(p *config.Snapshot) {
+// sendSnapshot passes the latest snapshot to watchReplicas. It does not block: a snapshot that was not yet received is replaced.
+func (d *Daemon) sendSnapshot(p *config.Snapshot) {
 	select {
-	case <-h.snapshots:
+	case <-d.snapshots:
 	default:
 	}
-	h.snapshots <- p
+	d.snapshots <- p
 }
 
-func (h *Daemon) lookNow(names []string) {
+// reconnect makes the watchers of replicas that are not connected connect without waiting for the delay. It does not block: if the queue is
+// full, the watchers connect when their delay is over.
+func (d *Daemon) reconnect(names []string) {
 	for _, name := range names {
 		select {
-		case h.looks <- name:
+		case d.reconnects <- name:
 		default:
 		}
 	}
 }
 
-func (h *Daemon) watchAll(watchers map[string]*replicaWatcher, p *config.Snapshot) {
+// updateWatchers stops the watchers of replicas that were removed or whose address changed, and starts the missing ones.
+func (d *Daemon) updateWatchers(watchers map[string]*replicaWatcher, p *config.Snapshot) {
 	wanted := map[string]string{}
 	for _, o := range p.Config.Services {
 		for _, r := range o.Replicas {
 			wanted[r.Name] = r.Addr
 		}
 	}
-	for name, e := range watchers {
-		if wanted[name] != e.addr {
-			close(e.stop)
+	for name, w := range watchers {
+		if wanted[name] != w.addr {
+			close(w.stop)
 			delete(watchers, name)
 		}
 	}
 	for name, addr := range wanted {
 		if watchers[name] == nil {
-			e := h.newWatcher(name, addr, lookPauseMax)
-			watchers[name] = e
-			h.Tomb.Go(e.run)
+			w := d.newWatcher(name, addr, reconnectDelayMax)
+			watchers[name] = w
+			d.Tomb.Go(w.run)
 		}
 	}
 }
 
-func (e *replicaWatcher) run() error {
-	wait := time.NewTimer(0)
-	defer wait.Stop()
+// run connects again after each connection until the watcher or the daemon stops.
+func (w *replicaWatcher) run() error {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
-		case <-e.daemon.Tomb.Dying():
+		case <-w.daemon.Tomb.Dying():
 			return nil
-		case <-e.stop:
+		case <-w.stop:
 			return nil
-		case <-e.lookNow:
-		case <-wait.C:
+		case <-w.reconnectNow:
+		case <-timer.C:
 		}
-		if e.pause = min(2*e.pause, e.pauseMax); e.look() {
-			e.pause = lookPauseMin
+		if w.delay = min(2*w.delay, w.maxDelay); w.watchOnce() {
+			w.delay = reconnectDelayMin
 		}
-		wait.Reset(map[bool]time.Duration{true: e.pauseMax, false: e.pause}[e.shortInARow >= shortConnectionsMost])
+		timer.Reset(map[bool]time.Duration{true: w.maxDelay, false: w.delay}[w.shortInRow >= maxShortConnections])
 	}
 }
 
-func (e *replicaWatcher) report(state control.ConnectionState, p control.Probed) {
-	p.Replica, p.Local = e.name, true
+// report passes the state of the connection to the control loop.
+func (w *replicaWatcher) report(state control.ConnectionState, p control.Probed) {
+	p.Replica, p.Local = w.name, true
 	select {
-	case e.daemon.in <- control.ConnectionChange{State: state, Probed: p}:
-	case <-e.stop:
-	case <-e.daemon.Tomb.Dying():
+	case w.daemon.inputs <- control.ConnectionChange{State: state, Probed: p}:
+	case <-w.stop:
+	case <-w.daemon.Tomb.Dying():
 	}
 }
 
-// look connects once, and watches for as long as the replica keeps the connection.
-func (e *replicaWatcher) look() bool {
-	conn, err := net.DialTimeout("tcp", e.addr, lookTimeout)
+// watchOnce connects to the replica, reads its load and then waits until the connection ends. It reports whether the replica responded.
+func (w *replicaWatcher) watchOnce() bool {
+	conn, err := net.DialTimeout("tcp", w.addr, replicaTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		e.report(control.ConnectionRefused, control.Probed{})
+		w.report(control.ConnectionRefused, control.Probed{})
 	}
 	if err != nil {
 		return false
@@ -140,39 +151,40 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-e.daemon.Tomb.Dying():
-		case <-e.stop:
+		case <-w.daemon.Tomb.Dying():
+		case <-w.stop:
 		case <-done:
 		}
 		_ = conn.Close()
 	}()
 	r := bufio.NewReader(conn)
-	p, seen := e.ask(conn, r)
-	if !seen {
+	p, ok := w.readLoad(conn, r)
+	if !ok {
 		return false
 	}
-	e.report(control.ConnectionUp, p)
+	w.report(control.ConnectionUp, p)
 	_ = conn.SetDeadline(time.Time{})
-	from := time.Now()
+	idleSince := time.Now()
 	_, _ = r.ReadByte()
-	e.ended(time.Since(from) < shortConnection)
+	w.connectionClosed(time.Since(idleSince) < shortConnection)
 	return true
 }
 
-// ended reports that the connection was closed, unless this replica keeps none and closes each at once.
-func (e *replicaWatcher) ended(soon bool) {
-	e.shortInARow++
-	if !soon {
-		e.shortInARow = 0
+// connectionClosed reports that the connection was closed, unless the replica does not keep idle connections open.
+func (w *replicaWatcher) connectionClosed(short bool) {
+	w.shortInRow++
+	if !short {
+		w.shortInRow = 0
 	}
-	if e.shortInARow < shortConnectionsMost {
-		e.report(control.ConnectionClosed, control.Probed{})
+	if w.shortInRow < maxShortConnections {
+		w.report(control.ConnectionClosed, control.Probed{})
 	}
 }
 
-func (e *replicaWatcher) ask(conn net.Conn, r *bufio.Reader) (control.Probed, bool) {
-	_ = conn.SetDeadline(time.Now().Add(lookTimeout))
-	req, err := http.NewRequest(http.MethodGet, "http://"+e.addr+"/v1/usage", nil)
+// readLoad requests the load of the replica on an open connection.
+func (w *replicaWatcher) readLoad(conn net.Conn, r *bufio.Reader) (control.Probed, bool) {
+	_ = conn.SetDeadline(time.Now().Add(replicaTimeout))
+	req, err := http.NewRequest(http.MethodGet, "http://"+w.addr+"/v1/usage", nil)
 	var p control.Probed
 	if err != nil || req.Write(conn) != nil {
 		return p, false
@@ -182,10 +194,10 @@
 		return p, false
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, probeBytes))
-	var u usageAnswer
-	if err != nil || resp.StatusCode != http.StatusOK || json.Unmarshal(raw, &u) != nil {
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxProbeBytes))
+	var load loadResponse
+	if err != nil || resp.StatusCode != http.StatusOK || json.Unmarshal(raw, &load) != nil {
 		return p, false
 	}
-	return u.probed()
+	return load.probed()
 }
--- a/daemon/watch_test.go
+++ b/daemon/watch_test.go
@@ -11,21 +11,23 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-func watched(t *testing.T, addr string) chan control.Input {
+// startWatcher watches a replica at addr and returns the inputs that the watcher sends to the control loop.
+func startWatcher(t *testing.T, addr string) chan control.Input {
 	tb := &tomb.Tomb{}
-	h := &Daemon{Tomb: tb, in: make(chan control.Input)}
-	e := h.newWatcher("r", addr, lookPauseMin)
-	tb.Go(e.run)
+	d := &Daemon{Tomb: tb, inputs: make(chan control.Input)}
+	w := d.newWatcher("r", addr, reconnectDelayMin)
+	tb.Go(w.run)
 	t.Cleanup(func() {
 		tb.Kill(nil)
 		if err := tb.Wait(); err != nil {
 			t.Error(err)
 		}
 	})
-	return h.in
+	return d.inputs
 }
 
-func serveUsage(_ *testing.T, lis net.Listener, instance string, keep bool) *httptest.Server {
+// serveLoad serves the load of a replica. keep sets whether it keeps connections open between requests.
+func serveLoad(_ *testing.T, lis net.Listener, instance string, keep bool) *httptest.Server {
 	srv := &httptest.Server{Listener: lis, Config: &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"instanceId":"` + instance + `","running":1,"leaving":false,"lagMs":0}`))
 	})}}
@@ -34,11 +36,12 @@
 	return srv
 }
 
-func next(t *testing.T, in chan control.Input, want control.ConnectionState, instance string) {
+// expectChange fails unless the next input is the wanted change of the connection's state.
+func expectChange(t *testing.T, in chan control.Input, want control.ConnectionState, instance string) {
 	t.Helper()
-	s := (<-in).(control.ConnectionChange)
-	if s.State != want || s.InstanceID != instance || s.Replica != "r" {
-		t.Fatalf("saw %+v, not state %d of %q", s, want, instance)
+	change := (<-in).(control.ConnectionChange)
+	if change.State != want || change.InstanceID != instance || change.Replica != "r" {
+		t.Fatalf("got %+v, want state %d of instance %q", change, want, instance)
 	}
 }
 
@@ -48,39 +51,39 @@
 		t.Fatal(err)
 	}
 	addr := lis.Addr().String()
-	srv := serveUsage(t, lis, "i1", true)
-	in := watched(t, addr)
-	next(t, in, control.ConnectionUp, "i1")
+	srv := serveLoad(t, lis, "i1", true)
+	in := startWatcher(t, addr)
+	expectChange(t, in, control.ConnectionUp, "i1")
 	srv.CloseClientConnections()
 	srv.Listener.Close()
-	next(t, in, control.ConnectionClosed, "")
-	next(t, in, control.ConnectionRefused, "")
+	expectChange(t, in, control.ConnectionClosed, "")
+	expectChange(t, in, control.ConnectionRefused, "")
 	if lis, err = net.Listen("tcp", addr); err != nil {
 		t.Fatal(err)
 	}
-	second := serveUsage(t, lis, "i2", true)
+	second := serveLoad(t, lis, "i2", true)
 	defer second.Close()
-	s := (<-in).(control.ConnectionChange)
-	for s.State == control.ConnectionRefused {
-		s = (<-in).(control.ConnectionChange)
+	change := (<-in).(control.ConnectionChange)
+	for change.State == control.ConnectionRefused {
+		change = (<-in).(control.ConnectionChange)
 	}
-	if s.State != control.ConnectionUp || s.InstanceID != "i2" {
-		t.Errorf("saw %+v after the restart", s)
+	if change.State != control.ConnectionUp || change.InstanceID != "i2" {
+		t.Errorf("got %+v after the restart, want instance i2", change)
 	}
 }
 
-func TestReplicaWithoutKeepAliveIsNotSuspectedForever(t *testing.T) {
+func TestReplicaWithoutKeepAliveStopsBeingReportedAsClosed(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := serveUsage(t, lis, "i1", false)
+	srv := serveLoad(t, lis, "i1", false)
 	defer srv.Close()
-	in := watched(t, lis.Addr().String())
-	for range shortConnectionsMost - 1 {
-		next(t, in, control.ConnectionUp, "i1")
-		next(t, in, control.ConnectionClosed, "")
+	in := startWatcher(t, lis.Addr().String())
+	for range maxShortConnections - 1 {
+		expectChange(t, in, control.ConnectionUp, "i1")
+		expectChange(t, in, control.ConnectionClosed, "")
 	}
-	next(t, in, control.ConnectionUp, "i1")
-	next(t, in, control.ConnectionUp, "i1")
+	expectChange(t, in, control.ConnectionUp, "i1")
+	expectChange(t, in, control.ConnectionUp, "i1")
 }
