--- a/httpapi/doc.go
+++ b/httpapi/doc.go
@@ -2,5 +2,6 @@
 // status and counters.
 //
 // A Frontend serves requests to services. It passes each request through a chain of filters, of which the last drives the request's
-// router.RequestFlow to its end. Operations serves the other paths; its Routes method adds all paths to a router of package bunrouter.
+// router.RequestFlow to its end. Operations serves the other paths; its Routes method adds all paths to a router of package bunrouter. A node
+// on a platform, which serves requests through package proxy, adds only the paths of StatusRoutes.
 package httpapi
--- a/httpapi/session.go
+++ b/httpapi/session.go
@@ -99,8 +99,8 @@
 	return false
 }
 
-// finish sends the response of a request that has no complete response yet, and counts the outcome. It aborts the connection of a client that
-// received a part of the response.
+// finish counts the outcome of a request. It sends an error response if no part of a replica's response was forwarded, and aborts the connection
+// of a client that received only a part.
 func (s *session) finish(d router.Decision, outcome string) {
 	f, x := s.frontend, s.exchange
 	switch outcome {
