--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -47,8 +47,8 @@
 	return c, frames
 }
 
-// Opening is what the first frames of a connection cost beyond the same frames later: they describe their types.
-func Opening() int {
+// FirstFrameOverhead is what the first frames of a connection cost beyond the same frames later: they describe their types.
+func FirstFrameOverhead() int {
 	c, first := open()
 	later := 0
 	for _, m := range usualMessages() {
--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -14,7 +14,7 @@
 func TestCountsOfThreeNodes(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{
-		Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 18 * time.Second, Seed: 1,
+		Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 18 * time.Second, Seed: 1,
 		Clock: func() time.Duration {
 			ticks += time.Microsecond
 			return ticks
@@ -48,7 +48,7 @@
 // answer is one ControlStatus to the router.
 func TestTimeOfTicks(t *testing.T) {
 	ticks := time.Duration(0)
-	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
+	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
 		Clock: func() time.Duration {
 			ticks += time.Microsecond
 			return ticks
@@ -56,17 +56,17 @@
 	}
 	r := p.Run()
 	for _, n := range r.Nodes {
-		if got := r.Costs.Of(n, Ticks).Step; got != 200*time.Microsecond {
+		if got := r.Costs.Of(n, Ticks).StepTime; got != 200*time.Microsecond {
 			t.Errorf("control ticks of %s took %s, want 200 looks", n.Name, got)
 		}
-		if got := r.Costs.Of(n, RouterTick).Step; got != 400*time.Microsecond {
+		if got := r.Costs.Of(n, RouterTick).StepTime; got != 400*time.Microsecond {
 			t.Errorf("router ticks and feeds of %s took %s, want 400 looks", n.Name, got)
 		}
 	}
 }
 
 func TestBytesAddUp(t *testing.T) {
-	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, Changes: 1, Warm: 12 * time.Second, Measured: 5 * time.Second, Seed: 1,
+	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 5 * time.Second, Seed: 1,
 		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
 	var sent, zones, regions uint64
@@ -80,16 +80,16 @@
 	if sent == 0 || regions == 0 || regions >= zones || zones >= sent {
 		t.Errorf("sent %d, to other zones %d, to the other region %d", sent, zones, regions)
 	}
-	if len(r.Puts) != 5 {
-		t.Errorf("%d changes in force everywhere, want 5 in 5 s", len(r.Puts))
+	if len(r.ApplyTimes) != 5 {
+		t.Errorf("%d changes in force everywhere, want 5 in 5 s", len(r.ApplyTimes))
 	}
-	if r.Ends["done"] < 80 {
-		t.Errorf("ends %v, want most of 100 requests done", r.Ends)
+	if r.Outcomes["done"] < 80 {
+		t.Errorf("ends %v, want most of 100 requests done", r.Outcomes)
 	}
 }
 
 func TestPartKeepsProportions(t *testing.T) {
-	p := Part(37)
+	p := ScaledTarget(37)
 	if p.Replicas != 60 || p.Rate != 380 || p.Nodes != 37 || p.Disks != 4 {
 		t.Errorf("a tenth of the target is %+v", p)
 	}
@@ -97,11 +97,11 @@
 
 func TestStateGrowsWithStoredItems(t *testing.T) {
 	l := newSoloRouter(func() time.Duration { return 0 }, unbounded)
-	before := State(l.node)
+	before := StateByMechanism(l.node)
 	for i := range 1000 {
 		l.request(i, prefixes(i))
 	}
-	after := State(l.node)
+	after := StateByMechanism(l.node)
 	if l.done != 1000 {
 		t.Fatalf("%d of 1000 requests done", l.done)
 	}
@@ -128,10 +128,10 @@
 }
 
 func TestPaddedConfigurationsAreTaken(t *testing.T) {
-	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, Changes: 1, Warm: 12 * time.Second, Measured: 4 * time.Second, Seed: 1,
+	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 4 * time.Second, Seed: 1,
 		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
-	if len(r.Puts) != 4 || r.Body < 100000 || r.Body > 104000 {
-		t.Errorf("%d changes of %d bytes in force, want 4 of 100000 to 104000", len(r.Puts), r.Body)
+	if len(r.ApplyTimes) != 4 || r.ConfigBytes < 100000 || r.ConfigBytes > 104000 {
+		t.Errorf("%d changes of %d bytes in force, want 4 of 100000 to 104000", len(r.ApplyTimes), r.ConfigBytes)
 	}
 }
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -12,34 +12,34 @@
 	Role      Role
 	Mechanism Mechanism
 	Measure   Measure
-	// Of is the mean or the worst node.
-	Of     string
-	Points int
-	From   float64
-	To     float64
-	Base   float64
-	Slope  float64
-	R2     float64
+	// Statistic is the mean or the worst node.
+	Statistic string
+	Points    int
+	FirstX    float64
+	LastX     float64
+	Intercept float64
+	Slope     float64
+	R2        float64
 	// Residual is the root mean square of what the line misses, as a share of the points' mean; Worst is the most it misses.
-	Residual float64
-	Worst    float64
-	// Power is the exponent of x in the best c·x^p, and PowerResidual what that misses; 0 where a point is naught.
-	Power         float64
-	Factor        float64
+	Residual    float64
+	MaxResidual float64
+	// Exponent is the exponent of x in the best c·x^p, and PowerResidual what that misses; 0 where a point is naught.
+	Exponent      float64
+	PowerFactor   float64
 	PowerResidual float64
-	Last          float64
+	LastY         float64
 }
 
 // At is the line's value at x, or the power's where that misses less than half as much.
 func (f Fit) At(x float64) float64 {
-	if f.ByPower() {
-		return f.Factor * math.Pow(x, f.Power)
+	if f.IsPowerLaw() {
+		return f.PowerFactor * math.Pow(x, f.Exponent)
 	}
-	return f.Base + f.Slope*x
+	return f.Intercept + f.Slope*x
 }
 
-// ByPower tells whether the points go with a power of x rather than with a line.
-func (f Fit) ByPower() bool { return f.Power != 0 && f.PowerResidual < f.Residual/2 }
+// IsPowerLaw tells whether the points go with a power of x rather than with a line.
+func (f Fit) IsPowerLaw() bool { return f.Exponent != 0 && f.PowerResidual < f.Residual/2 }
 
 func misses(xs, ys []float64, at func(x float64) float64) (rms, worst float64) {
 	mean := stat.Mean(ys, nil)
@@ -51,19 +51,19 @@
 	return math.Sqrt(rms / float64(len(xs))), worst
 }
 
-// Line fits one series; fewer than three points or no positive one give none.
-func Line(xs, ys []float64) (Fit, bool) {
+// FitSeries fits one series; fewer than three points or no positive one give none.
+func FitSeries(xs, ys []float64) (Fit, bool) {
 	var f Fit
 	if len(xs) < 3 || stat.Mean(ys, nil) <= 0 {
 		return f, false
 	}
-	f.Points, f.From, f.To, f.Last = len(xs), xs[0], xs[len(xs)-1], ys[len(ys)-1]
-	f.Base, f.Slope = stat.LinearRegression(xs, ys, nil, false)
-	f.R2 = stat.RSquared(xs, ys, nil, f.Base, f.Slope)
+	f.Points, f.FirstX, f.LastX, f.LastY = len(xs), xs[0], xs[len(xs)-1], ys[len(ys)-1]
+	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
+	f.R2 = stat.RSquared(xs, ys, nil, f.Intercept, f.Slope)
 	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) {
 		f.R2 = 1
 	}
-	f.Residual, f.Worst = misses(xs, ys, func(x float64) float64 { return f.Base + f.Slope*x })
+	f.Residual, f.MaxResidual = misses(xs, ys, func(x float64) float64 { return f.Intercept + f.Slope*x })
 	var lx, ly []float64
 	for i := range xs {
 		if xs[i] <= 0 || ys[i] <= 0 {
@@ -72,8 +72,8 @@
 		lx, ly = append(lx, math.Log(xs[i])), append(ly, math.Log(ys[i]))
 	}
 	c, p := stat.LinearRegression(lx, ly, nil, false)
-	f.Factor, f.Power = math.Exp(c), p
-	f.PowerResidual, _ = misses(xs, ys, func(x float64) float64 { return f.Factor * math.Pow(x, p) })
+	f.PowerFactor, f.Exponent = math.Exp(c), p
+	f.PowerResidual, _ = misses(xs, ys, func(x float64) float64 { return f.PowerFactor * math.Pow(x, p) })
 	return f, true
 }
 
@@ -83,8 +83,8 @@
 	measure   Measure
 }
 
-// Fits are lines through all series of a sweep's points, which come in order of x.
-func Fits(ps []Point) []Fit {
+// FitAll are lines through all series of a sweep's points, which come in order of x.
+func FitAll(ps []Point) []Fit {
 	xs, mean, worst := map[series][]float64{}, map[series][]float64{}, map[series][]float64{}
 	var order []series
 	for _, p := range ps {
@@ -98,11 +98,11 @@
 	for _, s := range order {
 		for _, of := range []string{"mean", "worst"} {
 			ys := map[string][]float64{"mean": mean[s], "worst": worst[s]}[of]
-			f, ok := Line(xs[s], ys)
+			f, ok := FitSeries(xs[s], ys)
 			if !ok {
 				continue
 			}
-			f.Sweep, f.Role, f.Mechanism, f.Measure, f.Of = ps[0].Sweep, s.role, s.mechanism, s.measure, of
+			f.Sweep, f.Role, f.Mechanism, f.Measure, f.Statistic = ps[0].Sweep, s.role, s.mechanism, s.measure, of
 			fs = append(fs, f)
 		}
 	}
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -18,8 +18,8 @@
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
 
 func TestLineThroughALine(t *testing.T) {
-	f, ok := Line([]float64{1, 2, 4, 8}, []float64{13, 16, 22, 34})
-	if !ok || !near(f.Base, 10) || !near(f.Slope, 3) || f.Residual > 1e-9 || !near(f.R2, 1) || f.ByPower() {
+	f, ok := FitSeries([]float64{1, 2, 4, 8}, []float64{13, 16, 22, 34})
+	if !ok || !near(f.Intercept, 10) || !near(f.Slope, 3) || f.Residual > 1e-9 || !near(f.R2, 1) || f.IsPowerLaw() {
 		t.Errorf("10 + 3x is fitted by %+v", f)
 	}
 	if !near(f.At(100), 310) {
@@ -28,24 +28,24 @@
 }
 
 func TestSquareGoesByPower(t *testing.T) {
-	f, ok := Line([]float64{1, 2, 4, 8}, []float64{2, 8, 32, 128})
-	if !ok || !f.ByPower() || !near(f.Power, 2) || !near(f.At(16), 512) {
+	f, ok := FitSeries([]float64{1, 2, 4, 8}, []float64{2, 8, 32, 128})
+	if !ok || !f.IsPowerLaw() || !near(f.Exponent, 2) || !near(f.At(16), 512) {
 		t.Errorf("2x² is fitted by %+v", f)
 	}
 }
 
 func TestResidualIsAShareOfTheMean(t *testing.T) {
-	f, ok := Line([]float64{0, 1, 2}, []float64{9, 12, 9})
-	if !ok || !near(f.Base, 10) || !near(f.Slope, 0) || !near(f.Worst, 0.2) || !near(f.Residual, math.Sqrt(0.02)) {
+	f, ok := FitSeries([]float64{0, 1, 2}, []float64{9, 12, 9})
+	if !ok || !near(f.Intercept, 10) || !near(f.Slope, 0) || !near(f.MaxResidual, 0.2) || !near(f.Residual, math.Sqrt(0.02)) {
 		t.Errorf("10 ± is fitted by %+v", f)
 	}
 }
 
 func TestTooFewPointsGiveNoLine(t *testing.T) {
-	if _, ok := Line([]float64{1, 2}, []float64{1, 2}); ok {
+	if _, ok := FitSeries([]float64{1, 2}, []float64{1, 2}); ok {
 		t.Error("two points gave a line")
 	}
-	if _, ok := Line([]float64{1, 2, 3}, []float64{0, 0, 0}); ok {
+	if _, ok := FitSeries([]float64{1, 2, 3}, []float64{0, 0, 0}); ok {
 		t.Error("naught gave a line")
 	}
 }
@@ -56,15 +56,15 @@
 		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: LoadGossip, Measure: Sent, Mean: x, Worst: 2 * x})
 		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: Leases, Measure: Sent, Mean: 5, Worst: 5})
 	}
-	fs := Fits(ps)
-	if len(fs) != 4 || !near(fs[0].Slope, 1) || !near(fs[1].Slope, 2) || fs[1].Of != "worst" || !near(fs[2].Slope, 0) || !near(fs[2].Base, 5) {
+	fs := FitAll(ps)
+	if len(fs) != 4 || !near(fs[0].Slope, 1) || !near(fs[1].Slope, 2) || fs[1].Statistic != "worst" || !near(fs[2].Slope, 0) || !near(fs[2].Intercept, 5) {
 		t.Errorf("fits are %+v", fs)
 	}
 }
 
 func TestUnknownSweepIsNamed(t *testing.T) {
-	_, err := Choose(Sweeps([]float64{1}), []string{"nodes", "nowhere"})
-	var bad *SweepError
+	_, err := SelectSweeps(Sweeps([]float64{1}), []string{"nodes", "nowhere"})
+	var bad *UnknownSweepError
 	if !errors.As(err, &bad) || bad.Name != "nowhere" {
 		t.Errorf("got %v", err)
 	}
@@ -80,12 +80,12 @@
 	shared := &row{name: "0123456789abcdef"}
 	// row is 16 + 8 + 24 bytes; the name takes a block of 16, shared is counted once.
 	want := uint64(2*8) + 48 + 16
-	if got := Size([2]*row{shared, shared}); got != want {
+	if got := DeepSize([2]*row{shared, shared}); got != want {
 		t.Errorf("got %d, want %d", got, want)
 	}
 	loop := &row{}
 	loop.next = loop
-	if got := Size(loop); got != 8+48 {
+	if got := DeepSize(loop); got != 8+48 {
 		t.Errorf("a loop takes %d, want 56", got)
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	heap, got := float64(after.HeapAlloc-before.HeapAlloc), float64(Size(m))
+	heap, got := float64(after.HeapAlloc-before.HeapAlloc), float64(DeepSize(m))
 	runtime.KeepAlive(m)
 	if got < 0.75*heap || got > 1.33*heap {
 		t.Errorf("reckoned %.0f bytes, the heap says %.0f", got, heap)
@@ -158,7 +158,7 @@
 			t.Errorf("%d rows take %d bytes, %v, want %d", rows, len(frame), err, want)
 		}
 	}
-	if m := ofMessage(control.Prefills{}); m != Prefills || m.Control() {
+	if m := ofMessage(control.Prefills{}); m != Prefills || m.IsControl() {
 		t.Errorf("prefills are counted as %s", m)
 	}
 }
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -39,8 +39,8 @@
 	Other           Mechanism = "other"
 )
 
-// Control tells whether a mechanism runs without requests and so counts against the budget for control.
-func (m Mechanism) Control() bool {
+// IsControl tells whether a mechanism runs without requests and so counts against the budget for control.
+func (m Mechanism) IsControl() bool {
 	return m != Requests && m != Index && m != Witnesses && m != Prefills
 }
 
@@ -174,8 +174,8 @@
 	},
 }
 
-// State is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
-func State(n *light.Node) map[Mechanism]uint64 {
+// StateByMechanism is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
+func StateByMechanism(n *light.Node) map[Mechanism]uint64 {
 	bytes := map[Mechanism]uint64{}
 	w := newSizer()
 	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -12,16 +12,16 @@
 	BytesSent, BytesReceived uint64
 	// AcrossZones and AcrossRegions are the parts of BytesSent that left the sender's.
 	AcrossZones, AcrossRegions uint64
-	// Step is the machines' own time, Frames is that for encoding and decoding.
-	Step, Frames   time.Duration
-	Probes, Writes uint64
+	// StepTime is the machines' own time, CodecTime is that for encoding and decoding.
+	StepTime, CodecTime time.Duration
+	Probes, Writes      uint64
 }
 
 func (c *Cost) add(o Cost) {
 	c.Sent, c.Received = c.Sent+o.Sent, c.Received+o.Received
 	c.BytesSent, c.BytesReceived = c.BytesSent+o.BytesSent, c.BytesReceived+o.BytesReceived
 	c.AcrossZones, c.AcrossRegions = c.AcrossZones+o.AcrossZones, c.AcrossRegions+o.AcrossRegions
-	c.Step, c.Frames = c.Step+o.Step, c.Frames+o.Frames
+	c.StepTime, c.CodecTime = c.StepTime+o.StepTime, c.CodecTime+o.CodecTime
 	c.Probes, c.Writes = c.Probes+o.Probes, c.Writes+o.Writes
 }
 
@@ -58,7 +58,7 @@
 	s, r := c.of(t.From, m), c.of(t.To, m)
 	s.Sent, r.Received = s.Sent+1, r.Received+1
 	s.BytesSent, r.BytesReceived = s.BytesSent+uint64(t.FrameBytes), r.BytesReceived+uint64(t.FrameBytes)
-	s.Frames, r.Frames = s.Frames+t.Encode, r.Frames+t.Decode
+	s.CodecTime, r.CodecTime = s.CodecTime+t.Encode, r.CodecTime+t.Decode
 	if t.From.Zone != t.To.Zone {
 		s.AcrossZones += uint64(t.FrameBytes)
 	}
@@ -70,7 +70,7 @@
 
 // Stepped counts the time that a machine took for an input.
 func (c *Costs) Stepped(n *light.Node, in any, elapsed time.Duration) {
-	c.of(n, ofInput(in)).Step += elapsed
+	c.of(n, ofInput(in)).StepTime += elapsed
 }
 
 // Asked counts a probe of a replica.
@@ -93,8 +93,8 @@
 // Of is what one mechanism cost one node.
 func (c *Costs) Of(n *light.Node, m Mechanism) Cost { return *c.of(n, m) }
 
-// Peers are how many nodes this one sent to so far.
-func (c *Costs) Peers(n *light.Node) int {
+// PeerCount are how many nodes this one sent to so far.
+func (c *Costs) PeerCount(n *light.Node) int {
 	var count int
 	for p := range c.peers {
 		if p[0] == n {
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -24,8 +24,8 @@
 	{BytesSent, "bytes"}, {Sent, "messages"}, {CPU, "cpu"}, {StateBytes, "state"}, {AcrossRegions, "regions"},
 }
 
-// Draw writes an SVG plot of each measure of a sweep: the mean node by mechanism, the worst node's sum, and their lines.
-func Draw(dir string, s Sweep, ps []Point, fs []Fit) error {
+// DrawPlots writes an SVG plot of each measure of a sweep: the mean node by mechanism, the worst node's sum, and their lines.
+func DrawPlots(dir string, s Sweep, ps []Point, fs []Fit) error {
 	for _, what := range drawnMeasures {
 		p := plot.New()
 		p.Title.Text = s.Name + ": " + string(what.measure)
@@ -101,11 +101,11 @@
 	p.Add(dots)
 	p.Legend.Add(string(s.mechanism)+", "+s.of, dots)
 	for _, f := range fs {
-		if f.Role != Any || f.Mechanism != s.mechanism || f.Measure != s.measure || f.Of != s.of {
+		if f.Role != Any || f.Mechanism != s.mechanism || f.Measure != s.measure || f.Statistic != s.of {
 			continue
 		}
 		line := plotter.NewFunction(f.At)
-		line.Color, line.XMin, line.XMax = s.color, f.From, f.To
+		line.Color, line.XMin, line.XMax = s.color, f.FirstX, f.LastX
 		p.Add(line)
 	}
 	return nil
--- a/capacity/point.go
+++ b/capacity/point.go
@@ -37,14 +37,14 @@
 	AcrossZones   Measure = "bytes sent to other zones a second"
 	AcrossRegions Measure = "bytes sent to the other region a second"
 	CPU           Measure = "CPU, microseconds a second"
-	Frames        Measure = "of it frames, microseconds a second"
+	CodecCPU      Measure = "of it frames, microseconds a second"
 	ProbeRate     Measure = "replicas asked a second"
 	Writes        Measure = "entries synced a second"
 )
 
 // Measures are all measures in the order of the tables.
 func Measures() []Measure {
-	return []Measure{StateBytes, Sent, Received, BytesSent, BytesReceived, AcrossZones, AcrossRegions, CPU, Frames, ProbeRate, Writes}
+	return []Measure{StateBytes, Sent, Received, BytesSent, BytesReceived, AcrossZones, AcrossRegions, CPU, CodecCPU, ProbeRate, Writes}
 }
 
 // Point is one measure of one mechanism at one x of a sweep: the mean node's and the worst node's.
@@ -66,8 +66,8 @@
 	per := func(n uint64) float64 { return float64(n) / lasts.Seconds() }
 	return map[Measure]float64{
 		Sent: per(c.Sent), Received: per(c.Received), BytesSent: per(c.BytesSent), BytesReceived: per(c.BytesReceived),
-		AcrossZones: per(c.AcrossZones), AcrossRegions: per(c.AcrossRegions), CPU: per(uint64((c.Step + c.Frames).Nanoseconds())) / 1000,
-		Frames: per(uint64(c.Frames.Nanoseconds())) / 1000, ProbeRate: per(c.Probes), Writes: per(c.Writes),
+		AcrossZones: per(c.AcrossZones), AcrossRegions: per(c.AcrossRegions), CPU: per(uint64((c.StepTime + c.CodecTime).Nanoseconds())) / 1000,
+		CodecCPU: per(uint64(c.CodecTime.Nanoseconds())) / 1000, ProbeRate: per(c.Probes), Writes: per(c.Writes),
 	}
 }
 
@@ -76,7 +76,7 @@
 
 func (v reads) add(m Mechanism, what map[Measure]float64) {
 	for _, sum := range []Mechanism{m, All, AllControl} {
-		if sum == AllControl && !m.Control() {
+		if sum == AllControl && !m.IsControl() {
 			continue
 		}
 		if v[sum] == nil {
@@ -91,12 +91,12 @@
 func (r *Result) reads(n *light.Node) reads {
 	v := reads{}
 	for m, c := range r.Costs.by[n] {
-		v.add(m, c.reads(r.Plan.Measured))
+		v.add(m, c.reads(r.Plan.MeasureTime))
 	}
-	for m, b := range State(n) {
+	for m, b := range StateByMechanism(n) {
 		v.add(m, map[Measure]float64{StateBytes: float64(b)})
 	}
-	v.add(Connections, map[Measure]float64{StateBytes: float64(r.Costs.Peers(n)) * float64(connBytes())})
+	v.add(Connections, map[Measure]float64{StateBytes: float64(r.Costs.PeerCount(n)) * float64(connBytes())})
 	return v
 }
 
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -18,12 +18,12 @@
 	Prefixes int
 	// ConfigBytes pads the configuration; 0: as large as its replicas make it. Changes are puts a second.
 	ConfigBytes int
-	Changes     float64
+	PutRate     float64
 	// ZoneDelay is the delay between zones, one way; 0: the simulator's.
 	ZoneDelay time.Duration
-	// Warm is how long the fleet settles, Measured how long costs are counted after that, in virtual time.
-	Warm, Measured time.Duration
-	Seed           uint64
+	// SettleTime is how long the fleet settles, MeasureTime how long costs are counted after that, in virtual time.
+	SettleTime, MeasureTime time.Duration
+	Seed                    uint64
 	// Clock times the machines' steps.
 	Clock func() time.Duration
 }
@@ -34,12 +34,12 @@
 // Target is the size that the users need.
 func Target() Plan {
 	return Plan{
-		Nodes: 370, Replicas: 600, Disks: 4, Models: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, Warm: 15 * time.Second, Measured: 10 * time.Second, Seed: 1,
+		Nodes: 370, Replicas: 600, Disks: 4, Models: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
 	}
 }
 
-// Part is the target at another number of nodes, with replicas and requests to match.
-func Part(nodes int) Plan {
+// ScaledTarget is the target at another number of nodes, with replicas and requests to match.
+func ScaledTarget(nodes int) Plan {
 	p := Target()
 	t := p
 	p.Nodes = nodes
@@ -50,15 +50,15 @@
 
 // Result is what one fleet's run showed.
 type Result struct {
-	Plan   Plan
-	Costs  *Costs
-	Nodes  []*light.Node
-	Ready  int
-	Puts   []time.Duration
-	Firsts []time.Duration
-	Ends   map[string]int
-	// Body is the size of the configuration in force at the end.
-	Body int
+	Plan            Plan
+	Costs           *Costs
+	Nodes           []*light.Node
+	Ready           int
+	ApplyTimes      []time.Duration
+	FirstTokenTimes []time.Duration
+	Outcomes        map[string]int
+	// ConfigBytes is the size of the configuration in force at the end.
+	ConfigBytes int
 }
 
 // bootSpread keeps the memory of large fleets' starts down: each replica that is first seen has a node divide all room anew, and keep
@@ -71,25 +71,25 @@
 func (p Plan) Run() Result {
 	shape := light.Shape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
 	plan := p.hollow(&shape)
-	r := Result{Plan: p, Costs: NewCosts(), Body: len(shape.Config)}
+	r := Result{Plan: p, Costs: NewCosts(), ConfigBytes: len(shape.Config)}
 	plan.Shape, plan.Meter = shape, r.Costs
 	h := light.New(plan)
 	h.Boot()
-	warm := p.Warm + p.bootSpread()
-	h.Run(p.bootSpread() + min(8*time.Second, p.Warm/2))
-	h.Load(warm + p.Measured)
+	warm := p.SettleTime + p.bootSpread()
+	h.Run(p.bootSpread() + min(8*time.Second, p.SettleTime/2))
+	h.Load(warm + p.MeasureTime)
 	h.Run(warm)
 	r.Costs.Reset()
 	h.Puts, h.Firsts = nil, nil
 	clear(h.Ends)
 	h.Change()
-	h.Run(warm + p.Measured)
+	h.Run(warm + p.MeasureTime)
 	for _, n := range h.Nodes {
 		if n.Router.NotReady(h.Now) == "" {
 			r.Ready++
 		}
 	}
-	r.Nodes, r.Puts, r.Firsts, r.Ends = h.Nodes, h.Puts, h.Firsts, h.Ends
+	r.Nodes, r.ApplyTimes, r.FirstTokenTimes, r.Outcomes = h.Nodes, h.Puts, h.Firsts, h.Ends
 	return r
 }
 
@@ -105,8 +105,8 @@
 		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
 		Body: func(n int) []byte { return light.Document(plain, n, p.ConfigBytes) },
 	}
-	if p.Changes > 0 {
-		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
+	if p.PutRate > 0 {
+		plan.PutEvery = time.Duration(float64(time.Second) / p.PutRate)
 	}
 	if p.Rate > 0 {
 		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: 0}, p.Seed, "q")
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -7,8 +7,8 @@
 
 func newSizer() *sizer { return &sizer{seen: map[uintptr]bool{}} }
 
-// Size is what a value and all it holds take, as reckoned by its types: maps are taken at seven eighths of their slots.
-func Size(v any) uint64 {
+// DeepSize is what a value and all it holds take, as reckoned by its types: maps are taken at seven eighths of their slots.
+func DeepSize(v any) uint64 {
 	r := reflect.ValueOf(v)
 	return uint64(r.Type().Size()) + newSizer().reachable(r)
 }
--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -36,15 +36,15 @@
 	if name == "evicting" {
 		keep = 65536
 	}
-	return Sweep{Name: name, Axis: axis, Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
+	return Sweep{Name: name, Axis: axis, Values: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		l := newSoloRouter(clock, keep)
 		for i := range int(x) {
 			l.request(i, of(i))
 		}
-		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), Measured: time.Second}, Costs: l.costs, Nodes: []*light.Node{l.node}}
-		each := l.costs.Of(l.node, Requests).Step / time.Duration(max(l.done, 1))
+		r := Result{Plan: Plan{Nodes: 1, Replicas: soloReplicas, Rate: 1 / soloEvery.Seconds(), MeasureTime: time.Second}, Costs: l.costs, Nodes: []*light.Node{l.node}}
+		each := l.costs.Of(l.node, Requests).StepTime / time.Duration(max(l.done, 1))
 		l.costs.Reset()
-		l.costs.of(l.node, Requests).Step = each
+		l.costs.of(l.node, Requests).StepTime = each
 		return r.Points(name, x), fmt.Sprintf("%d of %d requests done, %s of CPU each", l.done, int(x), each)
 	}}
 }
@@ -105,7 +105,7 @@
 
 // remembered asks one node as a witness for x requests.
 func remembered() Sweep {
-	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Xs: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
+	return Sweep{Name: "remembered", Axis: "requests witnessed in ten minutes", Values: []float64{1000, 3000, 10000, 30000, 100000}, run: func(clock func() time.Duration, x float64) ([]Point, string) {
 		n := &light.Node{Name: "n1", Zone: "a1", Router: router.New(router.Defaults("n1", "b", "a1"))}
 		n.Control = control.New(0, control.Config{Name: "n1", Addr: "10.0.0.1:1", Zone: "a1", Boot: "b", Membership: membership.Defaults(), Gossip: gossip.Defaults()})
 		costs := NewCosts()
@@ -116,8 +116,8 @@
 			costs.Stepped(n, in, clock()-from)
 		}
 		c := costs.of(n, Witnesses)
-		c.Step /= time.Duration(x)
-		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, Measured: time.Second}, Costs: costs, Nodes: []*light.Node{n}}
-		return r.Points("remembered", x), fmt.Sprintf("%s of CPU for each", c.Step)
+		c.StepTime /= time.Duration(x)
+		r := Result{Plan: Plan{Nodes: 1, Rate: x / 600, MeasureTime: time.Second}, Costs: costs, Nodes: []*light.Node{n}}
+		return r.Points("remembered", x), fmt.Sprintf("%s of CPU for each", c.StepTime)
 	}}
 }
--- a/capacity/summary.go
+++ b/capacity/summary.go
@@ -17,13 +17,13 @@
 
 // Summary says in a line how the fleet did.
 func (r *Result) Summary() string {
-	line := fmt.Sprintf("%d of %d nodes serve, %d replicas, %.0f requests/s, configuration of %d bytes", r.Ready, r.Plan.Nodes, r.Plan.Replicas, r.Plan.Rate, r.Body)
-	for _, how := range slices.Sorted(maps.Keys(r.Ends)) {
-		line += fmt.Sprintf(", %s %d", how, r.Ends[how])
+	line := fmt.Sprintf("%d of %d nodes serve, %d replicas, %.0f requests/s, configuration of %d bytes", r.Ready, r.Plan.Nodes, r.Plan.Replicas, r.Plan.Rate, r.ConfigBytes)
+	for _, how := range slices.Sorted(maps.Keys(r.Outcomes)) {
+		line += fmt.Sprintf(", %s %d", how, r.Outcomes[how])
 	}
-	line += fmt.Sprintf("; first token p50 %d ms p95 %d ms", quantile(r.Firsts, 0.5).Milliseconds(), quantile(r.Firsts, 0.95).Milliseconds())
-	if len(r.Puts) > 0 {
-		line += fmt.Sprintf("; %d changes in force everywhere after p50 %d ms, last %d ms", len(r.Puts), quantile(r.Puts, 0.5).Milliseconds(), quantile(r.Puts, 1).Milliseconds())
+	line += fmt.Sprintf("; first token p50 %d ms p95 %d ms", quantile(r.FirstTokenTimes, 0.5).Milliseconds(), quantile(r.FirstTokenTimes, 0.95).Milliseconds())
+	if len(r.ApplyTimes) > 0 {
+		line += fmt.Sprintf("; %d changes in force everywhere after p50 %d ms, last %d ms", len(r.ApplyTimes), quantile(r.ApplyTimes, 0.5).Milliseconds(), quantile(r.ApplyTimes, 1).Milliseconds())
 	}
 	return line
 }
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -11,28 +11,28 @@
 type Sweep struct {
 	Name string
 	// Axis is what x is.
-	Axis string
-	Xs   []float64
-	run  func(clock func() time.Duration, x float64) ([]Point, string)
+	Axis   string
+	Values []float64
+	run    func(clock func() time.Duration, x float64) ([]Point, string)
 }
 
-// SweepError names a sweep that there is not.
-type SweepError struct{ Name string }
+// UnknownSweepError names a sweep that there is not.
+type UnknownSweepError struct{ Name string }
 
-func (e *SweepError) Error() string { return "no sweep is called " + e.Name }
+func (e *UnknownSweepError) Error() string { return "no sweep is called " + e.Name }
 
-// Base is the fleet that one thing of is changed.
-const Base = 48
+// BaseNodes is the fleet that one thing of is changed.
+const BaseNodes = 48
 
 // fleet is a sweep that runs fleets which differ in one thing.
 func fleet(name, axis string, xs []float64, change func(p *Plan, x float64)) Sweep {
-	return Sweep{Name: name, Axis: axis, Xs: xs, run: func(clock func() time.Duration, x float64) ([]Point, string) {
-		p := Part(Base)
+	return Sweep{Name: name, Axis: axis, Values: xs, run: func(clock func() time.Duration, x float64) ([]Point, string) {
+		p := ScaledTarget(BaseNodes)
 		p.Clock = clock
 		change(&p, x)
 		r := p.Run()
 		if p.ConfigBytes > 0 {
-			x = float64(r.Body)
+			x = float64(r.ConfigBytes)
 		}
 		return r.Points(name, x), r.Summary()
 	}}
@@ -42,18 +42,18 @@
 func Sweeps(sizes []float64) []Sweep {
 	return []Sweep{
 		fleet("fleet", "nodes, with replicas and requests to match", sizes, func(p *Plan, x float64) {
-			complete := Part(int(x))
+			complete := ScaledTarget(int(x))
 			p.Nodes, p.Replicas, p.Rate = complete.Nodes, complete.Replicas, complete.Rate
 		}),
 		fleet("nodes", "nodes", []float64{16, 24, 48, 96, 185}, func(p *Plan, x float64) { p.Nodes = int(x) }),
 		fleet("replicas", "replicas", []float64{39, 78, 156, 300, 600}, func(p *Plan, x float64) { p.Replicas = int(x) }),
 		fleet("requests", "requests a second", []float64{60, 120, 250, 500, 1000}, func(p *Plan, x float64) { p.Rate = x }),
-		fleet("changes", "changes of configuration a second", []float64{0.25, 0.5, 1, 2, 4}, func(p *Plan, x float64) { p.Changes, p.Measured = x, 12*time.Second }),
+		fleet("changes", "changes of configuration a second", []float64{0.25, 0.5, 1, 2, 4}, func(p *Plan, x float64) { p.PutRate, p.MeasureTime = x, 12*time.Second }),
 		fleet("config", "bytes of configuration, changed once a second", []float64{16 << 10, 32 << 10, 64 << 10, 128 << 10, 256 << 10, 512 << 10}, func(p *Plan, x float64) {
-			p.ConfigBytes, p.Changes = int(x), 1
+			p.ConfigBytes, p.PutRate = int(x), 1
 		}),
 		fleet("distance", "milliseconds between zones, a change a second", []float64{3, 10, 20, 40, 80}, func(p *Plan, x float64) {
-			p.ZoneDelay, p.Changes = time.Duration(x*float64(time.Millisecond)), 1
+			p.ZoneDelay, p.PutRate = time.Duration(x*float64(time.Millisecond)), 1
 		}),
 		solo("prefixes", "shared prefixes seen", prefixes),
 		solo("sessions", "sessions seen, over 100 shared prefixes", sessions),
@@ -63,8 +63,8 @@
 	}
 }
 
-// Choose names sweeps; no name chooses all.
-func Choose(all []Sweep, names []string) ([]Sweep, error) {
+// SelectSweeps names sweeps; no name chooses all.
+func SelectSweeps(all []Sweep, names []string) ([]Sweep, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
@@ -72,7 +72,7 @@
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(s Sweep) bool { return s.Name == name })
 		if i < 0 {
-			return nil, trace.Wrap(&SweepError{Name: name})
+			return nil, trace.Wrap(&UnknownSweepError{Name: name})
 		}
 		some = append(some, all[i])
 	}
@@ -83,7 +83,7 @@
 func (s Sweep) Run(said func(x float64, summary string, ps []Point) error) error {
 	clock := ThreadClock()
 	var ps []Point
-	for _, x := range s.Xs {
+	for _, x := range s.Values {
 		some, summary := s.run(clock, x)
 		ps = append(ps, some...)
 		if err := said(x, summary, ps); err != nil {
--- a/capacity/write.go
+++ b/capacity/write.go
@@ -32,11 +32,11 @@
 	if err := write(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
 		return err
 	}
-	fs := Fits(ps)
+	fs := FitAll(ps)
 	if err := write(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
 		return err
 	}
-	return Draw(dir, s, ps, fs)
+	return DrawPlots(dir, s, ps, fs)
 }
 
 func num(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
@@ -57,8 +57,8 @@
 	var rows [][]string
 	rows = append(rows, fitColumns)
 	for _, f := range fs {
-		row := []string{f.Sweep, string(f.Role), string(f.Mechanism), string(f.Measure), f.Of, strconv.Itoa(f.Points)}
-		for _, v := range []float64{f.From, f.To, f.Base, f.Slope, f.R2, f.Residual, f.Worst, f.Power, f.Factor, f.PowerResidual, f.Last} {
+		row := []string{f.Sweep, string(f.Role), string(f.Mechanism), string(f.Measure), f.Statistic, strconv.Itoa(f.Points)}
+		for _, v := range []float64{f.FirstX, f.LastX, f.Intercept, f.Slope, f.R2, f.Residual, f.MaxResidual, f.Exponent, f.PowerFactor, f.PowerResidual, f.LastY} {
 			row = append(row, num(v))
 		}
 		rows = append(rows, row)
--- a/cmd/mallowbridge/capacity.go
+++ b/cmd/mallowbridge/capacity.go
@@ -20,14 +20,14 @@
 	reload := c.Flag("again", "Run nothing; fit and draw the points that are in the directory.").Bool()
 	cmds["capacity"] = func(_ io.Reader, out io.Writer) error {
 		runtime.GOMAXPROCS(*cores)
-		some, err := capacity.Choose(capacity.Sweeps(*sizes), *names)
+		some, err := capacity.SelectSweeps(capacity.Sweeps(*sizes), *names)
 		if err != nil {
 			return err
 		}
 		if *reload {
 			return redraw(*dir, some)
 		}
-		fmt.Fprintf(out, "a connection's coders hold %d bytes; its first frames cost %d bytes more than later ones\n", capacity.ConnBytes(), capacity.Opening())
+		fmt.Fprintf(out, "a connection's coders hold %d bytes; its first frames cost %d bytes more than later ones\n", capacity.ConnBytes(), capacity.FirstFrameOverhead())
 		for _, s := range some {
 			if err = sweep(out, *dir, s); err != nil {
 				return err
--- a/cmd/mallowbridge/quotas.go
+++ b/cmd/mallowbridge/quotas.go
@@ -20,7 +20,7 @@
 	var o rehearsal.QuotaOptions
 	c.Flag("dir", "Folder for settings, disks, logs and the ledger; made where there is none.").Default(".fleet/quotas").StringVar(&o.Dir)
 	c.Flag("seed", "Seed of faults and load.").Default("1").Uint64Var(&o.Seed)
-	c.Flag("for", "How long clients ask.").Default("60s").DurationVar(&o.For)
+	c.Flag("for", "How long clients ask.").Default("60s").DurationVar(&o.Duration)
 	c.Flag("nodes", "Node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
 	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
 	c.Flag("clients", "Clients, each with a connection of its own.").Default("64").IntVar(&o.Clients)
@@ -39,8 +39,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if r.Races > 0 {
-		return trace.Wrap(&RaceError{N: r.Races, Dir: o.Dir})
+	if r.DataRaces > 0 {
+		return trace.Wrap(&RaceError{N: r.DataRaces, Dir: o.Dir})
 	}
 	return reportBreaches(out, quotaCounts(r), r.Breaches)
 }
@@ -51,5 +51,5 @@
 		fmt.Fprintf(&fullest, "%s %.3f of what is allowed, ", w.Tenant, w.Part())
 	}
 	return fmt.Sprintf("%d asked, %d ran, %d over quota, %d unauthorized, %d unanswered, %.3f of the usual refused; %d kills, %d stops, %d freezes, %d reloads, %d crashes, %d revisions; %s",
-		r.Asked, r.Ran, r.OverQuota, r.Unauthorized, r.Unanswered, r.UsualRefused, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes, r.Revisions, fullest.String())
+		r.Requests, r.Runs, r.OverQuota, r.Unauthorized, r.Failed, r.CompliantRejectRatio, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes, r.Revisions, fullest.String())
 }
--- a/cmd/mallowbridge/rehearsalfolder.go
+++ b/cmd/mallowbridge/rehearsalfolder.go
@@ -37,6 +37,6 @@
 	if f.binary, err = os.Executable(); err != nil {
 		return f, trace.Wrap(err)
 	}
-	f.ledger, err = standin.OpenRunLog(filepath.Join(f.dir, ledger))
+	f.ledger, err = standin.OpenLedger(filepath.Join(f.dir, ledger))
 	return f, err
 }
--- a/cmd/mallowbridge/soak.go
+++ b/cmd/mallowbridge/soak.go
@@ -20,7 +20,7 @@
 	c.Flag("dir", "Folder for settings, disks, logs and the ledger; made where there is none.").Default(".fleet/soak").StringVar(&o.Dir)
 	c.Flag("program", "Program that the nodes run; this one where none is named.").StringVar(&o.Binary)
 	c.Flag("seed", "Seed of faults, changes and load.").Default("1").Uint64Var(&o.Seed)
-	c.Flag("for", "How long clients ask; the last twenty seconds are for recovering.").Default("60s").DurationVar(&o.For)
+	c.Flag("for", "How long clients ask; the last twenty seconds are for recovering.").Default("60s").DurationVar(&o.Duration)
 	c.Flag("nodes", "Node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
 	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
 	c.Flag("clients", "Clients, each with a connection of its own.").Default("48").IntVar(&o.Clients)
@@ -40,8 +40,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if r.Races > 0 {
-		return trace.Wrap(&RaceError{N: r.Races, Dir: o.Dir})
+	if r.DataRaces > 0 {
+		return trace.Wrap(&RaceError{N: r.DataRaces, Dir: o.Dir})
 	}
 	return reportBreaches(out, soakCounts(r), r.Breaches)
 }
@@ -49,6 +49,6 @@
 func soakCounts(r rehearsal.SoakReport) string {
 	return fmt.Sprintf("%d asked, %d served, %d rejected, %d unanswered, %d ran, %d of %d served after the faults; %d kills, %d stops, %d freezes, %d reloads, %d crashes; "+
 		"%d revisions, read %d times, %d orders on zones, %d more held up, %d more left early; ",
-		r.Asked, r.Served, r.Rejected, r.Unanswered, r.Ran, r.CalmServed, r.CalmAsked, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes,
-		r.Revisions, r.Reads, r.ZoneOrders, r.HeldOrders, r.HastyOrders)
+		r.Requests, r.Served, r.Rejected, r.Failed, r.Runs, r.CalmServed, r.CalmRequests, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes,
+		r.Revisions, r.Reads, r.ZoneRequests, r.DelayedRequests, r.AbandonedRequests)
 }
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -44,7 +44,7 @@
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Chunks)
 	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.WarmupTime)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
-		w, err := standin.OpenRunLog(*path)
+		w, err := standin.OpenLedger(*path)
 		if err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 		t := &tomb.Tomb{}
 		instance := *name + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 		standin.NewReplica(t, standin.ReplicaOptions{
-			Name: *name, Model: *model, Instance: instance, Engine: m, Runs: w, Clock: daemon.Clock,
+			Name: *name, Model: *model, Instance: instance, Engine: m, Ledger: w, Clock: daemon.Clock,
 		}).Serve(lis)
 		stop := make(chan os.Signal, 1)
 		signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
@@ -78,7 +78,7 @@
 	tag := c.Flag("tag", "Front of the request ids; new for each run.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
 	path := c.Flag("ledger", "File that gets a line for each request.").String()
 	cmds["client"] = func(_ io.Reader, out io.Writer) error {
-		w, err := standin.OpenRunLog(*path)
+		w, err := standin.OpenLedger(*path)
 		if err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
-		standin.NewAgent(*nodes).Run(context.Background(), workload.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
+		standin.NewClient(*nodes).Run(context.Background(), workload.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
 			_ = enc.Encode(g)
 			sums[g.Outcome]++
 			if g.Outcome == "done" {
--- a/cmd/mallowbridge/streams.go
+++ b/cmd/mallowbridge/streams.go
@@ -27,30 +27,30 @@
 // streams rehearses streams through real node processes.
 func streams(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("streams", "Run nodes of the platform as processes, break what is around them, and judge the streams that clients get.")
-	o := rehearsal.Options{Faults: rehearsal.DefaultFaults()}
+	o := rehearsal.StreamOptions{Faults: rehearsal.DefaultFaultRates()}
 	c.Flag("dir", "Folder for settings, disks, logs and the ledger; made where there is none.").Default(".fleet/streams").StringVar(&o.Dir)
 	c.Flag("seed", "Seed of faults and load.").Default("1").Uint64Var(&o.Seed)
-	c.Flag("for", "How long clients ask.").Default("60s").DurationVar(&o.For)
+	c.Flag("for", "How long clients ask.").Default("60s").DurationVar(&o.Duration)
 	c.Flag("nodes", "Node processes, 3 to 15; the first three have a disk.").Default("5").IntVar(&o.Nodes)
 	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
 	c.Flag("clients", "Clients that ask at once.").Default("32").IntVar(&o.Clients)
 	cmds["streams"] = func(_ io.Reader, out io.Writer) error { return rehearseStreams(o, out) }
 }
 
-func rehearseStreams(o rehearsal.Options, out io.Writer) error {
+func rehearseStreams(o rehearsal.StreamOptions, out io.Writer) error {
 	folder, err := openFolder(o.Dir, streamLedger)
 	if err != nil {
 		return err
 	}
 	o.Dir, o.Binary, o.Ledger = folder.dir, folder.binary, folder.ledger
-	r, err := rehearsal.Run(o)
+	r, err := rehearsal.RunStreams(o)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	counts := fmt.Sprintf("%d answers, %d complete, %d resumed by their clients; %d kills, %d stops, %d freezes, %d releases, %d crashes; %d revisions, read %d times, ",
-		r.Answers, r.Complete, r.Resumed, r.Kills, r.Stops, r.Freezes, r.Releases, r.Crashes, r.Revisions, r.Reads)
-	if r.Races > 0 {
-		return trace.Wrap(&RaceError{N: r.Races, Dir: o.Dir})
+		r.Responses, r.Complete, r.Resumed, r.Kills, r.Stops, r.Freezes, r.Releases, r.Crashes, r.Revisions, r.Reads)
+	if r.DataRaces > 0 {
+		return trace.Wrap(&RaceError{N: r.DataRaces, Dir: o.Dir})
 	}
 	return reportBreaches(out, counts, r.Breaches)
 }
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		standin.NewReplica(r.tomb, standin.ReplicaOptions{
-			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Runs: &r.logs[i], Clock: clock,
+			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Ledger: &r.logs[i], Clock: clock,
 		}).Serve(lis)
 		r.addrs = append(r.addrs, lis.Addr().String())
 		reps += fmt.Sprintf(`,{"name":"r%d","addr":"%s","domain":"%c"}`, i+1, lis.Addr(), 'a'+i)
@@ -100,8 +100,8 @@
 }
 
 func (r *rig) ask(kind, id string) ledger.Got {
-	a := standin.NewAgent(nil)
-	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), workload.Request{
+	a := standin.NewClient(nil)
+	return a.Send(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), workload.Request{
 		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
@@ -135,17 +135,17 @@
 		{"cut after it began", standin.Fault{DisconnectAt: "begun"}, "done", "unknown"},
 		{"cut before the first piece", standin.Fault{DisconnectAt: "piece"}, "done", "unknown"},
 		{"cut after two pieces", standin.Fault{DisconnectAt: "piece", DisconnectAfter: 2}, "partial", "partial"},
-		{"ends without an end mark", standin.Fault{Twist: "end", DisconnectAfter: 3}, "partial", "partial"},
-		{"another go's id", standin.Fault{Twist: "go", DisconnectAfter: 2}, "partial", "partial"},
-		{"another go's id at once", standin.Fault{Twist: "go"}, "done", "unknown"},
-		{"another instance", standin.Fault{Twist: "instance", DisconnectAfter: 2}, "partial", "partial"},
-		{"a piece is skipped", standin.Fault{Twist: "skip", DisconnectAfter: 2}, "partial", "partial"},
+		{"ends without an end mark", standin.Fault{Corruption: "end", DisconnectAfter: 3}, "partial", "partial"},
+		{"another go's id", standin.Fault{Corruption: "go", DisconnectAfter: 2}, "partial", "partial"},
+		{"another go's id at once", standin.Fault{Corruption: "go"}, "done", "unknown"},
+		{"another instance", standin.Fault{Corruption: "instance", DisconnectAfter: 2}, "partial", "partial"},
+		{"a piece is skipped", standin.Fault{Corruption: "skip", DisconnectAfter: 2}, "partial", "partial"},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			for kind, want := range map[string]string{"again": c.again, "once": c.once} {
 				r := newRig(t, true)
 				f := c.fault
-				f.Times = 1
+				f.MaxRuns = 1
 				if kind == "again" {
 					for i := range 6 {
 						if g := r.ask("again", fmt.Sprintf("warm-%d", i)); g.Outcome != "done" {
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -8,21 +8,21 @@
 	"math/rand/v2"
 )
 
-// Numbers appends numbers, each of its own length.
-func Numbers(b []byte, numbers ...uint64) []byte {
+// AppendUvarints appends numbers, each of its own length.
+func AppendUvarints(b []byte, numbers ...uint64) []byte {
 	for _, n := range numbers {
 		b = binary.AppendUvarint(b, n)
 	}
 	return b
 }
 
-// Text appends a string behind its length.
-func Text(b []byte, s string) []byte {
+// AppendString appends a string behind its length.
+func AppendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Bit is 1 for true.
-func Bit(set bool) byte {
+// BoolByte is 1 for true.
+func BoolByte(set bool) byte {
 	if set {
 		return 1
 	}
@@ -35,5 +35,5 @@
 // Uint64 returns the highest number; bounded draws would reject zero for ever.
 func (constant) Uint64() uint64 { return math.MaxUint64 }
 
-// Constant draws nothing: copies of a machine for the model checker use it, which fires their timers by itself.
-var Constant = rand.New(constant{})
+// ConstantRand draws nothing: copies of a machine for the model checker use it, which fires their timers by itself.
+var ConstantRand = rand.New(constant{})
--- a/lease/clone.go
+++ b/lease/clone.go
@@ -25,11 +25,11 @@
 
 // AppendFingerprint appends all that decides the grantor's next answers; times count from now, and what is over is zero.
 func (g *Grantor) AppendFingerprint(b []byte, now time.Duration) []byte {
-	b = fingerprint.Numbers(b, g.epoch, left(g.graceUntil, now))
+	b = fingerprint.AppendUvarints(b, g.epoch, left(g.graceUntil, now))
 	for _, role := range slices.Sorted(maps.Keys(g.rows)) {
 		row := g.rows[role]
-		b = appendToken(fingerprint.Text(fingerprint.Text(b, role), row.Holder), row.Token)
-		b = fingerprint.Numbers(b, left(row.expiresAt, now))
+		b = appendToken(fingerprint.AppendString(fingerprint.AppendString(b, role), row.Holder), row.Token)
+		b = fingerprint.AppendUvarints(b, left(row.expiresAt, now))
 	}
 	return b
 }
@@ -38,7 +38,7 @@
 func (h *Holder) Clone() *Holder {
 	c := &Holder{}
 	*c = *h
-	c.rng = fingerprint.Constant
+	c.rng = fingerprint.ConstantRand
 	c.highestNumbers = maps.Clone(h.highestNumbers)
 	c.leases = map[string]*Lease{}
 	for role, l := range h.leases {
@@ -71,18 +71,18 @@
 // AppendFingerprint appends all that decides what the holder does next but for its waits, which SkipBackoff ends, and for which disks
 // granted in the present round (GrantedBy).
 func (h *Holder) AppendFingerprint(b []byte, now time.Duration) []byte {
-	b = fingerprint.Numbers(b, h.requestID)
+	b = fingerprint.AppendUvarints(b, h.requestID)
 	for _, role := range slices.Sorted(maps.Keys(h.highestNumbers)) {
-		b = fingerprint.Numbers(fingerprint.Text(b, role), h.highestNumbers[role])
+		b = fingerprint.AppendUvarints(fingerprint.AppendString(b, role), h.highestNumbers[role])
 	}
 	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
 		l := h.leases[role]
-		b = appendToken(fingerprint.Text(b, role), l.Token)
-		b = fingerprint.Numbers(b, left(l.expiresAt, now), left(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
+		b = appendToken(fingerprint.AppendString(b, role), l.Token)
+		b = fingerprint.AppendUvarints(b, left(l.expiresAt, now), left(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
 	}
 	return b
 }
 
 func left(until, now time.Duration) uint64 { return uint64(max(until-now, 0)) }
 
-func appendToken(b []byte, t Token) []byte { return fingerprint.Numbers(b, t.Epoch, t.Number) }
+func appendToken(b []byte, t Token) []byte { return fingerprint.AppendUvarints(b, t.Epoch, t.Number) }
--- a/register/clone.go
+++ b/register/clone.go
@@ -12,7 +12,7 @@
 func (p *Proposer) Clone() *Proposer {
 	c := &Proposer{}
 	*c = *p
-	c.rng = fingerprint.Constant
+	c.rng = fingerprint.ConstantRand
 	if p.current != nil {
 		cur := *p.current
 		c.current = &cur
@@ -82,9 +82,9 @@
 // AppendFingerprint appends all that decides what the proposer does next but for what it heard of each disk (AppendReplies). Times are
 // left out, they are fired by hand.
 func (p *Proposer) AppendFingerprint(b []byte) []byte {
-	b = fingerprint.Text(b, p.ID)
+	b = fingerprint.AppendString(b, p.ID)
 	b = append(b, byte(p.phase))
-	b = fingerprint.Numbers(b, p.highestBallot, p.requestID)
+	b = fingerprint.AppendUvarints(b, p.highestBallot, p.requestID)
 	b = p.chosen.AppendFingerprint(p.voters.AppendFingerprint(b))
 	b = p.current.appendFingerprint(b)
 	for _, o := range p.queue {
@@ -92,7 +92,7 @@
 	}
 	switch p.phase {
 	case preparing:
-		return append(p.ballot.appendFingerprint(b), fingerprint.Bit(p.cheapRead))
+		return append(p.ballot.appendFingerprint(b), fingerprint.BoolByte(p.cheapRead))
 	case accepting:
 		return p.proposed.AppendFingerprint(p.ballot.appendFingerprint(b))
 	}
@@ -104,13 +104,13 @@
 	switch p.phase {
 	case preparing:
 		r, replied := p.promises[disk]
-		b = append(b, fingerprint.Bit(p.asked[disk]), fingerprint.Bit(replied))
+		b = append(b, fingerprint.BoolByte(p.asked[disk]), fingerprint.BoolByte(replied))
 		if replied {
 			r.Disk = ""
 			b = r.AppendFingerprint(b)
 		}
 	case accepting:
-		b = append(b, fingerprint.Bit(p.acceptedBy[disk]))
+		b = append(b, fingerprint.BoolByte(p.acceptedBy[disk]))
 	}
 	return b
 }
@@ -119,43 +119,43 @@
 	if o == nil {
 		return append(b, 0)
 	}
-	b = o.proposedBallot.appendFingerprint(fingerprint.Numbers(append(b, 1), o.id))
-	b = append(o.fence.appendFingerprint(b), fingerprint.Bit(o.deadline <= 0))
-	return append(o.bootstrapValue.AppendFingerprint(b), fingerprint.Bit(o.proposed), fingerprint.Bit(o.full), fingerprint.Bit(o.urgent), fingerprint.Bit(o.readFailed))
+	b = o.proposedBallot.appendFingerprint(fingerprint.AppendUvarints(append(b, 1), o.id))
+	b = append(o.fence.appendFingerprint(b), fingerprint.BoolByte(o.deadline <= 0))
+	return append(o.bootstrapValue.AppendFingerprint(b), fingerprint.BoolByte(o.proposed), fingerprint.BoolByte(o.full), fingerprint.BoolByte(o.urgent), fingerprint.BoolByte(o.readFailed))
 }
 
 func (b Ballot) appendFingerprint(to []byte) []byte {
-	return fingerprint.Text(fingerprint.Numbers(to, b.N), b.By)
+	return fingerprint.AppendString(fingerprint.AppendUvarints(to, b.N), b.By)
 }
 
 // AppendFingerprint appends the whole promise.
 func (r Promise) AppendFingerprint(b []byte) []byte {
-	b = fingerprint.Numbers(fingerprint.Text(append(b, fingerprint.Bit(r.OK)), r.Disk), r.RequestID)
+	b = fingerprint.AppendUvarints(fingerprint.AppendString(append(b, fingerprint.BoolByte(r.OK)), r.Disk), r.RequestID)
 	b = r.Accepted.appendFingerprint(r.Promised.appendFingerprint(b))
 	return r.Value.AppendFingerprint(b)
 }
 
 // AppendFingerprint appends the whole answer.
 func (r Accepted) AppendFingerprint(b []byte) []byte {
-	b = fingerprint.Numbers(fingerprint.Text(append(b, fingerprint.Bit(r.OK)), r.Disk), r.RequestID)
+	b = fingerprint.AppendUvarints(fingerprint.AppendString(append(b, fingerprint.BoolByte(r.OK)), r.Disk), r.RequestID)
 	return r.Promised.appendFingerprint(b)
 }
 
 // AppendFingerprint appends the whole request.
 func (m Prepare) AppendFingerprint(b []byte) []byte {
-	b = fingerprint.Numbers(fingerprint.Text(append(b, fingerprint.Bit(m.ReadOnly)), m.Disk), m.RequestID)
+	b = fingerprint.AppendUvarints(fingerprint.AppendString(append(b, fingerprint.BoolByte(m.ReadOnly)), m.Disk), m.RequestID)
 	return m.Ballot.appendFingerprint(b)
 }
 
 // AppendFingerprint appends the whole request.
 func (m Accept) AppendFingerprint(b []byte) []byte {
-	b = m.Ballot.appendFingerprint(fingerprint.Numbers(fingerprint.Text(b, m.Disk), m.RequestID))
+	b = m.Ballot.appendFingerprint(fingerprint.AppendUvarints(fingerprint.AppendString(b, m.Disk), m.RequestID))
 	return m.Value.AppendFingerprint(b)
 }
 
 // AppendFingerprint appends what the acceptor holds.
 func (s State) AppendFingerprint(b []byte) []byte {
-	b = s.Accepted.appendFingerprint(s.Promised.appendFingerprint(fingerprint.Text(b, s.Disk)))
+	b = s.Accepted.appendFingerprint(s.Promised.appendFingerprint(fingerprint.AppendString(b, s.Disk)))
 	return s.Value.AppendFingerprint(b)
 }
 
@@ -164,21 +164,21 @@
 	if v == nil {
 		return append(b, 0)
 	}
-	b = fingerprint.Numbers(fingerprint.Text(append(b, 1), v.Fleet), v.Version, v.Epoch)
-	b = append(fingerprint.Numbers(b, uint64(len(v.Document))), v.Document...)
-	b = fingerprint.Numbers(b, uint64(len(v.EvacuatedZones)))
+	b = fingerprint.AppendUvarints(fingerprint.AppendString(append(b, 1), v.Fleet), v.Version, v.Epoch)
+	b = append(fingerprint.AppendUvarints(b, uint64(len(v.Document))), v.Document...)
+	b = fingerprint.AppendUvarints(b, uint64(len(v.EvacuatedZones)))
 	for _, domain := range v.EvacuatedZones {
-		b = fingerprint.Text(b, domain)
+		b = fingerprint.AppendString(b, domain)
 	}
 	b = appendVoters(appendVoters(b, v.Voters), v.NextVoters)
-	b = fingerprint.Numbers(b, uint64(len(v.LegacyOrders)))
+	b = fingerprint.AppendUvarints(b, uint64(len(v.LegacyOrders)))
 	for _, o := range v.LegacyOrders {
-		b = fingerprint.Numbers(fingerprint.Text(b, o.ID), o.Version)
+		b = fingerprint.AppendUvarints(fingerprint.AppendString(b, o.ID), o.Version)
 	}
-	b = append(fingerprint.Numbers(b, uint64(len(v.EditLog))), v.EditLog...)
-	b = append(fingerprint.Numbers(b, uint64(len(v.OrderLog))), v.OrderLog...)
+	b = append(fingerprint.AppendUvarints(b, uint64(len(v.EditLog))), v.EditLog...)
+	b = append(fingerprint.AppendUvarints(b, uint64(len(v.OrderLog))), v.OrderLog...)
 	b = appendManifest(appendManifest(b, v.DocumentManifest), v.LogManifest)
-	return fingerprint.Numbers(b, v.AppliedOrders)
+	return fingerprint.AppendUvarints(b, v.AppliedOrders)
 }
 
 func appendManifest(b []byte, m *chunk.Manifest) []byte {
@@ -192,7 +192,7 @@
 func appendVoters(b []byte, vs []Voter) []byte {
 	b = append(b, byte(len(vs)))
 	for _, v := range vs {
-		b = fingerprint.Text(fingerprint.Text(b, v.Disk), v.Name)
+		b = fingerprint.AppendString(fingerprint.AppendString(b, v.Disk), v.Name)
 	}
 	return b
 }
--- a/register/fence.go
+++ b/register/fence.go
@@ -24,9 +24,9 @@
 }
 
 func (f *ScopeGuard) appendFingerprint(b []byte) []byte {
-	b = append(b, fingerprint.Bit(f.set), fingerprint.Bit(f.latest.Known))
+	b = append(b, fingerprint.BoolByte(f.set), fingerprint.BoolByte(f.latest.Known))
 	b = append(b, f.latest.ID[:]...)
-	return fingerprint.Numbers(b, f.latest.Version, f.appliedOrders)
+	return fingerprint.AppendUvarints(b, f.latest.Version, f.appliedOrders)
 }
 
 // A GuardedChange is a Change that keeps a fence from one run to the next, and nothing else.
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -16,20 +16,20 @@
 // outcomeLost is what a client notes of a request that it heard nothing of.
 const outcomeLost = "lost"
 
-// Agent is a client of the product's own interface that sends generated requests to nodes in turn.
-type Agent struct {
+// Client is a client of the product's own interface that sends generated requests to nodes in turn.
+type Client struct {
 	// Nodes are the nodes' HTTP addresses, host:port.
-	Nodes  []string
-	Client *http.Client
+	Nodes []string
+	HTTP  *http.Client
 }
 
-// NewAgent gives a client that keeps connections to the nodes.
-func NewAgent(nodes []string) *Agent {
-	return &Agent{Nodes: nodes, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+// NewClient gives a client that keeps connections to the nodes.
+func NewClient(nodes []string) *Client {
+	return &Client{Nodes: nodes, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
-// Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
-func (a *Agent) Once(ctx context.Context, node string, k workload.Request) ledger.Got {
+// Send sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
+func (a *Client) Send(ctx context.Context, node string, k workload.Request) ledger.Got {
 	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Class.Name, Repeatable: k.Class.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Class.Service+"/"+k.Class.Name, strings.NewReader(body))
@@ -40,7 +40,7 @@
 	req.Header.Set("X-Request-Id", k.Request)
 	req.Header.Set("X-Prompt-Prefix", k.Prefix)
 	began := time.Now()
-	resp, err := a.Client.Do(req)
+	resp, err := a.HTTP.Do(req)
 	if err != nil {
 		return g
 	}
@@ -80,7 +80,7 @@
 
 // Run sends n requests at the times that the source gives them, to the nodes in turn, and has took called with each outcome, one at
 // a time. When the context ends, the rest is sent at once and fails.
-func (a *Agent) Run(ctx context.Context, src *workload.Source, n int, elapsed func(g ledger.Got)) {
+func (a *Client) Run(ctx context.Context, src *workload.Source, n int, elapsed func(g ledger.Got)) {
 	start := time.Now()
 	out := make(chan ledger.Got)
 	for i := range n {
@@ -92,7 +92,7 @@
 			case <-timer.C:
 			case <-ctx.Done():
 			}
-			out <- a.Once(ctx, a.Nodes[i%len(a.Nodes)], ask)
+			out <- a.Send(ctx, a.Nodes[i%len(a.Nodes)], ask)
 		}()
 	}
 	for range n {
--- a/standin/rehearsal/client.go
+++ b/standin/rehearsal/client.go
@@ -49,8 +49,8 @@
 	return &Client{name: fmt.Sprintf("c%d", n), fronts: fronts, rng: rand.New(rand.NewPCG(seed, uint64(n)))}
 }
 
-// Ask sends one request until it is whole or the tries are spent, and has each answer taken.
-func (c *Client) Ask(number int, take func(ledger.StreamAnswer)) {
+// Fetch sends one request until it is whole or the tries are spent, and has each answer taken.
+func (c *Client) Fetch(number int, take func(ledger.StreamAnswer)) {
 	path := []string{resumablePath, oncePath, plainPath}[c.rng.IntN(3)]
 	request, total, after := c.name+"-"+strconv.Itoa(number), 1+c.rng.IntN(maxEvents), 0
 	for range maxTries {
--- a/standin/rehearsal/fleet.go
+++ b/standin/rehearsal/fleet.go
@@ -42,17 +42,17 @@
 	nodes  []*node
 }
 
-// SizeError says that a fleet can't have so many nodes.
-type SizeError struct{ Nodes int }
+// FleetSizeError says that a fleet can't have so many nodes.
+type FleetSizeError struct{ Nodes int }
 
-func (e *SizeError) Error() string {
+func (e *FleetSizeError) Error() string {
 	return fmt.Sprintf("%d nodes, not %d to %d", e.Nodes, votingNodes, maxNodes)
 }
 
 // NewFleet writes the settings of n nodes into the folder dir; binary is the program.
 func NewFleet(dir, binary, cloud string, n int) (*Fleet, error) {
 	if n < votingNodes || n > maxNodes {
-		return nil, &SizeError{Nodes: n}
+		return nil, &FleetSizeError{Nodes: n}
 	}
 	f := &Fleet{dir: dir, binary: binary}
 	for i := range n {
@@ -66,8 +66,8 @@
 	return f, nil
 }
 
-// Fronts are the addresses that take clients.
-func (f *Fleet) Fronts() []string {
+// FrontendAddrs are the addresses that take clients.
+func (f *Fleet) FrontendAddrs() []string {
 	var all []string
 	for _, n := range f.nodes {
 		all = append(all, n.front())
@@ -130,7 +130,7 @@
 func (f *Fleet) Stop() {
 	for i, n := range f.nodes {
 		if n.process != nil {
-			f.Signal(i, syscall.SIGKILL)
+			f.SignalAndWait(i, syscall.SIGKILL)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	for _, n := range f.nodes {
 		for !answersOK(fmt.Sprintf("http://%s:%d/readiness", n.ip, readinessPort)) {
 			if time.Now().After(end) {
-				return &StartError{Node: n.name}
+				return &NotReadyError{Node: n.name}
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -149,10 +149,10 @@
 	return nil
 }
 
-// StartError says that a node did not become ready.
-type StartError struct{ Node string }
+// NotReadyError says that a node did not become ready.
+type NotReadyError struct{ Node string }
 
-func (e *StartError) Error() string { return "node " + e.Node + " does not become ready" }
+func (e *NotReadyError) Error() string { return "node " + e.Node + " does not become ready" }
 
 func answersOK(url string) bool {
 	resp, err := (&http.Client{Timeout: time.Second}).Get(url)
@@ -173,11 +173,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return &ConfigurationError{Answer: said}
+	return &ConfigurationError{Response: said}
 }
 
-// Controls are the addresses that take operators' calls.
-func (f *Fleet) Controls() []string {
+// ControlAddrs are the addresses that take operators' calls.
+func (f *Fleet) ControlAddrs() []string {
 	var all []string
 	for i := range f.nodes {
 		all = append(all, f.control(i))
@@ -186,12 +186,12 @@
 }
 
 // ConfigurationError says that no node took the configuration; Answer is the last one's.
-type ConfigurationError struct{ Answer string }
+type ConfigurationError struct{ Response string }
 
-func (e *ConfigurationError) Error() string { return "no node takes the configuration: " + e.Answer }
+func (e *ConfigurationError) Error() string { return "no node takes the configuration: " + e.Response }
 
-// Races are the reports of the race detector in the nodes' logs, where the program has it.
-func (f *Fleet) Races() int {
+// CountDataRaces are the reports of the race detector in the nodes' logs, where the program has it.
+func (f *Fleet) CountDataRaces() int {
 	var all int
 	for _, n := range f.nodes {
 		text, _ := os.ReadFile(filepath.Join(f.dir, n.name+".log"))
--- a/standin/rehearsal/fleetfaults.go
+++ b/standin/rehearsal/fleetfaults.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Faults are all faults of nodes that are over.
-func (f *Fleet) Faults() []ledger.NodeFault {
+// PastFaults are all faults of nodes that are over.
+func (f *Fleet) PastFaults() []ledger.NodeFault {
 	var all []ledger.NodeFault
 	for _, n := range f.nodes {
 		all = append(all, n.faults...)
@@ -31,8 +31,8 @@
 	return all
 }
 
-// Signal sends a signal to a node and waits until it has ended; one that outlives the grace period is killed.
-func (f *Fleet) Signal(i int, sig syscall.Signal) {
+// SignalAndWait sends a signal to a node and waits until it has ended; one that outlives the grace period is killed.
+func (f *Fleet) SignalAndWait(i int, sig syscall.Signal) {
 	n := f.nodes[i]
 	n.begin(sig == syscall.SIGTERM)
 	_ = n.process.Process.Signal(sig)
--- a/standin/rehearsal/platform.go
+++ b/standin/rehearsal/platform.go
@@ -21,7 +21,7 @@
 // Platform lists stand-in replicas, which it starts, replaces and crashes.
 type Platform struct {
 	Addr   string
-	faults Faults
+	faults FaultRates
 	seed   uint64
 	ran    func(run ReplicaRun)
 	server *http.Server
@@ -32,7 +32,7 @@
 const drainTime = 1500 * time.Millisecond
 
 // StartPlatform starts n replicas and serves their list until Stop; ran, if any, sees each request that a replica begins to run.
-func StartPlatform(n int, seed uint64, faults Faults, ran func(run ReplicaRun)) (*Platform, error) {
+func StartPlatform(n int, seed uint64, faults FaultRates, ran func(run ReplicaRun)) (*Platform, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 	for _, r := range state.all {
 		rows = append(rows, listed{
 			InstanceID: r.Instance, TargetService: service, Address: r.Addr, Zone: r.zone, Revision: "v1", CapacitySlots: slots,
-			LifecycleState: r.state(), Models: []model{{Name: "m", Revision: r.Weights}},
+			LifecycleState: r.state(), Models: []model{{Name: "m", Revision: r.WeightVersion}},
 		})
 	}
 	p.owner <- state
--- a/standin/rehearsal/quota.go
+++ b/standin/rehearsal/quota.go
@@ -32,9 +32,9 @@
 // frozen and reloaded in series and the limits change, and judges what the replicas ran.
 func RunQuotas(o QuotaOptions) (QuotaReport, error) {
 	r := &quotaRehearsal{QuotaOptions: o, runs: make(chan ledger.QuotaRun, runBuffer), answers: make(chan quotaAnswer, runBuffer)}
-	faults := Faults{Refuse: 0.05, Vanish: 0.02, CutReset: 0.03}
+	faults := FaultRates{Reject: 0.05, Reset: 0.02, TruncateReset: 0.03}
 	if o.Calm {
-		faults = Faults{}
+		faults = FaultRates{}
 	}
 	var err error
 	if r.platform, err = StartPlatform(o.Replicas, o.Seed, faults, r.sawRun); err != nil {
@@ -63,8 +63,8 @@
 
 // play lets clients ask, nodes fail and operators change limits until the end, and gives the limits that were in force.
 func (r *quotaRehearsal) play() ([]ledger.QuotaLimit, error) {
-	end := time.Now().Add(r.For)
-	operator := newQuotaOperator(r.fleet.Controls(), r.Seed)
+	end := time.Now().Add(r.Duration)
+	operator := newQuotaOperator(r.fleet.ControlAddrs(), r.Seed)
 	var failing []*striker
 	if !r.Calm {
 		failing = strikers(r.fleet, r.platform, r.stream)
@@ -103,7 +103,7 @@
 }
 
 func (r *quotaRehearsal) count(a quotaAnswer) {
-	r.report.Asked++
+	r.report.Requests++
 	switch a.status {
 	case http.StatusOK:
 	case http.StatusTooManyRequests:
@@ -111,7 +111,7 @@
 	case http.StatusUnauthorized:
 		r.report.Unauthorized++
 	default:
-		r.report.Unanswered++
+		r.report.Failed++
 	}
 	if a.usual {
 		r.usual++
@@ -131,8 +131,8 @@
 		}
 		break
 	}
-	r.report.Ran, r.report.Races = len(r.ran), r.fleet.Races()
-	r.report.UsualRefused = float64(r.usualRefused) / float64(max(r.usual, 1))
+	r.report.Runs, r.report.DataRaces = len(r.ran), r.fleet.CountDataRaces()
+	r.report.CompliantRejectRatio = float64(r.usualRefused) / float64(max(r.usual, 1))
 	r.report.Windows = ledger.FullestWindows(r.ran, limits, quotaRule)
 	r.report.Breaches = ledger.CheckQuotas(r.report.Windows)
 }
--- a/standin/rehearsal/quotaclient.go
+++ b/standin/rehearsal/quotaclient.go
@@ -43,7 +43,7 @@
 	requests := make(chan quotaRequest)
 	var all sync.WaitGroup
 	for n := range r.Clients {
-		c := &quotaClient{keptConnection: keptConnection{fronts: r.fleet.Fronts(), rng: r.stream(uint64(n))}, name: fmt.Sprintf("q%d", n)}
+		c := &quotaClient{keptConnection: keptConnection{fronts: r.fleet.FrontendAddrs(), rng: r.stream(uint64(n))}, name: fmt.Sprintf("q%d", n)}
 		all.Go(func() {
 			for q := range requests {
 				r.answers <- quotaAnswer{status: c.ask(q), usual: q.usual}
--- a/standin/rehearsal/quotaoptions.go
+++ b/standin/rehearsal/quotaoptions.go
@@ -16,8 +16,8 @@
 	Dir, Binary string
 	// Seed draws the faults, their times, the changes, and what clients ask for.
 	Seed uint64
-	// For is how long clients ask.
-	For                      time.Duration
+	// Duration is how long clients ask.
+	Duration                 time.Duration
 	Nodes, Replicas, Clients int
 	// Calm leaves out the faults of nodes and replicas, Unchanged the changes of the configuration.
 	Calm, Unchanged bool
@@ -27,18 +27,18 @@
 
 // QuotaReport counts what happened.
 type QuotaReport struct {
-	// Asked are requests that clients sent, Ran those that a replica began to run, OverQuota those answered 429, Unauthorized
-	// those answered 401 since a change left their tenant out, Unanswered the others without a 200.
-	Asked, Ran, OverQuota, Unauthorized, Unanswered int
+	// Requests are requests that clients sent, Runs those that a replica began to run, OverQuota those answered 429, Unauthorized
+	// those answered 401 since a change left their tenant out, Failed the others without a 200.
+	Requests, Runs, OverQuota, Unauthorized, Failed int
 	// FaultCounts are the faults of nodes and of replicas, Revisions the changes acknowledged.
 	FaultCounts
 	Revisions int
-	// Races are the reports of the race detector in the nodes' logs.
-	Races int
-	// UsualRefused is the part of requests answered 429 of those that were sent a window or more after their tenant last asked for too much.
-	UsualRefused float64
-	Windows      []ledger.QuotaWindow
-	Breaches     []ledger.Breach
+	// DataRaces are the reports of the race detector in the nodes' logs.
+	DataRaces int
+	// CompliantRejectRatio is the part of requests answered 429 of those that were sent a window or more after their tenant last asked for too much.
+	CompliantRejectRatio float64
+	Windows              []ledger.QuotaWindow
+	Breaches             []ledger.Breach
 }
 
 // The tenants of a rehearsal. The limits of the first bear about twenty requests a second.
--- a/standin/rehearsal/rehearsal_test.go
+++ b/standin/rehearsal/rehearsal_test.go
@@ -12,16 +12,16 @@
 // TestReplicaSpoilsWhatItIsToldTo asks replicas that do one thing each, without a node between.
 func TestReplicaSpoilsWhatItIsToldTo(t *testing.T) {
 	for name, c := range map[string]struct {
-		faults   Faults
+		faults   FaultRates
 		answered bool
 		complete bool
 		torn     bool
 	}{
-		"sound":      {Faults{}, true, true, false},
-		"refuse":     {Faults{Refuse: 1}, false, false, false},
-		"vanish":     {Faults{Vanish: 1}, false, false, false},
-		"cut framed": {Faults{CutFramed: 1}, true, true, true},
-		"surplus":    {Faults{Surplus: 1}, true, true, false},
+		"sound":      {FaultRates{}, true, true, false},
+		"refuse":     {FaultRates{Reject: 1}, false, false, false},
+		"vanish":     {FaultRates{Reset: 1}, false, false, false},
+		"cut framed": {FaultRates{TruncateFramed: 1}, true, true, true},
+		"surplus":    {FaultRates{Duplicate: 1}, true, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, err := StartReplica("i-1", 7, 1, c.faults, nil)
@@ -43,7 +43,7 @@
 
 // TestCutAnswersAreFound shows that the judge finds a replica's own breaks where no node mends them.
 func TestCutAnswersAreFound(t *testing.T) {
-	r, err := StartReplica("i-1", 7, 1, Faults{CutFramed: 1}, nil)
+	r, err := StartReplica("i-1", 7, 1, FaultRates{TruncateFramed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 
 // TestReplicaOfOtherWeightsRefuses: 421, not run.
 func TestReplicaOfOtherWeightsRefuses(t *testing.T) {
-	r, err := StartReplica("i-1", 7, 1, Faults{}, nil)
+	r, err := StartReplica("i-1", 7, 1, FaultRates{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 func TestFaultsAreDrawnByTheirOdds(t *testing.T) {
 	rng, drawn := rand.New(rand.NewPCG(1, 2)), map[fault]int{}
 	for range 10000 {
-		drawn[DefaultFaults().draw(rng)]++
+		drawn[DefaultFaultRates().draw(rng)]++
 	}
 	for kind := sound; kind <= surplus; kind++ {
 		if drawn[kind] < 200 {
--- a/standin/rehearsal/replica.go
+++ b/standin/rehearsal/replica.go
@@ -21,14 +21,14 @@
 
 // Replica is one incarnation of a stand-in model replica that speaks the platform's protocol.
 type Replica struct {
-	Instance string
-	Addr     string
-	Weights  uint64
-	faults   Faults
-	draining atomic.Bool
-	server   *http.Server
-	seed     uint64
-	served   atomic.Uint64
+	Instance      string
+	Addr          string
+	WeightVersion uint64
+	faults        FaultRates
+	draining      atomic.Bool
+	server        *http.Server
+	seed          uint64
+	served        atomic.Uint64
 	// zone is where it runs, as listed.
 	zone string
 	// stoppedAt is when it was stopped, in milliseconds since 1970; 0: it runs.
@@ -42,7 +42,7 @@
 	Replica *Replica
 	Request *http.Request
 	Body    []byte
-	Spoiled bool
+	Faulty  bool
 }
 
 // eventPause is the longest pause between two events.
@@ -51,12 +51,12 @@
 func pause(rng *rand.Rand) { time.Sleep(time.Duration(rng.Int64N(int64(eventPause)))) }
 
 // StartReplica serves on a free port of the loopback interface until Stop; ran, if any, sees each request that it begins to run.
-func StartReplica(instance string, weights, seed uint64, faults Faults, ran func(run ReplicaRun)) (*Replica, error) {
+func StartReplica(instance string, weights, seed uint64, faults FaultRates, ran func(run ReplicaRun)) (*Replica, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{Instance: instance, Addr: lis.Addr().String(), Weights: weights, faults: faults, seed: seed, ran: ran}
+	r := &Replica{Instance: instance, Addr: lis.Addr().String(), WeightVersion: weights, faults: faults, seed: seed, ran: ran}
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = r.server.Serve(lis) }()
 	return r, nil
@@ -86,12 +86,12 @@
 	}
 	rng := rand.New(rand.NewPCG(r.seed, r.served.Add(1)))
 	h.Set(platform.HeaderSeal, r.Instance+"."+strconv.FormatUint(r.served.Load(), 10))
-	h.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.Weights, 10))
+	h.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.WeightVersion, 10))
 	h.Set("Content-Type", contentType(q))
 	events := r.events(q, h.Get(platform.HeaderSeal))
 	kind := r.drawFault(rng, q)
 	if r.ran != nil && kind != refuse {
-		r.ran(ReplicaRun{Replica: r, Request: q, Body: body, Spoiled: kind != sound})
+		r.ran(ReplicaRun{Replica: r, Request: q, Body: body, Faulty: kind != sound})
 	}
 	switch kind {
 	case sound:
@@ -134,7 +134,7 @@
 // misdirected tells whether the request is for another instance, or for other weights.
 func (r *Replica) misdirected(q *http.Request) bool {
 	target, expected := q.Header.Get(platform.HeaderTarget), q.Header.Get(platform.HeaderExpectedVersion)
-	return target != "" && target != r.Instance || expected != "" && expected != strconv.FormatUint(r.Weights, 10)
+	return target != "" && target != r.Instance || expected != "" && expected != strconv.FormatUint(r.WeightVersion, 10)
 }
 
 // events are those of the answer behind the one that the request names, if any.
@@ -143,7 +143,7 @@
 	after, _ := strconv.Atoi(q.Header.Get(platform.HeaderLastEvent))
 	var events []string
 	for id := after + 1; id <= total; id++ {
-		events = append(events, fmt.Sprintf("id: %d\ndata: %s\n\n", id, ledger.StreamText(q.Header.Get(headerRequest), r.Weights, run, id)))
+		events = append(events, fmt.Sprintf("id: %d\ndata: %s\n\n", id, ledger.StreamText(q.Header.Get(headerRequest), r.WeightVersion, run, id)))
 	}
 	return events
 }
--- a/standin/rehearsal/run.go
+++ b/standin/rehearsal/run.go
@@ -12,28 +12,28 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// Options are what a rehearsal is run with.
-type Options struct {
+// StreamOptions are what a rehearsal is run with.
+type StreamOptions struct {
 	// Dir takes the nodes' settings, disks and logs. Binary is the program that they run.
 	Dir, Binary string
 	// Seed draws the faults, their times, and what clients ask for.
 	Seed uint64
-	// For is how long clients ask.
-	For                      time.Duration
+	// Duration is how long clients ask.
+	Duration                 time.Duration
 	Nodes, Replicas, Clients int
-	Faults                   Faults
+	Faults                   FaultRates
 	// Ledger gets a line for each answer.
 	Ledger io.Writer
 }
 
-// Report counts what happened.
-type Report struct {
-	// Answers began with a 200; Complete ended as complete, Resumed went on for a client that named an event.
-	Answers, Complete, Resumed int
+// StreamReport counts what happened.
+type StreamReport struct {
+	// Responses began with a 200; Complete ended as complete, Resumed went on for a client that named an event.
+	Responses, Complete, Resumed int
 	// Kills, Stops, Freezes, Releases and Crashes count the faults of nodes and of replicas.
 	Kills, Stops, Freezes, Releases, Crashes int
-	// Races are the reports of the race detector in the nodes' logs.
-	Races int
+	// DataRaces are the reports of the race detector in the nodes' logs.
+	DataRaces int
 	// Revisions were acknowledged to the operator, Reads of the configuration answered.
 	Revisions, Reads uint64
 	// Breaches are those of the answers and of the configuration.
@@ -55,16 +55,16 @@
 
 // rehearsal is a run under way.
 type rehearsal struct {
-	Options
+	StreamOptions
 	fleet    *Fleet
 	platform *Platform
-	report   Report
+	report   StreamReport
 	answers  []ledger.StreamAnswer
 }
 
-// Run starts a platform and a fleet, lets clients ask while things break, and judges what they got.
-func Run(o Options) (Report, error) {
-	r := &rehearsal{Options: o}
+// RunStreams starts a platform and a fleet, lets clients ask while things break, and judges what they got.
+func RunStreams(o StreamOptions) (StreamReport, error) {
+	r := &rehearsal{StreamOptions: o}
 	var err error
 	if r.platform, err = StartPlatform(o.Replicas, o.Seed, o.Faults, nil); err != nil {
 		return r.report, err
@@ -77,8 +77,8 @@
 	if err = r.fleet.Boot(r.platform.Addr, configuration(1, nil)); err != nil {
 		return r.report, err
 	}
-	end := time.Now().Add(o.For)
-	operators := &operators{controls: r.fleet.Controls(), seed: o.Seed, breaches: make(chan ledger.Breach, maxBreaches),
+	end := time.Now().Add(o.Duration)
+	operators := &operators{controls: r.fleet.ControlAddrs(), seed: o.Seed, breaches: make(chan ledger.Breach, maxBreaches),
 		changes: sameRoutes{rng: rand.New(rand.NewPCG(o.Seed, changePauses))}}
 	operators.acknowledged.Store(1)
 	go operators.run(end)
@@ -87,7 +87,7 @@
 		r.report.Breaches = append(r.report.Breaches, b)
 	}
 	r.fleet.Stop()
-	r.report.Revisions, r.report.Reads, r.report.Races = operators.acknowledged.Load(), operators.reads.Load(), r.fleet.Races()
+	r.report.Revisions, r.report.Reads, r.report.DataRaces = operators.acknowledged.Load(), operators.reads.Load(), r.fleet.CountDataRaces()
 	r.report.Breaches = append(r.report.Breaches, ledger.CheckStreams(r.answers)...)
 	return r.report, err
 }
@@ -97,10 +97,10 @@
 	answers, done := make(chan ledger.StreamAnswer), make(chan struct{})
 	var clients sync.WaitGroup
 	for n := range r.Clients {
-		c := NewClient(n, r.Seed, r.fleet.Fronts())
+		c := NewClient(n, r.Seed, r.fleet.FrontendAddrs())
 		clients.Go(func() {
 			for number := 0; time.Now().Before(end); number++ {
-				c.Ask(number, func(a ledger.StreamAnswer) { answers <- a })
+				c.Fetch(number, func(a ledger.StreamAnswer) { answers <- a })
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 
 func (r *rehearsal) count(a ledger.StreamAnswer) {
 	r.answers = append(r.answers, a)
-	r.report.Answers++
+	r.report.Responses++
 	if a.Complete {
 		r.report.Complete++
 	}
@@ -181,10 +181,10 @@
 		return nil
 	case 1:
 		r.report.Kills++
-		r.fleet.Signal(at, syscall.SIGKILL)
+		r.fleet.SignalAndWait(at, syscall.SIGKILL)
 	default:
 		r.report.Stops++
-		r.fleet.Signal(at, syscall.SIGTERM)
+		r.fleet.SignalAndWait(at, syscall.SIGTERM)
 	}
 	time.Sleep(away)
 	return r.fleet.Start(at)
--- a/standin/rehearsal/soak.go
+++ b/standin/rehearsal/soak.go
@@ -19,8 +19,8 @@
 	Dir, Binary string
 	// Seed draws the faults, their times, the changes, and what clients ask for.
 	Seed uint64
-	// For is how long clients ask; the faults end calmTime before.
-	For                      time.Duration
+	// Duration is how long clients ask; the faults end calmTime before.
+	Duration                 time.Duration
 	Nodes, Replicas, Clients int
 	// Ledger gets a line for each request that a replica ran, and one for each answer.
 	Ledger io.Writer
@@ -28,19 +28,19 @@
 
 // SoakReport counts what happened.
 type SoakReport struct {
-	// Asked are requests that clients sent, Served those answered 200 and complete, Rejected those answered 503, Unanswered those without a
-	// whole answer; Ran are runs of replicas.
-	Asked, Served, Rejected, Unanswered, Ran int
+	// Requests are requests that clients sent, Served those answered 200 and complete, Rejected those answered 503, Failed those without a
+	// whole answer; Runs are runs of replicas.
+	Requests, Served, Rejected, Failed, Runs int
 	FaultCounts
 	// Revisions and ZoneOrders were acknowledged, Reads of the configuration answered. HeldOrders were held up by a partition, HastyOrders left
 	// by their callers early.
-	Revisions, Reads                    uint64
-	ZoneOrders, HeldOrders, HastyOrders int
-	// CalmAsked and CalmServed are those of the last seconds, after the faults.
-	CalmAsked, CalmServed int
-	// Races are the reports of the race detector in the nodes' logs.
-	Races    int
-	Breaches []ledger.Breach
+	Revisions, Reads                                 uint64
+	ZoneRequests, DelayedRequests, AbandonedRequests int
+	// CalmRequests and CalmServed are those of the last seconds, after the faults.
+	CalmRequests, CalmServed int
+	// DataRaces are the reports of the race detector in the nodes' logs.
+	DataRaces int
+	Breaches  []ledger.Breach
 }
 
 // soakRule is what is judged; the nodes are told the grace period.
@@ -82,7 +82,7 @@
 	s := &soak{SoakOptions: o, runs: make(chan ReplicaRun, runBuffer), answers: make(chan soakAnswer, runBuffer)}
 	s.routes = newSoakRoutes(s.stream(routeDraws))
 	var err error
-	faults := Faults{Refuse: 0.04, Vanish: 0.03, CutFIN: 0.04, CutReset: 0.04, CutFramed: 0.02}
+	faults := FaultRates{Reject: 0.04, Reset: 0.03, TruncateFIN: 0.04, TruncateReset: 0.04, TruncateFramed: 0.02}
 	if s.platform, err = StartPlatform(o.Replicas, o.Seed, faults, func(run ReplicaRun) { s.runs <- run }); err != nil {
 		return s.report, err
 	}
@@ -105,11 +105,11 @@
 
 // play lets clients ask, operators order and nodes fail, and gives the time of the last fault.
 func (s *soak) play() (time.Time, error) {
-	end := time.Now().Add(s.For)
+	end := time.Now().Add(s.Duration)
 	faultsOver := end.Add(-calmTime)
-	operators := &operators{controls: s.fleet.Controls(), seed: s.Seed, breaches: make(chan ledger.Breach, maxBreaches), changes: s.routes}
+	operators := &operators{controls: s.fleet.ControlAddrs(), seed: s.Seed, breaches: make(chan ledger.Breach, maxBreaches), changes: s.routes}
 	operators.acknowledged.Store(1)
-	s.zones = &zoneOperator{controls: s.fleet.Controls(), rng: s.stream(zoneDraws), evacuations: map[string][]ledger.Span{}}
+	s.zones = &zoneOperator{controls: s.fleet.ControlAddrs(), rng: s.stream(zoneDraws), evacuations: map[string][]ledger.Span{}}
 	var failed error
 	var all sync.WaitGroup
 	all.Go(func() { operators.run(end) })
@@ -119,7 +119,7 @@
 		faultsOver = time.Now()
 	})
 	for n := range s.Clients {
-		c := &soakClient{keptConnection: keptConnection{fronts: s.fleet.Fronts(), rng: s.stream(uint64(n))}, name: fmt.Sprintf("s%d", n)}
+		c := &soakClient{keptConnection: keptConnection{fronts: s.fleet.FrontendAddrs(), rng: s.stream(uint64(n))}, name: fmt.Sprintf("s%d", n)}
 		all.Go(func() { c.run(end, func(a soakAnswer) { s.answers <- a }) })
 	}
 	done := make(chan struct{})
@@ -154,7 +154,7 @@
 }
 
 func (s *soak) count(a *soakAnswer, faultsOver time.Time) {
-	s.report.Asked++
+	s.report.Requests++
 	served := a.Status == http.StatusOK && a.Complete
 	switch {
 	case served:
@@ -162,12 +162,12 @@
 	case a.Status == http.StatusServiceUnavailable:
 		s.report.Rejected++
 	default:
-		s.report.Unanswered++
+		s.report.Failed++
 	}
 	if a.AtMs < faultsOver.Add(calmLead).UnixMilli() {
 		return
 	}
-	s.report.CalmAsked++
+	s.report.CalmRequests++
 	if served {
 		s.report.CalmServed++
 	}
--- a/standin/rehearsal/soak_test.go
+++ b/standin/rehearsal/soak_test.go
@@ -32,7 +32,7 @@
 // TestAlteredRequestIsSeen sends a replica a request whose body is not what its digest says.
 func TestAlteredRequestIsSeen(t *testing.T) {
 	runs := make(chan ReplicaRun, 2)
-	r, err := StartReplica("i-1", 1, 1, Faults{}, func(run ReplicaRun) { runs <- run })
+	r, err := StartReplica("i-1", 1, 1, FaultRates{}, func(run ReplicaRun) { runs <- run })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/standin/rehearsal/soakjudge.go
+++ b/standin/rehearsal/soakjudge.go
@@ -11,7 +11,7 @@
 
 // judge counts what was collected and finds the breaches, while the fleet still runs.
 func (s *soak) judge(faultsOver time.Time) {
-	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.Faults(), Core: s.fleet.voters()}
+	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.PastFaults(), Core: s.fleet.voters()}
 	for i := range s.answered {
 		a := &s.answered[i]
 		repeats := s.routes.mayRepeat(a.path, a.AtMs, a.EndMs)
@@ -20,9 +20,9 @@
 		record.Answers = append(record.Answers, a.SoakAnswer)
 	}
 	record.Runs = s.ledgerRuns()
-	s.report.Ran = len(record.Runs)
-	s.report.ZoneOrders, s.report.HeldOrders, s.report.HastyOrders = s.zones.acknowledged, s.zones.held, s.zones.hasty
-	s.report.Races = s.fleet.Races()
+	s.report.Runs = len(record.Runs)
+	s.report.ZoneRequests, s.report.DelayedRequests, s.report.AbandonedRequests = s.zones.acknowledged, s.zones.held, s.zones.hasty
+	s.report.DataRaces = s.fleet.CountDataRaces()
 	s.report.Breaches = append(s.report.Breaches, ledger.CheckSoak(record, soakRule)...)
 	s.report.Breaches = append(s.report.Breaches, s.checkRecovery()...)
 }
@@ -40,7 +40,7 @@
 		stopped := run.Replica.stoppedAt.Load()
 		one := ledger.SoakRun{
 			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.altered,
-			Spoiled: run.Spoiled || (stopped > 0 && stopped <= ended[attempt]),
+			Spoiled: run.Faulty || (stopped > 0 && stopped <= ended[attempt]),
 		}
 		all = append(all, one)
 		_ = lines.Encode(one)
@@ -51,10 +51,10 @@
 // checkRecovery finds a fleet that does not serve again after the last fault, and nodes that don't tell the newest configuration.
 func (s *soak) checkRecovery() []ledger.Breach {
 	var breaches []ledger.Breach
-	if served := s.report.CalmServed; float64(served) < leastCalmServed*float64(s.report.CalmAsked) || s.report.CalmAsked == 0 {
-		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.CalmAsked)})
+	if served := s.report.CalmServed; float64(served) < leastCalmServed*float64(s.report.CalmRequests) || s.report.CalmRequests == 0 {
+		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.CalmRequests)})
 	}
-	for _, control := range s.fleet.Controls() {
+	for _, control := range s.fleet.ControlAddrs() {
 		if b, broken := s.checkRead(control); broken {
 			breaches = append(breaches, b)
 		}
--- a/standin/rehearsal/strikers.go
+++ b/standin/rehearsal/strikers.go
@@ -169,10 +169,10 @@
 		return nil
 	case 2:
 		s.counts.Kills++
-		f.Signal(node, syscall.SIGKILL)
+		f.SignalAndWait(node, syscall.SIGKILL)
 	case 3:
 		s.counts.Stops++
-		f.Signal(node, syscall.SIGTERM)
+		f.SignalAndWait(node, syscall.SIGTERM)
 	default:
 		s.counts.Stops++
 		f.stopFrozen(node, time.Duration(s.rng.Int64N(int64(longestGrace))))
@@ -185,5 +185,5 @@
 	_ = f.nodes[i].process.Process.Signal(syscall.SIGTERM)
 	f.Freeze(i, grace/2)
 	time.Sleep(grace / 2)
-	f.Signal(i, syscall.SIGKILL)
+	f.SignalAndWait(i, syscall.SIGKILL)
 }
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -19,14 +19,14 @@
 
 // Fault is what a replica is told to do wrong, by POST /faults.
 type Fault struct {
-	// Dark: it answers nothing. Leaving: it says that it leaves. DisconnectAt breaks a run off: when it is "read", "begun", or at a "piece",
+	// Unresponsive: it answers nothing. Leaving: it says that it leaves. DisconnectAt breaks a run off: when it is "read", "begun", or at a "piece",
 	// the one after DisconnectAfter. Twist spoils piece DisconnectAfter: "go", "instance", "skip" or "end". Times: for so many runs; 0: for all.
-	Dark            bool   `json:"dark"`
-	Leaving         bool   `json:"leaving"`
+	Unresponsive    bool   `json:"dark"`
+	Draining        bool   `json:"leaving"`
 	DisconnectAt    string `json:"cutAt"`
 	DisconnectAfter int    `json:"cutAfter"`
-	Twist           string `json:"twist"`
-	Times           int    `json:"times"`
+	Corruption      string `json:"twist"`
+	MaxRuns         int    `json:"times"`
 }
 
 const (
@@ -58,16 +58,16 @@
 	// Instance is the id of this incarnation.
 	Instance string
 	Engine   replica.Model
-	// Runs gets a line for each run.
-	Runs  io.Writer
-	Clock func() time.Duration
+	// Ledger gets a line for each run.
+	Ledger io.Writer
+	Clock  func() time.Duration
 }
 
 // NewReplica starts a replica that ends with the tomb.
 func NewReplica(t *tomb.Tomb, o ReplicaOptions) *Replica {
 	r := &Replica{
 		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.NewReplica(o.Engine, o.Instance, o.Clock()),
-		runs: json.NewEncoder(o.Runs), jobs: make(chan job),
+		runs: json.NewEncoder(o.Ledger), jobs: make(chan job),
 	}
 	t.Go(func() error {
 		for {
@@ -116,8 +116,8 @@
 	dark := false
 	r.do(func(r *Replica) {
 		n, lag := r.engine.Usage(r.clock())
-		dark = r.fault.Dark
-		out = map[string]any{"instanceId": r.engine.Instance, "running": n, "leaving": r.fault.Leaving, "lagMs": lag.Milliseconds()}
+		dark = r.fault.Unresponsive
+		out = map[string]any{"instanceId": r.engine.Instance, "running": n, "leaving": r.fault.Draining, "lagMs": lag.Milliseconds()}
 	})
 	if dark {
 		<-req.Context().Done()
@@ -177,8 +177,8 @@
 func (r *Replica) begin(request, attempt string, parts []prefixindex.Block, tail int) start {
 	var s start
 	s.fault = r.fault
-	if s.fault.Times > 0 {
-		if r.fault.Times--; r.fault.Times == 0 {
+	if s.fault.MaxRuns > 0 {
+		if r.fault.MaxRuns--; r.fault.MaxRuns == 0 {
 			r.fault = Fault{}
 		}
 	}
@@ -194,8 +194,8 @@
 	return s
 }
 
-// OpenRunLog opens a ledger for appending; an empty path gives one that keeps nothing.
-func OpenRunLog(path string) (io.Writer, error) {
+// OpenLedger opens a ledger for appending; an empty path gives one that keeps nothing.
+func OpenLedger(path string) (io.Writer, error) {
 	if path == "" {
 		return io.Discard, nil
 	}
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -12,7 +12,7 @@
 )
 
 func (r *Replica) stream(w http.ResponseWriter, req bunrouter.Request, s start, request, id string) error {
-	if s.fault.Dark {
+	if s.fault.Unresponsive {
 		<-req.Context().Done()
 		return nil
 	}
@@ -45,8 +45,8 @@
 	if f.DisconnectAt == "piece" {
 		panic(http.ErrAbortHandler)
 	}
-	twist(f.Twist, &line)
-	return line, f.Twist != "end"
+	twist(f.Corruption, &line)
+	return line, f.Corruption != "end"
 }
 
 func twist(how string, l *router.ResponseLine) {
