--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -14,7 +14,7 @@
 func TestCountsOfThreeNodes(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{
-		Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 18 * time.Second, Seed: 1,
+		Nodes: 3, Replicas: 1, Disks: 3, Services: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 18 * time.Second, Seed: 1,
 		Clock: func() time.Duration {
 			ticks += time.Microsecond
 			return ticks
@@ -48,7 +48,7 @@
 // answer is one ControlStatus to the router.
 func TestTimeOfTicks(t *testing.T) {
 	ticks := time.Duration(0)
-	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
+	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Services: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
 		Clock: func() time.Duration {
 			ticks += time.Microsecond
 			return ticks
@@ -66,7 +66,7 @@
 }
 
 func TestBytesAddUp(t *testing.T) {
-	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Models: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 5 * time.Second, Seed: 1,
+	p := Plan{Nodes: 5, Replicas: 5, Disks: 3, Services: 1, Zones: []string{"a1", "b1", "a2"}, Rate: 20, Prefixes: 5, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 5 * time.Second, Seed: 1,
 		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
 	var sent, zones, regions uint64
@@ -128,7 +128,7 @@
 }
 
 func TestPaddedConfigurationsAreTaken(t *testing.T) {
-	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Models: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 4 * time.Second, Seed: 1,
+	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Services: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 4 * time.Second, Seed: 1,
 		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
 	if len(r.ApplyTimes) != 4 || r.ConfigBytes < 100000 || r.ConfigBytes > 104000 {
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -30,7 +30,7 @@
 	Witnesses       Mechanism = "witnesses"
 	Probes          Mechanism = "replica probes"
 	Ticks           Mechanism = "control tick"
-	QuotaDivision   Mechanism = "capacity shares"
+	CapacityShares  Mechanism = "capacity shares"
 	RouterTick      Mechanism = "router tick"
 	Requests        Mechanism = "requests"
 	Prefills        Mechanism = "prefill broadcast"
@@ -134,7 +134,7 @@
 	case router.LoadReport, router.ReplicaSuspect:
 		return LoadGossip
 	case router.Routers:
-		return QuotaDivision
+		return CapacityShares
 	case router.SnapshotUpdate:
 		return Config
 	case router.Arrival, router.ReadyToSend, router.ResponseHead, router.ResponseStarted, router.AttemptEnded, router.ClientDisconnected, router.RanElsewhere,
@@ -162,15 +162,15 @@
 	reflect.TypeFor[control.Node](): {
 		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config, "documents": Config,
 		"replicasByName": Config, "grantor": Leases, "leases": Leases, "health": LoadGossip, "platformStates": ReplicaListings,
-		"replicaList": ReplicaListings, "witness": Witnesses, "serving": QuotaDivision,
+		"replicaList": ReplicaListings, "witness": Witnesses, "serving": CapacityShares,
 	},
 	reflect.TypeFor[router.Router](): {
 		"snapshot": Config, "services": Config, "classes": Config, "replicaIDs": Config, "replicas": Config,
 		"requestIDs": Requests, "requests": Requests, "alreadyRan": Requests,
 	},
 	reflect.TypeFor[scheduler.Scheduler](): {
-		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": LoadGossip, "routers": QuotaDivision, "routerZones": QuotaDivision,
-		"divisions": QuotaDivision, "queued": Requests,
+		"Index": Index, "Requests": Requests, "Services": Config, "Replicas": LoadGossip, "routers": CapacityShares, "routerZones": CapacityShares,
+		"divisions": CapacityShares, "queued": Requests,
 	},
 }
 
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -11,8 +11,8 @@
 
 // Plan is one fleet to be measured.
 type Plan struct {
-	Nodes, Replicas, Disks, Models int
-	Zones                          []string
+	Nodes, Replicas, Disks, Services int
+	Zones                            []string
 	// Rate is requests a second over the whole fleet.
 	Rate     float64
 	Prefixes int
@@ -34,7 +34,7 @@
 // Target is the size that the users need.
 func Target() Plan {
 	return Plan{
-		Nodes: 370, Replicas: 600, Disks: 4, Models: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
+		Nodes: 370, Replicas: 600, Disks: 4, Services: 15, Zones: Zones(), Rate: 3800, Prefixes: 60, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
 	}
 }
 
@@ -69,7 +69,7 @@
 
 // Run boots the fleet, lets it settle for Warm and counts for Measured.
 func (p Plan) Run() Result {
-	shape := light.Shape(p.Nodes, p.Replicas, p.Disks, p.Models, p.Zones)
+	shape := light.Shape(p.Nodes, p.Replicas, p.Disks, p.Services, p.Zones)
 	plan := p.hollow(&shape)
 	r := Result{Plan: p, Costs: NewCosts(), ConfigBytes: len(shape.Config)}
 	plan.Shape, plan.Meter = shape, r.Costs
--- a/capacity/write.go
+++ b/capacity/write.go
@@ -18,11 +18,11 @@
 
 // RowError is a line of a table of points that cannot be read.
 type RowError struct {
-	File, Why string
-	Row       int
+	File, Reason string
+	Row          int
 }
 
-func (e *RowError) Error() string { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Why) }
+func (e *RowError) Error() string { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Reason) }
 
 // Save writes a sweep's points and fits as CSV and its plots as SVG.
 func Save(dir string, s Sweep, ps []Point) error {
@@ -85,13 +85,13 @@
 	defer in.Close()
 	rows, err := csv.NewReader(in).ReadAll()
 	if err != nil {
-		return nil, trace.Wrap(&RowError{File: file, Why: err.Error()})
+		return nil, trace.Wrap(&RowError{File: file, Reason: err.Error()})
 	}
 	var ps []Point
 	for i, row := range rows[min(1, len(rows)):] {
 		p, err := point(row)
 		if err != nil {
-			return nil, trace.Wrap(&RowError{File: file, Row: i + 2, Why: err.Error()})
+			return nil, trace.Wrap(&RowError{File: file, Row: i + 2, Reason: err.Error()})
 		}
 		ps = append(ps, p)
 	}
@@ -101,7 +101,7 @@
 func point(row []string) (Point, error) {
 	var p Point
 	if len(row) != len(pointColumns) {
-		return p, &RowError{Why: fmt.Sprintf("%d columns, want %d", len(row), len(pointColumns))}
+		return p, &RowError{Reason: fmt.Sprintf("%d columns, want %d", len(row), len(pointColumns))}
 	}
 	var vs [10]float64
 	var err error
--- a/cmd/mallowbridge/quotas.go
+++ b/cmd/mallowbridge/quotas.go
@@ -24,8 +24,8 @@
 	c.Flag("nodes", "Node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
 	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
 	c.Flag("clients", "Clients, each with a connection of its own.").Default("64").IntVar(&o.Clients)
-	c.Flag("calm", "No faults of nodes and replicas.").BoolVar(&o.Calm)
-	c.Flag("unchanged", "No changes of the configuration.").BoolVar(&o.Unchanged)
+	c.Flag("calm", "No faults of nodes and replicas.").BoolVar(&o.NoFaults)
+	c.Flag("unchanged", "No changes of the configuration.").BoolVar(&o.FixedConfiguration)
 	cmds["quotas"] = func(_ io.Reader, out io.Writer) error { return rehearseQuotas(o, out) }
 }
 
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -134,12 +134,12 @@
 		{"cut before it runs", standin.Fault{DisconnectAt: "read"}, "done", "unknown"},
 		{"cut after it began", standin.Fault{DisconnectAt: "begun"}, "done", "unknown"},
 		{"cut before the first piece", standin.Fault{DisconnectAt: "piece"}, "done", "unknown"},
-		{"cut after two pieces", standin.Fault{DisconnectAt: "piece", DisconnectAfter: 2}, "partial", "partial"},
-		{"ends without an end mark", standin.Fault{Corruption: "end", DisconnectAfter: 3}, "partial", "partial"},
-		{"another go's id", standin.Fault{Corruption: "go", DisconnectAfter: 2}, "partial", "partial"},
+		{"cut after two pieces", standin.Fault{DisconnectAt: "piece", AfterChunks: 2}, "partial", "partial"},
+		{"ends without an end mark", standin.Fault{Corruption: "end", AfterChunks: 3}, "partial", "partial"},
+		{"another go's id", standin.Fault{Corruption: "go", AfterChunks: 2}, "partial", "partial"},
 		{"another go's id at once", standin.Fault{Corruption: "go"}, "done", "unknown"},
-		{"another instance", standin.Fault{Corruption: "instance", DisconnectAfter: 2}, "partial", "partial"},
-		{"a piece is skipped", standin.Fault{Corruption: "skip", DisconnectAfter: 2}, "partial", "partial"},
+		{"another instance", standin.Fault{Corruption: "instance", AfterChunks: 2}, "partial", "partial"},
+		{"a piece is skipped", standin.Fault{Corruption: "skip", AfterChunks: 2}, "partial", "partial"},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			for kind, want := range map[string]string{"again": c.again, "once": c.once} {
--- a/standin/rehearsal/quota.go
+++ b/standin/rehearsal/quota.go
@@ -33,7 +33,7 @@
 func RunQuotas(o QuotaOptions) (QuotaReport, error) {
 	r := &quotaRehearsal{QuotaOptions: o, runs: make(chan ledger.QuotaRun, runBuffer), answers: make(chan quotaAnswer, runBuffer)}
 	faults := FaultRates{Reject: 0.05, Reset: 0.02, TruncateReset: 0.03}
-	if o.Calm {
+	if o.NoFaults {
 		faults = FaultRates{}
 	}
 	var err error
@@ -66,12 +66,12 @@
 	end := time.Now().Add(r.Duration)
 	operator := newQuotaOperator(r.fleet.ControlAddrs(), r.Seed)
 	var failing []*striker
-	if !r.Calm {
+	if !r.NoFaults {
 		failing = strikers(r.fleet, r.platform, r.stream)
 	}
 	var failed error
 	var all sync.WaitGroup
-	all.Go(func() { operator.run(end, r.Unchanged) })
+	all.Go(func() { operator.run(end, r.FixedConfiguration) })
 	all.Go(func() { r.clients(end) })
 	all.Go(func() { r.report.FaultCounts, failed = strikeAll(failing, end) })
 	done := make(chan struct{})
--- a/standin/rehearsal/quotaoptions.go
+++ b/standin/rehearsal/quotaoptions.go
@@ -19,8 +19,8 @@
 	// Duration is how long clients ask.
 	Duration                 time.Duration
 	Nodes, Replicas, Clients int
-	// Calm leaves out the faults of nodes and replicas, Unchanged the changes of the configuration.
-	Calm, Unchanged bool
+	// NoFaults leaves out the faults of nodes and replicas, FixedConfiguration the changes of the configuration.
+	NoFaults, FixedConfiguration bool
 	// Ledger gets a line for each request that a replica ran.
 	Ledger io.Writer
 }
--- a/standin/rehearsal/soak.go
+++ b/standin/rehearsal/soak.go
@@ -36,8 +36,8 @@
 	// by their callers early.
 	Revisions, Reads                                 uint64
 	ZoneRequests, DelayedRequests, AbandonedRequests int
-	// CalmRequests and CalmServed are those of the last seconds, after the faults.
-	CalmRequests, CalmServed int
+	// RequestsAfterFaults and ServedAfterFaults are those of the last seconds, after the faults.
+	RequestsAfterFaults, ServedAfterFaults int
 	// DataRaces are the reports of the race detector in the nodes' logs.
 	DataRaces int
 	Breaches  []ledger.Breach
@@ -167,8 +167,8 @@
 	if a.AtMs < faultsOver.Add(calmLead).UnixMilli() {
 		return
 	}
-	s.report.CalmRequests++
+	s.report.RequestsAfterFaults++
 	if served {
-		s.report.CalmServed++
+		s.report.ServedAfterFaults++
 	}
 }
--- a/standin/rehearsal/soakjudge.go
+++ b/standin/rehearsal/soakjudge.go
@@ -51,8 +51,8 @@
 // checkRecovery finds a fleet that does not serve again after the last fault, and nodes that don't tell the newest configuration.
 func (s *soak) checkRecovery() []ledger.Breach {
 	var breaches []ledger.Breach
-	if served := s.report.CalmServed; float64(served) < leastCalmServed*float64(s.report.CalmRequests) || s.report.CalmRequests == 0 {
-		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.CalmRequests)})
+	if served := s.report.ServedAfterFaults; float64(served) < leastCalmServed*float64(s.report.RequestsAfterFaults) || s.report.RequestsAfterFaults == 0 {
+		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.RequestsAfterFaults)})
 	}
 	for _, control := range s.fleet.ControlAddrs() {
 		if b, broken := s.checkRead(control); broken {
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -21,12 +21,12 @@
 type Fault struct {
 	// Unresponsive: it answers nothing. Leaving: it says that it leaves. DisconnectAt breaks a run off: when it is "read", "begun", or at a "piece",
 	// the one after DisconnectAfter. Twist spoils piece DisconnectAfter: "go", "instance", "skip" or "end". Times: for so many runs; 0: for all.
-	Unresponsive    bool   `json:"dark"`
-	Draining        bool   `json:"leaving"`
-	DisconnectAt    string `json:"cutAt"`
-	DisconnectAfter int    `json:"cutAfter"`
-	Corruption      string `json:"twist"`
-	MaxRuns         int    `json:"times"`
+	Unresponsive bool   `json:"dark"`
+	Draining     bool   `json:"leaving"`
+	DisconnectAt string `json:"cutAt"`
+	AfterChunks  int    `json:"cutAfter"`
+	Corruption   string `json:"twist"`
+	MaxRuns      int    `json:"times"`
 }
 
 const (
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -39,7 +39,7 @@
 // chunk is the i-th line of an answer, as the fault has it; false where the fault ends the answer before it.
 func (r *Replica) chunk(f Fault, request, id string, i int) (router.ResponseLine, bool) {
 	line := router.ResponseLine{AttemptID: id, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.ChunkText(request, id, i)}
-	if i != f.DisconnectAfter {
+	if i != f.AfterChunks {
 		return line, true
 	}
 	if f.DisconnectAt == "piece" {
