--- a/capacity/clock.go
+++ b/capacity/clock.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// ThreadClock is the CPU time of the calling goroutine's thread, which it keeps from then on: what others on the machine
-// take does not count. Reading it twice costs that much itself, and so much is taken off; it
-// never goes back.
+// ThreadClock locks the calling goroutine to its thread and returns a clock of that thread's CPU time, so that other load on the machine is not
+// measured. ThreadClock first measures the average cost of reading the clock, and each reading subtracts that cost once for every reading so
+// far. The clock never goes back.
 func ThreadClock() func() time.Duration {
 	runtime.LockOSThread()
 	read := func() time.Duration {
@@ -19,16 +19,16 @@
 		}
 		return time.Duration(ts.Nano())
 	}
-	const tries = 20000
-	from := read()
-	for range tries - 1 {
+	const samples = 20000
+	start := read()
+	for range samples - 1 {
 		read()
 	}
-	each := (read() - from) / tries
-	taken, last := time.Duration(0), time.Duration(0)
+	readCost := (read() - start) / samples
+	overhead, last := time.Duration(0), time.Duration(0)
 	return func() time.Duration {
-		taken += each
-		last = max(last, read()-taken)
+		overhead += readCost
+		last = max(last, read()-overhead)
 		return last
 	}
 }
--- a/capacity/conn.go
+++ b/capacity/conn.go
@@ -12,7 +12,8 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func usualMessages() []any {
+// typicalMessages returns one message of each type that nodes exchange in normal operation.
+func typicalMessages() []any {
 	return []any{
 		membership.Ping{Seq: 1, Name: "n"}, membership.Ack{Seq: 1}, gossip.Checksum{Hash: 1, N: 1},
 		gossip.Digest{Versions: []gossip.KeyVersion{{Key: "k", Version: gossip.Version{Hi: 1, Lo: 1}}}}, gossip.Pull{Keys: []string{"k"}},
@@ -23,60 +24,64 @@
 	}
 }
 
-type conn struct {
+// codecPair is the encoder and the decoder of one connection, linked by a buffer.
+type codecPair struct {
 	w   *transport.Writer
 	buf bytes.Buffer
 	r   *transport.Reader
 }
 
-func open() (*conn, int) {
-	c := &conn{w: transport.NewWriter()}
+// newCodecPair returns a codec pair that has carried all typical messages, and the size of their frames in bytes.
+func newCodecPair() (*codecPair, int) {
+	c := &codecPair{w: transport.NewWriter()}
 	c.r = transport.NewReader(&c.buf)
-	var frames int
-	for _, m := range usualMessages() {
+	var frameBytes int
+	for _, m := range typicalMessages() {
 		frame, err := c.w.Frame(m)
 		if err != nil {
 			panic(err)
 		}
-		frames += len(frame)
+		frameBytes += len(frame)
 		c.buf.Write(frame)
 		if _, err = c.r.Next(); err != nil {
 			panic(err)
 		}
 	}
-	return c, frames
+	return c, frameBytes
 }
 
-// FirstFrameOverhead is what the first frames of a connection cost beyond the same frames later: they describe their types.
+// FirstFrameOverhead returns the number of bytes by which the first frames of a connection exceed later frames of the same messages, because
+// the first frame of each type also describes the type.
 func FirstFrameOverhead() int {
-	c, first := open()
-	later := 0
-	for _, m := range usualMessages() {
+	c, firstBytes := newCodecPair()
+	laterBytes := 0
+	for _, m := range typicalMessages() {
 		frame, err := c.w.Frame(m)
 		if err != nil {
 			panic(err)
 		}
-		later += len(frame)
+		laterBytes += len(frame)
 	}
-	return first - later
+	return firstBytes - laterBytes
 }
 
-// connBytes is the heap that a connection's coders hold, both ways, once they have carried the usual kinds.
+// connBytes measures the heap that the encoder and the decoder of a connection use once they have carried all typical messages. It averages
+// over many codec pairs.
 var connBytes = sync.OnceValue(func() uint64 {
-	const many = 200
+	const pairs = 200
 	var before, after runtime.MemStats
-	cs := make([]*conn, many)
-	cs[0], _ = open()
+	cs := make([]*codecPair, pairs)
+	cs[0], _ = newCodecPair()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range cs {
-		cs[i], _ = open()
+		cs[i], _ = newCodecPair()
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(cs)
-	return (after.HeapAlloc - before.HeapAlloc) / many
+	return (after.HeapAlloc - before.HeapAlloc) / pairs
 })
 
-// ConnBytes is the heap that the coders of one connection hold.
+// ConnBytes returns the heap size, in bytes, of one connection's encoder and decoder. It is measured at the first call.
 func ConnBytes() uint64 { return connBytes() }
--- a/capacity/count_test.go
+++ b/capacity/count_test.go
@@ -5,12 +5,15 @@
 	"time"
 )
 
-// Three nodes with disks, a zone each, and one replica in the first zone. Ticks are 50 ms apart.
+// TestCountsOfThreeNodes compares message counts with values derived by hand for three nodes with disks, one per zone, and one replica in the
+// first zone, over 18 s with ticks 50 ms apart.
 //
-// Failure detector: each node watches both others. An answer takes some milliseconds and the next ping is due 400 ms after it,
-// so at the tick 450 ms after the last: 40 in 18 s to each of two, and as many answers to theirs.
-// Usage: n1 is the only node of the replica's zone, holds the role, and tells one node of each other zone once a second; they have
-// nobody near to pass it on to. Claims: n1 renews once a second with the three voters, one of which is itself. Probes: every 250 ms.
+// Failure detector: each node pings both others. An ack takes a few milliseconds and the next ping is due 400 ms after it, so it is sent at the
+// tick 450 ms after the last ping: 40 pings in 18 s to each of the two, and as many acks to their pings.
+// Load gossip: n1 is the only node in the replica's zone and therefore holds the zone's role. It sends load reports to one node of each other
+// zone once a second; those have no other node in their zone to pass them on to.
+// Leases: n1 renews its lease once a second with the three voters, one of which is itself.
+// Probes: n1 probes the replica every 250 ms.
 func TestCountsOfThreeNodes(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{
@@ -22,9 +25,9 @@
 	}
 	r := p.Run()
 	if r.Ready != 3 {
-		t.Fatalf("%d of 3 nodes serve", r.Ready)
+		t.Fatalf("%d of 3 nodes are ready", r.Ready)
 	}
-	type count struct{ sent, received, asks uint64 }
+	type count struct{ sent, received, probes uint64 }
 	want := map[Mechanism][]count{
 		FailureDetector: {{160, 160, 0}, {160, 160, 0}, {160, 160, 0}},
 		LoadGossip:      {{36, 0, 0}, {0, 18, 0}, {0, 18, 0}},
@@ -38,14 +41,14 @@
 		for i, c := range counts {
 			got := r.Costs.Of(r.Nodes[i], m)
 			if (count{got.Sent, got.Received, got.Probes}) != c {
-				t.Errorf("%s of %s: got sent %d, received %d, asks %d, want %+v", m, r.Nodes[i].Name, got.Sent, got.Received, got.Probes, c)
+				t.Errorf("%s of %s: got sent %d, received %d, probes %d, want %+v", m, r.Nodes[i].Name, got.Sent, got.Received, got.Probes, c)
 			}
 		}
 	}
 }
 
-// A tick is two inputs every 50 ms, one to each machine, each timed by two looks at a clock that goes a microsecond a look. Its
-// answer is one ControlStatus to the router.
+// TestTimeOfTicks counts clock readings. A node handles a tick of its control node and one of its router every 50 ms, and each input is timed
+// with two readings of a clock that advances by 1 µs per reading. The control node responds to a tick with one ControlStatus to the router.
 func TestTimeOfTicks(t *testing.T) {
 	ticks := time.Duration(0)
 	p := Plan{Nodes: 3, Replicas: 1, Disks: 3, Services: 1, Zones: []string{"a1", "b1", "a2"}, SettleTime: 15 * time.Second, MeasureTime: 10 * time.Second, Seed: 1,
@@ -57,10 +60,10 @@
 	r := p.Run()
 	for _, n := range r.Nodes {
 		if got := r.Costs.Of(n, Ticks).StepTime; got != 200*time.Microsecond {
-			t.Errorf("control ticks of %s took %s, want 200 looks", n.Name, got)
+			t.Errorf("control ticks of %s took %s, want 200 µs", n.Name, got)
 		}
 		if got := r.Costs.Of(n, RouterTick).StepTime; got != 400*time.Microsecond {
-			t.Errorf("router ticks and feeds of %s took %s, want 400 looks", n.Name, got)
+			t.Errorf("router ticks and control statuses of %s took %s, want 400 µs", n.Name, got)
 		}
 	}
 }
@@ -74,43 +77,44 @@
 		all := r.Costs.Total(n, func(Mechanism) bool { return true })
 		sent, zones, regions = sent+all.BytesSent, zones+all.AcrossZones, regions+all.AcrossRegions
 		if other := r.Costs.Of(n, Other); other.Sent > 0 {
-			t.Errorf("%s sent %d messages of no mechanism", n.Name, other.Sent)
+			t.Errorf("%s sent %d messages that belong to no mechanism", n.Name, other.Sent)
 		}
 	}
 	if sent == 0 || regions == 0 || regions >= zones || zones >= sent {
-		t.Errorf("sent %d, to other zones %d, to the other region %d", sent, zones, regions)
+		t.Errorf("sent %d bytes, %d of them to other zones and %d to the other region", sent, zones, regions)
 	}
 	if len(r.ApplyTimes) != 5 {
-		t.Errorf("%d changes in force everywhere, want 5 in 5 s", len(r.ApplyTimes))
+		t.Errorf("%d configurations were applied everywhere, want 5 in 5 s", len(r.ApplyTimes))
 	}
 	if r.Outcomes["done"] < 80 {
-		t.Errorf("ends %v, want most of 100 requests done", r.Outcomes)
+		t.Errorf("outcomes %v, want most of 100 requests done", r.Outcomes)
 	}
 }
 
-func TestPartKeepsProportions(t *testing.T) {
+func TestScaledTargetKeepsProportions(t *testing.T) {
 	p := ScaledTarget(37)
 	if p.Replicas != 60 || p.Rate != 380 || p.Nodes != 37 || p.Disks != 4 {
-		t.Errorf("a tenth of the target is %+v", p)
+		t.Errorf("a tenth of the target is scaled to %+v", p)
 	}
 }
 
 func TestStateGrowsWithStoredItems(t *testing.T) {
-	l := newSoloRouter(func() time.Duration { return 0 }, unbounded)
-	before := StateByMechanism(l.node)
+	r := newSingleRouter(func() time.Duration { return 0 }, unbounded)
+	before := StateByMechanism(r.node)
 	for i := range 1000 {
-		l.request(i, prefixes(i))
+		r.serveRequest(i, sharedPrefixHeader(i))
 	}
-	after := StateByMechanism(l.node)
-	if l.done != 1000 {
-		t.Fatalf("%d of 1000 requests done", l.done)
+	after := StateByMechanism(r.node)
+	if r.done != 1000 {
+		t.Fatalf("%d of 1000 requests done", r.done)
 	}
-	parts := 1001.0
-	if each := float64(after[Index]-before[Index]) / parts; each < 100 || each > 400 {
-		t.Errorf("a part that is held takes %.0f bytes, want 100 to 400", each)
+	// 1000 shared prefixes have a block each; they begin with one common block.
+	blocks := 1001.0
+	if each := float64(after[Index]-before[Index]) / blocks; each < 100 || each > 400 {
+		t.Errorf("an indexed prefix block takes %.0f bytes, want 100 to 400", each)
 	}
 	if after[FailureDetector] != before[FailureDetector] || after[Config] != before[Config] {
-		t.Errorf("requests changed state of other mechanisms: %v, then %v", before, after)
+		t.Errorf("requests changed the state size of other mechanisms: before %v, after %v", before, after)
 	}
 }
 
@@ -123,15 +127,15 @@
 		}
 	}
 	if len(stateFields) != 3 {
-		t.Errorf("%d state machines are divided, want the control node, the router and its scheduler", len(stateFields))
+		t.Errorf("stateFields has %d state machines, want the control node, the router and its scheduler", len(stateFields))
 	}
 }
 
-func TestPaddedConfigurationsAreTaken(t *testing.T) {
+func TestPaddedConfigurationsAreAccepted(t *testing.T) {
 	p := Plan{Nodes: 3, Replicas: 3, Disks: 3, Services: 2, Zones: []string{"a1", "b1", "a2"}, ConfigBytes: 100000, PutRate: 1, SettleTime: 12 * time.Second, MeasureTime: 4 * time.Second, Seed: 1,
 		Clock: func() time.Duration { return 0 }}
 	r := p.Run()
 	if len(r.ApplyTimes) != 4 || r.ConfigBytes < 100000 || r.ConfigBytes > 104000 {
-		t.Errorf("%d changes of %d bytes in force, want 4 of 100000 to 104000", len(r.ApplyTimes), r.ConfigBytes)
+		t.Errorf("%d configurations of %d bytes were applied, want 4 of 100000 to 104000 bytes", len(r.ApplyTimes), r.ConfigBytes)
 	}
 }
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -6,31 +6,34 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a straight line through the points of one measure, and the power of x that they go with.
+// Fit is a straight line and a power of x, both fitted to one series of points.
 type Fit struct {
 	Sweep     string
 	Role      Role
 	Mechanism Mechanism
 	Measure   Measure
-	// Statistic is the mean or the worst node.
+	// Statistic is "mean" or "worst": the field of the points that is fitted.
 	Statistic string
 	Points    int
-	FirstX    float64
-	LastX     float64
+	// FirstX and LastX bound the fitted points, LastY is the last point's value.
+	FirstX float64
+	LastX  float64
+	LastY  float64
+	// Intercept, Slope and R2 (the coefficient of determination) describe the line.
 	Intercept float64
 	Slope     float64
 	R2        float64
-	// Residual is the root mean square of what the line misses, as a share of the points' mean; Worst is the most it misses.
+	// Residual is the root mean square of the line's errors and MaxResidual the largest one, both as fractions of the points' mean.
 	Residual    float64
 	MaxResidual float64
-	// Exponent is the exponent of x in the best c·x^p, and PowerResidual what that misses; 0 where a point is naught.
+	// PowerFactor and Exponent are c and p of the best fit of c·x^p, PowerResidual is its residual. They are 0 if a point has an x or a
+	// value that is not positive.
 	Exponent      float64
 	PowerFactor   float64
 	PowerResidual float64
-	LastY         float64
 }
 
-// At is the line's value at x, or the power's where that misses less than half as much.
+// At returns the fitted value at x: the power's if IsPowerLaw, otherwise the line's.
 func (f Fit) At(x float64) float64 {
 	if f.IsPowerLaw() {
 		return f.PowerFactor * math.Pow(x, f.Exponent)
@@ -38,20 +41,21 @@
 	return f.Intercept + f.Slope*x
 }
 
-// IsPowerLaw tells whether the points go with a power of x rather than with a line.
+// IsPowerLaw reports whether a power of x fits better than the line, with less than half of its residual.
 func (f Fit) IsPowerLaw() bool { return f.Exponent != 0 && f.PowerResidual < f.Residual/2 }
 
-func misses(xs, ys []float64, at func(x float64) float64) (rms, worst float64) {
+// relativeErrors returns the root mean square and the largest of the errors of a fitted function, as fractions of the mean of ys.
+func relativeErrors(xs, ys []float64, fitted func(x float64) float64) (rms, worst float64) {
 	mean := stat.Mean(ys, nil)
 	for i := range xs {
-		miss := math.Abs(ys[i]-at(xs[i])) / mean
-		rms += miss * miss
-		worst = max(worst, miss)
+		e := math.Abs(ys[i]-fitted(xs[i])) / mean
+		rms += e * e
+		worst = max(worst, e)
 	}
 	return math.Sqrt(rms / float64(len(xs))), worst
 }
 
-// FitSeries fits one series; fewer than three points or no positive one give none.
+// FitSeries fits one series. It returns false if there are fewer than three points, or if their mean is not positive.
 func FitSeries(xs, ys []float64) (Fit, bool) {
 	var f Fit
 	if len(xs) < 3 || stat.Mean(ys, nil) <= 0 {
@@ -63,32 +67,33 @@
 	if math.IsNaN(f.R2) || math.IsInf(f.R2, 0) {
 		f.R2 = 1
 	}
-	f.Residual, f.MaxResidual = misses(xs, ys, func(x float64) float64 { return f.Intercept + f.Slope*x })
-	var lx, ly []float64
+	f.Residual, f.MaxResidual = relativeErrors(xs, ys, func(x float64) float64 { return f.Intercept + f.Slope*x })
+	var logX, logY []float64
 	for i := range xs {
 		if xs[i] <= 0 || ys[i] <= 0 {
 			return f, true
 		}
-		lx, ly = append(lx, math.Log(xs[i])), append(ly, math.Log(ys[i]))
+		logX, logY = append(logX, math.Log(xs[i])), append(logY, math.Log(ys[i]))
 	}
-	c, p := stat.LinearRegression(lx, ly, nil, false)
-	f.PowerFactor, f.Exponent = math.Exp(c), p
-	f.PowerResidual, _ = misses(xs, ys, func(x float64) float64 { return f.PowerFactor * math.Pow(x, p) })
+	logFactor, exponent := stat.LinearRegression(logX, logY, nil, false)
+	f.PowerFactor, f.Exponent = math.Exp(logFactor), exponent
+	f.PowerResidual, _ = relativeErrors(xs, ys, func(x float64) float64 { return f.PowerFactor * math.Pow(x, exponent) })
 	return f, true
 }
 
-type series struct {
+// seriesKey identifies the points of one series within a sweep.
+type seriesKey struct {
 	role      Role
 	mechanism Mechanism
 	measure   Measure
 }
 
-// FitAll are lines through all series of a sweep's points, which come in order of x.
+// FitAll fits the means and the worst values of every series of a sweep. The points must be in ascending order of x.
 func FitAll(ps []Point) []Fit {
-	xs, mean, worst := map[series][]float64{}, map[series][]float64{}, map[series][]float64{}
-	var order []series
+	xs, mean, worst := map[seriesKey][]float64{}, map[seriesKey][]float64{}, map[seriesKey][]float64{}
+	var order []seriesKey
 	for _, p := range ps {
-		s := series{p.Role, p.Mechanism, p.Measure}
+		s := seriesKey{p.Role, p.Mechanism, p.Measure}
 		if xs[s] == nil {
 			order = append(order, s)
 		}
@@ -96,13 +101,13 @@
 	}
 	var fs []Fit
 	for _, s := range order {
-		for _, of := range []string{"mean", "worst"} {
-			ys := map[string][]float64{"mean": mean[s], "worst": worst[s]}[of]
+		for _, statistic := range []string{"mean", "worst"} {
+			ys := map[string][]float64{"mean": mean[s], "worst": worst[s]}[statistic]
 			f, ok := FitSeries(xs[s], ys)
 			if !ok {
 				continue
 			}
-			f.Sweep, f.Role, f.Mechanism, f.Measure, f.Statistic = ps[0].Sweep, s.role, s.mechanism, s.measure, of
+			f.Sweep, f.Role, f.Mechanism, f.Measure, f.Statistic = ps[0].Sweep, s.role, s.mechanism, s.measure, statistic
 			fs = append(fs, f)
 		}
 	}
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -15,54 +15,54 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
 
-func TestLineThroughALine(t *testing.T) {
+func TestFitOfALine(t *testing.T) {
 	f, ok := FitSeries([]float64{1, 2, 4, 8}, []float64{13, 16, 22, 34})
-	if !ok || !near(f.Intercept, 10) || !near(f.Slope, 3) || f.Residual > 1e-9 || !near(f.R2, 1) || f.IsPowerLaw() {
+	if !ok || !approxEqual(f.Intercept, 10) || !approxEqual(f.Slope, 3) || f.Residual > 1e-9 || !approxEqual(f.R2, 1) || f.IsPowerLaw() {
 		t.Errorf("10 + 3x is fitted by %+v", f)
 	}
-	if !near(f.At(100), 310) {
+	if !approxEqual(f.At(100), 310) {
 		t.Errorf("at 100: %g, want 310", f.At(100))
 	}
 }
 
-func TestSquareGoesByPower(t *testing.T) {
+func TestSquareFollowsPowerLaw(t *testing.T) {
 	f, ok := FitSeries([]float64{1, 2, 4, 8}, []float64{2, 8, 32, 128})
-	if !ok || !f.IsPowerLaw() || !near(f.Exponent, 2) || !near(f.At(16), 512) {
+	if !ok || !f.IsPowerLaw() || !approxEqual(f.Exponent, 2) || !approxEqual(f.At(16), 512) {
 		t.Errorf("2x² is fitted by %+v", f)
 	}
 }
 
-func TestResidualIsAShareOfTheMean(t *testing.T) {
+func TestResidualIsAFractionOfTheMean(t *testing.T) {
 	f, ok := FitSeries([]float64{0, 1, 2}, []float64{9, 12, 9})
-	if !ok || !near(f.Intercept, 10) || !near(f.Slope, 0) || !near(f.MaxResidual, 0.2) || !near(f.Residual, math.Sqrt(0.02)) {
-		t.Errorf("10 ± is fitted by %+v", f)
+	if !ok || !approxEqual(f.Intercept, 10) || !approxEqual(f.Slope, 0) || !approxEqual(f.MaxResidual, 0.2) || !approxEqual(f.Residual, math.Sqrt(0.02)) {
+		t.Errorf("values around 10 are fitted by %+v", f)
 	}
 }
 
-func TestTooFewPointsGiveNoLine(t *testing.T) {
+func TestTooFewPointsGiveNoFit(t *testing.T) {
 	if _, ok := FitSeries([]float64{1, 2}, []float64{1, 2}); ok {
-		t.Error("two points gave a line")
+		t.Error("two points gave a fit")
 	}
 	if _, ok := FitSeries([]float64{1, 2, 3}, []float64{0, 0, 0}); ok {
-		t.Error("naught gave a line")
+		t.Error("zeros gave a fit")
 	}
 }
 
-func TestFitsKeepSeriesApart(t *testing.T) {
+func TestFitAllSeparatesSeries(t *testing.T) {
 	var ps []Point
 	for _, x := range []float64{1, 2, 3} {
 		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: LoadGossip, Measure: Sent, Mean: x, Worst: 2 * x})
 		ps = append(ps, Point{Sweep: "s", X: x, Role: Any, Mechanism: Leases, Measure: Sent, Mean: 5, Worst: 5})
 	}
 	fs := FitAll(ps)
-	if len(fs) != 4 || !near(fs[0].Slope, 1) || !near(fs[1].Slope, 2) || fs[1].Statistic != "worst" || !near(fs[2].Slope, 0) || !near(fs[2].Intercept, 5) {
+	if len(fs) != 4 || !approxEqual(fs[0].Slope, 1) || !approxEqual(fs[1].Slope, 2) || fs[1].Statistic != "worst" || !approxEqual(fs[2].Slope, 0) || !approxEqual(fs[2].Intercept, 5) {
 		t.Errorf("fits are %+v", fs)
 	}
 }
 
-func TestUnknownSweepIsNamed(t *testing.T) {
+func TestUnknownSweepIsReported(t *testing.T) {
 	_, err := SelectSweeps(Sweeps([]float64{1}), []string{"nodes", "nowhere"})
 	var bad *UnknownSweepError
 	if !errors.As(err, &bad) || bad.Name != "nowhere" {
@@ -78,15 +78,15 @@
 
 func TestSizeOfStructs(t *testing.T) {
 	shared := &row{name: "0123456789abcdef"}
-	// row is 16 + 8 + 24 bytes; the name takes a block of 16, shared is counted once.
+	// row is 16 + 8 + 24 bytes, its name a block of 16 bytes. The shared row is counted once.
 	want := uint64(2*8) + 48 + 16
 	if got := DeepSize([2]*row{shared, shared}); got != want {
 		t.Errorf("got %d, want %d", got, want)
 	}
-	loop := &row{}
-	loop.next = loop
-	if got := DeepSize(loop); got != 8+48 {
-		t.Errorf("a loop takes %d, want 56", got)
+	cycle := &row{}
+	cycle.next = cycle
+	if got := DeepSize(cycle); got != 8+48 {
+		t.Errorf("a cycle takes %d bytes, want 56", got)
 	}
 }
 
@@ -104,7 +104,7 @@
 	heap, got := float64(after.HeapAlloc-before.HeapAlloc), float64(DeepSize(m))
 	runtime.KeepAlive(m)
 	if got < 0.75*heap || got > 1.33*heap {
-		t.Errorf("reckoned %.0f bytes, the heap says %.0f", got, heap)
+		t.Errorf("estimated %.0f bytes, the heap grew by %.0f", got, heap)
 	}
 }
 
@@ -114,7 +114,7 @@
 	for range 10000 {
 		now := clock()
 		if now < last {
-			t.Fatalf("%s after %s", now, last)
+			t.Fatalf("the clock went back from %s to %s", last, now)
 		}
 		last = now
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-// docs/CAPACITY.md reckons with these sizes.
+// TestFramesOfPrefills pins the frame sizes that the calculations in docs/CAPACITY.md use.
 func TestFramesOfPrefills(t *testing.T) {
 	w, row := transport.NewWriter(), router.Prefill{Replica: "r123", Tokens: 5000}
 	if _, err := w.Frame(control.Prefills{Rows: []router.Prefill{row}}); err != nil {
@@ -155,10 +155,10 @@
 	for rows, want := range map[int]int{1: 27, 2: 38, 4: 60} {
 		frame, err := w.Frame(control.Prefills{Rows: slices.Repeat([]router.Prefill{row}, rows)})
 		if err != nil || len(frame) != want {
-			t.Errorf("%d rows take %d bytes, %v, want %d", rows, len(frame), err, want)
+			t.Errorf("%d rows take %d bytes (error %v), want %d bytes", rows, len(frame), err, want)
 		}
 	}
-	if m := ofMessage(control.Prefills{}); m != Prefills || m.IsControl() {
+	if m := mechanismOfMessage(control.Prefills{}); m != Prefills || m.IsControl() {
 		t.Errorf("prefills are counted as %s", m)
 	}
 }
--- a/capacity/mechanism.go
+++ b/capacity/mechanism.go
@@ -1,4 +1,8 @@
-// Package capacity measures what the machines of a fleet cost as the fleet grows, and fits lines through it.
+// Package capacity measures how the resource consumption of a node's state machines grows with the fleet, and fits lines through the results.
+//
+// A Plan describes one simulated fleet; Plan.Run runs it in one process and returns a Result with the Costs of each node by Mechanism. A Sweep
+// runs plans that differ in one dimension and yields Points, through which FitAll fits lines. Save writes points and fits as CSV and plots as
+// SVG.
 package capacity
 
 import (
@@ -14,10 +18,10 @@
 	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
-// Mechanism is what a cost is for.
+// Mechanism is a part of the system that costs are attributed to.
 type Mechanism string
 
-// The mechanisms; they are written into the tables of points as they stand.
+// The mechanisms. Their values are written to the CSV tables.
 const (
 	FailureDetector Mechanism = "failure detector"
 	MemberGossip    Mechanism = "membership gossip"
@@ -39,13 +43,13 @@
 	Other           Mechanism = "other"
 )
 
-// IsControl tells whether a mechanism runs without requests and so counts against the budget for control.
+// IsControl reports whether a mechanism runs even without requests, so that it counts against the budget of the control plane.
 func (m Mechanism) IsControl() bool {
 	return m != Requests && m != Index && m != Witnesses && m != Prefills
 }
 
-// ofMessage tells which mechanism a message between nodes belongs to.
-func ofMessage(msg any) Mechanism {
+// mechanismOfMessage returns the mechanism that a message between nodes belongs to.
+func mechanismOfMessage(msg any) Mechanism {
 	switch v := msg.(type) {
 	case membership.Ping, membership.Ack, membership.PingFor:
 		return FailureDetector
@@ -54,7 +58,7 @@
 	case gossip.Announcement, control.ChunkPull, control.ChunkData:
 		return Config
 	case gossip.Update:
-		return ofUpdate(v)
+		return mechanismOfUpdate(v)
 	case register.Prepare, register.Promise, register.Accept, register.Accepted:
 		return Register
 	case lease.Request, lease.Grant, lease.Release:
@@ -67,15 +71,16 @@
 	return Other
 }
 
-// ofUpdate takes an update for what weighs most in it; an empty answer belongs to the digest that asked for it.
-func ofUpdate(n gossip.Update) Mechanism {
+// mechanismOfUpdate attributes an update to the mechanism whose items take the most bytes in it. An empty update is the response to a digest and
+// belongs to anti-entropy.
+func mechanismOfUpdate(u gossip.Update) Mechanism {
 	most := 0
 	m := AntiEntropy
 	for _, kind := range []Mechanism{MemberGossip, LoadGossip, Config, ReplicaListings, Other} {
 		weight := 0
-		for _, it := range n.Items {
-			if ofItem(it) == kind {
-				weight += itemWeight(it)
+		for _, it := range u.Items {
+			if mechanismOfItem(it) == kind {
+				weight += estimatedItemBytes(it)
 			}
 		}
 		if weight > most {
@@ -85,7 +90,7 @@
 	return m
 }
 
-func ofItem(it gossip.Item) Mechanism {
+func mechanismOfItem(it gossip.Item) Mechanism {
 	switch it.Data.(type) {
 	case membership.Member:
 		return MemberGossip
@@ -99,8 +104,8 @@
 	return Other
 }
 
-// itemWeight reckons the bytes of an item.
-func itemWeight(it gossip.Item) int {
+// estimatedItemBytes estimates the encoded size of an item in bytes.
+func estimatedItemBytes(it gossip.Item) int {
 	switch d := it.Data.(type) {
 	case control.LoadReports:
 		return 40 * (1 + len(d.Rows))
@@ -112,11 +117,11 @@
 	return 80
 }
 
-// ofInput tells which mechanism an input of a state machine belongs to.
-func ofInput(in any) Mechanism {
+// mechanismOfInput returns the mechanism that an input of a state machine belongs to.
+func mechanismOfInput(in any) Mechanism {
 	switch v := in.(type) {
 	case control.Received:
-		return ofMessage(v.Msg)
+		return mechanismOfMessage(v.Msg)
 	case control.Tick:
 		return Ticks
 	case control.Persisted:
@@ -128,7 +133,7 @@
 	case control.ListRead, router.Listing, router.ReplicaList:
 		return ReplicaListings
 	case control.Command:
-		return ofCommand(v.Op)
+		return mechanismOfCommand(v.Op)
 	case router.Tick, router.ControlStatus:
 		return RouterTick
 	case router.LoadReport, router.ReplicaSuspect:
@@ -144,7 +149,7 @@
 	return Other
 }
 
-func ofCommand(op control.Op) Mechanism {
+func mechanismOfCommand(op control.Op) Mechanism {
 	switch op.(type) {
 	case control.Witness:
 		return Witnesses
@@ -156,8 +161,8 @@
 	return Other
 }
 
-// stateFields says which mechanism a field of the state machines is state of; fields that are not named count for Other. Types are
-// named by the compiler and TestStateFieldsExist checks the fields, so that a rename cannot move state to Other unseen.
+// stateFields maps the fields of each state machine to the mechanism whose state they contain; other fields count as Other. The compiler checks
+// the types and TestStateFieldsExist the field names, so a renamed field can't silently move state to Other.
 var stateFields = map[reflect.Type]map[string]Mechanism{
 	reflect.TypeFor[control.Node](): {
 		"Members": FailureDetector, "Gossip": AntiEntropy, "proposer": Register, "acceptor": Register, "value": Config, "snapshot": Config, "documents": Config,
@@ -174,18 +179,18 @@
 	},
 }
 
-// StateByMechanism is a node's bytes of state by mechanism. What several mechanisms share counts for the first.
+// StateByMechanism returns the size of a node's state in bytes by mechanism. Memory that several mechanisms share counts for the first one.
 func StateByMechanism(n *light.Node) map[Mechanism]uint64 {
 	bytes := map[Mechanism]uint64{}
-	w := newSizer()
+	s := newSizer()
 	for _, machine := range []reflect.Value{reflect.ValueOf(n.Control), reflect.ValueOf(n.Router)} {
-		w.addState(bytes, machine)
+		s.addState(bytes, machine)
 	}
 	return bytes
 }
 
-// addState adds the state that a pointer to a state machine holds; a machine inside it is divided by its own fields.
-func (w *sizer) addState(bytes map[Mechanism]uint64, machine reflect.Value) {
+// addState adds the size of a state machine, given as a pointer, to bytes. A state machine nested in it is attributed by its own fields.
+func (s *sizer) addState(bytes map[Mechanism]uint64, machine reflect.Value) {
 	if machine.IsNil() {
 		return
 	}
@@ -194,13 +199,13 @@
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		if f.Type.Kind() == reflect.Pointer && stateFields[f.Type.Elem()] != nil {
-			w.addState(bytes, v.Field(i))
+			s.addState(bytes, v.Field(i))
 			continue
 		}
 		m, known := fields[f.Name]
 		if !known {
 			m = Other
 		}
-		bytes[m] += uint64(f.Type.Size()) + w.reachable(v.Field(i))
+		bytes[m] += uint64(f.Type.Size()) + s.reachableBytes(v.Field(i))
 	}
 }
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -6,15 +6,17 @@
 	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
-// Cost is what one mechanism cost one node.
+// Cost is the resource consumption of one mechanism on one node since the last reset.
 type Cost struct {
+	// Sent and Received count messages.
 	Sent, Received           uint64
 	BytesSent, BytesReceived uint64
-	// AcrossZones and AcrossRegions are the parts of BytesSent that left the sender's.
+	// AcrossZones and AcrossRegions are the parts of BytesSent that went to another zone, and to another region.
 	AcrossZones, AcrossRegions uint64
-	// StepTime is the machines' own time, CodecTime is that for encoding and decoding.
+	// StepTime is the CPU time of the state machines' steps, CodecTime that of encoding and decoding messages.
 	StepTime, CodecTime time.Duration
-	Probes, Writes      uint64
+	// Probes counts usage requests to replicas, Writes the entries synced to disk.
+	Probes, Writes uint64
 }
 
 func (c *Cost) add(o Cost) {
@@ -25,36 +27,37 @@
 	c.Probes, c.Writes = c.Probes+o.Probes, c.Writes+o.Writes
 }
 
-// Costs are a fleet's, by node and mechanism.
+// Costs collects the costs of a simulated fleet by node and mechanism. It implements light.Meter.
 type Costs struct {
-	by    map[*light.Node]map[Mechanism]*Cost
+	byNode map[*light.Node]map[Mechanism]*Cost
+	// peers contains each pair of sender and receiver that exchanged a message.
 	peers map[[2]*light.Node]bool
 }
 
-// NewCosts gives empty costs; it is the meter of a simulated fleet.
+// NewCosts returns empty costs.
 func NewCosts() *Costs {
-	return &Costs{by: map[*light.Node]map[Mechanism]*Cost{}, peers: map[[2]*light.Node]bool{}}
+	return &Costs{byNode: map[*light.Node]map[Mechanism]*Cost{}, peers: map[[2]*light.Node]bool{}}
 }
 
-// Reset forgets what was counted, but not who spoke with whom.
-func (c *Costs) Reset() { c.by = map[*light.Node]map[Mechanism]*Cost{} }
+// Reset clears all costs. It keeps the pairs of nodes that PeerCount counts.
+func (c *Costs) Reset() { c.byNode = map[*light.Node]map[Mechanism]*Cost{} }
 
 func (c *Costs) of(n *light.Node, m Mechanism) *Cost {
-	if c.by[n] == nil {
-		c.by[n] = map[Mechanism]*Cost{}
+	if c.byNode[n] == nil {
+		c.byNode[n] = map[Mechanism]*Cost{}
 	}
-	if c.by[n][m] == nil {
-		c.by[n][m] = &Cost{}
+	if c.byNode[n][m] == nil {
+		c.byNode[n][m] = &Cost{}
 	}
-	return c.by[n][m]
+	return c.byNode[n][m]
 }
 
-// Region of a zone is its first letter.
+// Region returns the region of a zone, which is the first letter of its name.
 func Region(zone string) string { return zone[:1] }
 
-// Sent counts a message, its bytes, and what its encoding and decoding took.
+// Sent records a message, its bytes, and the time of its encoding and decoding.
 func (c *Costs) Sent(t light.Transfer) {
-	m := ofMessage(t.Msg)
+	m := mechanismOfMessage(t.Msg)
 	s, r := c.of(t.From, m), c.of(t.To, m)
 	s.Sent, r.Received = s.Sent+1, r.Received+1
 	s.BytesSent, r.BytesReceived = s.BytesSent+uint64(t.FrameBytes), r.BytesReceived+uint64(t.FrameBytes)
@@ -68,32 +71,32 @@
 	c.peers[[2]*light.Node{t.From, t.To}] = true
 }
 
-// Stepped counts the time that a machine took for an input.
+// Stepped records the time of a state machine's step for an input.
 func (c *Costs) Stepped(n *light.Node, in any, elapsed time.Duration) {
-	c.of(n, ofInput(in)).StepTime += elapsed
+	c.of(n, mechanismOfInput(in)).StepTime += elapsed
 }
 
-// Asked counts a probe of a replica.
+// Asked records a usage request to a replica.
 func (c *Costs) Asked(n *light.Node) { c.of(n, Probes).Probes++ }
 
-// Wrote counts an entry that was synced to disk.
+// Wrote records an entry that was synced to disk.
 func (c *Costs) Wrote(n *light.Node) { c.of(n, Register).Writes++ }
 
-// Total of a node, over the mechanisms that want is true for.
-func (c *Costs) Total(n *light.Node, want func(m Mechanism) bool) Cost {
+// Total returns the sum of a node's costs over the mechanisms that include accepts.
+func (c *Costs) Total(n *light.Node, include func(m Mechanism) bool) Cost {
 	var t Cost
-	for m, cost := range c.by[n] {
-		if want(m) {
+	for m, cost := range c.byNode[n] {
+		if include(m) {
 			t.add(*cost)
 		}
 	}
 	return t
 }
 
-// Of is what one mechanism cost one node.
+// Of returns the cost of one mechanism on one node.
 func (c *Costs) Of(n *light.Node, m Mechanism) Cost { return *c.of(n, m) }
 
-// PeerCount are how many nodes this one sent to so far.
+// PeerCount returns the number of nodes to which this node has sent a message since the start.
 func (c *Costs) PeerCount(n *light.Node) int {
 	var count int
 	for p := range c.peers {
--- a/capacity/point.go
+++ b/capacity/point.go
@@ -8,26 +8,26 @@
 	"github.com/mallowbridge/mallowbridge/sim/light"
 )
 
-// Role is a kind of node.
+// Role is a group of nodes that points are computed over.
 type Role string
 
-// The roles: all nodes, those that vote on the register and those without a disk.
+// The roles: all nodes, the nodes with a disk, among them the voters of the register, and the nodes without one.
 const (
 	Any      Role = "any"
 	Disk     Role = "disk"
 	Diskless Role = "diskless"
 )
 
-// AllControl and All stand for sums in the place of a mechanism.
+// AllControl and All are used in place of a mechanism for the sum over the control mechanisms, and over all of them.
 const (
 	AllControl Mechanism = "all control"
 	All        Mechanism = "all"
 )
 
-// Measure is what is counted of a mechanism, for one node.
+// Measure is a quantity that is measured of a mechanism on one node.
 type Measure string
 
-// The measures, each with its unit; they are written into the tables of points as they stand.
+// The measures, each with its unit. Their values are written to the CSV tables.
 const (
 	StateBytes    Measure = "state, bytes"
 	Sent          Measure = "messages sent a second"
@@ -42,28 +42,31 @@
 	Writes        Measure = "entries synced a second"
 )
 
-// Measures are all measures in the order of the tables.
+// Measures returns all measures in the order of the tables.
 func Measures() []Measure {
 	return []Measure{StateBytes, Sent, Received, BytesSent, BytesReceived, AcrossZones, AcrossRegions, CPU, CodecCPU, ProbeRate, Writes}
 }
 
-// Point is one measure of one mechanism at one x of a sweep: the mean node's and the worst node's.
+// Point is one measure of one mechanism for one run of a sweep, over the nodes of one role.
 type Point struct {
-	Sweep     string
-	X         float64
-	Nodes     int
-	Replicas  int
+	Sweep string
+	// X is the value of the sweep's dimension in this run.
+	X        float64
+	Nodes    int
+	Replicas int
+	// Rate is the requests per second over the whole fleet.
 	Rate      float64
 	Role      Role
 	Mechanism Mechanism
 	Measure   Measure
-	Mean      float64
-	Worst     float64
+	// Mean is the average over the nodes, Worst the highest value of any node.
+	Mean  float64
+	Worst float64
 }
 
-// reads are a cost's measures over the time measured.
-func (c Cost) reads(lasts time.Duration) map[Measure]float64 {
-	per := func(n uint64) float64 { return float64(n) / lasts.Seconds() }
+// measures converts a cost that was counted over a period to rates per second.
+func (c Cost) measures(period time.Duration) map[Measure]float64 {
+	per := func(n uint64) float64 { return float64(n) / period.Seconds() }
 	return map[Measure]float64{
 		Sent: per(c.Sent), Received: per(c.Received), BytesSent: per(c.BytesSent), BytesReceived: per(c.BytesReceived),
 		AcrossZones: per(c.AcrossZones), AcrossRegions: per(c.AcrossRegions), CPU: per(uint64((c.StepTime + c.CodecTime).Nanoseconds())) / 1000,
@@ -71,50 +74,52 @@
 	}
 }
 
-// reads are one node's measures by mechanism, with their sums.
-type reads map[Mechanism]map[Measure]float64
+// nodeMeasures contains the measures of one node by mechanism, including the sums All and AllControl.
+type nodeMeasures map[Mechanism]map[Measure]float64
 
-func (v reads) add(m Mechanism, what map[Measure]float64) {
+// add adds measures to a mechanism and to the sums.
+func (n nodeMeasures) add(m Mechanism, values map[Measure]float64) {
 	for _, sum := range []Mechanism{m, All, AllControl} {
 		if sum == AllControl && !m.IsControl() {
 			continue
 		}
-		if v[sum] == nil {
-			v[sum] = map[Measure]float64{}
+		if n[sum] == nil {
+			n[sum] = map[Measure]float64{}
 		}
-		for k, x := range what {
-			v[sum][k] += x
+		for k, x := range values {
+			n[sum][k] += x
 		}
 	}
 }
 
-func (r *Result) reads(n *light.Node) reads {
-	v := reads{}
-	for m, c := range r.Costs.by[n] {
-		v.add(m, c.reads(r.Plan.MeasureTime))
+// measures returns the measures of a node, and includes the size of its state and of its connections.
+func (r *Result) measures(n *light.Node) nodeMeasures {
+	values := nodeMeasures{}
+	for m, c := range r.Costs.byNode[n] {
+		values.add(m, c.measures(r.Plan.MeasureTime))
 	}
 	for m, b := range StateByMechanism(n) {
-		v.add(m, map[Measure]float64{StateBytes: float64(b)})
+		values.add(m, map[Measure]float64{StateBytes: float64(b)})
 	}
-	v.add(Connections, map[Measure]float64{StateBytes: float64(r.Costs.PeerCount(n)) * float64(connBytes())})
-	return v
+	values.add(Connections, map[Measure]float64{StateBytes: float64(r.Costs.PeerCount(n)) * float64(connBytes())})
+	return values
 }
 
-// Points are the result's, for each role, mechanism and measure that is not zero.
+// Points returns the points of the result: one for each role, mechanism and measure that is above zero on some node.
 func (r *Result) Points(sweep string, x float64) []Point {
-	byRole := map[Role][]reads{}
+	byRole := map[Role][]nodeMeasures{}
 	for _, n := range r.Nodes {
-		read, role := r.reads(n), Diskless
+		measured, role := r.measures(n), Diskless
 		if n.Disk != nil {
 			role = Disk
 		}
-		byRole[role], byRole[Any] = append(byRole[role], read), append(byRole[Any], read)
+		byRole[role], byRole[Any] = append(byRole[role], measured), append(byRole[Any], measured)
 	}
 	var points []Point
 	for _, role := range []Role{Any, Disk, Diskless} {
 		for _, m := range mechanisms(byRole[role]) {
-			for _, what := range Measures() {
-				p := Point{Sweep: sweep, X: x, Nodes: r.Plan.Nodes, Replicas: r.Plan.Replicas, Rate: r.Plan.Rate, Role: role, Mechanism: m, Measure: what}
+			for _, measure := range Measures() {
+				p := Point{Sweep: sweep, X: x, Nodes: r.Plan.Nodes, Replicas: r.Plan.Replicas, Rate: r.Plan.Rate, Role: role, Mechanism: m, Measure: measure}
 				if p.summarize(byRole[role]); p.Worst > 0 {
 					points = append(points, p)
 				}
@@ -124,18 +129,19 @@
 	return points
 }
 
-// summarize sets the mean and the worst of what was read of the nodes.
-func (p *Point) summarize(all []reads) {
-	for _, read := range all {
-		p.Mean += read[p.Mechanism][p.Measure] / float64(len(all))
-		p.Worst = max(p.Worst, read[p.Mechanism][p.Measure])
+// summarize sets Mean and Worst from the measures of the nodes.
+func (p *Point) summarize(nodes []nodeMeasures) {
+	for _, n := range nodes {
+		p.Mean += n[p.Mechanism][p.Measure] / float64(len(nodes))
+		p.Worst = max(p.Worst, n[p.Mechanism][p.Measure])
 	}
 }
 
-func mechanisms(vs []reads) []Mechanism {
+// mechanisms returns the sorted mechanisms that any of the nodes has measures of.
+func mechanisms(nodes []nodeMeasures) []Mechanism {
 	all := map[Mechanism]bool{}
-	for _, v := range vs {
-		for m := range v {
+	for _, n := range nodes {
+		for m := range n {
 			all[m] = true
 		}
 	}
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -2,35 +2,37 @@
 
 import "reflect"
 
-// A sizer adds up what values hold on the heap, each block once.
+// sizer sums the heap memory that values reference and counts each heap block once. seen contains the addresses of the counted blocks.
 type sizer struct{ seen map[uintptr]bool }
 
 func newSizer() *sizer { return &sizer{seen: map[uintptr]bool{}} }
 
-// DeepSize is what a value and all it holds take, as reckoned by its types: maps are taken at seven eighths of their slots.
+// DeepSize estimates the bytes of a value and of everything that it references, from the sizes of the types. Maps are assumed to double when
+// seven eighths of their slots are full.
 func DeepSize(v any) uint64 {
 	r := reflect.ValueOf(v)
-	return uint64(r.Type().Size()) + newSizer().reachable(r)
+	return uint64(r.Type().Size()) + newSizer().reachableBytes(r)
 }
 
-func (w *sizer) firstSeen(p uintptr) bool {
-	if p == 0 || w.seen[p] {
+// firstSeen marks a block as counted and reports whether it was not counted before.
+func (s *sizer) firstSeen(p uintptr) bool {
+	if p == 0 || s.seen[p] {
 		return false
 	}
-	w.seen[p] = true
+	s.seen[p] = true
 	return true
 }
 
-// flat tells that a type holds nothing beyond itself.
-func flat(t reflect.Type) bool {
+// hasNoReferences reports whether values of a type reference no other memory.
+func hasNoReferences(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map, reflect.Slice, reflect.String, reflect.Interface, reflect.Chan, reflect.Func, reflect.UnsafePointer:
 		return false
 	case reflect.Array:
-		return flat(t.Elem())
+		return hasNoReferences(t.Elem())
 	case reflect.Struct:
 		for i := range t.NumField() {
-			if !flat(t.Field(i).Type) {
+			if !hasNoReferences(t.Field(i).Type) {
 				return false
 			}
 		}
@@ -38,8 +40,9 @@
 	return true
 }
 
-// allocated is the size that the allocator gives: a sixteenth more at most, beyond the smallest.
-func allocated(n uintptr) uint64 {
+// allocatedBytes estimates the size of the block that the allocator returns for n bytes: rounded up to a multiple of 8 bytes up to 16, to a
+// multiple of 16 up to 256, and a sixteenth more beyond.
+func allocatedBytes(n uintptr) uint64 {
 	switch {
 	case n == 0:
 		return 0
@@ -51,90 +54,90 @@
 	return uint64(n) + uint64(n)/16
 }
 
-// mapHead is the bytes of an empty map, mapGroup its slots.
+// emptyMapBytes is the size of an empty map in bytes, minMapSlots its number of slots.
 const (
-	mapHead  = 48
-	mapGroup = 8
+	emptyMapBytes = 48
+	minMapSlots   = 8
 )
 
-// reachable is what a value holds beyond itself.
-func (w *sizer) reachable(v reflect.Value) uint64 {
+// reachableBytes returns the bytes that a value references, without the value itself.
+func (s *sizer) reachableBytes(v reflect.Value) uint64 {
 	switch v.Kind() {
 	case reflect.Pointer:
-		if v.IsNil() || !w.firstSeen(v.Pointer()) {
+		if v.IsNil() || !s.firstSeen(v.Pointer()) {
 			return 0
 		}
-		return allocated(v.Type().Elem().Size()) + w.reachable(v.Elem())
+		return allocatedBytes(v.Type().Elem().Size()) + s.reachableBytes(v.Elem())
 	case reflect.Interface:
-		return w.interfaceBytes(v)
+		return s.interfaceBytes(v)
 	case reflect.String:
-		return allocated(uintptr(v.Len()))
+		return allocatedBytes(uintptr(v.Len()))
 	case reflect.Slice:
-		return w.sliceBytes(v)
+		return s.sliceBytes(v)
 	case reflect.Map:
-		return w.mapBytes(v)
+		return s.mapBytes(v)
 	case reflect.Struct:
-		return w.partsBytes(v, v.NumField(), v.Field)
+		return s.elementsBytes(v, v.NumField(), v.Field)
 	case reflect.Array:
-		return w.partsBytes(v, v.Len(), v.Index)
+		return s.elementsBytes(v, v.Len(), v.Index)
 	}
 	return 0
 }
 
-func (w *sizer) interfaceBytes(v reflect.Value) uint64 {
+func (s *sizer) interfaceBytes(v reflect.Value) uint64 {
 	if v.IsNil() {
 		return 0
 	}
 	e := v.Elem()
 	if e.Kind() == reflect.Pointer || e.Kind() == reflect.Map {
-		return w.reachable(e)
+		return s.reachableBytes(e)
 	}
-	return allocated(e.Type().Size()) + w.reachable(e)
+	return allocatedBytes(e.Type().Size()) + s.reachableBytes(e)
 }
 
-// partsBytes adds up what the fields of a struct or the items of an array hold.
-func (w *sizer) partsBytes(v reflect.Value, n int, part func(i int) reflect.Value) uint64 {
-	if flat(v.Type()) {
+// elementsBytes returns the bytes that the fields of a struct or the elements of an array reference.
+func (s *sizer) elementsBytes(v reflect.Value, n int, element func(i int) reflect.Value) uint64 {
+	if hasNoReferences(v.Type()) {
 		return 0
 	}
 	var bytes uint64
 	for i := range n {
-		bytes += w.reachable(part(i))
+		bytes += s.reachableBytes(element(i))
 	}
 	return bytes
 }
 
-func (w *sizer) sliceBytes(v reflect.Value) uint64 {
-	if v.IsNil() || v.Cap() == 0 || !w.firstSeen(v.Pointer()) {
+func (s *sizer) sliceBytes(v reflect.Value) uint64 {
+	if v.IsNil() || v.Cap() == 0 || !s.firstSeen(v.Pointer()) {
 		return 0
 	}
-	bytes := allocated(uintptr(v.Cap()) * v.Type().Elem().Size())
-	if flat(v.Type().Elem()) {
+	bytes := allocatedBytes(uintptr(v.Cap()) * v.Type().Elem().Size())
+	if hasNoReferences(v.Type().Elem()) {
 		return bytes
 	}
 	for i := range v.Len() {
-		bytes += w.reachable(v.Index(i))
+		bytes += s.reachableBytes(v.Index(i))
 	}
 	return bytes
 }
 
-func (w *sizer) mapBytes(v reflect.Value) uint64 {
-	if v.IsNil() || !w.firstSeen(v.Pointer()) {
+func (s *sizer) mapBytes(v reflect.Value) uint64 {
+	if v.IsNil() || !s.firstSeen(v.Pointer()) {
 		return 0
 	}
-	slots := uint64(mapGroup)
+	slots := uint64(minMapSlots)
 	for slots*7/8 < uint64(v.Len()) {
 		slots *= 2
 	}
 	entry := uint64(v.Type().Key().Size() + v.Type().Elem().Size())
-	bytes := mapHead + slots*(entry+1)
-	keys, vals := !flat(v.Type().Key()), !flat(v.Type().Elem())
+	bytes := emptyMapBytes + slots*(entry+1)
+	keys, vals := !hasNoReferences(v.Type().Key()), !hasNoReferences(v.Type().Elem())
 	for it := v.MapRange(); (keys || vals) && it.Next(); {
 		if keys {
-			bytes += w.reachable(it.Key())
+			bytes += s.reachableBytes(it.Key())
 		}
 		if vals {
-			bytes += w.reachable(it.Value())
+			bytes += s.reachableBytes(it.Value())
 		}
 	}
 	return bytes
--- a/capacity/write.go
+++ b/capacity/write.go
@@ -16,7 +16,7 @@
 	"sweep", "role", "mechanism", "measure", "of", "points", "from", "to", "base", "slope", "r2", "residual", "worst", "power", "factor", "powerResidual", "last",
 }
 
-// RowError is a line of a table of points that cannot be read.
+// RowError reports a row of a CSV table of points that can't be read.
 type RowError struct {
 	File, Reason string
 	Row          int
@@ -24,30 +24,30 @@
 
 func (e *RowError) Error() string { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Reason) }
 
-// Save writes a sweep's points and fits as CSV and its plots as SVG.
+// Save writes the points and the fits of a sweep as CSV and its plots as SVG files to a directory, which it creates if it doesn't exist.
 func Save(dir string, s Sweep, ps []Point) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if err := write(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
+	if err := writeCSV(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
 		return err
 	}
 	fs := FitAll(ps)
-	if err := write(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
+	if err := writeCSV(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
 		return err
 	}
 	return DrawPlots(dir, s, ps, fs)
 }
 
-func num(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
 func pointRows(ps []Point) [][]string {
 	var rows [][]string
 	rows = append(rows, pointColumns)
 	for _, p := range ps {
 		rows = append(rows, []string{
-			p.Sweep, num(p.X), strconv.Itoa(p.Nodes), strconv.Itoa(p.Replicas), num(p.Rate), string(p.Role), string(p.Mechanism), string(p.Measure),
-			num(p.Mean), num(p.Worst),
+			p.Sweep, formatNumber(p.X), strconv.Itoa(p.Nodes), strconv.Itoa(p.Replicas), formatNumber(p.Rate), string(p.Role), string(p.Mechanism), string(p.Measure),
+			formatNumber(p.Mean), formatNumber(p.Worst),
 		})
 	}
 	return rows
@@ -59,14 +59,15 @@
 	for _, f := range fs {
 		row := []string{f.Sweep, string(f.Role), string(f.Mechanism), string(f.Measure), f.Statistic, strconv.Itoa(f.Points)}
 		for _, v := range []float64{f.FirstX, f.LastX, f.Intercept, f.Slope, f.R2, f.Residual, f.MaxResidual, f.Exponent, f.PowerFactor, f.PowerResidual, f.LastY} {
-			row = append(row, num(v))
+			row = append(row, formatNumber(v))
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-func write(file string, rows [][]string) error {
+// writeCSV writes rows to a file.
+func writeCSV(file string, rows [][]string) error {
 	out, err := os.Create(file)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -75,7 +76,7 @@
 	return trace.ConvertSystemError(csv.NewWriter(out).WriteAll(rows))
 }
 
-// Load reads the points of a sweep that were saved.
+// Load reads the points of a sweep that Save wrote.
 func Load(dir string, s Sweep) ([]Point, error) {
 	file := filepath.Join(dir, s.Name+".csv")
 	in, err := os.Open(file)
@@ -89,7 +90,7 @@
 	}
 	var ps []Point
 	for i, row := range rows[min(1, len(rows)):] {
-		p, err := point(row)
+		p, err := parsePoint(row)
 		if err != nil {
 			return nil, trace.Wrap(&RowError{File: file, Row: i + 2, Reason: err.Error()})
 		}
@@ -98,7 +99,8 @@
 	return ps, nil
 }
 
-func point(row []string) (Point, error) {
+// parsePoint converts a row with the columns of pointColumns to a point.
+func parsePoint(row []string) (Point, error) {
 	var p Point
 	if len(row) != len(pointColumns) {
 		return p, &RowError{Reason: fmt.Sprintf("%d columns, want %d", len(row), len(pointColumns))}
