--- a/standin/replica.go
+++ b/standin/replica.go
@@ -17,28 +17,36 @@
 	"github.com/mallowbridge/mallowbridge/sim/replica"
 )
 
-// Fault is what a replica is told to do wrong, by POST /faults.
+// Fault is a set of faults that POST /faults injects into a replica. The zero value is a replica without faults.
 type Fault struct {
-	// Unresponsive: it answers nothing. Leaving: it says that it leaves. DisconnectAt breaks a run off: when it is "read", "begun", or at a "piece",
-	// the one after DisconnectAfter. Twist spoils piece DisconnectAfter: "go", "instance", "skip" or "end". Times: for so many runs; 0: for all.
-	Unresponsive bool   `json:"dark"`
-	Draining     bool   `json:"leaving"`
+	// Unresponsive makes the replica accept requests and never respond, usage requests included.
+	Unresponsive bool `json:"dark"`
+	// Draining makes the replica report that it is draining.
+	Draining bool `json:"leaving"`
+	// DisconnectAt is the point at which the replica closes the connection of a run: "read", after it read the request and before it admits
+	// the run; "begun", after it admitted the run and before the response head; "piece", in place of the chunk with index AfterChunks.
 	DisconnectAt string `json:"cutAt"`
-	AfterChunks  int    `json:"cutAfter"`
-	Corruption   string `json:"twist"`
-	MaxRuns      int    `json:"times"`
+	// AfterChunks is the number of correct chunks before "piece" or Corruption takes effect.
+	AfterChunks int `json:"cutAfter"`
+	// Corruption falsifies the chunk with index AfterChunks: "go" sets the id of another attempt, "instance" the id of another instance,
+	// "skip" the index of the following chunk. "end" ends the response there without its end line.
+	Corruption string `json:"twist"`
+	// MaxRuns is the number of run requests that the faults apply to, after which they are cleared. 0 applies them to all.
+	MaxRuns int `json:"times"`
 }
 
 const (
-	// maxBody bounds the request bodies that are read, in bytes; bytesPerToken reckons their tokens.
-	maxBody       = 8 << 20
+	// maxBodyBytes bounds how much of a request body is read.
+	maxBodyBytes = 8 << 20
+	// bytesPerToken is the assumed size of a prompt token; it converts the size of a body to tokens.
 	bytesPerToken = 4
 )
 
-// A job is run by the goroutine that owns the replica.
+// job is a function that the goroutine that owns the replica runs.
 type job func(r *Replica)
 
-// Replica is a stand-in model replica behind HTTP. One goroutine owns its simulated engine.
+// Replica is a stand-in model replica with an HTTP interface. One goroutine owns its simulated engine and its faults; HTTP handlers send that
+// goroutine jobs.
 type Replica struct {
 	t      *tomb.Tomb
 	name   string
@@ -46,28 +54,31 @@
 	clock  func() time.Duration
 	engine *replica.Replica
 	fault  Fault
-	runs   *json.Encoder
+	ledger *json.Encoder
 	jobs   chan job
 }
 
-// ReplicaOptions are what a stand-in replica is started with.
+// ReplicaOptions configures a stand-in replica.
 type ReplicaOptions struct {
+	// Name is the name of the replica in the ledger.
 	Name string
-	// Model names the model that prompts are hashed with.
+	// Model is the name of the served model. Prefix blocks are hashed together with it.
 	Model string
 	// Instance is the id of this incarnation.
 	Instance string
-	Engine   replica.Model
-	// Ledger gets a line for each run.
+	// Engine sets the capacity, timing and prefix cache of the simulated engine.
+	Engine replica.Model
+	// Ledger receives a JSON line (ledger.Ran) for each event of a run.
 	Ledger io.Writer
-	Clock  func() time.Duration
+	// Clock is a monotonic clock.
+	Clock func() time.Duration
 }
 
-// NewReplica starts a replica that ends with the tomb.
+// NewReplica starts a replica that stops when the tomb dies.
 func NewReplica(t *tomb.Tomb, o ReplicaOptions) *Replica {
 	r := &Replica{
 		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.NewReplica(o.Engine, o.Instance, o.Clock()),
-		runs: json.NewEncoder(o.Ledger), jobs: make(chan job),
+		ledger: json.NewEncoder(o.Ledger), jobs: make(chan job),
 	}
 	t.Go(func() error {
 		for {
@@ -82,6 +93,7 @@
 	return r
 }
 
+// do runs a job on the owning goroutine and waits for it. It returns false if the replica stopped first.
 func (r *Replica) do(j job) bool {
 	done := make(chan struct{})
 	select {
@@ -93,7 +105,7 @@
 	}
 }
 
-// Serve answers POST /v1/run, GET /v1/usage and POST /faults on the listener until the tomb dies.
+// Serve handles POST /v1/run, GET /v1/usage and POST /faults on the listener until the tomb dies.
 func (r *Replica) Serve(lis net.Listener) *http.Server {
 	mux := bunrouter.New()
 	mux.POST("/v1/run", r.run)
@@ -113,13 +125,13 @@
 
 func (r *Replica) usage(w http.ResponseWriter, req bunrouter.Request) error {
 	var out map[string]any
-	dark := false
+	unresponsive := false
 	r.do(func(r *Replica) {
-		n, lag := r.engine.Usage(r.clock())
-		dark = r.fault.Unresponsive
-		out = map[string]any{"instanceId": r.engine.Instance, "running": n, "leaving": r.fault.Draining, "lagMs": lag.Milliseconds()}
+		running, lag := r.engine.Usage(r.clock())
+		unresponsive = r.fault.Unresponsive
+		out = map[string]any{"instanceId": r.engine.Instance, "running": running, "leaving": r.fault.Draining, "lagMs": lag.Milliseconds()}
 	})
-	if dark {
+	if unresponsive {
 		<-req.Context().Done()
 		return nil
 	}
@@ -138,63 +150,67 @@
 	return nil
 }
 
-func (r *Replica) record(event, request, id string, n int) {
-	_ = r.runs.Encode(ledger.Ran{
-		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.engine.Instance, Request: request, AttemptID: id, Event: event, Chunks: n,
+// record writes an event of an attempt to the ledger; chunks is the number of chunks sent.
+func (r *Replica) record(event, request, attempt string, chunks int) {
+	_ = r.ledger.Encode(ledger.Ran{
+		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.engine.Instance, Request: request, AttemptID: attempt, Event: event, Chunks: chunks,
 	})
 }
 
-// start is how a run begins: admitted or not, and with which fault.
-type start struct {
-	plan  replica.Plan
-	ok    bool
+// admission is the outcome of admitting a run.
+type admission struct {
+	// plan is the timing of the run; it is set only if the run was admitted.
+	plan     replica.Plan
+	admitted bool
+	// fault is the fault that applies to this run.
 	fault Fault
 }
 
 func (r *Replica) run(w http.ResponseWriter, req bunrouter.Request) error {
 	attempt, request := req.Header.Get("X-Request-Attempt-Id"), req.Header.Get("X-Request-Id")
-	body, _ := io.ReadAll(io.LimitReader(req.Body, maxBody))
-	parts, err := prefixindex.Parse(r.model, req.Header.Get("X-Prompt-Prefix"))
+	body, _ := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
+	blocks, err := prefixindex.Parse(r.model, req.Header.Get("X-Prompt-Prefix"))
 	w.Header().Set("X-Request-Attempt-Id", attempt)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return nil
 	}
-	var s start
-	r.do(func(r *Replica) { s = r.begin(request, attempt, parts, len(body)/bytesPerToken) })
-	if s.fault.DisconnectAt == "read" {
+	var a admission
+	r.do(func(r *Replica) { a = r.admit(request, attempt, blocks, len(body)/bytesPerToken) })
+	if a.fault.DisconnectAt == "read" {
 		panic(http.ErrAbortHandler)
 	}
-	if !s.ok {
+	if !a.admitted {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return nil
 	}
 	defer r.do(func(r *Replica) { r.engine.Release(r.clock(), attempt) })
-	return r.stream(w, req, s, request, attempt)
+	return r.stream(w, req, a, request, attempt)
 }
 
-// begin admits a run, unless the replica is full or told to break off before.
-func (r *Replica) begin(request, attempt string, parts []prefixindex.Block, tail int) start {
-	var s start
-	s.fault = r.fault
-	if s.fault.MaxRuns > 0 {
+// admit admits a run unless the replica is full, or its fault disconnects before admission. tailTokens is the size of the prompt behind the
+// prefix blocks.
+func (r *Replica) admit(request, attempt string, blocks []prefixindex.Block, tailTokens int) admission {
+	var a admission
+	a.fault = r.fault
+	if a.fault.MaxRuns > 0 {
 		if r.fault.MaxRuns--; r.fault.MaxRuns == 0 {
 			r.fault = Fault{}
 		}
 	}
-	if s.fault.DisconnectAt == "read" {
-		return s
+	if a.fault.DisconnectAt == "read" {
+		return a
 	}
-	s.plan, s.ok = r.engine.Admit(r.clock(), attempt, parts, tail)
-	if !s.ok {
+	a.plan, a.admitted = r.engine.Admit(r.clock(), attempt, blocks, tailTokens)
+	if !a.admitted {
 		r.record("refused", request, attempt, 0)
-		return s
+		return a
 	}
 	r.record(ledger.EventBegun, request, attempt, 0)
-	return s
+	return a
 }
 
-// OpenLedger opens a ledger for appending; an empty path gives one that keeps nothing.
+// OpenLedger opens a file for appending and creates it if it doesn't exist. An empty path returns a writer that discards everything.
 func OpenLedger(path string) (io.Writer, error) {
 	if path == "" {
 		return io.Discard, nil
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -11,46 +11,49 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func (r *Replica) stream(w http.ResponseWriter, req bunrouter.Request, s start, request, id string) error {
-	if s.fault.Unresponsive {
+// stream writes the response of an admitted attempt as JSON lines, paced by its plan, and applies the attempt's fault.
+func (r *Replica) stream(w http.ResponseWriter, req bunrouter.Request, a admission, request, attempt string) error {
+	if a.fault.Unresponsive {
 		<-req.Context().Done()
 		return nil
 	}
-	if s.fault.DisconnectAt == "begun" || !r.wait(req, s.plan.First) {
+	if a.fault.DisconnectAt == "begun" || !r.wait(req, a.plan.First) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
 	ctl, enc := http.NewResponseController(w), json.NewEncoder(w)
-	for i := range s.plan.Chunks {
-		line, more := r.chunk(s.fault, request, id, i)
-		if !more {
+	for i := range a.plan.Chunks {
+		line, ok := r.responseLine(a.fault, request, attempt, i)
+		if !ok {
 			return nil
 		}
-		if enc.Encode(line) != nil || ctl.Flush() != nil || !r.wait(req, s.plan.Every) {
-			r.do(func(r *Replica) { r.record("cut", request, id, i) })
+		if enc.Encode(line) != nil || ctl.Flush() != nil || !r.wait(req, a.plan.Every) {
+			r.do(func(r *Replica) { r.record("cut", request, attempt, i) })
 			return nil
 		}
 	}
-	r.do(func(r *Replica) { r.record(ledger.EventDone, request, id, s.plan.Chunks) })
-	return enc.Encode(router.ResponseLine{AttemptID: id, InstanceID: r.engine.Instance, End: true, Chunks: s.plan.Chunks})
+	r.do(func(r *Replica) { r.record(ledger.EventDone, request, attempt, a.plan.Chunks) })
+	return enc.Encode(router.ResponseLine{AttemptID: attempt, InstanceID: r.engine.Instance, End: true, Chunks: a.plan.Chunks})
 }
 
-// chunk is the i-th line of an answer, as the fault has it; false where the fault ends the answer before it.
-func (r *Replica) chunk(f Fault, request, id string, i int) (router.ResponseLine, bool) {
-	line := router.ResponseLine{AttemptID: id, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.ChunkText(request, id, i)}
+// responseLine returns the line of the chunk with index i, corrupted as the fault says. It returns false if the fault ends the response before
+// that chunk.
+func (r *Replica) responseLine(f Fault, request, attempt string, i int) (router.ResponseLine, bool) {
+	line := router.ResponseLine{AttemptID: attempt, InstanceID: r.engine.Instance, Chunk: &i, Text: ledger.ChunkText(request, attempt, i)}
 	if i != f.AfterChunks {
 		return line, true
 	}
 	if f.DisconnectAt == "piece" {
 		panic(http.ErrAbortHandler)
 	}
-	twist(f.Corruption, &line)
+	corrupt(f.Corruption, &line)
 	return line, f.Corruption != "end"
 }
 
-func twist(how string, l *router.ResponseLine) {
-	switch how {
+// corrupt falsifies a response line in one of the ways that Fault.Corruption lists.
+func corrupt(corruption string, l *router.ResponseLine) {
+	switch corruption {
 	case "go":
 		l.AttemptID = "someone.else.1"
 	case "instance":
@@ -61,6 +64,7 @@
 	}
 }
 
+// wait returns false if the client disconnects or the replica stops before the time has passed.
 func (r *Replica) wait(req bunrouter.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
