--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -15,10 +15,9 @@
 	// Statistic is "mean" or "worst": the field of the points that is fitted.
 	Statistic string
 	Points    int
-	// FirstX and LastX bound the fitted points, LastY is the last point's value.
+	// FirstX and LastX bound the fitted points.
 	FirstX float64
 	LastX  float64
-	LastY  float64
 	// Intercept, Slope and R2 (the coefficient of determination) describe the line.
 	Intercept float64
 	Slope     float64
@@ -31,6 +30,8 @@
 	Exponent      float64
 	PowerFactor   float64
 	PowerResidual float64
+	// LastY is the value of the last point.
+	LastY float64
 }
 
 // At returns the fitted value at x: the power's if IsPowerLaw, otherwise the line's.
