--- a/standin/rehearsal/client.go
+++ b/standin/rehearsal/client.go
@@ -15,52 +15,53 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// Bounds of what a client asks for.
 const (
-	// maxEvents is how many events a request brings at most, maxTries how often it is sent.
-	maxEvents = 40
-	maxTries  = 6
-	// deadline is how long a client waits for an answer.
-	deadline = 8 * time.Second
+	// maxEvents is the largest number of events of a response, maxAttempts the number of attempts of a request.
+	maxEvents   = 40
+	maxAttempts = 6
+	// requestTimeout bounds the time from the start of an attempt until the end of its response.
+	requestTimeout = 8 * time.Second
 )
 
-// manner is how a client reads an answer.
-type manner uint8
+// clientBehavior is the way in which a client makes a request and reads the response.
+type clientBehavior uint8
 
 const (
-	usual manner = iota
-	// slow sleeps between reads, leaving closes the connection after some events, old speaks HTTP/1.0.
-	slow
-	leaving
-	old
-	manners
+	normalBehavior clientBehavior = iota
+	// slowReader sleeps between reads, earlyDisconnect closes the connection after some events, http10 speaks HTTP/1.0.
+	slowReader
+	earlyDisconnect
+	http10
+	behaviorCount
 )
 
-// Client sends streams to the fronts in turn and goes on where an answer breaks off, until it has all events of a request.
+// Client sends requests for streams to random frontends. If a response breaks off, it makes another attempt, and resumes after the last event where
+// the route allows that.
 type Client struct {
-	name   string
-	fronts []string
-	rng    *rand.Rand
-	tries  int
+	name      string
+	frontends []string
+	rng       *rand.Rand
+	attempts  int
 }
 
-// NewClient makes the n-th client of a rehearsal.
-func NewClient(n int, seed uint64, fronts []string) *Client {
-	return &Client{name: fmt.Sprintf("c%d", n), fronts: fronts, rng: rand.New(rand.NewPCG(seed, uint64(n)))}
+// NewClient returns the n-th client of a rehearsal.
+func NewClient(n int, seed uint64, frontends []string) *Client {
+	return &Client{name: fmt.Sprintf("c%d", n), frontends: frontends, rng: rand.New(rand.NewPCG(seed, uint64(n)))}
 }
 
-// Fetch sends one request until it is whole or the tries are spent, and has each answer taken.
-func (c *Client) Fetch(number int, take func(ledger.StreamAnswer)) {
+// Fetch sends a request and calls record with each response. It makes further attempts until a response is complete, the client has disconnected
+// early, a request that may run only once has got a response, or the attempts are used up.
+func (c *Client) Fetch(number int, record func(ledger.StreamAnswer)) {
 	path := []string{resumablePath, oncePath, plainPath}[c.rng.IntN(3)]
 	request, total, after := c.name+"-"+strconv.Itoa(number), 1+c.rng.IntN(maxEvents), 0
-	for range maxTries {
-		a := ledger.StreamAnswer{AtMs: time.Now().UnixMilli(), Node: c.fronts[c.rng.IntN(len(c.fronts))], Request: request, After: after, Total: total, Resumable: path == resumablePath}
-		how := manner(c.rng.IntN(int(manners)))
-		answered := c.try(&a, path, how)
-		if answered {
-			take(a)
+	for range maxAttempts {
+		a := ledger.StreamAnswer{AtMs: time.Now().UnixMilli(), Node: c.frontends[c.rng.IntN(len(c.frontends))], Request: request, After: after, Total: total, Resumable: path == resumablePath}
+		behavior := clientBehavior(c.rng.IntN(int(behaviorCount)))
+		responded := c.attempt(&a, path, behavior)
+		if responded {
+			record(a)
 		}
-		if a.Complete || how == leaving || (answered && path == oncePath) {
+		if a.Complete || behavior == earlyDisconnect || (responded && path == oncePath) {
 			return
 		}
 		if n := len(a.Events); n > 0 && a.Resumable {
@@ -70,36 +71,37 @@
 	}
 }
 
-// try sends a request once on a connection of its own; false where there was no stream.
-func (c *Client) try(a *ledger.StreamAnswer, path string, how manner) bool {
+// attempt sends a request once, on a new connection. It returns false if there was no response with status 200.
+func (c *Client) attempt(a *ledger.StreamAnswer, path string, behavior clientBehavior) bool {
 	conn, err := net.DialTimeout("tcp", a.Node, time.Second)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(deadline))
-	c.tries++
-	if _, err = io.WriteString(conn, c.head(a, path, how)); err != nil {
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
+	c.attempts++
+	if _, err = io.WriteString(conn, c.requestHead(a, path, behavior)); err != nil {
 		return false
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodPost})
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return false
 	}
-	c.read(a, how, resp.Body)
+	c.readStream(a, behavior, resp.Body)
 	return true
 }
 
-func (c *Client) head(a *ledger.StreamAnswer, path string, how manner) string {
+// requestHead returns the request line, the headers and the body of a request.
+func (c *Client) requestHead(a *ledger.StreamAnswer, path string, behavior clientBehavior) string {
 	protocol := "HTTP/1.1"
-	if how == old {
+	if behavior == http10 {
 		protocol = "HTTP/1.0"
 	}
-	head := fmt.Sprintf("POST %s%s %s\r\nHost: %s\r\nContent-Length: 2\r\n", path, c.name, protocol, host)
+	head := fmt.Sprintf("POST %s%s %s\r\nHost: %s\r\nContent-Length: 2\r\n", path, c.name, protocol, hostname)
 	for _, field := range [][2]string{
-		{platform.HeaderAttempt, fmt.Sprintf("%s-%d", c.name, c.tries)}, {headerRequest, a.Request}, {platform.HeaderModel, "m"},
+		{platform.HeaderAttempt, fmt.Sprintf("%s-%d", c.name, c.attempts)}, {headerRequest, a.Request}, {platform.HeaderModel, "m"},
 		{platform.HeaderTokens, fmt.Sprintf("100,%d", a.Total)}, {platform.HeaderPrefix, "5c1e07a2:60,91bd3f06:40"},
-		{platform.HeaderDeadline, strconv.FormatInt(deadline.Milliseconds(), 10)},
+		{platform.HeaderDeadline, strconv.FormatInt(requestTimeout.Milliseconds(), 10)},
 	} {
 		head += field[0] + ": " + field[1] + "\r\n"
 	}
@@ -109,10 +111,10 @@
 	return head + "\r\n{}"
 }
 
-// read takes the events of an answer until it ends, or until the client leaves.
-func (c *Client) read(a *ledger.StreamAnswer, how manner, body io.Reader) {
+// readStream reads the events of a response until it ends or the client disconnects early.
+func (c *Client) readStream(a *ledger.StreamAnswer, behavior clientBehavior, body io.Reader) {
 	in := bufio.NewReader(body)
-	stay := c.rng.IntN(maxEvents)
+	eventLimit := c.rng.IntN(maxEvents)
 	var event ledger.StreamEvent
 	for {
 		line, err := in.ReadString('\n')
@@ -128,11 +130,11 @@
 			event.Text += value
 		case "":
 			a.Events, event = append(a.Events, event), ledger.StreamEvent{}
-			if how == leaving && len(a.Events) > stay {
+			if behavior == earlyDisconnect && len(a.Events) > eventLimit {
 				return
 			}
 		}
-		if how == slow {
+		if behavior == slowReader {
 			time.Sleep(time.Duration(c.rng.IntN(3)) * time.Millisecond)
 		}
 	}
--- a/standin/rehearsal/faultinjector.go
+++ b/standin/rehearsal/faultinjector.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// Streams of the seed in rehearsals of quotas and in soaks, beside those of the clients, which count from 0.
+// Streams of the random generator of rehearsals of quotas and of soaks. Streams from 0 on belong to the clients, streams from injectorStream on to
+// the injectors of node faults.
 const (
-	demandDraws = 1<<32 + iota
-	limitDraws
-	crashDraws
-	routeDraws
-	zoneDraws
-	strikerDraws = 1 << 33
+	demandStream = 1<<32 + iota
+	limitStream
+	crashStream
+	routeStream
+	zoneStream
+	injectorStream = 1 << 33
 )
 
 const (
-	// nodesPerStriker is how many nodes one striker has: as many series of faults overlap as there are strikers.
-	nodesPerStriker = 8
-	// longestSeries is how many faults of one node follow each other.
-	longestSeries = 4
-	// restartRange and strikePause bound the time between two faults of a series, and between two series.
-	restartRange = 300 * time.Millisecond
-	strikePause  = 1500 * time.Millisecond
-	// longestFreeze and longestGrace bound how long a node stands still, and is left to end after SIGTERM before it is killed.
-	longestFreeze = 2500 * time.Millisecond
-	longestGrace  = 2 * time.Second
-	// strikeTime and quietTime follow each other in turn where all strikers rest at once.
-	strikeTime = 8 * time.Second
-	quietTime  = 8 * time.Second
-	// longestStall is shorter than nodes take to count each other as gone.
-	longestStall = 1400 * time.Millisecond
-	crashPause   = 4 * time.Second
+	// nodesPerInjector is the number of nodes of one injector. Each injector runs its own series of faults, concurrently with those of the others.
+	nodesPerInjector = 8
+	// maxSeriesFaults is the largest number of consecutive faults of one node.
+	maxSeriesFaults = 4
+	// maxRestartPause bounds the pause between two faults of a series, maxSeriesPause the pause between two series.
+	maxRestartPause = 300 * time.Millisecond
+	maxSeriesPause  = 1500 * time.Millisecond
+	// maxFreeze bounds how long a node is frozen. maxFrozenDrain bounds the time between SIGTERM and SIGKILL of a node that is frozen while it drains.
+	maxFreeze      = 2500 * time.Millisecond
+	maxFrozenDrain = 2 * time.Second
+	// faultPeriod and calmPeriod alternate if the injectors are synchronized.
+	faultPeriod = 8 * time.Second
+	calmPeriod  = 8 * time.Second
+	// maxGroupFreeze bounds how long the nodes of a group are frozen. It is shorter than the time after which nodes consider each other failed.
+	maxGroupFreeze = 1400 * time.Millisecond
+	// maxCrashPause bounds the pause between two crashes of replicas.
+	maxCrashPause = 4 * time.Second
 )
 
-// FaultCounts are how often nodes were killed, told to end, frozen and reloaded, and replicas crashed.
+// FaultCounts counts the kills, stops (SIGTERM), freezes and reloads of nodes and the crashes of replicas.
 type FaultCounts struct{ Kills, Stops, Freezes, Reloads, Crashes int }
 
 func (c *FaultCounts) add(o FaultCounts) {
@@ -48,140 +50,146 @@
 	c.Crashes += o.Crashes
 }
 
-// A striker has some nodes, or the replicas, fail until the end.
-type striker struct {
-	rng    *rand.Rand
-	strike func() error
-	pause  time.Duration
-	end    time.Time
-	counts FaultCounts
-	// rests tells that all strikers rest at the same times, so that the fleet is calm for a while.
-	rests bool
-	begun time.Time
+// faultInjector injects faults into a group of nodes, or into the replicas, until the end.
+type faultInjector struct {
+	rng *rand.Rand
+	// inject injects one fault or one series of faults.
+	inject func() error
+	// maxPause bounds the random pause before each call of inject.
+	maxPause time.Duration
+	end      time.Time
+	counts   FaultCounts
+	// synchronized makes the injector pause during the calm periods, which are the same for all injectors, so that the whole fleet is without faults
+	// for a while.
+	synchronized bool
+	startedAt    time.Time
 }
 
-// over tells whether no more faults are to begin now.
-func (s *striker) over() bool { return !time.Now().Before(s.end) || s.resting() }
+// over reports whether no further fault may start now.
+func (fi *faultInjector) over() bool { return !time.Now().Before(fi.end) || fi.pausing() }
 
-func (s *striker) resting() bool {
-	return s.rests && time.Since(s.begun)%(strikeTime+quietTime) >= strikeTime
+// pausing reports whether the injector pauses for a calm period.
+func (fi *faultInjector) pausing() bool {
+	return fi.synchronized && time.Since(fi.startedAt)%(faultPeriod+calmPeriod) >= faultPeriod
 }
 
-func (s *striker) run(end time.Time) error {
-	s.end, s.begun = end, time.Now()
+// run injects faults until the end, or until one of them fails.
+func (fi *faultInjector) run(end time.Time) error {
+	fi.end, fi.startedAt = end, time.Now()
 	for time.Now().Before(end) {
-		time.Sleep(time.Duration(s.rng.Int64N(int64(s.pause))))
-		if s.resting() {
+		time.Sleep(time.Duration(fi.rng.Int64N(int64(fi.maxPause))))
+		if fi.pausing() {
 			continue
 		}
-		if err := s.strike(); err != nil {
+		if err := fi.inject(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// strikers are those of the replicas and of each group of nodes; stream gives each of them random numbers of its own.
-func strikers(f *Fleet, p *Platform, stream func(n uint64) *rand.Rand) []*striker {
-	replicas := &striker{rng: stream(crashDraws), pause: crashPause}
-	replicas.strike = func() error {
+// newFaultInjectors returns an injector for the replicas and one for each group of nodes. newRand returns the random generator of a stream.
+func newFaultInjectors(f *Fleet, p *Platform, newRand func(n uint64) *rand.Rand) []*faultInjector {
+	replicas := &faultInjector{rng: newRand(crashStream), maxPause: maxCrashPause}
+	replicas.inject = func() error {
 		replicas.counts.Crashes++
 		return p.Crash(replicas.rng.IntN(1 << 20))
 	}
-	all := []*striker{replicas}
-	for first := 0; first < len(f.nodes); first += nodesPerStriker {
-		s := &striker{rng: stream(strikerDraws + uint64(first)), pause: strikePause}
-		size := min(nodesPerStriker, len(f.nodes)-first)
-		s.strike = func() error {
-			if s.rng.IntN(2) == 0 {
-				s.stall(f, first, size)
+	all := []*faultInjector{replicas}
+	for first := 0; first < len(f.nodes); first += nodesPerInjector {
+		fi := &faultInjector{rng: newRand(injectorStream + uint64(first)), maxPause: maxSeriesPause}
+		size := min(nodesPerInjector, len(f.nodes)-first)
+		fi.inject = func() error {
+			if fi.rng.IntN(2) == 0 {
+				fi.freezeGroup(f, first, size)
 				return nil
 			}
-			return s.series(f, first+s.rng.IntN(size))
+			return fi.failRepeatedly(f, first+fi.rng.IntN(size))
 		}
-		all = append(all, s)
+		all = append(all, fi)
 	}
 	return all
 }
 
-// resting has all strikers rest at the same times.
-func resting(all []*striker) []*striker {
-	for _, s := range all {
-		s.rests = true
+// synchronizePauses makes all injectors pause at the same times.
+func synchronizePauses(all []*faultInjector) []*faultInjector {
+	for _, fi := range all {
+		fi.synchronized = true
 	}
 	return all
 }
 
-// strikeAll has all strikers strike until the end, and counts what they did.
-func strikeAll(all []*striker, end time.Time) (FaultCounts, error) {
+// runFaultInjectors runs all injectors until the end. It returns the number of their faults and the first error.
+func runFaultInjectors(all []*faultInjector, end time.Time) (FaultCounts, error) {
 	failed := make(chan error, len(all))
 	var running sync.WaitGroup
-	for _, s := range all {
-		running.Go(func() { failed <- s.run(end) })
+	for _, fi := range all {
+		running.Go(func() { failed <- fi.run(end) })
 	}
 	running.Wait()
 	var counts FaultCounts
 	var first error
-	for _, s := range all {
-		counts.add(s.counts)
+	for _, fi := range all {
+		counts.add(fi.counts)
 		first = cmp.Or(first, <-failed)
 	}
 	return counts, first
 }
 
-// stall has some nodes stand still at once, each for a while of its own, as where a machine has too few cores for them.
-func (s *striker) stall(f *Fleet, first, size int) {
+// freezeGroup freezes some nodes of a group at once, each for a random time. This is what happens to nodes on a machine with too few cores.
+func (fi *faultInjector) freezeGroup(f *Fleet, first, size int) {
 	var all sync.WaitGroup
 	for node := first; node < first+size; node++ {
-		if s.rng.IntN(2) == 0 {
+		if fi.rng.IntN(2) == 0 {
 			continue
 		}
-		s.counts.Freezes++
-		d := time.Duration(s.rng.Int64N(int64(longestStall)))
+		fi.counts.Freezes++
+		d := time.Duration(fi.rng.Int64N(int64(maxGroupFreeze)))
 		all.Go(func() { f.Freeze(node, d) })
 	}
 	all.Wait()
 }
 
-// series has one node fail several times in a row.
-func (s *striker) series(f *Fleet, node int) error {
-	for range 1 + s.rng.IntN(longestSeries) {
-		if err := s.fail(f, node); err != nil {
+// failRepeatedly injects several faults into one node, one after another.
+func (fi *faultInjector) failRepeatedly(f *Fleet, node int) error {
+	for range 1 + fi.rng.IntN(maxSeriesFaults) {
+		if err := fi.failOnce(f, node); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(s.rng.Int64N(int64(restartRange))))
-		if s.over() {
+		time.Sleep(time.Duration(fi.rng.Int64N(int64(maxRestartPause))))
+		if fi.over() {
 			return nil
 		}
 	}
 	return nil
 }
 
-func (s *striker) fail(f *Fleet, node int) error {
-	switch s.rng.IntN(5) {
+// failOnce injects one random fault into a node, and starts the node again if the fault ended its process.
+func (fi *faultInjector) failOnce(f *Fleet, node int) error {
+	switch fi.rng.IntN(5) {
 	case 0:
-		s.counts.Freezes++
-		f.Freeze(node, time.Duration(s.rng.Int64N(int64(longestFreeze))))
+		fi.counts.Freezes++
+		f.Freeze(node, time.Duration(fi.rng.Int64N(int64(maxFreeze))))
 		return nil
 	case 1:
-		s.counts.Reloads++
+		fi.counts.Reloads++
 		f.Reload(node)
 		return nil
 	case 2:
-		s.counts.Kills++
+		fi.counts.Kills++
 		f.SignalAndWait(node, syscall.SIGKILL)
 	case 3:
-		s.counts.Stops++
+		fi.counts.Stops++
 		f.SignalAndWait(node, syscall.SIGTERM)
 	default:
-		s.counts.Stops++
-		f.stopFrozen(node, time.Duration(s.rng.Int64N(int64(longestGrace))))
+		fi.counts.Stops++
+		f.stopWhileFrozen(node, time.Duration(fi.rng.Int64N(int64(maxFrozenDrain))))
 	}
 	return f.Start(node)
 }
 
-// stopFrozen tells a node to end, lets it drain for a while, and has it stand still meanwhile; then it is killed.
-func (f *Fleet) stopFrozen(i int, grace time.Duration) {
+// stopWhileFrozen sends SIGTERM to a node, freezes it for the first half of the grace time while it drains, and kills it at the end.
+func (f *Fleet) stopWhileFrozen(i int, grace time.Duration) {
 	_ = f.nodes[i].process.Process.Signal(syscall.SIGTERM)
 	f.Freeze(i, grace/2)
 	time.Sleep(grace / 2)
--- a/standin/rehearsal/fleet.go
+++ b/standin/rehearsal/fleet.go
@@ -13,50 +13,52 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// votingNodes have a disk; one of them may be lost.
-const votingNodes = 3
+// voterCount is the number of nodes that have a disk and vote on the register. One of them may be lost.
+const voterCount = 3
 
-// gracePeriod is how long a process may take to end after SIGTERM.
+// gracePeriod is how long a process may take to exit after SIGTERM.
 const gracePeriod = 3 * time.Second
 
-// node is one process, and what it takes to start it again.
+// node is a node process and everything that is needed to start it again.
 type node struct {
 	name, ip, settings string
 	voter              bool
 	process            *exec.Cmd
 	startedAt          time.Time
-	// exited is closed once the process has ended.
+	// exited is closed when the process has exited.
 	exited chan struct{}
-	// faults are those that are over, failing the one that is not: the process was told to end, or killed. Whoever has the node fail owns both.
-	faults  []ledger.NodeFault
-	failing *ledger.NodeFault
+	// pastFaults are the faults that are over. ongoingFault is the current fault, nil without one. Only the goroutine that injects faults into the
+	// node may use them.
+	pastFaults   []ledger.NodeFault
+	ongoingFault *ledger.NodeFault
 }
 
-// front is the address that takes clients.
-func (n *node) front() string { return fmt.Sprintf("%s:%d", n.ip, frontPort) }
+// frontendAddr returns the address that accepts client requests.
+func (n *node) frontendAddr() string { return fmt.Sprintf("%s:%d", n.ip, frontendPort) }
 
-// Fleet runs nodes as processes of their own.
+// Fleet runs each node as a separate process.
 type Fleet struct {
 	dir    string
 	binary string
 	nodes  []*node
 }
 
-// FleetSizeError says that a fleet can't have so many nodes.
+// FleetSizeError reports a number of nodes that a fleet can't have.
 type FleetSizeError struct{ Nodes int }
 
 func (e *FleetSizeError) Error() string {
-	return fmt.Sprintf("%d nodes, not %d to %d", e.Nodes, votingNodes, maxNodes)
+	return fmt.Sprintf("a fleet can't have %d nodes, only %d to %d", e.Nodes, voterCount, maxNodes)
 }
 
-// NewFleet writes the settings of n nodes into the folder dir; binary is the program.
+// NewFleet writes the settings of n nodes to the directory dir. The nodes run the program binary and read their replicas from the platform address
+// cloud.
 func NewFleet(dir, binary, cloud string, n int) (*Fleet, error) {
-	if n < votingNodes || n > maxNodes {
+	if n < voterCount || n > maxNodes {
 		return nil, &FleetSizeError{Nodes: n}
 	}
 	f := &Fleet{dir: dir, binary: binary}
 	for i := range n {
-		f.nodes = append(f.nodes, &node{name: fmt.Sprintf("n%d", i+1), ip: address(i), voter: i < votingNodes})
+		f.nodes = append(f.nodes, &node{name: fmt.Sprintf("n%d", i+1), ip: address(i), voter: i < voterCount})
 	}
 	for i := range f.nodes {
 		if err := f.writeSettings(i, cloud, true); err != nil {
@@ -66,18 +68,18 @@
 	return f, nil
 }
 
-// FrontendAddrs are the addresses that take clients.
+// FrontendAddrs returns the addresses that accept client requests.
 func (f *Fleet) FrontendAddrs() []string {
 	var all []string
 	for _, n := range f.nodes {
-		all = append(all, n.front())
+		all = append(all, n.frontendAddr())
 	}
 	return all
 }
 
-func (f *Fleet) control(i int) string { return fmt.Sprintf("%s:%d", f.nodes[i].ip, controlPort) }
+func (f *Fleet) controlAddr(i int) string { return fmt.Sprintf("%s:%d", f.nodes[i].ip, controlPort) }
 
-// Start starts a node that does not run; its log is appended to a file.
+// Start starts the i-th node, which must not be running, and appends its output to its log file.
 func (f *Fleet) Start(i int) error {
 	n := f.nodes[i]
 	log, err := os.OpenFile(filepath.Join(f.dir, n.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -90,7 +92,7 @@
 	if err := n.process.Start(); err != nil {
 		return err
 	}
-	n.recover()
+	n.endFault()
 	n.startedAt = time.Now()
 	process, exited := n.process, make(chan struct{})
 	n.exited = exited
@@ -102,20 +104,20 @@
 	return nil
 }
 
-// programName is what the processes are called.
+// programName is the name under which the processes run (argv[0]).
 const programName = "mallowbridge"
 
-// startTime bounds how long a fleet takes until it has a configuration, and until it is ready.
-const startTime = 30 * time.Second
+// startTimeout bounds the time until a new fleet has accepted a configuration, and then the time until it is ready.
+const startTimeout = 30 * time.Second
 
-// Boot starts all nodes for the first time and gives them a configuration.
+// Boot starts all nodes for the first time, puts the first configuration and waits until all nodes are ready.
 func (f *Fleet) Boot(cloud, document string) error {
 	for i := range f.nodes {
 		if err := f.Start(i); err != nil {
 			return err
 		}
 	}
-	if err := f.Configure(document, startTime); err != nil {
+	if err := f.Configure(document, startTimeout); err != nil {
 		return err
 	}
 	for i := range f.nodes {
@@ -123,10 +125,10 @@
 			return err
 		}
 	}
-	return f.AwaitReady(startTime)
+	return f.AwaitReady(startTimeout)
 }
 
-// Stop ends all nodes that run.
+// Stop stops all nodes that were started.
 func (f *Fleet) Stop() {
 	for i, n := range f.nodes {
 		if n.process != nil {
@@ -135,11 +137,11 @@
 	}
 }
 
-// AwaitReady waits until all nodes say that they are ready.
+// AwaitReady waits until the readiness checks of all nodes succeed.
 func (f *Fleet) AwaitReady(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, n := range f.nodes {
-		for !answersOK(fmt.Sprintf("http://%s:%d/readiness", n.ip, readinessPort)) {
+		for !returnsOK(fmt.Sprintf("http://%s:%d/readiness", n.ip, readinessPort)) {
 			if time.Now().After(end) {
 				return &NotReadyError{Node: n.name}
 			}
@@ -149,12 +151,12 @@
 	return nil
 }
 
-// NotReadyError says that a node did not become ready.
+// NotReadyError reports a node that did not become ready in time.
 type NotReadyError struct{ Node string }
 
-func (e *NotReadyError) Error() string { return "node " + e.Node + " does not become ready" }
+func (e *NotReadyError) Error() string { return fmt.Sprintf("node %q did not become ready", e.Node) }
 
-func answersOK(url string) bool {
+func returnsOK(url string) bool {
 	resp, err := (&http.Client{Timeout: time.Second}).Get(url)
 	if err != nil {
 		return false
@@ -163,39 +165,42 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Configure puts the first configuration, at any node that takes it.
+// Configure puts the first configuration. It tries one node after another until one accepts it.
 func (f *Fleet) Configure(document string, within time.Duration) error {
-	var said string
+	var response string
 	for i, end := 0, time.Now().Add(within); time.Now().Before(end); i++ {
 		var status int
-		if status, said = put(f.control(i%len(f.nodes)), 1, document); status == http.StatusOK {
+		if status, response = putConfiguration(f.controlAddr(i%len(f.nodes)), 1, document); status == http.StatusOK {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return &ConfigurationError{Response: said}
+	return &ConfigurationError{Response: response}
 }
 
-// ControlAddrs are the addresses that take operators' calls.
+// ControlAddrs returns the addresses that accept operator requests.
 func (f *Fleet) ControlAddrs() []string {
 	var all []string
 	for i := range f.nodes {
-		all = append(all, f.control(i))
+		all = append(all, f.controlAddr(i))
 	}
 	return all
 }
 
-// ConfigurationError says that no node took the configuration; Answer is the last one's.
+// ConfigurationError reports that no node accepted the configuration. Response is the last error, or the body of the last response.
 type ConfigurationError struct{ Response string }
 
-func (e *ConfigurationError) Error() string { return "no node takes the configuration: " + e.Response }
+func (e *ConfigurationError) Error() string {
+	return "no node accepted the configuration: " + e.Response
+}
 
-// CountDataRaces are the reports of the race detector in the nodes' logs, where the program has it.
+// CountDataRaces returns the number of the race detector's reports in the nodes' logs. It finds some only if the program was built with the race
+// detector.
 func (f *Fleet) CountDataRaces() int {
-	var all int
+	var races int
 	for _, n := range f.nodes {
 		text, _ := os.ReadFile(filepath.Join(f.dir, n.name+".log"))
-		all += bytes.Count(text, []byte("WARNING: DATA RACE"))
+		races += bytes.Count(text, []byte("WARNING: DATA RACE"))
 	}
-	return all
+	return races
 }
--- a/standin/rehearsal/fleetfaults.go
+++ b/standin/rehearsal/fleetfaults.go
@@ -7,34 +7,34 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// begin notes that a fault begins, unless one is under way.
-func (n *node) begin(planned bool) {
-	if n.failing == nil {
-		n.failing = &ledger.NodeFault{Node: n.front(), Planned: planned, Span: ledger.Span{FromMs: time.Now().UnixMilli()}}
+// beginFault records the start of a fault, unless one is ongoing. A planned fault is a proper shutdown.
+func (n *node) beginFault(planned bool) {
+	if n.ongoingFault == nil {
+		n.ongoingFault = &ledger.NodeFault{Node: n.frontendAddr(), Planned: planned, Span: ledger.Span{FromMs: time.Now().UnixMilli()}}
 	}
 }
 
-// recover notes that the fault under way is over.
-func (n *node) recover() {
-	if n.failing != nil {
-		n.failing.UntilMs = time.Now().UnixMilli()
-		n.faults, n.failing = append(n.faults, *n.failing), nil
+// endFault records the end of the ongoing fault, if any.
+func (n *node) endFault() {
+	if n.ongoingFault != nil {
+		n.ongoingFault.UntilMs = time.Now().UnixMilli()
+		n.pastFaults, n.ongoingFault = append(n.pastFaults, *n.ongoingFault), nil
 	}
 }
 
-// PastFaults are all faults of nodes that are over.
+// PastFaults returns all faults of nodes that are over.
 func (f *Fleet) PastFaults() []ledger.NodeFault {
 	var all []ledger.NodeFault
 	for _, n := range f.nodes {
-		all = append(all, n.faults...)
+		all = append(all, n.pastFaults...)
 	}
 	return all
 }
 
-// SignalAndWait sends a signal to a node and waits until it has ended; one that outlives the grace period is killed.
+// SignalAndWait sends a signal to a node and waits until its process has exited. It kills a process that runs longer than the grace period.
 func (f *Fleet) SignalAndWait(i int, sig syscall.Signal) {
 	n := f.nodes[i]
-	n.begin(sig == syscall.SIGTERM)
+	n.beginFault(sig == syscall.SIGTERM)
 	_ = n.process.Process.Signal(sig)
 	select {
 	case <-n.exited:
@@ -44,21 +44,21 @@
 	}
 }
 
-// handlerTime is how long a process takes at most until it handles signals: before that SIGHUP ends it.
+// handlerTime bounds the time until a new process handles signals. Until then, SIGHUP would terminate it.
 const handlerTime = 200 * time.Millisecond
 
-// Reload sends SIGHUP to a node.
+// Reload makes a node reload its settings with SIGHUP.
 func (f *Fleet) Reload(i int) {
 	time.Sleep(time.Until(f.nodes[i].startedAt.Add(handlerTime)))
 	_ = f.nodes[i].process.Process.Signal(syscall.SIGHUP)
 }
 
-// Freeze has a node stand still for a while.
+// Freeze stops a node with SIGSTOP for a time and then lets it continue.
 func (f *Fleet) Freeze(i int, d time.Duration) {
 	n := f.nodes[i]
-	n.begin(false)
+	n.beginFault(false)
 	_ = n.process.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	_ = n.process.Process.Signal(syscall.SIGCONT)
-	n.recover()
+	n.endFault()
 }
--- a/standin/rehearsal/keepaliveconn.go
+++ b/standin/rehearsal/keepaliveconn.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// keptConnection is a client's connection to one of the fronts. It is used until it breaks, whatever the answers say of it.
-type keptConnection struct {
-	fronts []string
-	rng    *rand.Rand
-	// front is that of the connection.
-	front string
-	conn  net.Conn
-	in    *bufio.Reader
+// keepAliveConn is a client's connection to one of the frontends. The client uses it until it breaks, even if a response announces that it will be
+// closed.
+type keepAliveConn struct {
+	frontends []string
+	rng       *rand.Rand
+	// frontend is the address at the other end of the connection.
+	frontend string
+	conn     net.Conn
+	in       *bufio.Reader
 }
 
-func (c *keptConnection) connect() bool {
-	c.front = c.fronts[c.rng.IntN(len(c.fronts))]
-	conn, err := net.DialTimeout("tcp", c.front, time.Second)
+// connect connects to a random frontend and reports whether that succeeded.
+func (c *keepAliveConn) connect() bool {
+	c.frontend = c.frontends[c.rng.IntN(len(c.frontends))]
+	conn, err := net.DialTimeout("tcp", c.frontend, time.Second)
 	if err != nil {
 		return false
 	}
@@ -27,7 +29,7 @@
 	return true
 }
 
-func (c *keptConnection) disconnect() {
+func (c *keepAliveConn) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
--- a/standin/rehearsal/operator_test.go
+++ b/standin/rehearsal/operator_test.go
@@ -13,7 +13,8 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// fakeControl takes orders with a status, and reads a revision that is older than the newest by some.
+// fakeControl is a control plane that responds to puts with a fixed status, and to reads with a revision that is older than the newest one by a fixed
+// number.
 type fakeControl struct {
 	older    uint64
 	status   int
@@ -31,25 +32,26 @@
 	w.WriteHeader(f.status)
 }
 
-// TestOperatorsFindWhatGoesBack asks controls that read an older revision, or refuse an order on the newest.
-func TestOperatorsFindWhatGoesBack(t *testing.T) {
+// TestOperatorsFindRevisionsThatGoBack checks that operators report a read of an older revision, and the rejection of a document on top of the newest
+// revision.
+func TestOperatorsFindRevisionsThatGoBack(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		older  uint64
 		status int
 		want   string
 	}{
-		{"sound", 0, http.StatusOK, ""},
-		{"older", 1, http.StatusOK, ledger.WentBack},
-		{"refused", 0, http.StatusPreconditionFailed, ledger.RefusedOrder},
-		{"unclear", 0, http.StatusServiceUnavailable, ""},
+		{"newest revision", 0, http.StatusOK, ""},
+		{"older revision", 1, http.StatusOK, ledger.WentBack},
+		{"rejected put", 0, http.StatusPreconditionFailed, ledger.RefusedOrder},
+		{"inconclusive put", 0, http.StatusServiceUnavailable, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fakeControl{older: c.older, status: c.status}
 			f.revision.Store(1)
 			control := httptest.NewServer(f)
 			defer control.Close()
-			o := &operators{controls: []string{strings.TrimPrefix(control.URL, "http://")}, seed: 1, breaches: make(chan ledger.Breach, maxBreaches), changes: sameRoutes{rng: rand.New(rand.NewPCG(1, 1))}}
+			o := &operators{controls: []string{strings.TrimPrefix(control.URL, "http://")}, seed: 1, breaches: make(chan ledger.Breach, breachBuffer), documents: unchangedRoutes{rng: rand.New(rand.NewPCG(1, 1))}}
 			o.acknowledged.Store(1)
 			o.run(time.Now().Add(300 * time.Millisecond))
 			var found string
@@ -57,7 +59,7 @@
 				found = b.What
 			}
 			if found != c.want {
-				t.Errorf("found %q, not %q", found, c.want)
+				t.Errorf("found breach %q, want %q", found, c.want)
 			}
 		})
 	}
--- a/standin/rehearsal/quota.go
+++ b/standin/rehearsal/quota.go
@@ -12,32 +12,34 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// quotaRehearsal is a run under way.
+// quotaRehearsal is the state of a running rehearsal of quotas.
 type quotaRehearsal struct {
 	QuotaOptions
 	fleet    *Fleet
 	platform *Platform
-	runs     chan ledger.QuotaRun
-	answers  chan quotaAnswer
-	report   QuotaReport
-	ran      []ledger.QuotaRun
-	// usual and usualRefused count requests outside of hot times, of tenants with a limit.
-	usual, usualRefused int
+	// runs and responses pass what replicas ran and what clients received to collect.
+	runs         chan ledger.QuotaRun
+	responses    chan quotaResponse
+	report       QuotaReport
+	recordedRuns []ledger.QuotaRun
+	// withinLimit counts the requests of tenants whose demand was below their limit, withinLimitRejected those of them that were rejected with status
+	// 429.
+	withinLimit, withinLimitRejected int
 }
 
-// runBuffer is how many runs and answers may wait to be counted.
+// runBuffer is the number of runs, and of responses, that may wait to be counted.
 const runBuffer = 1 << 14
 
-// RunQuotas starts a platform and a fleet, lets tenants ask for less and for much more than their limits while nodes are killed, stopped,
-// frozen and reloaded in series and the limits change, and judges what the replicas ran.
+// RunQuotas starts a platform and a fleet and sends requests of tenants that stay below their limits or exceed them many times over. Meanwhile nodes
+// are killed, stopped, frozen and reloaded in series, and the limits change. It checks what the replicas ran against the limits.
 func RunQuotas(o QuotaOptions) (QuotaReport, error) {
-	r := &quotaRehearsal{QuotaOptions: o, runs: make(chan ledger.QuotaRun, runBuffer), answers: make(chan quotaAnswer, runBuffer)}
+	r := &quotaRehearsal{QuotaOptions: o, runs: make(chan ledger.QuotaRun, runBuffer), responses: make(chan quotaResponse, runBuffer)}
 	faults := FaultRates{Reject: 0.05, Reset: 0.02, TruncateReset: 0.03}
 	if o.NoFaults {
 		faults = FaultRates{}
 	}
 	var err error
-	if r.platform, err = StartPlatform(o.Replicas, o.Seed, faults, r.sawRun); err != nil {
+	if r.platform, err = StartPlatform(o.Replicas, o.Seed, faults, r.recordRun); err != nil {
 		return r.report, err
 	}
 	defer r.platform.Stop()
@@ -48,32 +50,32 @@
 	if err = r.fleet.Boot(r.platform.Addr, configuration(1, quotaTenants(1, true))); err != nil {
 		return r.report, err
 	}
-	limits, err := r.play()
+	limits, err := r.runWorkload()
 	r.fleet.Stop()
-	r.judge(limits)
+	r.check(limits)
 	return r.report, err
 }
 
-// sawRun notes a request that a replica begins to run, by this process's clock.
-func (r *quotaRehearsal) sawRun(run ReplicaRun) {
+// recordRun records a request that a replica starts to run, with the time of this process's clock.
+func (r *quotaRehearsal) recordRun(run ReplicaRun) {
 	q := run.Request
-	prompt, most := platform.ParseTokens(q.Header.Get(platform.HeaderTokens))
-	r.runs <- ledger.QuotaRun{AtMs: time.Now().UnixMilli(), Tenant: q.Header.Get(platform.HeaderTenant), Cost: float64(prompt + most)}
+	promptTokens, outputTokens := platform.ParseTokens(q.Header.Get(platform.HeaderTokens))
+	r.runs <- ledger.QuotaRun{AtMs: time.Now().UnixMilli(), Tenant: q.Header.Get(platform.HeaderTenant), Cost: float64(promptTokens + outputTokens)}
 }
 
-// play lets clients ask, nodes fail and operators change limits until the end, and gives the limits that were in force.
-func (r *quotaRehearsal) play() ([]ledger.QuotaLimit, error) {
+// runWorkload runs the clients, the fault injectors and the operator until the end, and returns the limits that were in force.
+func (r *quotaRehearsal) runWorkload() ([]ledger.QuotaLimit, error) {
 	end := time.Now().Add(r.Duration)
 	operator := newQuotaOperator(r.fleet.ControlAddrs(), r.Seed)
-	var failing []*striker
+	var injectors []*faultInjector
 	if !r.NoFaults {
-		failing = strikers(r.fleet, r.platform, r.stream)
+		injectors = newFaultInjectors(r.fleet, r.platform, r.newRand)
 	}
-	var failed error
+	var injectionErr error
 	var all sync.WaitGroup
 	all.Go(func() { operator.run(end, r.FixedConfiguration) })
 	all.Go(func() { r.clients(end) })
-	all.Go(func() { r.report.FaultCounts, failed = strikeAll(failing, end) })
+	all.Go(func() { r.report.FaultCounts, injectionErr = runFaultInjectors(injectors, end) })
 	done := make(chan struct{})
 	go func() {
 		all.Wait()
@@ -81,20 +83,20 @@
 	}()
 	err := r.collect(done)
 	r.report.Revisions = operator.acknowledged
-	return operator.limits, cmp.Or(err, failed)
+	return operator.limits, cmp.Or(err, injectionErr)
 }
 
-// collect counts runs and answers until everybody is done.
+// collect records runs and counts responses until done is closed.
 func (r *quotaRehearsal) collect(done chan struct{}) error {
-	lines := json.NewEncoder(r.Ledger)
+	ledgerRows := json.NewEncoder(r.Ledger)
 	for {
 		select {
 		case run := <-r.runs:
-			r.ran = append(r.ran, run)
-			if err := lines.Encode(run); err != nil {
+			r.recordedRuns = append(r.recordedRuns, run)
+			if err := ledgerRows.Encode(run); err != nil {
 				return err
 			}
-		case a := <-r.answers:
+		case a := <-r.responses:
 			r.count(a)
 		case <-done:
 			return nil
@@ -102,7 +104,7 @@
 	}
 }
 
-func (r *quotaRehearsal) count(a quotaAnswer) {
+func (r *quotaRehearsal) count(a quotaResponse) {
 	r.report.Requests++
 	switch a.status {
 	case http.StatusOK:
@@ -113,29 +115,30 @@
 	default:
 		r.report.Failed++
 	}
-	if a.usual {
-		r.usual++
+	if a.withinLimit {
+		r.withinLimit++
 		if a.status == http.StatusTooManyRequests {
-			r.usualRefused++
+			r.withinLimitRejected++
 		}
 	}
 }
 
-func (r *quotaRehearsal) judge(limits []ledger.QuotaLimit) {
+// check records the runs that are still buffered, completes the report and checks the runs against the limits.
+func (r *quotaRehearsal) check(limits []ledger.QuotaLimit) {
 	for {
 		select {
 		case run := <-r.runs:
-			r.ran = append(r.ran, run)
+			r.recordedRuns = append(r.recordedRuns, run)
 			continue
 		default:
 		}
 		break
 	}
-	r.report.Runs, r.report.DataRaces = len(r.ran), r.fleet.CountDataRaces()
-	r.report.CompliantRejectRatio = float64(r.usualRefused) / float64(max(r.usual, 1))
-	r.report.Windows = ledger.FullestWindows(r.ran, limits, quotaRule)
+	r.report.Runs, r.report.DataRaces = len(r.recordedRuns), r.fleet.CountDataRaces()
+	r.report.CompliantRejectRatio = float64(r.withinLimitRejected) / float64(max(r.withinLimit, 1))
+	r.report.Windows = ledger.FullestWindows(r.recordedRuns, limits, quotaRule)
 	r.report.Breaches = ledger.CheckQuotas(r.report.Windows)
 }
 
-// stream gives each part of a rehearsal random numbers of its own.
-func (r *quotaRehearsal) stream(n uint64) *rand.Rand { return rand.New(rand.NewPCG(r.Seed, n)) }
+// newRand returns the random generator of a stream. Each part of a rehearsal uses its own stream.
+func (r *quotaRehearsal) newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(r.Seed, n)) }
--- a/standin/rehearsal/quotaclient.go
+++ b/standin/rehearsal/quotaclient.go
@@ -12,46 +12,48 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// quotaRequest is what one client is to ask for.
+// quotaRequest is a request to be sent by one of the clients.
 type quotaRequest struct {
 	tenant string
+	// prompt is the size of the prompt in tokens.
 	prompt int
-	path   string
-	// usual: its tenant asks for less than its limit.
-	usual bool
+	// path is the path prefix of the route.
+	path string
+	// withinLimit reports whether the tenant has a limit and has kept below it for at least a quota window.
+	withinLimit bool
 }
 
-// quotaAnswer is the status that a request got, 0 for none.
-type quotaAnswer struct {
-	status int
-	usual  bool
+// quotaResponse is the status of the response to a request, or 0 without a response.
+type quotaResponse struct {
+	status      int
+	withinLimit bool
 }
 
 const (
-	// answerTokens is how many events a request brings.
-	answerTokens = 8
-	// meanPrompt is the mean size of a prompt in tokens.
-	meanPrompt = 3000
-	// demandStep is the time between two looks at what tenants ask for.
-	demandStep = 10 * time.Millisecond
-	// longestPhase bounds how long a tenant asks for about the same.
-	longestPhase = 8 * time.Second
+	// responseTokens is the number of events of a response.
+	responseTokens = 8
+	// meanPromptTokens is the mean size of a prompt in tokens.
+	meanPromptTokens = 3000
+	// demandInterval is the time between two computations of the tenants' demand.
+	demandInterval = 10 * time.Millisecond
+	// maxPhase bounds how long the demand of the large tenant stays the same.
+	maxPhase = 8 * time.Second
 )
 
-// clients sends what the tenants ask for through clients with connections of their own. What no client is free for is not sent.
+// clients sends the requests of the tenants through clients that have one connection each. A request for which no client is free is dropped.
 func (r *quotaRehearsal) clients(end time.Time) {
 	requests := make(chan quotaRequest)
 	var all sync.WaitGroup
 	for n := range r.Clients {
-		c := &quotaClient{keptConnection: keptConnection{fronts: r.fleet.FrontendAddrs(), rng: r.stream(uint64(n))}, name: fmt.Sprintf("q%d", n)}
+		c := &quotaClient{keepAliveConn: keepAliveConn{frontends: r.fleet.FrontendAddrs(), rng: r.newRand(uint64(n))}, name: fmt.Sprintf("q%d", n)}
 		all.Go(func() {
 			for q := range requests {
-				r.answers <- quotaAnswer{status: c.ask(q), usual: q.usual}
+				r.responses <- quotaResponse{status: c.send(q), withinLimit: q.withinLimit}
 			}
 			c.disconnect()
 		})
 	}
-	d := &demand{rng: r.stream(demandDraws)}
+	d := &demand{rng: r.newRand(demandStream)}
 	for now := time.Now(); now.Before(end); now = time.Now() {
 		for _, q := range d.due(now) {
 			select {
@@ -59,82 +61,85 @@
 			default:
 			}
 		}
-		time.Sleep(demandStep)
+		time.Sleep(demandInterval)
 	}
 	close(requests)
 	all.Wait()
 }
 
-// demand draws what tenants ask for.
+// demand generates the requests of the tenants at random.
 type demand struct {
 	rng  *rand.Rand
 	last time.Time
-	// phase is what the large tenant asks for until it changes, coolSince when it last asked for more than its limit.
-	phase     phase
-	changes   time.Time
-	coolSince time.Time
+	// phase is the demand of the large tenant until phaseEnd. lastOverload is the last time at which it exceeded its limit.
+	phase        demandPhase
+	phaseEnd     time.Time
+	lastOverload time.Time
 }
 
-// phase is how much the large tenant asks for.
-type phase uint8
+// demandPhase is the level of the large tenant's demand.
+type demandPhase uint8
 
 const (
-	idle phase = iota
+	idle demandPhase = iota
 	normal
-	hot
-	phases
+	overload
+	phaseCount
 )
 
-// times gives how many times the usual a tenant asks for.
-func (p phase) times() float64 { return [phases]float64{idle: 0, normal: 1, hot: hotTimes}[p] }
+// demandFactor returns the factor by which a tenant's normal demand is multiplied.
+func (p demandPhase) demandFactor() float64 {
+	return [phaseCount]float64{idle: 0, normal: 1, overload: overloadFactor}[p]
+}
 
-// due gives the requests since the last call.
+// due returns the requests that became due since the last call.
 func (d *demand) due(now time.Time) []quotaRequest {
-	if now.After(d.changes) {
-		d.phase = phase(d.rng.IntN(int(phases)))
-		d.changes = now.Add(longestPhase/4 + time.Duration(d.rng.Int64N(int64(longestPhase*3/4))))
+	if now.After(d.phaseEnd) {
+		d.phase = demandPhase(d.rng.IntN(int(phaseCount)))
+		d.phaseEnd = now.Add(maxPhase/4 + time.Duration(d.rng.Int64N(int64(maxPhase*3/4))))
 	}
 	if d.last.IsZero() {
 		d.last = now
 	}
-	passed := now.Sub(d.last).Seconds()
+	elapsed := now.Sub(d.last).Seconds()
 	d.last = now
-	if d.phase == hot {
-		d.coolSince = now
+	if d.phase == overload {
+		d.lastOverload = now
 	}
-	usual := now.Sub(d.coolSince) > quotaRule.Window
-	all := d.draw(largeTenant, d.phase.times()*usualPart*largeRate*passed, usual)
-	all = append(all, d.draw(smallTenant, usualPart*smallRate*passed, true)...)
-	return append(all, d.draw(freeTenant, freeRate*passed, false)...)
+	withinLimit := now.Sub(d.lastOverload) > quotaRule.Window
+	all := d.drawRequests(largeTenant, d.phase.demandFactor()*normalDemandRatio*largeRate*elapsed, withinLimit)
+	all = append(all, d.drawRequests(smallTenant, normalDemandRatio*smallRate*elapsed, true)...)
+	return append(all, d.drawRequests(unlimitedTenant, unlimitedTenantRate*elapsed, false)...)
 }
 
-func (d *demand) draw(tenant string, tokens float64, usual bool) []quotaRequest {
+// drawRequests returns random requests of a tenant that have the given number of prompt tokens on average.
+func (d *demand) drawRequests(tenant string, tokens float64, withinLimit bool) []quotaRequest {
 	var all []quotaRequest
-	for expected := tokens / meanPrompt; expected > d.rng.Float64(); expected-- {
-		prompt := int(meanPrompt * (0.3 + 0.7*min(d.rng.ExpFloat64(), 5)))
+	for expected := tokens / meanPromptTokens; expected > d.rng.Float64(); expected-- {
+		prompt := int(meanPromptTokens * (0.3 + 0.7*min(d.rng.ExpFloat64(), 5)))
 		path := []string{resumablePath, oncePath, plainPath}[d.rng.IntN(3)]
-		all = append(all, quotaRequest{tenant: tenant, prompt: prompt, path: path, usual: usual})
+		all = append(all, quotaRequest{tenant: tenant, prompt: prompt, path: path, withinLimit: withinLimit})
 	}
 	return all
 }
 
-// quotaClient asks on a connection that it keeps.
+// quotaClient sends requests on a connection that it keeps open.
 type quotaClient struct {
-	keptConnection
+	keepAliveConn
 	name string
 	sent int
 }
 
-// ask sends a request once, on a new connection where the kept one broke, and gives the status of its answer.
-func (c *quotaClient) ask(q quotaRequest) int {
+// send sends a request once, on a new connection if the previous one broke, and returns the status of the response, or 0 without a complete response.
+func (c *quotaClient) send(q quotaRequest) int {
 	if c.conn == nil && !c.connect() {
 		return 0
 	}
 	c.sent++
-	_ = c.conn.SetDeadline(time.Now().Add(deadline))
+	_ = c.conn.SetDeadline(time.Now().Add(requestTimeout))
 	head := fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 2\r\n%s: %s\r\n%s: %s-%d\r\n%s: m\r\n%s: %d,%d\r\n%s: %x:%d\r\n%s: %d\r\n\r\n{}",
-		q.path, c.name, host, platform.HeaderCredential, keyOf(q.tenant), platform.HeaderAttempt, c.name, c.sent, platform.HeaderModel,
-		platform.HeaderTokens, q.prompt, answerTokens, platform.HeaderPrefix, c.rng.Uint32(), q.prompt, platform.HeaderDeadline, deadline.Milliseconds())
+		q.path, c.name, hostname, platform.HeaderCredential, apiKeyOf(q.tenant), platform.HeaderAttempt, c.name, c.sent, platform.HeaderModel,
+		platform.HeaderTokens, q.prompt, responseTokens, platform.HeaderPrefix, c.rng.Uint32(), q.prompt, platform.HeaderDeadline, requestTimeout.Milliseconds())
 	if _, err := io.WriteString(c.conn, head); err != nil {
 		c.disconnect()
 		return 0
@@ -154,12 +159,14 @@
 	return resp.StatusCode
 }
 
-// longestBackoff bounds how long a client waits as told: a tenth of it on average, since most of them don't wait.
-const longestBackoff = 100 * time.Millisecond
+// maxBackoff bounds how long a client backs off after a rejection. Only one in five rejections makes a client wait at all, because most clients ignore
+// Retry-After.
+const maxBackoff = 100 * time.Millisecond
 
+// backOff waits as long as the Retry-After header says, at most maxBackoff, in one of five cases.
 func (c *quotaClient) backOff(retryAfter string) {
 	seconds, err := strconv.ParseFloat(retryAfter, 64)
 	if err == nil && c.rng.IntN(5) == 0 {
-		time.Sleep(min(time.Duration(seconds*float64(time.Second)), longestBackoff))
+		time.Sleep(min(time.Duration(seconds*float64(time.Second)), maxBackoff))
 	}
 }
--- a/standin/rehearsal/quotaoptions.go
+++ b/standin/rehearsal/quotaoptions.go
@@ -7,61 +7,65 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// quotaRule is what the nodes are told, and what is judged.
+// quotaRule contains the quota parameters that the nodes are configured with and that runs are checked against.
 var quotaRule = ledger.QuotaRule{Window: 8 * time.Second, Overage: 0.1, Slack: 15000}
 
-// QuotaOptions are what a rehearsal of quotas is run with.
+// QuotaOptions configures a rehearsal of quotas.
 type QuotaOptions struct {
-	// Dir takes the nodes' settings, disks and logs. Binary is the program that they run.
+	// Dir is the directory for the settings, disks and logs of the nodes. Binary is the path of the program that they run.
 	Dir, Binary string
-	// Seed draws the faults, their times, the changes, and what clients ask for.
+	// Seed seeds the generators of the faults, their times, the changes of the configuration, and the requests.
 	Seed uint64
-	// Duration is how long clients ask.
+	// Duration is how long clients send requests.
 	Duration                 time.Duration
 	Nodes, Replicas, Clients int
-	// NoFaults leaves out the faults of nodes and replicas, FixedConfiguration the changes of the configuration.
+	// NoFaults disables the faults of nodes and replicas, FixedConfiguration the changes of the configuration.
 	NoFaults, FixedConfiguration bool
-	// Ledger gets a line for each request that a replica ran.
+	// Ledger receives a JSON line for each request that a replica started to run.
 	Ledger io.Writer
 }
 
-// QuotaReport counts what happened.
+// QuotaReport contains the counts and the breaches of a rehearsal of quotas.
 type QuotaReport struct {
-	// Requests are requests that clients sent, Runs those that a replica began to run, OverQuota those answered 429, Unauthorized
-	// those answered 401 since a change left their tenant out, Failed the others without a 200.
+	// Requests counts the requests that clients sent, Runs those that a replica started to run, OverQuota those rejected with status 429, Unauthorized
+	// those rejected with status 401 because a change had removed their tenant, Failed all others without a status 200.
 	Requests, Runs, OverQuota, Unauthorized, Failed int
-	// FaultCounts are the faults of nodes and of replicas, Revisions the changes acknowledged.
+	// FaultCounts counts the faults of nodes and replicas, Revisions the acknowledged changes of the configuration.
 	FaultCounts
 	Revisions int
-	// DataRaces are the reports of the race detector in the nodes' logs.
+	// DataRaces counts the race detector's reports in the nodes' logs.
 	DataRaces int
-	// CompliantRejectRatio is the part of requests answered 429 of those that were sent a window or more after their tenant last asked for too much.
+	// CompliantRejectRatio is the fraction rejected with status 429 of the requests that were sent at least a quota window after their tenant last
+	// exceeded its limit.
 	CompliantRejectRatio float64
-	Windows              []ledger.QuotaWindow
-	Breaches             []ledger.Breach
+	// Windows contains the fullest quota window of each tenant.
+	Windows  []ledger.QuotaWindow
+	Breaches []ledger.Breach
 }
 
-// The tenants of a rehearsal. The limits of the first bear about twenty requests a second.
+// The tenants of a rehearsal and the limits of two of them in tokens per second. The limit of the large tenant allows about twenty requests per
+// second.
 const (
-	largeTenant, smallTenant, freeTenant = "large", "small", "free"
-	largeRate, smallRate                 = 60000, 4000
-	// usualPart of its limit is what a tenant asks for in usual times, and hotTimes as much in others.
-	usualPart = 0.77
-	hotTimes  = 10
-	// freeRate is what the tenant without a limit asks for, in tokens a second.
-	freeRate = 10000
+	largeTenant, smallTenant, unlimitedTenant = "large", "small", "free"
+	largeRate, smallRate                      = 60000, 4000
+	// normalDemandRatio is the normal demand of a tenant as a fraction of its limit. Under overload, the demand is overloadFactor times as high.
+	normalDemandRatio = 0.77
+	overloadFactor    = 10
+	// unlimitedTenantRate is the demand of the tenant without a limit, in tokens per second.
+	unlimitedTenantRate = 10000
 )
 
-func keyOf(tenant string) string { return "key-of-" + tenant }
+// apiKeyOf returns the API key of a tenant.
+func apiKeyOf(tenant string) string { return "key-of-" + tenant }
 
-// quotaTenants is the tenants' part of a document: the large one's limit is multiplied, the small one may be left out.
-func quotaTenants(times float64, withSmall bool) []tenantDocument {
+// quotaTenants returns the tenants of a document. factor multiplies the limit of the large tenant; withSmall includes the small tenant.
+func quotaTenants(factor float64, withSmall bool) []tenantDocument {
 	all := []tenantDocument{
-		{Name: largeTenant, Keys: []string{keyOf(largeTenant)}, Rate: times * largeRate, Burst: times * largeRate, Unit: "tokens", UncachedTokens: 200},
-		{Name: freeTenant, Keys: []string{keyOf(freeTenant)}},
+		{Name: largeTenant, Keys: []string{apiKeyOf(largeTenant)}, Rate: factor * largeRate, Burst: factor * largeRate, Unit: "tokens", UncachedTokens: 200},
+		{Name: unlimitedTenant, Keys: []string{apiKeyOf(unlimitedTenant)}},
 	}
 	if withSmall {
-		all = append(all, tenantDocument{Name: smallTenant, Keys: []string{keyOf(smallTenant)}, Rate: smallRate, Burst: smallRate, Unit: "tokens", UncachedTokens: 200})
+		all = append(all, tenantDocument{Name: smallTenant, Keys: []string{apiKeyOf(smallTenant)}, Rate: smallRate, Burst: smallRate, Unit: "tokens", UncachedTokens: 200})
 	}
 	return all
 }
--- a/standin/rehearsal/rehearsal_test.go
+++ b/standin/rehearsal/rehearsal_test.go
@@ -9,19 +9,19 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// TestReplicaSpoilsWhatItIsToldTo asks replicas that do one thing each, without a node between.
-func TestReplicaSpoilsWhatItIsToldTo(t *testing.T) {
+// TestReplicaInjectsFaults sends requests directly to replicas that each have a single kind of fault.
+func TestReplicaInjectsFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		faults   FaultRates
-		answered bool
-		complete bool
-		torn     bool
+		faults    FaultRates
+		responded bool
+		complete  bool
+		torn      bool
 	}{
-		"sound":      {FaultRates{}, true, true, false},
-		"refuse":     {FaultRates{Reject: 1}, false, false, false},
-		"vanish":     {FaultRates{Reset: 1}, false, false, false},
-		"cut framed": {FaultRates{TruncateFramed: 1}, true, true, true},
-		"surplus":    {FaultRates{Duplicate: 1}, true, true, false},
+		"no fault":         {FaultRates{}, true, true, false},
+		"reject":           {FaultRates{Reject: 1}, false, false, false},
+		"reset":            {FaultRates{Reset: 1}, false, false, false},
+		"truncate, framed": {FaultRates{TruncateFramed: 1}, true, true, true},
+		"duplicate":        {FaultRates{Duplicate: 1}, true, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, err := StartReplica("i-1", 7, 1, c.faults, nil)
@@ -31,32 +31,33 @@
 			defer r.Stop()
 			client := NewClient(1, 2, []string{r.Addr})
 			a := ledger.StreamAnswer{Node: r.Addr, Request: "a", Total: 5}
-			if answered := client.try(&a, resumablePath, usual); answered != c.answered || a.Complete != c.complete || a.Torn != c.torn {
-				t.Errorf("answered %v: %+v", answered, a)
+			if responded := client.attempt(&a, resumablePath, normalBehavior); responded != c.responded || a.Complete != c.complete || a.Torn != c.torn {
+				t.Errorf("responded %v, recorded %+v", responded, a)
 			}
-			if c.answered && !c.torn && len(ledger.CheckStreams([]ledger.StreamAnswer{a})) > 0 {
-				t.Errorf("%+v", a)
+			if c.responded && !c.torn && len(ledger.CheckStreams([]ledger.StreamAnswer{a})) > 0 {
+				t.Errorf("a breach was found in %+v", a)
 			}
 		})
 	}
 }
 
-// TestCutAnswersAreFound shows that the judge finds a replica's own breaks where no node mends them.
-func TestCutAnswersAreFound(t *testing.T) {
+// TestTruncatedResponsesAreFound checks that the ledger check finds a truncated response that no node repairs.
+func TestTruncatedResponsesAreFound(t *testing.T) {
 	r, err := StartReplica("i-1", 7, 1, FaultRates{TruncateFramed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Stop()
 	a := ledger.StreamAnswer{Node: r.Addr, Request: "a", Total: 5}
-	NewClient(1, 2, []string{r.Addr}).try(&a, resumablePath, usual)
+	NewClient(1, 2, []string{r.Addr}).attempt(&a, resumablePath, normalBehavior)
 	if found := ledger.CheckStreams([]ledger.StreamAnswer{a}); len(found) != 1 || found[0].What != ledger.Truncated {
-		t.Errorf("%v", found)
+		t.Errorf("found %v, want one truncated response", found)
 	}
 }
 
-// TestReplicaOfOtherWeightsRefuses: 421, not run.
-func TestReplicaOfOtherWeightsRefuses(t *testing.T) {
+// TestReplicaRejectsMisdirectedRequests checks that a replica responds to requests for other weights or for another instance with status 421, and does
+// not run them.
+func TestReplicaRejectsMisdirectedRequests(t *testing.T) {
 	r, err := StartReplica("i-1", 7, 1, FaultRates{}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -71,17 +72,17 @@
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode != http.StatusMisdirectedRequest || resp.Header.Get(platform.HeaderNotExecuted) == "" {
-			t.Errorf("%s: %d", header, resp.StatusCode)
+			t.Errorf("request with wrong %s got status %d", header, resp.StatusCode)
 		}
 	}
 }
 
-func TestFaultsAreDrawnByTheirOdds(t *testing.T) {
-	rng, drawn := rand.New(rand.NewPCG(1, 2)), map[fault]int{}
+func TestEachFaultIsDrawn(t *testing.T) {
+	rng, drawn := rand.New(rand.NewPCG(1, 2)), map[responseFault]int{}
 	for range 10000 {
 		drawn[DefaultFaultRates().draw(rng)]++
 	}
-	for kind := sound; kind <= surplus; kind++ {
+	for kind := noFault; kind <= duplicateFault; kind++ {
 		if drawn[kind] < 200 {
 			t.Errorf("fault %d was drawn %d times", kind, drawn[kind])
 		}
--- a/standin/rehearsal/replica.go
+++ b/standin/rehearsal/replica.go
@@ -16,28 +16,30 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// headerRequest names a request over all its tries; nodes pass it on like any header that they don't know.
+// headerRequest is the header with the id that all attempts of a request share. Nodes forward it like any header that they don't know.
 const headerRequest = "X-Rehearsal-Request"
 
-// Replica is one incarnation of a stand-in model replica that speaks the platform's protocol.
+// Replica is one incarnation of a stand-in model replica that speaks the protocol of the platform.
 type Replica struct {
-	Instance      string
-	Addr          string
+	Instance string
+	Addr     string
+	// WeightVersion is the version of the model weights.
 	WeightVersion uint64
 	faults        FaultRates
 	draining      atomic.Bool
 	server        *http.Server
 	seed          uint64
-	served        atomic.Uint64
-	// zone is where it runs, as listed.
+	// served counts the requests that were not misdirected.
+	served atomic.Uint64
+	// zone is the zone in which the platform lists the replica.
 	zone string
-	// stoppedAt is when it was stopped, in milliseconds since 1970; 0: it runs.
+	// stoppedAt is the time of the stop in Unix milliseconds, or 0 while the replica runs.
 	stoppedAt atomic.Int64
-	// ran, if any, sees each request that the replica begins to run.
-	ran func(run ReplicaRun)
+	// onRun, if not nil, is called for each request that the replica starts to run.
+	onRun func(run ReplicaRun)
 }
 
-// ReplicaRun is a request that a replica begins to run. Spoiled tells that the replica is going to end the answer wrongly.
+// ReplicaRun describes a request that a replica starts to run. Faulty reports whether the replica is going to inject a fault into the response.
 type ReplicaRun struct {
 	Replica *Replica
 	Request *http.Request
@@ -45,29 +47,31 @@
 	Faulty  bool
 }
 
-// eventPause is the longest pause between two events.
-const eventPause = 6 * time.Millisecond
+// maxEventPause is the longest pause between two events of a response.
+const maxEventPause = 6 * time.Millisecond
 
-func pause(rng *rand.Rand) { time.Sleep(time.Duration(rng.Int64N(int64(eventPause)))) }
+func pause(rng *rand.Rand) { time.Sleep(time.Duration(rng.Int64N(int64(maxEventPause)))) }
 
-// StartReplica serves on a free port of the loopback interface until Stop; ran, if any, sees each request that it begins to run.
-func StartReplica(instance string, weights, seed uint64, faults FaultRates, ran func(run ReplicaRun)) (*Replica, error) {
+// StartReplica serves on a free port of the loopback interface until Stop. If onRun is not nil, it is called for each request that the replica starts
+// to run.
+func StartReplica(instance string, weights, seed uint64, faults FaultRates, onRun func(run ReplicaRun)) (*Replica, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{Instance: instance, Addr: lis.Addr().String(), WeightVersion: weights, faults: faults, seed: seed, ran: ran}
+	r := &Replica{Instance: instance, Addr: lis.Addr().String(), WeightVersion: weights, faults: faults, seed: seed, onRun: onRun}
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = r.server.Serve(lis) }()
 	return r, nil
 }
 
-// Stop ends the replica and all its connections at once.
+// Stop stops the replica and closes all its connections at once.
 func (r *Replica) Stop() {
 	r.stoppedAt.CompareAndSwap(0, time.Now().UnixMilli())
 	_ = r.server.Close()
 }
 
+// ServeHTTP serves a health check (GET) or runs a request, whose response may have a random fault.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	h := w.Header()
 	if q.Method == http.MethodGet {
@@ -89,30 +93,30 @@
 	h.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.WeightVersion, 10))
 	h.Set("Content-Type", contentType(q))
 	events := r.events(q, h.Get(platform.HeaderSeal))
-	kind := r.drawFault(rng, q)
-	if r.ran != nil && kind != refuse {
-		r.ran(ReplicaRun{Replica: r, Request: q, Body: body, Faulty: kind != sound})
-	}
-	switch kind {
-	case sound:
-		r.stream(w, rng, events)
-	case refuse:
+	fault := r.drawFault(rng, q)
+	if r.onRun != nil && fault != rejectFault {
+		r.onRun(ReplicaRun{Replica: r, Request: q, Body: body, Faulty: fault != noFault})
+	}
+	switch fault {
+	case noFault:
+		r.writeStream(w, rng, events)
+	case rejectFault:
 		h.Set(platform.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case cutFramed:
+	case truncateFramedFault:
 		if len(events) > 0 {
 			cut := rng.IntN(len(events))
 			events = append(events[:cut:cut], events[cut][:1+rng.IntN(len(events[cut])-2)])
 		}
-		r.stream(w, rng, events)
+		r.writeStream(w, rng, events)
 	default:
-		r.spoil(w, rng, kind, events)
+		r.writeFaulty(w, rng, fault, events)
 	}
 }
 
-// isPlain tells whether a request is for an answer that is no stream.
+// isPlain reports whether a request is for a response that is not a stream.
 func isPlain(q *http.Request) bool {
-	return strings.HasPrefix(q.URL.Path, plainPath) || strings.HasPrefix(q.URL.Path, turningPlainPath)
+	return strings.HasPrefix(q.URL.Path, plainPath) || strings.HasPrefix(q.URL.Path, changingPlainPath)
 }
 
 func contentType(q *http.Request) string {
@@ -122,22 +126,23 @@
 	return "text/event-stream"
 }
 
-// drawFault draws what happens to an answer. Of one that is no stream nobody can see that it ends too early with proper framing.
-func (r *Replica) drawFault(rng *rand.Rand, q *http.Request) fault {
-	kind := r.faults.draw(rng)
-	if kind == cutFramed && isPlain(q) {
-		return sound
+// drawFault draws the fault of a response. A response that is not a stream is never truncated with proper framing, because no node or client can
+// detect that.
+func (r *Replica) drawFault(rng *rand.Rand, q *http.Request) responseFault {
+	fault := r.faults.draw(rng)
+	if fault == truncateFramedFault && isPlain(q) {
+		return noFault
 	}
-	return kind
+	return fault
 }
 
-// misdirected tells whether the request is for another instance, or for other weights.
+// misdirected reports whether a request is addressed to another instance or expects other weights.
 func (r *Replica) misdirected(q *http.Request) bool {
 	target, expected := q.Header.Get(platform.HeaderTarget), q.Header.Get(platform.HeaderExpectedVersion)
 	return target != "" && target != r.Instance || expected != "" && expected != strconv.FormatUint(r.WeightVersion, 10)
 }
 
-// events are those of the answer behind the one that the request names, if any.
+// events returns the events of the response to q. They start after the last event that the request names, if any.
 func (r *Replica) events(q *http.Request, run string) []string {
 	_, total := platform.ParseTokens(q.Header.Get(platform.HeaderTokens))
 	after, _ := strconv.Atoi(q.Header.Get(platform.HeaderLastEvent))
@@ -148,8 +153,8 @@
 	return events
 }
 
-// stream writes the events one by one and ends the answer with proper framing.
-func (*Replica) stream(w http.ResponseWriter, rng *rand.Rand, events []string) {
+// writeStream writes the events one by one and ends the response with proper framing.
+func (*Replica) writeStream(w http.ResponseWriter, rng *rand.Rand, events []string) {
 	w.WriteHeader(http.StatusOK)
 	ctl := http.NewResponseController(w)
 	for _, e := range events {
@@ -160,37 +165,37 @@
 	}
 }
 
-// spoil writes the bytes of the answer itself: up to any of them, or twice.
-func (*Replica) spoil(w http.ResponseWriter, rng *rand.Rand, kind fault, events []string) {
+// writeFaulty writes a response to the raw connection and injects a fault: it writes nothing, stops after a random byte, or writes the response twice.
+func (*Replica) writeFaulty(w http.ResponseWriter, rng *rand.Rand, fault responseFault, events []string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	if tcp, ok := conn.(*net.TCPConn); ok && (kind == vanish || kind == cutReset) {
+	if tcp, ok := conn.(*net.TCPConn); ok && (fault == resetFault || fault == truncateResetFault) {
 		_ = tcp.SetLinger(0)
 	}
-	if kind == vanish {
+	if fault == resetFault {
 		return
 	}
-	answer := rawAnswer(w.Header(), events)
-	left := rng.IntN(len(answer))
-	if kind == surplus {
-		answer = append(answer, answer...)
-		left = len(answer)
+	response := rawResponse(w.Header(), events)
+	left := rng.IntN(len(response))
+	if fault == duplicateFault {
+		response = append(response, response...)
+		left = len(response)
 	}
 	for left > 0 {
 		n := min(1+rng.IntN(120), left)
-		if _, err := conn.Write(answer[:n]); err != nil {
+		if _, err := conn.Write(response[:n]); err != nil {
 			return
 		}
-		answer, left = answer[n:], left-n
+		response, left = response[n:], left-n
 		pause(rng)
 	}
 }
 
-// rawAnswer is an answer in chunks, as it stands on the wire.
-func rawAnswer(h http.Header, events []string) []byte {
+// rawResponse returns a response in chunked encoding, as it is sent on the wire.
+func rawResponse(h http.Header, events []string) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n")
 	_ = h.Write(&b)
@@ -202,13 +207,13 @@
 	return b.Bytes()
 }
 
-// state names the state of a replica as the platform's list does.
-func (r *Replica) state() string {
+// lifecycleState returns the state of the replica as the platform's list names it.
+func (r *Replica) lifecycleState() string {
 	if r.draining.Load() {
 		return "draining"
 	}
 	return "ready"
 }
 
-// instanceName names the n-th replica that a rehearsal starts.
+// instanceName returns the instance id of the n-th replica that a rehearsal starts.
 func instanceName(n int) string { return "i-" + strconv.Itoa(n) }
--- a/standin/rehearsal/replicafaults.go
+++ b/standin/rehearsal/replicafaults.go
@@ -2,43 +2,45 @@
 
 import "math/rand/v2"
 
-// FaultRates are how often a replica does something wrong with a stream, each between 0 and 1; their sum is at most 1.
+// FaultRates are the probabilities, from 0 to 1, of each fault of a response. Their sum is at most 1.
 type FaultRates struct {
-	// Reject: 503, not run. Reset: a reset before the head.
+	// Reject responds with status 503 and does not run the request. Reset resets the connection before the response head.
 	Reject, Reset float64
-	// TruncateFIN and TruncateReset end the connection after any byte of the answer. TruncateFramed ends the answer with proper framing inside an event.
+	// TruncateFIN and TruncateReset close or reset the connection after a random byte of the response. TruncateFramed ends the response inside an
+	// event, but with proper framing.
 	TruncateFIN, TruncateReset, TruncateFramed float64
-	// Duplicate: the answer comes twice on its connection.
+	// Duplicate writes the response twice on the connection.
 	Duplicate float64
 }
 
-// DefaultFaultRates spoil somewhat less than half of the answers.
+// DefaultFaultRates returns rates that add faults to somewhat less than half of the responses.
 func DefaultFaultRates() FaultRates {
 	return FaultRates{Reject: 0.06, Reset: 0.04, TruncateFIN: 0.1, TruncateReset: 0.1, TruncateFramed: 0.08, Duplicate: 0.04}
 }
 
-// fault is what happens to one answer.
-type fault uint8
+// responseFault is the fault of one response.
+type responseFault uint8
 
 const (
-	sound fault = iota
-	refuse
-	vanish
-	cutFIN
-	cutReset
-	cutFramed
-	surplus
+	noFault responseFault = iota
+	rejectFault
+	resetFault
+	truncateFINFault
+	truncateResetFault
+	truncateFramedFault
+	duplicateFault
 )
 
-func (f FaultRates) draw(rng *rand.Rand) fault {
+// draw returns a random fault with the probabilities of the rates.
+func (f FaultRates) draw(rng *rand.Rand) responseFault {
 	left := rng.Float64()
 	for _, one := range []struct {
 		odds float64
-		kind fault
-	}{{f.Reject, refuse}, {f.Reset, vanish}, {f.TruncateFIN, cutFIN}, {f.TruncateReset, cutReset}, {f.TruncateFramed, cutFramed}, {f.Duplicate, surplus}} {
+		kind responseFault
+	}{{f.Reject, rejectFault}, {f.Reset, resetFault}, {f.TruncateFIN, truncateFINFault}, {f.TruncateReset, truncateResetFault}, {f.TruncateFramed, truncateFramedFault}, {f.Duplicate, duplicateFault}} {
 		if left -= one.odds; left < 0 {
 			return one.kind
 		}
 	}
-	return sound
+	return noFault
 }
--- a/standin/rehearsal/run.go
+++ b/standin/rehearsal/run.go
@@ -12,59 +12,61 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// StreamOptions are what a rehearsal is run with.
+// StreamOptions configures a rehearsal of streams.
 type StreamOptions struct {
-	// Dir takes the nodes' settings, disks and logs. Binary is the program that they run.
+	// Dir is the directory for the settings, disks and logs of the nodes. Binary is the path of the program that they run.
 	Dir, Binary string
-	// Seed draws the faults, their times, and what clients ask for.
+	// Seed seeds the generators of the faults, their times, and the requests.
 	Seed uint64
-	// Duration is how long clients ask.
+	// Duration is how long clients send requests.
 	Duration                 time.Duration
 	Nodes, Replicas, Clients int
 	Faults                   FaultRates
-	// Ledger gets a line for each answer.
+	// Ledger receives a JSON line for each response.
 	Ledger io.Writer
 }
 
-// StreamReport counts what happened.
+// StreamReport contains the counts and the breaches of a rehearsal of streams.
 type StreamReport struct {
-	// Responses began with a 200; Complete ended as complete, Resumed went on for a client that named an event.
+	// Responses counts responses with status 200, Complete those that ended properly, Resumed those to requests that named the last event of an
+	// earlier response.
 	Responses, Complete, Resumed int
-	// Kills, Stops, Freezes, Releases and Crashes count the faults of nodes and of replicas.
+	// Kills, Stops and Freezes count the faults of nodes, Releases and Crashes those of replicas.
 	Kills, Stops, Freezes, Releases, Crashes int
-	// DataRaces are the reports of the race detector in the nodes' logs.
+	// DataRaces counts the race detector's reports in the nodes' logs.
 	DataRaces int
-	// Revisions were acknowledged to the operator, Reads of the configuration answered.
+	// Revisions counts the revisions of the configuration that were acknowledged to the operator, Reads the successful reads of the configuration.
 	Revisions, Reads uint64
-	// Breaches are those of the answers and of the configuration.
+	// Breaches are the violated rules, both on responses and on the configuration.
 	Breaches []ledger.Breach
 }
 
-// Pauses between two faults of the platform or of a node, and how long a killed node stays away.
+// The pause between two faults of the platform or of a node is minFaultPause plus a random time below faultPauseRange. A stopped node is started
+// again after at most maxDowntime.
 const (
-	leastPause = 150 * time.Millisecond
-	pauseRange = 500 * time.Millisecond
-	awayRange  = 600 * time.Millisecond
+	minFaultPause   = 150 * time.Millisecond
+	faultPauseRange = 500 * time.Millisecond
+	maxDowntime     = 600 * time.Millisecond
 )
 
-// frozenTimes is how many times longer a node stands still than a killed one stays away.
-const frozenTimes = 3
+// freezeFactor is how many times longer a node is frozen than a killed one stays down.
+const freezeFactor = 3
 
-// maxBreaches is how many breaches of the configuration may wait to be read.
-const maxBreaches = 1 << 16
+// breachBuffer is the number of breaches of the configuration that may wait to be collected.
+const breachBuffer = 1 << 16
 
-// rehearsal is a run under way.
-type rehearsal struct {
+// streamRehearsal is the state of a running rehearsal of streams.
+type streamRehearsal struct {
 	StreamOptions
-	fleet    *Fleet
-	platform *Platform
-	report   StreamReport
-	answers  []ledger.StreamAnswer
+	fleet     *Fleet
+	platform  *Platform
+	report    StreamReport
+	responses []ledger.StreamAnswer
 }
 
-// RunStreams starts a platform and a fleet, lets clients ask while things break, and judges what they got.
+// RunStreams starts a platform and a fleet, lets clients send requests while it injects faults, and checks what the clients received.
 func RunStreams(o StreamOptions) (StreamReport, error) {
-	r := &rehearsal{StreamOptions: o}
+	r := &streamRehearsal{StreamOptions: o}
 	var err error
 	if r.platform, err = StartPlatform(o.Replicas, o.Seed, o.Faults, nil); err != nil {
 		return r.report, err
@@ -78,8 +80,8 @@
 		return r.report, err
 	}
 	end := time.Now().Add(o.Duration)
-	operators := &operators{controls: r.fleet.ControlAddrs(), seed: o.Seed, breaches: make(chan ledger.Breach, maxBreaches),
-		changes: sameRoutes{rng: rand.New(rand.NewPCG(o.Seed, changePauses))}}
+	operators := &operators{controls: r.fleet.ControlAddrs(), seed: o.Seed, breaches: make(chan ledger.Breach, breachBuffer),
+		documents: unchangedRoutes{rng: rand.New(rand.NewPCG(o.Seed, changePauseStream))}}
 	operators.acknowledged.Store(1)
 	go operators.run(end)
 	err = r.serve(end)
@@ -88,34 +90,34 @@
 	}
 	r.fleet.Stop()
 	r.report.Revisions, r.report.Reads, r.report.DataRaces = operators.acknowledged.Load(), operators.reads.Load(), r.fleet.CountDataRaces()
-	r.report.Breaches = append(r.report.Breaches, ledger.CheckStreams(r.answers)...)
+	r.report.Breaches = append(r.report.Breaches, ledger.CheckStreams(r.responses)...)
 	return r.report, err
 }
 
-// serve lets the clients ask while faults strike, and takes in the answers.
-func (r *rehearsal) serve(end time.Time) error {
-	answers, done := make(chan ledger.StreamAnswer), make(chan struct{})
+// serve runs the clients and the fault injection until the end, and collects the responses.
+func (r *streamRehearsal) serve(end time.Time) error {
+	responses, done := make(chan ledger.StreamAnswer), make(chan struct{})
 	var clients sync.WaitGroup
 	for n := range r.Clients {
 		c := NewClient(n, r.Seed, r.fleet.FrontendAddrs())
 		clients.Go(func() {
 			for number := 0; time.Now().Before(end); number++ {
-				c.Fetch(number, func(a ledger.StreamAnswer) { answers <- a })
+				c.Fetch(number, func(a ledger.StreamAnswer) { responses <- a })
 			}
 		})
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- r.strike(end) }()
+	go func() { failed <- r.injectFaults(end) }()
 	go func() {
 		clients.Wait()
 		close(done)
 	}()
-	lines := json.NewEncoder(r.Ledger)
+	ledgerRows := json.NewEncoder(r.Ledger)
 	for {
 		select {
-		case a := <-answers:
+		case a := <-responses:
 			r.count(a)
-			if err := lines.Encode(a); err != nil {
+			if err := ledgerRows.Encode(a); err != nil {
 				return err
 			}
 		case <-done:
@@ -124,8 +126,8 @@
 	}
 }
 
-func (r *rehearsal) count(a ledger.StreamAnswer) {
-	r.answers = append(r.answers, a)
+func (r *streamRehearsal) count(a ledger.StreamAnswer) {
+	r.responses = append(r.responses, a)
 	r.report.Responses++
 	if a.Complete {
 		r.report.Complete++
@@ -135,33 +137,35 @@
 	}
 }
 
-// strike draws faults of replicas and, beside them, of nodes until the end.
-func (r *rehearsal) strike(end time.Time) error {
+// injectFaults injects random faults into replicas and, concurrently, into nodes until the end.
+func (r *streamRehearsal) injectFaults(end time.Time) error {
 	nodes := make(chan error, 1)
-	go func() { nodes <- r.strikeEach(end, rand.New(rand.NewPCG(r.Seed, nodeFaults)), r.strikeNode) }()
-	err := r.strikeEach(end, rand.New(rand.NewPCG(r.Seed, replicaFaults)), r.strikeReplica)
+	go func() { nodes <- r.repeatFaults(end, rand.New(rand.NewPCG(r.Seed, nodeFaultStream)), r.failNode) }()
+	err := r.repeatFaults(end, rand.New(rand.NewPCG(r.Seed, replicaFaultStream)), r.failReplica)
 	return errors.Join(err, <-nodes)
 }
 
-// Streams of the seed, beside those of the clients, which count from 0.
+// Streams of the random generator of a rehearsal of streams. Streams from 0 on belong to the clients.
 const (
-	nodeFaults = 1<<32 + iota
-	replicaFaults
-	changePauses
-	operatorCalls
+	nodeFaultStream = 1<<32 + iota
+	replicaFaultStream
+	changePauseStream
+	operatorStream
 )
 
-func (*rehearsal) strikeEach(end time.Time, rng *rand.Rand, one func(rng *rand.Rand) error) error {
+// repeatFaults calls inject with random pauses until the end or the first error.
+func (*streamRehearsal) repeatFaults(end time.Time, rng *rand.Rand, inject func(rng *rand.Rand) error) error {
 	for time.Now().Before(end) {
-		time.Sleep(leastPause + time.Duration(rng.Int64N(int64(pauseRange))))
-		if err := one(rng); err != nil {
+		time.Sleep(minFaultPause + time.Duration(rng.Int64N(int64(faultPauseRange))))
+		if err := inject(rng); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *rehearsal) strikeReplica(rng *rand.Rand) error {
+// failReplica releases a new version of a random replica, or crashes one.
+func (r *streamRehearsal) failReplica(rng *rand.Rand) error {
 	at := rng.IntN(1 << 20)
 	if rng.IntN(2) == 0 {
 		r.report.Releases++
@@ -171,13 +175,13 @@
 	return r.platform.Crash(at)
 }
 
-// strikeNode freezes a node, or kills it or tells it to end and starts it again.
-func (r *rehearsal) strikeNode(rng *rand.Rand) error {
-	at, away := rng.IntN(len(r.fleet.nodes)), time.Duration(rng.Int64N(int64(awayRange)))
+// failNode freezes a random node, or kills or stops it and starts it again.
+func (r *streamRehearsal) failNode(rng *rand.Rand) error {
+	at, downtime := rng.IntN(len(r.fleet.nodes)), time.Duration(rng.Int64N(int64(maxDowntime)))
 	switch rng.IntN(3) {
 	case 0:
 		r.report.Freezes++
-		r.fleet.Freeze(at, frozenTimes*away)
+		r.fleet.Freeze(at, freezeFactor*downtime)
 		return nil
 	case 1:
 		r.report.Kills++
@@ -186,6 +190,6 @@
 		r.report.Stops++
 		r.fleet.SignalAndWait(at, syscall.SIGTERM)
 	}
-	time.Sleep(away)
+	time.Sleep(downtime)
 	return r.fleet.Start(at)
 }
--- a/standin/rehearsal/soak.go
+++ b/standin/rehearsal/soak.go
@@ -13,74 +13,79 @@
 	"github.com/mallowbridge/mallowbridge/ledger"
 )
 
-// SoakOptions are what a soak is run with.
+// SoakOptions configures a soak.
 type SoakOptions struct {
-	// Dir takes the nodes' settings, disks and logs. Binary is the program that they run.
+	// Dir is the directory for the settings, disks and logs of the nodes. Binary is the path of the program that they run.
 	Dir, Binary string
-	// Seed draws the faults, their times, the changes, and what clients ask for.
+	// Seed seeds the generators of the faults, their times, the changes of the configuration, and the requests.
 	Seed uint64
-	// Duration is how long clients ask; the faults end calmTime before.
+	// Duration is how long clients send requests. The faults end recoveryTime earlier.
 	Duration                 time.Duration
 	Nodes, Replicas, Clients int
-	// Ledger gets a line for each request that a replica ran, and one for each answer.
+	// Ledger receives a JSON line for each request that a replica started to run and for each response.
 	Ledger io.Writer
 }
 
-// SoakReport counts what happened.
+// SoakReport contains the counts and the breaches of a soak.
 type SoakReport struct {
-	// Requests are requests that clients sent, Served those answered 200 and complete, Rejected those answered 503, Failed those without a
-	// whole answer; Runs are runs of replicas.
+	// Requests counts the requests that clients sent, Served those with a complete response with status 200, Rejected those with status 503, Failed
+	// all others. Runs counts the requests that replicas started to run.
 	Requests, Served, Rejected, Failed, Runs int
 	FaultCounts
-	// Revisions and ZoneOrders were acknowledged, Reads of the configuration answered. HeldOrders were held up by a partition, HastyOrders left
-	// by their callers early.
-	Revisions, Reads                                 uint64
+	// Revisions counts the acknowledged revisions of the configuration, Reads the successful reads of it.
+	Revisions, Reads uint64
+	// ZoneRequests counts the acknowledged evacuations and cancellations of evacuations, DelayedRequests those that a partition delayed,
+	// AbandonedRequests those whose caller disconnected early.
 	ZoneRequests, DelayedRequests, AbandonedRequests int
-	// RequestsAfterFaults and ServedAfterFaults are those of the last seconds, after the faults.
+	// RequestsAfterFaults and ServedAfterFaults count the requests that were sent recoveryDelay or more after the last fault, and those of them that
+	// were served.
 	RequestsAfterFaults, ServedAfterFaults int
-	// DataRaces are the reports of the race detector in the nodes' logs.
+	// DataRaces counts the race detector's reports in the nodes' logs.
 	DataRaces int
 	Breaches  []ledger.Breach
 }
 
-// soakRule is what is judged; the nodes are told the grace period.
+// soakRule contains the bounds that a soak is checked against. The nodes are configured with the same grace period.
 var soakRule = ledger.SoakRule{Contact: 3 * time.Second, Evacuation: 5 * time.Second, Grace: gracePeriod}
 
 const (
-	// calmTime is how long a soak goes on after the last series of faults begins; requests sent calmLead after the last fault must be served
-	// again.
-	calmTime = 20 * time.Second
-	calmLead = 12 * time.Second
-	// leastCalmServed is the part of them that must be.
-	leastCalmServed = 0.25
+	// recoveryTime is how long a soak continues after the last series of faults starts. Requests that are sent recoveryDelay or more after the last
+	// fault must be served again.
+	recoveryTime  = 20 * time.Second
+	recoveryDelay = 12 * time.Second
+	// minServedRatio is the fraction of those requests that must be served.
+	minServedRatio = 0.25
 )
 
-// soak is a run under way.
+// soak is the state of a running soak.
 type soak struct {
 	SoakOptions
 	fleet    *Fleet
 	platform *Platform
 	routes   *soakRoutes
 	zones    *zoneOperator
-	runs     chan ReplicaRun
-	answers  chan soakAnswer
-	ran      []timedRun
-	answered []soakAnswer
-	report   SoakReport
+	// runs and responses pass what replicas ran and what clients received to collect, which appends them to recordedRuns and recordedResponses.
+	runs              chan ReplicaRun
+	responses         chan soakResponse
+	recordedRuns      []timedRun
+	recordedResponses []soakResponse
+	report            SoakReport
 }
 
-// timedRun is a run and when it began, in milliseconds since 1970.
+// timedRun is a run with its start in Unix milliseconds. alteration describes how the request differs from what the client sent; it is empty if they
+// are equal.
 type timedRun struct {
 	ReplicaRun
-	atMs    int64
-	altered string
+	atMs       int64
+	alteration string
 }
 
-// RunSoak starts a platform and a fleet. Clients keep using their connections while nodes are killed, told to end, frozen and reloaded in
-// series that overlap, replicas break off and crash, and operators change routes and evacuate zones, some through partitions. Then it is judged.
+// RunSoak starts a platform and a fleet. Clients keep using their connections while nodes are killed, stopped, frozen and reloaded in overlapping
+// series, replicas cut their responses and crash, and operators change routes and evacuate zones, some of them through partitions. Then it checks what
+// happened against the rules of soaks.
 func RunSoak(o SoakOptions) (SoakReport, error) {
-	s := &soak{SoakOptions: o, runs: make(chan ReplicaRun, runBuffer), answers: make(chan soakAnswer, runBuffer)}
-	s.routes = newSoakRoutes(s.stream(routeDraws))
+	s := &soak{SoakOptions: o, runs: make(chan ReplicaRun, runBuffer), responses: make(chan soakResponse, runBuffer)}
+	s.routes = newSoakRoutes(s.newRand(routeStream))
 	var err error
 	faults := FaultRates{Reject: 0.04, Reset: 0.03, TruncateFIN: 0.04, TruncateReset: 0.04, TruncateFramed: 0.02}
 	if s.platform, err = StartPlatform(o.Replicas, o.Seed, faults, func(run ReplicaRun) { s.runs <- run }); err != nil {
@@ -94,33 +99,33 @@
 	if err = s.fleet.Boot(s.platform.Addr, s.routes.first()); err != nil {
 		return s.report, err
 	}
-	faultsOver, err := s.play()
-	s.judge(faultsOver)
+	faultsOver, err := s.runWorkload()
+	s.check(faultsOver)
 	s.fleet.Stop()
 	return s.report, err
 }
 
-// stream gives each part of a soak random numbers of its own.
-func (s *soak) stream(n uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, n)) }
+// newRand returns the random generator of a stream. Each part of a soak uses its own stream.
+func (s *soak) newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, n)) }
 
-// play lets clients ask, operators order and nodes fail, and gives the time of the last fault.
-func (s *soak) play() (time.Time, error) {
+// runWorkload runs the clients, the operators and the fault injectors until the end, and returns the time of the last fault.
+func (s *soak) runWorkload() (time.Time, error) {
 	end := time.Now().Add(s.Duration)
-	faultsOver := end.Add(-calmTime)
-	operators := &operators{controls: s.fleet.ControlAddrs(), seed: s.Seed, breaches: make(chan ledger.Breach, maxBreaches), changes: s.routes}
+	faultsOver := end.Add(-recoveryTime)
+	operators := &operators{controls: s.fleet.ControlAddrs(), seed: s.Seed, breaches: make(chan ledger.Breach, breachBuffer), documents: s.routes}
 	operators.acknowledged.Store(1)
-	s.zones = &zoneOperator{controls: s.fleet.ControlAddrs(), rng: s.stream(zoneDraws), evacuations: map[string][]ledger.Span{}}
-	var failed error
+	s.zones = &zoneOperator{controls: s.fleet.ControlAddrs(), rng: s.newRand(zoneStream), evacuations: map[string][]ledger.Span{}}
+	var injectionErr error
 	var all sync.WaitGroup
 	all.Go(func() { operators.run(end) })
 	all.Go(func() { s.zones.run(end) })
 	all.Go(func() {
-		s.report.FaultCounts, failed = strikeAll(resting(strikers(s.fleet, s.platform, s.stream)), faultsOver)
+		s.report.FaultCounts, injectionErr = runFaultInjectors(synchronizePauses(newFaultInjectors(s.fleet, s.platform, s.newRand)), faultsOver)
 		faultsOver = time.Now()
 	})
 	for n := range s.Clients {
-		c := &soakClient{keptConnection: keptConnection{fronts: s.fleet.FrontendAddrs(), rng: s.stream(uint64(n))}, name: fmt.Sprintf("s%d", n)}
-		all.Go(func() { c.run(end, func(a soakAnswer) { s.answers <- a }) })
+		c := &soakClient{keepAliveConn: keepAliveConn{frontends: s.fleet.FrontendAddrs(), rng: s.newRand(uint64(n))}, name: fmt.Sprintf("s%d", n)}
+		all.Go(func() { c.run(end, func(a soakResponse) { s.responses <- a }) })
 	}
 	done := make(chan struct{})
 	go func() {
@@ -132,19 +137,19 @@
 		s.report.Breaches = append(s.report.Breaches, b)
 	}
 	s.report.Revisions, s.report.Reads = operators.acknowledged.Load(), operators.reads.Load()
-	return faultsOver, cmp.Or(err, failed)
+	return faultsOver, cmp.Or(err, injectionErr)
 }
 
-// collect takes runs and answers in until everybody is done.
+// collect records runs and responses until done is closed.
 func (s *soak) collect(done chan struct{}) error {
-	lines := json.NewEncoder(s.Ledger)
+	ledgerRows := json.NewEncoder(s.Ledger)
 	for {
 		select {
 		case run := <-s.runs:
-			s.ran = append(s.ran, timedRun{ReplicaRun: run, atMs: time.Now().UnixMilli(), altered: altered(run.Request, run.Body)})
-		case a := <-s.answers:
-			s.answered = append(s.answered, a)
-			if err := lines.Encode(a.SoakAnswer); err != nil {
+			s.recordedRuns = append(s.recordedRuns, timedRun{ReplicaRun: run, atMs: time.Now().UnixMilli(), alteration: describeAlteration(run.Request, run.Body)})
+		case a := <-s.responses:
+			s.recordedResponses = append(s.recordedResponses, a)
+			if err := ledgerRows.Encode(a.SoakAnswer); err != nil {
 				return err
 			}
 		case <-done:
@@ -153,7 +158,8 @@
 	}
 }
 
-func (s *soak) count(a *soakAnswer, faultsOver time.Time) {
+// count adds a response to the counts of the report.
+func (s *soak) count(a *soakResponse, faultsOver time.Time) {
 	s.report.Requests++
 	served := a.Status == http.StatusOK && a.Complete
 	switch {
@@ -164,7 +170,7 @@
 	default:
 		s.report.Failed++
 	}
-	if a.AtMs < faultsOver.Add(calmLead).UnixMilli() {
+	if a.AtMs < faultsOver.Add(recoveryDelay).UnixMilli() {
 		return
 	}
 	s.report.RequestsAfterFaults++
--- a/standin/rehearsal/soakcheck.go
+++ b/standin/rehearsal/soakcheck.go
@@ -9,65 +9,67 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// judge counts what was collected and finds the breaches, while the fleet still runs.
-func (s *soak) judge(faultsOver time.Time) {
-	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.PastFaults(), Core: s.fleet.voters()}
-	for i := range s.answered {
-		a := &s.answered[i]
-		repeats := s.routes.mayRepeat(a.path, a.AtMs, a.EndMs)
-		a.Once, a.Resumable = !repeats, repeats
+// check counts what was collected and finds the breaches. The fleet must still be running.
+func (s *soak) check(faultsOver time.Time) {
+	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.PastFaults(), Core: s.fleet.voterFrontends()}
+	for i := range s.recordedResponses {
+		a := &s.recordedResponses[i]
+		mayRepeat := s.routes.mayRepeat(a.path, a.AtMs, a.EndMs)
+		a.Once, a.Resumable = !mayRepeat, mayRepeat
 		s.count(a, faultsOver)
 		record.Answers = append(record.Answers, a.SoakAnswer)
 	}
 	record.Runs = s.ledgerRuns()
 	s.report.Runs = len(record.Runs)
-	s.report.ZoneRequests, s.report.DelayedRequests, s.report.AbandonedRequests = s.zones.acknowledged, s.zones.held, s.zones.hasty
+	s.report.ZoneRequests, s.report.DelayedRequests, s.report.AbandonedRequests = s.zones.acknowledgedCount, s.zones.delayedCount, s.zones.abandonedCount
 	s.report.DataRaces = s.fleet.CountDataRaces()
 	s.report.Breaches = append(s.report.Breaches, ledger.CheckSoak(record, soakRule)...)
 	s.report.Breaches = append(s.report.Breaches, s.checkRecovery()...)
 }
 
-// ledgerRuns gives the runs and writes them to the ledger, which is there for people: one that can't be written changes no verdict.
+// ledgerRuns converts the runs to rows of the ledger and writes them to it. It ignores write errors, because the verdict does not depend on the
+// written ledger.
 func (s *soak) ledgerRuns() []ledger.SoakRun {
-	ended := map[string]int64{}
-	for i := range s.answered {
-		ended[s.answered[i].Attempt] = s.answered[i].EndMs
+	endMs := map[string]int64{}
+	for i := range s.recordedResponses {
+		endMs[s.recordedResponses[i].Attempt] = s.recordedResponses[i].EndMs
 	}
-	lines := json.NewEncoder(s.Ledger)
+	ledgerRows := json.NewEncoder(s.Ledger)
 	var all []ledger.SoakRun
-	for _, run := range s.ran {
+	for _, run := range s.recordedRuns {
 		attempt := run.Request.Header.Get(platform.HeaderAttempt)
 		stopped := run.Replica.stoppedAt.Load()
-		one := ledger.SoakRun{
-			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.altered,
-			Spoiled: run.Faulty || (stopped > 0 && stopped <= ended[attempt]),
+		row := ledger.SoakRun{
+			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.alteration,
+			Spoiled: run.Faulty || (stopped > 0 && stopped <= endMs[attempt]),
 		}
-		all = append(all, one)
-		_ = lines.Encode(one)
+		all = append(all, row)
+		_ = ledgerRows.Encode(row)
 	}
 	return all
 }
 
-// checkRecovery finds a fleet that does not serve again after the last fault, and nodes that don't tell the newest configuration.
+// checkRecovery finds breaches of the recovery after the last fault: too few served requests, and nodes that don't return the newest configuration.
 func (s *soak) checkRecovery() []ledger.Breach {
 	var breaches []ledger.Breach
-	if served := s.report.ServedAfterFaults; float64(served) < leastCalmServed*float64(s.report.RequestsAfterFaults) || s.report.RequestsAfterFaults == 0 {
+	if served := s.report.ServedAfterFaults; float64(served) < minServedRatio*float64(s.report.RequestsAfterFaults) || s.report.RequestsAfterFaults == 0 {
 		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.RequestsAfterFaults)})
 	}
 	for _, control := range s.fleet.ControlAddrs() {
-		if b, broken := s.checkRead(control); broken {
+		if b, broken := s.checkReadBack(control); broken {
 			breaches = append(breaches, b)
 		}
 	}
 	return breaches
 }
 
-// readBackTime is for how long a node is asked for the configuration at the end.
-const readBackTime = 3 * time.Second
+// readBackTimeout bounds how long a node is asked for the configuration at the end.
+const readBackTimeout = 3 * time.Second
 
-func (s *soak) checkRead(control string) (ledger.Breach, bool) {
-	for end := time.Now().Add(readBackTime); time.Now().Before(end); time.Sleep(putPause) {
-		revision, known := get(control)
+// checkReadBack reads the configuration of a node and returns a breach if it is outdated or can't be read.
+func (s *soak) checkReadBack(control string) (ledger.Breach, bool) {
+	for end := time.Now().Add(readBackTimeout); time.Now().Before(end); time.Sleep(maxRetryPause) {
+		revision, known := getRevision(control)
 		if !known {
 			continue
 		}
@@ -79,12 +81,12 @@
 	return ledger.Breach{What: ledger.NotRecovered, Request: control, Detail: "the configuration can't be read"}, true
 }
 
-// voters are the fronts of the nodes that vote.
-func (f *Fleet) voters() []string {
+// voterFrontends returns the frontend addresses of the voters.
+func (f *Fleet) voterFrontends() []string {
 	var all []string
 	for _, n := range f.nodes {
 		if n.voter {
-			all = append(all, n.front())
+			all = append(all, n.frontendAddr())
 		}
 	}
 	return all
--- a/standin/rehearsal/soakclient.go
+++ b/standin/rehearsal/soakclient.go
@@ -13,79 +13,81 @@
 	"github.com/mallowbridge/mallowbridge/platform"
 )
 
-// headerDigest holds the digest of what the client sent; nodes pass it on like any header that they don't know.
+// headerDigest is the header with the digest of the request that the client sent. Nodes forward it like any header that they don't know.
 const headerDigest = "X-Rehearsal-Digest"
 
 const (
-	// maxBody is the largest body of a soak's request, in bytes.
-	maxBody = 8 << 10
-	// thinkTime bounds the pause of a client between two requests.
-	thinkTime = 60 * time.Millisecond
+	// maxBodyBytes bounds the size of a request body; bodies are smaller.
+	maxBodyBytes = 8 << 10
+	// maxThinkTime bounds the pause of a client between two requests.
+	maxThinkTime = 60 * time.Millisecond
 )
 
-// digest is that of a request as it stands on the wire.
-func digest(method, target string, body []byte) string {
+// requestDigest returns a hash of the method, the target and the body of a request.
+func requestDigest(method, target string, body []byte) string {
 	h := xxhash.New()
 	_, _ = h.WriteString(method + " " + target + "\n")
 	_, _ = h.Write(body)
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// altered says how what a replica got differs from what the client sent; empty where it doesn't.
-func altered(q *http.Request, body []byte) string {
-	if digest(q.Method, q.RequestURI, body) == q.Header.Get(headerDigest) {
+// describeAlteration describes a request that a replica received if it differs from what the client sent. It returns an empty string if they are
+// equal.
+func describeAlteration(q *http.Request, body []byte) string {
+	if requestDigest(q.Method, q.RequestURI, body) == q.Header.Get(headerDigest) {
 		return ""
 	}
 	return fmt.Sprintf("%s %s and %d bytes of body, Last-Event-Id %q", q.Method, q.RequestURI, len(body), q.Header.Get(platform.HeaderLastEvent))
 }
 
-// soakClient asks on a connection that it keeps.
+// soakClient sends requests on a connection that it keeps open.
 type soakClient struct {
-	keptConnection
+	keepAliveConn
 	name string
 	sent int
 }
 
-// soakAnswer is an answer and the path that was asked for.
-type soakAnswer struct {
+// soakResponse is a response together with the path prefix of its request.
+type soakResponse struct {
 	ledger.SoakAnswer
 	path string
 }
 
-// run asks until the end and has each answer taken.
-func (c *soakClient) run(end time.Time, take func(a soakAnswer)) {
+// run sends requests until the end and calls record with each response.
+func (c *soakClient) run(end time.Time, record func(a soakResponse)) {
 	defer c.disconnect()
 	for time.Now().Before(end) {
-		time.Sleep(time.Duration(c.rng.Int64N(int64(thinkTime))))
+		time.Sleep(time.Duration(c.rng.Int64N(int64(maxThinkTime))))
 		if c.conn != nil || c.connect() {
-			take(c.ask())
+			record(c.send())
 		}
 	}
 }
 
-// ask sends a request once and reads its answer.
-func (c *soakClient) ask() soakAnswer {
+// send sends a request once and reads the response.
+func (c *soakClient) send() soakResponse {
 	c.sent++
-	a := soakAnswer{path: soakPaths[c.rng.IntN(len(soakPaths))]}
+	a := soakResponse{path: soakPaths[c.rng.IntN(len(soakPaths))]}
 	a.Attempt = c.name + "-" + strconv.Itoa(c.sent)
-	a.Request, a.Node, a.Total, a.AtMs = a.Attempt, c.front, 1+c.rng.IntN(maxEvents), time.Now().UnixMilli()
-	_ = c.conn.SetDeadline(time.Now().Add(deadline))
-	whole := c.exchange(&a)
+	a.Request, a.Node, a.Total, a.AtMs = a.Attempt, c.frontend, 1+c.rng.IntN(maxEvents), time.Now().UnixMilli()
+	_ = c.conn.SetDeadline(time.Now().Add(requestTimeout))
+	complete := c.exchange(&a)
 	a.EndMs = time.Now().UnixMilli()
-	a.TimedOut = !whole && a.EndMs-a.AtMs >= deadline.Milliseconds()
-	if !whole {
+	a.TimedOut = !complete && a.EndMs-a.AtMs >= requestTimeout.Milliseconds()
+	if !complete {
 		c.disconnect()
 	}
 	return a
 }
 
-// exchange tells whether the answer came to its end, so that the connection may be used again.
-func (c *soakClient) exchange(a *soakAnswer) bool {
-	body := make([]byte, c.rng.IntN(maxBody))
+// exchange sends a request with a random body and reads the response into a. It reports whether the response was complete, so that the connection can
+// be used again.
+func (c *soakClient) exchange(a *soakResponse) bool {
+	body := make([]byte, c.rng.IntN(maxBodyBytes))
 	for i := range body {
 		body[i] = byte(c.rng.Uint32())
 	}
-	if _, err := c.conn.Write(append([]byte(c.head(a, body)), body...)); err != nil {
+	if _, err := c.conn.Write(append([]byte(c.requestHead(a, body)), body...)); err != nil {
 		return false
 	}
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: http.MethodPost})
@@ -98,17 +100,18 @@
 		return err == nil
 	}
 	reader := Client{rng: c.rng}
-	reader.read(&a.StreamAnswer, usual, resp.Body)
+	reader.readStream(&a.StreamAnswer, normalBehavior, resp.Body)
 	return a.Complete
 }
 
-func (c *soakClient) head(a *soakAnswer, body []byte) string {
+// requestHead returns the request line and the headers of a request.
+func (c *soakClient) requestHead(a *soakResponse, body []byte) string {
 	target := a.path + c.name + "?n=" + strconv.Itoa(c.sent)
-	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", target, host, len(body))
+	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", target, hostname, len(body))
 	for _, field := range [][2]string{
-		{platform.HeaderAttempt, a.Attempt}, {headerRequest, a.Request}, {headerDigest, digest(http.MethodPost, target, body)},
+		{platform.HeaderAttempt, a.Attempt}, {headerRequest, a.Request}, {headerDigest, requestDigest(http.MethodPost, target, body)},
 		{platform.HeaderModel, "m"}, {platform.HeaderTokens, fmt.Sprintf("100,%d", a.Total)},
-		{platform.HeaderPrefix, fmt.Sprintf("5c1e07a2:60,%x:40", c.rng.Uint32())}, {platform.HeaderDeadline, strconv.FormatInt(deadline.Milliseconds(), 10)},
+		{platform.HeaderPrefix, fmt.Sprintf("5c1e07a2:60,%x:40", c.rng.Uint32())}, {platform.HeaderDeadline, strconv.FormatInt(requestTimeout.Milliseconds(), 10)},
 	} {
 		head += field[0] + ": " + field[1] + "\r\n"
 	}
--- a/standin/rehearsal/soakzones.go
+++ b/standin/rehearsal/soakzones.go
@@ -15,85 +15,89 @@
 )
 
 const (
-	// longestEvacuation and longestRest bound how long a zone stays evacuated, and how long none is.
-	longestEvacuation = 12 * time.Second
-	longestRest       = 2 * time.Second
-	// sameZoneOdds has the same zone evacuated again in all but one of so many times.
-	sameZoneOdds = 3
-	// callerPatience is after which time callers go on to another node.
-	callerPatience = time.Second
-	// longestHold bounds how long a partition holds an order up.
-	longestHold = 6 * time.Second
-	// hastyPatience bounds how long a caller stays that leaves early.
-	hastyPatience = 100 * time.Millisecond
+	// maxEvacuation bounds how long a zone stays evacuated, maxEvacuationPause the time between two evacuations.
+	maxEvacuation      = 12 * time.Second
+	maxEvacuationPause = 2 * time.Second
+	// zoneChangeOdds is n for a chance of one in n that an evacuation draws its zone at random instead of repeating the previous zone.
+	zoneChangeOdds = 3
+	// callerTimeout is the time after which callers try another node.
+	callerTimeout = time.Second
+	// maxPartitionDelay bounds how much longer than callerTimeout a partition delays a request.
+	maxPartitionDelay = 6 * time.Second
+	// maxAbandonTimeout bounds the time after which a caller that abandons its request disconnects.
+	maxAbandonTimeout = 100 * time.Millisecond
 )
 
-// zoneOperator evacuates one zone after the other and takes that back. Some of its orders are held up by partitions while it goes on
-// elsewhere, and from some calls it leaves early.
+// zoneOperator evacuates one zone after another and cancels each evacuation again. Partitions delay some of its requests, which it repeats at other
+// nodes meanwhile, and it abandons some requests by disconnecting early.
 type zoneOperator struct {
 	controls []string
 	rng      *rand.Rand
-	// late are the orders that are held up.
-	late sync.WaitGroup
-	// evacuations are by zone; the last one may not have ended.
+	// delayed waits for the requests that a partition delays.
+	delayed sync.WaitGroup
+	// evacuations contains the periods of evacuation by zone. The last period of a zone may not have ended.
 	evacuations map[string][]ledger.Span
-	// acknowledged, held and hasty count orders.
-	acknowledged, held, hasty int
+	// The numbers of acknowledged, delayed and abandoned requests.
+	acknowledgedCount, delayedCount, abandonedCount int
 }
 
+// run evacuates zones until the end, and then waits for the delayed requests.
 func (z *zoneOperator) run(end time.Time) {
-	defer z.late.Wait()
+	defer z.delayed.Wait()
 	zone := zoneOf(0)
 	for time.Now().Before(end) {
-		if z.rng.IntN(sameZoneOdds) == 0 {
+		if z.rng.IntN(zoneChangeOdds) == 0 {
 			zone = zoneOf(z.rng.IntN(zoneCount))
 		}
-		if !z.order(http.MethodPost, zone, end) {
+		if !z.submit(http.MethodPost, zone, end) {
 			return
 		}
 		z.evacuations[zone] = append(z.evacuations[zone], ledger.Span{FromMs: time.Now().UnixMilli(), UntilMs: math.MaxInt64})
-		z.rest(longestEvacuation, end)
+		z.sleepUpTo(maxEvacuation, end)
 		if !time.Now().Before(end) {
 			return
 		}
 		z.evacuations[zone][len(z.evacuations[zone])-1].UntilMs = time.Now().UnixMilli()
-		if !z.order(http.MethodDelete, zone, end) {
+		if !z.submit(http.MethodDelete, zone, end) {
 			return
 		}
-		z.rest(longestRest, end)
+		z.sleepUpTo(maxEvacuationPause, end)
 	}
 }
 
-func (z *zoneOperator) rest(longest time.Duration, end time.Time) {
+// sleepUpTo sleeps for a random time below longest, and not beyond the end.
+func (z *zoneOperator) sleepUpTo(longest time.Duration, end time.Time) {
 	time.Sleep(min(time.Duration(z.rng.Int64N(int64(longest))), time.Until(end)))
 }
 
-func (z *zoneOperator) control() string { return z.controls[z.rng.IntN(len(z.controls))] }
+// randomControl returns the control address of a random node.
+func (z *zoneOperator) randomControl() string { return z.controls[z.rng.IntN(len(z.controls))] }
 
-// order sends an order until a node takes it, or until the end.
-func (z *zoneOperator) order(method, zone string, end time.Time) bool {
+// submit sends a request until a node acknowledges it, and returns false if the end comes first. Before that, it may send the same request with a
+// delay or abandon it.
+func (z *zoneOperator) submit(method, zone string, end time.Time) bool {
 	switch z.rng.IntN(3) {
 	case 0:
-		z.held++
-		z.hold(method, zone)
+		z.delayedCount++
+		z.submitDelayed(method, zone)
 	case 1:
-		z.hasty++
-		callZone(z.control(), method, zone, time.Duration(z.rng.Int64N(int64(hastyPatience))))
+		z.abandonedCount++
+		sendZoneRequest(z.randomControl(), method, zone, time.Duration(z.rng.Int64N(int64(maxAbandonTimeout))))
 	}
 	for time.Now().Before(end) {
-		if callZone(z.control(), method, zone, callerPatience) {
-			z.acknowledged++
+		if sendZoneRequest(z.randomControl(), method, zone, callerTimeout) {
+			z.acknowledgedCount++
 			return true
 		}
-		time.Sleep(time.Duration(z.rng.Int64N(int64(putPause))))
+		time.Sleep(time.Duration(z.rng.Int64N(int64(maxRetryPause))))
 	}
 	return false
 }
 
-// callZone tells whether a node took an order in time.
-func callZone(control, method, zone string, patience time.Duration) bool {
-	ctx, leave := context.WithTimeout(context.Background(), patience)
-	defer leave()
+// sendZoneRequest sends an evacuation (POST) or its cancellation (DELETE) and reports whether the node acknowledged it within the timeout.
+func sendZoneRequest(control, method, zone string, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+control+"/evacuations/"+zone, http.NoBody)
 	if err != nil {
 		return false
@@ -107,18 +111,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// hold sends an order through a partition: the caller waits for a second and closes its connection; the bytes, and the end behind them, arrive
-// when the partition heals.
-func (z *zoneOperator) hold(method, zone string) {
-	control, held := z.control(), callerPatience+time.Duration(z.rng.Int64N(int64(longestHold)))
-	conn, err := net.DialTimeout("tcp", control, callerPatience)
+// submitDelayed sends a request through a simulated partition: the caller gives up after callerTimeout, but the node receives the request, and then
+// the close of the connection, only when the partition heals.
+func (z *zoneOperator) submitDelayed(method, zone string) {
+	control, delay := z.randomControl(), callerTimeout+time.Duration(z.rng.Int64N(int64(maxPartitionDelay)))
+	conn, err := net.DialTimeout("tcp", control, callerTimeout)
 	if err != nil {
 		return
 	}
-	z.late.Go(func() {
-		time.Sleep(held)
+	z.delayed.Go(func() {
+		time.Sleep(delay)
 		_, _ = fmt.Fprintf(conn, "%s /evacuations/%s HTTP/1.1\r\nHost: %s\r\n\r\n", method, zone, control)
 		_ = conn.Close()
 	})
-	time.Sleep(callerPatience)
+	time.Sleep(callerTimeout)
 }
