--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -11,7 +11,7 @@
 // Sweep is a series of runs that differ in one dimension.
 type Sweep struct {
 	Name string
-	// Axis describes the dimension and its unit.
+	// Axis describes the dimension and its unit, Values contains the x of each run.
 	Axis   string
 	Values []float64
 	run    func(clock func() time.Duration, x float64) ([]Point, string)
@@ -32,6 +32,7 @@
 		p.Clock = clock
 		change(&p, x)
 		r := p.Run()
+		// The padding does not reach the requested size exactly, so x is the real one.
 		if p.ConfigBytes > 0 {
 			x = float64(r.ConfigBytes)
 		}
