--- a/standin/rehearsal/platform.go
+++ b/standin/rehearsal/platform.go
@@ -25,7 +25,7 @@
 	seed   uint64
 	onRun  func(run ReplicaRun)
 	server *http.Server
-	// state passes the replica set around: whoever received it owns it until it sends it back.
+	// state contains the replica set while no goroutine uses it. A goroutine that receives the set owns it until it sends it back.
 	state chan *replicaSet
 }
 
--- a/standin/rehearsal/soakcheck.go
+++ b/standin/rehearsal/soakcheck.go
@@ -63,7 +63,7 @@
 	return breaches
 }
 
-// readBackTimeout bounds how long a node is asked for the configuration at the end.
+// readBackTimeout bounds how long a node is polled for its configuration at the end.
 const readBackTimeout = 3 * time.Second
 
 // checkReadBack reads the configuration of a node and returns a breach if it is outdated or can't be read.
