--- a/capacity/write.go
+++ b/capacity/write.go
@@ -16,38 +16,38 @@
 	"sweep", "role", "mechanism", "measure", "of", "points", "from", "to", "base", "slope", "r2", "residual", "worst", "power", "factor", "powerResidual", "last",
 }
 
-// RowError is a line of a table of points that cannot be read.
+// RowError reports a row of a CSV table of points that can't be read.
 type RowError struct {
-	File, Why string
-	Row       int
+	File, Reason string
+	Row          int
 }
 
-func (e *RowError) Error() string { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Why) }
+func (e *RowError) Error() string { return fmt.Sprintf("%s: row %d: %s", e.File, e.Row, e.Reason) }
 
-// Save writes a sweep's points and fits as CSV and its plots as SVG.
+// Save writes the points and the fits of a sweep as CSV and its plots as SVG files to a directory, which it creates if it doesn't exist.
 func Save(dir string, s Sweep, ps []Point) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if err := write(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
+	if err := writeCSV(filepath.Join(dir, s.Name+".csv"), pointRows(ps)); err != nil {
 		return err
 	}
-	fs := Fits(ps)
-	if err := write(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
+	fs := FitAll(ps)
+	if err := writeCSV(filepath.Join(dir, s.Name+"-fits.csv"), fitRows(fs)); err != nil {
 		return err
 	}
-	return Draw(dir, s, ps, fs)
+	return DrawPlots(dir, s, ps, fs)
 }
 
-func num(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
 func pointRows(ps []Point) [][]string {
 	var rows [][]string
 	rows = append(rows, pointColumns)
 	for _, p := range ps {
 		rows = append(rows, []string{
-			p.Sweep, num(p.X), strconv.Itoa(p.Nodes), strconv.Itoa(p.Replicas), num(p.Rate), string(p.Role), string(p.Mechanism), string(p.Measure),
-			num(p.Mean), num(p.Worst),
+			p.Sweep, formatNumber(p.X), strconv.Itoa(p.Nodes), strconv.Itoa(p.Replicas), formatNumber(p.Rate), string(p.Role), string(p.Mechanism), string(p.Measure),
+			formatNumber(p.Mean), formatNumber(p.Worst),
 		})
 	}
 	return rows
@@ -57,16 +57,17 @@
 	var rows [][]string
 	rows = append(rows, fitColumns)
 	for _, f := range fs {
-		row := []string{f.Sweep, string(f.Role), string(f.Mechanism), string(f.Measure), f.Of, strconv.Itoa(f.Points)}
-		for _, v := range []float64{f.From, f.To, f.Base, f.Slope, f.R2, f.Residual, f.Worst, f.Power, f.Factor, f.PowerResidual, f.Last} {
-			row = append(row, num(v))
+		row := []string{f.Sweep, string(f.Role), string(f.Mechanism), string(f.Measure), f.Statistic, strconv.Itoa(f.Points)}
+		for _, v := range []float64{f.FirstX, f.LastX, f.Intercept, f.Slope, f.R2, f.Residual, f.MaxResidual, f.Exponent, f.PowerFactor, f.PowerResidual, f.LastY} {
+			row = append(row, formatNumber(v))
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-func write(file string, rows [][]string) error {
+// writeCSV writes rows to a file.
+func writeCSV(file string, rows [][]string) error {
 	out, err := os.Create(file)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -75,7 +76,7 @@
 	return trace.ConvertSystemError(csv.NewWriter(out).WriteAll(rows))
 }
 
-// Load reads the points of a sweep that were saved.
+// Load reads the points of a sweep that Save wrote.
 func Load(dir string, s Sweep) ([]Point, error) {
 	file := filepath.Join(dir, s.Name+".csv")
 	in, err := os.Open(file)
@@ -85,23 +86,24 @@
 	defer in.Close()
 	rows, err := csv.NewReader(in).ReadAll()
 	if err != nil {
-		return nil, trace.Wrap(&RowError{File: file, Why: err.Error()})
+		return nil, trace.Wrap(&RowError{File: file, Reason: err.Error()})
 	}
 	var ps []Point
 	for i, row := range rows[min(1, len(rows)):] {
-		p, err := point(row)
+		p, err := parsePoint(row)
 		if err != nil {
-			return nil, trace.Wrap(&RowError{File: file, Row: i + 2, Why: err.Error()})
+			return nil, trace.Wrap(&RowError{File: file, Row: i + 2, Reason: err.Error()})
 		}
 		ps = append(ps, p)
 	}
 	return ps, nil
 }
 
-func point(row []string) (Point, error) {
+// parsePoint converts a row with the columns of pointColumns to a point.
+func parsePoint(row []string) (Point, error) {
 	var p Point
 	if len(row) != len(pointColumns) {
-		return p, &RowError{Why: fmt.Sprintf("%d columns, want %d", len(row), len(pointColumns))}
+		return p, &RowError{Reason: fmt.Sprintf("%d columns, want %d", len(row), len(pointColumns))}
 	}
 	var vs [10]float64
 	var err error
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		standin.NewReplica(f.tomb, standin.ReplicaOptions{
-			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Runs: &f.logs[i], Clock: clock,
+			Name: fmt.Sprintf("r%d", i+1), Model: "m", Instance: fmt.Sprintf("i%d", i+1), Engine: m, Ledger: &f.logs[i], Clock: clock,
 		}).Serve(lis)
 		f.addrs = append(f.addrs, lis.Addr().String())
 		reps += fmt.Sprintf(`,{"name":"r%d","addr":"%s","domain":"%c"}`, i+1, lis.Addr(), 'a'+i)
@@ -106,8 +106,8 @@
 
 // send sends a request and returns what the client received.
 func (f *fixture) send(kind, id string) ledger.Got {
-	a := standin.NewAgent(nil)
-	return a.Once(context.Background(), strings.TrimPrefix(f.srv.URL, "http://"), workload.Request{
+	a := standin.NewClient(nil)
+	return a.Send(context.Background(), strings.TrimPrefix(f.srv.URL, "http://"), workload.Request{
 		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
@@ -143,18 +143,18 @@
 		{"disconnected before the run", standin.Fault{DisconnectAt: "read"}, "done", "unknown"},
 		{"disconnected after the run began", standin.Fault{DisconnectAt: "begun"}, "done", "unknown"},
 		{"disconnected before the first chunk", standin.Fault{DisconnectAt: "piece"}, "done", "unknown"},
-		{"disconnected after two chunks", standin.Fault{DisconnectAt: "piece", DisconnectAfter: 2}, "partial", "partial"},
-		{"ends without an end line", standin.Fault{Twist: "end", DisconnectAfter: 3}, "partial", "partial"},
-		{"wrong attempt ID after two chunks", standin.Fault{Twist: "go", DisconnectAfter: 2}, "partial", "partial"},
-		{"wrong attempt ID in the first line", standin.Fault{Twist: "go"}, "done", "unknown"},
-		{"wrong instance ID after two chunks", standin.Fault{Twist: "instance", DisconnectAfter: 2}, "partial", "partial"},
-		{"a chunk is skipped", standin.Fault{Twist: "skip", DisconnectAfter: 2}, "partial", "partial"},
+		{"disconnected after two chunks", standin.Fault{DisconnectAt: "piece", AfterChunks: 2}, "partial", "partial"},
+		{"ends without an end line", standin.Fault{Corruption: "end", AfterChunks: 3}, "partial", "partial"},
+		{"wrong attempt ID after two chunks", standin.Fault{Corruption: "go", AfterChunks: 2}, "partial", "partial"},
+		{"wrong attempt ID in the first line", standin.Fault{Corruption: "go"}, "done", "unknown"},
+		{"wrong instance ID after two chunks", standin.Fault{Corruption: "instance", AfterChunks: 2}, "partial", "partial"},
+		{"a chunk is skipped", standin.Fault{Corruption: "skip", AfterChunks: 2}, "partial", "partial"},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			for kind, want := range map[string]string{"again": c.again, "once": c.once} {
 				f := newFixture(t, true)
 				fault := c.fault
-				fault.Times = 1
+				fault.MaxRuns = 1
 				if kind == "again" {
 					for i := range 6 {
 						if g := f.send("again", fmt.Sprintf("warm-%d", i)); g.Outcome != "done" {
--- a/lease/clone.go
+++ b/lease/clone.go
@@ -26,11 +26,11 @@
 // AppendFingerprint appends to b all state that determines the grantor's next answers. Times are encoded relative to now; those that have
 // passed are zero.
 func (g *Grantor) AppendFingerprint(b []byte, now time.Duration) []byte {
-	b = fingerprint.Numbers(b, g.epoch, remaining(g.graceUntil, now))
+	b = fingerprint.AppendUvarints(b, g.epoch, remaining(g.graceUntil, now))
 	for _, role := range slices.Sorted(maps.Keys(g.rows)) {
 		row := g.rows[role]
-		b = appendToken(fingerprint.Text(fingerprint.Text(b, role), row.Holder), row.Token)
-		b = fingerprint.Numbers(b, remaining(row.expiresAt, now))
+		b = appendToken(fingerprint.AppendString(fingerprint.AppendString(b, role), row.Holder), row.Token)
+		b = fingerprint.AppendUvarints(b, remaining(row.expiresAt, now))
 	}
 	return b
 }
@@ -39,7 +39,7 @@
 func (h *Holder) Clone() *Holder {
 	c := &Holder{}
 	*c = *h
-	c.rng = fingerprint.Constant
+	c.rng = fingerprint.ConstantRand
 	c.highestNumbers = maps.Clone(h.highestNumbers)
 	c.leases = map[string]*Lease{}
 	for role, l := range h.leases {
@@ -72,14 +72,14 @@
 // AppendFingerprint appends to b all state that determines what the holder does next, except for its backoff, which SkipBackoff ends, and for
 // which disks granted the current request, which GrantedBy reports.
 func (h *Holder) AppendFingerprint(b []byte, now time.Duration) []byte {
-	b = fingerprint.Numbers(b, h.requestID)
+	b = fingerprint.AppendUvarints(b, h.requestID)
 	for _, role := range slices.Sorted(maps.Keys(h.highestNumbers)) {
-		b = fingerprint.Numbers(fingerprint.Text(b, role), h.highestNumbers[role])
+		b = fingerprint.AppendUvarints(fingerprint.AppendString(b, role), h.highestNumbers[role])
 	}
 	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
 		l := h.leases[role]
-		b = appendToken(fingerprint.Text(b, role), l.Token)
-		b = fingerprint.Numbers(b, remaining(l.expiresAt, now), remaining(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
+		b = appendToken(fingerprint.AppendString(b, role), l.Token)
+		b = fingerprint.AppendUvarints(b, remaining(l.expiresAt, now), remaining(l.requestedAt+TTL, now), l.requestID, uint64(len(l.grantedBy)), l.epoch)
 	}
 	return b
 }
@@ -87,4 +87,4 @@
 // remaining returns the time from now until the given time, or 0 if it has passed.
 func remaining(until, now time.Duration) uint64 { return uint64(max(until-now, 0)) }
 
-func appendToken(b []byte, t Token) []byte { return fingerprint.Numbers(b, t.Epoch, t.Number) }
+func appendToken(b []byte, t Token) []byte { return fingerprint.AppendUvarints(b, t.Epoch, t.Number) }
--- a/register/scopeguard.go
+++ b/register/scopeguard.go
@@ -25,9 +25,9 @@
 }
 
 func (g *ScopeGuard) appendFingerprint(b []byte) []byte {
-	b = append(b, fingerprint.Bit(g.set), fingerprint.Bit(g.latest.Known))
+	b = append(b, fingerprint.BoolByte(g.set), fingerprint.BoolByte(g.latest.Known))
 	b = append(b, g.latest.ID[:]...)
-	return fingerprint.Numbers(b, g.latest.Version, g.appliedOrders)
+	return fingerprint.AppendUvarints(b, g.latest.Version, g.appliedOrders)
 }
 
 // GuardedChange is a Change that may run several times with the same guard. The guard is the only state that it keeps between runs.
