--- a/cmd/mallowbridge/quotas.go
+++ b/cmd/mallowbridge/quotas.go
@@ -48,7 +48,7 @@
 func quotaCounts(r rehearsal.QuotaReport) string {
 	var fullest strings.Builder
 	for _, w := range r.Windows {
-		fmt.Fprintf(&fullest, "%s %.3f of what is allowed, ", w.Tenant, w.Part())
+		fmt.Fprintf(&fullest, "%s %.3f of what is allowed, ", w.Tenant, w.Utilization())
 	}
 	return fmt.Sprintf("%d asked, %d ran, %d over quota, %d unauthorized, %d unanswered, %.3f of the usual refused; %d kills, %d stops, %d freezes, %d reloads, %d crashes, %d revisions; %s",
 		r.Asked, r.Ran, r.OverQuota, r.Unauthorized, r.Unanswered, r.UsualRefused, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes, r.Revisions, fullest.String())
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -86,11 +86,11 @@
 		enc := json.NewEncoder(w)
 		sums := map[string]int{}
 		var firsts []int64
-		standin.NewAgent(*nodes).Run(context.Background(), workload.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
+		standin.NewAgent(*nodes).Run(context.Background(), workload.NewSource(load, *seed, *tag), *n, func(g ledger.SendResult) {
 			_ = enc.Encode(g)
 			sums[g.Outcome]++
 			if g.Outcome == "done" {
-				firsts = append(firsts, g.FirstMs)
+				firsts = append(firsts, g.FirstChunkMs)
 			}
 		})
 		slices.Sort(firsts)
@@ -130,15 +130,15 @@
 	got := c.Flag("got", "Pattern of the clients' ledgers.").String()
 	answers := c.Flag("streams", "Pattern of the ledgers of streaming clients.").String()
 	cmds["check"] = func(_ io.Reader, out io.Writer) error {
-		gots, err := lines[ledger.Got](*got)
+		gots, err := lines[ledger.SendResult](*got)
 		if err != nil {
 			return err
 		}
-		rans, err := lines[ledger.Ran](*ran)
+		rans, err := lines[ledger.RunEvent](*ran)
 		if err != nil {
 			return err
 		}
-		streamed, err := lines[ledger.StreamAnswer](*answers)
+		streamed, err := lines[ledger.StreamResponse](*answers)
 		if err != nil {
 			return err
 		}
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -99,22 +99,22 @@
 	resp.Body.Close()
 }
 
-func (r *rig) ask(kind, id string) ledger.Got {
+func (r *rig) ask(kind, id string) ledger.SendResult {
 	a := standin.NewAgent(nil)
 	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), workload.Request{
 		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
-func (r *rig) ran() []ledger.Ran {
+func (r *rig) ran() []ledger.RunEvent {
 	r.srv.Close()
 	r.tomb.Kill(nil)
 	_ = r.tomb.Wait()
-	var runs []ledger.Ran
+	var runs []ledger.RunEvent
 	for i := range r.logs {
 		dec := json.NewDecoder(&r.logs[i])
 		for dec.More() {
-			var x ledger.Ran
+			var x ledger.RunEvent
 			if err := dec.Decode(&x); err != nil {
 				r.t.Fatal(err)
 			}
@@ -158,7 +158,7 @@
 				if g.Outcome != want {
 					t.Errorf("%s: %s, want %s", kind, g.Outcome, want)
 				}
-				if bs := ledger.Check(r.ran(), []ledger.Got{g}); len(bs) > 0 {
+				if bs := ledger.Check(r.ran(), []ledger.SendResult{g}); len(bs) > 0 {
 					t.Errorf("%s: %v", kind, bs)
 				}
 			}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -4,8 +4,8 @@
 
 // The events of a run that a replica writes. "cut" and "refused" are written too and prove nothing.
 const (
-	EventBegun = "begun"
-	EventDone  = "done"
+	EventStarted   = "begun"
+	EventCompleted = "done"
 )
 
 // The outcomes of a request that the checker tells apart, as in the product's X-Outcome header. What a client did not hear is "lost".
@@ -16,33 +16,33 @@
 	outcomeRepeat = "repeat"
 )
 
-// Ran is a line of a replica's ledger: one event of one run. AttemptID is its attempt; the JSON names are those of ledgers that
+// RunEvent is a line of a replica's ledger: one event of one run. AttemptID is its attempt; the JSON names are those of ledgers that
 // were written before.
-type Ran struct {
+type RunEvent struct {
 	// AtMs is the replica's clock in milliseconds since 1970.
-	AtMs      int64  `json:"atMs"`
-	Replica   string `json:"replica"`
-	Instance  string `json:"instanceId"`
-	Request   string `json:"request"`
-	AttemptID string `json:"go"`
-	Event     string `json:"event"`
+	AtMs       int64  `json:"atMs"`
+	Replica    string `json:"replica"`
+	InstanceID string `json:"instanceId"`
+	Request    string `json:"request"`
+	AttemptID  string `json:"go"`
+	Event      string `json:"event"`
 	// Chunks is how many pieces of the answer the replica wrote.
 	Chunks int `json:"pieces,omitempty"`
 }
 
-// Got is a line of a client's ledger: what came of sending one request to one node. A request that is sent again has several.
-type Got struct {
+// SendResult is a line of a client's ledger: what came of sending one request to one node. A request that is sent again has several.
+type SendResult struct {
 	// AtMs is the client's clock when it sent, in milliseconds since 1970.
 	AtMs int64 `json:"atMs"`
 	// Node is the name and boot of the node that answered, its address where none is known.
 	Node       string   `json:"node"`
 	Request    string   `json:"request"`
-	Kind       string   `json:"kind"`
-	Repeatable bool     `json:"repeatable"`
+	Class      string   `json:"kind"`
+	Idempotent bool     `json:"repeatable"`
 	Outcome    string   `json:"outcome"`
 	Chunks     []string `json:"pieces,omitempty"`
-	// FirstMs is how long the first piece took.
-	FirstMs int64 `json:"firstMs,omitempty"`
+	// FirstChunkMs is how long the first piece took.
+	FirstChunkMs int64 `json:"firstMs,omitempty"`
 }
 
 // ChunkText is the text of an answer's piece i, as stand-in replicas write it, so that the checker sees whose it is.
--- a/ledger/quotas.go
+++ b/ledger/quotas.go
@@ -40,11 +40,11 @@
 	Ran, Allowed float64
 }
 
-// Part is what ran, as a part of what was allowed.
-func (w QuotaWindow) Part() float64 { return w.Ran / w.Allowed }
+// Utilization is what ran, as a part of what was allowed.
+func (w QuotaWindow) Utilization() float64 { return w.Ran / w.Allowed }
 
 func (w QuotaWindow) breach() Breach {
-	return Breach{What: OverQuota, Request: w.Tenant, Detail: fmt.Sprintf("%.0f ran in the window from %d, %.0f are allowed", w.Ran, w.FromMs, w.Allowed)}
+	return Breach{Kind: OverQuota, Request: w.Tenant, Detail: fmt.Sprintf("%.0f ran in the window from %d, %.0f are allowed", w.Ran, w.FromMs, w.Allowed)}
 }
 
 // FullestWindows gives each limited tenant's fullest window, by name. Where a limit changes, the larger one is allowed.
@@ -78,7 +78,7 @@
 				w.Allowed = max(w.Allowed, r.allowed(l))
 			}
 		}
-		if w.Allowed > 0 && (fullest.Allowed == 0 || w.Part() > fullest.Part()) {
+		if w.Allowed > 0 && (fullest.Allowed == 0 || w.Utilization() > fullest.Utilization()) {
 			fullest = w
 		}
 	}
--- a/ledger/soak.go
+++ b/ledger/soak.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// SoakAnswer is what came of one request of a soak, as its client saw it.
-type SoakAnswer struct {
-	StreamAnswer
+// SoakResponse is what came of one request of a soak, as its client saw it.
+type SoakResponse struct {
+	StreamResponse
 	Attempt string `json:"attempt"`
 	// EndMs is when the answer, or the connection, ended. Status is 0 where no answer came.
 	EndMs  int64 `json:"endMs"`
 	Status int   `json:"status"`
-	// Once tells that no configuration which may have been in force lets the request run twice.
-	Once bool `json:"once"`
+	// AtMostOnce tells that no configuration which may have been in force lets the request run twice.
+	AtMostOnce bool `json:"once"`
 	// TimedOut tells that the client's time was over.
 	TimedOut bool `json:"timedOut,omitempty"`
 }
@@ -27,8 +27,8 @@
 	Zone     string `json:"zone"`
 	// Altered says what differs from what the client sent; empty where nothing does.
 	Altered string `json:"altered,omitempty"`
-	// Spoiled tells that the replica itself was to end the answer wrongly, or was stopped before its end.
-	Spoiled bool `json:"spoiled,omitempty"`
+	// ReplicaFailed tells that the replica itself was to end the answer wrongly, or was stopped before its end.
+	ReplicaFailed bool `json:"spoiled,omitempty"`
 }
 
 // Span is a time from FromMs until UntilMs.
@@ -50,13 +50,13 @@
 
 // SoakRecord is all that a soak saw.
 type SoakRecord struct {
-	Answers []SoakAnswer
-	Runs    []SoakRun
+	Responses []SoakResponse
+	Runs      []SoakRun
 	// Evacuations are by zone, each from its acknowledgement until it was first asked to be taken back.
 	Evacuations map[string][]Span
 	Faults      []NodeFault
-	// Core names the nodes that vote.
-	Core []string
+	// Voters names the nodes that vote.
+	Voters []string
 }
 
 // CheckSoak gives all breaches of a soak.
@@ -65,14 +65,14 @@
 	for _, r := range record.Runs {
 		c.runs[r.Attempt] = append(c.runs[r.Attempt], r)
 	}
-	for i := range record.Answers {
-		c.nodes[record.Answers[i].Attempt] = record.Answers[i].Node
+	for i := range record.Responses {
+		c.nodes[record.Responses[i].Attempt] = record.Responses[i].Node
 	}
 	for _, r := range record.Runs {
 		c.checkRun(r)
 	}
-	for i := range record.Answers {
-		c.checkAnswer(&record.Answers[i])
+	for i := range record.Responses {
+		c.checkAnswer(&record.Responses[i])
 	}
 	return c.breaches
 }
@@ -87,12 +87,12 @@
 }
 
 func (c *soakCheck) breach(what, request, format string, args ...any) {
-	c.breaches = append(c.breaches, Breach{What: what, Request: request, Detail: fmt.Sprintf(format, args...)})
+	c.breaches = append(c.breaches, Breach{Kind: what, Request: request, Detail: fmt.Sprintf(format, args...)})
 }
 
 func (c *soakCheck) checkRun(r SoakRun) {
 	if r.Altered != "" {
-		c.breach(Altered, r.Attempt, "%s ran it with %s", r.Instance, r.Altered)
+		c.breach(RequestAltered, r.Attempt, "%s ran it with %s", r.Instance, r.Altered)
 	}
 	late := Span{FromMs: r.AtMs - c.Evacuation.Milliseconds(), UntilMs: r.AtMs}
 	for _, evacuated := range c.Evacuations[r.Zone] {
@@ -117,7 +117,7 @@
 }
 
 func (c *soakCheck) votes(node string) bool {
-	for _, name := range c.Core {
+	for _, name := range c.Voters {
 		if name == node {
 			return true
 		}
@@ -125,19 +125,19 @@
 	return false
 }
 
-func (c *soakCheck) checkAnswer(a *SoakAnswer) {
+func (c *soakCheck) checkAnswer(a *SoakResponse) {
 	runs := c.runs[a.Attempt]
-	if a.Once && len(runs) > 1 {
+	if a.AtMostOnce && len(runs) > 1 {
 		c.breach(RanTwice, a.Attempt, "by %s: at %s and %s", a.Node, runs[0].Instance, runs[1].Instance)
 	}
-	if a.Once && len(runs) > 0 && promisesNotRun(a.Status) {
-		c.breach(DeniedRan, a.Attempt, "by %s: %d, and %s ran it", a.Node, a.Status, runs[0].Instance)
+	if a.AtMostOnce && len(runs) > 0 && promisesNotRun(a.Status) {
+		c.breach(RejectedButRan, a.Attempt, "by %s: %d, and %s ran it", a.Node, a.Status, runs[0].Instance)
 	}
 	if a.Status == http.StatusOK {
-		c.breaches = append(c.breaches, CheckStreams([]StreamAnswer{a.StreamAnswer})...)
+		c.breaches = append(c.breaches, CheckStreams([]StreamResponse{a.StreamResponse})...)
 	}
 	if c.lost(a, runs) {
-		c.breach(LostAnswer, a.Attempt, "by %s: status %d, %d events of %d, %d ms after it was sent", a.Node, a.Status, len(a.Events), a.Total, a.EndMs-a.AtMs)
+		c.breach(ResponseLost, a.Attempt, "by %s: status %d, %d events of %d, %d ms after it was sent", a.Node, a.Status, len(a.Events), a.Total, a.EndMs-a.AtMs)
 	}
 }
 
@@ -152,13 +152,13 @@
 
 // lost tells whether the connection ended without a whole answer around a shutdown of the node, with nothing else to blame: the request was
 // passed on to replicas, none of which broke off, and nothing but the shutdown befell the node.
-func (c *soakCheck) lost(a *SoakAnswer, runs []SoakRun) bool {
+func (c *soakCheck) lost(a *SoakResponse, runs []SoakRun) bool {
 	answered := a.Complete || (a.Status != 0 && a.Status != http.StatusOK)
 	if answered || a.TimedOut || len(runs) == 0 {
 		return false
 	}
 	for _, r := range runs {
-		if r.Spoiled {
+		if r.ReplicaFailed {
 			return false
 		}
 	}
--- a/ledger/streams.go
+++ b/ledger/streams.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// StreamAnswer is a line of a streaming client's ledger: what came of one answer. A request whose answer broke off has several.
-type StreamAnswer struct {
+// StreamResponse is a line of a streaming client's ledger: what came of one answer. A request whose answer broke off has several.
+type StreamResponse struct {
 	// AtMs is the client's clock when it asked, in milliseconds since 1970.
 	AtMs    int64  `json:"atMs"`
 	Node    string `json:"node"`
@@ -20,8 +20,8 @@
 	// Events are those that ended, in the order in which they came.
 	Events []StreamEvent `json:"events"`
 	// Complete tells that the answer ended as complete, Torn that bytes stood behind its last event.
-	Complete bool `json:"complete"`
-	Torn     bool `json:"torn,omitempty"`
+	Complete        bool `json:"complete"`
+	HasPartialEvent bool `json:"torn,omitempty"`
 }
 
 // StreamEvent is one event of a stream.
@@ -48,7 +48,7 @@
 
 // CheckStreams gives the first breach of each answer: an event missing, twice or of another request, events of two versions of the weights
 // in one answer, of two runs where it can't be resumed, or an end as complete before the last event.
-func CheckStreams(answers []StreamAnswer) []Breach {
+func CheckStreams(answers []StreamResponse) []Breach {
 	var breaches []Breach
 	for i := range answers {
 		if b, broken := checkStream(&answers[i]); broken {
@@ -58,27 +58,27 @@
 	return breaches
 }
 
-func checkStream(a *StreamAnswer) (Breach, bool) {
+func checkStream(a *StreamResponse) (Breach, bool) {
 	breach := func(what, format string, args ...any) (Breach, bool) {
-		return Breach{What: what, Request: a.Request, Detail: fmt.Sprintf("by %s: ", a.Node) + fmt.Sprintf(format, args...)}, true
+		return Breach{Kind: what, Request: a.Request, Detail: fmt.Sprintf("by %s: ", a.Node) + fmt.Sprintf(format, args...)}, true
 	}
 	last, before := a.After, streamText{}
 	for i, e := range a.Events {
 		text, readable := parseStreamText(e.Text)
 		if !readable || text.request != a.Request || text.id != e.ID {
-			return breach(Mixed, "event %q says %q", e.ID, e.Text)
+			return breach(WrongRequest, "event %q says %q", e.ID, e.Text)
 		}
 		if i > 0 && (text.weights != before.weights || (text.run != before.run && !a.Resumable)) {
 			return breach(Spliced, "event %s is of run %s, weights %s, those before of %s, %s", e.ID, text.run, text.weights, before.run, before.weights)
 		}
 		before = text
 		if e.ID != strconv.Itoa(last+1) {
-			return breach(Gap, "event %s after %d", e.ID, last)
+			return breach(OutOfSequence, "event %s after %d", e.ID, last)
 		}
 		last++
 	}
-	if a.Complete && (last != a.Total || a.Torn) {
-		return breach(Truncated, "%d events of %d, torn: %v", last, a.Total, a.Torn)
+	if a.Complete && (last != a.Total || a.HasPartialEvent) {
+		return breach(Truncated, "%d events of %d, torn: %v", last, a.Total, a.HasPartialEvent)
 	}
 	return Breach{}, false
 }
--- a/ledger/streams_test.go
+++ b/ledger/streams_test.go
@@ -7,31 +7,31 @@
 	one, two, three := event("1", "a|7|r|1"), event("2", "a|7|r|2"), event("3", "a|7|r|3")
 	for _, c := range []struct {
 		name   string
-		answer StreamAnswer
+		answer StreamResponse
 		want   string
 	}{
-		{"complete", StreamAnswer{Total: 2, Events: []StreamEvent{one, two}, Complete: true}, ""},
-		{"broken off", StreamAnswer{Total: 2, Events: []StreamEvent{one}, Torn: true}, ""},
-		{"resumed by the client", StreamAnswer{Total: 3, After: 2, Events: []StreamEvent{three}, Complete: true}, ""},
-		{"nothing left", StreamAnswer{Total: 2, After: 2, Complete: true}, ""},
-		{"missing", StreamAnswer{Total: 3, Events: []StreamEvent{one, three}}, Gap},
-		{"twice", StreamAnswer{Total: 3, Events: []StreamEvent{one, one}}, Gap},
-		{"what the client had", StreamAnswer{Total: 3, After: 2, Events: []StreamEvent{one}}, Gap},
-		{"another's", StreamAnswer{Total: 3, Events: []StreamEvent{event("1", "b|7|r|1")}}, Mixed},
-		{"another event's text", StreamAnswer{Total: 3, Events: []StreamEvent{event("1", "a|7|r|2")}}, Mixed},
-		{"joined with bytes of another", StreamAnswer{Total: 3, Events: []StreamEvent{event("1", "a|7|a|7|r|1")}}, Mixed},
-		{"weights go back", StreamAnswer{Total: 3, Events: []StreamEvent{one, event("2", "a|6|r|2")}}, Spliced},
-		{"two runs", StreamAnswer{Total: 2, Events: []StreamEvent{one, event("2", "a|7|s|2")}, Complete: true}, Spliced},
-		{"resumed by a node", StreamAnswer{Total: 2, Events: []StreamEvent{one, event("2", "a|7|s|2")}, Complete: true, Resumable: true}, ""},
-		{"too short", StreamAnswer{Total: 3, Events: []StreamEvent{one, two}, Complete: true}, Truncated},
-		{"torn", StreamAnswer{Total: 2, Events: []StreamEvent{one, two}, Complete: true, Torn: true}, Truncated},
+		{"complete", StreamResponse{Total: 2, Events: []StreamEvent{one, two}, Complete: true}, ""},
+		{"broken off", StreamResponse{Total: 2, Events: []StreamEvent{one}, HasPartialEvent: true}, ""},
+		{"resumed by the client", StreamResponse{Total: 3, After: 2, Events: []StreamEvent{three}, Complete: true}, ""},
+		{"nothing left", StreamResponse{Total: 2, After: 2, Complete: true}, ""},
+		{"missing", StreamResponse{Total: 3, Events: []StreamEvent{one, three}}, OutOfSequence},
+		{"twice", StreamResponse{Total: 3, Events: []StreamEvent{one, one}}, OutOfSequence},
+		{"what the client had", StreamResponse{Total: 3, After: 2, Events: []StreamEvent{one}}, OutOfSequence},
+		{"another's", StreamResponse{Total: 3, Events: []StreamEvent{event("1", "b|7|r|1")}}, WrongRequest},
+		{"another event's text", StreamResponse{Total: 3, Events: []StreamEvent{event("1", "a|7|r|2")}}, WrongRequest},
+		{"joined with bytes of another", StreamResponse{Total: 3, Events: []StreamEvent{event("1", "a|7|a|7|r|1")}}, WrongRequest},
+		{"weights go back", StreamResponse{Total: 3, Events: []StreamEvent{one, event("2", "a|6|r|2")}}, Spliced},
+		{"two runs", StreamResponse{Total: 2, Events: []StreamEvent{one, event("2", "a|7|s|2")}, Complete: true}, Spliced},
+		{"resumed by a node", StreamResponse{Total: 2, Events: []StreamEvent{one, event("2", "a|7|s|2")}, Complete: true, Resumable: true}, ""},
+		{"too short", StreamResponse{Total: 3, Events: []StreamEvent{one, two}, Complete: true}, Truncated},
+		{"torn", StreamResponse{Total: 2, Events: []StreamEvent{one, two}, Complete: true, HasPartialEvent: true}, Truncated},
 	} {
 		c.answer.Request = "a"
-		breaches := CheckStreams([]StreamAnswer{c.answer})
+		breaches := CheckStreams([]StreamResponse{c.answer})
 		switch {
 		case c.want == "" && len(breaches) > 0:
 			t.Errorf("%s: %v", c.name, breaches)
-		case c.want != "" && (len(breaches) != 1 || breaches[0].What != c.want):
+		case c.want != "" && (len(breaches) != 1 || breaches[0].Kind != c.want):
 			t.Errorf("%s: got %v, want %s", c.name, breaches, c.want)
 		}
 	}
--- a/modelcheck/apply.go
+++ b/modelcheck/apply.go
@@ -7,25 +7,25 @@
 )
 
 // Apply takes one step.
-func (c *Cluster) Apply(e Event) *Cluster {
+func (c *RegisterState) Apply(e Event) *RegisterState {
 	if e.Kind == round {
-		n := c.gatherAll(int(e.What), e.Which)
+		n := c.gatherAll(int(e.Target), e.Arg)
 		n.fail(n.majorityHolds())
 		n.chosenHold()
 		return n
 	}
 	n := c.clone()
-	what := int(e.What)
+	what := int(e.Target)
 	switch e.Kind {
 	case deliver, double, mute:
 		n.carry(e)
 	case syncDisk:
 		n.sync(what)
 	case submit:
-		n.order(what, c.plan.Orders[what].Home)
+		n.order(what, c.plan.Requests[what].FirstProposer)
 	case resend:
 		n.left.Resends--
-		n.order(what, 1-c.plan.Orders[what].Home)
+		n.order(what, 1-c.plan.Requests[what].FirstProposer)
 	case timer:
 		n.left.Timers--
 		n.fire(what)
@@ -34,8 +34,8 @@
 		n.touch(what).FireDeadline()
 		n.collect(what)
 	case leave:
-		n.left.Leaves--
-		n.leave(uint64(e.What))
+		n.left.Disconnects--
+		n.leave(uint64(e.Target))
 	case crashDisk:
 		n.left.Crashes--
 		n.crash(what)
@@ -48,7 +48,7 @@
 		n.fail(n.majorityLeft())
 	case replace:
 		n.left.Replacements--
-		n.replace(what, int(e.Which))
+		n.replace(what, int(e.Arg))
 	case finish:
 		n.left.Finishes--
 		n.finish(what)
@@ -61,12 +61,12 @@
 	return n
 }
 
-func (c *Cluster) carry(e Event) {
-	m := c.mail[e.Which]
+func (c *RegisterState) carry(e Event) {
+	m := c.mail[e.Arg]
 	if e.Kind == double {
-		c.left.Doubles--
+		c.left.Duplicates--
 	} else {
-		c.mail = slices.Delete(c.mail, int(e.Which), int(e.Which)+1)
+		c.mail = slices.Delete(c.mail, int(e.Arg), int(e.Arg)+1)
 	}
 	if !m.request() {
 		c.arrive(m)
@@ -74,7 +74,7 @@
 	}
 	answer, leaves := c.receive(m, c.diskOf(m.disk))
 	if e.Kind == mute {
-		c.left.Mutes--
+		c.left.LostReplies--
 		leaves = false
 	}
 	if leaves {
@@ -84,19 +84,19 @@
 }
 
 // reply posts an answer or, without a queue, hands it over.
-func (c *Cluster) reply(m mail) {
-	if c.plan.Queued {
+func (c *RegisterState) reply(m mail) {
+	if c.plan.QueuedReplies {
 		c.mail = append(c.mail, m)
 		return
 	}
 	c.arrive(m)
 }
 
-func (c *Cluster) arrive(m mail) {
+func (c *RegisterState) arrive(m mail) {
 	p := c.touch(m.proposer)
 	switch r := m.msg.(type) {
 	case register.Promise:
-		c.plan.Rules.OnPromise(p, r)
+		c.plan.Protocol.OnPromise(p, r)
 	case register.Accepted:
 		p.OnAccepted(0, r)
 	}
@@ -104,7 +104,7 @@
 }
 
 // fire ends the proposer's wait; a wait before the next ballot ends with it, for nothing that it does shows in between.
-func (c *Cluster) fire(at int) {
+func (c *RegisterState) fire(at int) {
 	p := c.touch(at)
 	p.FireTimer()
 	if p.BackingOff() {
@@ -116,8 +116,8 @@
 // attempts is how many operations one order can stand for.
 const attempts = 4
 
-func (c *Cluster) order(order, at int) {
-	o := c.plan.Orders[order]
+func (c *RegisterState) order(order, at int) {
+	o := c.plan.Requests[order]
 	id := uint64(attempts*order) + uint64(c.orders[order].sent)
 	c.orders[order].sent++
 	c.touch(at)
@@ -131,7 +131,7 @@
 
 // restart is a crash of the proposer's node: operations under way are forgotten, their callers hear nothing, and it knows no more
 // than the bootstrap voters.
-func (c *Cluster) restart(at int) {
+func (c *RegisterState) restart(at int) {
 	c.boots[at]++
 	c.abandon(at)
 	c.open = slices.DeleteFunc(c.open, func(o operation) bool { return o.proposer == at })
@@ -140,29 +140,29 @@
 	c.mail = slices.DeleteFunc(c.mail, c.useless)
 }
 
-func (c *Cluster) nextChange() uint64 {
+func (c *RegisterState) nextChange() uint64 {
 	c.changes++
 	return uint64(attempts*len(c.orders)) + 2*c.changes
 }
 
-func (c *Cluster) replace(at, place int) {
+func (c *RegisterState) replace(at, place int) {
 	known := c.known[at]
 	in := c.disks[c.spare(known)]
 	voters := slices.Clone(known.Voters)
 	voters[place] = register.Voter{Disk: in.acceptor.Disk, Name: in.name}
 	c.touch(at)
-	c.submit(operation{id: c.nextChange(), proposer: at, order: -1, begins: voters}, c.plan.Rules.Begin(known.Epoch, voters), false)
+	c.submit(operation{id: c.nextChange(), proposer: at, order: -1, begins: voters}, c.plan.Protocol.BeginVoterChange(known.Epoch, voters), false)
 	c.collect(at)
 }
 
-func (c *Cluster) finish(at int) {
+func (c *RegisterState) finish(at int) {
 	c.touch(at)
-	c.submit(operation{id: c.nextChange(), proposer: at, order: -1}, c.plan.Rules.Finish(c.known[at].Epoch), false)
+	c.submit(operation{id: c.nextChange(), proposer: at, order: -1}, c.plan.Protocol.FinishVoterChange(c.known[at].Epoch), false)
 	c.collect(at)
 }
 
 // learn brings the newest value that the other node knows, as gossip does.
-func (c *Cluster) learn(at int) {
+func (c *RegisterState) learn(at int) {
 	c.known[at] = c.known[1-at]
 	c.touch(at).LearnChosen(c.known[at])
 }
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -49,9 +49,9 @@
 	confirmed, refused bool
 }
 
-// Cluster is one state of a world of the register.
-type Cluster struct {
-	plan         *Plan
+// RegisterState is one state of a world of the register.
+type RegisterState struct {
+	plan         *RegisterModel
 	left         Budget
 	proposers    [proposers]*register.Proposer
 	boots        [proposers]uint8
@@ -70,13 +70,13 @@
 	broken   error
 }
 
-// NewCluster is the first state of a world: the register is bootstrapped, all voters hold its first value.
-func NewCluster(plan Plan) *Cluster {
+// NewRegisterState is the first state of a world: the register is bootstrapped, all voters hold its first value.
+func NewRegisterState(plan RegisterModel) *RegisterState {
 	first := &register.Value{Fleet: "f"}
 	for _, id := range plan.Disks[:plan.Voters] {
 		first.Voters = append(first.Voters, register.Voter{Disk: id, Name: id})
 	}
-	c := &Cluster{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Orders)), calls: make([]call, attempts*len(plan.Orders)), latest: first, first: first}
+	c := &RegisterState{plan: &plan, left: plan.Budget, orders: make([]progress, len(plan.Requests)), calls: make([]call, attempts*len(plan.Requests)), latest: first, first: first}
 	c.acknowledged = []acknowledged{plan.tell(first)}
 	for at, id := range plan.Disks {
 		d := disk{name: id, synced: register.State{Disk: id}}
@@ -93,15 +93,15 @@
 	return c
 }
 
-func (c *Cluster) boot(at int, known *register.Value) *register.Proposer {
+func (c *RegisterState) boot(at int, known *register.Value) *register.Proposer {
 	p := register.NewProposer(string(rune('p'+at))+string(rune('1'+c.boots[at])), 0).Clone()
 	p.LearnVoters(known)
 	return p
 }
 
 // clone copies what every step may change; proposers are copied when they are touched.
-func (c *Cluster) clone() *Cluster {
-	n := &Cluster{}
+func (c *RegisterState) clone() *RegisterState {
+	n := &RegisterState{}
 	*n = *c
 	n.disks = slices.Clone(c.disks)
 	n.mail = slices.Clone(c.mail)
@@ -113,20 +113,20 @@
 }
 
 // Broken is the invariant that the last step broke.
-func (c *Cluster) Broken() error { return c.broken }
+func (c *RegisterState) BrokenInvariant() error { return c.broken }
 
 // touch returns the proposer for a change in this state alone.
-func (c *Cluster) touch(at int) *register.Proposer {
+func (c *RegisterState) touch(at int) *register.Proposer {
 	c.proposers[at] = c.proposers[at].Clone()
 	return c.proposers[at]
 }
 
-func (c *Cluster) diskOf(id string) int {
+func (c *RegisterState) diskOf(id string) int {
 	return slices.IndexFunc(c.disks, func(d disk) bool { return d.acceptor.Disk == id })
 }
 
 // submit hands an operation to a proposer, changes of voters as urgent ones; the caller collects.
-func (c *Cluster) submit(o operation, change register.Change, full bool) {
+func (c *RegisterState) submit(o operation, change register.Change, full bool) {
 	c.enter(o)
 	if o.order < 0 {
 		c.proposers[o.proposer].SubmitUrgent(0, noDeadline, o.id, change)
@@ -140,14 +140,14 @@
 }
 
 // enter notes an operation that begins.
-func (c *Cluster) enter(o operation) {
+func (c *RegisterState) enter(o operation) {
 	o.floor = c.plan.versionOf(c.latest)
 	c.open = append(c.open, o)
 	slices.SortFunc(c.open, func(a, b operation) int { return int(a.id) - int(b.id) })
 }
 
 // collect posts what the proposer sends and tells callers what it answers, until it does neither.
-func (c *Cluster) collect(at int) {
+func (c *RegisterState) collect(at int) {
 	for {
 		sends, results := c.proposers[at].TakeOutput()
 		if len(sends)+len(results) == 0 {
@@ -166,7 +166,7 @@
 }
 
 // answered ends an operation.
-func (c *Cluster) answered(at int, r register.Result) {
+func (c *RegisterState) answered(at int, r register.Result) {
 	i := slices.IndexFunc(c.open, func(o operation) bool { return o.id == r.ID && o.proposer == at })
 	if i < 0 {
 		return
@@ -179,6 +179,6 @@
 	}
 	c.check(o, r)
 	if o.begins != nil && r.Err == nil {
-		c.submit(operation{id: o.id + 1, proposer: at, order: -1}, c.plan.Rules.Finish(r.Value.Epoch), false)
+		c.submit(operation{id: o.id + 1, proposer: at, order: -1}, c.plan.Protocol.FinishVoterChange(r.Value.Epoch), false)
 	}
 }
--- a/modelcheck/cluster_test.go
+++ b/modelcheck/cluster_test.go
@@ -13,7 +13,7 @@
 )
 
 // bounds are those of the flags.
-func bounds() Bounds { return Bounds{States: *states, Depth: *depth} }
+func bounds() Bounds { return Bounds{MaxStates: *states, MaxDepth: *depth} }
 
 var (
 	three = []string{"a", "b", "c"}
@@ -24,7 +24,7 @@
 const everything = "everything is delivered"
 
 // after takes steps before an exploration begins: each the first event whose description begins so.
-func (c *Cluster) after(t *testing.T, steps []string) *Cluster {
+func (c *RegisterState) after(t *testing.T, steps []string) *RegisterState {
 	t.Helper()
 	for _, step := range steps {
 		if step == everything {
@@ -64,81 +64,81 @@
 	"delivered: q asks a to prepare", "delivered: q asks b to prepare", "delivered: q asks s to prepare", "delivered: q asks a to accept",
 }
 
-var finishedAfterDeadlinePlan = Plan{
-	Disks: spare, Voters: 3, Planned: true, Orders: []Order{x},
+var finishedAfterDeadlinePlan = RegisterModel{
+	Disks: spare, Voters: 3, PlannedReplacements: true, Requests: []OperatorRequest{x},
 	Budget: Budget{Timers: 3, Restarts: 1, Replacements: 2, Finishes: 1, Learns: 1},
 }
 
 type scenario struct {
-	plan   Plan
+	plan   RegisterModel
 	before []string
 }
 
 var (
-	x    = Order{ID: "x"}
-	y    = Order{ID: "y", Home: 1}
-	yOnX = Order{ID: "y", Expect: 1, Home: 1}
-	read = Order{ID: "r", Kind: Read, Home: 1}
+	x    = OperatorRequest{ID: "x"}
+	y    = OperatorRequest{ID: "y", FirstProposer: 1}
+	yOnX = OperatorRequest{ID: "y", BaseVersion: 1, FirstProposer: 1}
+	read = OperatorRequest{ID: "r", Kind: Read, FirstProposer: 1}
 )
 
 // worlds are the register's worlds that hold on the real machines. The first ones are explored whole, if the flags allow it.
 var worlds = map[string]scenario{
-	"two orders on one base":                 {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Timers: 1}}},
-	"two orders, one sent again":             {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Resends: 1}}},
-	"an order on another, and a read":        {plan: Plan{Disks: three, Voters: 3, OrdersBeforeAcknowledgement: true, Orders: []Order{x, yOnX, read}, Budget: Budget{Timers: 1}}},
-	"an order sent again, proposers restart": {plan: Plan{Disks: three, Voters: 3, Orders: []Order{x}, Budget: Budget{Timers: 1, Resends: 1, Restarts: 1}}},
-	"two orders, crash before the write":     {plan: Plan{Disks: three, Voters: 3, Journal: true, Orders: []Order{x, y}, Budget: Budget{Crashes: 1}}},
-	"two orders, queued answers":             {plan: Plan{Disks: three, Voters: 3, Queued: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1}}},
-	"an order and a planned replacement":     {plan: Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{y}, Budget: Budget{Replacements: 1}}},
-	"an order, a loss and its replacement":   {plan: Plan{Disks: spare, Voters: 3, Orders: []Order{y}, Budget: Budget{Wipes: 1, Replacements: 1}}},
+	"two orders on one base":                 {plan: RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{x, y}, Budget: Budget{Timers: 1}}},
+	"two orders, one sent again":             {plan: RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{x, y}, Budget: Budget{Resends: 1}}},
+	"an order on another, and a read":        {plan: RegisterModel{Disks: three, Voters: 3, RequestsBeforeAcknowledgement: true, Requests: []OperatorRequest{x, yOnX, read}, Budget: Budget{Timers: 1}}},
+	"an order sent again, proposers restart": {plan: RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{x}, Budget: Budget{Timers: 1, Resends: 1, Restarts: 1}}},
+	"two orders, crash before the write":     {plan: RegisterModel{Disks: three, Voters: 3, DelayedWrites: true, Requests: []OperatorRequest{x, y}, Budget: Budget{Crashes: 1}}},
+	"two orders, queued answers":             {plan: RegisterModel{Disks: three, Voters: 3, QueuedReplies: true, Requests: []OperatorRequest{x, y}, Budget: Budget{Timers: 1}}},
+	"an order and a planned replacement":     {plan: RegisterModel{Disks: spare, Voters: 3, PlannedReplacements: true, Requests: []OperatorRequest{y}, Budget: Budget{Replacements: 1}}},
+	"an order, a loss and its replacement":   {plan: RegisterModel{Disks: spare, Voters: 3, Requests: []OperatorRequest{y}, Budget: Budget{Wipes: 1, Replacements: 1}}},
 	"a second loss after a replacement": {
-		plan:   Plan{Disks: spare, Voters: 3, OrdersBeforeAcknowledgement: true, Orders: []Order{x, yOnX}, Budget: Budget{Timers: 1, Wipes: 2, Replacements: 1}},
+		plan:   RegisterModel{Disks: spare, Voters: 3, RequestsBeforeAcknowledgement: true, Requests: []OperatorRequest{x, yOnX}, Budget: Budget{Timers: 1, Wipes: 2, Replacements: 1}},
 		before: aIsReplaced,
 	},
 	"a second loss and its replacement": {
-		plan:   Plan{Disks: spare, Voters: 3, Orders: []Order{x}, Budget: Budget{Wipes: 2, Replacements: 2, Finishes: 1}},
+		plan:   RegisterModel{Disks: spare, Voters: 3, Requests: []OperatorRequest{x}, Budget: Budget{Wipes: 2, Replacements: 2, Finishes: 1}},
 		before: aIsReplaced,
 	},
 	"a node that missed a replacement": {
-		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2}},
+		plan:   RegisterModel{Disks: spare, Voters: 3, PlannedReplacements: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2}},
 		before: aIsReplaced,
 	},
 	"two orders beside a half-begun change of voters": {
-		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1, Restarts: 1, Replacements: 1}},
+		plan:   RegisterModel{Disks: spare, Voters: 3, PlannedReplacements: true, Requests: []OperatorRequest{x, y}, Budget: Budget{Timers: 1, Restarts: 1, Replacements: 1}},
 		before: halfBegun,
 	},
 	"a change of voters is finished late": {plan: finishedAfterDeadlinePlan, before: finishedAfterDeadline},
 	"two orders on one base, everything": {
-		plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, y}, Budget: Budget{Timers: 2, Deadlines: 1, Resends: 1, Doubles: 1, Mutes: 1}},
+		plan: RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{x, y}, Budget: Budget{Timers: 2, Deadlines: 1, Resends: 1, Duplicates: 1, LostReplies: 1}},
 	},
 	"three orders, everything": {
-		plan: Plan{Disks: three, Voters: 3, Orders: []Order{x, yOnX, read}, Budget: Budget{Timers: 1, Deadlines: 1, Resends: 1, Doubles: 1}},
+		plan: RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{x, yOnX, read}, Budget: Budget{Timers: 1, Deadlines: 1, Resends: 1, Duplicates: 1}},
 	},
 	"two edits and a read of all": {
-		plan: Plan{
+		plan: RegisterModel{
 			Disks: three, Voters: 3, Budget: Budget{Timers: 2, Resends: 1},
-			Orders: []Order{{ID: "e", Kind: Edit}, {ID: "f", Kind: Edit, Expect: 1, Home: 1}, {ID: "r", Kind: FullRead, Home: 1}},
+			Requests: []OperatorRequest{{ID: "e", Kind: Edit}, {ID: "f", Kind: Edit, BaseVersion: 1, FirstProposer: 1}, {ID: "r", Kind: FullRead, FirstProposer: 1}},
 		},
 	},
 	"two orders, crash before the write, everything": {
-		plan: Plan{Disks: three, Voters: 3, Journal: true, Orders: []Order{x, y}, Budget: Budget{Timers: 1, Crashes: 1, Resends: 1}},
+		plan: RegisterModel{Disks: three, Voters: 3, DelayedWrites: true, Requests: []OperatorRequest{x, y}, Budget: Budget{Timers: 1, Crashes: 1, Resends: 1}},
 	},
 	"an order and a planned replacement, everything": {
-		plan: Plan{
-			Disks: spare, Voters: 3, Planned: true, Orders: []Order{y},
+		plan: RegisterModel{
+			Disks: spare, Voters: 3, PlannedReplacements: true, Requests: []OperatorRequest{y},
 			Budget: Budget{Timers: 1, Resends: 1, Replacements: 1, Finishes: 1, Learns: 1},
 		},
 	},
 	"two nodes mend at once": {
-		plan: Plan{Disks: spare, Voters: 3, Planned: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2, Finishes: 1, Learns: 1}},
+		plan: RegisterModel{Disks: spare, Voters: 3, PlannedReplacements: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2, Finishes: 1, Learns: 1}},
 	},
 }
 
 func TestRegisterWorldsHold(t *testing.T) {
 	for name, world := range worlds {
 		t.Run(name, func(t *testing.T) {
-			world.plan.Rules = RealRules()
-			report := Explore(NewCluster(world.plan).after(t, world.before), bounds())
+			world.plan.Protocol = ProductionProtocol()
+			report := Explore(NewRegisterState(world.plan).after(t, world.before), bounds())
 			if report.Err != nil {
 				t.Fatal(report)
 			}
--- a/modelcheck/disk.go
+++ b/modelcheck/disk.go
@@ -35,28 +35,28 @@
 }
 
 // receive has the acceptor obey a request and returns its answer, if it may leave at once.
-func (c *Cluster) receive(m mail, at int) (mail, bool) {
+func (c *RegisterState) receive(m mail, at int) (mail, bool) {
 	d := &c.disks[at]
 	write, ours := false, false
 	var answer mail
 	switch request := m.msg.(type) {
 	case register.Prepare:
 		var r register.Promise
-		r, write = c.plan.Rules.Prepare(&d.acceptor, request)
+		r, write = c.plan.Protocol.Prepare(&d.acceptor, request)
 		answer, ours = newMail(m.proposer, r.Disk, r), r.Disk != ""
 	case register.Accept:
 		var r register.Accepted
-		r, write = c.plan.Rules.Accept(&d.acceptor, request)
+		r, write = c.plan.Protocol.Accept(&d.acceptor, request)
 		answer, ours = newMail(m.proposer, r.Disk, r), r.Disk != ""
 	}
-	if !c.plan.Journal {
+	if !c.plan.DelayedWrites {
 		d.synced = d.acceptor.State
 		return answer, ours
 	}
 	if !ours {
 		return answer, false
 	}
-	if c.plan.Rules.AnswersFirst || (!write && sameState(d.synced, d.acceptor.State) && len(d.unsynced) == 0) {
+	if c.plan.Protocol.ReplyBeforeWrite || (!write && sameState(d.synced, d.acceptor.State) && len(d.unsynced) == 0) {
 		return answer, true
 	}
 	d.unsynced = append(slices.Clone(d.unsynced), answer)
@@ -67,7 +67,7 @@
 func (d disk) unwritten() bool { return len(d.unsynced) > 0 || !sameState(d.synced, d.acceptor.State) }
 
 // sync writes everything that waits and lets the answers leave.
-func (c *Cluster) sync(at int) {
+func (c *RegisterState) sync(at int) {
 	d := &c.disks[at]
 	d.synced = d.acceptor.State
 	pending := d.unsynced
@@ -78,17 +78,17 @@
 }
 
 // crash restarts the disk's machine on what was written.
-func (c *Cluster) crash(at int) {
+func (c *RegisterState) crash(at int) {
 	d := &c.disks[at]
 	d.acceptor.State, d.unsynced = d.synced, nil
 }
 
 // wipe restarts the machine on an empty disk, which gets an id of its own.
-func (c *Cluster) wipe(at int) {
+func (c *RegisterState) wipe(at int) {
 	d := &c.disks[at]
 	d.wiped++
 	replacement := d.name + string(rune('1'+d.wiped))
-	d.synced = c.plan.Rules.Wiped(d.synced, replacement)
+	d.synced = c.plan.Protocol.StateAfterWipe(d.synced, replacement)
 	d.acceptor.State, d.unsynced = d.synced, nil
 	c.mail = slices.DeleteFunc(c.mail, func(m mail) bool {
 		return m.request() && c.diskOf(m.disk) < 0
@@ -106,7 +106,7 @@
 
 // useless finds mail whose delivery can change nothing any more, now or later: its proposer waits for another round, and the disk
 // has promised more or accepted the same.
-func (c *Cluster) useless(m mail) bool {
+func (c *RegisterState) useless(m mail) bool {
 	if c.forgotten(m) {
 		return true
 	}
--- a/modelcheck/evacuate.go
+++ b/modelcheck/evacuate.go
@@ -33,12 +33,12 @@
 }
 
 // evacuates tells whether the order is about the zone.
-func (o Order) evacuates() bool { return o.Kind == Evacuate || o.Kind == Restore }
+func (o OperatorRequest) evacuates() bool { return o.Kind == Evacuate || o.Kind == Restore }
 
 // evacuations tells whether any order is about the zone: the number of orders taken is then part of a value's version, as an evacuation
 // that changes nothing is remembered without a new revision.
-func (p *Plan) evacuations() bool {
-	for _, o := range p.Orders {
+func (p *RegisterModel) evacuations() bool {
+	for _, o := range p.Requests {
 		if o.evacuates() {
 			return true
 		}
@@ -47,12 +47,12 @@
 }
 
 // callID is the id under which a call is remembered.
-func (p *Plan) callID(id int) string {
-	return p.Orders[id/attempts].ID + string(rune('1'+id%attempts))
+func (p *RegisterModel) callID(id int) string {
+	return p.Requests[id/attempts].ID + string(rune('1'+id%attempts))
 }
 
 // evacuate sends a call of an order to a proposer.
-func (c *Cluster) evacuate(order, at int, id uint64) {
+func (c *RegisterState) evacuate(order, at int, id uint64) {
 	var after uint16
 	for other, call := range c.calls {
 		if call.state == over {
@@ -60,51 +60,51 @@
 		}
 	}
 	c.calls[id] = call{state: waits, after: after}
-	op := control.Evacuate{ID: c.plan.callID(int(id)), Zone: zone, Restore: c.plan.Orders[order].Kind == Restore}
+	op := control.Evacuate{ID: c.plan.callID(int(id)), Zone: zone, Restore: c.plan.Requests[order].Kind == Restore}
 	c.enter(operation{id: id, proposer: at, order: order})
-	c.proposers[at].SubmitGuarded(0, noDeadline, id, c.plan.Rules.Evacuate(op))
+	c.proposers[at].SubmitGuarded(0, noDeadline, id, c.plan.Protocol.Evacuate(op))
 	c.collect(at)
 }
 
 // mayRepeat tells whether the caller of an evacuation is without an answer and may ask the other proposer.
-func (c *Cluster) mayRepeat(order int) bool {
+func (c *RegisterState) mayRepeat(order int) bool {
 	return c.calls[attempts*order].state == over
 }
 
 // callerLeaves are the callers that may give up now. By the contract they do so after their call's deadline. An early one may leave as soon
 // as its order has read a quorum.
-func (c *Cluster) callerLeaves(events []Event) []Event {
+func (c *RegisterState) callerLeaves(events []Event) []Event {
 	for _, o := range c.open {
-		if o.order < 0 || !c.plan.Orders[o.order].evacuates() || c.calls[o.id].state != waits {
+		if o.order < 0 || !c.plan.Requests[o.order].evacuates() || c.calls[o.id].state != waits {
 			continue
 		}
-		if !c.plan.Early || c.proposers[o.proposer].GuardSet(o.id) {
-			events = append(events, Event{Kind: leave, What: uint8(o.id)})
+		if !c.plan.EarlyDisconnects || c.proposers[o.proposer].GuardSet(o.id) {
+			events = append(events, Event{Kind: leave, Target: uint8(o.id)})
 		}
 	}
 	return events
 }
 
-func (c *Cluster) leave(id uint64) {
+func (c *RegisterState) leave(id uint64) {
 	c.calls[id].state = over
 	for _, o := range c.open {
-		if o.id == id && !c.plan.Early {
-			c.plan.Rules.PassDeadline(c.touch(o.proposer), id)
+		if o.id == id && !c.plan.EarlyDisconnects {
+			c.plan.Protocol.ExpireDeadline(c.touch(o.proposer), id)
 		}
 	}
 }
 
 // abandon ends the calls under way at a proposer that restarts.
-func (c *Cluster) abandon(at int) {
+func (c *RegisterState) abandon(at int) {
 	for _, o := range c.open {
-		if o.proposer == at && o.order >= 0 && c.plan.Orders[o.order].evacuates() {
+		if o.proposer == at && o.order >= 0 && c.plan.Requests[o.order].evacuates() {
 			c.calls[o.id].state = over
 		}
 	}
 }
 
 // evacuationAnswered judges the answer to a call.
-func (c *Cluster) evacuationAnswered(id uint64, r register.Result) {
+func (c *RegisterState) evacuationAnswered(id uint64, r register.Result) {
 	var fenced *register.ScopeConflictError
 	var none *register.NoQuorumError
 	switch {
@@ -125,16 +125,16 @@
 }
 
 // hear tells the caller, if it still waits.
-func (c *Cluster) hear(id uint64, state callState) {
+func (c *RegisterState) hear(id uint64, state callState) {
 	if c.calls[id].state == waits {
 		c.calls[id].state = state
 	}
 }
 
 // evacuationTaken bars what the confirmation overtakes: the calls that were over when this one was sent.
-func (c *Cluster) evacuationTaken(id uint64, v *register.Value) {
+func (c *RegisterState) evacuationTaken(id uint64, v *register.Value) {
 	if _, done := v.AppliedAt(c.plan.callID(int(id))); !done {
-		c.fail(&InvariantError{Invariant: "what was confirmed is recorded", How: "call " + c.plan.callID(int(id))})
+		c.fail(&InvariantError{Invariant: "what was confirmed is recorded", Detail: "call " + c.plan.callID(int(id))})
 	}
 	if c.calls[id].state != waits {
 		return
@@ -148,19 +148,19 @@
 }
 
 // evacuationsHold: a chosen value holds what was confirmed and nothing that is barred, and its zone is as the newest order says.
-func (c *Cluster) evacuationsHold(v *register.Value) error {
+func (c *RegisterState) evacuationsHold(v *register.Value) error {
 	current := !c.plan.versionOf(v).older(c.plan.versionOf(c.latest))
 	for id, call := range c.calls {
 		name := c.plan.callID(id)
 		_, taken := v.AppliedAt(name)
 		switch {
 		case call.barred && taken:
-			return &InvariantError{Invariant: "an overtaken evacuation never takes effect", How: fmt.Sprintf("call %s is in the value of revision %d, %d orders", name, v.Version, v.AppliedOrders)}
+			return &InvariantError{Invariant: "an overtaken evacuation never takes effect", Detail: fmt.Sprintf("call %s is in the value of revision %d, %d orders", name, v.Version, v.AppliedOrders)}
 		case call.state == confirmed && !taken && current:
-			return &InvariantError{Invariant: "what was confirmed survives", How: fmt.Sprintf("call %s is not in revision %d, %d orders", name, v.Version, v.AppliedOrders)}
+			return &InvariantError{Invariant: "what was confirmed survives", Detail: fmt.Sprintf("call %s is not in revision %d, %d orders", name, v.Version, v.AppliedOrders)}
 		case taken && v.LatestOrder(zone).ID == register.HashOrder(name):
-			if (len(v.EvacuatedZones) == 0) != (c.plan.Orders[id/attempts].Kind == Restore) {
-				return &InvariantError{Invariant: "the newest order is in force", How: fmt.Sprintf("%s, and evacuated are %v", name, v.EvacuatedZones)}
+			if (len(v.EvacuatedZones) == 0) != (c.plan.Requests[id/attempts].Kind == Restore) {
+				return &InvariantError{Invariant: "the newest order is in force", Detail: fmt.Sprintf("%s, and evacuated are %v", name, v.EvacuatedZones)}
 			}
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 // chosenHold judges a value as soon as a quorum has accepted it, whoever knows.
-func (c *Cluster) chosenHold() {
+func (c *RegisterState) chosenHold() {
 	if !c.plan.evacuations() {
 		return
 	}
--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -8,30 +8,30 @@
 
 // Event is one step that a world can take: its kind and up to two operands, whose meaning is the world's own.
 type Event struct {
-	Kind  uint8
-	What  uint8
-	Which uint16
+	Kind   uint8
+	Target uint8
+	Arg    uint16
 }
 
-// World is one state of a model. Apply leaves the receiver as it was and returns the next state.
-type World[W any] interface {
+// State is one state of a model. Apply leaves the receiver as it was and returns the next state.
+type State[W any] interface {
 	// Events are the steps that are possible now, in a fixed order.
 	Events() []Event
 	// Apply takes one of them.
 	Apply(e Event) W
 	// Fingerprint is a hash of all that decides the steps to come and their checks.
 	Fingerprint() uint64
-	// Broken is the invariant that this state breaks, or nil.
-	Broken() error
+	// BrokenInvariant is the invariant that this state breaks, or nil.
+	BrokenInvariant() error
 	// Describe tells in words what an event of this state is.
 	Describe(e Event) string
 }
 
 // Bounds end an exploration; zero is no bound. Workers is how many goroutines expand states.
 type Bounds struct {
-	States  int
-	Depth   int
-	Workers int
+	MaxStates int
+	MaxDepth  int
+	Workers   int
 }
 
 // Report is what an exploration found.
@@ -77,7 +77,7 @@
 	err   error
 }
 
-type explorer[W World[W]] struct {
+type explorer[W State[W]] struct {
 	bounds  Bounds
 	start   W
 	visited map[uint64]struct{}
@@ -93,14 +93,14 @@
 
 // Explore visits the states that can be reached from start, breadth first, until an invariant breaks or a bound is met. Its result
 // is the same on every run, whatever the number of workers.
-func Explore[W World[W]](start W, bounds Bounds) Report {
+func Explore[W State[W]](start W, bounds Bounds) Report {
 	if bounds.Workers == 0 {
 		bounds.Workers = min(runtime.GOMAXPROCS(0), 4)
 	}
 	x := &explorer[W]{bounds: bounds, start: start, visited: map[uint64]struct{}{start.Fingerprint(): {}}, origins: []origin{{parent: -1}}}
 	x.report.States = 1
 	frontier := []explored[W]{{world: start}}
-	for len(frontier) > 0 && (bounds.Depth == 0 || x.report.Depth < bounds.Depth) {
+	for len(frontier) > 0 && (bounds.MaxDepth == 0 || x.report.Depth < bounds.MaxDepth) {
 		next, done := x.level(frontier)
 		if done {
 			return x.report
@@ -143,7 +143,7 @@
 		return nil, true
 	}
 	next = append(next, explored[W]{id: id, world: s.world})
-	return next, x.bounds.States > 0 && x.report.States >= x.bounds.States
+	return next, x.bounds.MaxStates > 0 && x.report.States >= x.bounds.MaxStates
 }
 
 // expand shares out chunks among the workers; nobody writes to visited meanwhile.
@@ -176,7 +176,7 @@
 			world := s.world.Apply(e)
 			next := successor[W]{origin: origin{parent: s.id, event: e}, hash: world.Fingerprint()}
 			if _, known := x.visited[next.hash]; !known {
-				next.world, next.err = world, world.Broken()
+				next.world, next.err = world, world.BrokenInvariant()
 			}
 			visited = append(visited, next)
 		}
--- a/modelcheck/explore_test.go
+++ b/modelcheck/explore_test.go
@@ -48,7 +48,7 @@
 
 func (j jugs) Fingerprint() uint64 { return uint64(j.small)<<8 | uint64(j.large) }
 
-func (j jugs) Broken() error {
+func (j jugs) BrokenInvariant() error {
 	if j.large == 4 {
 		return errFour
 	}
@@ -70,10 +70,10 @@
 }
 
 func TestBoundsEndAnExploration(t *testing.T) {
-	if r := Explore(jugs{}, Bounds{Depth: 5}); r.Err != nil || r.Depth != 5 || r.Complete {
+	if r := Explore(jugs{}, Bounds{MaxDepth: 5}); r.Err != nil || r.Depth != 5 || r.Complete {
 		t.Error("a fault six steps away, explored to five:", r)
 	}
-	if r := Explore(jugs{}, Bounds{States: 5}); r.States != 5 || r.Complete {
+	if r := Explore(jugs{}, Bounds{MaxStates: 5}); r.States != 5 || r.Complete {
 		t.Error("five states:", r)
 	}
 }
@@ -81,8 +81,8 @@
 // The counts of a real world don't depend on how many goroutines share the work.
 func TestExplorationIsTheSameForAnyNumberOfWorkers(t *testing.T) {
 	plan := worlds["two orders on one base"].plan
-	plan.Rules = RealRules()
-	one, four := Explore(NewCluster(plan), Bounds{Workers: 1}), Explore(NewCluster(plan), Bounds{Workers: 4})
+	plan.Protocol = ProductionProtocol()
+	one, four := Explore(NewRegisterState(plan), Bounds{Workers: 1}), Explore(NewRegisterState(plan), Bounds{Workers: 4})
 	if !one.Complete || one.String() != four.String() {
 		t.Errorf("%s\n%s", one, four)
 	}
--- a/modelcheck/fingerprint.go
+++ b/modelcheck/fingerprint.go
@@ -10,11 +10,11 @@
 )
 
 // Fingerprint is a hash of the whole state; the order of mail does not count.
-func (c *Cluster) Fingerprint() uint64 {
+func (c *RegisterState) Fingerprint() uint64 {
 	var space [1024]byte
 	b := space[:0]
 	l := c.left
-	b = append(b, l.Timers, l.Deadlines, l.Resends, l.Doubles, l.Mutes, l.Crashes, l.Restarts, l.Wipes, l.Replacements, l.Finishes, l.Learns, l.Leaves)
+	b = append(b, l.Timers, l.Deadlines, l.Resends, l.Duplicates, l.LostReplies, l.Crashes, l.Restarts, l.Wipes, l.Replacements, l.Finishes, l.Learns, l.Disconnects)
 	for at, p := range c.proposers {
 		b = p.AppendFingerprint(append(b, c.boots[at]))
 		b = c.known[at].AppendFingerprint(b)
@@ -43,7 +43,7 @@
 
 // appendDisks appends a hash for each disk and all that concerns it. Where voters never change all disks are alike, so names and order
 // are left out: states that differ by a permutation of the disks are one.
-func (c *Cluster) appendDisks(b []byte) []byte {
+func (c *RegisterState) appendDisks(b []byte) []byte {
 	var hashes [8]uint64
 	for at, d := range c.disks {
 		hashes[at] = c.hashDisk(d)
@@ -55,7 +55,7 @@
 	return b
 }
 
-func (c *Cluster) hashDisk(d disk) uint64 {
+func (c *RegisterState) hashDisk(d disk) uint64 {
 	var space [512]byte
 	b := d.appendFingerprint(space[:0])
 	if len(c.disks) > c.plan.Voters {
--- a/modelcheck/leases.go
+++ b/modelcheck/leases.go
@@ -18,26 +18,26 @@
 
 // LeaseBudget is how often each thing may happen in one trace. Loss, delay and reordering of requests, and cuts, need no budget.
 // Acquires are for each holder; Mutes lose a grant, unless grants are queued.
-type LeaseBudget struct{ Acquires, Advances, Restarts, Doubles, Mutes uint8 }
-
-// LeaseRules are the functions that a world of leases is made of. Tests put one that misbehaves in place of a real one.
-type LeaseRules struct {
-	Request     func(g *lease.Grantor, now time.Duration, m lease.Request) lease.Grant
-	Restarted   func(g *lease.Grantor, now time.Duration) *lease.Grantor
-	ChangeEpoch func(g *lease.Grantor, now time.Duration, epoch uint64)
-	Holds       func(h *lease.Holder, now time.Duration) bool
-	// AnyEpoch tells that Request may grant in an epoch that is over, so that such requests matter.
-	AnyEpoch bool
+type LeaseBudget struct{ Acquires, ClockAdvances, Restarts, Duplicates, LostGrants uint8 }
+
+// LeaseProtocol are the functions that a world of leases is made of. Tests put one that misbehaves in place of a real one.
+type LeaseProtocol struct {
+	HandleRequest func(g *lease.Grantor, now time.Duration, m lease.Request) lease.Grant
+	Restart       func(g *lease.Grantor, now time.Duration) *lease.Grantor
+	ChangeEpoch   func(g *lease.Grantor, now time.Duration, epoch uint64)
+	Holds         func(h *lease.Holder, now time.Duration) bool
+	// IgnoresEpoch tells that Request may grant in an epoch that is over, so that such requests matter.
+	IgnoresEpoch bool
 }
 
-// RealLeaseRules are the rules as they run.
-func RealLeaseRules() LeaseRules {
-	return LeaseRules{
-		Request: func(g *lease.Grantor, now time.Duration, m lease.Request) lease.Grant {
+// ProductionLeaseProtocol are the rules as they run.
+func ProductionLeaseProtocol() LeaseProtocol {
+	return LeaseProtocol{
+		HandleRequest: func(g *lease.Grantor, now time.Duration, m lease.Request) lease.Grant {
 			r, _ := g.HandleRequest(now, m)
 			return r
 		},
-		Restarted: func(g *lease.Grantor, now time.Duration) *lease.Grantor {
+		Restart: func(g *lease.Grantor, now time.Duration) *lease.Grantor {
 			return lease.NewGrantor(g.Disk, g.Records(), now+lease.TTL)
 		},
 		ChangeEpoch: (*lease.Grantor).ChangeEpoch,
@@ -48,17 +48,17 @@
 	}
 }
 
-// LeasePlan is a bounded world of leases: two holders of one role, the disks of all epochs as grantors. Voters are the values of
+// LeaseModel is a bounded world of leases: two holders of one role, the disks of all epochs as grantors. Voters are the values of
 // the register in the order in which they are chosen. Clocks run at HolderRate and GrantorRate thousandths of true time, which goes
 // on by one of Steps at a time.
-type LeasePlan struct {
+type LeaseModel struct {
 	Epochs                  []*register.Value
-	Steps                   []time.Duration
+	ClockSteps              []time.Duration
 	HolderRate, GrantorRate [holders]int
 	Budget                  LeaseBudget
-	// Queued has grants wait in the network like requests; otherwise a grant arrives with its request, or is muted.
-	Queued bool
-	Rules  LeaseRules
+	// QueuedGrants has grants wait in the network like requests; otherwise a grant arrives with its request, or is muted.
+	QueuedGrants bool
+	Protocol     LeaseProtocol
 }
 
 // leaseMail is a message on its way between a grantor and a holder.
@@ -70,9 +70,9 @@
 // leaseMessage is a Request, a Release or a Grant of package lease.
 type leaseMessage any
 
-// Leases is one state of a world of leases.
-type Leases struct {
-	plan     *LeasePlan
+// LeaseState is one state of a world of leases.
+type LeaseState struct {
+	plan     *LeaseModel
 	left     LeaseBudget
 	acquires [holders]uint8
 	now      time.Duration
@@ -83,9 +83,9 @@
 	broken   error
 }
 
-// NewLeases is the first state of a world: nobody holds the role, everybody is in the first epoch and no grace runs.
-func NewLeases(plan LeasePlan) *Leases {
-	l := &Leases{plan: &plan, left: plan.Budget, now: time.Hour}
+// NewLeaseState is the first state of a world: nobody holds the role, everybody is in the first epoch and no grace runs.
+func NewLeaseState(plan LeaseModel) *LeaseState {
+	l := &LeaseState{plan: &plan, left: plan.Budget, now: time.Hour}
 	for _, value := range plan.Epochs {
 		for _, v := range value.AllVoters() {
 			if l.grantorOf(v.Disk) < 0 {
@@ -102,33 +102,33 @@
 	return l
 }
 
-func (l *Leases) grantorOf(disk string) int {
+func (l *LeaseState) grantorOf(disk string) int {
 	return slices.IndexFunc(l.grantors, func(g *lease.Grantor) bool { return g.Disk == disk })
 }
 
-func (l *Leases) holderClock(at int) time.Duration {
+func (l *LeaseState) holderClock(at int) time.Duration {
 	return l.now * time.Duration(l.plan.HolderRate[at]) / 1000
 }
 
 // grantorClock gives every second grantor the second rate.
-func (l *Leases) grantorClock(at int) time.Duration {
+func (l *LeaseState) grantorClock(at int) time.Duration {
 	return l.now * time.Duration(l.plan.GrantorRate[at%len(l.plan.GrantorRate)]) / 1000
 }
 
-func (l *Leases) clone() *Leases {
-	n := &Leases{}
+func (l *LeaseState) clone() *LeaseState {
+	n := &LeaseState{}
 	*n = *l
 	n.grantors, n.mail = slices.Clone(l.grantors), slices.Clone(l.mail)
 	return n
 }
 
 // Broken is the invariant that the last step broke.
-func (l *Leases) Broken() error { return l.broken }
+func (l *LeaseState) BrokenInvariant() error { return l.broken }
 
 // Fingerprint is a hash of the whole state; the order of mail does not count, nor does true time itself.
-func (l *Leases) Fingerprint() uint64 {
+func (l *LeaseState) Fingerprint() uint64 {
 	var space [1024]byte
-	b := append(space[:0], l.left.Advances, l.left.Restarts, l.left.Doubles, l.left.Mutes)
+	b := append(space[:0], l.left.ClockAdvances, l.left.Restarts, l.left.Duplicates, l.left.LostGrants)
 	for at, h := range l.holders {
 		b = h.AppendFingerprint(append(b, l.acquires[at], byte(l.views[at])), l.holderClock(at))
 	}
@@ -137,7 +137,7 @@
 }
 
 // appendGrantors appends a hash for each grantor and its mail. In a single epoch grantors whose clocks run alike are alike.
-func (l *Leases) appendGrantors(b []byte) []byte {
+func (l *LeaseState) appendGrantors(b []byte) []byte {
 	var hashes [8]uint64
 	alike := len(l.plan.Epochs) == 1 && l.plan.GrantorRate[0] == l.plan.GrantorRate[1]
 	for at, g := range l.grantors {
@@ -152,7 +152,7 @@
 	return b
 }
 
-func (l *Leases) hashGrantor(at int, g *lease.Grantor) uint64 {
+func (l *LeaseState) hashGrantor(at int, g *lease.Grantor) uint64 {
 	var space [256]byte
 	b := g.AppendFingerprint(space[:0], l.grantorClock(at))
 	for _, h := range l.holders {
--- a/modelcheck/leases_test.go
+++ b/modelcheck/leases_test.go
@@ -35,42 +35,42 @@
 	fullTerm = []time.Duration{lease.TTL}
 )
 
-var leaseWorlds = map[string]LeasePlan{
+var leaseWorlds = map[string]LeaseModel{
 	"restart of a grantor": {
-		Epochs: oneEpoch(), Steps: fullTerm, HolderRate: even, GrantorRate: even,
-		Budget: LeaseBudget{Acquires: 2, Advances: 1, Restarts: 1},
+		Epochs: oneEpoch(), ClockSteps: fullTerm, HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 2, ClockAdvances: 1, Restarts: 1},
 	},
 	"slow holders, fast grantors": {
-		Epochs: oneEpoch(), Steps: fullTerm, HolderRate: slow, GrantorRate: fast,
-		Budget: LeaseBudget{Acquires: 2, Advances: 2},
+		Epochs: oneEpoch(), ClockSteps: fullTerm, HolderRate: slow, GrantorRate: fast,
+		Budget: LeaseBudget{Acquires: 2, ClockAdvances: 2},
 	},
 	"every second": {
-		Epochs: oneEpoch(), Steps: []time.Duration{time.Second}, HolderRate: slow, GrantorRate: fast,
-		Budget: LeaseBudget{Acquires: 1, Advances: 4, Restarts: 1},
+		Epochs: oneEpoch(), ClockSteps: []time.Duration{time.Second}, HolderRate: slow, GrantorRate: fast,
+		Budget: LeaseBudget{Acquires: 1, ClockAdvances: 4, Restarts: 1},
 	},
 	"mixed clocks, a restart, doubles": {
-		Epochs: oneEpoch(), Steps: []time.Duration{2 * time.Second, 100 * time.Millisecond}, HolderRate: mix, GrantorRate: mix,
-		Budget: LeaseBudget{Acquires: 1, Advances: 3, Restarts: 1, Doubles: 1},
+		Epochs: oneEpoch(), ClockSteps: []time.Duration{2 * time.Second, 100 * time.Millisecond}, HolderRate: mix, GrantorRate: mix,
+		Budget: LeaseBudget{Acquires: 1, ClockAdvances: 3, Restarts: 1, Duplicates: 1},
 	},
 	"queued grants": {
-		Epochs: oneEpoch(), Steps: fullTerm, HolderRate: slow, GrantorRate: fast, Queued: true,
-		Budget: LeaseBudget{Acquires: 1, Advances: 2},
+		Epochs: oneEpoch(), ClockSteps: fullTerm, HolderRate: slow, GrantorRate: fast, QueuedGrants: true,
+		Budget: LeaseBudget{Acquires: 1, ClockAdvances: 2},
 	},
 	"change of voters at once": {
 		Epochs: oneChange(), HolderRate: even, GrantorRate: even,
 		Budget: LeaseBudget{Acquires: 1},
 	},
 	"change of voters": {
-		Epochs: oneChange(), Steps: fullTerm, HolderRate: slow, GrantorRate: fast,
-		Budget: LeaseBudget{Acquires: 1, Advances: 1},
+		Epochs: oneChange(), ClockSteps: fullTerm, HolderRate: slow, GrantorRate: fast,
+		Budget: LeaseBudget{Acquires: 1, ClockAdvances: 1},
 	},
 	"change of voters, half known for a term": {
-		Epochs: oneChange(), Steps: fullTerm, HolderRate: even, GrantorRate: even,
-		Budget: LeaseBudget{Acquires: 1, Advances: 1},
+		Epochs: oneChange(), ClockSteps: fullTerm, HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 1, ClockAdvances: 1},
 	},
 	"change of voters, long over": {
-		Epochs: oneChange(), Steps: fullTerm, HolderRate: even, GrantorRate: even,
-		Budget: LeaseBudget{Acquires: 1, Advances: 1},
+		Epochs: oneChange(), ClockSteps: fullTerm, HolderRate: even, GrantorRate: even,
+		Budget: LeaseBudget{Acquires: 1, ClockAdvances: 1},
 	},
 	"change of voters and a restart": {
 		Epochs: oneChange(), HolderRate: even, GrantorRate: even,
@@ -90,18 +90,18 @@
 var leasePrologues = map[string][]Event{
 	// The epoch with both sets is known at b and s alone for a whole term: whoever proposed it reached no more.
 	"change of voters, half known for a term": {
-		{Kind: acceptEpoch, What: grantorB, Which: 1}, {Kind: acceptEpoch, What: grantorS, Which: 1}, {Kind: advance},
+		{Kind: acceptEpoch, Target: grantorB, Arg: 1}, {Kind: acceptEpoch, Target: grantorS, Arg: 1}, {Kind: advance},
 	},
 	// The change is over for a whole term, and a has heard nothing of it.
 	"change of voters, long over": {
-		{Kind: acceptEpoch, What: grantorB, Which: 1}, {Kind: acceptEpoch, What: grantorC, Which: 1},
-		{Kind: acceptEpoch, What: grantorB, Which: 2}, {Kind: acceptEpoch, What: grantorC, Which: 2}, {Kind: acceptEpoch, What: grantorS, Which: 2},
-		{Kind: learnEpoch, What: 1}, {Kind: learnEpoch, What: 1}, {Kind: advance},
+		{Kind: acceptEpoch, Target: grantorB, Arg: 1}, {Kind: acceptEpoch, Target: grantorC, Arg: 1},
+		{Kind: acceptEpoch, Target: grantorB, Arg: 2}, {Kind: acceptEpoch, Target: grantorC, Arg: 2}, {Kind: acceptEpoch, Target: grantorS, Arg: 2},
+		{Kind: learnEpoch, Target: 1}, {Kind: learnEpoch, Target: 1}, {Kind: advance},
 	},
 }
 
 // after takes steps before an exploration begins.
-func (l *Leases) after(steps []Event) *Leases {
+func (l *LeaseState) after(steps []Event) *LeaseState {
 	for _, e := range steps {
 		l = l.Apply(e)
 	}
@@ -111,8 +111,8 @@
 func TestLeaseWorldsHold(t *testing.T) {
 	for name, plan := range leaseWorlds {
 		t.Run(name, func(t *testing.T) {
-			plan.Rules = RealLeaseRules()
-			report := Explore(NewLeases(plan).after(leasePrologues[name]), bounds())
+			plan.Protocol = ProductionLeaseProtocol()
+			report := Explore(NewLeaseState(plan).after(leasePrologues[name]), bounds())
 			if report.Err != nil {
 				t.Fatal(report)
 			}
@@ -140,12 +140,12 @@
 
 var leaseMutations = map[string]struct {
 	world  string
-	mutate func(r *LeaseRules)
+	mutate func(r *LeaseProtocol)
 }{
 	"no grace after a restart": {
 		world: "restart of a grantor",
-		mutate: func(r *LeaseRules) {
-			r.Restarted = func(g *lease.Grantor, now time.Duration) *lease.Grantor {
+		mutate: func(r *LeaseProtocol) {
+			r.Restart = func(g *lease.Grantor, now time.Duration) *lease.Grantor {
 				return lease.NewGrantor(g.Disk, g.Records(), now)
 			}
 			r.ChangeEpoch = func(g *lease.Grantor, now time.Duration, epoch uint64) { g.ChangeEpoch(now-lease.TTL, epoch) }
@@ -153,13 +153,13 @@
 	},
 	"no grace after a change of voters": {
 		world: "change of voters at once",
-		mutate: func(r *LeaseRules) {
+		mutate: func(r *LeaseProtocol) {
 			r.ChangeEpoch = func(g *lease.Grantor, now time.Duration, epoch uint64) { g.ChangeEpoch(now-lease.TTL, epoch) }
 		},
 	},
 	"no margin for drift": {
 		world: "slow holders, fast grantors",
-		mutate: func(r *LeaseRules) {
+		mutate: func(r *LeaseProtocol) {
 			r.Holds = func(h *lease.Holder, now time.Duration) bool {
 				_, yes := h.Holds(now-lease.DriftMargin, leaseRole)
 				return yes
@@ -168,11 +168,11 @@
 	},
 	"a new asker overrules a grant": {
 		world:  "slow holders, fast grantors",
-		mutate: func(r *LeaseRules) { r.Request = overruled },
+		mutate: func(r *LeaseProtocol) { r.HandleRequest = overruled },
 	},
 	"grants in any epoch": {
 		world:  "change of voters, long over",
-		mutate: func(r *LeaseRules) { r.Request, r.AnyEpoch = anyEpoch, true },
+		mutate: func(r *LeaseProtocol) { r.HandleRequest, r.IgnoresEpoch = anyEpoch, true },
 	},
 }
 
@@ -180,9 +180,9 @@
 	for name, m := range leaseMutations {
 		t.Run(name, func(t *testing.T) {
 			plan := leaseWorlds[m.world]
-			plan.Rules = RealLeaseRules()
-			m.mutate(&plan.Rules)
-			report := Explore(NewLeases(plan).after(leasePrologues[m.world]), Bounds{States: mutationStates})
+			plan.Protocol = ProductionLeaseProtocol()
+			m.mutate(&plan.Protocol)
+			report := Explore(NewLeaseState(plan).after(leasePrologues[m.world]), Bounds{MaxStates: mutationStates})
 			var broken *InvariantError
 			if !errors.As(report.Err, &broken) {
 				t.Fatal("nothing breaks:", report)
--- a/modelcheck/mutations_test.go
+++ b/modelcheck/mutations_test.go
@@ -10,9 +10,9 @@
 
 // mutation takes one mechanism out of the rules; the plan is a world that shows it.
 type mutation struct {
-	plan   Plan
+	plan   RegisterModel
 	before []string
-	mutate func(r *Rules)
+	mutate func(r *Protocol)
 }
 
 func acceptWithoutPromise(a *register.Acceptor, m register.Accept) (register.Accepted, bool) {
@@ -97,56 +97,56 @@
 	}
 }
 
-var twoPuts = []Order{x, y}
+var twoPuts = []OperatorRequest{x, y}
 
 var mutations = map[string]mutation{
 	"accept regards no promise": {
-		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts},
-		mutate: func(r *Rules) { r.Accept = acceptWithoutPromise },
+		plan:   RegisterModel{Disks: three, Voters: 3, Requests: twoPuts},
+		mutate: func(r *Protocol) { r.Accept = acceptWithoutPromise },
 	},
 	"lowest accepted ballot wins": {
-		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Timers: 1}},
-		mutate: func(r *Rules) { r.OnPromise = lowestWins },
+		plan:   RegisterModel{Disks: three, Voters: 3, Requests: twoPuts, Budget: Budget{Timers: 1}},
+		mutate: func(r *Protocol) { r.OnPromise = lowestWins },
 	},
 	"accepted value is not proposed again": {
-		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Timers: 1}},
-		mutate: func(r *Rules) { r.OnPromise = hidesAccepted(bootstrapOrder(three, 3)) },
+		plan:   RegisterModel{Disks: three, Voters: 3, Requests: twoPuts, Budget: Budget{Timers: 1}},
+		mutate: func(r *Protocol) { r.OnPromise = hidesAccepted(bootstrapOrder(three, 3)) },
 	},
 	"voters change without joint quorums": {
-		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Orders: []Order{{ID: "x", Home: 1}}, Budget: Budget{Timers: 1, Replacements: 1}},
-		mutate: func(r *Rules) { r.Begin = beginAlone },
+		plan:   RegisterModel{Disks: spare, Voters: 3, PlannedReplacements: true, Requests: []OperatorRequest{{ID: "x", FirstProposer: 1}}, Budget: Budget{Timers: 1, Replacements: 1}},
+		mutate: func(r *Protocol) { r.BeginVoterChange = beginAlone },
 	},
 	"voters change without the epoch's compare-and-set": {
-		plan:   Plan{Disks: spare, Voters: 3, Planned: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2}},
+		plan:   RegisterModel{Disks: spare, Voters: 3, PlannedReplacements: true, Budget: Budget{Timers: 1, Wipes: 1, Replacements: 2}},
 		before: aIsReplaced,
-		mutate: func(r *Rules) { r.Begin = beginAtAnyEpoch },
+		mutate: func(r *Protocol) { r.BeginVoterChange = beginAtAnyEpoch },
 	},
 	"answer before the write": {
-		plan:   Plan{Disks: three, Voters: 3, Journal: true, Orders: twoPuts, Budget: Budget{Crashes: 1}},
-		mutate: func(r *Rules) { r.AnswersFirst = true },
+		plan:   RegisterModel{Disks: three, Voters: 3, DelayedWrites: true, Requests: twoPuts, Budget: Budget{Crashes: 1}},
+		mutate: func(r *Protocol) { r.ReplyBeforeWrite = true },
 	},
 	"empty disk votes as its old self": {
-		plan: Plan{Disks: three, Voters: 3, Orders: twoPuts, Budget: Budget{Wipes: 1}},
-		mutate: func(r *Rules) {
-			r.Wiped = func(old register.State, _ string) register.State { return register.State{Disk: old.Disk} }
+		plan: RegisterModel{Disks: three, Voters: 3, Requests: twoPuts, Budget: Budget{Wipes: 1}},
+		mutate: func(r *Protocol) {
+			r.StateAfterWipe = func(old register.State, _ string) register.State { return register.State{Disk: old.Disk} }
 		},
 	},
 	"put regards no history": {
-		plan:   Plan{Disks: three, Voters: 3, Orders: twoPuts[:1], Budget: Budget{Resends: 1}},
-		mutate: func(r *Rules) { r.Put = forgetfulPut },
+		plan:   RegisterModel{Disks: three, Voters: 3, Requests: twoPuts[:1], Budget: Budget{Resends: 1}},
+		mutate: func(r *Protocol) { r.Put = forgetfulPut },
 	},
 	"history keeps one order": {
-		plan:   Plan{Disks: three, Voters: 3, Orders: []Order{{ID: "x"}, {ID: "y", Expect: 1}}, Budget: Budget{Resends: 1, Timers: 1}},
-		mutate: func(r *Rules) { r.Put = shortHistoryPut },
+		plan:   RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{{ID: "x"}, {ID: "y", BaseVersion: 1}}, Budget: Budget{Resends: 1, Timers: 1}},
+		mutate: func(r *Protocol) { r.Put = shortHistoryPut },
 	},
 	"edit regards no history": {
-		plan:   Plan{Disks: three, Voters: 3, Orders: []Order{{ID: "e", Kind: Edit}}, Budget: Budget{Resends: 1}},
-		mutate: func(r *Rules) { r.Edit = forgetfulEdit },
+		plan:   RegisterModel{Disks: three, Voters: 3, Requests: []OperatorRequest{{ID: "e", Kind: Edit}}, Budget: Budget{Resends: 1}},
+		mutate: func(r *Protocol) { r.Edit = forgetfulEdit },
 	},
 }
 
 func bootstrapOrder(disks []string, voters int) *register.Value {
-	return NewCluster(Plan{Disks: disks, Voters: voters, Rules: RealRules()}).first
+	return NewRegisterState(RegisterModel{Disks: disks, Voters: voters, Protocol: ProductionProtocol()}).first
 }
 
 // mutationStates bounds the search for a mutation's fault.
@@ -155,9 +155,9 @@
 func TestRemovedMechanismBreaksAnInvariant(t *testing.T) {
 	for name, m := range mutations {
 		t.Run(name, func(t *testing.T) {
-			m.plan.Rules = RealRules()
-			m.mutate(&m.plan.Rules)
-			report := Explore(NewCluster(m.plan).after(t, m.before), Bounds{States: mutationStates})
+			m.plan.Protocol = ProductionProtocol()
+			m.mutate(&m.plan.Protocol)
+			report := Explore(NewRegisterState(m.plan).after(t, m.before), Bounds{MaxStates: mutationStates})
 			var broken *InvariantError
 			if !errors.As(report.Err, &broken) {
 				t.Fatal("nothing breaks:", report)
--- a/modelcheck/rounds.go
+++ b/modelcheck/rounds.go
@@ -23,22 +23,22 @@
 )
 
 // gathered tells whether a request belongs to a round that is delivered as a whole: it is not refused.
-func (c *Cluster) gathered(m mail) bool {
+func (c *RegisterState) gathered(m mail) bool {
 	prepare, ok := m.msg.(register.Prepare)
-	if !ok || prepare.ReadOnly || !c.plan.Rounds {
+	if !ok || prepare.ReadOnly || !c.plan.AtomicRounds {
 		return false
 	}
 	return !prepare.Ballot.Less(c.disks[c.diskOf(prepare.Disk)].acceptor.Promised)
 }
 
 // forgotten tells whether a request is a prepare whose answer nobody waits for.
-func (c *Cluster) forgotten(m mail) bool {
+func (c *RegisterState) forgotten(m mail) bool {
 	prepare, ok := m.msg.(register.Prepare)
-	return ok && c.plan.Rounds && !c.proposers[m.proposer].Expects(prepare.RequestID, register.Ballot{})
+	return ok && c.plan.AtomicRounds && !c.proposers[m.proposer].Expects(prepare.RequestID, register.Ballot{})
 }
 
 type partialRound struct {
-	world *Cluster
+	world *RegisterState
 	path  uint16
 	disks uint8
 	steps int
@@ -46,7 +46,7 @@
 
 // rounds are the ends that the present round of a proposer can come to, each by one order of its answers: what has been gathered counts,
 // not in which order.
-func (c *Cluster) rounds(events []Event, at int) []Event {
+func (c *RegisterState) rounds(events []Event, at int) []Event {
 	seen := map[uint8]bool{}
 	todo := []partialRound{{world: c}}
 	for len(todo) > 0 {
@@ -64,7 +64,7 @@
 			seen[next.disks] = true
 			next.world = part.world.gather(at, disk)
 			if !next.world.proposers[at].Preparing() || next.world.proposers[at].RequestID() != c.proposers[at].RequestID() {
-				events = append(events, Event{Kind: round, What: uint8(at), Which: next.path})
+				events = append(events, Event{Kind: round, Target: uint8(at), Arg: next.path})
 				continue
 			}
 			todo = append(todo, next)
@@ -74,17 +74,17 @@
 }
 
 // gather delivers the prepare of a proposer's round to one disk.
-func (c *Cluster) gather(at, disk int) *Cluster {
+func (c *RegisterState) gather(at, disk int) *RegisterState {
 	next := c.clone()
 	i := slices.IndexFunc(next.mail, func(m mail) bool {
 		return m.proposer == at && m.disk == next.disks[disk].acceptor.Disk && next.gathered(m)
 	})
-	next.carry(Event{Kind: deliver, Which: uint16(i)})
+	next.carry(Event{Kind: deliver, Arg: uint16(i)})
 	return next
 }
 
 // gatherAll follows a path.
-func (c *Cluster) gatherAll(at int, path uint16) *Cluster {
+func (c *RegisterState) gatherAll(at int, path uint16) *RegisterState {
 	next := c
 	for ; path > 0; path >>= pathBits {
 		next = next.gather(at, int(path&pathMask)-1)
@@ -93,7 +93,7 @@
 }
 
 // pathNames are the disks of a path.
-func (c *Cluster) pathNames(path uint16) string {
+func (c *RegisterState) pathNames(path uint16) string {
 	var names string
 	for ; path > 0; path >>= pathBits {
 		names += " " + c.disks[path&pathMask-1].acceptor.Disk
--- a/modelcheck/rounds_test.go
+++ b/modelcheck/rounds_test.go
@@ -9,9 +9,9 @@
 )
 
 // byRounds goes on with the prepares that end a round as one event.
-func (c *Cluster) byRounds() *Cluster {
+func (c *RegisterState) byRounds() *RegisterState {
 	plan := *c.plan
-	plan.Rounds = true
+	plan.AtomicRounds = true
 	c = c.clone()
 	c.plan = &plan
 	return c
@@ -24,8 +24,8 @@
 	for _, name := range worldsByRounds {
 		t.Run(name, func(t *testing.T) {
 			world := worlds[name]
-			world.plan.Rules = RealRules()
-			report := Explore(NewCluster(world.plan).after(t, world.before).byRounds(), bounds())
+			world.plan.Protocol = ProductionProtocol()
+			report := Explore(NewRegisterState(world.plan).after(t, world.before).byRounds(), bounds())
 			if report.Err != nil {
 				t.Fatal(report)
 			}
@@ -45,7 +45,7 @@
 var mutationsByRounds = map[string]mutation{
 	"voters change finished in any epoch": {
 		plan: finishedAfterDeadlinePlan, before: finishedAfterDeadline,
-		mutate: func(r *Rules) { r.Finish = finishAtAnyEpoch },
+		mutate: func(r *Protocol) { r.FinishVoterChange = finishAtAnyEpoch },
 	},
 }
 
@@ -54,13 +54,13 @@
 func TestRemovedMechanismBreaksAnInvariantByRounds(t *testing.T) {
 	for _, some := range []map[string]mutation{mutations, evacuationMutations, mutationsByRounds} {
 		for name, m := range some {
-			if m.plan.Journal {
+			if m.plan.DelayedWrites {
 				continue
 			}
 			t.Run(name, func(t *testing.T) {
-				m.plan.Rules = RealRules()
-				m.mutate(&m.plan.Rules)
-				report := Explore(NewCluster(m.plan).after(t, m.before).byRounds(), Bounds{States: mutationStates})
+				m.plan.Protocol = ProductionProtocol()
+				m.mutate(&m.plan.Protocol)
+				report := Explore(NewRegisterState(m.plan).after(t, m.before).byRounds(), Bounds{MaxStates: mutationStates})
 				var broken *InvariantError
 				if !errors.As(report.Err, &broken) {
 					t.Fatal("nothing breaks:", report)
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -114,7 +114,7 @@
 		a.Story = slices.Clone(a.w.Trace[max(0, len(a.w.Trace)-storyLines):])
 	}
 	if len(a.Breaches) < 50 {
-		a.Breaches = append(a.Breaches, ledger.Breach{What: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.Now, detail)})
+		a.Breaches = append(a.Breaches, ledger.Breach{Kind: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.Now, detail)})
 	}
 }
 
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -86,8 +86,8 @@
 }
 
 func (r *FleetReplica) record(event, req, id string, n int) {
-	r.w.Ran = append(r.w.Ran, ledger.Ran{
-		AtMs: r.w.Now.Milliseconds(), Replica: r.Name, Instance: r.model.Instance, Request: req, AttemptID: id, Event: event, Chunks: n,
+	r.w.Ran = append(r.w.Ran, ledger.RunEvent{
+		AtMs: r.w.Now.Milliseconds(), Replica: r.Name, InstanceID: r.model.Instance, Request: req, AttemptID: id, Event: event, Chunks: n,
 	})
 }
 
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -17,7 +17,7 @@
 	domain   string
 	try      int
 	at       time.Duration
-	got      ledger.Got
+	got      ledger.SendResult
 	flow     router.RequestFlow
 	conn     *fleetConn
 	attempts int
@@ -42,7 +42,7 @@
 func (w *World) submit(a workload.Request, zone string, try int) {
 	n := w.pick(zone)
 	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.Now, flow: router.RequestFlow{Request: a.Request}}
-	f.got = ledger.Got{AtMs: w.Now.Milliseconds(), Request: a.Request, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
+	f.got = ledger.SendResult{AtMs: w.Now.Milliseconds(), Request: a.Request, Class: a.Class.Name, Idempotent: a.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
@@ -164,8 +164,8 @@
 	if l.Chunk == nil {
 		return
 	}
-	if f.got.FirstMs == 0 {
-		f.got.FirstMs = max((f.w.Now - f.at).Milliseconds(), 1)
+	if f.got.FirstChunkMs == 0 {
+		f.got.FirstChunkMs = max((f.w.Now - f.at).Milliseconds(), 1)
 	}
 	f.got.Chunks = append(f.got.Chunks, l.Text)
 }
--- a/sim/report.go
+++ b/sim/report.go
@@ -43,8 +43,8 @@
 	if at != nil {
 		*at++
 	}
-	if f.got.FirstMs > 0 {
-		k.Firsts = append(k.Firsts, f.got.FirstMs)
+	if f.got.FirstChunkMs > 0 {
+		k.Firsts = append(k.Firsts, f.got.FirstChunkMs)
 	}
 }
 
--- a/sim/world.go
+++ b/sim/world.go
@@ -54,8 +54,8 @@
 	byURL          map[string]*FleetReplica
 	whim           *rand.Rand
 	trap           func(n *Node, what control.ChangeKind)
-	Ran            []ledger.Ran
-	Got            []ledger.Got
+	Ran            []ledger.RunEvent
+	Got            []ledger.SendResult
 	Audit          *Audit
 	Report         Report
 	Trace          []string
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -29,8 +29,8 @@
 }
 
 // Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
-func (a *Agent) Once(ctx context.Context, node string, k workload.Request) ledger.Got {
-	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Class.Name, Repeatable: k.Class.Repeatable, Outcome: outcomeLost}
+func (a *Agent) Once(ctx context.Context, node string, k workload.Request) ledger.SendResult {
+	g := ledger.SendResult{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Class: k.Class.Name, Idempotent: k.Class.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Class.Service+"/"+k.Class.Name, strings.NewReader(body))
 	if err != nil {
@@ -67,8 +67,8 @@
 			g.Outcome = "done"
 			continue
 		}
-		if g.FirstMs == 0 {
-			g.FirstMs = max(time.Since(began).Milliseconds(), 1)
+		if g.FirstChunkMs == 0 {
+			g.FirstChunkMs = max(time.Since(began).Milliseconds(), 1)
 		}
 		g.Chunks = append(g.Chunks, l.Text)
 	}
@@ -80,9 +80,9 @@
 
 // Run sends n requests at the times that the source gives them, to the nodes in turn, and has took called with each outcome, one at
 // a time. When the context ends, the rest is sent at once and fails.
-func (a *Agent) Run(ctx context.Context, src *workload.Source, n int, elapsed func(g ledger.Got)) {
+func (a *Agent) Run(ctx context.Context, src *workload.Source, n int, elapsed func(g ledger.SendResult)) {
 	start := time.Now()
-	out := make(chan ledger.Got)
+	out := make(chan ledger.SendResult)
 	for i := range n {
 		ask := src.Next()
 		go func() {
--- a/standin/rehearsal/client.go
+++ b/standin/rehearsal/client.go
@@ -50,11 +50,11 @@
 }
 
 // Ask sends one request until it is whole or the tries are spent, and has each answer taken.
-func (c *Client) Ask(number int, take func(ledger.StreamAnswer)) {
+func (c *Client) Ask(number int, take func(ledger.StreamResponse)) {
 	path := []string{resumablePath, oncePath, plainPath}[c.rng.IntN(3)]
 	request, total, after := c.name+"-"+strconv.Itoa(number), 1+c.rng.IntN(maxEvents), 0
 	for range maxTries {
-		a := ledger.StreamAnswer{AtMs: time.Now().UnixMilli(), Node: c.fronts[c.rng.IntN(len(c.fronts))], Request: request, After: after, Total: total, Resumable: path == resumablePath}
+		a := ledger.StreamResponse{AtMs: time.Now().UnixMilli(), Node: c.fronts[c.rng.IntN(len(c.fronts))], Request: request, After: after, Total: total, Resumable: path == resumablePath}
 		how := manner(c.rng.IntN(int(manners)))
 		answered := c.try(&a, path, how)
 		if answered {
@@ -71,7 +71,7 @@
 }
 
 // try sends a request once on a connection of its own; false where there was no stream.
-func (c *Client) try(a *ledger.StreamAnswer, path string, how manner) bool {
+func (c *Client) try(a *ledger.StreamResponse, path string, how manner) bool {
 	conn, err := net.DialTimeout("tcp", a.Node, time.Second)
 	if err != nil {
 		return false
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (c *Client) head(a *ledger.StreamAnswer, path string, how manner) string {
+func (c *Client) head(a *ledger.StreamResponse, path string, how manner) string {
 	protocol := "HTTP/1.1"
 	if how == old {
 		protocol = "HTTP/1.0"
@@ -110,14 +110,14 @@
 }
 
 // read takes the events of an answer until it ends, or until the client leaves.
-func (c *Client) read(a *ledger.StreamAnswer, how manner, body io.Reader) {
+func (c *Client) read(a *ledger.StreamResponse, how manner, body io.Reader) {
 	in := bufio.NewReader(body)
 	stay := c.rng.IntN(maxEvents)
 	var event ledger.StreamEvent
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			a.Complete, a.Torn = err == io.EOF, line != "" || event != ledger.StreamEvent{}
+			a.Complete, a.HasPartialEvent = err == io.EOF, line != "" || event != ledger.StreamEvent{}
 			return
 		}
 		name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
--- a/standin/rehearsal/operator.go
+++ b/standin/rehearsal/operator.go
@@ -87,7 +87,7 @@
 		case http.StatusOK:
 			return true
 		case http.StatusPreconditionFailed, http.StatusBadRequest:
-			o.breaches <- ledger.Breach{What: ledger.RefusedOrder, Request: strconv.FormatUint(revision, 10), Detail: said}
+			o.breaches <- ledger.Breach{Kind: ledger.OperatorRequestRejected, Request: strconv.FormatUint(revision, 10), Detail: said}
 			return false
 		}
 		time.Sleep(time.Duration(rng.IntN(int(putPause))))
@@ -108,7 +108,7 @@
 		}
 		o.reads.Add(1)
 		if revision < floor {
-			o.breaches <- ledger.Breach{What: ledger.WentBack, Request: control, Detail: fmt.Sprintf("revision %d, after %d", revision, floor)}
+			o.breaches <- ledger.Breach{Kind: ledger.RevisionRegressed, Request: control, Detail: fmt.Sprintf("revision %d, after %d", revision, floor)}
 		}
 		newest = max(newest, revision)
 	}
--- a/standin/rehearsal/operator_test.go
+++ b/standin/rehearsal/operator_test.go
@@ -40,8 +40,8 @@
 		want   string
 	}{
 		{"sound", 0, http.StatusOK, ""},
-		{"older", 1, http.StatusOK, ledger.WentBack},
-		{"refused", 0, http.StatusPreconditionFailed, ledger.RefusedOrder},
+		{"older", 1, http.StatusOK, ledger.RevisionRegressed},
+		{"refused", 0, http.StatusPreconditionFailed, ledger.OperatorRequestRejected},
 		{"unclear", 0, http.StatusServiceUnavailable, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			o.run(time.Now().Add(300 * time.Millisecond))
 			var found string
 			for b := range o.breaches {
-				found = b.What
+				found = b.Kind
 			}
 			if found != c.want {
 				t.Errorf("found %q, not %q", found, c.want)
--- a/standin/rehearsal/rehearsal_test.go
+++ b/standin/rehearsal/rehearsal_test.go
@@ -30,11 +30,11 @@
 			}
 			defer r.Stop()
 			client := NewClient(1, 2, []string{r.Addr})
-			a := ledger.StreamAnswer{Node: r.Addr, Request: "a", Total: 5}
-			if answered := client.try(&a, resumablePath, usual); answered != c.answered || a.Complete != c.complete || a.Torn != c.torn {
+			a := ledger.StreamResponse{Node: r.Addr, Request: "a", Total: 5}
+			if answered := client.try(&a, resumablePath, usual); answered != c.answered || a.Complete != c.complete || a.HasPartialEvent != c.torn {
 				t.Errorf("answered %v: %+v", answered, a)
 			}
-			if c.answered && !c.torn && len(ledger.CheckStreams([]ledger.StreamAnswer{a})) > 0 {
+			if c.answered && !c.torn && len(ledger.CheckStreams([]ledger.StreamResponse{a})) > 0 {
 				t.Errorf("%+v", a)
 			}
 		})
@@ -48,9 +48,9 @@
 		t.Fatal(err)
 	}
 	defer r.Stop()
-	a := ledger.StreamAnswer{Node: r.Addr, Request: "a", Total: 5}
+	a := ledger.StreamResponse{Node: r.Addr, Request: "a", Total: 5}
 	NewClient(1, 2, []string{r.Addr}).try(&a, resumablePath, usual)
-	if found := ledger.CheckStreams([]ledger.StreamAnswer{a}); len(found) != 1 || found[0].What != ledger.Truncated {
+	if found := ledger.CheckStreams([]ledger.StreamResponse{a}); len(found) != 1 || found[0].Kind != ledger.Truncated {
 		t.Errorf("%v", found)
 	}
 }
--- a/standin/rehearsal/run.go
+++ b/standin/rehearsal/run.go
@@ -59,7 +59,7 @@
 	fleet    *Fleet
 	platform *Platform
 	report   Report
-	answers  []ledger.StreamAnswer
+	answers  []ledger.StreamResponse
 }
 
 // Run starts a platform and a fleet, lets clients ask while things break, and judges what they got.
@@ -94,13 +94,13 @@
 
 // serve lets the clients ask while faults strike, and takes in the answers.
 func (r *rehearsal) serve(end time.Time) error {
-	answers, done := make(chan ledger.StreamAnswer), make(chan struct{})
+	answers, done := make(chan ledger.StreamResponse), make(chan struct{})
 	var clients sync.WaitGroup
 	for n := range r.Clients {
 		c := NewClient(n, r.Seed, r.fleet.Fronts())
 		clients.Go(func() {
 			for number := 0; time.Now().Before(end); number++ {
-				c.Ask(number, func(a ledger.StreamAnswer) { answers <- a })
+				c.Ask(number, func(a ledger.StreamResponse) { answers <- a })
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-func (r *rehearsal) count(a ledger.StreamAnswer) {
+func (r *rehearsal) count(a ledger.StreamResponse) {
 	r.answers = append(r.answers, a)
 	r.report.Answers++
 	if a.Complete {
--- a/standin/rehearsal/soak.go
+++ b/standin/rehearsal/soak.go
@@ -144,7 +144,7 @@
 			s.ran = append(s.ran, timedRun{ReplicaRun: run, atMs: time.Now().UnixMilli(), altered: altered(run.Request, run.Body)})
 		case a := <-s.answers:
 			s.answered = append(s.answered, a)
-			if err := lines.Encode(a.SoakAnswer); err != nil {
+			if err := lines.Encode(a.SoakResponse); err != nil {
 				return err
 			}
 		case <-done:
--- a/standin/rehearsal/soakclient.go
+++ b/standin/rehearsal/soakclient.go
@@ -48,7 +48,7 @@
 
 // soakAnswer is an answer and the path that was asked for.
 type soakAnswer struct {
-	ledger.SoakAnswer
+	ledger.SoakResponse
 	path string
 }
 
@@ -98,7 +98,7 @@
 		return err == nil
 	}
 	reader := Client{rng: c.rng}
-	reader.read(&a.StreamAnswer, usual, resp.Body)
+	reader.read(&a.StreamResponse, usual, resp.Body)
 	return a.Complete
 }
 
--- a/standin/rehearsal/soakjudge.go
+++ b/standin/rehearsal/soakjudge.go
@@ -11,13 +11,13 @@
 
 // judge counts what was collected and finds the breaches, while the fleet still runs.
 func (s *soak) judge(faultsOver time.Time) {
-	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.Faults(), Core: s.fleet.voters()}
+	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.Faults(), Voters: s.fleet.voters()}
 	for i := range s.answered {
 		a := &s.answered[i]
 		repeats := s.routes.mayRepeat(a.path, a.AtMs, a.EndMs)
-		a.Once, a.Resumable = !repeats, repeats
+		a.AtMostOnce, a.Resumable = !repeats, repeats
 		s.count(a, faultsOver)
-		record.Answers = append(record.Answers, a.SoakAnswer)
+		record.Responses = append(record.Responses, a.SoakResponse)
 	}
 	record.Runs = s.ledgerRuns()
 	s.report.Ran = len(record.Runs)
@@ -40,7 +40,7 @@
 		stopped := run.Replica.stoppedAt.Load()
 		one := ledger.SoakRun{
 			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.altered,
-			Spoiled: run.Spoiled || (stopped > 0 && stopped <= ended[attempt]),
+			ReplicaFailed: run.Spoiled || (stopped > 0 && stopped <= ended[attempt]),
 		}
 		all = append(all, one)
 		_ = lines.Encode(one)
@@ -52,7 +52,7 @@
 func (s *soak) checkRecovery() []ledger.Breach {
 	var breaches []ledger.Breach
 	if served := s.report.CalmServed; float64(served) < leastCalmServed*float64(s.report.CalmAsked) || s.report.CalmAsked == 0 {
-		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.CalmAsked)})
+		breaches = append(breaches, ledger.Breach{Kind: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.CalmAsked)})
 	}
 	for _, control := range s.fleet.Controls() {
 		if b, broken := s.checkRead(control); broken {
@@ -72,11 +72,11 @@
 			continue
 		}
 		if revision < s.report.Revisions {
-			return ledger.Breach{What: ledger.WentBack, Request: control, Detail: fmt.Sprintf("revision %d at the end, %d was acknowledged", revision, s.report.Revisions)}, true
+			return ledger.Breach{Kind: ledger.RevisionRegressed, Request: control, Detail: fmt.Sprintf("revision %d at the end, %d was acknowledged", revision, s.report.Revisions)}, true
 		}
 		return ledger.Breach{}, false
 	}
-	return ledger.Breach{What: ledger.NotRecovered, Request: control, Detail: "the configuration can't be read"}, true
+	return ledger.Breach{Kind: ledger.NotRecovered, Request: control, Detail: "the configuration can't be read"}, true
 }
 
 // voters are the fronts of the nodes that vote.
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -139,8 +139,8 @@
 }
 
 func (r *Replica) record(event, request, id string, n int) {
-	_ = r.runs.Encode(ledger.Ran{
-		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.engine.Instance, Request: request, AttemptID: id, Event: event, Chunks: n,
+	_ = r.runs.Encode(ledger.RunEvent{
+		AtMs: time.Now().UnixMilli(), Replica: r.name, InstanceID: r.engine.Instance, Request: request, AttemptID: id, Event: event, Chunks: n,
 	})
 }
 
@@ -190,7 +190,7 @@
 		r.record("refused", request, attempt, 0)
 		return s
 	}
-	r.record(ledger.EventBegun, request, attempt, 0)
+	r.record(ledger.EventStarted, request, attempt, 0)
 	return s
 }
 
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -32,7 +32,7 @@
 			return nil
 		}
 	}
-	r.do(func(r *Replica) { r.record(ledger.EventDone, request, id, s.plan.Chunks) })
+	r.do(func(r *Replica) { r.record(ledger.EventCompleted, request, id, s.plan.Chunks) })
 	return enc.Encode(router.ResponseLine{AttemptID: id, InstanceID: r.engine.Instance, End: true, Chunks: s.plan.Chunks})
 }
 
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -21,7 +21,7 @@
 	Name string
 	// Shape names a fleet of the simulator, Times how many times as large it is.
 	Shape string
-	Times int
+	Scale int
 	// Config takes the place of the fleet's own configuration; nil: it does not.
 	Config []byte
 	// Seconds is how long each run lasts; there are Seeds runs from FirstSeed on.
@@ -32,11 +32,11 @@
 	Rate     float64
 	HotRatio float64
 	Prefixes int
-	Crowds   []workload.Burst
-	// Index is false where the prefix index finds nothing; RoundRobin places in turn.
-	Index      bool
-	RoundRobin bool
-	Faults     []sim.Fault
+	Bursts   []workload.Burst
+	// PrefixIndex is false where the prefix index finds nothing; RoundRobin places in turn.
+	PrefixIndex bool
+	RoundRobin  bool
+	Faults      []sim.Fault
 	// Requests are sent instead of generated ones, where there are any.
 	Requests []workload.Request
 }
@@ -51,7 +51,7 @@
 
 // Default is a calm fleet under usual load.
 func Default(name string) Plan {
-	return Plan{Name: name, Shape: "tramites", Times: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotRatio: 0.1, Prefixes: 24, Index: true}
+	return Plan{Name: name, Shape: "tramites", Scale: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotRatio: 0.1, Prefixes: 24, PrefixIndex: true}
 }
 
 // Unwrap gives the cause.
@@ -90,8 +90,8 @@
 	if s := d.Str("shape", false, 16); s != "" {
 		p.Shape = s
 	}
-	p.Times = d.Int("times", 1, 1, 16)
-	shape, ok := shape.Times(p.Shape, p.Times)
+	p.Scale = d.Int("times", 1, 1, 16)
+	shape, ok := shape.Times(p.Shape, p.Scale)
 	spec, site := sim.SiteOf(p.Shape, 0)
 	switch {
 	case site:
@@ -100,13 +100,13 @@
 		d.AddViolation(d.At("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
 	}
 	p.Seconds, p.Seeds, p.FirstSeed = d.Int("seconds", p.Seconds, 20, 3600), d.Int("seeds", p.Seeds, 1, 1000), d.Int("firstSeed", 1, 1, 1<<30)
-	p.Index, p.RoundRobin = d.Bool("index", true), d.Bool("roundRobin", false)
+	p.PrefixIndex, p.RoundRobin = d.Bool("index", true), d.Bool("roundRobin", false)
 	p.readLoad(d.Sub("load"))
 	for _, f := range d.List("breakdowns", 0, 1024) {
 		p.Faults = append(p.Faults, readFault(f, shape, site))
 	}
-	if site && p.Times > 1 {
-		d.AddViolation(d.At("times"), fmt.Sprint(p.Times), "1 for a site")
+	if site && p.Scale > 1 {
+		d.AddViolation(d.At("times"), fmt.Sprint(p.Scale), "1 for a site")
 	}
 	p.readConfig(d, site)
 	d.Close()
@@ -118,7 +118,7 @@
 	p.HotRatio = d.Num("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Bursts = append(p.Bursts, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -24,7 +24,7 @@
 // Result is what the runs of a plan gave: the figures in the report's order, their values by seed, and broken promises.
 type Result struct {
 	Plan     Plan
-	Figures  []string
+	Metrics  []string
 	Values   map[string][]float64
 	Breaches []string
 }
@@ -36,10 +36,10 @@
 	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
 		return p.site(seed, spec), nil
 	}
-	shape, _ := shape.Times(p.Shape, p.Times)
+	shape, _ := shape.Times(p.Shape, p.Scale)
 	s := sim.Scenario{
-		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.RoundRobin,
-		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Crowds}, Asks: p.Requests,
+		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
+		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Bursts}, Asks: p.Requests,
 	}
 	if p.Config == nil {
 		return s, nil
@@ -97,8 +97,8 @@
 		of = siteFigures
 	}
 	for _, f := range of(w) {
-		if !slices.Contains(r.Figures, f.name) {
-			r.Figures = append(r.Figures, f.name)
+		if !slices.Contains(r.Metrics, f.name) {
+			r.Metrics = append(r.Metrics, f.name)
 		}
 		r.Values[f.name] = append(r.Values[f.name], f.value)
 	}
@@ -186,7 +186,7 @@
 		fmt.Fprintf(out, " %22s", r.Plan.Name)
 	}
 	fmt.Fprintln(out)
-	for _, name := range rs[0].Figures {
+	for _, name := range rs[0].Metrics {
 		fmt.Fprintf(out, "%-32s", name)
 		for _, r := range rs {
 			mean, dev := spread(r.Values[name])
--- a/whatif/site.go
+++ b/whatif/site.go
@@ -11,9 +11,9 @@
 
 func (p Plan) site(seed uint64, spec sim.SiteSpec) sim.Scenario {
 	s := sim.Scenario{
-		Seed: seed, Site: &spec, Lasts: lead + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.Index, RoundRob: p.RoundRobin,
+		Seed: seed, Site: &spec, Lasts: lead + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
 	}
-	s.Load.Bursts = p.Crowds
+	s.Load.Bursts = p.Bursts
 	s.Load.HotRatio = p.HotRatio
 	return s
 }
