--- a/ledger/check.go
+++ b/ledger/check.go
@@ -10,10 +10,11 @@
 	"strings"
 )
 
-// Breach is a promise that the ledgers show to be broken.
+// Breach is a broken guarantee that the ledgers show.
 type Breach struct {
 	// Kind is one of the constants below.
-	Kind    string `json:"what"`
+	Kind string `json:"what"`
+	// Request is the id of the request or attempt; for OverQuota the tenant.
 	Request string `json:"request"`
 	Detail  string `json:"detail"`
 }
@@ -22,60 +23,61 @@
 
 // The kinds of breaches.
 const (
-	// RanTwice: a request that may not be repeated was run more than once.
+	// RanTwice: a non-idempotent request ran more than once.
 	RanTwice = "ran twice"
-	// RejectedButRan: a request that was called not run was run.
+	// RejectedButRan: a client was told that its request did not run, but it ran.
 	RejectedButRan = "denied and ran"
-	// WrongRequest: a piece belongs to another request.
+	// WrongRequest: a response contains a chunk or event of another request.
 	WrongRequest = "another's answer"
-	// Spliced: an answer has pieces of two attempts.
+	// Spliced: a response contains chunks of two attempts, or events of two runs or weights versions that may not be joined.
 	Spliced = "two runs spliced"
-	// OutOfSequence: a piece is missing or there twice.
+	// OutOfSequence: a chunk or event of a response is missing or repeated.
 	OutOfSequence = "piece lost or repeated"
-	// Truncated: an answer that is called whole lacks pieces.
+	// Truncated: a response that ended as complete lacks chunks or events.
 	Truncated = "partial that looks complete"
-	// CompletedWithoutRun: an answer that is called whole has no run.
+	// CompletedWithoutRun: a response ended as complete, but no replica ran the attempt.
 	CompletedWithoutRun = "done without a run"
-	// RevisionRegressed: a configuration was read that is older than one acknowledged or read before.
+	// RevisionRegressed: a read returned an older configuration than one that was acknowledged or read before.
 	RevisionRegressed = "number went back"
-	// OperatorRequestRejected: an order on the newest revision was refused.
+	// OperatorRequestRejected: an operator request that was based on the newest revision was rejected.
 	OperatorRequestRejected = "order refused"
-	// AttemptIDReused: two runs have one attempt id.
+	// AttemptIDReused: two runs have the same attempt id.
 	AttemptIDReused = "one id for two gos"
-	// OverQuota: a tenant's requests that ran within a window cost more than its limit allows.
+	// OverQuota: the requests of a tenant that ran within one window cost more than its limit allows.
 	OverQuota = "over quota"
 	// RequestAltered: a replica ran a request with another path, query or body than the client's.
 	RequestAltered = "request altered"
-	// InEvacuatedZone: a request reached a zone long after its evacuation was acknowledged.
+	// InEvacuatedZone: a request reached a zone later after the acknowledged evacuation than SoakRule.Evacuation allows.
 	InEvacuatedZone = "request in an evacuated zone"
-	// ResponseLost: a process that was told to end took a request, passed it on and gave no whole answer.
+	// ResponseLost: a node that was shutting down accepted a request and forwarded it, but returned no complete response.
 	ResponseLost = "answer lost at a shutdown"
-	// NotRecovered: long after the last fault most requests are not served.
+	// NotRecovered: most requests are still not served long after the last fault, or a control node can't be read.
 	NotRecovered = "not recovered"
 )
 
-// runs are all runs of one request.
-type runs struct {
-	begun []RunEvent
-	// done is how many pieces each finished attempt has.
-	done map[string]int
+// requestRuns are all runs of one request.
+type requestRuns struct {
+	started []RunEvent
+	// completed is the number of chunks of each completed attempt, by attempt id.
+	completed map[string]int
 }
 
-func (x *runs) attempts() []string {
+func (x *requestRuns) attempts() []string {
 	var ids []string
-	for _, r := range x.begun {
+	for _, r := range x.started {
 		ids = append(ids, r.AttemptID)
 	}
 	return ids
 }
 
-// attemptsOf picks the attempts of one boot of a node within a time; attempt ids begin with both.
-func (x *runs) attemptsOf(node string, from, until int64) []string {
+// attemptsOf returns the ids of the attempts that one boot of a node started at from or later and before until, in milliseconds. node is
+// the name and boot of the node; its attempt ids start with both.
+func (x *requestRuns) attemptsOf(node string, from, until int64) []string {
 	if node == "" {
 		return nil
 	}
 	var ids []string
-	for _, r := range x.begun {
+	for _, r := range x.started {
 		if strings.HasPrefix(r.AttemptID, node+".") && r.AtMs >= from && r.AtMs < until {
 			ids = append(ids, r.AttemptID)
 		}
@@ -83,28 +85,30 @@
 	return ids
 }
 
-type runsByRequest map[string]*runs
+// runsByRequest maps request ids to runs.
+type runsByRequest map[string]*requestRuns
 
-func (all runsByRequest) of(request string) *runs {
+// of returns the runs of a request; it adds an empty entry if there is none.
+func (all runsByRequest) of(request string) *requestRuns {
 	if all[request] == nil {
-		all[request] = &runs{done: map[string]int{}}
+		all[request] = &requestRuns{completed: map[string]int{}}
 	}
 	return all[request]
 }
 
-// Check compares the ledgers of replicas and clients and gives every breach, those of attempt ids first, then by request.
-func Check(ran []RunEvent, got []SendResult) []Breach {
-	all, breaches := collect(ran)
-	asked := map[string][]SendResult{}
-	for _, g := range got {
-		asked[g.Request] = append(asked[g.Request], g)
+// Check compares the ledgers of replicas and clients and returns every breach: reused attempt ids first, the others by request id.
+func Check(events []RunEvent, results []SendResult) []Breach {
+	all, breaches := groupRuns(events)
+	byRequest := map[string][]SendResult{}
+	for _, r := range results {
+		byRequest[r.Request] = append(byRequest[r.Request], r)
 	}
-	for _, request := range slices.Sorted(maps.Keys(asked)) {
+	for _, request := range slices.Sorted(maps.Keys(byRequest)) {
 		x := all.of(request)
-		slices.SortStableFunc(asked[request], func(a, b SendResult) int { return cmp.Compare(a.AtMs, b.AtMs) })
-		breaches = append(breaches, checkRejections(request, x, asked[request])...)
-		for _, g := range asked[request] {
-			if b, bad := checkAnswer(g, x); bad {
+		slices.SortStableFunc(byRequest[request], func(a, b SendResult) int { return cmp.Compare(a.AtMs, b.AtMs) })
+		breaches = append(breaches, checkRejections(request, x, byRequest[request])...)
+		for _, r := range byRequest[request] {
+			if b, bad := checkChunks(r, x); bad {
 				breaches = append(breaches, b)
 			}
 		}
@@ -112,55 +116,59 @@
 	return breaches
 }
 
-func collect(ran []RunEvent) (runsByRequest, []Breach) {
+// groupRuns groups the events by request and returns a breach for each attempt id that was used twice.
+func groupRuns(events []RunEvent) (runsByRequest, []Breach) {
 	all := runsByRequest{}
 	requestOf := map[string]string{}
 	var breaches []Breach
-	for _, r := range ran {
+	for _, r := range events {
 		x := all.of(r.Request)
 		switch r.Event {
 		case EventStarted:
 			if other, twice := requestOf[r.AttemptID]; twice {
-				breaches = append(breaches, Breach{Kind: AttemptIDReused, Request: r.Request, Detail: r.AttemptID + ", before for " + other})
+				breaches = append(breaches, Breach{Kind: AttemptIDReused, Request: r.Request, Detail: r.AttemptID + " was already used for " + other})
 			}
 			requestOf[r.AttemptID] = r.Request
-			x.begun = append(x.begun, r)
+			x.started = append(x.started, r)
 		case EventCompleted:
-			x.done[r.AttemptID] = r.Chunks
+			x.completed[r.AttemptID] = r.Chunks
 		}
 	}
 	return all, breaches
 }
 
-func notRun(g SendResult) bool { return g.Outcome == outcomeDenied || g.Outcome == outcomeBad }
+// notRun reports whether the outcome says that the request did not run.
+func notRun(r SendResult) bool { return r.Outcome == outcomeRejected || r.Outcome == outcomeInvalid }
 
-// checkRejections holds what clients were told against what ran. A rejection speaks for one sending at one node: no attempt of that
-// node may follow it before the next sending, and where the request may not be repeated none may have gone before.
-func checkRejections(request string, x *runs, gots []SendResult) []Breach {
+// checkRejections compares the outcomes that a client received with the runs of the request. A rejection covers one send to one node: that
+// node may not start an attempt between the rejected send and the next send to it. If the request is not idempotent, the node may not have
+// started one before either.
+func checkRejections(request string, x *requestRuns, results []SendResult) []Breach {
 	var bs []Breach
-	if !gots[0].Idempotent && len(x.begun) > 1 {
+	if !results[0].Idempotent && len(x.started) > 1 {
 		bs = append(bs, Breach{Kind: RanTwice, Request: request, Detail: strings.Join(x.attempts(), " ")})
 	}
-	mayHaveRun := slices.ContainsFunc(gots, func(g SendResult) bool { return !notRun(g) && g.Outcome != outcomeRepeat })
-	if !mayHaveRun && len(x.begun) > 0 {
+	mayHaveRun := slices.ContainsFunc(results, func(r SendResult) bool { return !notRun(r) && r.Outcome != outcomeDuplicate })
+	if !mayHaveRun && len(x.started) > 0 {
 		return append(bs, Breach{Kind: RejectedButRan, Request: request, Detail: strings.Join(x.attempts(), " ")})
 	}
-	for i, g := range gots {
-		if !notRun(g) {
+	for i, r := range results {
+		if !notRun(r) {
 			continue
 		}
-		from := g.AtMs
-		if !g.Idempotent {
+		from := r.AtMs
+		if !r.Idempotent {
 			from = math.MinInt64
 		}
-		if ids := x.attemptsOf(g.Node, from, nextSending(g.Node, gots[i+1:])); len(ids) > 0 {
-			bs = append(bs, Breach{Kind: RejectedButRan, Request: request, Detail: "by " + g.Node + ": " + strings.Join(ids, " ")})
+		if ids := x.attemptsOf(r.Node, from, nextSend(r.Node, results[i+1:])); len(ids) > 0 {
+			bs = append(bs, Breach{Kind: RejectedButRan, Request: request, Detail: "by " + r.Node + ": " + strings.Join(ids, " ")})
 		}
 	}
 	return bs
 }
 
-func nextSending(node string, later []SendResult) int64 {
+// nextSend returns the time of the next send to the node, in milliseconds, or the largest time if there is none.
+func nextSend(node string, later []SendResult) int64 {
 	for _, next := range later {
 		if next.Node == node {
 			return next.AtMs
@@ -169,32 +177,32 @@
 	return math.MaxInt64
 }
 
-// checkAnswer reads an answer's pieces, which must be those of one attempt in order, and all of them where it is called whole.
-func checkAnswer(g SendResult, x *runs) (Breach, bool) {
+// checkChunks checks the chunks of a response. They must belong to one attempt and be in order; a completed response must have all of them.
+func checkChunks(r SendResult, x *requestRuns) (Breach, bool) {
 	attempt := ""
-	for i, p := range g.Chunks {
-		f := strings.Split(p, "|")
-		if len(f) != 3 || f[0] != g.Request {
-			return Breach{Kind: WrongRequest, Request: g.Request, Detail: p}, true
+	for i, chunk := range r.Chunks {
+		f := strings.Split(chunk, "|")
+		if len(f) != 3 || f[0] != r.Request {
+			return Breach{Kind: WrongRequest, Request: r.Request, Detail: chunk}, true
 		}
 		if attempt != "" && f[1] != attempt {
-			return Breach{Kind: Spliced, Request: g.Request, Detail: attempt + " and " + f[1]}, true
+			return Breach{Kind: Spliced, Request: r.Request, Detail: attempt + " and " + f[1]}, true
 		}
 		attempt = f[1]
 		if f[2] != strconv.Itoa(i) {
-			return Breach{Kind: OutOfSequence, Request: g.Request, Detail: fmt.Sprintf("piece %d says %s", i, f[2])}, true
+			return Breach{Kind: OutOfSequence, Request: r.Request, Detail: fmt.Sprintf("chunk at position %d has number %s", i, f[2])}, true
 		}
 	}
 	var b Breach
-	if g.Outcome != outcomeDone {
+	if r.Outcome != outcomeCompleted {
 		return b, false
 	}
-	n, ok := x.done[attempt]
+	n, ok := x.completed[attempt]
 	switch {
-	case !ok && len(g.Chunks) > 0 && slices.Contains(x.attempts(), attempt), ok && n != len(g.Chunks):
-		return Breach{Kind: Truncated, Request: g.Request, Detail: fmt.Sprintf("%d pieces of %d", len(g.Chunks), n)}, true
+	case !ok && len(r.Chunks) > 0 && slices.Contains(x.attempts(), attempt), ok && n != len(r.Chunks):
+		return Breach{Kind: Truncated, Request: r.Request, Detail: fmt.Sprintf("%d chunks of %d", len(r.Chunks), n)}, true
 	case !ok:
-		return Breach{Kind: CompletedWithoutRun, Request: g.Request, Detail: "attempt " + strconv.Quote(attempt)}, true
+		return Breach{Kind: CompletedWithoutRun, Request: r.Request, Detail: "attempt " + strconv.Quote(attempt)}, true
 	}
 	return b, false
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -2,22 +2,22 @@
 
 import "strconv"
 
-// The events of a run that a replica writes. "cut" and "refused" are written too and prove nothing.
+// Events of a run that the checks use. Replicas also write "cut" and "refused"; the checks ignore them, as they prove nothing.
 const (
 	EventStarted   = "begun"
 	EventCompleted = "done"
 )
 
-// The outcomes of a request that the checker tells apart, as in the product's X-Outcome header. What a client did not hear is "lost".
+// Outcomes of a request that the checks distinguish, with the values of the X-Outcome header. Clients write "lost" if they received no
+// outcome.
 const (
-	outcomeDone   = "done"
-	outcomeDenied = "denied"
-	outcomeBad    = "bad"
-	outcomeRepeat = "repeat"
+	outcomeCompleted = "done"
+	outcomeRejected  = "denied"
+	outcomeInvalid   = "bad"
+	outcomeDuplicate = "repeat"
 )
 
-// RunEvent is a line of a replica's ledger: one event of one run. AttemptID is its attempt; the JSON names are those of ledgers that
-// were written before.
+// RunEvent is a line of a replica's ledger: one event of one run. The JSON keys are kept so that earlier ledgers can still be read.
 type RunEvent struct {
 	// AtMs is the replica's clock in milliseconds since 1970.
 	AtMs       int64  `json:"atMs"`
@@ -26,26 +26,28 @@
 	Request    string `json:"request"`
 	AttemptID  string `json:"go"`
 	Event      string `json:"event"`
-	// Chunks is how many pieces of the answer the replica wrote.
+	// Chunks is the number of response chunks that the replica wrote.
 	Chunks int `json:"pieces,omitempty"`
 }
 
-// SendResult is a line of a client's ledger: what came of sending one request to one node. A request that is sent again has several.
+// SendResult is a line of a client's ledger: the result of sending one request to one node. A request that is sent again has several.
 type SendResult struct {
-	// AtMs is the client's clock when it sent, in milliseconds since 1970.
+	// AtMs is the client's clock when it sent the request, in milliseconds since 1970.
 	AtMs int64 `json:"atMs"`
-	// Node is the name and boot of the node that answered, its address where none is known.
-	Node       string   `json:"node"`
-	Request    string   `json:"request"`
-	Class      string   `json:"kind"`
-	Idempotent bool     `json:"repeatable"`
-	Outcome    string   `json:"outcome"`
-	Chunks     []string `json:"pieces,omitempty"`
-	// FirstChunkMs is how long the first piece took.
+	// Node is the name and boot of the node that responded, or its address if they are not known.
+	Node       string `json:"node"`
+	Request    string `json:"request"`
+	Class      string `json:"kind"`
+	Idempotent bool   `json:"repeatable"`
+	Outcome    string `json:"outcome"`
+	// Chunks are the texts of the received response chunks, in order; see ChunkText.
+	Chunks []string `json:"pieces,omitempty"`
+	// FirstChunkMs is the time from sending the request to the first chunk, in milliseconds.
 	FirstChunkMs int64 `json:"firstMs,omitempty"`
 }
 
-// ChunkText is the text of an answer's piece i, as stand-in replicas write it, so that the checker sees whose it is.
+// ChunkText returns the text of chunk i of a response as stand-in replicas write it. It names the request and the attempt, so that Check
+// can verify where a chunk came from.
 func ChunkText(request, attempt string, i int) string {
 	return request + "|" + attempt + "|" + strconv.Itoa(i)
 }
--- a/ledger/quotas.go
+++ b/ledger/quotas.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// QuotaRun is a request of a tenant that a replica ran.
+// QuotaRun is a request of a tenant that a replica started at AtMs, in milliseconds since 1970.
 type QuotaRun struct {
-	AtMs   int64   `json:"atMs"`
-	Tenant string  `json:"tenant"`
-	Cost   float64 `json:"cost"`
+	AtMs   int64  `json:"atMs"`
+	Tenant string `json:"tenant"`
+	// Cost is in tokens: those of the prompt and the most that the response may have.
+	Cost float64 `json:"cost"`
 }
 
-// QuotaLimit is a tenant's limit, and the time within which a window may begin that it bounds.
+// QuotaLimit is a limit of a tenant: Rate in cost per second, Burst in cost. It applies to windows that start before UntilMs and whose last
+// run is not before FromMs, in milliseconds since 1970.
 type QuotaLimit struct {
 	Tenant      string  `json:"tenant"`
 	FromMs      int64   `json:"fromMs"`
@@ -23,7 +25,7 @@
 	Rate, Burst float64 `json:",omitempty"`
 }
 
-// QuotaRule bounds what may run in any window: (rate x window + burst) x (1 + overage) + slack.
+// QuotaRule bounds the cost of the requests that may run in any window: (rate x window + burst) x (1 + overage) + slack.
 type QuotaRule struct {
 	Window         time.Duration
 	Overage, Slack float64
@@ -33,21 +35,23 @@
 	return (l.Rate*r.Window.Seconds()+l.Burst)*(1+r.Overage) + r.Slack
 }
 
-// QuotaWindow is the fullest window of a tenant, as a part of what was allowed.
+// QuotaWindow is a window in which requests of a tenant ran.
 type QuotaWindow struct {
-	Tenant       string
-	FromMs       int64
+	Tenant string
+	FromMs int64
+	// Ran is the cost of the requests that ran, Allowed the most that the tenant's limits allow.
 	Ran, Allowed float64
 }
 
-// Utilization is what ran, as a part of what was allowed.
+// Utilization is the cost that ran as a fraction of what is allowed; a value above 1 is a breach.
 func (w QuotaWindow) Utilization() float64 { return w.Ran / w.Allowed }
 
 func (w QuotaWindow) breach() Breach {
-	return Breach{Kind: OverQuota, Request: w.Tenant, Detail: fmt.Sprintf("%.0f ran in the window from %d, %.0f are allowed", w.Ran, w.FromMs, w.Allowed)}
+	return Breach{Kind: OverQuota, Request: w.Tenant, Detail: fmt.Sprintf("cost %.0f ran in the window from %d ms, %.0f is allowed", w.Ran, w.FromMs, w.Allowed)}
 }
 
-// FullestWindows gives each limited tenant's fullest window, by name. Where a limit changes, the larger one is allowed.
+// FullestWindows returns for each tenant with a limit the window of highest utilization, ordered by tenant. Where several limits apply to a
+// window, as when a limit changes, the largest one counts.
 func FullestWindows(runs []QuotaRun, limits []QuotaLimit, rule QuotaRule) []QuotaWindow {
 	byTenant := map[string][]QuotaRun{}
 	for _, r := range runs {
@@ -62,6 +66,7 @@
 	return all
 }
 
+// fullest returns the window of highest utilization among the runs of one tenant, and whether any limit applied.
 func (r QuotaRule) fullest(runs []QuotaRun, limits []QuotaLimit) (QuotaWindow, bool) {
 	slices.SortFunc(runs, func(a, b QuotaRun) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	var fullest QuotaWindow
@@ -85,7 +90,7 @@
 	return fullest, fullest.Allowed > 0
 }
 
-// CheckQuotas gives a breach for each window that is too full.
+// CheckQuotas returns a breach for each window in which more ran than is allowed.
 func CheckQuotas(windows []QuotaWindow) []Breach {
 	var breaches []Breach
 	for _, w := range windows {
--- a/ledger/soak.go
+++ b/ledger/soak.go
@@ -6,62 +6,70 @@
 	"time"
 )
 
-// SoakResponse is what came of one request of a soak, as its client saw it.
+// SoakResponse is the result of one request of a soak test, as its client saw it.
 type SoakResponse struct {
 	StreamResponse
 	Attempt string `json:"attempt"`
-	// EndMs is when the answer, or the connection, ended. Status is 0 where no answer came.
-	EndMs  int64 `json:"endMs"`
-	Status int   `json:"status"`
-	// AtMostOnce tells that no configuration which may have been in force lets the request run twice.
+	// EndMs is when the response or the connection ended, in milliseconds since 1970.
+	EndMs int64 `json:"endMs"`
+	// Status is the HTTP status, or 0 without a response.
+	Status int `json:"status"`
+	// AtMostOnce reports that no configuration that may have been in force allows the request to run twice.
 	AtMostOnce bool `json:"once"`
-	// TimedOut tells that the client's time was over.
+	// TimedOut reports that the client gave up at its deadline.
 	TimedOut bool `json:"timedOut,omitempty"`
 }
 
-// SoakRun is a request that a replica began to run.
+// SoakRun is a request that a replica started to run at AtMs, in milliseconds since 1970.
 type SoakRun struct {
 	AtMs     int64  `json:"atMs"`
 	Attempt  string `json:"attempt"`
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
-	// Altered says what differs from what the client sent; empty where nothing does.
+	// Altered describes how the received request differs from the sent one; empty if it does not.
 	Altered string `json:"altered,omitempty"`
-	// ReplicaFailed tells that the replica itself was to end the answer wrongly, or was stopped before its end.
+	// ReplicaFailed reports that the replica broke off the response because of an injected fault, or was stopped before its end.
 	ReplicaFailed bool `json:"spoiled,omitempty"`
 }
 
-// Span is a time from FromMs until UntilMs.
+// Span is an interval of time, in milliseconds since 1970.
 type Span struct{ FromMs, UntilMs int64 }
 
 func (s Span) overlaps(other Span) bool {
 	return s.FromMs <= other.UntilMs && other.FromMs <= s.UntilMs
 }
 
-// NodeFault is a time in which a node was killed, stopped or frozen. Planned ones are shutdowns.
+// NodeFault is an interval in which a node was killed, stopped or frozen. A planned one is a shutdown.
 type NodeFault struct {
 	Span
 	Node    string
 	Planned bool
 }
 
-// SoakRule bounds what a soak may show. Its fields are named as the bounds in a node's settings.
-type SoakRule struct{ Contact, Evacuation, Grace time.Duration }
+// SoakRule sets the bounds of a soak test. The fields are named like the bounds in a node's settings.
+type SoakRule struct {
+	// Contact is how long after a fault of its own or of a voter a node may still not know of an evacuation.
+	Contact time.Duration
+	// Evacuation is how long after an acknowledged evacuation requests may still reach the zone.
+	Evacuation time.Duration
+	// Grace is the grace period of a shutdown, from SIGTERM until the process is killed.
+	Grace time.Duration
+}
 
-// SoakRecord is all that a soak saw.
+// SoakRecord is everything that a soak test recorded.
 type SoakRecord struct {
 	Responses []SoakResponse
 	Runs      []SoakRun
-	// Evacuations are by zone, each from its acknowledgement until it was first asked to be taken back.
+	// Evacuations are the evacuations of each zone, from the acknowledgement until the first request to restore the zone.
 	Evacuations map[string][]Span
 	Faults      []NodeFault
-	// Voters names the nodes that vote.
+	// Voters are the names of the nodes that vote.
 	Voters []string
 }
 
-// CheckSoak gives all breaches of a soak.
+// CheckSoak returns all breaches of a soak test.
 func CheckSoak(record SoakRecord, rule SoakRule) []Breach {
-	c := soakCheck{SoakRecord: record, SoakRule: rule, runs: map[string][]SoakRun{}, nodes: map[string]string{}}
+	c := soakChecker{SoakRecord: record, SoakRule: rule, runs: map[string][]SoakRun{}, nodes: map[string]string{}}
 	for _, r := range record.Runs {
 		c.runs[r.Attempt] = append(c.runs[r.Attempt], r)
 	}
@@ -72,51 +80,53 @@
 		c.checkRun(r)
 	}
 	for i := range record.Responses {
-		c.checkAnswer(&record.Responses[i])
+		c.checkResponse(&record.Responses[i])
 	}
 	return c.breaches
 }
 
-type soakCheck struct {
+// soakChecker collects the breaches of one soak test.
+type soakChecker struct {
 	SoakRecord
 	SoakRule
-	// runs are by attempt, nodes gives the node that took an attempt.
+	// runs and nodes map an attempt to its runs and to the node that accepted it.
 	runs     map[string][]SoakRun
 	nodes    map[string]string
 	breaches []Breach
 }
 
-func (c *soakCheck) breach(what, request, format string, args ...any) {
-	c.breaches = append(c.breaches, Breach{Kind: what, Request: request, Detail: fmt.Sprintf(format, args...)})
+func (c *soakChecker) breach(kind, request, format string, args ...any) {
+	c.breaches = append(c.breaches, Breach{Kind: kind, Request: request, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (c *soakCheck) checkRun(r SoakRun) {
+// checkRun checks that a replica ran the request as it was sent, and not in a zone that was evacuated for longer than the bound.
+func (c *soakChecker) checkRun(r SoakRun) {
 	if r.Altered != "" {
 		c.breach(RequestAltered, r.Attempt, "%s ran it with %s", r.Instance, r.Altered)
 	}
-	late := Span{FromMs: r.AtMs - c.Evacuation.Milliseconds(), UntilMs: r.AtMs}
+	allowed := Span{FromMs: r.AtMs - c.Evacuation.Milliseconds(), UntilMs: r.AtMs}
 	for _, evacuated := range c.Evacuations[r.Zone] {
-		if evacuated.FromMs < late.FromMs && late.UntilMs < evacuated.UntilMs && c.inTouch(c.nodes[r.Attempt], r.AtMs) {
+		if evacuated.FromMs < allowed.FromMs && allowed.UntilMs < evacuated.UntilMs && c.hadContact(c.nodes[r.Attempt], r.AtMs) {
 			c.breach(InEvacuatedZone, r.Attempt, "by %s at %s in %s, %d ms after the acknowledgement", c.nodes[r.Attempt], r.Instance, r.Zone, r.AtMs-evacuated.FromMs)
 		}
 	}
 }
 
-// inTouch tells whether neither the node nor any voter failed in the contact time before.
-func (c *soakCheck) inTouch(node string, atMs int64) bool {
+// hadContact reports whether neither the node nor any voter had a fault within the contact time before atMs.
+func (c *soakChecker) hadContact(node string, atMs int64) bool {
 	before := Span{FromMs: atMs - c.Contact.Milliseconds(), UntilMs: atMs}
 	for _, f := range c.Faults {
 		if !f.overlaps(before) {
 			continue
 		}
-		if f.Node == node || c.votes(f.Node) {
+		if f.Node == node || c.isVoter(f.Node) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *soakCheck) votes(node string) bool {
+func (c *soakChecker) isVoter(node string) bool {
 	for _, name := range c.Voters {
 		if name == node {
 			return true
@@ -125,23 +135,24 @@
 	return false
 }
 
-func (c *soakCheck) checkAnswer(a *SoakResponse) {
+// checkResponse checks a response against the runs of its attempt.
+func (c *soakChecker) checkResponse(a *SoakResponse) {
 	runs := c.runs[a.Attempt]
 	if a.AtMostOnce && len(runs) > 1 {
 		c.breach(RanTwice, a.Attempt, "by %s: at %s and %s", a.Node, runs[0].Instance, runs[1].Instance)
 	}
 	if a.AtMostOnce && len(runs) > 0 && promisesNotRun(a.Status) {
-		c.breach(RejectedButRan, a.Attempt, "by %s: %d, and %s ran it", a.Node, a.Status, runs[0].Instance)
+		c.breach(RejectedButRan, a.Attempt, "by %s: status %d, but %s ran it", a.Node, a.Status, runs[0].Instance)
 	}
 	if a.Status == http.StatusOK {
 		c.breaches = append(c.breaches, CheckStreams([]StreamResponse{a.StreamResponse})...)
 	}
-	if c.lost(a, runs) {
+	if c.lostAtShutdown(a, runs) {
 		c.breach(ResponseLost, a.Attempt, "by %s: status %d, %d events of %d, %d ms after it was sent", a.Node, a.Status, len(a.Events), a.Total, a.EndMs-a.AtMs)
 	}
 }
 
-// promisesNotRun tells whether a status says that the request did not run and never will.
+// promisesNotRun reports whether a status promises that the request did not run and never will.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -150,11 +161,12 @@
 	return false
 }
 
-// lost tells whether the connection ended without a whole answer around a shutdown of the node, with nothing else to blame: the request was
-// passed on to replicas, none of which broke off, and nothing but the shutdown befell the node.
-func (c *soakCheck) lost(a *SoakResponse, runs []SoakRun) bool {
-	answered := a.Complete || (a.Status != 0 && a.Status != http.StatusOK)
-	if answered || a.TimedOut || len(runs) == 0 {
+// lostAtShutdown reports whether the connection ended without a complete response during a shutdown of the node, and the shutdown is the only
+// possible cause: the request was forwarded, no replica broke off the response, and the node had no other fault at that time. A response that
+// ends in the last sixth of the grace period does not count, as the process may exit before the period is over.
+func (c *soakChecker) lostAtShutdown(a *SoakResponse, runs []SoakRun) bool {
+	responded := a.Complete || (a.Status != 0 && a.Status != http.StatusOK)
+	if responded || a.TimedOut || len(runs) == 0 {
 		return false
 	}
 	for _, r := range runs {
@@ -163,7 +175,7 @@
 		}
 	}
 	around := Span{FromMs: a.AtMs - c.Contact.Milliseconds(), UntilMs: a.EndMs}
-	planned := false
+	shutdown := false
 	for _, f := range c.Faults {
 		if f.Node != a.Node || !f.overlaps(around) {
 			continue
@@ -171,7 +183,7 @@
 		if !f.Planned || a.EndMs > f.FromMs+c.Grace.Milliseconds()*5/6 {
 			return false
 		}
-		planned = true
+		shutdown = true
 	}
-	return planned
+	return shutdown
 }
