--- a/whatif/har.go
+++ b/whatif/har.go
@@ -20,12 +20,12 @@
 
 var errNoHAR = errors.New("is no HAR file")
 
-// bytesPerToken reckons the tokens of a body.
+// bytesPerToken is the assumed number of bytes of a request body per prompt token.
 const bytesPerToken = 4
 
-// ReadHAR reads the requests of a recorded HAR file that were made of these kinds, at their own times from the first. unused names the
-// entries that cannot be used and why; the error is a *FileError.
-func ReadHAR(path string, classes []workload.ClassLoad) (asks []workload.Request, unused []string, err error) {
+// ReadHAR reads the requests of these classes from a HAR file, ordered by time; At is relative to the earliest one. unused names the entries
+// that cannot be used, each with the reason. The error is a *FileError.
+func ReadHAR(path string, classes []workload.ClassLoad) (requests []workload.Request, unused []string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, trace.Wrap(&FileError{Path: path, Cause: err})
@@ -36,58 +36,58 @@
 	}
 	var start time.Time
 	for i, e := range file.Log.Entries {
-		at, ask, why := entry(e, classes)
-		if why != "" {
-			unused = append(unused, fmt.Sprintf("entry %d: %s", i, why))
+		at, request, reason := readEntry(e, classes)
+		if reason != "" {
+			unused = append(unused, fmt.Sprintf("entry %d: %s", i, reason))
 			continue
 		}
 		if start.IsZero() || at.Before(start) {
 			start = at
 		}
-		ask.At = time.Duration(at.UnixNano())
-		ask.Request = fmt.Sprintf("har-%d", i)
-		asks = append(asks, ask)
+		request.At = time.Duration(at.UnixNano())
+		request.Request = fmt.Sprintf("har-%d", i)
+		requests = append(requests, request)
 	}
-	for i := range asks {
-		asks[i].At -= time.Duration(start.UnixNano())
+	for i := range requests {
+		requests[i].At -= time.Duration(start.UnixNano())
 	}
-	slices.SortStableFunc(asks, func(a, b workload.Request) int { return int(a.At - b.At) })
-	return asks, unused, nil
+	slices.SortStableFunc(requests, func(a, b workload.Request) int { return int(a.At - b.At) })
+	return requests, unused, nil
 }
 
-// entry reads one request, or says why it cannot be used.
-func entry(e *har.Entry, classes []workload.ClassLoad) (time.Time, workload.Request, string) {
-	var a workload.Request
+// readEntry returns the start time and the request of an entry, or the reason why the entry cannot be used.
+func readEntry(e *har.Entry, classes []workload.ClassLoad) (time.Time, workload.Request, string) {
+	var r workload.Request
 	var at time.Time
 	if e == nil || e.Request == nil {
-		return at, a, "has no request"
+		return at, r, "has no request"
 	}
 	if e.Request.Method != http.MethodPost {
-		return at, a, "method is " + e.Request.Method
+		return at, r, "method is " + e.Request.Method
 	}
 	u, err := url.Parse(e.Request.URL)
 	if err != nil {
-		return at, a, "URL cannot be read"
+		return at, r, "URL is invalid"
 	}
 	f := strings.Split(strings.Trim(u.Path, "/"), "/")
 	if len(f) != 4 || f[0] != "v1" || f[1] != "offers" {
-		return at, a, "path is " + u.Path
+		return at, r, "path is not /v1/offers/SERVICE/CLASS: " + u.Path
 	}
-	k := slices.IndexFunc(classes, func(k workload.ClassLoad) bool { return k.Service == f[2] && k.Name == f[3] })
-	if k < 0 {
-		return at, a, "no such offer and kind: " + f[2] + "/" + f[3]
+	class := slices.IndexFunc(classes, func(c workload.ClassLoad) bool { return c.Service == f[2] && c.Name == f[3] })
+	if class < 0 {
+		return at, r, "no such offer and kind: " + f[2] + "/" + f[3]
 	}
 	if at, err = time.Parse(time.RFC3339, e.StartedDateTime); err != nil {
-		return at, a, "start is " + e.StartedDateTime
+		return at, r, "startedDateTime is not an RFC 3339 time: " + e.StartedDateTime
 	}
-	a.Class, a.TailTokens = classes[k], int(max(e.Request.BodySize, 0))/bytesPerToken
+	r.Class, r.TailTokens = classes[class], int(max(e.Request.BodySize, 0))/bytesPerToken
 	for _, h := range e.Request.Headers {
 		if h != nil && strings.EqualFold(h.Name, "X-Prompt-Prefix") {
-			a.Prefix = h.Value
+			r.Prefix = h.Value
 		}
 	}
-	if _, err = prefixindex.Parse("", a.Prefix); err != nil {
-		return at, a, err.Error()
+	if _, err = prefixindex.Parse("", r.Prefix); err != nil {
+		return at, r, err.Error()
 	}
-	return at, a, ""
+	return at, r, ""
 }
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -16,32 +16,36 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-// Plan is one what-if experiment: a fleet, its load, what breaks, and how many seeds it is run with.
+// Plan is one what-if experiment: a fleet, its load, the faults to inject, and the number of seeds that it is run with.
 type Plan struct {
+	// Name is the heading of the plan's column in the report.
 	Name string
-	// Shape names a fleet of the simulator, Times how many times as large it is.
+	// Shape names a fleet of the simulator; Scale multiplies its number of nodes and replicas.
 	Shape string
 	Scale int
-	// Config takes the place of the fleet's own configuration; nil: it does not.
+	// Config replaces the fleet's own configuration, unless it is nil.
 	Config []byte
-	// Seconds is how long each run lasts; there are Seeds runs from FirstSeed on.
+	// Seconds is the duration of each run after its warm-up. There are Seeds runs, with seeds from FirstSeed on.
 	Seconds   int
 	Seeds     int
 	FirstSeed int
-	// Rate is requests a second, HotRatio the part of them with one common prefix, Prefixes how many others there are.
+	// Rate is the load in requests per second. HotRatio is the fraction of requests that share one hot prefix; the others are spread over
+	// Prefixes prefixes.
 	Rate     float64
 	HotRatio float64
 	Prefixes int
-	Bursts   []workload.Burst
-	// PrefixIndex is false where the prefix index finds nothing; RoundRobin places in turn.
+	// Bursts multiply the rate; their times count from the start of the load.
+	Bursts []workload.Burst
+	// PrefixIndex enables the prefix index. RoundRobin makes routers choose replicas in turn instead of by cost, for comparisons.
 	PrefixIndex bool
 	RoundRobin  bool
-	Faults      []sim.Fault
-	// Requests are sent instead of generated ones, where there are any.
+	// Faults are injected at times that count from the start of the run, warm-up included.
+	Faults []sim.Fault
+	// Requests replaces the generated load, unless it is empty.
 	Requests []workload.Request
 }
 
-// FileError is a file that cannot be used.
+// FileError reports a file that cannot be read or is not of the expected format.
 type FileError struct {
 	Path  string
 	Cause error
@@ -49,15 +53,16 @@
 
 func (e *FileError) Error() string { return e.Path + ": " + e.Cause.Error() }
 
-// Default is a calm fleet under usual load.
+// Default returns a plan without faults, under the usual load of 60 requests per second.
 func Default(name string) Plan {
 	return Plan{Name: name, Shape: "tramites", Scale: 1, Seconds: 60, Seeds: 5, FirstSeed: 1, Rate: 60, HotRatio: 0.1, Prefixes: 24, PrefixIndex: true}
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-func faultClasses() []string {
+// fleetFaultKinds returns the kinds of faults that a plan for a fleet may name; sim.SiteFaults returns those for a site.
+func fleetFaultKinds() []string {
 	return []string{
 		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.Wipe, sim.Relocate,
 		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.ReplicaCrash, sim.ReplicaUnreachable, sim.Release, sim.EvacuateFault,
@@ -66,7 +71,7 @@
 	}
 }
 
-// Load reads a plan from a file; the error is a *FileError or a *config.InvalidError.
+// Load reads a plan from a file and names it after the file. The error is a *FileError or a *config.InvalidError.
 func Load(path string) (Plan, error) {
 	raw, err := os.ReadFile(path)
 	var p Plan
@@ -79,7 +84,7 @@
 	return p, nil
 }
 
-// Read reads a plan; the error is a *config.InvalidError. What the JSON calls breakdowns are faults.
+// Read parses a plan. The error is a *config.InvalidError. The JSON key "breakdowns" contains the faults.
 func Read(name string, raw []byte) (Plan, error) {
 	d, err := config.Open(raw)
 	var p Plan
@@ -118,13 +123,13 @@
 	p.HotRatio = d.Num("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Bursts = append(p.Bursts, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Bursts = append(p.Bursts, workload.Burst{From: milliseconds(c, "fromMs"), Until: milliseconds(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
 }
 
-// readConfig reads the file that takes the place of the fleet's own configuration.
+// readConfig reads the file that replaces the fleet's own configuration.
 func (p *Plan) readConfig(d *config.Decoder, site bool) {
 	path := d.Str("config", false, 4096)
 	if path == "" {
@@ -136,39 +141,42 @@
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		d.AddViolation(d.At("config"), path, "a file that can be read")
+		d.AddViolation(d.At("config"), path, "a readable file")
 	}
 	p.Config = raw
 }
 
-func ms(d *config.Decoder, key string) time.Duration {
+// milliseconds reads a duration of 0 to 3600000 ms; 0 is the default.
+func milliseconds(d *config.Decoder, key string) time.Duration {
 	return time.Duration(d.Int(key, 0, 0, 3600000)) * time.Millisecond
 }
 
 func readFault(d *config.Decoder, shape shape.Shape, site bool) sim.Fault {
-	f := sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
-	all := faultClasses()
+	f := sim.Fault{At: milliseconds(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
+	kinds := fleetFaultKinds()
 	if site {
-		all = sim.SiteFaults()
+		kinds = sim.SiteFaults()
 	}
-	if !slices.Contains(all, f.Kind) {
-		d.AddViolation(d.At("kind"), f.Kind, "one of "+strings.Join(all, ", "))
+	if !slices.Contains(kinds, f.Kind) {
+		d.AddViolation(d.At("kind"), f.Kind, "one of "+strings.Join(kinds, ", "))
 	}
 	for i, e := range d.List("on", 0, 4096) {
 		name := e.Text(64)
 		if !inFleet(shape, name) {
-			d.AddViolation(fmt.Sprintf("%s[%d]", d.At("on"), i), name, "a node, domain or replica of the fleet")
+			d.AddViolation(fmt.Sprintf("%s[%d]", d.At("on"), i), name, "the name of a node, zone or replica of the fleet")
 		}
 		f.On = append(f.On, name)
 	}
-	needs := map[string]bool{sim.PartitionZone: true, sim.PartitionControl: true, sim.EvacuateFault: true, sim.SwapVoters: true}
-	if needs[f.Kind] && len(f.On) == 0 {
-		d.AddViolation(d.At("on"), "empty", "named for "+f.Kind)
+	needsTarget := map[string]bool{sim.PartitionZone: true, sim.PartitionControl: true, sim.EvacuateFault: true, sim.SwapVoters: true}
+	if needsTarget[f.Kind] && len(f.On) == 0 {
+		d.AddViolation(d.At("on"), "empty", "at least one name for "+f.Kind)
 	}
 	d.Close()
 	return f
 }
 
+// inFleet reports whether a fault may name this target: a zone, node or replica of the shape, or one of its other targets. In a shape without
+// other targets every name that starts with "r" counts as a replica.
 func inFleet(s shape.Shape, name string) bool {
 	return slices.Contains(s.Zones, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
 		slices.ContainsFunc(s.Nodes, func(n shape.Node) bool { return n.Name == name })
--- a/whatif/plan_test.go
+++ b/whatif/plan_test.go
@@ -17,19 +17,19 @@
 		t.Fatal(err, r.Breaches)
 	}
 	if asked := r.Values["award asked"][0]; asked < 300 || asked > 600 {
-		t.Errorf("%g of one class were asked in 20 s at 40 a second", asked)
+		t.Errorf("got %g requests of one class in 20 s at 40 requests per second, want 300 to 600", asked)
 	}
 	for _, name := range []string{"award served %", "lookup served %", "reconcile served %"} {
 		if got := r.Values[name][0]; got < 95 {
-			t.Errorf("%s: %g", name, got)
+			t.Errorf("%s: got %g, want at least 95", name, got)
 		}
 	}
 }
 
-func TestViolationsOfASitePlan(t *testing.T) {
+func TestSitePlanViolations(t *testing.T) {
 	_, err := Read("p", []byte(`{"shape":"atlas site","times":2,"config":"x","breakdowns":[{"kind":"replica twists","on":["r1"]}]}`))
-	var bad *config.InvalidError
-	if !errors.As(err, &bad) || len(bad.Violations) != 4 {
+	var invalid *config.InvalidError
+	if !errors.As(err, &invalid) || len(invalid.Violations) != 4 {
 		t.Fatal(err)
 	}
 }
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -15,30 +15,33 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-// figure is one number of a run, by the name that the report gives it.
-type figure struct {
+// metric is one measured value of a run, with its name in the report.
+type metric struct {
 	name  string
 	value float64
 }
 
-// Result is what the runs of a plan gave: the figures in the report's order, their values by seed, and broken promises.
+// Result contains the measurements of all runs of a plan.
 type Result struct {
-	Plan     Plan
-	Metrics  []string
-	Values   map[string][]float64
+	Plan Plan
+	// Metrics are the names of the metrics in the order of the report, Values the values of each metric, one per seed.
+	Metrics []string
+	Values  map[string][]float64
+	// Breaches are the broken guarantees that the simulator's checks found, each with its seed.
 	Breaches []string
 }
 
-// warmUp is how long a fleet runs before the plan's load and faults.
-const warmUp = 15 * time.Second
+// fleetWarmUp is how long a fleet runs before its load starts.
+const fleetWarmUp = 15 * time.Second
 
+// scenario returns the simulator's scenario for one seed. The error is an invalid configuration.
 func (p Plan) scenario(seed uint64) (sim.Scenario, error) {
 	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
-		return p.site(seed, spec), nil
+		return p.siteScenario(seed, spec), nil
 	}
 	shape, _ := shape.Times(p.Shape, p.Scale)
 	s := sim.Scenario{
-		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
+		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + fleetWarmUp, From: fleetWarmUp, Faults: p.Faults, Resend: true, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
 		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Bursts}, Asks: p.Requests,
 	}
 	if p.Config == nil {
@@ -49,18 +52,18 @@
 		return s, err
 	}
 	s.Charter, s.Load.Classes = p.Config, nil
-	for _, o := range c.Services {
-		for _, k := range o.Classes {
-			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Repeatable})
+	for _, service := range c.Services {
+		for _, class := range service.Classes {
+			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: service.Name, Name: class.Name, Repeatable: class.Repeatable})
 		}
 	}
 	return s, nil
 }
 
-// workers is how many runs go at once.
+// workers is the number of runs that are executed in parallel.
 const workers = 4
 
-// Run runs the plan once a seed. The error is a invalid configuration; broken promises are part of the result.
+// Run runs the plan once per seed. The error is an invalid configuration; broken guarantees are part of the result.
 func (p Plan) Run() (Result, error) {
 	r := Result{Plan: p, Values: map[string][]float64{}}
 	if _, err := p.scenario(1); err != nil {
@@ -92,58 +95,61 @@
 }
 
 func (r *Result) add(w *sim.World) {
-	of := figures
+	measure := fleetMetrics
 	if w.S.Site != nil {
-		of = siteFigures
+		measure = siteMetrics
 	}
-	for _, f := range of(w) {
-		if !slices.Contains(r.Metrics, f.name) {
-			r.Metrics = append(r.Metrics, f.name)
+	for _, m := range measure(w) {
+		if !slices.Contains(r.Metrics, m.name) {
+			r.Metrics = append(r.Metrics, m.name)
 		}
-		r.Values[f.name] = append(r.Values[f.name], f.value)
+		r.Values[m.name] = append(r.Values[m.name], m.value)
 	}
 	for _, b := range w.Audit.Breaches {
 		r.Breaches = append(r.Breaches, fmt.Sprintf("seed %d: %s", w.S.Seed, b))
 	}
 }
 
-// list is the figures of one run as they are collected.
-type list []figure
+// metricList collects the metrics of one run.
+type metricList []metric
 
-func (l *list) add(name string, value float64) { *l = append(*l, figure{name, value}) }
+func (l *metricList) add(name string, value float64) { *l = append(*l, metric{name, value}) }
 
-func (l *list) count(name string, n uint64) { l.add(name, float64(n)) }
+func (l *metricList) addCount(name string, n uint64) { l.add(name, float64(n)) }
 
-// figures are those of a run of the product's own interface.
-func figures(w *sim.World) []figure {
-	var l list
-	l.outcomes(w)
-	l.prefixes(w)
-	l.control(w)
+// fleetMetrics returns the metrics of a run of a fleet that clients reach over the product's own HTTP interface.
+func fleetMetrics(w *sim.World) []metric {
+	var l metricList
+	l.addOutcomes(w)
+	l.addPrefixes(w)
+	l.addControl(w)
 	return l
 }
 
-func (l *list) outcomes(w *sim.World) {
-	for _, k := range w.S.Load.Classes {
-		kr := w.Report.Classes[k.Name]
-		if kr == nil {
-			kr = &sim.ClassResult{}
+// addOutcomes adds the outcomes and the time to the first token of each request class, and the totals of rejections and retries.
+func (l *metricList) addOutcomes(w *sim.World) {
+	for _, c := range w.S.Load.Classes {
+		result := w.Report.Classes[c.Name]
+		if result == nil {
+			result = &sim.ClassResult{}
 		}
-		l.count(k.Name+" done", uint64(kr.Done))
-		l.count(k.Name+" denied", uint64(kr.Rejected))
-		l.count(k.Name+" partial", uint64(kr.Partial))
-		l.count(k.Name+" unknown", uint64(kr.Unknown))
-		l.count(k.Name+" lost", uint64(kr.Lost))
-		l.count(k.Name+" first token p50 ms", uint64(sim.Quantile(kr.Firsts, 0.5)))
-		l.count(k.Name+" first token p95 ms", uint64(sim.Quantile(kr.Firsts, 0.95)))
+		l.addCount(c.Name+" done", uint64(result.Done))
+		l.addCount(c.Name+" denied", uint64(result.Rejected))
+		l.addCount(c.Name+" partial", uint64(result.Partial))
+		l.addCount(c.Name+" unknown", uint64(result.Unknown))
+		l.addCount(c.Name+" lost", uint64(result.Lost))
+		l.addCount(c.Name+" first token p50 ms", uint64(sim.Quantile(result.Firsts, 0.5)))
+		l.addCount(c.Name+" first token p95 ms", uint64(sim.Quantile(result.Firsts, 0.95)))
 	}
 	total := w.Report.Total()
-	l.count("denied early", uint64(total.Rejected)-w.Report.RejectedLate)
-	l.count("denied late", w.Report.RejectedLate)
-	l.count("retries", w.Report.Retries)
+	l.addCount("denied early", uint64(total.Rejected)-w.Report.RejectedLate)
+	l.addCount("denied late", w.Report.RejectedLate)
+	l.addCount("retries", w.Report.Retries)
 }
 
-func (l *list) prefixes(w *sim.World) {
+// addPrefixes adds the percentage of prefix tokens that replicas had in their cache, and of those that routers counted on as confirmed or
+// predicted.
+func (l *metricList) addPrefixes(w *sim.World) {
 	ratio := func(name string, part uint64) {
 		l.add(name, 100*float64(part)/float64(max(w.Report.PrefixTokens, 1)))
 	}
@@ -152,49 +158,50 @@
 	ratio("counted on, predicted %", w.Report.Predicted)
 }
 
-func (l *list) control(w *sim.World) {
-	rp := &w.Report
-	obeyed := w.Audit.Obeyed()
-	l.count("slowest node obeys p50 ms", uint64(sim.Quantile(obeyed, 0.5)))
-	l.count("slowest node obeys p95 ms", uint64(sim.Quantile(obeyed, 0.95)))
-	l.count("control KB", rp.Bytes/1024)
-	l.count("control KB between domains", rp.CrossBytes/1024)
+// addControl adds the time until the slowest node applied a configuration, and the cost of the control plane.
+func (l *metricList) addControl(w *sim.World) {
+	report := &w.Report
+	applied := w.Audit.Obeyed()
+	l.addCount("slowest node obeys p50 ms", uint64(sim.Quantile(applied, 0.5)))
+	l.addCount("slowest node obeys p95 ms", uint64(sim.Quantile(applied, 0.95)))
+	l.addCount("control KB", report.Bytes/1024)
+	l.addCount("control KB between domains", report.CrossBytes/1024)
 	for _, kind := range slices.Sorted(maps.Keys(w.Net.CrossKind)) {
-		l.count("  of it "+kind, w.Net.CrossKind[kind]/1024)
+		l.addCount("  of it "+kind, w.Net.CrossKind[kind]/1024)
 	}
-	l.count("stream KB between domains", rp.StreamCross/1024)
-	l.add("control bytes per node and second", float64(rp.Bytes)/w.S.Lasts.Seconds()/float64(len(w.Nodes)))
-	l.add("rows visited per event", float64(rp.Visited)/float64(max(rp.Steps, 1)))
-	l.count("service back after ms", uint64(rp.ReturnMs))
+	l.addCount("stream KB between domains", report.StreamCross/1024)
+	l.add("control bytes per node and second", float64(report.Bytes)/w.S.Lasts.Seconds()/float64(len(w.Nodes)))
+	l.add("rows visited per event", float64(report.Visited)/float64(max(report.Steps, 1)))
+	l.addCount("service back after ms", uint64(report.ReturnMs))
 }
 
-// spread gives mean and standard deviation.
-func spread(vs []float64) (mean, dev float64) {
-	for _, v := range vs {
-		mean += v / float64(len(vs))
+// meanAndDeviation returns the mean and the sample standard deviation.
+func meanAndDeviation(values []float64) (mean, deviation float64) {
+	for _, v := range values {
+		mean += v / float64(len(values))
 	}
-	for _, v := range vs {
-		dev += (v - mean) * (v - mean) / float64(max(len(vs)-1, 1))
+	for _, v := range values {
+		deviation += (v - mean) * (v - mean) / float64(max(len(values)-1, 1))
 	}
-	return mean, math.Sqrt(dev)
+	return mean, math.Sqrt(deviation)
 }
 
-// Write prints results side by side, a figure a line, then the broken promises of each.
-func Write(out io.Writer, rs ...Result) {
+// Write prints the results side by side, one metric per line, and then the broken guarantees of each result.
+func Write(out io.Writer, results ...Result) {
 	fmt.Fprintf(out, "%-32s", "mean ± deviation over seeds")
-	for _, r := range rs {
+	for _, r := range results {
 		fmt.Fprintf(out, " %22s", r.Plan.Name)
 	}
 	fmt.Fprintln(out)
-	for _, name := range rs[0].Metrics {
+	for _, name := range results[0].Metrics {
 		fmt.Fprintf(out, "%-32s", name)
-		for _, r := range rs {
-			mean, dev := spread(r.Values[name])
-			fmt.Fprintf(out, " %22s", fmt.Sprintf("%.1f ± %.1f", mean, dev))
+		for _, r := range results {
+			mean, deviation := meanAndDeviation(r.Values[name])
+			fmt.Fprintf(out, " %22s", fmt.Sprintf("%.1f ± %.1f", mean, deviation))
 		}
 		fmt.Fprintln(out)
 	}
-	for _, r := range rs {
+	for _, r := range results {
 		fmt.Fprintf(out, "%s: %d seeds from %d, %d s each, %d breaches\n", r.Plan.Name, r.Plan.Seeds, r.Plan.FirstSeed, r.Plan.Seconds, len(r.Breaches))
 		for _, b := range r.Breaches {
 			fmt.Fprintln(out, "  "+b)
--- a/whatif/site.go
+++ b/whatif/site.go
@@ -6,39 +6,40 @@
 	"github.com/mallowbridge/mallowbridge/sim"
 )
 
-// lead is how long a site's machines run before traffic comes.
-const lead = 10 * time.Second
+// siteWarmUp is how long a site's machines run before traffic starts; the simulator starts it at that time.
+const siteWarmUp = 10 * time.Second
 
-func (p Plan) site(seed uint64, spec sim.SiteSpec) sim.Scenario {
+// siteScenario returns the scenario of a run on the users' platform.
+func (p Plan) siteScenario(seed uint64, spec sim.SiteSpec) sim.Scenario {
 	s := sim.Scenario{
-		Seed: seed, Site: &spec, Lasts: lead + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
+		Seed: seed, Site: &spec, Lasts: siteWarmUp + time.Duration(p.Seconds)*time.Second, Faults: p.Faults, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
 	}
 	s.Load.Bursts = p.Bursts
 	s.Load.HotRatio = p.HotRatio
 	return s
 }
 
-// siteFigures are those of a run on the users' platform.
-func siteFigures(w *sim.World) []figure {
-	var l list
+// siteMetrics returns the metrics of a run on the users' platform.
+func siteMetrics(w *sim.World) []metric {
+	var l metricList
 	r := w.Site()
-	for _, t := range w.S.Site.Classes {
-		c := r.Classes[t.Name]
+	for _, class := range w.S.Site.Classes {
+		c := r.Classes[class.Name]
 		if c == nil {
 			c = &sim.ClassReport{}
 		}
-		l.add(t.Name+" asked", float64(c.Asked))
-		l.add(t.Name+" served %", 100*float64(c.Served)/float64(max(c.Asked, 1)))
-		l.add(t.Name+" in time %", 100*float64(c.InTime)/float64(max(c.Asked, 1)))
-		l.add(t.Name+" first p50 ms", float64(sim.Quantile(c.Firsts, 0.5)))
-		l.add(t.Name+" first p95 ms", float64(sim.Quantile(c.Firsts, 0.95)))
+		l.add(class.Name+" asked", float64(c.Asked))
+		l.add(class.Name+" served %", 100*float64(c.Served)/float64(max(c.Asked, 1)))
+		l.add(class.Name+" in time %", 100*float64(c.InTime)/float64(max(c.Asked, 1)))
+		l.add(class.Name+" first p50 ms", float64(sim.Quantile(c.Firsts, 0.5)))
+		l.add(class.Name+" first p95 ms", float64(sim.Quantile(c.Firsts, 0.95)))
 	}
-	part := func(name string, tokens int) {
+	percentOfPrompts := func(name string, tokens int) {
 		l.add(name, 100*float64(tokens)/float64(max(r.Prompted, 1)))
 	}
-	part("prompt found in cache %", int(r.Cached))
-	part("counted on, confirmed %", r.Confirmed)
-	part("counted on, predicted %", r.Predicted)
+	percentOfPrompts("prompt found in cache %", int(r.Cached))
+	percentOfPrompts("counted on, confirmed %", r.Confirmed)
+	percentOfPrompts("counted on, predicted %", r.Predicted)
 	l.add("second attempts", float64(r.Retries))
 	l.add("streams taken up elsewhere", float64(r.Resumed))
 	l.add("refused by replicas", float64(r.Refused))
