--- a/ledger/check.go
+++ b/ledger/check.go
@@ -47,7 +47,7 @@
 	OverQuota = "over quota"
 	// RequestAltered: a replica ran a request with another path, query or body than the client's.
 	RequestAltered = "request altered"
-	// InEvacuatedZone: a request reached a zone later after the acknowledged evacuation than SoakRule.Evacuation allows.
+	// InEvacuatedZone: a request reached a zone whose evacuation was acknowledged longer ago than SoakRule.Evacuation allows.
 	InEvacuatedZone = "request in an evacuated zone"
 	// ResponseLost: a node that was shutting down accepted a request and forwarded it, but returned no complete response.
 	ResponseLost = "answer lost at a shutdown"
@@ -62,9 +62,9 @@
 	completed map[string]int
 }
 
-func (x *requestRuns) attempts() []string {
+func (runs *requestRuns) attempts() []string {
 	var ids []string
-	for _, r := range x.started {
+	for _, r := range runs.started {
 		ids = append(ids, r.AttemptID)
 	}
 	return ids
@@ -72,12 +72,12 @@
 
 // attemptsOf returns the ids of the attempts that one boot of a node started at from or later and before until, in milliseconds. node is
 // the name and boot of the node; its attempt ids start with both.
-func (x *requestRuns) attemptsOf(node string, from, until int64) []string {
+func (runs *requestRuns) attemptsOf(node string, from, until int64) []string {
 	if node == "" {
 		return nil
 	}
 	var ids []string
-	for _, r := range x.started {
+	for _, r := range runs.started {
 		if strings.HasPrefix(r.AttemptID, node+".") && r.AtMs >= from && r.AtMs < until {
 			ids = append(ids, r.AttemptID)
 		}
@@ -104,11 +104,11 @@
 		byRequest[r.Request] = append(byRequest[r.Request], r)
 	}
 	for _, request := range slices.Sorted(maps.Keys(byRequest)) {
-		x := all.of(request)
+		runs := all.of(request)
 		slices.SortStableFunc(byRequest[request], func(a, b SendResult) int { return cmp.Compare(a.AtMs, b.AtMs) })
-		breaches = append(breaches, checkRejections(request, x, byRequest[request])...)
+		breaches = append(breaches, checkRejections(request, runs, byRequest[request])...)
 		for _, r := range byRequest[request] {
-			if b, bad := checkChunks(r, x); bad {
+			if b, bad := checkChunks(r, runs); bad {
 				breaches = append(breaches, b)
 			}
 		}
@@ -122,16 +122,16 @@
 	requestOf := map[string]string{}
 	var breaches []Breach
 	for _, r := range events {
-		x := all.of(r.Request)
+		runs := all.of(r.Request)
 		switch r.Event {
 		case EventStarted:
 			if other, twice := requestOf[r.AttemptID]; twice {
 				breaches = append(breaches, Breach{Kind: AttemptIDReused, Request: r.Request, Detail: r.AttemptID + " was already used for " + other})
 			}
 			requestOf[r.AttemptID] = r.Request
-			x.started = append(x.started, r)
+			runs.started = append(runs.started, r)
 		case EventCompleted:
-			x.completed[r.AttemptID] = r.Chunks
+			runs.completed[r.AttemptID] = r.Chunks
 		}
 	}
 	return all, breaches
@@ -143,14 +143,14 @@
 // checkRejections compares the outcomes that a client received with the runs of the request. A rejection covers one send to one node: that
 // node may not start an attempt between the rejected send and the next send to it. If the request is not idempotent, the node may not have
 // started one before either.
-func checkRejections(request string, x *requestRuns, results []SendResult) []Breach {
+func checkRejections(request string, runs *requestRuns, results []SendResult) []Breach {
 	var bs []Breach
-	if !results[0].Idempotent && len(x.started) > 1 {
-		bs = append(bs, Breach{Kind: RanTwice, Request: request, Detail: strings.Join(x.attempts(), " ")})
+	if !results[0].Idempotent && len(runs.started) > 1 {
+		bs = append(bs, Breach{Kind: RanTwice, Request: request, Detail: strings.Join(runs.attempts(), " ")})
 	}
 	mayHaveRun := slices.ContainsFunc(results, func(r SendResult) bool { return !notRun(r) && r.Outcome != outcomeDuplicate })
-	if !mayHaveRun && len(x.started) > 0 {
-		return append(bs, Breach{Kind: RejectedButRan, Request: request, Detail: strings.Join(x.attempts(), " ")})
+	if !mayHaveRun && len(runs.started) > 0 {
+		return append(bs, Breach{Kind: RejectedButRan, Request: request, Detail: strings.Join(runs.attempts(), " ")})
 	}
 	for i, r := range results {
 		if !notRun(r) {
@@ -160,7 +160,7 @@
 		if !r.Idempotent {
 			from = math.MinInt64
 		}
-		if ids := x.attemptsOf(r.Node, from, nextSend(r.Node, results[i+1:])); len(ids) > 0 {
+		if ids := runs.attemptsOf(r.Node, from, nextSend(r.Node, results[i+1:])); len(ids) > 0 {
 			bs = append(bs, Breach{Kind: RejectedButRan, Request: request, Detail: "by " + r.Node + ": " + strings.Join(ids, " ")})
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 // checkChunks checks the chunks of a response. They must belong to one attempt and be in order; a completed response must have all of them.
-func checkChunks(r SendResult, x *requestRuns) (Breach, bool) {
+func checkChunks(r SendResult, runs *requestRuns) (Breach, bool) {
 	attempt := ""
 	for i, chunk := range r.Chunks {
 		f := strings.Split(chunk, "|")
@@ -197,9 +197,9 @@
 	if r.Outcome != outcomeCompleted {
 		return b, false
 	}
-	n, ok := x.completed[attempt]
+	n, ok := runs.completed[attempt]
 	switch {
-	case !ok && len(r.Chunks) > 0 && slices.Contains(x.attempts(), attempt), ok && n != len(r.Chunks):
+	case !ok && len(r.Chunks) > 0 && slices.Contains(runs.attempts(), attempt), ok && n != len(r.Chunks):
 		return Breach{Kind: Truncated, Request: r.Request, Detail: fmt.Sprintf("%d chunks of %d", len(r.Chunks), n)}, true
 	case !ok:
 		return Breach{Kind: CompletedWithoutRun, Request: r.Request, Detail: "attempt " + strconv.Quote(attempt)}, true
--- a/modelcheck/events.go
+++ b/modelcheck/events.go
@@ -100,8 +100,8 @@
 			events = s.roundEvents(events, proposer)
 		}
 		for _, e := range []struct {
-			kind uint8
-			now  bool
+			kind     uint8
+			possible bool
 		}{
 			{eventTimer, p.Busy() && s.budget.Timers > 0},
 			{eventDeadline, p.Queued() && s.budget.Deadlines > 0},
@@ -109,7 +109,7 @@
 			{eventLearn, s.budget.Learns > 0 && s.known[1-proposer].Newer(s.known[proposer])},
 			{eventFinish, s.budget.Finishes > 0 && len(s.known[proposer].NextVoters) > 0 && !p.Busy()},
 		} {
-			if e.now {
+			if e.possible {
 				events = append(events, Event{Kind: e.kind, Target: uint8(proposer)})
 			}
 		}
--- a/modelcheck/rounds.go
+++ b/modelcheck/rounds.go
@@ -17,7 +17,7 @@
 //     firing of their proposer's timer, which the budget of timers covers.
 //
 // The reduction does not cover a proposer that learns a newer value, or a disk that crashes, in the middle of a round; models without
-// AtomicRounds cover these cases. Read-only prepares, which get no promise, are delivered one by one.
+// AtomicRounds cover these cases. Read-only prepares, which get no promise, are not part of a round.
 
 // A path is a list of disks in an operand of an event: pathBits bits for each disk, with the disk's index plus one, the first disk in the
 // lowest bits.
@@ -28,8 +28,8 @@
 	maxPathDisks = 5
 )
 
-// belongsToRound reports whether a message is a prepare that is delivered only together with its round. A prepare that the acceptor would reject is
-// not.
+// belongsToRound reports whether a message is a prepare that is delivered only together with its round. Read-only prepares and prepares that the
+// acceptor would reject are delivered one by one.
 func (s *RegisterState) belongsToRound(m envelope) bool {
 	prepare, ok := m.msg.(register.Prepare)
 	if !ok || prepare.ReadOnly || !s.model.AtomicRounds {
