--- a/ledger/soak.go
+++ b/ledger/soak.go
@@ -28,7 +28,7 @@
 	Zone     string `json:"zone"`
 	// Altered describes how the received request differs from the sent one; empty if it does not.
 	Altered string `json:"altered,omitempty"`
-	// ReplicaFailed reports that the replica broke off the response because of an injected fault, or was stopped before its end.
+	// ReplicaFailed reports that an injected fault made the replica end the response incorrectly, or that it was stopped before the end.
 	ReplicaFailed bool `json:"spoiled,omitempty"`
 }
 
@@ -162,7 +162,7 @@
 }
 
 // lostAtShutdown reports whether the connection ended without a complete response during a shutdown of the node, and the shutdown is the only
-// possible cause: the request was forwarded, no replica broke off the response, and the node had no other fault at that time. A response that
+// possible cause: the request was forwarded, no replica failed (SoakRun.ReplicaFailed), and the node had no other fault at that time. A response that
 // ends in the last sixth of the grace period does not count, as the process may exit before the period is over.
 func (c *soakChecker) lostAtShutdown(a *SoakResponse, runs []SoakRun) bool {
 	responded := a.Complete || (a.Status != 0 && a.Status != http.StatusOK)
