--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -105,7 +105,7 @@
 }
 
 // send sends a request and returns what the client received.
-func (f *fixture) send(kind, id string) ledger.Got {
+func (f *fixture) send(kind, id string) ledger.SendResult {
 	a := standin.NewClient(nil)
 	return a.Send(context.Background(), strings.TrimPrefix(f.srv.URL, "http://"), workload.Request{
 		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
@@ -113,15 +113,15 @@
 }
 
 // stopAndReadRuns stops the fixture and returns the runs that the replicas logged.
-func (f *fixture) stopAndReadRuns() []ledger.Ran {
+func (f *fixture) stopAndReadRuns() []ledger.RunEvent {
 	f.srv.Close()
 	f.tomb.Kill(nil)
 	_ = f.tomb.Wait()
-	var runs []ledger.Ran
+	var runs []ledger.RunEvent
 	for i := range f.logs {
 		dec := json.NewDecoder(&f.logs[i])
 		for dec.More() {
-			var x ledger.Ran
+			var x ledger.RunEvent
 			if err := dec.Decode(&x); err != nil {
 				f.t.Fatal(err)
 			}
@@ -167,7 +167,7 @@
 				if g.Outcome != want {
 					t.Errorf("%s: %s, want %s", kind, g.Outcome, want)
 				}
-				if bs := ledger.Check(f.stopAndReadRuns(), []ledger.Got{g}); len(bs) > 0 {
+				if bs := ledger.Check(f.stopAndReadRuns(), []ledger.SendResult{g}); len(bs) > 0 {
 					t.Errorf("%s: %v", kind, bs)
 				}
 			}
--- a/standin/client.go
+++ b/standin/client.go
@@ -29,8 +29,8 @@
 }
 
 // Send sends one request to one node and returns its row of the client's ledger. Failures are outcomes, not errors.
-func (c *Client) Send(ctx context.Context, node string, r workload.Request) ledger.Got {
-	got := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: r.Request, Kind: r.Class.Name, Repeatable: r.Class.Repeatable, Outcome: outcomeLost}
+func (c *Client) Send(ctx context.Context, node string, r workload.Request) ledger.SendResult {
+	got := ledger.SendResult{AtMs: time.Now().UnixMilli(), Node: node, Request: r.Request, Class: r.Class.Name, Idempotent: r.Class.Repeatable, Outcome: outcomeLost}
 	// A token counts as 4 bytes, and the JSON around the prompt as 3 tokens.
 	body := `{"prompt":"` + strings.Repeat("tail", max(r.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+r.Class.Service+"/"+r.Class.Name, strings.NewReader(body))
@@ -69,8 +69,8 @@
 			got.Outcome = "done"
 			continue
 		}
-		if got.FirstMs == 0 {
-			got.FirstMs = max(time.Since(sentAt).Milliseconds(), 1)
+		if got.FirstChunkMs == 0 {
+			got.FirstChunkMs = max(time.Since(sentAt).Milliseconds(), 1)
 		}
 		got.Chunks = append(got.Chunks, l.Text)
 	}
@@ -82,9 +82,9 @@
 
 // Run sends n requests from the source to the nodes in turn, each at its own time, and calls record with each ledger row. Calls of record
 // don't overlap. When the context ends, the remaining requests are sent at once and fail.
-func (c *Client) Run(ctx context.Context, src *workload.Source, n int, record func(got ledger.Got)) {
+func (c *Client) Run(ctx context.Context, src *workload.Source, n int, record func(got ledger.SendResult)) {
 	start := time.Now()
-	results := make(chan ledger.Got)
+	results := make(chan ledger.SendResult)
 	for i := range n {
 		r := src.Next()
 		go func() {
--- a/standin/rehearsal/client.go
+++ b/standin/rehearsal/client.go
@@ -51,11 +51,11 @@
 
 // Fetch sends a request and calls record with each response. It makes further attempts until a response is complete, the client has disconnected
 // early, a request that may run only once has got a response, or the attempts are used up.
-func (c *Client) Fetch(number int, record func(ledger.StreamAnswer)) {
+func (c *Client) Fetch(number int, record func(ledger.StreamResponse)) {
 	path := []string{resumablePath, oncePath, plainPath}[c.rng.IntN(3)]
 	request, total, after := c.name+"-"+strconv.Itoa(number), 1+c.rng.IntN(maxEvents), 0
 	for range maxAttempts {
-		a := ledger.StreamAnswer{AtMs: time.Now().UnixMilli(), Node: c.frontends[c.rng.IntN(len(c.frontends))], Request: request, After: after, Total: total, Resumable: path == resumablePath}
+		a := ledger.StreamResponse{AtMs: time.Now().UnixMilli(), Node: c.frontends[c.rng.IntN(len(c.frontends))], Request: request, After: after, Total: total, Resumable: path == resumablePath}
 		behavior := clientBehavior(c.rng.IntN(int(behaviorCount)))
 		responded := c.attempt(&a, path, behavior)
 		if responded {
@@ -72,7 +72,7 @@
 }
 
 // attempt sends a request once, on a new connection. It returns false if there was no response with status 200.
-func (c *Client) attempt(a *ledger.StreamAnswer, path string, behavior clientBehavior) bool {
+func (c *Client) attempt(a *ledger.StreamResponse, path string, behavior clientBehavior) bool {
 	conn, err := net.DialTimeout("tcp", a.Node, time.Second)
 	if err != nil {
 		return false
@@ -92,7 +92,7 @@
 }
 
 // requestHead returns the request line, the headers and the body of a request.
-func (c *Client) requestHead(a *ledger.StreamAnswer, path string, behavior clientBehavior) string {
+func (c *Client) requestHead(a *ledger.StreamResponse, path string, behavior clientBehavior) string {
 	protocol := "HTTP/1.1"
 	if behavior == http10 {
 		protocol = "HTTP/1.0"
@@ -112,14 +112,14 @@
 }
 
 // readStream reads the events of a response until it ends or the client disconnects early.
-func (c *Client) readStream(a *ledger.StreamAnswer, behavior clientBehavior, body io.Reader) {
+func (c *Client) readStream(a *ledger.StreamResponse, behavior clientBehavior, body io.Reader) {
 	in := bufio.NewReader(body)
 	eventLimit := c.rng.IntN(maxEvents)
 	var event ledger.StreamEvent
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			a.Complete, a.Torn = err == io.EOF, line != "" || event != ledger.StreamEvent{}
+			a.Complete, a.HasPartialEvent = err == io.EOF, line != "" || event != ledger.StreamEvent{}
 			return
 		}
 		name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
--- a/standin/rehearsal/operator_test.go
+++ b/standin/rehearsal/operator_test.go
@@ -42,8 +42,8 @@
 		want   string
 	}{
 		{"newest revision", 0, http.StatusOK, ""},
-		{"older revision", 1, http.StatusOK, ledger.WentBack},
-		{"rejected put", 0, http.StatusPreconditionFailed, ledger.RefusedOrder},
+		{"older revision", 1, http.StatusOK, ledger.RevisionRegressed},
+		{"rejected put", 0, http.StatusPreconditionFailed, ledger.OperatorRequestRejected},
 		{"inconclusive put", 0, http.StatusServiceUnavailable, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 			o.run(time.Now().Add(300 * time.Millisecond))
 			var found string
 			for b := range o.breaches {
-				found = b.What
+				found = b.Kind
 			}
 			if found != c.want {
 				t.Errorf("found breach %q, want %q", found, c.want)
--- a/standin/rehearsal/rehearsal_test.go
+++ b/standin/rehearsal/rehearsal_test.go
@@ -30,11 +30,11 @@
 			}
 			defer r.Stop()
 			client := NewClient(1, 2, []string{r.Addr})
-			a := ledger.StreamAnswer{Node: r.Addr, Request: "a", Total: 5}
-			if responded := client.attempt(&a, resumablePath, normalBehavior); responded != c.responded || a.Complete != c.complete || a.Torn != c.torn {
+			a := ledger.StreamResponse{Node: r.Addr, Request: "a", Total: 5}
+			if responded := client.attempt(&a, resumablePath, normalBehavior); responded != c.responded || a.Complete != c.complete || a.HasPartialEvent != c.torn {
 				t.Errorf("responded %v, recorded %+v", responded, a)
 			}
-			if c.responded && !c.torn && len(ledger.CheckStreams([]ledger.StreamAnswer{a})) > 0 {
+			if c.responded && !c.torn && len(ledger.CheckStreams([]ledger.StreamResponse{a})) > 0 {
 				t.Errorf("a breach was found in %+v", a)
 			}
 		})
@@ -48,9 +48,9 @@
 		t.Fatal(err)
 	}
 	defer r.Stop()
-	a := ledger.StreamAnswer{Node: r.Addr, Request: "a", Total: 5}
+	a := ledger.StreamResponse{Node: r.Addr, Request: "a", Total: 5}
 	NewClient(1, 2, []string{r.Addr}).attempt(&a, resumablePath, normalBehavior)
-	if found := ledger.CheckStreams([]ledger.StreamAnswer{a}); len(found) != 1 || found[0].What != ledger.Truncated {
+	if found := ledger.CheckStreams([]ledger.StreamResponse{a}); len(found) != 1 || found[0].Kind != ledger.Truncated {
 		t.Errorf("found %v, want one truncated response", found)
 	}
 }
--- a/standin/rehearsal/run.go
+++ b/standin/rehearsal/run.go
@@ -61,7 +61,7 @@
 	fleet     *Fleet
 	platform  *Platform
 	report    StreamReport
-	responses []ledger.StreamAnswer
+	responses []ledger.StreamResponse
 }
 
 // RunStreams starts a platform and a fleet, lets clients send requests while it injects faults, and checks what the clients received.
@@ -96,13 +96,13 @@
 
 // serve runs the clients and the fault injection until the end, and collects the responses.
 func (r *streamRehearsal) serve(end time.Time) error {
-	responses, done := make(chan ledger.StreamAnswer), make(chan struct{})
+	responses, done := make(chan ledger.StreamResponse), make(chan struct{})
 	var clients sync.WaitGroup
 	for n := range r.Clients {
 		c := NewClient(n, r.Seed, r.fleet.FrontendAddrs())
 		clients.Go(func() {
 			for number := 0; time.Now().Before(end); number++ {
-				c.Fetch(number, func(a ledger.StreamAnswer) { responses <- a })
+				c.Fetch(number, func(a ledger.StreamResponse) { responses <- a })
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-func (r *streamRehearsal) count(a ledger.StreamAnswer) {
+func (r *streamRehearsal) count(a ledger.StreamResponse) {
 	r.responses = append(r.responses, a)
 	r.report.Responses++
 	if a.Complete {
--- a/standin/rehearsal/soak.go
+++ b/standin/rehearsal/soak.go
@@ -149,7 +149,7 @@
 			s.recordedRuns = append(s.recordedRuns, timedRun{ReplicaRun: run, atMs: time.Now().UnixMilli(), alteration: describeAlteration(run.Request, run.Body)})
 		case a := <-s.responses:
 			s.recordedResponses = append(s.recordedResponses, a)
-			if err := ledgerRows.Encode(a.SoakAnswer); err != nil {
+			if err := ledgerRows.Encode(a.SoakResponse); err != nil {
 				return err
 			}
 		case <-done:
--- a/standin/rehearsal/soakcheck.go
+++ b/standin/rehearsal/soakcheck.go
@@ -11,13 +11,13 @@
 
 // check counts what was collected and finds the breaches. The fleet must still be running.
 func (s *soak) check(faultsOver time.Time) {
-	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.PastFaults(), Core: s.fleet.voterFrontends()}
+	record := ledger.SoakRecord{Evacuations: s.zones.evacuations, Faults: s.fleet.PastFaults(), Voters: s.fleet.voterFrontends()}
 	for i := range s.recordedResponses {
 		a := &s.recordedResponses[i]
 		mayRepeat := s.routes.mayRepeat(a.path, a.AtMs, a.EndMs)
-		a.Once, a.Resumable = !mayRepeat, mayRepeat
+		a.AtMostOnce, a.Resumable = !mayRepeat, mayRepeat
 		s.count(a, faultsOver)
-		record.Answers = append(record.Answers, a.SoakAnswer)
+		record.Responses = append(record.Responses, a.SoakResponse)
 	}
 	record.Runs = s.ledgerRuns()
 	s.report.Runs = len(record.Runs)
@@ -41,7 +41,7 @@
 		stopped := run.Replica.stoppedAt.Load()
 		row := ledger.SoakRun{
 			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.alteration,
-			Spoiled: run.Faulty || (stopped > 0 && stopped <= endMs[attempt]),
+			ReplicaFailed: run.Faulty || (stopped > 0 && stopped <= endMs[attempt]),
 		}
 		all = append(all, row)
 		_ = ledgerRows.Encode(row)
@@ -53,7 +53,7 @@
 func (s *soak) checkRecovery() []ledger.Breach {
 	var breaches []ledger.Breach
 	if served := s.report.ServedAfterFaults; float64(served) < minServedRatio*float64(s.report.RequestsAfterFaults) || s.report.RequestsAfterFaults == 0 {
-		breaches = append(breaches, ledger.Breach{What: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.RequestsAfterFaults)})
+		breaches = append(breaches, ledger.Breach{Kind: ledger.NotRecovered, Request: "clients", Detail: fmt.Sprintf("%d of %d requests", served, s.report.RequestsAfterFaults)})
 	}
 	for _, control := range s.fleet.ControlAddrs() {
 		if b, broken := s.checkReadBack(control); broken {
@@ -74,11 +74,11 @@
 			continue
 		}
 		if revision < s.report.Revisions {
-			return ledger.Breach{What: ledger.WentBack, Request: control, Detail: fmt.Sprintf("revision %d at the end, %d was acknowledged", revision, s.report.Revisions)}, true
+			return ledger.Breach{Kind: ledger.RevisionRegressed, Request: control, Detail: fmt.Sprintf("revision %d at the end, %d was acknowledged", revision, s.report.Revisions)}, true
 		}
 		return ledger.Breach{}, false
 	}
-	return ledger.Breach{What: ledger.NotRecovered, Request: control, Detail: "the configuration can't be read"}, true
+	return ledger.Breach{Kind: ledger.NotRecovered, Request: control, Detail: "the configuration can't be read"}, true
 }
 
 // voterFrontends returns the frontend addresses of the voters.
--- a/standin/rehearsal/soakclient.go
+++ b/standin/rehearsal/soakclient.go
@@ -49,7 +49,7 @@
 
 // soakResponse is a response together with the path prefix of its request.
 type soakResponse struct {
-	ledger.SoakAnswer
+	ledger.SoakResponse
 	path string
 }
 
@@ -100,7 +100,7 @@
 		return err == nil
 	}
 	reader := Client{rng: c.rng}
-	reader.readStream(&a.StreamAnswer, normalBehavior, resp.Body)
+	reader.readStream(&a.StreamResponse, normalBehavior, resp.Body)
 	return a.Complete
 }
 
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -152,8 +152,8 @@
 
 // record writes an event of an attempt to the ledger; chunks is the number of chunks sent.
 func (r *Replica) record(event, request, attempt string, chunks int) {
-	_ = r.ledger.Encode(ledger.Ran{
-		AtMs: time.Now().UnixMilli(), Replica: r.name, Instance: r.engine.Instance, Request: request, AttemptID: attempt, Event: event, Chunks: chunks,
+	_ = r.ledger.Encode(ledger.RunEvent{
+		AtMs: time.Now().UnixMilli(), Replica: r.name, InstanceID: r.engine.Instance, Request: request, AttemptID: attempt, Event: event, Chunks: chunks,
 	})
 }
 
@@ -206,7 +206,7 @@
 		r.record("refused", request, attempt, 0)
 		return a
 	}
-	r.record(ledger.EventBegun, request, attempt, 0)
+	r.record(ledger.EventStarted, request, attempt, 0)
 	return a
 }
 
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -33,7 +33,7 @@
 			return nil
 		}
 	}
-	r.do(func(r *Replica) { r.record(ledger.EventDone, request, attempt, a.plan.Chunks) })
+	r.do(func(r *Replica) { r.record(ledger.EventCompleted, request, attempt, a.plan.Chunks) })
 	return enc.Encode(router.ResponseLine{AttemptID: attempt, InstanceID: r.engine.Instance, End: true, Chunks: a.plan.Chunks})
 }
 
