--- a/capacity/solo.go
+++ b/capacity/solo.go
@@ -65,7 +65,7 @@
 		panic(err)
 	}
 	for i := range c.Services {
-		c.Services[i].KeepTokens = keep
+		c.Services[i].PrefixCacheTokens = keep
 	}
 	l := &soloRouter{node: &light.Node{Name: "n1", Zone: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	l.node.Router = router.New(router.Defaults("n1", "b", "a1"))
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -111,10 +111,10 @@
 	return d.Decode(v)
 }
 
-// EventError names an event that there is not.
-type EventError struct{ Name string }
+// UnknownEventError names an event that there is not.
+type UnknownEventError struct{ Name string }
 
-func (e *EventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
+func (e *UnknownEventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
 var eventReaders = map[string]func(raw []byte) (router.Event, error){
 	"arrive": read[router.Arrival], "listing": read[router.Listing], "usage": read[router.LoadReport],
@@ -132,7 +132,7 @@
 	}
 	readEvent, known := eventReaders[l.Event]
 	if !known {
-		return nil, &EventError{Name: l.Event}
+		return nil, &UnknownEventError{Name: l.Event}
 	}
 	return readEvent(l.Data)
 }
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -29,7 +29,7 @@
 
 func nodes(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("node", "Run a node on the users' platform: its settings come from a YAML file.")
-	file := c.Flag("settings", "Settings file.").Short('s').Envar(platform.SettingsVariable).Required().String()
+	file := c.Flag("settings", "Settings file.").Short('s').Envar(platform.SettingsEnvVar).Required().String()
 	way := c.Flag("placement", "How replicas are chosen: index; blind (by load, the index off) and round-robin are for comparisons.").
 		Default(byIndex).Enum(byIndex, blind, roundRobin)
 	cmds["node"] = func(_ io.Reader, _ io.Writer) error {
@@ -57,7 +57,7 @@
 const allowanceMargin = 0.25
 
 // reader reads the platform's document and adds what the settings bound.
-func reader(documents *platform.Reader, b platform.Bounds) config.Reader {
+func reader(documents *platform.CachingReader, b platform.Bounds) config.Reader {
 	return func(raw []byte) (config.Config, error) {
 		var err error
 		var c config.Config
@@ -65,34 +65,34 @@
 			return c, err
 		}
 		for i := range c.Services {
-			c.Services[i].StaleCap = staleCap
-			c.Services[i].RetryRatio, c.Services[i].RetryExtra = b.RetryRatio, int(float64(b.RetryExtra)*(1-allowanceMargin))
+			c.Services[i].MaxPredictionTTL = staleCap
+			c.Services[i].RetryRatio, c.Services[i].RetryAllowance = b.RetryRatio, int(float64(b.RetryAllowance)*(1-allowanceMargin))
 		}
 		return c, nil
 	}
 }
 
 // nodeSettings puts the platform's settings into the daemon's.
-func nodeSettings(s platform.Settings, documents *platform.Reader) daemon.Settings {
+func nodeSettings(s platform.Settings, documents *platform.CachingReader) daemon.Settings {
 	h := daemon.Settings{
-		Role: "core", Name: s.Name, Listen: s.Listen(), HTTP: s.Front, Zone: s.Zone, Data: s.Data, Seeds: s.InternalSeeds(),
+		Role: "core", Name: s.Name, Listen: s.ListenAddr(), HTTP: s.FrontAddr, Zone: s.Zone, Data: s.DataDirectory, Seeds: s.InternalSeeds(),
 		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
 		Host: daemon.Host{
 			Read: reader(documents, s.Bounds), ListEvery: listEvery, FaultTolerance: s.FaultTolerance.Machines, Bootstraps: s.FirstStart, ServesIsolated: true,
 			Quota: s.Bounds.Quota, HidesDocument: true,
 		},
 	}
-	get := platform.Getter(s.Cloud.Address)
-	h.Host.List = func() ([]router.Instance, error) { return platform.List(get) }
+	get := platform.NewGetter(s.CloudAPI.Address)
+	h.Host.List = func() ([]router.Instance, error) { return platform.ListInstances(get) }
 	return h
 }
 
 // headers names the platform's headers to the proxy.
 func headers() proxy.Headers {
 	return proxy.Headers{
-		AttemptID: platform.HeaderAttempt, TargetInstance: platform.HeaderTarget, NotExecuted: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
-		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokens,
-		Seal: platform.HeaderSeal, Instance: platform.HeaderInstance, Priority: platform.HeaderPriority,
+		AttemptID: platform.HeaderAttemptID, TargetInstance: platform.HeaderTargetInstance, NotExecuted: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
+		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPromptPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokenUsage,
+		Seal: platform.HeaderSeal, Instance: platform.HeaderInstanceID, Priority: platform.HeaderPriority,
 		Credential: platform.HeaderCredential, Tenant: platform.HeaderTenant,
 		WeightsVersion: platform.HeaderWeightVersions, ExpectedVersion: platform.HeaderExpectedVersion,
 		ParseTokens: platform.ParseTokens, ParseLoad: platform.ParseLoad,
@@ -107,14 +107,14 @@
 	daemon   *daemon.Daemon
 	proxy    *proxy.Proxy
 	// documents belongs to the owner of control state.
-	documents platform.Reader
+	documents platform.CachingReader
 	// limits are those of the configuration in force.
 	limits  atomic.Pointer[config.Limits]
 	retired atomic.Bool
 }
 
 func runNode(file string, s platform.Settings, way string, signals chan os.Signal) error {
-	if mb := s.Machine.MemoryMB; mb > 0 {
+	if mb := s.Resources.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * 7 / 10)
 	}
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
@@ -156,7 +156,7 @@
 		})
 	}
 	if lis := listeners[readinessInterface]; lis != nil {
-		serveOps(n.tomb, lis, platform.Readiness(func() string { return readiness(n.daemon, &n.retired) }), nil)
+		serveOps(n.tomb, lis, platform.ReadinessHandler(func() string { return readiness(n.daemon, &n.retired) }), nil)
 	}
 	if lis := listeners[controlInterface]; lis != nil {
 		serveOps(n.tomb, lis, n.controlRoutes(), n.daemon.Gate.ConnContext)
@@ -165,7 +165,7 @@
 
 func (n *platformNode) controlRoutes() *bunrouter.Router {
 	routes := bunrouter.New()
-	platform.Routes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
+	platform.AddRoutes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
 		Control: n.daemon, Router: n.daemon.Loop, Clock: daemon.Clock,
 		Extra: func() map[string]uint64 { return merged(daemonCounters(n.daemon), n.proxy.Counters.Map()) },
@@ -177,7 +177,7 @@
 // proxySettings lets requests and answers hold a quarter of the memory at most.
 func proxySettings(s platform.Settings) proxy.Settings {
 	set := proxy.Defaults()
-	if mb := s.Machine.MemoryMB; mb > 0 {
+	if mb := s.Resources.MemoryMB; mb > 0 {
 		set.BudgetBytes = min(set.BudgetBytes, mb<<20/4)
 	}
 	return set
@@ -203,7 +203,7 @@
 func listenAll(s platform.Settings) (map[string]net.Listener, error) {
 	listeners := map[string]net.Listener{}
 	var err error
-	for name, addr := range map[string]string{frontInterface: s.Front, readinessInterface: s.Readiness, controlInterface: s.Control} {
+	for name, addr := range map[string]string{frontInterface: s.FrontAddr, readinessInterface: s.ReadinessAddr, controlInterface: s.ControlAddr} {
 		if addr == "" {
 			continue
 		}
--- a/cmd/mallowbridge/quotas.go
+++ b/cmd/mallowbridge/quotas.go
@@ -40,7 +40,7 @@
 		return trace.Wrap(err)
 	}
 	if r.Races > 0 {
-		return trace.Wrap(&RaceError{N: r.Races, Dir: o.Dir})
+		return trace.Wrap(&DataRaceError{N: r.Races, Dir: o.Dir})
 	}
 	return reportBreaches(out, quotaCounts(r), r.Breaches)
 }
--- a/cmd/mallowbridge/soak.go
+++ b/cmd/mallowbridge/soak.go
@@ -41,7 +41,7 @@
 		return trace.Wrap(err)
 	}
 	if r.Races > 0 {
-		return trace.Wrap(&RaceError{N: r.Races, Dir: o.Dir})
+		return trace.Wrap(&DataRaceError{N: r.Races, Dir: o.Dir})
 	}
 	return reportBreaches(out, soakCounts(r), r.Breaches)
 }
--- a/cmd/mallowbridge/streams.go
+++ b/cmd/mallowbridge/streams.go
@@ -14,13 +14,13 @@
 // streamLedger is the name of the clients' ledger in the folder of a rehearsal.
 const streamLedger = "streams.jsonl"
 
-// RaceError says that the race detector found something in a node.
-type RaceError struct {
+// DataRaceError says that the race detector found something in a node.
+type DataRaceError struct {
 	N   int
 	Dir string
 }
 
-func (e *RaceError) Error() string {
+func (e *DataRaceError) Error() string {
 	return fmt.Sprintf("%d data races, see the logs in %s", e.N, e.Dir)
 }
 
@@ -50,7 +50,7 @@
 	counts := fmt.Sprintf("%d answers, %d complete, %d resumed by their clients; %d kills, %d stops, %d freezes, %d releases, %d crashes; %d revisions, read %d times, ",
 		r.Answers, r.Complete, r.Resumed, r.Kills, r.Stops, r.Freezes, r.Releases, r.Crashes, r.Revisions, r.Reads)
 	if r.Races > 0 {
-		return trace.Wrap(&RaceError{N: r.Races, Dir: o.Dir})
+		return trace.Wrap(&DataRaceError{N: r.Races, Dir: o.Dir})
 	}
 	return reportBreaches(out, counts, r.Breaches)
 }
--- a/config/config.go
+++ b/config/config.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// MaxBytes is the longest document that is taken.
-const MaxBytes = 1 << 20
+// MaxDocumentBytes is the longest document that is taken.
+const MaxDocumentBytes = 1 << 20
 
 const (
 	maxName     = 64
@@ -30,9 +30,9 @@
 	// Value and Urgency multiply the priority of its requests.
 	Value   float64
 	Urgency float64
-	// FirstToken is the aim for the first token, from the arrival.
-	FirstToken time.Duration
-	Repeatable bool
+	// FirstTokenTarget is the aim for the first token, from the arrival.
+	FirstTokenTarget time.Duration
+	Idempotent       bool
 }
 
 // Service is a service: a model, its replicas and what they have in common.
@@ -44,32 +44,32 @@
 	WarmupCapacity int
 	SlowStart      time.Duration
 	// RetryRatio is the most retries a first attempt, RetryExtra the most in hand beyond, over the fleet.
-	RetryRatio float64
-	RetryExtra int
-	// StaleCap bounds how long a predicted holding is trusted.
-	StaleCap time.Duration
-	// Base and PerToken estimate the time to the first token of an idle replica.
-	Base     time.Duration
-	PerToken time.Duration
-	// KeepTokens is how many tokens a replica's prefix cache keeps.
-	KeepTokens int
-	// CrossCost is added for replicas of other zones, in units of FirstToken.
-	CrossCost float64
+	RetryRatio     float64
+	RetryAllowance int
+	// MaxPredictionTTL bounds how long a predicted holding is trusted.
+	MaxPredictionTTL time.Duration
+	// BaseLatency and PerToken estimate the time to the first token of an idle replica.
+	BaseLatency     time.Duration
+	LatencyPerToken time.Duration
+	// PrefixCacheTokens is how many tokens a replica's prefix cache keeps.
+	PrefixCacheTokens int
+	// CrossZoneCost is added for replicas of other zones, in units of FirstToken.
+	CrossZoneCost float64
 
 	// Discovered: the replicas come from the platform's list (Roster), none stand in the document.
 	Discovered bool
 	// Queues: replicas queue what is beyond their room and tell their load, so room is not divided among routers.
 	Queues bool
-	// Health is the path of a replica's health check as the document names it; nothing asks it.
-	Health string
+	// HealthCheckPath is the path of a replica's health check as the document names it; nothing asks it.
+	HealthCheckPath string
 	// MaxConns is the most connections that a replica bears; 0: no bound.
 	MaxConns int
 	// WarmupRate is how many requests a second a replica that warms up bears from all routers together; 0: no bound. It is warming up for
 	// WarmupTime.
 	WarmupRate float64
 	WarmupTime time.Duration
-	// Stride is how many tokens a piece of a stream may hold; 0 where replicas do not batch.
-	Stride int
+	// MaxTokensPerEvent is how many tokens a piece of a stream may hold; 0 where replicas do not batch.
+	MaxTokensPerEvent int
 }
 
 // WeightedService gives a service a part of a route's requests; weights are relative to each other.
@@ -83,9 +83,9 @@
 	Name, Host, Prefix string
 	TrafficSplit       []WeightedService
 	// Streaming answers are series of events; Resumable ones may be resumed at another replica after the last event id.
-	Streaming, Repeatable, Resumable bool
-	// Timeout bounds a request as a whole, FirstToken is the aim for its answer or first event, TargetGap for each later one (0: none).
-	Timeout, FirstToken, TargetGap time.Duration
+	Streaming, Idempotent, Resumable bool
+	// Timeout bounds a request as a whole, FirstTokenTarget is the aim for its answer or first event, EventGapTarget for each later one (0: none).
+	Timeout, FirstTokenTarget, EventGapTarget time.Duration
 	// MaxAttempts is the most replicas that one request may be sent to.
 	MaxAttempts int
 	// Priority 0 goes first.
@@ -107,8 +107,8 @@
 	// Tenants are those whose requests are taken; where there are none, anybody's are.
 	Tenants []Tenant
 	Limits  Limits
-	// ReplaceVoter is how long a voter must be lost until another takes its place; 0: never by itself.
-	ReplaceVoter time.Duration
+	// ReplaceVoterAfter is how long a voter must be lost until another takes its place; 0: never by itself.
+	ReplaceVoterAfter time.Duration
 	// Revision is the operators' own number for the document; 0 where they give none.
 	Revision uint64
 }
@@ -141,14 +141,14 @@
 // Read reads the product's own JSON document; the error is an *InvalidError with every violation.
 func Read(raw []byte) (Config, error) {
 	var c Config
-	if len(raw) > MaxBytes {
-		return c, flawed("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxBytes))
+	if len(raw) > MaxDocumentBytes {
+		return c, flawed("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
 	}
-	d, err := Open(raw)
+	d, err := NewDecoder(raw)
 	if err != nil {
 		return c, err
 	}
-	c.ReplaceVoter = readReplaceVoter(d)
+	c.ReplaceVoterAfter = readReplaceVoter(d)
 	services, reps := map[string]bool{}, map[string]bool{}
 	for _, o := range d.List(servicesField, 1, maxServices) {
 		c.Services = append(c.Services, readService(o, services, reps))
@@ -167,7 +167,7 @@
 func readService(d *Decoder, services, reps map[string]bool) Service {
 	var service Service
 	service.Name = unique(d, "name", services)
-	service.Model = d.Str("model", true, maxName)
+	service.Model = d.String("model", true, maxName)
 	for _, r := range d.List("replicas", 1, maxReplicas) {
 		service.Replicas = append(service.Replicas, readReplica(r, reps))
 	}
@@ -175,12 +175,12 @@
 	for _, k := range d.List("kinds", 1, maxClasses) {
 		service.Classes = append(service.Classes, readKind(k, classes))
 	}
-	readWarmUp(d.Sub("cold"), &service)
-	readRetries(d.Sub("secondGo"), &service)
-	readEstimate(d.Sub("estimate"), &service)
-	service.StaleCap = ms(d, "staleCapMs", 2000, 100, 2000)
-	service.KeepTokens = d.Int("keepTokens", 65536, 0, 1<<30)
-	service.CrossCost = d.Num("crossCost", 0.2, 0, 100)
+	readWarmUp(d.Object("cold"), &service)
+	readRetries(d.Object("secondGo"), &service)
+	readEstimate(d.Object("estimate"), &service)
+	service.MaxPredictionTTL = ms(d, "staleCapMs", 2000, 100, 2000)
+	service.PrefixCacheTokens = d.Int("keepTokens", 65536, 0, 1<<30)
+	service.CrossZoneCost = d.Number("crossCost", 0.2, 0, 100)
 	d.Close()
 	return service
 }
@@ -192,22 +192,22 @@
 }
 
 func readRetries(d *Decoder, service *Service) {
-	service.RetryRatio = d.Num("share", 0.2, 0, 0.2)
-	service.RetryExtra = d.Int("allowance", 24, 0, 48)
+	service.RetryRatio = d.Number("share", 0.2, 0, 0.2)
+	service.RetryAllowance = d.Int("allowance", 24, 0, 48)
 	d.Close()
 }
 
 func readEstimate(d *Decoder, service *Service) {
-	service.Base = ms(d, "baseMs", 60, 0, 60000)
-	service.PerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
+	service.BaseLatency = ms(d, "baseMs", 60, 0, 60000)
+	service.LatencyPerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
 	d.Close()
 }
 
 // unique reads a name that must not stand twice.
 func unique(d *Decoder, key string, seen map[string]bool) string {
-	s := d.Str(key, true, maxName)
+	s := d.String(key, true, maxName)
 	if s != "" && seen[s] {
-		d.AddViolation(d.At(key), s, "named once")
+		d.AddViolation(d.FieldPath(key), s, "named once")
 	}
 	seen[s] = true
 	return s
@@ -216,19 +216,19 @@
 func readReplica(d *Decoder, seen map[string]bool) Replica {
 	var r Replica
 	r.Name = unique(d, "name", seen)
-	r.Addr = d.Str("addr", true, maxName)
+	r.Addr = d.String("addr", true, maxName)
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
-		d.AddViolation(d.At("addr"), r.Addr, "an IP number and port")
+		d.AddViolation(d.FieldPath("addr"), r.Addr, "an IP number and port")
 	}
-	r.Zone = d.Str("domain", true, maxName)
+	r.Zone = d.String("domain", true, maxName)
 	r.Capacity = d.Int("room", 8, 1, 4096)
-	r.Role = d.Str("role", false, maxName)
+	r.Role = d.String("role", false, maxName)
 	switch r.Role {
 	case "":
 		r.Role = "both"
 	case "both", "prefill", "decode":
 	default:
-		d.AddViolation(d.At("role"), r.Role, "both, prefill or decode")
+		d.AddViolation(d.FieldPath("role"), r.Role, "both, prefill or decode")
 	}
 	d.Close()
 	return r
@@ -237,10 +237,10 @@
 func readKind(d *Decoder, seen map[string]bool) RequestClass {
 	var class RequestClass
 	class.Name = unique(d, "name", seen)
-	class.Value = d.Num("value", 1, 0.001, 1e6)
-	class.Urgency = d.Num("urgency", 1, 0.001, 1e3)
-	class.FirstToken = ms(d, "firstTokenMs", 2000, 10, 600000)
-	class.Repeatable = d.Bool("repeatable", false)
+	class.Value = d.Number("value", 1, 0.001, 1e6)
+	class.Urgency = d.Number("urgency", 1, 0.001, 1e3)
+	class.FirstTokenTarget = ms(d, "firstTokenMs", 2000, 10, 600000)
+	class.Idempotent = d.Bool("repeatable", false)
 	d.Close()
 	return class
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,7 +12,7 @@
 const sound = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"10.0.0.1:1","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
 func TestViolationsNameTheirPath(t *testing.T) {
-	if c, err := Read([]byte(sound)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Repeatable {
+	if c, err := Read([]byte(sound)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Idempotent {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, c := range []struct{ from, to, path string }{
@@ -42,7 +42,7 @@
 			t.Errorf("%s: %v", c.to, bad)
 		}
 	}
-	long := append([]byte(sound), bytes.Repeat([]byte(" "), MaxBytes)...)
+	long := append([]byte(sound), bytes.Repeat([]byte(" "), MaxDocumentBytes)...)
 	if _, err := Read(long); err == nil {
 		t.Error("an over-size configuration was taken")
 	}
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -16,8 +16,8 @@
 	violations *[]Violation
 }
 
-// Open parses a JSON document; the error is an *InvalidError.
-func Open(raw []byte) (*Decoder, error) {
+// NewDecoder parses a JSON document; the error is an *InvalidError.
+func NewDecoder(raw []byte) (*Decoder, error) {
 	t, err := parse(raw)
 	if err != nil {
 		return nil, err
@@ -27,11 +27,11 @@
 
 // AddViolation adds a violation.
 func (d *Decoder) AddViolation(path, val, bound string) {
-	*d.violations = append(*d.violations, Violation{Path: path, Value: val, Bound: bound})
+	*d.violations = append(*d.violations, Violation{Path: path, Value: val, Requirement: bound})
 }
 
-// At is the path of a field.
-func (d *Decoder) At(key string) string { return d.path + "." + key }
+// FieldPath is the path of a field.
+func (d *Decoder) FieldPath(key string) string { return d.path + "." + key }
 
 func (d *Decoder) find(key string) (tree, bool) {
 	d.used[key] = true
@@ -43,28 +43,28 @@
 	return tree{}, false
 }
 
-// Str reads a string of at most most bytes, which must be there and not empty if needed.
-func (d *Decoder) Str(key string, need bool, most int) string {
+// String reads a string of at most most bytes, which must be there and not empty if needed.
+func (d *Decoder) String(key string, need bool, most int) string {
 	t, ok := d.find(key)
 	if !ok && !need {
 		return ""
 	}
 	if !ok || t.kind != 's' || len(t.str) > most || (need && t.str == "") {
-		d.AddViolation(d.At(key), t.show(), fmt.Sprintf("a string of 1 to %d bytes", most))
+		d.AddViolation(d.FieldPath(key), t.show(), fmt.Sprintf("a string of 1 to %d bytes", most))
 		return ""
 	}
 	return t.str
 }
 
-// Num reads a number from least to most, or def where it is absent.
-func (d *Decoder) Num(key string, def, least, most float64) float64 {
+// Number reads a number from least to most, or def where it is absent.
+func (d *Decoder) Number(key string, def, least, most float64) float64 {
 	t, ok := d.find(key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.ParseFloat(t.str, 64)
 	if t.kind != 'n' || err != nil || n < least || n > most {
-		d.AddViolation(d.At(key), t.show(), fmt.Sprintf("a number from %g to %g", least, most))
+		d.AddViolation(d.FieldPath(key), t.show(), fmt.Sprintf("a number from %g to %g", least, most))
 		return def
 	}
 	return n
@@ -72,9 +72,9 @@
 
 // Int reads a whole number from least to most, or def where it is absent.
 func (d *Decoder) Int(key string, def, least, most int) int {
-	f := d.Num(key, float64(def), float64(least), float64(most))
+	f := d.Number(key, float64(def), float64(least), float64(most))
 	if f != float64(int(f)) {
-		d.AddViolation(d.At(key), fmt.Sprint(f), "a whole number")
+		d.AddViolation(d.FieldPath(key), fmt.Sprint(f), "a whole number")
 		return def
 	}
 	return int(f)
@@ -87,36 +87,36 @@
 		return def
 	}
 	if t.kind != 'b' {
-		d.AddViolation(d.At(key), t.show(), "true or false")
+		d.AddViolation(d.FieldPath(key), t.show(), "true or false")
 	}
 	return t.str == "true"
 }
 
-// Sub reads an object; an absent one has no fields.
-func (d *Decoder) Sub(key string) *Decoder {
+// Object reads an object; an absent one has no fields.
+func (d *Decoder) Object(key string) *Decoder {
 	t, ok := d.find(key)
 	if ok && t.kind != 'o' {
-		d.AddViolation(d.At(key), t.show(), "an object")
+		d.AddViolation(d.FieldPath(key), t.show(), "an object")
 	}
-	return &Decoder{path: d.At(key), t: t, used: map[string]bool{}, violations: d.violations}
+	return &Decoder{path: d.FieldPath(key), t: t, used: map[string]bool{}, violations: d.violations}
 }
 
 // List reads a list of min to max elements; an absent one is empty.
 func (d *Decoder) List(key string, least, most int) []*Decoder {
 	t, _ := d.find(key)
 	if len(t.kids) < least || len(t.kids) > most || (t.kind != 'a' && t.kind != 0) {
-		d.AddViolation(d.At(key), t.show(), fmt.Sprintf("a list of %d to %d", least, most))
+		d.AddViolation(d.FieldPath(key), t.show(), fmt.Sprintf("a list of %d to %d", least, most))
 		return nil
 	}
 	var subs []*Decoder
 	for i, kid := range t.kids {
-		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.At(key), i), t: kid, used: map[string]bool{}, violations: d.violations})
+		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.FieldPath(key), i), t: kid, used: map[string]bool{}, violations: d.violations})
 	}
 	return subs
 }
 
-// Text reads a list's element that is a string of 1 to max bytes.
-func (d *Decoder) Text(most int) string {
+// StringElement reads a list's element that is a string of 1 to max bytes.
+func (d *Decoder) StringElement(most int) string {
 	if d.t.kind != 's' || d.t.str == "" || len(d.t.str) > most {
 		d.AddViolation(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", most))
 	}
@@ -130,7 +130,7 @@
 	}
 	for _, k := range d.t.keys {
 		if !d.used[k] {
-			d.AddViolation(d.At(k), "unknown", "a known field")
+			d.AddViolation(d.FieldPath(k), "unknown", "a known field")
 		}
 	}
 }
--- a/config/documents.go
+++ b/config/documents.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Documents reads documents of the product's own format that are mostly like the one before: only offers that differ are read. It has
+// CachingReader reads documents of the product's own format that are mostly like the one before: only offers that differ are read. It has
 // one owner.
-type Documents struct{ cache SplitCache }
+type CachingReader struct{ cache SplitCache }
 
 const (
 	servicesField = "offers"
@@ -15,8 +15,8 @@
 )
 
 // Read is Read; what it finds is the same.
-func (d *Documents) Read(raw []byte) (Config, error) {
-	if len(raw) <= MaxBytes {
+func (d *CachingReader) Read(raw []byte) (Config, error) {
+	if len(raw) <= MaxDocumentBytes {
 		if c, ok := d.quick(raw); ok {
 			return c, nil
 		}
@@ -25,7 +25,7 @@
 }
 
 // quick reads a sound document, and gives up on any other.
-func (d *Documents) quick(raw []byte) (Config, bool) {
+func (d *CachingReader) quick(raw []byte) (Config, bool) {
 	split, ok := d.cache.Split(raw)
 	var c Config
 	if !ok {
@@ -34,7 +34,7 @@
 	for _, f := range split.Fields {
 		switch {
 		case f.Name == replaceField:
-			c.ReplaceVoter, ok = replaceVoter(f.Value)
+			c.ReplaceVoterAfter, ok = replaceVoter(f.Value)
 		case f.Name == servicesField && f.List:
 			c.Services, ok = readServices(f.Items)
 		default:
@@ -49,7 +49,7 @@
 
 func replaceVoter(value []byte) (time.Duration, bool) {
 	small := bytes.Join([][]byte{[]byte(`{"` + replaceField + `":`), value, []byte(`}`)}, nil)
-	d, err := Open(small)
+	d, err := NewDecoder(small)
 	if err != nil {
 		return 0, false
 	}
@@ -58,7 +58,7 @@
 }
 
 // readServices reads the services that are new, and looks for names that occur twice among all.
-func readServices(items []*Item) ([]Service, bool) {
+func readServices(items []*ListItem) ([]Service, bool) {
 	if len(items) > maxServices {
 		return nil, false
 	}
@@ -80,11 +80,11 @@
 }
 
 // readService reads the item's service unless it was read before; false where it is invalid.
-func (it *Item) readService() (*Service, bool) {
+func (it *ListItem) readService() (*Service, bool) {
 	if it.Service != nil {
 		return it.Service, true
 	}
-	d, err := Open(it.Raw)
+	d, err := NewDecoder(it.Raw)
 	if err != nil {
 		return nil, false
 	}
--- a/config/documents_test.go
+++ b/config/documents_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func same(t *testing.T, d *Documents, raw []byte) bool {
+func same(t *testing.T, d *CachingReader, raw []byte) bool {
 	t.Helper()
 	want, wantErr := Read(raw)
 	got, err := d.Read(raw)
@@ -31,7 +31,7 @@
 	good := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		d := &Documents{}
+		d := &CachingReader{}
 		var list []string
 		for i := range 8 {
 			list = append(list, offer1(rng, i))
@@ -73,7 +73,7 @@
 func FuzzDocuments(f *testing.F) {
 	f.Add([]byte(sound), 3, 2, []byte("x"))
 	f.Fuzz(func(t *testing.T, raw []byte, at, length int, put []byte) {
-		d := &Documents{}
+		d := &CachingReader{}
 		same(t, d, raw)
 		if at < 0 || length < 0 || at > len(raw) || length > len(raw)-at {
 			return
--- a/config/encoding.go
+++ b/config/encoding.go
@@ -31,9 +31,15 @@
 	Repeatable bool
 }
 
-func encodeRequestClass(class RequestClass) encodedRequestClass { return encodedRequestClass(class) }
+func encodeRequestClass(class RequestClass) encodedRequestClass {
+	return encodedRequestClass{
+		Name: class.Name, Value: class.Value, Urgency: class.Urgency, FirstToken: class.FirstTokenTarget, Repeatable: class.Idempotent,
+	}
+}
 
-func decodeRequestClass(f encodedRequestClass) RequestClass { return RequestClass(f) }
+func decodeRequestClass(f encodedRequestClass) RequestClass {
+	return RequestClass{Name: f.Name, Value: f.Value, Urgency: f.Urgency, FirstTokenTarget: f.FirstToken, Idempotent: f.Repeatable}
+}
 
 type encodedService struct {
 	Name, Model string
@@ -60,20 +66,20 @@
 func encodeService(service Service) encodedService {
 	return encodedService{
 		Name: service.Name, Model: service.Model, Replicas: wire.Each(service.Replicas, encodeReplica), Kinds: wire.Each(service.Classes, encodeRequestClass),
-		ColdRoom: service.WarmupCapacity, ColdRamp: service.SlowStart, SecondShare: service.RetryRatio, SecondPlus: service.RetryExtra,
-		StaleCap: service.StaleCap, Base: service.Base, PerToken: service.PerToken, KeepTokens: service.KeepTokens, CrossCost: service.CrossCost,
-		Discovered: service.Discovered, Queues: service.Queues, Health: service.Health, MaxConns: service.MaxConns,
-		ColdRate: service.WarmupRate, ColdFor: service.WarmupTime, Stride: service.Stride,
+		ColdRoom: service.WarmupCapacity, ColdRamp: service.SlowStart, SecondShare: service.RetryRatio, SecondPlus: service.RetryAllowance,
+		StaleCap: service.MaxPredictionTTL, Base: service.BaseLatency, PerToken: service.LatencyPerToken, KeepTokens: service.PrefixCacheTokens, CrossCost: service.CrossZoneCost,
+		Discovered: service.Discovered, Queues: service.Queues, Health: service.HealthCheckPath, MaxConns: service.MaxConns,
+		ColdRate: service.WarmupRate, ColdFor: service.WarmupTime, Stride: service.MaxTokensPerEvent,
 	}
 }
 
 func decodeService(f encodedService) Service {
 	return Service{
 		Name: f.Name, Model: f.Model, Replicas: wire.Each(f.Replicas, decodeReplica), Classes: wire.Each(f.Kinds, decodeRequestClass),
-		WarmupCapacity: f.ColdRoom, SlowStart: f.ColdRamp, RetryRatio: f.SecondShare, RetryExtra: f.SecondPlus,
-		StaleCap: f.StaleCap, Base: f.Base, PerToken: f.PerToken, KeepTokens: f.KeepTokens, CrossCost: f.CrossCost,
-		Discovered: f.Discovered, Queues: f.Queues, Health: f.Health, MaxConns: f.MaxConns,
-		WarmupRate: f.ColdRate, WarmupTime: f.ColdFor, Stride: f.Stride,
+		WarmupCapacity: f.ColdRoom, SlowStart: f.ColdRamp, RetryRatio: f.SecondShare, RetryAllowance: f.SecondPlus,
+		MaxPredictionTTL: f.StaleCap, BaseLatency: f.Base, LatencyPerToken: f.PerToken, PrefixCacheTokens: f.KeepTokens, CrossZoneCost: f.CrossCost,
+		Discovered: f.Discovered, Queues: f.Queues, HealthCheckPath: f.Health, MaxConns: f.MaxConns,
+		WarmupRate: f.ColdRate, WarmupTime: f.ColdFor, MaxTokensPerEvent: f.Stride,
 	}
 }
 
@@ -102,16 +108,16 @@
 func encodeRoute(r Route) encodedRoute {
 	return encodedRoute{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Split: wire.Each(r.TrafficSplit, encodeWeightedService),
-		Streaming: r.Streaming, Repeatable: r.Repeatable, Resumable: r.Resumable,
-		Timeout: r.Timeout, FirstToken: r.FirstToken, Gap: r.TargetGap, Attempts: r.MaxAttempts, Rank: r.Priority,
+		Streaming: r.Streaming, Repeatable: r.Idempotent, Resumable: r.Resumable,
+		Timeout: r.Timeout, FirstToken: r.FirstTokenTarget, Gap: r.EventGapTarget, Attempts: r.MaxAttempts, Rank: r.Priority,
 	}
 }
 
 func decodeRoute(f encodedRoute) Route {
 	return Route{
 		Name: f.Name, Host: f.Host, Prefix: f.Prefix, TrafficSplit: wire.Each(f.Split, decodeWeightedService),
-		Streaming: f.Streaming, Repeatable: f.Repeatable, Resumable: f.Resumable,
-		Timeout: f.Timeout, FirstToken: f.FirstToken, TargetGap: f.Gap, MaxAttempts: f.Attempts, Priority: f.Rank,
+		Streaming: f.Streaming, Idempotent: f.Repeatable, Resumable: f.Resumable,
+		Timeout: f.Timeout, FirstTokenTarget: f.FirstToken, EventGapTarget: f.Gap, MaxAttempts: f.Attempts, Priority: f.Rank,
 	}
 }
 
@@ -126,14 +132,14 @@
 func encodeConfig(c Config) encodedConfig {
 	return encodedConfig{
 		Offers: wire.Each(c.Services, encodeService), Routes: wire.Each(c.Routes, encodeRoute), Limits: c.Limits,
-		ReplaceVoter: c.ReplaceVoter, Revision: c.Revision,
+		ReplaceVoter: c.ReplaceVoterAfter, Revision: c.Revision,
 	}
 }
 
 func decodeConfig(f encodedConfig) Config {
 	return Config{
 		Services: wire.Each(f.Offers, decodeService), Routes: wire.Each(f.Routes, decodeRoute), Limits: f.Limits,
-		ReplaceVoter: f.ReplaceVoter, Revision: f.Revision,
+		ReplaceVoterAfter: f.ReplaceVoter, Revision: f.Revision,
 	}
 }
 
--- a/config/read.go
+++ b/config/read.go
@@ -14,13 +14,13 @@
 // Violation is one thing wrong with a document: where, what stands there, and what it must be.
 type Violation struct {
 	// Path is as in "$.services[0].name".
-	Path  string `json:"path"`
-	Value string `json:"value"`
-	Bound string `json:"bound"`
+	Path        string `json:"path"`
+	Value       string `json:"value"`
+	Requirement string `json:"bound"`
 }
 
 func (f Violation) String() string {
-	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Bound)
+	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Requirement)
 }
 
 // InvalidError is a document that cannot be taken, with all violations that were found.
@@ -37,7 +37,7 @@
 }
 
 func flawed(path, val, bound string) error {
-	return trace.Wrap(&InvalidError{Violations: []Violation{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&InvalidError{Violations: []Violation{{Path: path, Value: val, Requirement: bound}}})
 }
 
 // tree is a JSON value as it was written, with doubled keys refused.
--- a/config/split.go
+++ b/config/split.go
@@ -6,9 +6,9 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Item is one object of a list of a document. Documents that were split one after the other share items whose bytes are the same, so
+// ListItem is one object of a list of a document. Documents that were split one after the other share items whose bytes are the same, so
 // what was read of an item need not be read again: Route and Service are for whoever reads such, and nil until then.
-type Item struct {
+type ListItem struct {
 	Raw        []byte
 	Route      *Route
 	Service    *Service
@@ -20,17 +20,17 @@
 	Name  string
 	Value []byte
 	List  bool
-	Items []*Item
+	Items []*ListItem
 }
 
-// Split is a document in parts.
-type Split struct {
+// Document is a document in parts.
+type Document struct {
 	raw    []byte
 	Fields []Field
 }
 
 // Field finds a field by its name.
-func (s *Split) Field(name string) *Field {
+func (s *Document) Field(name string) *Field {
 	for i := range s.Fields {
 		if s.Fields[i].Name == name {
 			return &s.Fields[i]
@@ -42,7 +42,7 @@
 // SplitCache remembers the document that was split and read last. One that is like it is split by comparing bytes, and only the items that
 // differ are read. It has one owner.
 type SplitCache struct {
-	last   *Split
+	last   *Document
 	routes remembered
 }
 
@@ -55,12 +55,12 @@
 }
 
 // Split divides a document, or tells that it can't: it is no JSON object, or names a field twice.
-func (m *SplitCache) Split(raw []byte) (*Split, bool) {
+func (m *SplitCache) Split(raw []byte) (*Document, bool) {
 	if m.last != nil && len(raw) > 0 && len(m.last.raw) == len(raw) && &m.last.raw[0] == &raw[0] {
 		return m.last, true
 	}
 	scan := &scanner{memo: m, raw: raw, good: true}
-	s := &Split{raw: raw}
+	s := &Document{raw: raw}
 	scan.object(s)
 	if !scan.good {
 		return nil, false
@@ -103,7 +103,7 @@
 	return value
 }
 
-func (c *scanner) object(s *Split) {
+func (c *scanner) object(s *Document) {
 	c.good = c.take('{')
 	if c.good && c.take('}') {
 		c.end()
@@ -158,7 +158,7 @@
 // list is a list of objects as it is read: before are the items that the last document's list of that name had, of which most are
 // expected again, in the same order but for some that were replaced, added or removed.
 type list struct {
-	before []*Item
+	before []*ListItem
 	next   int
 	misses int
 	places map[string]int
@@ -168,14 +168,14 @@
 const missesMost = 8
 
 // list reads the items; it gives up where something else than objects stands in the list.
-func (c *scanner) list(name string) ([]*Item, bool) {
+func (c *scanner) list(name string) ([]*ListItem, bool) {
 	l := &list{}
 	if c.memo.last != nil {
 		if f := c.memo.last.Field(name); f != nil {
 			l.before = f.Items
 		}
 	}
-	items := make([]*Item, 0, len(l.before)+1)
+	items := make([]*ListItem, 0, len(l.before)+1)
 	c.at++
 	if c.take(']') {
 		return items, true
@@ -196,7 +196,7 @@
 }
 
 // item reads the next object: the one that followed in the last document, the one after that, another of them, or a new one.
-func (c *scanner) item(l *list) *Item {
+func (c *scanner) item(l *list) *ListItem {
 	c.space()
 	if c.at >= len(c.raw) || c.raw[c.at] != '{' {
 		return nil
@@ -216,10 +216,10 @@
 	if it := l.known(value); it != nil {
 		return it
 	}
-	return &Item{Raw: bytes.Clone(value)}
+	return &ListItem{Raw: bytes.Clone(value)}
 }
 
-func (l *list) known(raw []byte) *Item {
+func (l *list) known(raw []byte) *ListItem {
 	if l.misses++; l.misses <= missesMost {
 		return nil
 	}
--- a/config/splitcache.go
+++ b/config/splitcache.go
@@ -6,14 +6,14 @@
 // remembered are the routes that were read last, by what must not occur twice.
 type remembered struct {
 	generation uint64
-	items      []*Item
+	items      []*ListItem
 	names      map[string]int
 	places     map[routeKey]int
 	twice      int
 }
 
-// Forget has all items read anew.
-func (m *SplitCache) Forget() {
+// ForgetRoutes has all items read anew.
+func (m *SplitCache) ForgetRoutes() {
 	m.routes = remembered{generation: m.routes.generation}
 	if m.last == nil {
 		return
@@ -27,7 +27,7 @@
 
 // Routes are those of a list's items; read is called for items that weren't read before. It gives up where one can't be read, or two
 // have the same name, or host and prefix.
-func (m *SplitCache) Routes(items []*Item, read func(raw []byte) (Route, bool)) ([]Route, bool) {
+func (m *SplitCache) Routes(items []*ListItem, read func(raw []byte) (Route, bool)) ([]Route, bool) {
 	r := &m.routes
 	if r.names == nil {
 		r.names, r.places = map[string]int{}, map[routeKey]int{}
@@ -35,7 +35,7 @@
 	old := r.items
 	r.generation, r.items = r.generation+1, nil
 	routes := make([]Route, 0, len(items))
-	var added []*Item
+	var added []*ListItem
 	for _, it := range items {
 		if it.generation == r.generation {
 			return nil, m.giveUp()
@@ -58,7 +58,7 @@
 }
 
 // readRoute reads the item's route unless it was read before; false where it is invalid.
-func (it *Item) readRoute(read func(raw []byte) (Route, bool)) bool {
+func (it *ListItem) readRoute(read func(raw []byte) (Route, bool)) bool {
 	if it.Route != nil {
 		return true
 	}
@@ -70,7 +70,7 @@
 }
 
 // recount takes the items of old that are not of this generation out of the counts, and those of added in.
-func (r *remembered) recount(old, added []*Item) {
+func (r *remembered) recount(old, added []*ListItem) {
 	for _, it := range old {
 		if it.generation != r.generation {
 			r.count(it, -1)
@@ -86,7 +86,7 @@
 	return false
 }
 
-func (r *remembered) count(it *Item, by int) {
+func (r *remembered) count(it *ListItem, by int) {
 	r.twice += step(r.names, it.Route.Name, by) + step(r.places, routeKey{host: it.Route.Host, prefix: it.Route.Prefix}, by)
 }
 
--- a/config/tenant.go
+++ b/config/tenant.go
@@ -15,7 +15,7 @@
 	Keys []KeyHash
 	// Priority goes before that of the routes where Prioritized; 0 goes first.
 	Priority    int
-	Prioritized bool
+	HasPriority bool
 	// Rate a second and Burst on top bound what the tenant's requests may use over all nodes; a Rate of 0 is no bound. They count requests, or
 	// tokens where ByTokens: those of the prompt and the most of the answer, UncachedTokens where a request doesn't say.
 	Rate, Burst    float64
@@ -36,7 +36,7 @@
 
 // PriorityOf gives the priority of a tenant's requests on a route; the route's own where there is no tenant, or it has none.
 func (t *Tenant) PriorityOf(r *Route) int {
-	if t == nil || !t.Prioritized {
+	if t == nil || !t.HasPriority {
 		return r.Priority
 	}
 	return t.Priority
--- a/config/tenant_test.go
+++ b/config/tenant_test.go
@@ -32,7 +32,7 @@
 	for _, c := range []struct {
 		tenant *Tenant
 		want   int
-	}{{nil, 4}, {&Tenant{}, 4}, {&Tenant{Priority: 0, Prioritized: true}, 0}, {&Tenant{Priority: 7, Prioritized: true}, 7}} {
+	}{{nil, 4}, {&Tenant{}, 4}, {&Tenant{Priority: 0, HasPriority: true}, 0}, {&Tenant{Priority: 7, HasPriority: true}, 7}} {
 		if got := c.tenant.PriorityOf(route); got != c.want {
 			t.Errorf("%+v: %d, want %d", c.tenant, got, c.want)
 		}
--- a/control/node.go
+++ b/control/node.go
@@ -89,7 +89,7 @@
 // New makes a node that starts at now, on the clock of all further steps.
 func New(now time.Duration, cfg Config) *Node {
 	if cfg.Read == nil {
-		cfg.Read = (&config.Documents{}).Read
+		cfg.Read = (&config.CachingReader{}).Read
 	}
 	if cfg.Build == 0 {
 		cfg.Build = transport.Build
--- a/control/voters.go
+++ b/control/voters.go
@@ -46,7 +46,7 @@
 	if n.snapshot == nil {
 		return 0
 	}
-	return n.snapshot.Config.ReplaceVoter
+	return n.snapshot.Config.ReplaceVoterAfter
 }
 
 // maintainVoters keeps the set of voters complete. One node does it, the first by rank; where two believe that they are first, the epoch
--- a/daemon/caller_test.go
+++ b/daemon/caller_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	routes := bunrouter.New()
-	platform.Routes(routes, Documents{Daemon: h}, &platform.Reader{})
+	platform.AddRoutes(routes, Documents{Daemon: h}, &platform.CachingReader{})
 	server := httptest.NewUnstartedServer(routes)
 	server.Config.ConnContext = h.Gate.ConnContext
 	server.Start()
--- a/daemon/frozen_test.go
+++ b/daemon/frozen_test.go
@@ -42,7 +42,7 @@
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
 	f := &gated{g: g}
 	routes := bunrouter.New()
-	platform.Routes(routes, f, &platform.Reader{})
+	platform.AddRoutes(routes, f, &platform.CachingReader{})
 	server := httptest.NewUnstartedServer(routes)
 	server.Config.ConnContext = g.ConnContext
 	server.Start()
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -68,14 +68,14 @@
 	if err != nil {
 		return s, trace.Wrap(&FileError{Path: path, Cause: err})
 	}
-	d, err := config.Open(raw)
+	d, err := config.NewDecoder(raw)
 	if err != nil {
 		return s, err
 	}
-	s.Name, s.Listen, s.HTTP = d.Str("name", false, 64), d.Str("listen", false, 64), d.Str("http", false, 64)
-	s.Zone, s.Data = d.Str("domain", false, 64), d.Str("data", false, 4096)
+	s.Name, s.Listen, s.HTTP = d.String("name", false, 64), d.String("listen", false, 64), d.String("http", false, 64)
+	s.Zone, s.Data = d.String("domain", false, 64), d.String("data", false, 4096)
 	for _, e := range d.List("seeds", 0, 16) {
-		s.Seeds = append(s.Seeds, e.Text(64))
+		s.Seeds = append(s.Seeds, e.StringElement(64))
 	}
 	s.MaxBody = d.Int("maxBody", 0, 1, 64<<20)
 	s.MaxStreams = d.Int("maxStreams", 0, 1, 1<<20)
@@ -105,7 +105,7 @@
 type violations []config.Violation
 
 func (v *violations) add(field, val, bound string) {
-	*v = append(*v, config.Violation{Path: field, Value: fmt.Sprintf("%q", val), Bound: bound})
+	*v = append(*v, config.Violation{Path: field, Value: fmt.Sprintf("%q", val), Requirement: bound})
 }
 
 func (s *Settings) checkNames(bad *violations) {
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -116,7 +116,7 @@
 }
 
 func violation(path, val, bound string) error {
-	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}}
+	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Requirement: bound}}}
 }
 
 // changeID is the id by which a change that is sent again is known.
@@ -129,7 +129,7 @@
 }
 
 func body(w http.ResponseWriter, r bunrouter.Request) ([]byte, error) {
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxDocumentBytes))
 }
 
 func open(w http.ResponseWriter, r bunrouter.Request) (*config.Decoder, error) {
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Open(raw)
+	return config.NewDecoder(raw)
 }
 
 func (*Operations) answer(w http.ResponseWriter, a control.Answer) error {
@@ -202,7 +202,7 @@
 		}
 		var names []string
 		for _, e := range d.List("voters", 1, 15) {
-			names = append(names, e.Text(64))
+			names = append(names, e.StringElement(64))
 		}
 		d.Close()
 		if err = d.Err(); err != nil {
@@ -224,9 +224,9 @@
 	}
 	op := control.SetReplicaStates{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
-		l := control.ReplicaState{Replica: e.Str("replica", true, 64), State: router.ListingState(e.Str("state", true, 16))}
+		l := control.ReplicaState{Replica: e.String("replica", true, 64), State: router.ListingState(e.String("state", true, 16))}
 		if !l.State.Valid() {
-			e.AddViolation(e.At("state"), string(l.State), "present, leaving or gone")
+			e.AddViolation(e.FieldPath("state"), string(l.State), "present, leaving or gone")
 		}
 		e.Close()
 		op.Rows = append(op.Rows, l)
--- a/mallowbridge.go
+++ b/mallowbridge.go
@@ -10,8 +10,8 @@
 
 // The events that a program gives its router, in the order of a request. An attempt is named by its AttemptID.
 type (
-	// Arrive is a new request.
-	Arrive = router.Arrival
+	// Arrival is a new request.
+	Arrival = router.Arrival
 	// ReadyToSend says that the connection to the replica is open; the answer is Send or CancelBeforeSend.
 	ReadyToSend = router.ReadyToSend
 	// ResponseHead says that the head of the replica's answer came.
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -114,7 +114,7 @@
 // isRetryable reports whether a request of the route may be sent again after an attempt that may have run: the route is idempotent, or its
 // streams can be resumed.
 func isRetryable(route *config.Route) bool {
-	return route != nil && (route.Repeatable || route.Resumable)
+	return route != nil && (route.Idempotent || route.Resumable)
 }
 
 // canPlace reports whether the request may be sent to the replica that the router chose, given what happened to it so far.
@@ -169,7 +169,7 @@
 // may have run gets the outcome Unknown instead.
 func (e *Exchange) reject(decision router.Decision) {
 	switch {
-	case e.mayHaveRun() || decision.Repeat:
+	case e.mayHaveRun() || decision.Duplicate:
 		e.finish(Unknown, decision.Reason, decision.RetryAfter)
 	case decision.Invalid:
 		e.finish(NotFound, decision.Reason, 0)
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -66,7 +66,7 @@
 			"connect|ReadyToSend|release||finish2"},
 		{"rejected before placement", []any{reject}, "finish2"},
 		{"no route", []any{router.Decision{Verdict: router.Reject, Invalid: true}}, "finish3"},
-		{"had its attempt elsewhere", []any{router.Decision{Verdict: router.Reject, Repeat: true}}, "finish4"},
+		{"had its attempt elsewhere", []any{router.Decision{Verdict: router.Reject, Duplicate: true}}, "finish4"},
 		{"connection lost, then rejected", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), proxy.ConnectionLost{}, reject},
 			"connect|ReadyToSend|write|close AttemptEnded(broken)|finish4"},
 		{"rejected while it may run", []any{placeDecision("a"), proxy.Connected{}, sendDecision("a"), reject}, "connect|ReadyToSend|write|close finish4"},
@@ -174,7 +174,7 @@
 		}
 		checker.connected = true
 	case proxy.WriteRequest:
-		retryable := checker.route.Repeatable || checker.route.Resumable
+		retryable := checker.route.Idempotent || checker.route.Resumable
 		if checker.writes++; checker.writes > checker.sends || !checker.connected || (checker.mayRun && !retryable) {
 			checker.fail("written without permission")
 		}
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -27,7 +27,7 @@
 	case 4:
 		return router.Decision{Verdict: router.CancelBeforeSend, AttemptID: id}
 	case 5:
-		return router.Decision{Verdict: router.Reject, Invalid: b&8 > 0, Repeat: b&16 > 0}
+		return router.Decision{Verdict: router.Reject, Invalid: b&8 > 0, Duplicate: b&16 > 0}
 	case 6:
 		return router.Decision{Verdict: []router.Verdict{router.Unknown, router.Partial, router.Cancel, router.Done}[b%4], AttemptID: id}
 	case 7, 8:
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	idempotentRoute = &config.Route{Repeatable: true, Timeout: time.Minute, Priority: 3}
+	idempotentRoute = &config.Route{Idempotent: true, Timeout: time.Minute, Priority: 3}
 	onceRoute       = &config.Route{Timeout: time.Minute}
 	streamRoute     = &config.Route{Streaming: true, Resumable: true, Timeout: time.Minute}
 	unknownDecision = router.Decision{Verdict: router.Unknown}
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -143,7 +143,7 @@
 		decisionInput("canceled before send", router.Decision{Verdict: router.CancelBeforeSend}),
 		decisionInput("rejected", router.Decision{Verdict: router.Reject}),
 		decisionInput("no route", router.Decision{Verdict: router.Reject, Invalid: true}),
-		decisionInput("rejected as a repeat", router.Decision{Verdict: router.Reject, Repeat: true}),
+		decisionInput("rejected as a repeat", router.Decision{Verdict: router.Reject, Duplicate: true}),
 		decisionInput("given up", router.Decision{Verdict: router.Unknown}),
 		{"no more decisions", func(e *Exchange, _ *world) ([]Action, bool) { return e.HandleRouterClosed(), true }},
 	}
@@ -194,8 +194,8 @@
 }
 
 var statesRoutes = map[string]*config.Route{
-	"once": {}, "idempotent": {Repeatable: true}, "stream": {Streaming: true}, "resumable stream": {Streaming: true, Resumable: true},
-	"idempotent stream": {Streaming: true, Repeatable: true},
+	"once": {}, "idempotent": {Idempotent: true}, "stream": {Streaming: true}, "resumable stream": {Streaming: true, Resumable: true},
+	"idempotent stream": {Streaming: true, Idempotent: true},
 }
 
 // TestExchangeStates checks the rules in checkStep for every sequence of inputs up to a depth, for each kind of route.
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -97,7 +97,7 @@
 	switch {
 	case !w.connected || w.sendPermitted == 0:
 		return "written without permission"
-	case w.mayRun && !route.Repeatable && !route.Resumable:
+	case w.mayRun && !route.Idempotent && !route.Resumable:
 		return "a request that must not be sent twice may run twice"
 	case w.current != truthUntouched:
 		return "written twice to one replica"
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -89,7 +89,7 @@
 
 // rejected returns a rejection of a request that was not run, or that is a repeat of one that was.
 func (e Arrival) rejected(reason string, repeat bool) Decision {
-	return Decision{Verdict: Reject, Request: e.Request, Reason: reason, RetryAfter: time.Second, Repeat: repeat}
+	return Decision{Verdict: Reject, Request: e.Request, Reason: reason, RetryAfter: time.Second, Duplicate: repeat}
 }
 
 // invalid returns a rejection of a request that cannot be served because of what it asks for.
--- a/router/decision.go
+++ b/router/decision.go
@@ -54,17 +54,17 @@
 	// cached.
 	ConfirmedTokens int `json:"confirmed,omitempty"`
 	PredictedTokens int `json:"predicted,omitempty"`
-	// Repeat marks a rejection of a request that ran before, Invalid that of a request that cannot be served because of what it asks for.
-	Repeat  bool `json:"repeat,omitempty"`
-	Invalid bool `json:"bad,omitempty"`
+	// Duplicate marks a rejection of a request that ran before, Invalid that of a request that cannot be served because of what it asks for.
+	Duplicate bool `json:"repeat,omitempty"`
+	Invalid   bool `json:"bad,omitempty"`
 	// OverQuota marks a rejection because the tenant's quota is used up.
 	OverQuota bool `json:"overQuota,omitempty"`
 	// Unauthorized marks a rejection because no tenant has the request's key.
 	Unauthorized bool `json:"unauthorized,omitempty"`
-	// OnceOnly is set if a quorum of witnesses must agree before the request is sent. SpareTime is how long they may take without delaying the
+	// NeedsWitnesses is set if a quorum of witnesses must agree before the request is sent. SpareTime is how long they may take without delaying the
 	// first token beyond its target.
-	OnceOnly  bool          `json:"once,omitempty"`
-	SpareTime time.Duration `json:"spare,omitempty"`
+	NeedsWitnesses bool          `json:"once,omitempty"`
+	SpareTime      time.Duration `json:"spare,omitempty"`
 
 	// Instance is the instance of the replica if the platform lists it.
 	Instance string `json:"instance,omitempty"`
@@ -72,9 +72,9 @@
 	Route *config.Route `json:"-"`
 	// Tenant is the name of the tenant whose key the request has, empty if there is none.
 	Tenant string `json:"tenant,omitempty"`
-	// UnreadTokens is the number of uncached prompt tokens that the replica is expected to process, if it batches requests and other routers should
+	// UncachedTokens is the number of uncached prompt tokens that the replica is expected to process, if it batches requests and other routers should
 	// know; otherwise 0.
-	UnreadTokens int `json:"unread,omitempty"`
+	UncachedTokens int `json:"unread,omitempty"`
 	// Priority is the priority of the request at the replica; 0 is the most urgent.
 	Priority int `json:"rank,omitempty"`
 	// MaxConns is the maximum number of connections from this node to the replica; 0 means no limit.
--- a/router/decisions.go
+++ b/router/decisions.go
@@ -25,7 +25,7 @@
 func (r *Router) toDecision(a scheduler.Action) Decision {
 	d := Decision{
 		Verdict: verdicts[a.Kind], Request: r.requests[a.Request].request, Reason: a.Reason, RetryAfter: a.RetryAfter, RejectedLate: a.RejectedLate,
-		ConfirmedTokens: a.ConfirmedTokens, PredictedTokens: a.PredictedTokens, OnceOnly: a.NeedsWitnesses, Repeat: a.Duplicate, SpareTime: a.SpareTime,
+		ConfirmedTokens: a.ConfirmedTokens, PredictedTokens: a.PredictedTokens, NeedsWitnesses: a.NeedsWitnesses, Duplicate: a.Duplicate, SpareTime: a.SpareTime,
 		OverQuota: a.Kind == scheduler.Reject && a.Reason == reasonOverQuota,
 	}
 	if a.Attempt != 0 {
@@ -65,7 +65,7 @@
 	if entry.discovered {
 		d.Instance = entry.instance
 	}
-	d.Resumes, d.UnreadTokens, d.Priority = a.Resumes, a.UncachedTokens, a.Priority
+	d.Resumes, d.UncachedTokens, d.Priority = a.Resumes, a.UncachedTokens, a.Priority
 	service := &r.scheduler.Services[r.scheduler.Replicas[a.Replica].Service]
 	d.MaxConns = r.scheduler.RouterShare(routerConnShare * float64(service.MaxConns))
 	live := r.requests[a.Request]
--- a/router/encoding.go
+++ b/router/encoding.go
@@ -83,14 +83,14 @@
 // EncodeInstance returns the encoded form of an instance.
 func EncodeInstance(i Instance) EncodedInstance {
 	return EncodedInstance{
-		ID: i.ID, Offer: i.Service, Addr: i.Addr, Domain: i.Zone, Model: i.Model, Weights: i.Weights, Room: i.Capacity, Leaving: i.Draining, Cold: i.WarmUpRemaining,
+		ID: i.ID, Offer: i.Service, Addr: i.Addr, Domain: i.Zone, Model: i.Model, Weights: i.WeightsRevision, Room: i.Capacity, Leaving: i.Draining, Cold: i.WarmUpRemaining,
 	}
 }
 
 // Decode returns the instance that f encodes.
 func (f EncodedInstance) Decode() Instance {
 	return Instance{
-		ID: f.ID, Service: f.Offer, Addr: f.Addr, Zone: f.Domain, Model: f.Model, Weights: f.Weights, Capacity: f.Room, Draining: f.Leaving, WarmUpRemaining: f.Cold,
+		ID: f.ID, Service: f.Offer, Addr: f.Addr, Zone: f.Domain, Model: f.Model, WeightsRevision: f.Weights, Capacity: f.Room, Draining: f.Leaving, WarmUpRemaining: f.Cold,
 	}
 }
 
--- a/router/events.go
+++ b/router/events.go
@@ -70,8 +70,8 @@
 type Instance struct {
 	ID, Service, Addr, Zone string
 	Model                   string
-	// Weights is the revision of the model's weights. Prefixes that were cached with one revision are useless with another.
-	Weights string
+	// WeightsRevision is the revision of the model's weights. Prefixes that were cached with one revision are useless with another.
+	WeightsRevision string
 	// Capacity is the number of requests that the instance can run at once.
 	Capacity int
 	// Draining is set if the platform is about to remove the instance; it gets no new requests.
--- a/router/loop.go
+++ b/router/loop.go
@@ -144,8 +144,8 @@
 
 func (l *Loop) deliver(decisions []Decision) {
 	for _, decision := range decisions {
-		if decision.UnreadTokens > 0 && l.onPrefill != nil {
-			l.onPrefill(Prefill{Replica: decision.Replica, Tokens: decision.UnreadTokens})
+		if decision.UncachedTokens > 0 && l.onPrefill != nil {
+			l.onPrefill(Prefill{Replica: decision.Replica, Tokens: decision.UncachedTokens})
 		}
 		if l.subscribers[decision.Request] != nil {
 			l.deliverTo(l.subscribers[decision.Request], decision)
--- a/router/onedecision_test.go
+++ b/router/onedecision_test.go
@@ -22,7 +22,7 @@
 func routeOfType(rng *rand.Rand) config.Route {
 	r := route("k", "/", all("a"))
 	r.Streaming = true
-	r.Repeatable, r.Resumable = rng.IntN(3) == 0, rng.IntN(3) == 0
+	r.Idempotent, r.Resumable = rng.IntN(3) == 0, rng.IntN(3) == 0
 	r.MaxAttempts = 1 + rng.IntN(3)
 	return r
 }
@@ -57,7 +57,7 @@
 					continue
 				}
 				again++
-				allowed := arrivedOn.Repeatable || arrivedOn.Resumable
+				allowed := arrivedOn.Idempotent || arrivedOn.Resumable
 				if d.Route != arrivedOn || d.Resumes != began || (began && !arrivedOn.Resumable) || !allowed {
 					t.Fatalf("seed %d, request %d, response started %v, route at arrival %+v: %+v", seed, i, began, *arrivedOn, d)
 				}
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -91,8 +91,8 @@
 func TestSecondAttemptIsChargedWhereTheFirstMayHaveRun(t *testing.T) {
 	for result, want := range map[router.AttemptResult]int{router.Failed: 1, router.Refused: 0, router.NotSent: 0} {
 		p := tenants(1, limited("a", "k1", 500))
-		p.Config.Routes[0].Repeatable, p.Config.Routes[0].MaxAttempts = true, 3
-		p.Config.Services[0].RetryRatio, p.Config.Services[0].RetryExtra = 1, 100
+		p.Config.Routes[0].Idempotent, p.Config.Routes[0].MaxAttempts = true, 3
+		p.Config.Services[0].RetryRatio, p.Config.Services[0].RetryAllowance = 1, 100
 		r := routed(p, row("i1", "a"), row("i2", "a"))
 		placed, requests := ready(t, r, convergeTime, "q1", "/a/x", "k1")
 		one(t, decided(r, convergeTime, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}), router.Send)
--- a/router/replicalist.go
+++ b/router/replicalist.go
@@ -77,7 +77,7 @@
 		return
 	}
 	if !known {
-		id = r.replicaRow(now, listed.ID, settings.KeepTokens)
+		id = r.replicaRow(now, listed.ID, settings.PrefixCacheTokens)
 	}
 	entry, row := &r.replicas[id], &r.scheduler.Replicas[id]
 	warmup, before := listed.WarmUpRemaining, entry.listedAs
@@ -85,14 +85,14 @@
 	if !known || entry.removedSince > 0 || before != listed {
 		row.Up = true
 	}
-	if known && (before.Model != listed.Model || before.Weights != listed.Weights) {
+	if known && (before.Model != listed.Model || before.WeightsRevision != listed.WeightsRevision) {
 		r.scheduler.Index.Reset(id, 0)
 	}
 	entry.listedAs, entry.removedSince, entry.addr, entry.instance = listed, 0, listed.Addr, listed.ID
 	row.Service, row.Role, row.Capacity = r.services[listed.Service], "both", max(listed.Capacity, 1)
-	row.Listed, row.Draining, row.WeightsRevision = true, listed.Draining, listed.Weights
+	row.Listed, row.Draining, row.WeightsRevision = true, listed.Draining, listed.WeightsRevision
 	row.Zone, row.SameZone = listed.Zone, listed.Zone == r.cfg.Zone
-	r.scheduler.Index.SetCapacity(id, settings.KeepTokens)
+	r.scheduler.Index.SetCapacity(id, settings.PrefixCacheTokens)
 	service := &r.scheduler.Services[row.Service]
 	service.Replicas = append(service.Replicas, id)
 	if warmup > 0 {
--- a/router/requestflow.go
+++ b/router/requestflow.go
@@ -64,7 +64,7 @@
 		f.begin(d)
 		f.emit(Action{Kind: Connect, Placement: d})
 	case Send:
-		if f.connected && f.placement.OnceOnly && !f.witnessesAgreed {
+		if f.connected && f.placement.NeedsWitnesses && !f.witnessesAgreed {
 			f.emit(Action{Kind: AskWitnesses, Placement: f.placement})
 		} else if f.connected {
 			f.emit(Action{Kind: Write, Placement: f.placement})
@@ -95,7 +95,7 @@
 		return OutcomePartial
 	case d.Verdict == Unknown:
 		return OutcomeUnknown
-	case d.Repeat:
+	case d.Duplicate:
 		return OutcomeRepeat
 	case d.Invalid:
 		return OutcomeInvalid
--- a/router/route.go
+++ b/router/route.go
@@ -40,8 +40,8 @@
 
 func routeClass(route *config.Route, priority int) scheduler.RequestClass {
 	return scheduler.RequestClass{
-		Value: 1, Urgency: math.Pow(2, -float64(priority)), FirstTokenTarget: orElse(route.FirstToken, route.Timeout),
-		Idempotent: route.Repeatable || route.Resumable, Resumable: route.Resumable, MaxAttempts: max(route.MaxAttempts, 1), Timeout: route.Timeout,
+		Value: 1, Urgency: math.Pow(2, -float64(priority)), FirstTokenTarget: orElse(route.FirstTokenTarget, route.Timeout),
+		Idempotent: route.Idempotent || route.Resumable, Resumable: route.Resumable, MaxAttempts: max(route.MaxAttempts, 1), Timeout: route.Timeout,
 	}
 }
 
--- a/router/route_test.go
+++ b/router/route_test.go
@@ -13,8 +13,8 @@
 	p := &config.Snapshot{Version: version}
 	for _, name := range []string{"a", "b"} {
 		p.Config.Services = append(p.Config.Services, config.Service{
-			Name: name, Model: "m", Discovered: true, Queues: true, MaxConns: 100, WarmupRate: 20, WarmupTime: 3 * time.Second, KeepTokens: 10000,
-			RetryRatio: 0.2, RetryExtra: 4, Stride: 6,
+			Name: name, Model: "m", Discovered: true, Queues: true, MaxConns: 100, WarmupRate: 20, WarmupTime: 3 * time.Second, PrefixCacheTokens: 10000,
+			RetryRatio: 0.2, RetryAllowance: 4, MaxTokensPerEvent: 6,
 		})
 	}
 	p.Config.Routes = rs
@@ -23,7 +23,7 @@
 
 func route(name, prefix string, split ...config.WeightedService) config.Route {
 	return config.Route{
-		Name: name, Host: "H.example", Prefix: prefix, TrafficSplit: split, Timeout: 3 * time.Second, FirstToken: 800 * time.Millisecond, MaxAttempts: 2,
+		Name: name, Host: "H.example", Prefix: prefix, TrafficSplit: split, Timeout: 3 * time.Second, FirstTokenTarget: 800 * time.Millisecond, MaxAttempts: 2,
 	}
 }
 
@@ -32,7 +32,7 @@
 }
 
 func row(id, service string) router.Instance {
-	return router.Instance{ID: id, Service: service, Addr: "10.0.0.1:1", Zone: "a", Model: "m", Weights: "1", Capacity: 8}
+	return router.Instance{ID: id, Service: service, Addr: "10.0.0.1:1", Zone: "a", Model: "m", WeightsRevision: "1", Capacity: 8}
 }
 
 // routed returns a router with a configuration and a platform list.
@@ -112,7 +112,7 @@
 		t.Errorf("cached prefix is not counted: %+v", d)
 	}
 	newer := row("i1", "a")
-	newer.Weights = "2"
+	newer.WeightsRevision = "2"
 	r.Step(at, router.ReplicaList{Instances: []router.Instance{newer}})
 	if d = one(t, get(r, at, "q3", "/x"), router.Place); d.ConfirmedTokens+d.PredictedTokens != 0 {
 		t.Errorf("prefix cached with other weights is counted: %+v", d)
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -29,8 +29,8 @@
 	used := r.scheduler.ClassesInUse()
 	for _, service := range snapshot.Config.Services {
 		r.services[service.Name] = r.applyService(now, service, used)
-		if service.StaleCap > 0 {
-			predictionTTL = min(predictionTTL, service.StaleCap)
+		if service.MaxPredictionTTL > 0 {
+			predictionTTL = min(predictionTTL, service.MaxPredictionTTL)
 		}
 	}
 	r.applyTenants(snapshot)
@@ -70,21 +70,21 @@
 	id := r.serviceRow(service.Name)
 	row := &r.scheduler.Services[id]
 	row.WarmupCapacity, row.SlowStart, row.WarmupRate = service.WarmupCapacity, service.SlowStart, service.WarmupRate
-	row.BaseLatency, row.LatencyPerToken = service.Base, service.PerToken
-	row.CrossZoneCost, row.RetryRatio, row.RetryAllowance = service.CrossCost, service.RetryRatio, service.RetryExtra
+	row.BaseLatency, row.LatencyPerToken = service.BaseLatency, service.LatencyPerToken
+	row.CrossZoneCost, row.RetryRatio, row.RetryAllowance = service.CrossZoneCost, service.RetryRatio, service.RetryAllowance
 	row.Queues, row.MaxConns = service.Queues, service.MaxConns
-	if service.Stride > 0 || service.Discovered {
-		row.BaseLatency, row.LatencyPerToken = orElse(service.Base, defaultBase), orElse(service.PerToken, defaultPerToken)
+	if service.MaxTokensPerEvent > 0 || service.Discovered {
+		row.BaseLatency, row.LatencyPerToken = orElse(service.BaseLatency, defaultBase), orElse(service.LatencyPerToken, defaultPerToken)
 	}
-	row.SetBatching(service.Stride > 0)
+	row.SetBatching(service.MaxTokensPerEvent > 0)
 	row.SplitRoles = false
 	for _, k := range service.Classes {
 		class := r.classRow(id, classKey{name: k.Name}, used)
-		row.Classes[class] = scheduler.RequestClass{Value: k.Value, Urgency: k.Urgency, FirstTokenTarget: k.FirstToken, Idempotent: k.Repeatable}
+		row.Classes[class] = scheduler.RequestClass{Value: k.Value, Urgency: k.Urgency, FirstTokenTarget: k.FirstTokenTarget, Idempotent: k.Idempotent}
 	}
 	for _, c := range service.Replicas {
 		row.SplitRoles = row.SplitRoles || c.Role == "prefill"
-		row.Replicas = append(row.Replicas, r.applyReplica(now, id, service.KeepTokens, c))
+		row.Replicas = append(row.Replicas, r.applyReplica(now, id, service.PrefixCacheTokens, c))
 	}
 	return id
 }
--- a/router/tenants.go
+++ b/router/tenants.go
@@ -34,7 +34,7 @@
 	seen := map[int]bool{}
 	for i := range snapshot.Config.Tenants {
 		tenant := &snapshot.Config.Tenants[i]
-		if tenant.Prioritized && !seen[tenant.Priority] {
+		if tenant.HasPriority && !seen[tenant.Priority] {
 			seen[tenant.Priority] = true
 			distinct = append(distinct, tenant.Priority)
 		}
--- a/router/tenants_test.go
+++ b/router/tenants_test.go
@@ -23,7 +23,7 @@
 	p.Config.Routes[0].Priority, p.Config.Routes[1].Priority, p.Config.Routes[1].Public = 3, 3, true
 	p.Config.Tenants = list
 	for i := range p.Config.Services {
-		p.Config.Services[i].Stride = 0
+		p.Config.Services[i].MaxTokensPerEvent = 0
 	}
 	return p
 }
@@ -40,7 +40,7 @@
 // key's tenant in both cases.
 func TestKeysOfTenants(t *testing.T) {
 	first := tenant("first", "k1", "k2")
-	first.Priority, first.Prioritized = 0, true
+	first.Priority, first.HasPriority = 0, true
 	r := routed(tenants(1, first, tenant("second", "k3")), row("i1", "a"))
 	for _, c := range []struct {
 		path, key, tenant string
@@ -87,13 +87,13 @@
 // TestUrgentTenantGoesFirst lets requests of two tenants wait for one free slot. The later request, of the more urgent tenant, must get it.
 func TestUrgentTenantGoesFirst(t *testing.T) {
 	urgent, other := tenant("urgent", "k1"), tenant("other", "k2")
-	urgent.Priority, urgent.Prioritized = 0, true
-	other.Priority, other.Prioritized = 9, true
+	urgent.Priority, urgent.HasPriority = 0, true
+	other.Priority, other.HasPriority = 9, true
 	p := tenants(1, other, urgent)
 	for i := range p.Config.Services {
 		p.Config.Services[i].Queues = false
 	}
-	p.Config.Routes[0].FirstToken, p.Config.Routes[0].Timeout = 20*time.Second, time.Minute
+	p.Config.Routes[0].FirstTokenTarget, p.Config.Routes[0].Timeout = 20*time.Second, time.Minute
 	only := row("i1", "a")
 	only.Capacity = 1
 	r := routed(p, only)
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -26,7 +26,7 @@
 	c := &content{version: expect + 1, classes: map[string]bool{}, replicas: map[string]config.Replica{}}
 	for _, o := range ch.Services {
 		for _, k := range o.Classes {
-			c.classes[o.Name+"/"+k.Name] = k.Repeatable
+			c.classes[o.Name+"/"+k.Name] = k.Idempotent
 		}
 		for _, r := range o.Replicas {
 			c.replicas[r.Name] = r
--- a/sim/document.go
+++ b/sim/document.go
@@ -16,7 +16,7 @@
 // A site's operators write a config.Config as JSON: routes, services whose replicas are discovered, limits and a revision.
 
 func flawed(path, val, bound string) error {
-	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}})
+	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Requirement: bound}}})
 }
 
 // readDocument is the config.Reader of a site.
@@ -74,13 +74,13 @@
 	for _, o := range s.Services {
 		c.Services = append(c.Services, config.Service{
 			Name: o.Name, Model: shape.Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
-			KeepTokens: o.Memory, Stride: o.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictions,
+			PrefixCacheTokens: o.Memory, MaxTokensPerEvent: o.Stride, RetryRatio: retryRatio, RetryAllowance: s.Bounds.RetryExtra * 3 / 4, MaxPredictionTTL: maxPredictions,
 		})
 	}
 	for _, t := range s.Classes {
 		c.Routes = append(c.Routes, config.Route{
 			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), TrafficSplit: []config.WeightedService{{Service: t.Service, Weight: 1}}, Streaming: t.Streaming,
-			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.LatencyTarget, TargetGap: t.Gap, MaxAttempts: t.Attempts, Priority: t.Priority,
+			Idempotent: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstTokenTarget: t.LatencyTarget, EventGapTarget: t.Gap, MaxAttempts: t.Attempts, Priority: t.Priority,
 		})
 	}
 	for i := range s.Idle {
@@ -93,8 +93,8 @@
 func (s SiteSpec) idle(name string, service int) config.Route {
 	plain := s.Classes[len(s.Classes)-1]
 	return config.Route{
-		Name: name, Host: siteHost, Prefix: prefixOf(name), TrafficSplit: []config.WeightedService{{Service: s.Services[service%len(s.Services)].Name, Weight: 1}}, Repeatable: true,
-		Timeout: plain.Deadline, FirstToken: plain.LatencyTarget, MaxAttempts: 1, Priority: 3,
+		Name: name, Host: siteHost, Prefix: prefixOf(name), TrafficSplit: []config.WeightedService{{Service: s.Services[service%len(s.Services)].Name, Weight: 1}}, Idempotent: true,
+		Timeout: plain.Deadline, FirstTokenTarget: plain.LatencyTarget, MaxAttempts: 1, Priority: 3,
 	}
 }
 
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -116,8 +116,8 @@
 
 func (n *Node) decide(ds []router.Decision) {
 	for _, d := range ds {
-		if d.UnreadTokens > 0 && n.w.site != nil {
-			n.step(control.Prefills{Rows: []router.Prefill{{Replica: d.Replica, Tokens: d.UnreadTokens}}})
+		if d.UncachedTokens > 0 && n.w.site != nil {
+			n.step(control.Prefills{Rows: []router.Prefill{{Replica: d.Replica, Tokens: d.UncachedTokens}}})
 		}
 		if f := n.asks[d.Request]; f != nil {
 			f.do(f.flow.OnDecision(d))
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -175,7 +175,7 @@
 
 func (i *Instance) row(at time.Duration) router.Instance {
 	r := router.Instance{
-		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
+		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.Prompt, WeightsRevision: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
 	}
 	if i.warmupUntil > 0 && i.warmupFrom <= at {
 		r.WarmUpRemaining = max(i.warmupUntil-at, 0)
--- a/standin/rehearsal/client.go
+++ b/standin/rehearsal/client.go
@@ -97,14 +97,14 @@
 	}
 	head := fmt.Sprintf("POST %s%s %s\r\nHost: %s\r\nContent-Length: 2\r\n", path, c.name, protocol, host)
 	for _, field := range [][2]string{
-		{platform.HeaderAttempt, fmt.Sprintf("%s-%d", c.name, c.tries)}, {headerRequest, a.Request}, {platform.HeaderModel, "m"},
-		{platform.HeaderTokens, fmt.Sprintf("100,%d", a.Total)}, {platform.HeaderPrefix, "5c1e07a2:60,91bd3f06:40"},
+		{platform.HeaderAttemptID, fmt.Sprintf("%s-%d", c.name, c.tries)}, {headerRequest, a.Request}, {platform.HeaderModel, "m"},
+		{platform.HeaderTokenUsage, fmt.Sprintf("100,%d", a.Total)}, {platform.HeaderPromptPrefix, "5c1e07a2:60,91bd3f06:40"},
 		{platform.HeaderDeadline, strconv.FormatInt(deadline.Milliseconds(), 10)},
 	} {
 		head += field[0] + ": " + field[1] + "\r\n"
 	}
 	if a.After > 0 {
-		head += fmt.Sprintf("%s: %d\r\n", platform.HeaderLastEvent, a.After)
+		head += fmt.Sprintf("%s: %d\r\n", platform.HeaderLastEventID, a.After)
 	}
 	return head + "\r\n{}"
 }
--- a/standin/rehearsal/quota.go
+++ b/standin/rehearsal/quota.go
@@ -57,7 +57,7 @@
 // sawRun notes a request that a replica begins to run, by this process's clock.
 func (r *quotaRehearsal) sawRun(run ReplicaRun) {
 	q := run.Request
-	prompt, most := platform.ParseTokens(q.Header.Get(platform.HeaderTokens))
+	prompt, most := platform.ParseTokens(q.Header.Get(platform.HeaderTokenUsage))
 	r.runs <- ledger.QuotaRun{AtMs: time.Now().UnixMilli(), Tenant: q.Header.Get(platform.HeaderTenant), Cost: float64(prompt + most)}
 }
 
--- a/standin/rehearsal/quotaclient.go
+++ b/standin/rehearsal/quotaclient.go
@@ -133,8 +133,8 @@
 	c.sent++
 	_ = c.conn.SetDeadline(time.Now().Add(deadline))
 	head := fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 2\r\n%s: %s\r\n%s: %s-%d\r\n%s: m\r\n%s: %d,%d\r\n%s: %x:%d\r\n%s: %d\r\n\r\n{}",
-		q.path, c.name, host, platform.HeaderCredential, keyOf(q.tenant), platform.HeaderAttempt, c.name, c.sent, platform.HeaderModel,
-		platform.HeaderTokens, q.prompt, answerTokens, platform.HeaderPrefix, c.rng.Uint32(), q.prompt, platform.HeaderDeadline, deadline.Milliseconds())
+		q.path, c.name, host, platform.HeaderCredential, keyOf(q.tenant), platform.HeaderAttemptID, c.name, c.sent, platform.HeaderModel,
+		platform.HeaderTokenUsage, q.prompt, answerTokens, platform.HeaderPromptPrefix, c.rng.Uint32(), q.prompt, platform.HeaderDeadline, deadline.Milliseconds())
 	if _, err := io.WriteString(c.conn, head); err != nil {
 		c.disconnect()
 		return 0
--- a/standin/rehearsal/rehearsal_test.go
+++ b/standin/rehearsal/rehearsal_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	defer r.Stop()
-	for header, value := range map[string]string{platform.HeaderExpectedVersion: "8", platform.HeaderTarget: "i-2"} {
+	for header, value := range map[string]string{platform.HeaderExpectedVersion: "8", platform.HeaderTargetInstance: "i-2"} {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+r.Addr+"/streams/a", http.NoBody)
 		req.Header.Set(header, value)
 		resp, err := http.DefaultClient.Do(req)
--- a/standin/rehearsal/replica.go
+++ b/standin/rehearsal/replica.go
@@ -71,14 +71,14 @@
 func (r *Replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	h := w.Header()
 	if q.Method == http.MethodGet {
-		h.Set(platform.HeaderInstance, r.Instance)
+		h.Set(platform.HeaderInstanceID, r.Instance)
 		return
 	}
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
 		return
 	}
-	h.Set(platform.HeaderAttempt, q.Header.Get(platform.HeaderAttempt))
+	h.Set(platform.HeaderAttemptID, q.Header.Get(platform.HeaderAttemptID))
 	if r.misdirected(q) {
 		h.Set(platform.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -133,14 +133,14 @@
 
 // misdirected tells whether the request is for another instance, or for other weights.
 func (r *Replica) misdirected(q *http.Request) bool {
-	target, expected := q.Header.Get(platform.HeaderTarget), q.Header.Get(platform.HeaderExpectedVersion)
+	target, expected := q.Header.Get(platform.HeaderTargetInstance), q.Header.Get(platform.HeaderExpectedVersion)
 	return target != "" && target != r.Instance || expected != "" && expected != strconv.FormatUint(r.Weights, 10)
 }
 
 // events are those of the answer behind the one that the request names, if any.
 func (r *Replica) events(q *http.Request, run string) []string {
-	_, total := platform.ParseTokens(q.Header.Get(platform.HeaderTokens))
-	after, _ := strconv.Atoi(q.Header.Get(platform.HeaderLastEvent))
+	_, total := platform.ParseTokens(q.Header.Get(platform.HeaderTokenUsage))
+	after, _ := strconv.Atoi(q.Header.Get(platform.HeaderLastEventID))
 	var events []string
 	for id := after + 1; id <= total; id++ {
 		events = append(events, fmt.Sprintf("id: %d\ndata: %s\n\n", id, ledger.StreamText(q.Header.Get(headerRequest), r.Weights, run, id)))
--- a/standin/rehearsal/soakclient.go
+++ b/standin/rehearsal/soakclient.go
@@ -36,7 +36,7 @@
 	if digest(q.Method, q.RequestURI, body) == q.Header.Get(headerDigest) {
 		return ""
 	}
-	return fmt.Sprintf("%s %s and %d bytes of body, Last-Event-Id %q", q.Method, q.RequestURI, len(body), q.Header.Get(platform.HeaderLastEvent))
+	return fmt.Sprintf("%s %s and %d bytes of body, Last-Event-Id %q", q.Method, q.RequestURI, len(body), q.Header.Get(platform.HeaderLastEventID))
 }
 
 // soakClient asks on a connection that it keeps.
@@ -106,9 +106,9 @@
 	target := a.path + c.name + "?n=" + strconv.Itoa(c.sent)
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", target, host, len(body))
 	for _, field := range [][2]string{
-		{platform.HeaderAttempt, a.Attempt}, {headerRequest, a.Request}, {headerDigest, digest(http.MethodPost, target, body)},
-		{platform.HeaderModel, "m"}, {platform.HeaderTokens, fmt.Sprintf("100,%d", a.Total)},
-		{platform.HeaderPrefix, fmt.Sprintf("5c1e07a2:60,%x:40", c.rng.Uint32())}, {platform.HeaderDeadline, strconv.FormatInt(deadline.Milliseconds(), 10)},
+		{platform.HeaderAttemptID, a.Attempt}, {headerRequest, a.Request}, {headerDigest, digest(http.MethodPost, target, body)},
+		{platform.HeaderModel, "m"}, {platform.HeaderTokenUsage, fmt.Sprintf("100,%d", a.Total)},
+		{platform.HeaderPromptPrefix, fmt.Sprintf("5c1e07a2:60,%x:40", c.rng.Uint32())}, {platform.HeaderDeadline, strconv.FormatInt(deadline.Milliseconds(), 10)},
 	} {
 		head += field[0] + ": " + field[1] + "\r\n"
 	}
--- a/standin/rehearsal/soakjudge.go
+++ b/standin/rehearsal/soakjudge.go
@@ -36,7 +36,7 @@
 	lines := json.NewEncoder(s.Ledger)
 	var all []ledger.SoakRun
 	for _, run := range s.ran {
-		attempt := run.Request.Header.Get(platform.HeaderAttempt)
+		attempt := run.Request.Header.Get(platform.HeaderAttemptID)
 		stopped := run.Replica.stoppedAt.Load()
 		one := ledger.SoakRun{
 			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.altered,
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -81,13 +81,13 @@
 
 // Read reads a plan; the error is a *config.InvalidError. What the JSON calls breakdowns are faults.
 func Read(name string, raw []byte) (Plan, error) {
-	d, err := config.Open(raw)
+	d, err := config.NewDecoder(raw)
 	var p Plan
 	if err != nil {
 		return p, err
 	}
 	p = Default(name)
-	if s := d.Str("shape", false, 16); s != "" {
+	if s := d.String("shape", false, 16); s != "" {
 		p.Shape = s
 	}
 	p.Times = d.Int("times", 1, 1, 16)
@@ -97,16 +97,16 @@
 	case site:
 		shape, p.Rate, p.HotRatio = spec.Shape, 0, 0
 	case !ok:
-		d.AddViolation(d.At("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
+		d.AddViolation(d.FieldPath("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
 	}
 	p.Seconds, p.Seeds, p.FirstSeed = d.Int("seconds", p.Seconds, 20, 3600), d.Int("seeds", p.Seeds, 1, 1000), d.Int("firstSeed", 1, 1, 1<<30)
 	p.Index, p.RoundRobin = d.Bool("index", true), d.Bool("roundRobin", false)
-	p.readLoad(d.Sub("load"))
+	p.readLoad(d.Object("load"))
 	for _, f := range d.List("breakdowns", 0, 1024) {
 		p.Faults = append(p.Faults, readFault(f, shape, site))
 	}
 	if site && p.Times > 1 {
-		d.AddViolation(d.At("times"), fmt.Sprint(p.Times), "1 for a site")
+		d.AddViolation(d.FieldPath("times"), fmt.Sprint(p.Times), "1 for a site")
 	}
 	p.readConfig(d, site)
 	d.Close()
@@ -114,11 +114,11 @@
 }
 
 func (p *Plan) readLoad(d *config.Decoder) {
-	p.Rate = d.Num("rate", p.Rate, 0.1, 10000)
-	p.HotRatio = d.Num("hot", p.HotRatio, 0, 1)
+	p.Rate = d.Number("rate", p.Rate, 0.1, 10000)
+	p.HotRatio = d.Number("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Number("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
@@ -126,17 +126,17 @@
 
 // readConfig reads the file that takes the place of the fleet's own configuration.
 func (p *Plan) readConfig(d *config.Decoder, site bool) {
-	path := d.Str("config", false, 4096)
+	path := d.String("config", false, 4096)
 	if path == "" {
 		return
 	}
 	if site {
-		d.AddViolation(d.At("config"), path, "absent for a site")
+		d.AddViolation(d.FieldPath("config"), path, "absent for a site")
 		return
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		d.AddViolation(d.At("config"), path, "a file that can be read")
+		d.AddViolation(d.FieldPath("config"), path, "a file that can be read")
 	}
 	p.Config = raw
 }
@@ -146,24 +146,24 @@
 }
 
 func readFault(d *config.Decoder, shape shape.Shape, site bool) sim.Fault {
-	f := sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
+	f := sim.Fault{At: ms(d, "atMs"), Kind: d.String("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := faultClasses()
 	if site {
 		all = sim.SiteFaults()
 	}
 	if !slices.Contains(all, f.Kind) {
-		d.AddViolation(d.At("kind"), f.Kind, "one of "+strings.Join(all, ", "))
+		d.AddViolation(d.FieldPath("kind"), f.Kind, "one of "+strings.Join(all, ", "))
 	}
 	for i, e := range d.List("on", 0, 4096) {
-		name := e.Text(64)
+		name := e.StringElement(64)
 		if !inFleet(shape, name) {
-			d.AddViolation(fmt.Sprintf("%s[%d]", d.At("on"), i), name, "a node, domain or replica of the fleet")
+			d.AddViolation(fmt.Sprintf("%s[%d]", d.FieldPath("on"), i), name, "a node, domain or replica of the fleet")
 		}
 		f.On = append(f.On, name)
 	}
 	needs := map[string]bool{sim.PartitionZone: true, sim.PartitionControl: true, sim.EvacuateFault: true, sim.SwapVoters: true}
 	if needs[f.Kind] && len(f.On) == 0 {
-		d.AddViolation(d.At("on"), "empty", "named for "+f.Kind)
+		d.AddViolation(d.FieldPath("on"), "empty", "named for "+f.Kind)
 	}
 	d.Close()
 	return f
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -51,7 +51,7 @@
 	s.Charter, s.Load.Classes = p.Config, nil
 	for _, o := range c.Services {
 		for _, k := range o.Classes {
-			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Repeatable})
+			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Idempotent})
 		}
 	}
 	return s, nil
