--- a/config/documents_test.go
+++ b/config/cachingreader_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-func same(t *testing.T, d *CachingReader, raw []byte) bool {
+// readsSame fails the test unless r and Read return the same for a document. It reports whether the document is valid.
+func readsSame(t *testing.T, r *CachingReader, raw []byte) bool {
 	t.Helper()
 	want, wantErr := Read(raw)
-	got, err := d.Read(raw)
+	got, err := r.Read(raw)
 	if fmt.Sprint(err) != fmt.Sprint(wantErr) || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%.300s\n%v, not %v\n%+v\n%+v", raw, err, wantErr, got, want)
+		t.Fatalf("%.300s\ngot error %v, want %v\n%+v\n%+v", raw, err, wantErr, got, want)
 	}
 	return err == nil
 }
 
-func offer1(rng *rand.Rand, n int) string {
+// randomService returns the n-th service in one of several variants. In rare cases its replica's name is that of the next service.
+func randomService(rng *rand.Rand, n int) string {
 	replica := n
 	if rng.IntN(60) == 0 {
 		replica++
@@ -27,39 +29,39 @@
 		n, rng.IntN(3), replica, rng.IntN(80), []string{"", "", `,"cold":{"rampMs":7}`, " "}[rng.IntN(4)])
 }
 
-func TestDocumentsFindWhatReadFinds(t *testing.T) {
-	good := 0
+func TestCachingReaderMatchesRead(t *testing.T) {
+	valid := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		d := &CachingReader{}
+		r := &CachingReader{}
 		var list []string
 		for i := range 8 {
-			list = append(list, offer1(rng, i))
+			list = append(list, randomService(rng, i))
 		}
 		for range 30 {
-			list = changedServices(rng, list)
+			list = changeServices(rng, list)
 			raw := fmt.Sprintf([]string{
 				`{"offers":[%s]}`, `{"replaceLostVoterMs":7, "offers":[%s ] }`, `{"offers":[%s],"replaceLostVoterMs":-1}`,
 				`{"offers":[%s],"replaceLostVoterMs":12}`, `{"offers":[%s],"colour":1}`, `{"offers":[%s]} x`,
 			}[rng.IntN(6)], strings.Join(list, ","))
-			if same(t, d, []byte(raw)) {
-				good++
+			if readsSame(t, r, []byte(raw)) {
+				valid++
 			}
 		}
 	}
-	if good < 100 {
-		t.Errorf("%d documents were sound: the test proves little", good)
+	if valid < 100 {
+		t.Errorf("only %d documents were valid, so the test covers too little", valid)
 	}
 }
 
-// changedServices changes, adds, removes or swaps one.
-func changedServices(rng *rand.Rand, list []string) []string {
+// changeServices replaces, adds, removes or swaps one service.
+func changeServices(rng *rand.Rand, list []string) []string {
 	at := rng.IntN(len(list))
 	switch rng.IntN(5) {
 	case 0, 1:
-		list[at] = offer1(rng, at)
+		list[at] = randomService(rng, at)
 	case 2:
-		list = append(list, offer1(rng, len(list)))
+		list = append(list, randomService(rng, len(list)))
 	case 3:
 		if len(list) > 2 {
 			list = append(list[:at:at], list[at+1:]...)
@@ -70,15 +72,15 @@
 	return list
 }
 
-func FuzzDocuments(f *testing.F) {
-	f.Add([]byte(sound), 3, 2, []byte("x"))
+func FuzzCachingReader(f *testing.F) {
+	f.Add([]byte(validDocument), 3, 2, []byte("x"))
 	f.Fuzz(func(t *testing.T, raw []byte, at, length int, put []byte) {
-		d := &CachingReader{}
-		same(t, d, raw)
+		r := &CachingReader{}
+		readsSame(t, r, raw)
 		if at < 0 || length < 0 || at > len(raw) || length > len(raw)-at {
 			return
 		}
-		same(t, d, append(append(append([]byte{}, raw[:at]...), put...), raw[at+length:]...))
-		same(t, d, raw)
+		readsSame(t, r, append(append(append([]byte{}, raw[:at]...), put...), raw[at+length:]...))
+		readsSame(t, r, raw)
 	})
 }
--- a/config/config.go
+++ b/config/config.go
@@ -1,246 +1,132 @@
 package config
 
-import (
-	"fmt"
-	"net/netip"
-	"time"
-)
+import "time"
 
-// MaxDocumentBytes is the longest document that is taken.
-const MaxDocumentBytes = 1 << 20
-
-const (
-	maxName     = 64
-	maxServices = 256
-	maxReplicas = 4096
-	maxClasses  = 64
-)
-
-// Replica is a replica that the document names.
+// Replica is a replica of a model, as the document lists it.
 type Replica struct {
-	// Addr is an IP address and port; Role is "both", "prefill" or "decode".
+	// Addr is an IP address and port. Role is "both", "prefill" or "decode": the phases of a request that the replica runs.
 	Name, Addr, Zone, Role string
-	// Capacity is how many requests it runs at once.
+	// Capacity is the number of requests that the replica can run at once.
 	Capacity int
 }
 
 // RequestClass is a class of requests to a service.
 type RequestClass struct {
 	Name string
-	// Value and Urgency multiply the priority of its requests.
+	// Value and Urgency are factors of a request's priority.
 	Value   float64
 	Urgency float64
-	// FirstTokenTarget is the aim for the first token, from the arrival.
+	// FirstTokenTarget is the target for the time from a request's arrival to its first token.
 	FirstTokenTarget time.Duration
-	Idempotent       bool
+	// Idempotent is set if a request may run more than once, so that it can be retried after an attempt may have run.
+	Idempotent bool
 }
 
-// Service is a service: a model, its replicas and what they have in common.
+// Service is a model, its replicas and the settings that they share.
 type Service struct {
 	Name, Model string
 	Replicas    []Replica
 	Classes     []RequestClass
-	// WarmupCapacity is how many requests a new replica bears at first; that grows to its capacity over SlowStart.
+	// WarmupCapacity is the number of requests that a new replica may run at once at first. The limit grows to the replica's capacity
+	// over SlowStart.
 	WarmupCapacity int
 	SlowStart      time.Duration
-	// RetryRatio is the most retries a first attempt, RetryExtra the most in hand beyond, over the fleet.
+	// RetryRatio is the number of retries that each first attempt permits. RetryAllowance is the maximum number of unused retries over
+	// the whole fleet.
 	RetryRatio     float64
 	RetryAllowance int
-	// MaxPredictionTTL bounds how long a predicted holding is trusted.
+	// MaxPredictionTTL is how long a prediction that a replica has a prefix in its cache may be trusted.
 	MaxPredictionTTL time.Duration
-	// BaseLatency and PerToken estimate the time to the first token of an idle replica.
+	// BaseLatency and LatencyPerToken estimate the time to the first token at an idle replica.
 	BaseLatency     time.Duration
 	LatencyPerToken time.Duration
-	// PrefixCacheTokens is how many tokens a replica's prefix cache keeps.
+	// PrefixCacheTokens is the size of a replica's prefix cache in tokens.
 	PrefixCacheTokens int
-	// CrossZoneCost is added for replicas of other zones, in units of FirstToken.
+	// CrossZoneCost is added to the cost of replicas in other zones. A cost of 1 corresponds to the first-token target.
 	CrossZoneCost float64
 
-	// Discovered: the replicas come from the platform's list (Roster), none stand in the document.
+	// Discovered is set if the replicas come from the platform's list and Replicas is empty.
 	Discovered bool
-	// Queues: replicas queue what is beyond their room and tell their load, so room is not divided among routers.
+	// Queues is set if replicas queue requests beyond their capacity and report their load. Their capacity is then not divided among
+	// routers.
 	Queues bool
-	// HealthCheckPath is the path of a replica's health check as the document names it; nothing asks it.
+	// HealthCheckPath is the path of the replicas' health check, as the document names it. It is not used: no health checks are sent.
 	HealthCheckPath string
-	// MaxConns is the most connections that a replica bears; 0: no bound.
+	// MaxConns is the maximum number of connections to a replica; 0 means no limit.
 	MaxConns int
-	// WarmupRate is how many requests a second a replica that warms up bears from all routers together; 0: no bound. It is warming up for
-	// WarmupTime.
+	// WarmupRate is the maximum number of requests per second that all routers together may send to a replica that is warming up; 0
+	// means no limit. WarmupTime is how long a replica is warming up.
 	WarmupRate float64
 	WarmupTime time.Duration
-	// MaxTokensPerEvent is how many tokens a piece of a stream may hold; 0 where replicas do not batch.
+	// MaxTokensPerEvent is the maximum number of tokens in an event of a streamed response; 0 if the replicas do not batch requests.
 	MaxTokensPerEvent int
 }
 
-// WeightedService gives a service a part of a route's requests; weights are relative to each other.
+// WeightedService gives a service a share of a route's requests. Weights are relative to those of the route's other services.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// A Route takes requests by host and longest path prefix to services.
+// Route assigns the requests of a host and path prefix to services. The route with the longest matching prefix applies.
 type Route struct {
 	Name, Host, Prefix string
 	TrafficSplit       []WeightedService
-	// Streaming answers are series of events; Resumable ones may be resumed at another replica after the last event id.
+	// Streaming is set if responses are streams of events. Idempotent is set if a request may run more than once. Resumable is set if
+	// another replica can continue a response after the ID of the last event.
 	Streaming, Idempotent, Resumable bool
-	// Timeout bounds a request as a whole, FirstTokenTarget is the aim for its answer or first event, EventGapTarget for each later one (0: none).
+	// Timeout limits the duration of a request. FirstTokenTarget is the latency target for the response, or for its first event if it
+	// is a stream. EventGapTarget is the target for the gap before each later event; 0 means none.
 	Timeout, FirstTokenTarget, EventGapTarget time.Duration
-	// MaxAttempts is the most replicas that one request may be sent to.
+	// MaxAttempts is the maximum number of replicas that a request is sent to.
 	MaxAttempts int
-	// Priority 0 goes first.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// Public: requests need no tenant's key.
+	// Public is set if requests need no tenant's key.
 	Public bool
 }
 
-// Limits bound what a client may send and how long it may take. Zero leaves the daemon's own bound.
+// Limits restrict the size of requests and how long clients may take. The daemon's own limit applies where a field is 0.
 type Limits struct {
+	// HeaderBytes and BodyBytes are the maximum sizes of a request's header and body.
 	HeaderBytes, BodyBytes int
-	Header, Idle           time.Duration
+	// Header is the timeout for reading a request's header, Idle that for a kept connection without a request.
+	Header, Idle time.Duration
 }
 
-// Config is a whole document, read and checked. It is immutable.
+// Config is a complete, validated configuration document. It is immutable.
 type Config struct {
 	Services []Service
 	Routes   []Route
-	// Tenants are those whose requests are taken; where there are none, anybody's are.
+	// Tenants may send requests. If there are none, requests need no tenant's key.
 	Tenants []Tenant
 	Limits  Limits
-	// ReplaceVoterAfter is how long a voter must be lost until another takes its place; 0: never by itself.
+	// ReplaceVoterAfter is how long a voter must be lost before another node replaces it; 0 means that voters are never replaced
+	// automatically.
 	ReplaceVoterAfter time.Duration
-	// Revision is the operators' own number for the document; 0 where they give none.
+	// Revision is the operators' own number of the document; 0 if they do not number it.
 	Revision uint64
 }
 
-// A Reader reads and checks an operators' document; Read is the product's own. Flaws of the document are an *InvalidError.
+// Reader reads and validates an operators' document. Read is the one for the product's own format. Violations in the document are
+// reported as an *InvalidError.
 type Reader func(raw []byte) (Config, error)
 
-// Snapshot is a whole configuration at one version (Version), as agreed upon. It is immutable; the control node gives it to routers.
+// Snapshot is the complete configuration at one version, as the voters agreed on it. It is immutable; the control node passes it to
+// routers.
 type Snapshot struct {
-	Version        uint64
-	Config         Config
+	Version uint64
+	Config  Config
+	// EvacuatedZones are the names of the zones that get no requests.
 	EvacuatedZones []string
 }
 
-// Evacuated tells whether a zone is to get no requests.
-func (p *Snapshot) Evacuated(zone string) bool {
-	for _, evacuated := range p.EvacuatedZones {
+// Evacuated reports whether a zone is evacuated and gets no requests.
+func (s *Snapshot) Evacuated(zone string) bool {
+	for _, evacuated := range s.EvacuatedZones {
 		if evacuated == zone {
 			return true
 		}
 	}
 	return false
 }
-
-// ms reads a number of milliseconds.
-func ms(d *Decoder, key string, def, least, most int) time.Duration {
-	return time.Duration(d.Int(key, def, least, most)) * time.Millisecond
-}
-
-// Read reads the product's own JSON document; the error is an *InvalidError with every violation.
-func Read(raw []byte) (Config, error) {
-	var c Config
-	if len(raw) > MaxDocumentBytes {
-		return c, flawed("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
-	}
-	d, err := NewDecoder(raw)
-	if err != nil {
-		return c, err
-	}
-	c.ReplaceVoterAfter = readReplaceVoter(d)
-	services, reps := map[string]bool{}, map[string]bool{}
-	for _, o := range d.List(servicesField, 1, maxServices) {
-		c.Services = append(c.Services, readService(o, services, reps))
-	}
-	d.Close()
-	if err = d.Err(); err != nil {
-		return Config{}, err
-	}
-	return c, nil
-}
-
-func readReplaceVoter(d *Decoder) time.Duration {
-	return ms(d, replaceField, 0, 0, 86400000)
-}
-
-func readService(d *Decoder, services, reps map[string]bool) Service {
-	var service Service
-	service.Name = unique(d, "name", services)
-	service.Model = d.String("model", true, maxName)
-	for _, r := range d.List("replicas", 1, maxReplicas) {
-		service.Replicas = append(service.Replicas, readReplica(r, reps))
-	}
-	classes := map[string]bool{}
-	for _, k := range d.List("kinds", 1, maxClasses) {
-		service.Classes = append(service.Classes, readKind(k, classes))
-	}
-	readWarmUp(d.Object("cold"), &service)
-	readRetries(d.Object("secondGo"), &service)
-	readEstimate(d.Object("estimate"), &service)
-	service.MaxPredictionTTL = ms(d, "staleCapMs", 2000, 100, 2000)
-	service.PrefixCacheTokens = d.Int("keepTokens", 65536, 0, 1<<30)
-	service.CrossZoneCost = d.Number("crossCost", 0.2, 0, 100)
-	d.Close()
-	return service
-}
-
-func readWarmUp(d *Decoder, service *Service) {
-	service.WarmupCapacity = d.Int("startRoom", 1, 1, 1024)
-	service.SlowStart = ms(d, "rampMs", 6000, 0, 600000)
-	d.Close()
-}
-
-func readRetries(d *Decoder, service *Service) {
-	service.RetryRatio = d.Number("share", 0.2, 0, 0.2)
-	service.RetryAllowance = d.Int("allowance", 24, 0, 48)
-	d.Close()
-}
-
-func readEstimate(d *Decoder, service *Service) {
-	service.BaseLatency = ms(d, "baseMs", 60, 0, 60000)
-	service.LatencyPerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
-	d.Close()
-}
-
-// unique reads a name that must not stand twice.
-func unique(d *Decoder, key string, seen map[string]bool) string {
-	s := d.String(key, true, maxName)
-	if s != "" && seen[s] {
-		d.AddViolation(d.FieldPath(key), s, "named once")
-	}
-	seen[s] = true
-	return s
-}
-
-func readReplica(d *Decoder, seen map[string]bool) Replica {
-	var r Replica
-	r.Name = unique(d, "name", seen)
-	r.Addr = d.String("addr", true, maxName)
-	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
-		d.AddViolation(d.FieldPath("addr"), r.Addr, "an IP number and port")
-	}
-	r.Zone = d.String("domain", true, maxName)
-	r.Capacity = d.Int("room", 8, 1, 4096)
-	r.Role = d.String("role", false, maxName)
-	switch r.Role {
-	case "":
-		r.Role = "both"
-	case "both", "prefill", "decode":
-	default:
-		d.AddViolation(d.FieldPath("role"), r.Role, "both, prefill or decode")
-	}
-	d.Close()
-	return r
-}
-
-func readKind(d *Decoder, seen map[string]bool) RequestClass {
-	var class RequestClass
-	class.Name = unique(d, "name", seen)
-	class.Value = d.Number("value", 1, 0.001, 1e6)
-	class.Urgency = d.Number("urgency", 1, 0.001, 1e3)
-	class.FirstTokenTarget = ms(d, "firstTokenMs", 2000, 10, 600000)
-	class.Idempotent = d.Bool("repeatable", false)
-	d.Close()
-	return class
-}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-const sound = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"10.0.0.1:1","domain":"a"}],"kinds":[{"name":"k"}]}]}`
+const validDocument = `{"offers":[{"name":"o","model":"m","replicas":[{"name":"r","addr":"10.0.0.1:1","domain":"a"}],"kinds":[{"name":"k"}]}]}`
 
 func TestViolationsNameTheirPath(t *testing.T) {
-	if c, err := Read([]byte(sound)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Idempotent {
+	if c, err := Read([]byte(validDocument)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Idempotent {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, c := range []struct{ from, to, path string }{
@@ -32,40 +32,40 @@
 		{`{"offers"`, `[{"offers"`, "$[0].offers"},
 		{`}]}]}`, `}]}]} x`, "$"},
 	} {
-		_, err := Read([]byte(strings.Replace(sound, c.from, c.to, 1)))
-		var bad *InvalidError
-		if !errors.As(err, &bad) {
-			t.Errorf("%s: taken", c.to)
+		_, err := Read([]byte(strings.Replace(validDocument, c.from, c.to, 1)))
+		var invalid *InvalidError
+		if !errors.As(err, &invalid) {
+			t.Errorf("%s: no error", c.to)
 			continue
 		}
-		if !slices.ContainsFunc(bad.Violations, func(f Violation) bool { return strings.HasPrefix(f.Path, strings.Split(c.path, "[0].offers")[0]) }) {
-			t.Errorf("%s: %v", c.to, bad)
+		if !slices.ContainsFunc(invalid.Violations, func(v Violation) bool { return strings.HasPrefix(v.Path, strings.Split(c.path, "[0].offers")[0]) }) {
+			t.Errorf("%s: %v", c.to, invalid)
 		}
 	}
-	long := append([]byte(sound), bytes.Repeat([]byte(" "), MaxDocumentBytes)...)
-	if _, err := Read(long); err == nil {
-		t.Error("an over-size configuration was taken")
+	tooLong := append([]byte(validDocument), bytes.Repeat([]byte(" "), MaxDocumentBytes)...)
+	if _, err := Read(tooLong); err == nil {
+		t.Error("a document above the maximum size was accepted")
 	}
 	deep := strings.Repeat(`{"a":`, 40) + "1" + strings.Repeat("}", 40)
 	if _, err := Read([]byte(deep)); err == nil {
-		t.Error("forty levels were taken")
+		t.Error("a document with 40 nested objects was accepted")
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validDocument))
 	f.Add([]byte(`{"offers":[{}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Read(raw)
 		if err != nil {
-			var bad *InvalidError
-			if !errors.As(err, &bad) || len(bad.Violations) == 0 {
-				t.Fatalf("an error without flaws: %v", err)
+			var invalid *InvalidError
+			if !errors.As(err, &invalid) || len(invalid.Violations) == 0 {
+				t.Fatalf("an error without violations: %v", err)
 			}
 			return
 		}
 		if len(c.Services) == 0 || fmt.Sprint(c.Services[0].Classes) == "[]" {
-			t.Fatal("a configuration without offers was taken")
+			t.Fatal("a configuration without services was accepted")
 		}
 	})
 }
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -7,70 +7,74 @@
 	"github.com/gravitational/trace"
 )
 
-// Decoder reads one object of a document field by field and collects violations instead of stopping at the first; what is invalid reads as
-// its default. The decoders of parts share the violations. Fields that nobody read are violations when it is closed.
+// Decoder reads an object of a document field by field. It collects violations instead of stopping at the first one: an invalid value adds
+// a violation and reads as the default. The decoders of nested objects add to the same violations. The caller calls Close after the last field,
+// which makes every field that was not read a violation, and then Err on the decoder of the document.
 type Decoder struct {
-	path       string
-	t          tree
+	// path is the path of the value in the document.
+	path  string
+	value jsonValue
+	// used are the keys that were read.
 	used       map[string]bool
 	violations *[]Violation
 }
 
-// NewDecoder parses a JSON document; the error is an *InvalidError.
+// NewDecoder parses a JSON document and returns a decoder of its top-level object. Its errors are *InvalidError.
 func NewDecoder(raw []byte) (*Decoder, error) {
-	t, err := parse(raw)
+	value, err := parseJSON(raw)
 	if err != nil {
 		return nil, err
 	}
-	return &Decoder{path: "$", t: t, used: map[string]bool{}, violations: &[]Violation{}}, nil
+	return &Decoder{path: "$", value: value, used: map[string]bool{}, violations: &[]Violation{}}, nil
 }
 
-// AddViolation adds a violation.
-func (d *Decoder) AddViolation(path, val, bound string) {
-	*d.violations = append(*d.violations, Violation{Path: path, Value: val, Requirement: bound})
+// AddViolation adds a violation: the value at path must meet the requirement.
+func (d *Decoder) AddViolation(path, value, requirement string) {
+	*d.violations = append(*d.violations, Violation{Path: path, Value: value, Requirement: requirement})
 }
 
-// FieldPath is the path of a field.
+// FieldPath returns the path of a field.
 func (d *Decoder) FieldPath(key string) string { return d.path + "." + key }
 
-func (d *Decoder) find(key string) (tree, bool) {
+// lookup returns the value of a field and marks it as read. It returns false if the field is absent.
+func (d *Decoder) lookup(key string) (jsonValue, bool) {
 	d.used[key] = true
-	for i, k := range d.t.keys {
+	for i, k := range d.value.keys {
 		if k == key {
-			return d.t.kids[i], true
+			return d.value.values[i], true
 		}
 	}
-	return tree{}, false
+	return jsonValue{}, false
 }
 
-// String reads a string of at most most bytes, which must be there and not empty if needed.
-func (d *Decoder) String(key string, need bool, most int) string {
-	t, ok := d.find(key)
-	if !ok && !need {
+// String reads a string of at most most bytes. If it is required, it must be present and not empty.
+func (d *Decoder) String(key string, required bool, most int) string {
+	value, ok := d.lookup(key)
+	if !ok && !required {
 		return ""
 	}
-	if !ok || t.kind != 's' || len(t.str) > most || (need && t.str == "") {
-		d.AddViolation(d.FieldPath(key), t.show(), fmt.Sprintf("a string of 1 to %d bytes", most))
+	if !ok || value.kind != 's' || len(value.text) > most || (required && value.text == "") {
+		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a string of 1 to %d bytes", most))
 		return ""
 	}
-	return t.str
+	return value.text
 }
 
-// Number reads a number from least to most, or def where it is absent.
+// Number reads a number from least to most. It returns def if the field is absent or invalid.
 func (d *Decoder) Number(key string, def, least, most float64) float64 {
-	t, ok := d.find(key)
+	value, ok := d.lookup(key)
 	if !ok {
 		return def
 	}
-	n, err := strconv.ParseFloat(t.str, 64)
-	if t.kind != 'n' || err != nil || n < least || n > most {
-		d.AddViolation(d.FieldPath(key), t.show(), fmt.Sprintf("a number from %g to %g", least, most))
+	n, err := strconv.ParseFloat(value.text, 64)
+	if value.kind != 'n' || err != nil || n < least || n > most {
+		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a number from %g to %g", least, most))
 		return def
 	}
 	return n
 }
 
-// Int reads a whole number from least to most, or def where it is absent.
+// Int reads a whole number from least to most. It returns def if the field is absent or invalid.
 func (d *Decoder) Int(key string, def, least, most int) int {
 	f := d.Number(key, float64(def), float64(least), float64(most))
 	if f != float64(int(f)) {
@@ -80,62 +84,62 @@
 	return int(f)
 }
 
-// Bool reads true or false, or def where it is absent.
+// Bool reads true or false. It returns def if the field is absent.
 func (d *Decoder) Bool(key string, def bool) bool {
-	t, ok := d.find(key)
+	value, ok := d.lookup(key)
 	if !ok {
 		return def
 	}
-	if t.kind != 'b' {
-		d.AddViolation(d.FieldPath(key), t.show(), "true or false")
+	if value.kind != 'b' {
+		d.AddViolation(d.FieldPath(key), value.describe(), "true or false")
 	}
-	return t.str == "true"
+	return value.text == "true"
 }
 
-// Object reads an object; an absent one has no fields.
+// Object returns a decoder of a nested object. An absent object reads as one without fields.
 func (d *Decoder) Object(key string) *Decoder {
-	t, ok := d.find(key)
-	if ok && t.kind != 'o' {
-		d.AddViolation(d.FieldPath(key), t.show(), "an object")
+	value, ok := d.lookup(key)
+	if ok && value.kind != 'o' {
+		d.AddViolation(d.FieldPath(key), value.describe(), "an object")
 	}
-	return &Decoder{path: d.FieldPath(key), t: t, used: map[string]bool{}, violations: d.violations}
+	return &Decoder{path: d.FieldPath(key), value: value, used: map[string]bool{}, violations: d.violations}
 }
 
-// List reads a list of min to max elements; an absent one is empty.
+// List returns the decoders of the elements of a list of least to most elements. An absent list reads as an empty one.
 func (d *Decoder) List(key string, least, most int) []*Decoder {
-	t, _ := d.find(key)
-	if len(t.kids) < least || len(t.kids) > most || (t.kind != 'a' && t.kind != 0) {
-		d.AddViolation(d.FieldPath(key), t.show(), fmt.Sprintf("a list of %d to %d", least, most))
+	value, _ := d.lookup(key)
+	if len(value.values) < least || len(value.values) > most || (value.kind != 'a' && value.kind != 0) {
+		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a list of %d to %d", least, most))
 		return nil
 	}
-	var subs []*Decoder
-	for i, kid := range t.kids {
-		subs = append(subs, &Decoder{path: fmt.Sprintf("%s[%d]", d.FieldPath(key), i), t: kid, used: map[string]bool{}, violations: d.violations})
+	var elements []*Decoder
+	for i, element := range value.values {
+		elements = append(elements, &Decoder{path: fmt.Sprintf("%s[%d]", d.FieldPath(key), i), value: element, used: map[string]bool{}, violations: d.violations})
 	}
-	return subs
+	return elements
 }
 
-// StringElement reads a list's element that is a string of 1 to max bytes.
+// StringElement reads the value itself, an element of a list, as a string of 1 to most bytes.
 func (d *Decoder) StringElement(most int) string {
-	if d.t.kind != 's' || d.t.str == "" || len(d.t.str) > most {
-		d.AddViolation(d.path, d.t.show(), fmt.Sprintf("a string of 1 to %d bytes", most))
+	if d.value.kind != 's' || d.value.text == "" || len(d.value.text) > most {
+		d.AddViolation(d.path, d.value.describe(), fmt.Sprintf("a string of 1 to %d bytes", most))
 	}
-	return d.t.str
+	return d.value.text
 }
 
-// Close adds a violation for each field that was not read.
+// Close adds a violation for each field that was not read, and one if the value is not an object.
 func (d *Decoder) Close() {
-	if d.t.kind != 'o' && d.t.kind != 0 {
-		d.AddViolation(d.path, d.t.show(), "an object")
+	if d.value.kind != 'o' && d.value.kind != 0 {
+		d.AddViolation(d.path, d.value.describe(), "an object")
 	}
-	for _, k := range d.t.keys {
+	for _, k := range d.value.keys {
 		if !d.used[k] {
 			d.AddViolation(d.FieldPath(k), "unknown", "a known field")
 		}
 	}
 }
 
-// Err is an *InvalidError with all violations so far, or nil.
+// Err returns an *InvalidError with all violations so far, or nil if there are none.
 func (d *Decoder) Err() error {
 	if len(*d.violations) == 0 {
 		return nil
--- a/config/encoding.go
+++ b/config/encoding.go
@@ -7,8 +7,8 @@
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
-// The types of this file are what a snapshot is sent as to programs that follow a node. Their field names are a format and stay as they
-// are.
+// The types in this file are the encoded form of a snapshot, as a node sends it to programs that follow it. Their field names are part of
+// the format and must not change.
 
 type encodedReplica struct {
 	Name, Addr, Domain, Role string
@@ -143,15 +143,15 @@
 	}
 }
 
-// EncodedSnapshot is a Snapshot as it is sent.
+// EncodedSnapshot is the encoded form of a Snapshot.
 type EncodedSnapshot struct {
 	Mark    uint64
 	Charter encodedConfig
 	Emptied []string
 }
 
-// EncodeSnapshot gives the encoded form of a snapshot; nil for nil. The form has no place for tenants, so routes that need a tenant's key
-// are left out: a program that follows a node finds no route rather than one that is open to anybody.
+// EncodeSnapshot returns the encoded form of a snapshot; nil for nil. The encoded form contains no tenants, so routes that need a tenant's
+// key are omitted: a program that follows a node must find no route rather than one that is open to everyone.
 func EncodeSnapshot(s *Snapshot) *EncodedSnapshot {
 	if s == nil {
 		return nil
@@ -163,7 +163,7 @@
 	return &EncodedSnapshot{Mark: s.Version, Charter: encodeConfig(c), Emptied: s.EvacuatedZones}
 }
 
-// Decode gives the snapshot of an encoded form; nil for nil.
+// Decode returns the snapshot of an encoded form; nil for nil.
 func (f *EncodedSnapshot) Decode() *Snapshot {
 	if f == nil {
 		return nil
--- a/config/read.go
+++ b/config/read.go
@@ -1,146 +1,131 @@
 package config
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
-	"io"
-	"strconv"
-	"strings"
+	"net/netip"
+	"time"
+)
+
+// MaxDocumentBytes is the maximum size of a document.
+const MaxDocumentBytes = 1 << 20
 
-	"github.com/gravitational/trace"
+// Limits on the parts of a document.
+const (
+	maxNameBytes = 64
+	maxServices  = 256
+	maxReplicas  = 4096
+	maxClasses   = 64
 )
 
-// Violation is one thing wrong with a document: where, what stands there, and what it must be.
-type Violation struct {
-	// Path is as in "$.services[0].name".
-	Path        string `json:"path"`
-	Value       string `json:"value"`
-	Requirement string `json:"bound"`
+// readMillis reads a whole number of milliseconds between least and most.
+func readMillis(d *Decoder, key string, def, least, most int) time.Duration {
+	return time.Duration(d.Int(key, def, least, most)) * time.Millisecond
 }
 
-func (f Violation) String() string {
-	return fmt.Sprintf("%s: %s: must be %s", f.Path, f.Value, f.Requirement)
+// Read reads and validates a document in the product's own JSON format. Its errors are *InvalidError: if the document is a
+// JSON object, they list all violations.
+func Read(raw []byte) (Config, error) {
+	var c Config
+	if len(raw) > MaxDocumentBytes {
+		return c, newInvalidError("$", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
+	}
+	d, err := NewDecoder(raw)
+	if err != nil {
+		return c, err
+	}
+	c.ReplaceVoterAfter = readReplaceVoter(d)
+	services, replicas := map[string]bool{}, map[string]bool{}
+	for _, s := range d.List(servicesField, 1, maxServices) {
+		c.Services = append(c.Services, readService(s, services, replicas))
+	}
+	d.Close()
+	if err = d.Err(); err != nil {
+		return Config{}, err
+	}
+	return c, nil
 }
 
-// InvalidError is a document that cannot be taken, with all violations that were found.
-type InvalidError struct {
-	Violations []Violation
+func readReplaceVoter(d *Decoder) time.Duration {
+	return readMillis(d, replaceVoterField, 0, 0, 86400000)
 }
 
-func (e *InvalidError) Error() string {
-	lines := make([]string, len(e.Violations))
-	for i, f := range e.Violations {
-		lines[i] = f.String()
+func readService(d *Decoder, services, replicas map[string]bool) Service {
+	var service Service
+	service.Name = readUniqueName(d, "name", services)
+	service.Model = d.String("model", true, maxNameBytes)
+	for _, r := range d.List("replicas", 1, maxReplicas) {
+		service.Replicas = append(service.Replicas, readReplica(r, replicas))
+	}
+	classes := map[string]bool{}
+	for _, c := range d.List("kinds", 1, maxClasses) {
+		service.Classes = append(service.Classes, readRequestClass(c, classes))
 	}
-	return strings.Join(lines, "; ")
+	readWarmUp(d.Object("cold"), &service)
+	readRetries(d.Object("secondGo"), &service)
+	readEstimate(d.Object("estimate"), &service)
+	service.MaxPredictionTTL = readMillis(d, "staleCapMs", 2000, 100, 2000)
+	service.PrefixCacheTokens = d.Int("keepTokens", 65536, 0, 1<<30)
+	service.CrossZoneCost = d.Number("crossCost", 0.2, 0, 100)
+	d.Close()
+	return service
 }
 
-func flawed(path, val, bound string) error {
-	return trace.Wrap(&InvalidError{Violations: []Violation{{Path: path, Value: val, Requirement: bound}}})
+func readWarmUp(d *Decoder, service *Service) {
+	service.WarmupCapacity = d.Int("startRoom", 1, 1, 1024)
+	service.SlowStart = readMillis(d, "rampMs", 6000, 0, 600000)
+	d.Close()
 }
 
-// tree is a JSON value as it was written, with doubled keys refused.
-type tree struct {
-	kind byte
-	str  string
-	keys []string
-	kids []tree
+func readRetries(d *Decoder, service *Service) {
+	service.RetryRatio = d.Number("share", 0.2, 0, 0.2)
+	service.RetryAllowance = d.Int("allowance", 24, 0, 48)
+	d.Close()
 }
 
-const maxDepth = 16
-
-func parse(raw []byte) (tree, error) {
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber()
-	t, err := grow(dec, "$", 0)
-	if err != nil {
-		return tree{}, err
-	}
-	if _, end := dec.Token(); end != io.EOF {
-		return tree{}, flawed("$", "more after the value", "one JSON value")
-	}
-	return t, nil
-}
-
-func grow(dec *json.Decoder, path string, depth int) (tree, error) {
-	var t tree
-	if depth > maxDepth {
-		return t, flawed(path, "nested", fmt.Sprintf("at most %d deep", maxDepth))
-	}
-	tok, err := dec.Token()
-	if err != nil {
-		return t, flawed(path, err.Error(), "JSON")
-	}
-	switch v := tok.(type) {
-	case json.Delim:
-		if v == '{' {
-			return growObject(dec, path, depth)
-		}
-		return growList(dec, path, depth)
-	case string:
-		return tree{kind: 's', str: v}, nil
-	case json.Number:
-		return tree{kind: 'n', str: v.String()}, nil
-	case bool:
-		return tree{kind: 'b', str: strconv.FormatBool(v)}, nil
-	}
-	return tree{kind: '0', str: "null"}, nil
+func readEstimate(d *Decoder, service *Service) {
+	service.BaseLatency = readMillis(d, "baseMs", 60, 0, 60000)
+	service.LatencyPerToken = time.Duration(d.Int("perTokenUs", 200, 0, 1000000)) * time.Microsecond
+	d.Close()
 }
 
-func growObject(dec *json.Decoder, path string, depth int) (tree, error) {
-	var t tree
-	t.kind = 'o'
-	seen := map[string]bool{}
-	for dec.More() {
-		tok, err := dec.Token()
-		if err != nil {
-			return t, flawed(path, err.Error(), "JSON")
-		}
-		key, _ := tok.(string)
-		if seen[key] {
-			return t, flawed(path+"."+key, "twice", "named once")
-		}
-		seen[key] = true
-		kid, err := grow(dec, path+"."+key, depth+1)
-		if err != nil {
-			return t, err
-		}
-		t.keys, t.kids = append(t.keys, key), append(t.kids, kid)
-	}
-	if _, err := dec.Token(); err != nil {
-		return t, flawed(path, err.Error(), "JSON")
+// readUniqueName reads a name that must not occur in seen, and adds it to seen.
+func readUniqueName(d *Decoder, key string, seen map[string]bool) string {
+	name := d.String(key, true, maxNameBytes)
+	if name != "" && seen[name] {
+		d.AddViolation(d.FieldPath(key), name, "named once")
 	}
-	return t, nil
+	seen[name] = true
+	return name
 }
 
-func growList(dec *json.Decoder, path string, depth int) (tree, error) {
-	var t tree
-	t.kind = 'a'
-	for dec.More() {
-		kid, err := grow(dec, fmt.Sprintf("%s[%d]", path, len(t.kids)), depth+1)
-		if err != nil {
-			return t, err
-		}
-		t.kids = append(t.kids, kid)
+func readReplica(d *Decoder, seen map[string]bool) Replica {
+	var r Replica
+	r.Name = readUniqueName(d, "name", seen)
+	r.Addr = d.String("addr", true, maxNameBytes)
+	if _, err := netip.ParseAddrPort(r.Addr); err != nil && r.Addr != "" {
+		d.AddViolation(d.FieldPath("addr"), r.Addr, "an IP number and port")
 	}
-	if _, err := dec.Token(); err != nil {
-		return t, flawed(path, err.Error(), "JSON")
+	r.Zone = d.String("domain", true, maxNameBytes)
+	r.Capacity = d.Int("room", 8, 1, 4096)
+	r.Role = d.String("role", false, maxNameBytes)
+	switch r.Role {
+	case "":
+		r.Role = "both"
+	case "both", "prefill", "decode":
+	default:
+		d.AddViolation(d.FieldPath("role"), r.Role, "both, prefill or decode")
 	}
-	return t, nil
+	d.Close()
+	return r
 }
 
-func (t tree) show() string {
-	switch t.kind {
-	case 0:
-		return "missing"
-	case 'o':
-		return fmt.Sprintf("object of %d", len(t.keys))
-	case 'a':
-		return fmt.Sprintf("list of %d", len(t.kids))
-	}
-	if len(t.str) > 40 {
-		return strconv.Quote(t.str[:40]) + "..."
-	}
-	return strconv.Quote(t.str)
+func readRequestClass(d *Decoder, seen map[string]bool) RequestClass {
+	var class RequestClass
+	class.Name = readUniqueName(d, "name", seen)
+	class.Value = d.Number("value", 1, 0.001, 1e6)
+	class.Urgency = d.Number("urgency", 1, 0.001, 1e3)
+	class.FirstTokenTarget = readMillis(d, "firstTokenMs", 2000, 10, 600000)
+	class.Idempotent = d.Bool("repeatable", false)
+	d.Close()
+	return class
 }
--- a/config/split.go
+++ b/config/split.go
@@ -6,233 +6,243 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// ListItem is one object of a list of a document. Documents that were split one after the other share items whose bytes are the same, so
-// what was read of an item need not be read again: Route and Service are for whoever reads such, and nil until then.
+// ListItem is an object in a list of a document. Successive documents share the items whose bytes are equal, so that such an item is parsed
+// only once: Route and Service cache the result of parsing it and are nil until then.
 type ListItem struct {
-	Raw        []byte
-	Route      *Route
-	Service    *Service
+	Raw     []byte
+	Route   *Route
+	Service *Service
+	// generation is the number of the last call of SplitCache.Routes that returned the item.
 	generation uint64
 }
 
-// Field is one field of a document's object. List tells that its value is a list of nothing but objects; these are its Items.
+// Field is a field of a document's top-level object.
 type Field struct {
 	Name  string
 	Value []byte
+	// List is set if the value is a list that contains only objects. Items are these objects.
 	List  bool
 	Items []*ListItem
 }
 
-// Document is a document in parts.
+// Document is a document that was split into its top-level fields.
 type Document struct {
 	raw    []byte
 	Fields []Field
 }
 
-// Field finds a field by its name.
-func (s *Document) Field(name string) *Field {
-	for i := range s.Fields {
-		if s.Fields[i].Name == name {
-			return &s.Fields[i]
+// Field returns the field with the given name, nil if there is none.
+func (d *Document) Field(name string) *Field {
+	for i := range d.Fields {
+		if d.Fields[i].Name == name {
+			return &d.Fields[i]
 		}
 	}
 	return nil
 }
 
-// SplitCache remembers the document that was split and read last. One that is like it is split by comparing bytes, and only the items that
-// differ are read. It has one owner.
+// SplitCache splits successive documents into fields and list items. It compares each document with the previous one byte by byte, so that
+// only the items that differ are parsed. It is not safe for concurrent use.
 type SplitCache struct {
-	last   *Document
-	routes remembered
+	previous *Document
+	routes   routeCache
 }
 
-// scanner walks over a document whose parts are known from the last one, or read anew.
-type scanner struct {
-	memo *SplitCache
-	raw  []byte
-	at   int
-	good bool
+// documentScanner splits a document and reuses the items of the previous document in cache.
+type documentScanner struct {
+	cache  *SplitCache
+	raw    []byte
+	offset int
+	// ok is false once the document turned out to be malformed.
+	ok bool
 }
 
-// Split divides a document, or tells that it can't: it is no JSON object, or names a field twice.
-func (m *SplitCache) Split(raw []byte) (*Document, bool) {
-	if m.last != nil && len(raw) > 0 && len(m.last.raw) == len(raw) && &m.last.raw[0] == &raw[0] {
-		return m.last, true
+// Split splits a document. It returns false if the document is not a JSON object or contains a field twice.
+func (c *SplitCache) Split(raw []byte) (*Document, bool) {
+	if c.previous != nil && len(raw) > 0 && len(c.previous.raw) == len(raw) && &c.previous.raw[0] == &raw[0] {
+		return c.previous, true
 	}
-	scan := &scanner{memo: m, raw: raw, good: true}
-	s := &Document{raw: raw}
-	scan.object(s)
-	if !scan.good {
+	scanner := &documentScanner{cache: c, raw: raw, ok: true}
+	doc := &Document{raw: raw}
+	scanner.readObject(doc)
+	if !scanner.ok {
 		return nil, false
 	}
-	m.last = s
-	return s, true
+	c.previous = doc
+	return doc, true
 }
 
-func (c *scanner) space() {
-	for c.at < len(c.raw) {
-		switch c.raw[c.at] {
+func (s *documentScanner) skipSpace() {
+	for s.offset < len(s.raw) {
+		switch s.raw[s.offset] {
 		case ' ', '\t', '\r', '\n':
-			c.at++
+			s.offset++
 		default:
 			return
 		}
 	}
 }
 
-// take reads one byte after any space.
-func (c *scanner) take(b byte) bool {
-	c.space()
-	if c.at >= len(c.raw) || c.raw[c.at] != b {
+// consume skips white space and the byte b. It returns false if another byte follows.
+func (s *documentScanner) consume(b byte) bool {
+	s.skipSpace()
+	if s.offset >= len(s.raw) || s.raw[s.offset] != b {
 		return false
 	}
-	c.at++
+	s.offset++
 	return true
 }
 
-// value reads one whole JSON value.
-func (c *scanner) value() []byte {
-	c.space()
-	dec := jsontext.NewDecoder(bytes.NewBuffer(c.raw[c.at:]))
+// readValue reads one complete JSON value.
+func (s *documentScanner) readValue() []byte {
+	s.skipSpace()
+	dec := jsontext.NewDecoder(bytes.NewBuffer(s.raw[s.offset:]))
 	value, err := dec.ReadValue()
 	if err != nil {
-		c.good = false
+		s.ok = false
 		return nil
 	}
-	c.at += int(dec.InputOffset())
+	s.offset += int(dec.InputOffset())
 	return value
 }
 
-func (c *scanner) object(s *Document) {
-	c.good = c.take('{')
-	if c.good && c.take('}') {
-		c.end()
+// readObject reads the whole document into doc.
+func (s *documentScanner) readObject(doc *Document) {
+	s.ok = s.consume('{')
+	if s.ok && s.consume('}') {
+		s.readEnd()
 		return
 	}
 	seen := map[string]bool{}
-	for c.good {
-		f := c.field()
-		if c.good = c.good && !seen[f.Name]; !c.good {
+	for s.ok {
+		f := s.readField()
+		if s.ok = s.ok && !seen[f.Name]; !s.ok {
 			return
 		}
 		seen[f.Name] = true
-		s.Fields = append(s.Fields, f)
-		if c.take('}') {
+		doc.Fields = append(doc.Fields, f)
+		if s.consume('}') {
 			break
 		}
-		c.good = c.take(',')
+		s.ok = s.consume(',')
 	}
-	c.end()
+	s.readEnd()
 }
 
-func (c *scanner) end() {
-	c.space()
-	c.good = c.good && c.at == len(c.raw)
+// readEnd checks that nothing but white space follows.
+func (s *documentScanner) readEnd() {
+	s.skipSpace()
+	s.ok = s.ok && s.offset == len(s.raw)
 }
 
-func (c *scanner) field() Field {
-	quoted := c.value()
+func (s *documentScanner) readField() Field {
+	quoted := s.readValue()
 	var f Field
-	if !c.good || len(quoted) == 0 || quoted[0] != '"' {
-		c.good = false
+	if !s.ok || len(quoted) == 0 || quoted[0] != '"' {
+		s.ok = false
 		return f
 	}
 	name, err := jsontext.AppendUnquote(nil, quoted)
-	if c.good = err == nil && c.take(':'); !c.good {
+	if s.ok = err == nil && s.consume(':'); !s.ok {
 		return f
 	}
 	f.Name = string(name)
-	c.space()
-	from := c.at
-	if c.at < len(c.raw) && c.raw[c.at] == '[' {
-		if f.Items, f.List = c.list(f.Name); f.List {
-			f.Value = c.raw[from:c.at]
+	s.skipSpace()
+	from := s.offset
+	if s.offset < len(s.raw) && s.raw[s.offset] == '[' {
+		if f.Items, f.List = s.readList(f.Name); f.List {
+			f.Value = s.raw[from:s.offset]
 			return f
 		}
-		c.at = from
+		s.offset = from
 	}
-	f.Value = c.value()
+	f.Value = s.readValue()
 	return f
 }
 
-// list is a list of objects as it is read: before are the items that the last document's list of that name had, of which most are
-// expected again, in the same order but for some that were replaced, added or removed.
-type list struct {
-	before []*ListItem
-	next   int
+// listScan is the state of reading a list of objects. Most of its items are expected to equal those of the previous document's list, in the
+// same order, except for a few that were replaced, added or removed.
+type listScan struct {
+	// previous are the items of the previous document's list of the same name, and next is the index of the one that is expected next.
+	previous []*ListItem
+	next     int
+	// misses is the number of items that were not found at next.
 	misses int
-	places map[string]int
+	// indexByContent maps the bytes of each previous item to its index. It is built after maxSequentialMisses misses.
+	indexByContent map[string]int
 }
 
-// missesMost is how many items may be new before all of the last document's are looked up by their bytes.
-const missesMost = 8
+// maxSequentialMisses is how many items are taken to be new before items are also looked up by their bytes among all previous ones.
+const maxSequentialMisses = 8
 
-// list reads the items; it gives up where something else than objects stands in the list.
-func (c *scanner) list(name string) ([]*ListItem, bool) {
-	l := &list{}
-	if c.memo.last != nil {
-		if f := c.memo.last.Field(name); f != nil {
-			l.before = f.Items
+// readList reads the items of the list in the field with the given name. It returns false if the list contains anything but objects.
+func (s *documentScanner) readList(name string) ([]*ListItem, bool) {
+	l := &listScan{}
+	if s.cache.previous != nil {
+		if f := s.cache.previous.Field(name); f != nil {
+			l.previous = f.Items
 		}
 	}
-	items := make([]*ListItem, 0, len(l.before)+1)
-	c.at++
-	if c.take(']') {
+	items := make([]*ListItem, 0, len(l.previous)+1)
+	s.offset++
+	if s.consume(']') {
 		return items, true
 	}
 	for {
-		it := c.item(l)
+		it := s.readItem(l)
 		if it == nil {
 			return nil, false
 		}
 		items = append(items, it)
-		if c.take(']') {
+		if s.consume(']') {
 			return items, true
 		}
-		if !c.take(',') {
+		if !s.consume(',') {
 			return nil, false
 		}
 	}
 }
 
-// item reads the next object: the one that followed in the last document, the one after that, another of them, or a new one.
-func (c *scanner) item(l *list) *ListItem {
-	c.space()
-	if c.at >= len(c.raw) || c.raw[c.at] != '{' {
+// readItem reads the next object. It first compares it with the two items that may follow in the previous document, because one may have been
+// removed, and then looks it up among all previous items. It returns nil if no valid object follows.
+func (s *documentScanner) readItem(l *listScan) *ListItem {
+	s.skipSpace()
+	if s.offset >= len(s.raw) || s.raw[s.offset] != '{' {
 		return nil
 	}
-	for i := l.next; i < min(l.next+2, len(l.before)); i++ {
-		if raw := l.before[i].Raw; bytes.HasPrefix(c.raw[c.at:], raw) {
-			c.at += len(raw)
+	for i := l.next; i < min(l.next+2, len(l.previous)); i++ {
+		if raw := l.previous[i].Raw; bytes.HasPrefix(s.raw[s.offset:], raw) {
+			s.offset += len(raw)
 			l.next = i + 1
-			return l.before[i]
+			return l.previous[i]
 		}
 	}
-	value := c.value()
-	if !c.good {
-		c.good = true
+	value := s.readValue()
+	if !s.ok {
+		s.ok = true
 		return nil
 	}
-	if it := l.known(value); it != nil {
+	if it := l.lookup(value); it != nil {
 		return it
 	}
 	return &ListItem{Raw: bytes.Clone(value)}
 }
 
-func (l *list) known(raw []byte) *ListItem {
-	if l.misses++; l.misses <= missesMost {
+// lookup returns the previous item with the given bytes, nil if there is none or there were few misses so far.
+func (l *listScan) lookup(raw []byte) *ListItem {
+	if l.misses++; l.misses <= maxSequentialMisses {
 		return nil
 	}
-	if l.places == nil {
-		l.places = make(map[string]int, len(l.before))
-		for i, it := range l.before {
-			l.places[string(it.Raw)] = i
+	if l.indexByContent == nil {
+		l.indexByContent = make(map[string]int, len(l.previous))
+		for i, it := range l.previous {
+			l.indexByContent[string(it.Raw)] = i
 		}
 	}
-	at, ok := l.places[string(raw)]
+	i, ok := l.indexByContent[string(raw)]
 	if !ok {
 		return nil
 	}
-	l.next = at + 1
-	return l.before[at]
+	l.next = i + 1
+	return l.previous[i]
 }
--- a/config/splitcache.go
+++ b/config/splitcache.go
@@ -1,36 +1,38 @@
 package config
 
-// routeKey is what no two routes may share.
-type routeKey struct{ host, prefix string }
+// routeMatch is the condition for a request to belong to a route. It must be unique.
+type routeMatch struct{ host, prefix string }
 
-// remembered are the routes that were read last, by what must not occur twice.
-type remembered struct {
+// routeCache contains the routes that Routes returned last and counts what must be unique among them.
+type routeCache struct {
+	// generation is the number of calls of Routes.
 	generation uint64
 	items      []*ListItem
+	// names and matches are the numbers of routes with each name and match, and duplicates is how many of these numbers are above 1.
 	names      map[string]int
-	places     map[routeKey]int
-	twice      int
+	matches    map[routeMatch]int
+	duplicates int
 }
 
-// ForgetRoutes has all items read anew.
-func (m *SplitCache) ForgetRoutes() {
-	m.routes = remembered{generation: m.routes.generation}
-	if m.last == nil {
+// ForgetRoutes discards all parsed routes, so that every item is parsed again.
+func (c *SplitCache) ForgetRoutes() {
+	c.routes = routeCache{generation: c.routes.generation}
+	if c.previous == nil {
 		return
 	}
-	for _, f := range m.last.Fields {
+	for _, f := range c.previous.Fields {
 		for _, it := range f.Items {
 			it.Route = nil
 		}
 	}
 }
 
-// Routes are those of a list's items; read is called for items that weren't read before. It gives up where one can't be read, or two
-// have the same name, or host and prefix.
-func (m *SplitCache) Routes(items []*ListItem, read func(raw []byte) (Route, bool)) ([]Route, bool) {
-	r := &m.routes
+// Routes returns the routes of a list's items. It calls read for the items that were not parsed before. It returns false if read does, or
+// if two routes have the same name or the same host and prefix.
+func (c *SplitCache) Routes(items []*ListItem, read func(raw []byte) (Route, bool)) ([]Route, bool) {
+	r := &c.routes
 	if r.names == nil {
-		r.names, r.places = map[string]int{}, map[routeKey]int{}
+		r.names, r.matches = map[string]int{}, map[routeMatch]int{}
 	}
 	old := r.items
 	r.generation, r.items = r.generation+1, nil
@@ -38,71 +40,72 @@
 	var added []*ListItem
 	for _, it := range items {
 		if it.generation == r.generation {
-			return nil, m.giveUp()
+			return nil, c.discardRoutes()
 		}
 		if it.generation != r.generation-1 || it.Route == nil || old == nil {
 			added = append(added, it)
 		}
 		it.generation = r.generation
 		if !it.readRoute(read) {
-			return nil, m.giveUp()
+			return nil, c.discardRoutes()
 		}
 		routes = append(routes, *it.Route)
 	}
-	r.recount(old, added)
-	if r.twice > 0 {
-		return nil, m.giveUp()
+	r.updateCounts(old, added)
+	if r.duplicates > 0 {
+		return nil, c.discardRoutes()
 	}
 	r.items = items
 	return routes, true
 }
 
-// readRoute reads the item's route unless it was read before; false where it is invalid.
+// readRoute parses the item's route if it was not parsed before. It returns false if the route is invalid.
 func (it *ListItem) readRoute(read func(raw []byte) (Route, bool)) bool {
 	if it.Route != nil {
 		return true
 	}
-	route, good := read(it.Raw)
-	if good {
+	route, valid := read(it.Raw)
+	if valid {
 		it.Route = &route
 	}
-	return good
+	return valid
 }
 
-// recount takes the items of old that are not of this generation out of the counts, and those of added in.
-func (r *remembered) recount(old, added []*ListItem) {
+// updateCounts subtracts the items of old that are not of this generation from the counts and adds those of added.
+func (r *routeCache) updateCounts(old, added []*ListItem) {
 	for _, it := range old {
 		if it.generation != r.generation {
-			r.count(it, -1)
+			r.adjustCounts(it, -1)
 		}
 	}
 	for _, it := range added {
-		r.count(it, 1)
+		r.adjustCounts(it, 1)
 	}
 }
 
-func (m *SplitCache) giveUp() bool {
-	m.routes = remembered{generation: m.routes.generation}
+// discardRoutes discards the counts, so that the next call of Routes counts anew. It always returns false.
+func (c *SplitCache) discardRoutes() bool {
+	c.routes = routeCache{generation: c.routes.generation}
 	return false
 }
 
-func (r *remembered) count(it *ListItem, by int) {
-	r.twice += step(r.names, it.Route.Name, by) + step(r.places, routeKey{host: it.Route.Host, prefix: it.Route.Prefix}, by)
+func (r *routeCache) adjustCounts(it *ListItem, delta int) {
+	r.duplicates += adjustCount(r.names, it.Route.Name, delta) + adjustCount(r.matches, routeMatch{host: it.Route.Host, prefix: it.Route.Prefix}, delta)
 }
 
-// step counts a key up or down, and tells by how many keys more occur twice or oftener.
-func step[K comparable](counts map[K]int, key K, by int) int {
-	was := counts[key]
-	now := was + by
-	if now == 0 {
+// adjustCount adds delta to the count of a key. It returns the change of the number of keys that occur more than once.
+func adjustCount[K comparable](counts map[K]int, key K, delta int) int {
+	before := counts[key]
+	after := before + delta
+	if after == 0 {
 		delete(counts, key)
 	} else {
-		counts[key] = now
+		counts[key] = after
 	}
 	switch {
-	case was < 2 && now >= 2:
+	case before < 2 && after >= 2:
 		return 1
-	case was >= 2 && now < 2:
+	case before >= 2 && after < 2:
 		return -1
 	}
 	return 0
--- a/config/tenant.go
+++ b/config/tenant.go
@@ -2,28 +2,28 @@
 
 import "crypto/sha256"
 
-// KeyHash is the hash of a tenant's key. Keys themselves are kept nowhere but in the operators' document: what is looked up, sent and logged is
-// their hash, and a look-up by it takes as long whatever part of a key was guessed.
+// KeyHash is the hash of a tenant's key. Only the operators' document contains the keys themselves: look-ups, messages and logs use their
+// hashes. The duration of a look-up by hash does not depend on how much of a key an attacker has guessed.
 type KeyHash [sha256.Size]byte
 
-// HashKey gives the hash of a key.
+// HashKey returns the hash of a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Tenant is a customer, who is known by any of its keys.
+// Tenant is a customer. A request with any of its keys is the tenant's.
 type Tenant struct {
 	Name string
 	Keys []KeyHash
-	// Priority goes before that of the routes where Prioritized; 0 goes first.
+	// Priority replaces the priority of the routes if HasPriority is set; 0 is the most urgent.
 	Priority    int
 	HasPriority bool
-	// Rate a second and Burst on top bound what the tenant's requests may use over all nodes; a Rate of 0 is no bound. They count requests, or
-	// tokens where ByTokens: those of the prompt and the most of the answer, UncachedTokens where a request doesn't say.
+	// Rate (per second) and Burst are the tenant's quota over all nodes; a Rate of 0 means no limit. They count requests, or tokens if ByTokens is
+	// set: the tokens of the prompt plus the maximum number of output tokens. UncachedTokens is used for requests that do not state a number of tokens.
 	Rate, Burst    float64
 	ByTokens       bool
 	UncachedTokens int
 }
 
-// Cost is what a request of so many tokens in all uses of the tenant's quota; 0 tokens: it doesn't say.
+// Cost returns how much of the tenant's quota a request uses. tokens is the request's total number of tokens, 0 if it does not state any.
 func (t *Tenant) Cost(tokens int) float64 {
 	switch {
 	case !t.ByTokens:
@@ -34,7 +34,7 @@
 	return float64(tokens)
 }
 
-// PriorityOf gives the priority of a tenant's requests on a route; the route's own where there is no tenant, or it has none.
+// PriorityOf returns the priority of the tenant's requests on a route. It is the route's priority if t is nil or has no priority of its own.
 func (t *Tenant) PriorityOf(r *Route) int {
 	if t == nil || !t.HasPriority {
 		return r.Priority
--- a/config/tenant_test.go
+++ b/config/tenant_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRoutesThatNeedAKeyAreNotSent: followers know no tenants, so they must not know routes that only tenants may use.
-func TestRoutesThatNeedAKeyAreNotSent(t *testing.T) {
+// Programs that follow a node know no tenants, so they must not get routes that only tenants may use.
+func TestEncodedSnapshotOmitsRoutesThatNeedAKey(t *testing.T) {
 	s := &Snapshot{Version: 3, Config: Config{Routes: []Route{{Name: "keyed"}, {Name: "open", Public: true}}}}
 	names := func(s *Snapshot) []string {
 		var all []string
@@ -16,14 +16,14 @@
 		return all
 	}
 	if got := names(EncodeSnapshot(s).Decode()); !slices.Equal(got, []string{"keyed", "open"}) {
-		t.Errorf("without tenants %v are sent", got)
+		t.Errorf("without tenants, the encoded routes are %v", got)
 	}
 	s.Config.Tenants = []Tenant{{Name: "a"}}
 	if got := names(EncodeSnapshot(s).Decode()); !slices.Equal(got, []string{"open"}) {
-		t.Errorf("with tenants %v are sent", got)
+		t.Errorf("with tenants, the encoded routes are %v", got)
 	}
 	if got := names(s); len(got) != 2 {
-		t.Errorf("the snapshot itself has %v left", got)
+		t.Errorf("the snapshot itself was changed: its routes are %v", got)
 	}
 }
 
