--- a/cmd/mallowbridge/capacity.go
+++ b/cmd/mallowbridge/capacity.go
@@ -11,25 +11,26 @@
 	"github.com/mallowbridge/mallowbridge/capacity"
 )
 
-func measureCapacity(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("capacity", "Run fleets of several sizes in one process and fit lines through their state, messages, bytes and CPU time.").Alias("slopes")
-	dir := c.Flag("out", "Directory for points and fits (CSV) and plots (SVG).").Default("docs/capacity").String()
-	sizes := c.Flag("nodes", "Sizes of the sweep called fleet.").Default("16", "24", "48", "96", "185", "370").Float64List()
-	names := c.Flag("sweep", "Sweep, instead of all: fleet, nodes, replicas, requests, changes, config, distance, prefixes, sessions, tenants, evicting, remembered.").Strings()
-	cores := c.Flag("cores", "Cores to be used at once.").Default("3").Int()
-	reload := c.Flag("again", "Run nothing; fit and draw the points that are in the directory.").Bool()
+// addCapacityCommand adds the command that measures how the cost of a fleet grows with its size.
+func addCapacityCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("capacity", "Run fleets of several sizes in one process and fit lines to their state, messages, bytes and CPU time.").Alias("slopes")
+	dir := c.Flag("out", "Directory for measured points and fits (CSV) and plots (SVG).").Default("docs/capacity").String()
+	sizes := c.Flag("nodes", "Numbers of nodes in the sweep fleet.").Default("16", "24", "48", "96", "185", "370").Float64List()
+	names := c.Flag("sweep", "Sweep to run instead of all: fleet, nodes, replicas, requests, changes, config, distance, prefixes, sessions, tenants, evicting, remembered.").Strings()
+	cores := c.Flag("cores", "Maximum number of CPU cores to use at once.").Default("3").Int()
+	redrawOnly := c.Flag("again", "Measure nothing: repeat the fits and plots for the points in the directory.").Bool()
 	cmds["capacity"] = func(_ io.Reader, out io.Writer) error {
 		runtime.GOMAXPROCS(*cores)
-		some, err := capacity.Choose(capacity.Sweeps(*sizes), *names)
+		sweeps, err := capacity.Choose(capacity.Sweeps(*sizes), *names)
 		if err != nil {
 			return err
 		}
-		if *reload {
-			return redraw(*dir, some)
+		if *redrawOnly {
+			return redrawSweeps(*dir, sweeps)
 		}
-		fmt.Fprintf(out, "a connection's coders hold %d bytes; its first frames cost %d bytes more than later ones\n", capacity.ConnBytes(), capacity.Opening())
-		for _, s := range some {
-			if err = sweep(out, *dir, s); err != nil {
+		fmt.Fprintf(out, "the encoder and decoder of a connection use %d bytes; its first frames are %d bytes longer than later ones\n", capacity.ConnBytes(), capacity.Opening())
+		for _, s := range sweeps {
+			if err = runSweep(out, *dir, s); err != nil {
 				return err
 			}
 		}
@@ -37,18 +38,20 @@
 	}
 }
 
-func sweep(out io.Writer, dir string, s capacity.Sweep) error {
+// runSweep measures the points of a sweep, prints its progress and saves the results.
+func runSweep(out io.Writer, dir string, s capacity.Sweep) error {
 	fmt.Fprintf(out, "%s: %s\n", s.Name, s.Axis)
-	from := time.Now()
+	start := time.Now()
 	return s.Run(func(x float64, note string, ps []capacity.Point) error {
-		fmt.Fprintf(out, "  %g: %s (%s)\n", x, note, time.Since(from).Round(time.Second))
-		from = time.Now()
+		fmt.Fprintf(out, "  %g: %s (%s)\n", x, note, time.Since(start).Round(time.Second))
+		start = time.Now()
 		return capacity.Save(dir, s, ps)
 	})
 }
 
-func redraw(dir string, some []capacity.Sweep) error {
-	for _, s := range some {
+// redrawSweeps repeats the fits and plots for the saved points of sweeps.
+func redrawSweeps(dir string, sweeps []capacity.Sweep) error {
+	for _, s := range sweeps {
 		ps, err := capacity.Load(dir, s)
 		if err != nil {
 			return err
--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -22,40 +22,41 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func daemons(app *kingpin.Application, cmds map[string]command) {
+// addDaemonCommands adds the commands that run a node of the product's own interface, with or without a disk.
+func addDaemonCommands(app *kingpin.Application, cmds map[string]command) {
 	for _, r := range []struct{ role, help string }{
-		{"core", "Run a node with a disk: it may vote on the configuration, and routes too."},
-		{"edge", "Run a node without a disk: it routes."},
+		{"core", "Run a node with a disk, which can be a voter on the configuration and routes requests."},
+		{"edge", "Run a node without a disk, which only routes requests."},
 	} {
 		role := r.role
 		c := app.Command(role, r.help)
 		var s daemon.Settings
-		file := c.Flag("settings", "Settings file (JSON); flags go on top of it.").Short('s').String()
-		c.Flag("name", "Name of this node, unique in the fleet.").StringVar(&s.Name)
+		file := c.Flag("settings", "Settings file (JSON); flags override it.").Short('s').String()
+		c.Flag("name", "Name of the node, unique in the fleet.").StringVar(&s.Name)
 		c.Flag("listen", "IP:port for the other nodes.").StringVar(&s.Listen)
 		c.Flag("http", "IP:port for clients and operators.").StringVar(&s.HTTP)
-		c.Flag("domain", "Zone this node is in.").StringVar(&s.Zone)
-		c.Flag("seed", "IP:port of another node; give up to three.").StringsVar(&s.Seeds)
+		c.Flag("domain", "Zone of the node.").StringVar(&s.Zone)
+		c.Flag("seed", "IP:port of another node to contact first; can be repeated up to three times.").StringsVar(&s.Seeds)
 		if role == "core" {
-			c.Flag("data", "Data folder.").StringVar(&s.Data)
+			c.Flag("data", "Data directory.").StringVar(&s.Data)
 		}
-		c.Flag("max-body", "Longest request body in bytes (1048576).").IntVar(&s.MaxBody)
-		c.Flag("max-streams", "Most requests at once (1024).").IntVar(&s.MaxStreams)
-		c.Flag("backlog", "Most requests that wait for a replica (256).").IntVar(&s.Backlog)
-		c.Flag("drain-ms", "Longest wait for running streams at a stop (10000).").IntVar(&s.DrainMs)
+		c.Flag("max-body", "Maximum size of a request body in bytes (1048576).").IntVar(&s.MaxBody)
+		c.Flag("max-streams", "Maximum number of concurrent requests (1024).").IntVar(&s.MaxStreams)
+		c.Flag("backlog", "Maximum number of requests that wait for a replica (256).").IntVar(&s.Backlog)
+		c.Flag("drain-ms", "Maximum time in milliseconds to wait for running streams during a shutdown (10000).").IntVar(&s.DrainMs)
 		cmds[role] = func(_ io.Reader, _ io.Writer) error {
 			s.Role = role
-			full, err := merge(*file, s)
+			merged, err := mergeSettings(*file, s)
 			if err != nil {
 				return err
 			}
-			return serve(full)
+			return runDaemon(merged)
 		}
 	}
 }
 
-// merge puts flags on top of the settings file and checks the whole.
-func merge(file string, flags daemon.Settings) (daemon.Settings, error) {
+// mergeSettings overrides the settings file with the flags and validates the result.
+func mergeSettings(file string, flags daemon.Settings) (daemon.Settings, error) {
 	var err error
 	var s daemon.Settings
 	if file != "" {
@@ -84,8 +85,8 @@
 	return daemon.Check(s)
 }
 
-// serve runs a core or edge until a signal, then drains it.
-func serve(s daemon.Settings) error {
+// runDaemon runs a node until it gets a signal, then drains it.
+func runDaemon(s daemon.Settings) error {
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 	lg.Context = log.NewContext(nil).Str("node", s.Name).Value()
 	lis, err := net.Listen("tcp", s.HTTP)
@@ -104,13 +105,13 @@
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
 	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return daemonCounters(h) }}
-	routes := bunrouter.New()
-	ops.Routes(routes)
+	mux := bunrouter.New()
+	ops.Routes(mux)
 	srv := &http.Server{
-		Handler: routes, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10,
+		Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10,
 		ConnContext: h.Gate.ConnContext,
 	}
-	t.Go(func() error { return served(srv.Serve(lis)) })
+	t.Go(func() error { return ignoreServerClosed(srv.Serve(lis)) })
 	lg.Info().Str("listen", s.Listen).Str("http", s.HTTP).Str("domain", s.Zone).Msg("started")
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
@@ -127,7 +128,8 @@
 	return err
 }
 
-// daemonCounters are published as "wire.*", as operators know them, and "orders.*": orders that were not begun.
+// daemonCounters returns the node's counters under their published names: "wire.*" for messages between nodes, and "orders.*" for operator
+// requests that were not started.
 func daemonCounters(h *daemon.Daemon) map[string]uint64 {
 	n := &h.Net.N
 	return map[string]uint64{
@@ -137,8 +139,8 @@
 	}
 }
 
-// served takes a closed server for no error.
-func served(err error) error {
+// ignoreServerClosed returns nil for the error of a server that was closed on purpose.
+func ignoreServerClosed(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
 	}
@@ -146,44 +148,45 @@
 }
 
 const (
-	// retireFor is how long clients are still admitted after /readyz says no, at most a quarter of the drain.
-	retireFor = 1500 * time.Millisecond
-	// unsentFor is how long admitted requests may wait to be sent after that.
-	unsentFor = 3 * time.Second
+	// admitAfterRetire is how long requests are still admitted after /readyz reports that the node is not ready, while clients move to other nodes.
+	// It is at most a quarter of the drain timeout.
+	admitAfterRetire = 1500 * time.Millisecond
+	// maxUnsentWait is how long, after that, the node waits for admitted requests to be sent to replicas.
+	maxUnsentWait = 3 * time.Second
 )
 
-// drain has clients sent elsewhere first, then admits no more, sends what was admitted, gives up leases and room, and waits for the
-// streams.
-func drain(h *daemon.Daemon, g *httpapi.Frontend, reload chan os.Signal, most time.Duration) {
+// drain shuts the node down in order, within the timeout or until a second signal. It first reports that the node is not ready, then
+// stops admitting requests, waits until the admitted ones are sent, gives up leases and capacity, and waits for the running streams.
+func drain(h *daemon.Daemon, g *httpapi.Frontend, signals chan os.Signal, timeout time.Duration) {
 	g.Retire()
-	h.CallBy(context.Background(), daemon.Clock()+retireWithin, control.Retire{})
-	end := time.After(most)
+	h.CallBy(context.Background(), daemon.Clock()+retireTimeout, control.Retire{})
+	deadline := time.After(timeout)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	shut := time.After(min(retireFor, most/4))
-	departed := false
-	for from := time.Now(); ; {
+	stopAdmitting := time.After(min(admitAfterRetire, timeout/4))
+	left := false
+	for stoppedAt := time.Now(); ; {
 		select {
 		case <-tick.C:
-		case <-shut:
+		case <-stopAdmitting:
 			g.StopAdmitting()
-			from = time.Now()
-			shut = nil
-		case <-reload:
+			stoppedAt = time.Now()
+			stopAdmitting = nil
+		case <-signals:
 			return
-		case <-end:
+		case <-deadline:
 			return
 		}
-		if shut != nil {
+		if stopAdmitting != nil {
 			continue
 		}
 		unsent := 0
 		h.Loop.Inspect(func(r *router.Router) { unsent = r.UnsentRequests() })
-		if !departed && (unsent == 0 || time.Since(from) > unsentFor) {
-			departed = true
+		if !left && (unsent == 0 || time.Since(stoppedAt) > maxUnsentWait) {
+			left = true
 			h.Call(control.Leave{})
 		}
-		if departed && g.Running() == 0 {
+		if left && g.Running() == 0 {
 			return
 		}
 	}
--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -15,7 +15,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// LineError is a line of input that cannot be used.
+// LineError is the error for an invalid line of input. Lines are numbered from 1.
 type LineError struct {
 	Line  int
 	Cause error
@@ -23,17 +23,19 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Cause.Error()) }
 
-func tools(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("decide", "Read events as JSON lines and write decisions as JSON lines.")
-	self := c.Flag("self", "Name of this router.").Default("r1").String()
-	domain := c.Flag("domain", "Zone of this router.").Default("a").String()
+// addDecideCommand adds the command that runs a router on events from standard input.
+func addDecideCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("decide", "Read router events as JSON lines and write the router's decisions as JSON lines.")
+	self := c.Flag("self", "Name of the router.").Default("r1").String()
+	domain := c.Flag("domain", "Zone of the router.").Default("a").String()
 	cmds["decide"] = func(in io.Reader, out io.Writer) error { return decide(in, out, *self, *domain) }
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Cause }
 
-// The names in JSON below are published; order is a snapshot, version its version, emptied the evacuated zones.
+// The JSON names below are part of the published format. An "order" event is a snapshot, "mark" its version, and "emptied" the evacuated
+// zones.
 type eventLine struct {
 	AtMs  *int64          `json:"atMs"`
 	Event string          `json:"event"`
@@ -51,14 +53,14 @@
 	router.Decision
 }
 
-// longestLine is in bytes.
-const longestLine = 2 << 20
+// maxLineBytes is the maximum length of an input line.
+const maxLineBytes = 2 << 20
 
-// decide drives a router by the events of in and writes its decisions to out.
+// decide passes the events from in to a router and writes the router's decisions to out.
 func decide(in io.Reader, out io.Writer, self, zone string) error {
 	r := router.New(router.Defaults(self, "0", zone))
 	sc := bufio.NewScanner(in)
-	sc.Buffer(nil, longestLine)
+	sc.Buffer(nil, maxLineBytes)
 	enc := json.NewEncoder(out)
 	n, last := 0, int64(0)
 	for sc.Scan() {
@@ -80,29 +82,29 @@
 	return nil
 }
 
-// TimeError is an event without a time, or with one before Least, in milliseconds.
+// TimeError is the error for an event without a time, or with one before Least, in milliseconds.
 type TimeError struct{ Least int64 }
 
 func (e *TimeError) Error() string {
 	return fmt.Sprintf("atMs: must be a number, at least %d", e.Least)
 }
 
-// readEventLine reads an event and its time, which is not before the last one's.
+// readEventLine parses an event and its time in milliseconds, which must not be before last, the time of the previous event.
 func readEventLine(raw []byte, last int64) (int64, router.Event, error) {
 	var l eventLine
 	var err error
-	if err = strict(raw, &l); err != nil {
+	if err = decodeStrict(raw, &l); err != nil {
 		return 0, nil, err
 	}
 	if l.AtMs == nil || *l.AtMs < last {
 		return 0, nil, &TimeError{Least: last}
 	}
-	ev, err := event(l)
+	ev, err := parseEvent(l)
 	return *l.AtMs, ev, err
 }
 
-// strict reads JSON without unknown fields; nothing reads as an empty object.
-func strict(raw []byte, v any) error {
+// decodeStrict parses JSON and rejects unknown fields. Empty input reads as an empty object.
+func decodeStrict(raw []byte, v any) error {
 	if len(raw) == 0 {
 		raw = []byte("{}")
 	}
@@ -111,47 +113,49 @@
 	return d.Decode(v)
 }
 
-// UnknownEventError names an event that there is not.
+// UnknownEventError is the error for an event whose name does not exist.
 type UnknownEventError struct{ Name string }
 
 func (e *UnknownEventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
-var eventReaders = map[string]func(raw []byte) (router.Event, error){
-	"arrive": read[router.Arrival], "listing": read[router.Listing], "usage": read[router.LoadReport],
-	"routers": read[router.Routers], "feed": read[router.ControlStatus], "leave": read[router.ReadyToSend],
-	"head": read[router.ResponseHead], "piece": read[router.ResponseStarted], "end": read[router.AttemptEnded], "hangup": read[router.ClientDisconnected],
+var eventDecoders = map[string]func(raw []byte) (router.Event, error){
+	"arrive": decodeEvent[router.Arrival], "listing": decodeEvent[router.Listing], "usage": decodeEvent[router.LoadReport],
+	"routers": decodeEvent[router.Routers], "feed": decodeEvent[router.ControlStatus], "leave": decodeEvent[router.ReadyToSend],
+	"head": decodeEvent[router.ResponseHead], "piece": decodeEvent[router.ResponseStarted], "end": decodeEvent[router.AttemptEnded], "hangup": decodeEvent[router.ClientDisconnected],
 }
 
-// event reads an event by its published name.
-func event(l eventLine) (router.Event, error) {
+// parseEvent parses the data of an event according to the event's published name.
+func parseEvent(l eventLine) (router.Event, error) {
 	switch l.Event {
 	case "order":
 		return readSnapshot(l.Data)
 	case "tick":
 		return router.Tick{}, nil
 	}
-	readEvent, known := eventReaders[l.Event]
+	decode, known := eventDecoders[l.Event]
 	if !known {
 		return nil, &UnknownEventError{Name: l.Event}
 	}
-	return readEvent(l.Data)
+	return decode(l.Data)
 }
 
+// readSnapshot parses the data of an "order" event.
 func readSnapshot(raw []byte) (router.Event, error) {
-	var o snapshotLine
+	var line snapshotLine
 	var err error
-	if err = strict(raw, &o); err != nil {
+	if err = decodeStrict(raw, &line); err != nil {
 		return nil, err
 	}
-	c, err := config.Read(o.Config)
+	c, err := config.Read(line.Config)
 	if err != nil {
 		return nil, err
 	}
-	return router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: o.Version, Config: c, EvacuatedZones: o.EvacuatedZones}}, nil
+	return router.SnapshotUpdate{Snapshot: &config.Snapshot{Version: line.Version, Config: c, EvacuatedZones: line.EvacuatedZones}}, nil
 }
 
-func read[T router.Event](raw []byte) (router.Event, error) {
+// decodeEvent parses the data of an event of type T.
+func decodeEvent[T router.Event](raw []byte) (router.Event, error) {
 	var v T
-	err := strict(raw, &v)
+	err := decodeStrict(raw, &v)
 	return v, err
 }
--- a/cmd/mallowbridge/node.go
+++ b/cmd/mallowbridge/node.go
@@ -27,37 +27,41 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func nodes(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("node", "Run a node on the users' platform: its settings come from a YAML file.")
-	file := c.Flag("settings", "Settings file.").Short('s').Envar(platform.SettingsEnvVar).Required().String()
-	way := c.Flag("placement", "How replicas are chosen: index; blind (by load, the index off) and round-robin are for comparisons.").
-		Default(byIndex).Enum(byIndex, blind, roundRobin)
+// addNodeCommand adds the command that runs a node on the users' platform.
+func addNodeCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("node", "Run a node on the users' platform, with settings from a YAML file.")
+	file := c.Flag("settings", "Settings file (YAML).").Short('s').Envar(platform.SettingsEnvVar).Required().String()
+	policy := c.Flag("placement", "How replicas are chosen: index uses the prefix index; blind (by load, without the index) and round-robin are for comparisons.").
+		Default(placeByIndex).Enum(placeByIndex, placeByLoad, placeRoundRobin)
 	cmds["node"] = func(_ io.Reader, _ io.Writer) error {
-		// SIGHUP would end the process; one that comes while the node starts waits here. Other signals end a node that starts, as they should.
+		// By default SIGHUP ends the process. A SIGHUP during the start waits in this channel until the node is up. Other signals end a
+		// starting node, as they should.
 		signals := make(chan os.Signal, pendingSignals)
 		signal.Notify(signals, syscall.SIGHUP)
 		s, err := platform.ReadSettings(*file)
 		if err != nil {
 			return err
 		}
-		return runNode(*file, s, *way, signals)
+		return runNode(*file, s, *policy, signals)
 	}
 }
 
-// pendingSignals is how many signals may wait while the node starts.
+// pendingSignals is the number of signals that can wait while the node starts.
 const pendingSignals = 4
 
 const (
-	listEvery = time.Second
-	// staleCap bounds how long a predicted holding may be trusted.
-	staleCap = 2 * time.Second
+	// listInterval is the time between reads of the platform's list of replicas.
+	listInterval = time.Second
+	// maxPredictionTTL is how long a prediction that a replica has a prefix in its cache may be trusted.
+	maxPredictionTTL = 2 * time.Second
 )
 
-// allowanceMargin keeps a part of the allowed second attempts back for the moments in which nodes hold different members.
-const allowanceMargin = 0.25
+// retryAllowanceReserve is the part of the retry allowance that is not used. It keeps the fleet within the allowance while nodes have different views of
+// the members.
+const retryAllowanceReserve = 0.25
 
-// reader reads the platform's document and adds what the settings bound.
-func reader(documents *platform.CachingReader, b platform.Bounds) config.Reader {
+// documentReader returns a reader of the operators' documents that adds the bounds from the settings to the services.
+func documentReader(documents *platform.CachingReader, b platform.Bounds) config.Reader {
 	return func(raw []byte) (config.Config, error) {
 		var err error
 		var c config.Config
@@ -65,30 +69,30 @@
 			return c, err
 		}
 		for i := range c.Services {
-			c.Services[i].MaxPredictionTTL = staleCap
-			c.Services[i].RetryRatio, c.Services[i].RetryAllowance = b.RetryRatio, int(float64(b.RetryAllowance)*(1-allowanceMargin))
+			c.Services[i].MaxPredictionTTL = maxPredictionTTL
+			c.Services[i].RetryRatio, c.Services[i].RetryAllowance = b.RetryRatio, int(float64(b.RetryAllowance)*(1-retryAllowanceReserve))
 		}
 		return c, nil
 	}
 }
 
-// nodeSettings puts the platform's settings into the daemon's.
-func nodeSettings(s platform.Settings, documents *platform.CachingReader) daemon.Settings {
-	h := daemon.Settings{
+// daemonSettings converts the platform's settings to those of the daemon.
+func daemonSettings(s platform.Settings, documents *platform.CachingReader) daemon.Settings {
+	settings := daemon.Settings{
 		Role: "core", Name: s.Name, Listen: s.ListenAddr(), HTTP: s.FrontAddr, Zone: s.Zone, Data: s.DataDirectory, Seeds: s.InternalSeeds(),
 		Backlog: 1024, MaxBody: 1, MaxStreams: 1, DrainMs: 1,
 		Host: daemon.Host{
-			Read: reader(documents, s.Bounds), ListEvery: listEvery, FaultTolerance: s.FaultTolerance.Machines, Bootstraps: s.FirstStart, ServesIsolated: true,
+			Read: documentReader(documents, s.Bounds), ListEvery: listInterval, FaultTolerance: s.FaultTolerance.Machines, Bootstraps: s.FirstStart, ServesIsolated: true,
 			Quota: s.Bounds.Quota, HidesDocument: true,
 		},
 	}
 	get := platform.NewGetter(s.CloudAPI.Address)
-	h.Host.List = func() ([]router.Instance, error) { return platform.ListInstances(get) }
-	return h
+	settings.Host.List = func() ([]router.Instance, error) { return platform.ListInstances(get) }
+	return settings
 }
 
-// headers names the platform's headers to the proxy.
-func headers() proxy.Headers {
+// proxyHeaders returns the names and parsers of the platform's headers for the proxy.
+func proxyHeaders() proxy.Headers {
 	return proxy.Headers{
 		AttemptID: platform.HeaderAttemptID, TargetInstance: platform.HeaderTargetInstance, NotExecuted: platform.HeaderNotExecuted, Load: platform.HeaderLoad,
 		Deadline: platform.HeaderDeadline, Prefix: platform.HeaderPromptPrefix, Model: platform.HeaderModel, Tokens: platform.HeaderTokenUsage,
@@ -99,108 +103,113 @@
 	}
 }
 
-// platformNode is a node on the users' platform with what its listeners serve.
+// platformNode is a node on the users' platform.
 type platformNode struct {
 	tomb     *tomb.Tomb
 	log      *log.Logger
 	settings platform.Settings
 	daemon   *daemon.Daemon
 	proxy    *proxy.Proxy
-	// documents belongs to the owner of control state.
+	// documents may only be used by the goroutine that owns the control state.
 	documents platform.CachingReader
-	// limits are those of the configuration in force.
-	limits  atomic.Pointer[config.Limits]
-	retired atomic.Bool
+	// limits are those of the current configuration.
+	limits atomic.Pointer[config.Limits]
+	// draining is set once the shutdown has started.
+	draining atomic.Bool
 }
 
-func runNode(file string, s platform.Settings, way string, signals chan os.Signal) error {
+// runNode starts the node and runs it until it is stopped.
+func runNode(file string, s platform.Settings, policy string, signals chan os.Signal) error {
 	if mb := s.Resources.MemoryMB; mb > 0 {
+		// The soft limit of the Go runtime is 70 % of the process's memory.
 		debug.SetMemoryLimit(int64(mb) << 20 * 7 / 10)
 	}
 	lg := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 	lg.Context = log.NewContext(nil).Str("node", s.Name).Value()
 	n := &platformNode{tomb: &tomb.Tomb{}, settings: s, log: lg}
 	n.limits.Store(&config.Limits{})
-	listeners, err := listenAll(s)
+	listeners, err := openListeners(s)
 	if err != nil {
 		return err
 	}
-	if n.daemon, err = daemon.Start(n.tomb, nodeSettings(s, &n.documents), lg); err != nil {
+	if n.daemon, err = daemon.Start(n.tomb, daemonSettings(s, &n.documents), lg); err != nil {
 		n.tomb.Kill(nil)
 		return err
 	}
-	n.daemon.Loop.Inspect(func(r *router.Router) { placement(r, way) })
-	n.proxy = proxy.New(n.daemon.Loop, headers(), proxySettings(s), n.limitsNow, n.daemon.FrontendID)
-	n.daemon.OnSnapshot(n.followLimits)
+	n.daemon.Loop.Inspect(func(r *router.Router) { setPlacement(r, policy) })
+	n.proxy = proxy.New(n.daemon.Loop, proxyHeaders(), proxySettings(s), n.currentLimits, n.daemon.FrontendID)
+	n.daemon.OnSnapshot(n.applyLimits)
 	n.serve(listeners)
 	lg.Info().Str("zone", s.Zone).Bool("first", s.FirstStart).Msg("started")
 	return n.supervise(file, signals)
 }
 
-// followLimits puts the limits of a configuration into force; kept connections follow beside the owner of control state, which must not wait.
-func (n *platformNode) followLimits(p *config.Snapshot) {
-	if former := n.limits.Swap(&p.Config.Limits); *former != p.Config.Limits {
+// applyLimits applies the limits of a new configuration. Existing connections are updated in a separate goroutine, because the owner of the control
+// state, which calls applyLimits, must not block.
+func (n *platformNode) applyLimits(snapshot *config.Snapshot) {
+	if previous := n.limits.Swap(&snapshot.Config.Limits); *previous != snapshot.Config.Limits {
 		go n.proxy.LimitsChanged()
 	}
 }
 
-func (n *platformNode) limitsNow() config.Limits { return *n.limits.Load() }
+func (n *platformNode) currentLimits() config.Limits { return *n.limits.Load() }
 
-// serve serves each interface that the settings give the node.
+// serve serves each interface that has a listener.
 func (n *platformNode) serve(listeners map[string]net.Listener) {
 	if lis := listeners[frontInterface]; lis != nil {
 		n.tomb.Go(func() error {
 			awaitReady(n.tomb, n.daemon)
-			proxy.Serve(n.tomb, lis, n.proxy, n.limitsNow)
+			proxy.Serve(n.tomb, lis, n.proxy, n.currentLimits)
 			return nil
 		})
 	}
 	if lis := listeners[readinessInterface]; lis != nil {
-		serveOps(n.tomb, lis, platform.ReadinessHandler(func() string { return readiness(n.daemon, &n.retired) }), nil)
+		serveHTTP(n.tomb, lis, platform.ReadinessHandler(func() string { return readiness(n.daemon, &n.draining) }), nil)
 	}
 	if lis := listeners[controlInterface]; lis != nil {
-		serveOps(n.tomb, lis, n.controlRoutes(), n.daemon.Gate.ConnContext)
+		serveHTTP(n.tomb, lis, n.controlRoutes(), n.daemon.Gate.ConnContext)
 	}
 }
 
+// controlRoutes returns the routes of the operators' interface.
 func (n *platformNode) controlRoutes() *bunrouter.Router {
 	routes := bunrouter.New()
 	platform.AddRoutes(routes, daemon.Documents{Daemon: n.daemon}, &n.documents)
 	operations := &httpapi.Operations{
 		Control: n.daemon, Router: n.daemon.Loop, Clock: daemon.Clock,
-		Extra: func() map[string]uint64 { return merged(daemonCounters(n.daemon), n.proxy.Counters.Map()) },
+		Extra: func() map[string]uint64 { return mergeCounters(daemonCounters(n.daemon), n.proxy.Counters.Map()) },
 	}
 	operations.Watch(routes)
 	return routes
 }
 
-// proxySettings lets requests and answers hold a quarter of the memory at most.
+// proxySettings returns the proxy's settings. Buffered requests and responses may use at most a quarter of the memory.
 func proxySettings(s platform.Settings) proxy.Settings {
-	set := proxy.Defaults()
+	settings := proxy.Defaults()
 	if mb := s.Resources.MemoryMB; mb > 0 {
-		set.BudgetBytes = min(set.BudgetBytes, mb<<20/4)
+		settings.BudgetBytes = min(settings.BudgetBytes, mb<<20/4)
 	}
-	return set
+	return settings
 }
 
-// merged joins counters of different names.
-func merged(all ...map[string]uint64) map[string]uint64 {
-	one := map[string]uint64{}
+// mergeCounters merges counters, whose names must be different.
+func mergeCounters(all ...map[string]uint64) map[string]uint64 {
+	merged := map[string]uint64{}
 	for _, c := range all {
-		maps.Copy(one, c)
+		maps.Copy(merged, c)
 	}
-	return one
+	return merged
 }
 
-// The interfaces of a node on the platform.
+// The interfaces of a node on the users' platform.
 const (
 	frontInterface     = "front"
 	readinessInterface = "readiness"
 	controlInterface   = "control"
 )
 
-// listenAll opens the addresses that the settings give, by interface.
-func listenAll(s platform.Settings) (map[string]net.Listener, error) {
+// openListeners listens on each address in the settings. It returns the listeners by interface.
+func openListeners(s platform.Settings) (map[string]net.Listener, error) {
 	listeners := map[string]net.Listener{}
 	var err error
 	for name, addr := range map[string]string{frontInterface: s.FrontAddr, readinessInterface: s.ReadinessAddr, controlInterface: s.ControlAddr} {
@@ -214,10 +223,10 @@
 	return listeners, nil
 }
 
-// serveOps serves probes and operators until the tomb dies; opened, where there is one, sees each new connection.
-func serveOps(t *tomb.Tomb, lis net.Listener, h http.Handler, opened func(context.Context, net.Conn) context.Context) {
-	srv := &http.Server{Handler: h, ConnContext: opened, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
-	t.Go(func() error { return served(srv.Serve(lis)) })
+// serveHTTP serves probes and operators' requests until the tomb dies. connContext may be nil; otherwise it is called for each new connection.
+func serveHTTP(t *tomb.Tomb, lis net.Listener, h http.Handler, connContext func(context.Context, net.Conn) context.Context) {
+	srv := &http.Server{Handler: h, ConnContext: connContext, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
+	t.Go(func() error { return ignoreServerClosed(srv.Serve(lis)) })
 	t.Go(func() error {
 		<-t.Dying()
 		return srv.Close()
--- a/cmd/mallowbridge/operate.go
+++ b/cmd/mallowbridge/operate.go
@@ -15,7 +15,7 @@
 	"github.com/gravitational/trace"
 )
 
-// RejectedError is a node's answer to an operator's call that is no success: its HTTP status and body.
+// RejectedError is the error if a node rejected an operator's request, with the HTTP status and body of the response.
 type RejectedError struct {
 	Status int
 	Body   string
@@ -23,27 +23,27 @@
 
 func (e *RejectedError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Body) }
 
-var client = &http.Client{Timeout: 10 * time.Second}
+var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// An operatorRequest is one call of the operators' interface of the node at an address.
+// operatorRequest is a request to the operators' interface of the node at an address (host:port).
 type operatorRequest struct {
 	method, address, path string
-	// change is the id under which the call may be repeated; one is drawn where it is empty and the call changes something.
-	change string
-	body   []byte
+	// changeID identifies a change, so that a repeated request is recognized. If it is empty, send generates one for requests that change something.
+	changeID string
+	body     []byte
 }
 
-// send makes the call and prints the answer.
+// send sends the request and prints the response.
 func (r operatorRequest) send(out io.Writer) error {
 	req, err := http.NewRequest(r.method, "http://"+r.address+r.path, bytes.NewReader(r.body))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if r.change == "" && r.method != http.MethodGet {
-		r.change = strconv.FormatInt(time.Now().UnixNano(), 36)
+	if r.changeID == "" && r.method != http.MethodGet {
+		r.changeID = strconv.FormatInt(time.Now().UnixNano(), 36)
 	}
-	req.Header.Set("X-Change-Id", r.change)
-	resp, err := client.Do(req)
+	req.Header.Set("X-Change-Id", r.changeID)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -64,62 +64,66 @@
 	return err
 }
 
-// operatorCall sends an operator's call to a node, with the id of the change.
+// operatorCall sends an operator's request to the node at an address, with the id of the change, and prints the response.
 type operatorCall func(out io.Writer, at, change string) error
 
+// operatorCommands adds the commands that send operators' requests.
 type operatorCommands struct {
 	app  *kingpin.Application
 	cmds map[string]command
 }
 
-// add gives a command the flags that all operators' commands have; the call is filled in by the caller.
+// add adds a command with the flags that all operators' commands have; do sends its request.
 func (o operatorCommands) add(name, help string, do operatorCall) *kingpin.CmdClause {
 	c := o.app.Command(name, help)
-	at := c.Flag("at", "HTTP IP:port of any node.").Default("127.0.0.1:8001").String()
-	change := c.Flag("change", "Id of this change; the same id again does nothing twice.").String()
+	at := c.Flag("at", "HTTP IP:port of any node of the fleet.").Default("127.0.0.1:8001").String()
+	change := c.Flag("change", "Id of the change; a change whose id was applied before has no further effect.").String()
 	o.cmds[name] = func(_ io.Reader, out io.Writer) error { return do(out, *at, *change) }
 	return c
 }
 
-func operators(app *kingpin.Application, cmds map[string]command) {
+// addOperatorCommands adds the operators' commands.
+func addOperatorCommands(app *kingpin.Application, cmds map[string]command) {
 	o := operatorCommands{app: app, cmds: cmds}
-	o.add("get", "Read the configuration at a majority.", getPath("/v1/config"))
-	o.add("status", "Show what a node knows: members, voters, leases, versions.", getPath("/v1/status"))
-	o.add("counters", "Show a node's counters.", getPath("/v1/counters"))
-	o.add("ready", "Ask whether a node admits requests.", getPath("/readyz"))
-	o.put()
-	o.evacuation("evacuate", "Keep all work away from a zone's replicas.", "empty").Alias("empty")
-	o.evacuation("restore", "Give an evacuated zone work again.", "restore")
-	o.voters("bootstrap", "Found the register, once, on these nodes' disks.", "found").Alias("found")
-	o.voters("voters", "Move the register to these nodes' disks.", "voters")
-	o.listings()
+	o.add("get", "Read the configuration from a quorum of voters.", getCall("/v1/config"))
+	o.add("status", "Show a node's view of members, voters, leases and versions.", getCall("/v1/status"))
+	o.add("counters", "Show a node's counters.", getCall("/v1/counters"))
+	o.add("ready", "Check whether a node admits requests.", getCall("/readyz"))
+	o.addPut()
+	o.addEvacuation("evacuate", "Evacuate a zone: send no requests to its replicas.", "empty").Alias("empty")
+	o.addEvacuation("restore", "Restore an evacuated zone: send requests to its replicas again.", "restore")
+	o.addVoters("bootstrap", "Bootstrap the register on these nodes' disks. This is done once.", "found").Alias("found")
+	o.addVoters("voters", "Replace the voters: move the register to these nodes' disks.", "voters")
+	o.addList()
 }
 
-func getPath(path string) operatorCall {
+// getCall returns a call that sends a GET request.
+func getCall(path string) operatorCall {
 	return func(out io.Writer, at, _ string) error {
 		return operatorRequest{method: http.MethodGet, address: at, path: path}.send(out)
 	}
 }
 
-func (o operatorCommands) put() {
+// addPut adds the command that replaces the configuration.
+func (o operatorCommands) addPut() {
 	var expect uint64
 	var file string
-	c := o.add("put", "Put a whole configuration over the version it expects.", func(out io.Writer, at, change string) error {
+	c := o.add("put", "Replace the configuration if it has the expected version.", func(out io.Writer, at, change string) error {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			return trace.ConvertSystemError(err)
 		}
-		return operatorRequest{method: http.MethodPut, address: at, path: "/v1/config?expect=" + strconv.FormatUint(expect, 10), change: change, body: raw}.send(out)
+		return operatorRequest{method: http.MethodPut, address: at, path: "/v1/config?expect=" + strconv.FormatUint(expect, 10), changeID: change, body: raw}.send(out)
 	})
-	c.Flag("expect", "Version that the configuration has now.").Required().Uint64Var(&expect)
-	c.Arg("file", "Configuration (JSON).").Required().ExistingFileVar(&file)
+	c.Flag("expect", "Current version of the configuration.").Required().Uint64Var(&expect)
+	c.Arg("file", "Configuration document (JSON).").Required().ExistingFileVar(&file)
 }
 
-// evacuation adds a command on a zone; verb is the last part of the call's path.
-func (o operatorCommands) evacuation(name, help, verb string) *kingpin.CmdClause {
+// addEvacuation adds a command that evacuates or restores a zone; verb is the last part of the request's path.
+func (o operatorCommands) addEvacuation(name, help, verb string) *kingpin.CmdClause {
 	var zone string
 	c := o.add(name, help, func(out io.Writer, at, change string) error {
-		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/domains/" + url.PathEscape(zone) + "/" + verb, change: change}.send(out)
+		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/domains/" + url.PathEscape(zone) + "/" + verb, changeID: change}.send(out)
 	})
 	c.Arg("domain", "Name of the zone.").Required().StringVar(&zone)
 	return c
@@ -129,17 +133,17 @@
 	Voters []string `json:"voters"`
 }
 
-// voters adds a command on the set of voters; verb is the call's path.
-func (o operatorCommands) voters(name, help, verb string) *kingpin.CmdClause {
+// addVoters adds a command that sets the voters; verb is the last part of the request's path.
+func (o operatorCommands) addVoters(name, help, verb string) *kingpin.CmdClause {
 	var names []string
 	c := o.add(name, help, func(out io.Writer, at, change string) error {
 		raw, err := json.Marshal(votersBody{Voters: names})
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/" + verb, change: change, body: raw}.send(out)
+		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/" + verb, changeID: change, body: raw}.send(out)
 	})
-	c.Arg("node", "Names of nodes with a disk.").Required().StringsVar(&names)
+	c.Arg("node", "Names of the nodes, which must have a disk.").Required().StringsVar(&names)
 	return c
 }
 
@@ -152,10 +156,11 @@
 	State   string `json:"state"`
 }
 
-func (o operatorCommands) listings() {
+// addList adds the command that reports the platform's list of replicas to a node.
+func (o operatorCommands) addList() {
 	var state string
 	var names []string
-	c := o.add("list", "Tell what the platform says of replicas.", func(out io.Writer, at, change string) error {
+	c := o.add("list", "Report the state of replicas in the platform's list to the fleet.", func(out io.Writer, at, change string) error {
 		body := listingsBody{}
 		for _, name := range names {
 			body.Replicas = append(body.Replicas, listingRow{Replica: name, State: state})
@@ -164,8 +169,8 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/replicas", change: change, body: raw}.send(out)
+		return operatorRequest{method: http.MethodPost, address: at, path: "/v1/replicas", changeID: change, body: raw}.send(out)
 	})
-	c.Arg("state", "present, leaving or gone.").Required().EnumVar(&state, "present", "leaving", "gone")
+	c.Arg("state", "State of the replicas: present, leaving or gone.").Required().EnumVar(&state, "present", "leaving", "gone")
 	c.Arg("replica", "Names of replicas.").Required().StringsVar(&names)
 }
--- a/cmd/mallowbridge/placement.go
+++ b/cmd/mallowbridge/placement.go
@@ -2,19 +2,19 @@
 
 import "github.com/mallowbridge/mallowbridge/router"
 
-// How replicas are chosen.
+// The policies by which replicas are chosen.
 const (
-	byIndex    = "index"
-	blind      = "blind"
-	roundRobin = "round-robin"
+	placeByIndex    = "index"
+	placeByLoad     = "blind"
+	placeRoundRobin = "round-robin"
 )
 
-// placement turns off what a comparison goes without.
-func placement(r *router.Router, way string) {
-	switch way {
-	case blind:
+// setPlacement sets the placement policy of a router; the default is placeByIndex.
+func setPlacement(r *router.Router, policy string) {
+	switch policy {
+	case placeByLoad:
 		r.DisableIndex()
-	case roundRobin:
+	case placeRoundRobin:
 		r.EnableRoundRobin()
 	}
 }
--- a/cmd/mallowbridge/quotas.go
+++ b/cmd/mallowbridge/quotas.go
@@ -11,26 +11,27 @@
 	"github.com/mallowbridge/mallowbridge/standin/rehearsal"
 )
 
-// quotaLedger is the name of the replicas' ledger in the folder of a rehearsal.
-const quotaLedger = "ran.jsonl"
+// quotaLedgerFile is the name of the replicas' ledger in the directory of a rehearsal.
+const quotaLedgerFile = "ran.jsonl"
 
-// quotas rehearses tenants' quotas through real node processes.
-func quotas(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("quotas", "Run nodes of the platform as processes under tenants that ask for too much, while nodes fail and limits change, and judge what replicas ran.")
+// addQuotasCommand adds the command that tests tenants' quotas with real node processes.
+func addQuotasCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("quotas", "Run nodes of the platform as processes with tenants that exceed their quotas, while nodes fail and quotas change, and check what the replicas ran.")
 	var o rehearsal.QuotaOptions
-	c.Flag("dir", "Folder for settings, disks, logs and the ledger; made where there is none.").Default(".fleet/quotas").StringVar(&o.Dir)
+	c.Flag("dir", "Directory for settings, disks, logs and the ledger; created if it does not exist.").Default(".fleet/quotas").StringVar(&o.Dir)
 	c.Flag("seed", "Seed of faults and load.").Default("1").Uint64Var(&o.Seed)
-	c.Flag("for", "How long clients ask.").Default("60s").DurationVar(&o.For)
-	c.Flag("nodes", "Node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
-	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
-	c.Flag("clients", "Clients, each with a connection of its own.").Default("64").IntVar(&o.Clients)
-	c.Flag("calm", "No faults of nodes and replicas.").BoolVar(&o.Calm)
-	c.Flag("unchanged", "No changes of the configuration.").BoolVar(&o.Unchanged)
+	c.Flag("for", "How long clients send requests.").Default("60s").DurationVar(&o.For)
+	c.Flag("nodes", "Number of node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
+	c.Flag("replicas", "Number of stand-in replicas.").Default("6").IntVar(&o.Replicas)
+	c.Flag("clients", "Number of clients, each with its own connection.").Default("64").IntVar(&o.Clients)
+	c.Flag("calm", "Cause no faults of nodes and replicas.").BoolVar(&o.Calm)
+	c.Flag("unchanged", "Do not change the configuration.").BoolVar(&o.Unchanged)
 	cmds["quotas"] = func(_ io.Reader, out io.Writer) error { return rehearseQuotas(o, out) }
 }
 
+// rehearseQuotas runs the rehearsal and reports its result.
 func rehearseQuotas(o rehearsal.QuotaOptions, out io.Writer) error {
-	folder, err := openFolder(o.Dir, quotaLedger)
+	folder, err := openRehearsalFolder(o.Dir, quotaLedgerFile)
 	if err != nil {
 		return err
 	}
@@ -42,14 +43,15 @@
 	if r.Races > 0 {
 		return trace.Wrap(&DataRaceError{N: r.Races, Dir: o.Dir})
 	}
-	return reportBreaches(out, quotaCounts(r), r.Breaches)
+	return printBreaches(out, quotaCounts(r), r.Breaches)
 }
 
+// quotaCounts returns the counts of a rehearsal as text.
 func quotaCounts(r rehearsal.QuotaReport) string {
-	var fullest strings.Builder
+	var usage strings.Builder
 	for _, w := range r.Windows {
-		fmt.Fprintf(&fullest, "%s %.3f of what is allowed, ", w.Tenant, w.Part())
+		fmt.Fprintf(&usage, "%s %.3f of what is allowed, ", w.Tenant, w.Part())
 	}
 	return fmt.Sprintf("%d asked, %d ran, %d over quota, %d unauthorized, %d unanswered, %.3f of the usual refused; %d kills, %d stops, %d freezes, %d reloads, %d crashes, %d revisions; %s",
-		r.Asked, r.Ran, r.OverQuota, r.Unauthorized, r.Unanswered, r.UsualRefused, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes, r.Revisions, fullest.String())
+		r.Asked, r.Ran, r.OverQuota, r.Unauthorized, r.Unanswered, r.UsualRefused, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes, r.Revisions, usage.String())
 }
--- a/cmd/mallowbridge/readiness.go
+++ b/cmd/mallowbridge/readiness.go
@@ -10,34 +10,35 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// readyWithin bounds how long awaitReady waits, readyPoll is how often it looks.
+// readyWithin is how long awaitReady waits at most, and readyPollInterval is how often it checks.
 const (
-	readyWithin = 700 * time.Millisecond
-	readyPoll   = 20 * time.Millisecond
+	readyWithin       = 700 * time.Millisecond
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// awaitReady leaves the first connections after a start in the listener's queue until they can be served, or refused for good.
+// awaitReady waits until the node is ready or readyWithin has passed. The connections of a node that has just started wait in the listener's queue in
+// the meantime, so that the first requests are not rejected only because the node is still starting.
 func awaitReady(t *tomb.Tomb, h *daemon.Daemon) {
-	end := time.After(readyWithin)
-	tick := time.NewTicker(readyPoll)
+	timeout := time.After(readyWithin)
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for readiness(h, &atomic.Bool{}) != "" {
 		select {
 		case <-t.Dying():
 			return
-		case <-end:
+		case <-timeout:
 			return
 		case <-tick.C:
 		}
 	}
 }
 
-// readiness tells why requests should be sent elsewhere, or "".
-func readiness(h *daemon.Daemon, retired *atomic.Bool) string {
-	if retired.Load() {
+// readiness returns the reason why requests should be sent to other nodes, or an empty string if the node is ready.
+func readiness(h *daemon.Daemon, draining *atomic.Bool) string {
+	if draining.Load() {
 		return "draining"
 	}
-	var why string
-	h.Loop.Inspect(func(r *router.Router) { why = r.NotReady(daemon.Clock()) })
-	return why
+	var reason string
+	h.Loop.Inspect(func(r *router.Router) { reason = r.NotReady(daemon.Clock()) })
+	return reason
 }
--- a/cmd/mallowbridge/rehearsalfolder.go
+++ b/cmd/mallowbridge/rehearsalfolder.go
@@ -10,19 +10,21 @@
 	"github.com/mallowbridge/mallowbridge/standin"
 )
 
-// rehearsalFolder is where a rehearsal's files are, with its ledger opened, and the program that its nodes run: this one.
+// rehearsalFolder is the directory of a rehearsal's files, with its opened ledger. binary is the program that the nodes run: this one.
 type rehearsalFolder struct {
 	dir, binary string
 	ledger      io.Writer
 }
 
-// UsedFolderError says that a folder holds the files of an earlier rehearsal, whose disks would tell of another fleet.
+// UsedFolderError is the error if a directory contains the files of an earlier rehearsal, whose disks have the state of another fleet.
 type UsedFolderError struct{ Ledger string }
 
-func (e *UsedFolderError) Error() string { return e.Ledger + " is there from an earlier run" }
+func (e *UsedFolderError) Error() string {
+	return e.Ledger + " already exists from an earlier run; use another directory"
+}
 
-// openFolder makes the folder where there is none.
-func openFolder(dir, ledger string) (rehearsalFolder, error) {
+// openRehearsalFolder creates the directory if it does not exist and opens a new ledger in it.
+func openRehearsalFolder(dir, ledger string) (rehearsalFolder, error) {
 	var f rehearsalFolder
 	var err error
 	if f.dir, err = filepath.Abs(dir); err != nil {
--- a/cmd/mallowbridge/soak.go
+++ b/cmd/mallowbridge/soak.go
@@ -10,25 +10,26 @@
 	"github.com/mallowbridge/mallowbridge/standin/rehearsal"
 )
 
-// soakLedger is the name of the ledger in the folder of a soak.
-const soakLedger = "soak.jsonl"
+// soakLedgerFile is the name of the ledger in the directory of a soak test.
+const soakLedgerFile = "soak.jsonl"
 
-// soak has real node processes live through overlapping series of faults and changes.
-func soak(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("soak", "Run nodes of the platform as processes under clients that keep their connections, while nodes fail in series and routes and zones change, and judge what replicas ran and clients got.")
+// addSoakCommand adds the command that runs real node processes through overlapping series of faults and changes.
+func addSoakCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("soak", "Run nodes of the platform as processes with clients that keep their connections, while nodes fail in series and routes and zones change, and check what the replicas ran and the clients got.")
 	var o rehearsal.SoakOptions
-	c.Flag("dir", "Folder for settings, disks, logs and the ledger; made where there is none.").Default(".fleet/soak").StringVar(&o.Dir)
-	c.Flag("program", "Program that the nodes run; this one where none is named.").StringVar(&o.Binary)
+	c.Flag("dir", "Directory for settings, disks, logs and the ledger; created if it does not exist.").Default(".fleet/soak").StringVar(&o.Dir)
+	c.Flag("program", "Program that the nodes run; by default this one.").StringVar(&o.Binary)
 	c.Flag("seed", "Seed of faults, changes and load.").Default("1").Uint64Var(&o.Seed)
-	c.Flag("for", "How long clients ask; the last twenty seconds are for recovering.").Default("60s").DurationVar(&o.For)
-	c.Flag("nodes", "Node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
-	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
-	c.Flag("clients", "Clients, each with a connection of its own.").Default("48").IntVar(&o.Clients)
+	c.Flag("for", "How long clients send requests; the last 20 seconds are without faults, for recovery.").Default("60s").DurationVar(&o.For)
+	c.Flag("nodes", "Number of node processes, 3 to 252; the first three have a disk.").Default("9").IntVar(&o.Nodes)
+	c.Flag("replicas", "Number of stand-in replicas.").Default("6").IntVar(&o.Replicas)
+	c.Flag("clients", "Number of clients, each with its own connection.").Default("48").IntVar(&o.Clients)
 	cmds["soak"] = func(_ io.Reader, out io.Writer) error { return runSoak(o, out) }
 }
 
+// runSoak runs the soak test and reports its result.
 func runSoak(o rehearsal.SoakOptions, out io.Writer) error {
-	folder, err := openFolder(o.Dir, soakLedger)
+	folder, err := openRehearsalFolder(o.Dir, soakLedgerFile)
 	if err != nil {
 		return err
 	}
@@ -43,9 +44,10 @@
 	if r.Races > 0 {
 		return trace.Wrap(&DataRaceError{N: r.Races, Dir: o.Dir})
 	}
-	return reportBreaches(out, soakCounts(r), r.Breaches)
+	return printBreaches(out, soakCounts(r), r.Breaches)
 }
 
+// soakCounts returns the counts of a soak test as text.
 func soakCounts(r rehearsal.SoakReport) string {
 	return fmt.Sprintf("%d asked, %d served, %d rejected, %d unanswered, %d ran, %d of %d served after the faults; %d kills, %d stops, %d freezes, %d reloads, %d crashes; "+
 		"%d revisions, read %d times, %d orders on zones, %d more held up, %d more left early; ",
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -26,23 +26,24 @@
 	"github.com/mallowbridge/mallowbridge/standin"
 )
 
-func standIns(app *kingpin.Application, cmds map[string]command) {
-	standinReplica(app, cmds)
-	clients(app, cmds)
-	check(app, cmds)
+// addStandInCommands adds the commands that run stand-in replicas and clients and check their ledgers.
+func addStandInCommands(app *kingpin.Application, cmds map[string]command) {
+	addReplicaCommand(app, cmds)
+	addClientCommand(app, cmds)
+	addCheckCommand(app, cmds)
 }
 
-func standinReplica(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("replica", "Run a stand-in replica, for rehearsals.")
+func addReplicaCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("replica", "Run a stand-in replica for rehearsals.")
 	name := c.Flag("name", "Name of the replica.").Required().String()
-	addr := c.Flag("http", "IP:port to serve.").Required().String()
-	model := c.Flag("model", "Model that it serves.").Default("m1").String()
-	path := c.Flag("ledger", "File that gets a line for each run.").String()
+	addr := c.Flag("http", "IP:port to listen on.").Required().String()
+	model := c.Flag("model", "Model that the replica serves.").Default("m1").String()
+	path := c.Flag("ledger", "File to which a line is written for each run.").String()
 	m := replica.DefaultModel()
-	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Capacity)
-	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.Keep)
-	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Chunks)
-	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.WarmupTime)
+	c.Flag("room", "Maximum number of concurrent requests.").Default("8").IntVar(&m.Capacity)
+	c.Flag("keep", "Size of the prefix cache in tokens.").Default("65536").IntVar(&m.Keep)
+	c.Flag("pieces", "Number of chunks in a response.").Default("24").IntVar(&m.Chunks)
+	c.Flag("cold", "How long the replica warms up.").Default("6s").DurationVar(&m.WarmupTime)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
 		w, err := standin.OpenRunLog(*path)
 		if err != nil {
@@ -65,18 +66,18 @@
 	}
 }
 
-func clients(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("client", "Run stand-in clients, for rehearsals.").Alias("agent")
-	nodes := c.Flag("node", "HTTP IP:port of a node; repeat it.").Required().Strings()
-	service := c.Flag("offer", "Service to ask.").Default("zoning").String()
-	classes := c.Flag("kind", "Class of requests that may be repeated.").Default("counter", "checklist").Strings()
-	once := c.Flag("once", "Class of requests that may not be repeated.").Default("dossier").Strings()
+func addClientCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("client", "Run stand-in clients for rehearsals.").Alias("agent")
+	nodes := c.Flag("node", "HTTP IP:port of a node; can be repeated.").Required().Strings()
+	service := c.Flag("offer", "Service to send requests to.").Default("zoning").String()
+	classes := c.Flag("kind", "Class of idempotent requests; can be repeated.").Default("counter", "checklist").Strings()
+	once := c.Flag("once", "Class of requests that are not idempotent; can be repeated.").Default("dossier").Strings()
 	rate := c.Flag("rate", "Requests per second.").Default("20").Float64()
-	n := c.Flag("count", "Requests in all.").Default("200").Int()
-	hot := c.Flag("hot", "Share of requests with one hot prefix.").Default("0.1").Float64()
+	n := c.Flag("count", "Total number of requests.").Default("200").Int()
+	hot := c.Flag("hot", "Fraction of requests with the same hot prefix.").Default("0.1").Float64()
 	seed := c.Flag("seed", "Seed of the load.").Default("1").Uint64()
-	tag := c.Flag("tag", "Front of the request ids; new for each run.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
-	path := c.Flag("ledger", "File that gets a line for each request.").String()
+	tag := c.Flag("tag", "Prefix of the request ids; by default the time in seconds, so that each run has new ids.").Default(strconv.FormatInt(time.Now().Unix(), 36)).String()
+	path := c.Flag("ledger", "File to which a line is written for each request.").String()
 	cmds["client"] = func(_ io.Reader, out io.Writer) error {
 		w, err := standin.OpenRunLog(*path)
 		if err != nil {
@@ -84,61 +85,63 @@
 		}
 		load := clientLoad(*rate, *hot, *service, *classes, *once)
 		enc := json.NewEncoder(w)
-		sums := map[string]int{}
-		var firsts []int64
+		counts := map[string]int{}
+		var firstTokenMs []int64
 		standin.NewAgent(*nodes).Run(context.Background(), workload.NewSource(load, *seed, *tag), *n, func(g ledger.Got) {
 			_ = enc.Encode(g)
-			sums[g.Outcome]++
+			counts[g.Outcome]++
 			if g.Outcome == "done" {
-				firsts = append(firsts, g.FirstMs)
+				firstTokenMs = append(firstTokenMs, g.FirstMs)
 			}
 		})
-		slices.Sort(firsts)
-		return report(out, sums, firsts)
+		slices.Sort(firstTokenMs)
+		return printOutcomes(out, counts, firstTokenMs)
 	}
 }
 
-func clientLoad(rate, hotRatio float64, service string, repeatable, once []string) workload.Load {
+// clientLoad returns the load of stand-in clients: requests of idempotent classes and of classes that are not idempotent.
+func clientLoad(rate, hotRatio float64, service string, idempotent, nonIdempotent []string) workload.Load {
 	load := workload.Load{Rate: rate, Prefixes: 24, HotRatio: hotRatio}
-	for _, k := range repeatable {
+	for _, k := range idempotent {
 		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: true})
 	}
-	for _, k := range once {
+	for _, k := range nonIdempotent {
 		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k})
 	}
 	return load
 }
 
-func report(out io.Writer, sums map[string]int, firsts []int64) error {
+// printOutcomes prints the number of requests by outcome and percentiles of the time to the first token.
+func printOutcomes(out io.Writer, counts map[string]int, firstTokenMs []int64) error {
 	for _, k := range []string{"done", "denied", "partial", "unknown", "repeat", "bad", "lost"} {
-		fmt.Fprintf(out, "%-8s %d\n", k, sums[k])
+		fmt.Fprintf(out, "%-8s %d\n", k, counts[k])
 	}
-	if n := len(firsts); n > 0 {
-		fmt.Fprintf(out, "first piece: median %d ms, 95%% %d ms\n", firsts[n/2], firsts[n*95/100])
+	if n := len(firstTokenMs); n > 0 {
+		fmt.Fprintf(out, "first piece: median %d ms, 95%% %d ms\n", firstTokenMs[n/2], firstTokenMs[n*95/100])
 	}
 	return nil
 }
 
-// BreachError says how many breaches the ledgers show.
+// BreachError is the error if ledgers show breaches of the rules; N is their number.
 type BreachError struct{ N int }
 
 func (e *BreachError) Error() string { return fmt.Sprintf("%d breaches", e.N) }
 
-func check(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("check", "Judge the ledgers of stand-in replicas and clients.")
-	ran := c.Flag("ran", "Pattern of the replicas' ledgers.").String()
-	got := c.Flag("got", "Pattern of the clients' ledgers.").String()
-	answers := c.Flag("streams", "Pattern of the ledgers of streaming clients.").String()
+func addCheckCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("check", "Check the ledgers of stand-in replicas and clients for breaches of the rules.")
+	ran := c.Flag("ran", "Glob pattern of the replicas' ledgers.").String()
+	got := c.Flag("got", "Glob pattern of the clients' ledgers.").String()
+	answers := c.Flag("streams", "Glob pattern of the ledgers of streaming clients.").String()
 	cmds["check"] = func(_ io.Reader, out io.Writer) error {
-		gots, err := lines[ledger.Got](*got)
+		gots, err := readLedgers[ledger.Got](*got)
 		if err != nil {
 			return err
 		}
-		rans, err := lines[ledger.Ran](*ran)
+		rans, err := readLedgers[ledger.Ran](*ran)
 		if err != nil {
 			return err
 		}
-		streamed, err := lines[ledger.StreamAnswer](*answers)
+		streamed, err := readLedgers[ledger.StreamAnswer](*answers)
 		if err != nil {
 			return err
 		}
@@ -146,28 +149,29 @@
 			return trace.BadParameter("no ledger of a client has a line: --got or --streams")
 		}
 		counts := fmt.Sprintf("%d runs, %d streams, %d outcomes, ", len(rans), len(streamed), len(gots))
-		return reportBreaches(out, counts, append(ledger.Check(rans, gots), ledger.CheckStreams(streamed)...))
+		return printBreaches(out, counts, append(ledger.Check(rans, gots), ledger.CheckStreams(streamed)...))
 	}
 }
 
-// lines reads the JSON lines of all files that match a pattern.
-func lines[T any](pattern string) ([]T, error) {
+// readLedgers reads the JSON lines of all files that match a glob pattern.
+func readLedgers[T any](pattern string) ([]T, error) {
 	names, err := filepath.Glob(pattern)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	var rows []T
 	for _, name := range names {
-		some, err := linesOf[T](name)
+		fileRows, err := readLedger[T](name)
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, some...)
+		rows = append(rows, fileRows...)
 	}
 	return rows, nil
 }
 
-func linesOf[T any](name string) ([]T, error) {
+// readLedger reads the JSON lines of a file.
+func readLedger[T any](name string) ([]T, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
--- a/cmd/mallowbridge/streams.go
+++ b/cmd/mallowbridge/streams.go
@@ -11,10 +11,10 @@
 	"github.com/mallowbridge/mallowbridge/standin/rehearsal"
 )
 
-// streamLedger is the name of the clients' ledger in the folder of a rehearsal.
-const streamLedger = "streams.jsonl"
+// streamsLedgerFile is the name of the clients' ledger in the directory of a rehearsal.
+const streamsLedgerFile = "streams.jsonl"
 
-// DataRaceError says that the race detector found something in a node.
+// DataRaceError is the error if the race detector found data races in a node. The logs are in Dir.
 type DataRaceError struct {
 	N   int
 	Dir string
@@ -24,21 +24,22 @@
 	return fmt.Sprintf("%d data races, see the logs in %s", e.N, e.Dir)
 }
 
-// streams rehearses streams through real node processes.
-func streams(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("streams", "Run nodes of the platform as processes, break what is around them, and judge the streams that clients get.")
+// addStreamsCommand adds the command that tests streamed responses with real node processes.
+func addStreamsCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("streams", "Run nodes of the platform as processes, cause faults around them, and check the streams that clients get.")
 	o := rehearsal.Options{Faults: rehearsal.DefaultFaults()}
-	c.Flag("dir", "Folder for settings, disks, logs and the ledger; made where there is none.").Default(".fleet/streams").StringVar(&o.Dir)
+	c.Flag("dir", "Directory for settings, disks, logs and the ledger; created if it does not exist.").Default(".fleet/streams").StringVar(&o.Dir)
 	c.Flag("seed", "Seed of faults and load.").Default("1").Uint64Var(&o.Seed)
-	c.Flag("for", "How long clients ask.").Default("60s").DurationVar(&o.For)
-	c.Flag("nodes", "Node processes, 3 to 15; the first three have a disk.").Default("5").IntVar(&o.Nodes)
-	c.Flag("replicas", "Stand-in replicas.").Default("6").IntVar(&o.Replicas)
-	c.Flag("clients", "Clients that ask at once.").Default("32").IntVar(&o.Clients)
+	c.Flag("for", "How long clients send requests.").Default("60s").DurationVar(&o.For)
+	c.Flag("nodes", "Number of node processes, 3 to 15; the first three have a disk.").Default("5").IntVar(&o.Nodes)
+	c.Flag("replicas", "Number of stand-in replicas.").Default("6").IntVar(&o.Replicas)
+	c.Flag("clients", "Number of concurrent clients.").Default("32").IntVar(&o.Clients)
 	cmds["streams"] = func(_ io.Reader, out io.Writer) error { return rehearseStreams(o, out) }
 }
 
+// rehearseStreams runs the rehearsal and reports its result.
 func rehearseStreams(o rehearsal.Options, out io.Writer) error {
-	folder, err := openFolder(o.Dir, streamLedger)
+	folder, err := openRehearsalFolder(o.Dir, streamsLedgerFile)
 	if err != nil {
 		return err
 	}
@@ -52,11 +53,11 @@
 	if r.Races > 0 {
 		return trace.Wrap(&DataRaceError{N: r.Races, Dir: o.Dir})
 	}
-	return reportBreaches(out, counts, r.Breaches)
+	return printBreaches(out, counts, r.Breaches)
 }
 
-// reportBreaches lists breaches, then what was counted; there being any breach is an error.
-func reportBreaches(out io.Writer, counts string, breaches []ledger.Breach) error {
+// printBreaches prints the breaches and then the counts. It returns a *BreachError if there is a breach.
+func printBreaches(out io.Writer, counts string, breaches []ledger.Breach) error {
 	for _, b := range breaches {
 		fmt.Fprintln(out, b)
 	}
--- a/cmd/mallowbridge/supervise.go
+++ b/cmd/mallowbridge/supervise.go
@@ -13,7 +13,7 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// supervise takes signals until the node ends: SIGHUP reads the settings file again, others drain the node.
+// supervise handles signals until the node ends: SIGHUP reloads the settings file, other signals drain and stop the node.
 func (n *platformNode) supervise(file string, signals chan os.Signal) error {
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	for {
@@ -35,7 +35,7 @@
 	}
 }
 
-// reload takes the seeds and the grace period of a settings file that changed; what else the node was started with stays as it is.
+// reload applies the seeds and the grace period from the settings file. The other settings keep the values with which the node was started.
 func (n *platformNode) reload(file string) {
 	s, err := platform.ReadSettings(file)
 	if err != nil {
@@ -47,22 +47,23 @@
 	n.log.Info().Msg("settings reloaded")
 }
 
-// retireWithin bounds the wait for the owner of control state, which a hanging disk may hold up, before a stop goes on.
-const retireWithin = 200 * time.Millisecond
+// retireTimeout limits how long a shutdown waits for the goroutine that owns the control state, which a hanging disk can block.
+const retireTimeout = 200 * time.Millisecond
 
-// drain lets clients go elsewhere first, then hands in what this node does for others, and ends when nothing runs here.
+// drain shuts the node down in order within its grace period. It first reports that the node is not ready, so that clients use other nodes,
+// then gives up the node's leases and roles, and returns when no request is running.
 func (n *platformNode) drain() {
 	schedule := proxy.ShutdownSchedule{Grace: n.settings.Bounds.GracePeriod}
-	n.retired.Store(true)
+	n.draining.Store(true)
 	n.proxy.Shutdown(schedule.Grace)
-	n.daemon.CallBy(context.Background(), daemon.Clock()+retireWithin, control.Retire{})
+	n.daemon.CallBy(context.Background(), daemon.Clock()+retireTimeout, control.Retire{})
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
-	end, leave := time.After(schedule.ExitAfter()), time.After(schedule.LeaveAfter())
+	exit, leave := time.After(schedule.ExitAfter()), time.After(schedule.LeaveAfter())
 	left := false
 	for {
 		select {
-		case <-end:
+		case <-exit:
 			return
 		case <-leave:
 			left = true
--- a/cmd/mallowbridge/whatif.go
+++ b/cmd/mallowbridge/whatif.go
@@ -11,12 +11,13 @@
 	"github.com/mallowbridge/mallowbridge/whatif"
 )
 
-func whatIf(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("whatif", "Answer what-if questions: run a fleet in virtual time, by one plan or two side by side.").Alias("muse")
-	files := c.Arg("plan", "Plan (JSON), or two to compare; none is the calm fleet.").Strings()
-	seeds := c.Flag("seeds", "Seeds, instead of the plans' own.").Int()
-	shapeName := c.Flag("shape", "Fleet when no plan is given: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
-	harFile := c.Flag("har", "Take the load from this HAR file.").String()
+// addWhatIfCommand adds the command that simulates fleets according to plans.
+func addWhatIfCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("whatif", "Simulate a fleet in virtual time according to a plan, or compare two plans.").Alias("muse")
+	files := c.Arg("plan", "Plan (JSON), or two plans to compare; by default a fleet without faults.").Strings()
+	seeds := c.Flag("seeds", "Number of seeds; overrides that of the plans.").Int()
+	shapeName := c.Flag("shape", "Fleet to simulate if no plan is given: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
+	harFile := c.Flag("har", "HAR file from which to take the load.").String()
 	cmds["whatif"] = func(_ io.Reader, out io.Writer) error {
 		plans, err := loadPlans(*files, *shapeName)
 		if err != nil {
@@ -27,7 +28,7 @@
 			if *seeds > 0 {
 				p.Seeds = *seeds
 			}
-			if err := replay(out, &p, *harFile); err != nil {
+			if err := loadHAR(out, &p, *harFile); err != nil {
 				return err
 			}
 			r, err := p.Run()
@@ -41,7 +42,7 @@
 	}
 }
 
-// loadPlans reads the plans, or gives the calm one where there are none.
+// loadPlans reads the plans from files. Without files it returns the plan of a fleet without faults.
 func loadPlans(files []string, shape string) ([]whatif.Plan, error) {
 	if len(files) == 0 {
 		calm := whatif.Default("calm")
@@ -59,9 +60,10 @@
 	return plans, nil
 }
 
-func recovery(app *kingpin.Application, cmds map[string]command) {
-	c := app.Command("recovery", "Break one thing at a time in a simulated fleet and time how long the fleet takes to notice, hand over, obey, return.").Alias("gauge")
-	seeds := c.Flag("seeds", "Seeds.").Default("50").Uint64()
+// addRecoveryCommand adds the command that measures how fast a simulated fleet recovers from faults.
+func addRecoveryCommand(app *kingpin.Application, cmds map[string]command) {
+	c := app.Command("recovery", "Cause one fault at a time in a simulated fleet and measure how long the fleet takes to detect it, hand over roles, apply changes and recover.").Alias("gauge")
+	seeds := c.Flag("seeds", "Number of seeds.").Default("50").Uint64()
 	first := c.Flag("seed", "First seed.").Default("1").Uint64()
 	shapeName := c.Flag("shape", "Fleet: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	cmds["recovery"] = func(_ io.Reader, out io.Writer) error {
@@ -74,18 +76,18 @@
 	}
 }
 
-// replay has a plan take its requests from a HAR file, if one is given, and names the entries that it cannot use.
-func replay(out io.Writer, p *whatif.Plan, file string) error {
+// loadHAR replaces a plan's load by the requests in a HAR file, if one is given, and prints the entries that cannot be used.
+func loadHAR(out io.Writer, p *whatif.Plan, file string) error {
 	if file == "" {
 		return nil
 	}
 	shape, _ := shape.Named(p.Shape)
-	asks, unused, err := whatif.ReadHAR(file, shape.Classes)
+	requests, unused, err := whatif.ReadHAR(file, shape.Classes)
 	if err != nil {
 		return err
 	}
-	p.Requests = asks
-	fmt.Fprintf(out, "%s: %d entries used, %d not\n", file, len(asks), len(unused))
+	p.Requests = requests
+	fmt.Fprintf(out, "%s: %d entries used, %d not\n", file, len(requests), len(unused))
 	for _, u := range unused {
 		fmt.Fprintln(out, "  "+u)
 	}
