--- a/doc.go
+++ b/doc.go
@@ -1,6 +1,7 @@
-// Package mallowbridge lets a program embed a router for replicas of a language model. Embed connects a Router to the daemon of its
-// node: it gets the same configurations, replicas and fleet as the daemon, and its share of shared bounds. The program sends the requests
-// itself, as the Router decides, and tells it what happened.
+// Package mallowbridge lets a program embed a router for replicas of a language model. Embed connects a Router to the daemon of its node,
+// from which the Router gets the same configuration, replicas and fleet members as the daemon, and its share of the limits that routers
+// share. The program submits each request as an Arrival, sends it to replicas as the Router's Decisions say, and reports the Events of
+// its attempts.
 //
-// A Router is safe for concurrent use. It ends with its tomb.
+// A Router is safe for concurrent use. It stops when its tomb dies.
 package mallowbridge
--- a/embed.go
+++ b/embed.go
@@ -10,8 +10,8 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// Embed gives a caller's program its own router, which follows the daemon at addr (host:port) until the tomb dies. name is unique among
-// the daemon's followers; zone is used until the daemon has told its own.
+// Embed returns a router that follows the daemon at addr (host:port) until the tomb dies. name must be unique among the daemon's followers.
+// zone is the router's zone until the daemon sends its own.
 func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) *Router {
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
--- a/follow.go
+++ b/follow.go
@@ -12,26 +12,26 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// GapError says that events of a daemon were lost on the way.
+// GapError is the error if events of a daemon were lost. Got and Want are the sequence numbers of the received and the expected event.
 type GapError struct{ Got, Want uint64 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("change %d came where %d was due", e.Got, e.Want)
+	return fmt.Sprintf("got event %d, want event %d", e.Got, e.Want)
 }
 
 const (
-	// followRetry is the longest wait for a connection to the daemon, and the pause before the next attempt.
+	// followRetry is the timeout of a connection attempt to the daemon, and the pause before the next attempt.
 	followRetry = 300 * time.Millisecond
-	// followTimeout is how long a daemon may send nothing.
+	// followTimeout is how long a daemon may be silent before the connection is closed.
 	followTimeout = 5 * time.Second
 )
 
-// Follow keeps one connection to the daemon at addr until the tomb dies, and passes on its snapshot, then its changes, to feed. A lost
-// connection or a gap starts over with a new snapshot; start is called for each.
-func Follow(t *tomb.Tomb, addr, name string, start func(w router.Welcome), feed func(ev router.Event)) {
+// Follow keeps a connection to the daemon at addr until the tomb dies. It calls start with the daemon's greeting and onEvent with each event
+// that follows: first the daemon's current state, then its changes. After a lost connection or a gap in the events it reconnects and starts over.
+func Follow(t *tomb.Tomb, addr, name string, start func(w router.Welcome), onEvent func(ev router.Event)) {
 	t.Go(func() error {
 		for t.Alive() {
-			_ = followOnce(t, addr, name, start, feed)
+			_ = followOnce(t, addr, name, start, onEvent)
 			select {
 			case <-t.Dying():
 			case <-time.After(followRetry):
@@ -41,7 +41,8 @@
 	})
 }
 
-func followOnce(t *tomb.Tomb, addr, name string, start func(w router.Welcome), feed func(ev router.Event)) error {
+// followOnce connects to the daemon once and passes on its events until the connection ends.
+func followOnce(t *tomb.Tomb, addr, name string, start func(w router.Welcome), onEvent func(ev router.Event)) error {
 	conn, err := net.DialTimeout("tcp", addr, followRetry)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -60,12 +61,12 @@
 	if _, err = transport.Greet(conn, transport.NewWriter(), r, hello); err != nil {
 		return err
 	}
-	return readEvents(conn, r, start, feed)
+	return readEvents(conn, r, start, onEvent)
 }
 
-// readEvents passes on what comes until the connection ends or an event is missing.
-func readEvents(conn net.Conn, r *transport.Reader, start func(w router.Welcome), feed func(ev router.Event)) error {
-	for due := uint64(0); ; {
+// readEvents passes on events until the connection ends or an event is missing.
+func readEvents(conn net.Conn, r *transport.Reader, start func(w router.Welcome), onEvent func(ev router.Event)) error {
+	for next := uint64(0); ; {
 		_ = conn.SetReadDeadline(time.Now().Add(followTimeout))
 		msg, err := r.Next()
 		if err != nil {
@@ -75,11 +76,11 @@
 		case router.Welcome:
 			start(m)
 		case router.NumberedEvent:
-			if m.Seq != due {
-				return trace.Wrap(&GapError{Got: m.Seq, Want: due})
+			if m.Seq != next {
+				return trace.Wrap(&GapError{Got: m.Seq, Want: next})
 			}
-			due++
-			feed(m.Event)
+			next++
+			onEvent(m.Event)
 		}
 	}
 }
--- a/mallowbridge.go
+++ b/mallowbridge.go
@@ -2,32 +2,34 @@
 
 import "github.com/mallowbridge/mallowbridge/router"
 
-// Router owns a router in one goroutine: Submit hands in an arrival and gives the channel of its decisions, Notify hands in what happened.
+// Router runs a router in its own goroutine. Submit passes it a new request and returns the channel of the request's decisions. Notify passes
+// it any other event.
 type Router = router.Loop
 
-// Event is what happened: one of the events below, or one that a daemon sends its followers.
+// Event is an input of the router: one of the events below, or one that a daemon sends to its followers.
 type Event = router.Event
 
-// The events that a program gives its router, in the order of a request. An attempt is named by its AttemptID.
+// The events that a program passes to its router, in the order in which they occur during a request. They identify an attempt by its
+// AttemptID.
 type (
 	// Arrival is a new request.
 	Arrival = router.Arrival
-	// ReadyToSend says that the connection to the replica is open; the answer is Send or CancelBeforeSend.
+	// ReadyToSend reports that the connection to the replica is open. The router decides Send or CancelBeforeSend.
 	ReadyToSend = router.ReadyToSend
-	// ResponseHead says that the head of the replica's answer came.
+	// ResponseHead reports that the head of the replica's response was received.
 	ResponseHead = router.ResponseHead
-	// ResponseStarted says that the first part of the answer was passed on.
+	// ResponseStarted reports that the first part of the response was passed to the client.
 	ResponseStarted = router.ResponseStarted
-	// AttemptEnded says how an attempt ended.
+	// AttemptEnded reports that an attempt ended, with its result.
 	AttemptEnded = router.AttemptEnded
-	// ClientDisconnected says that the client is gone.
+	// ClientDisconnected reports that the client disconnected.
 	ClientDisconnected = router.ClientDisconnected
 )
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult = router.AttemptResult
 
-// The results of attempts.
+// The results of attempts. NotSent means that the request did not reach the replica.
 const (
 	Completed = router.Completed
 	Refused   = router.Refused
@@ -35,13 +37,13 @@
 	NotSent   = router.NotSent
 )
 
-// Decision is what the router decided for one request.
+// Decision is a decision of the router about a request.
 type Decision = router.Decision
 
-// Verdict says what a Decision wants done.
+// Verdict is the action that a Decision asks for.
 type Verdict = router.Verdict
 
-// The verdicts. Reject, Unknown, Partial and Done are final.
+// The verdicts. Reject, Unknown, Partial and Done end the request.
 const (
 	Place            = router.Place
 	Send             = router.Send
