--- a/config/jsonvalue.go
+++ b/config/jsonvalue.go
@@ -72,6 +72,7 @@
 	return t, nil
 }
 
+// parseValue parses the next value; path is its path in the document, depth the number of objects and lists around it.
 func parseValue(dec *json.Decoder, path string, depth int) (jsonValue, error) {
 	var t jsonValue
 	if depth > maxDepth {
@@ -97,6 +98,7 @@
 	return jsonValue{kind: '0', text: "null"}, nil
 }
 
+// parseObject parses an object after its opening brace.
 func parseObject(dec *json.Decoder, path string, depth int) (jsonValue, error) {
 	var t jsonValue
 	t.kind = 'o'
@@ -123,6 +125,7 @@
 	return t, nil
 }
 
+// parseList parses a list after its opening bracket.
 func parseList(dec *json.Decoder, path string, depth int) (jsonValue, error) {
 	var t jsonValue
 	t.kind = 'a'
--- a/config/read.go
+++ b/config/read.go
@@ -49,6 +49,7 @@
 	return readMillis(d, replaceVoterField, 0, 0, 86400000)
 }
 
+// readService reads a service. services and replicas are the names that were read before.
 func readService(d *Decoder, services, replicas map[string]bool) Service {
 	var service Service
 	service.Name = readUniqueName(d, "name", services)
--- a/config/split.go
+++ b/config/split.go
@@ -135,6 +135,7 @@
 	s.ok = s.ok && s.offset == len(s.raw)
 }
 
+// readField reads a field: its items if the value is a list of objects, otherwise only its value.
 func (s *documentScanner) readField() Field {
 	quoted := s.readValue()
 	var f Field
