--- a/config/config_test.go
+++ b/config/config_test.go
@@ -13,7 +13,7 @@
 
 func TestViolationsNameTheirPath(t *testing.T) {
 	if c, err := Read([]byte(validDocument)); err != nil || c.Services[0].Replicas[0].Capacity != 8 || c.Services[0].Classes[0].Idempotent {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("got %+v, error %v", c, err)
 	}
 	for _, c := range []struct{ from, to, path string }{
 		{`"model":"m"`, `"model":""`, "$.offers[0].model"},
