--- a/cmd/mallowbridge/daemon.go
+++ b/cmd/mallowbridge/daemon.go
@@ -100,8 +100,8 @@
 		_ = lis.Close()
 		return err
 	}
-	g := httpapi.New(h.Loop, func(request string, margin time.Duration, peek bool) router.AttemptResult {
-		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: margin, Peek: peek}))
+	g := httpapi.New(h.Loop, func(request string, spareTime time.Duration, peek bool) router.AttemptResult {
+		return control.WitnessOutcome(h.Call(control.Witness{Request: request, SpareTime: spareTime, Peek: peek}))
 	}, httpapi.DefaultLimits(s.MaxBody, s.MaxStreams))
 	g.NodeID = h.FrontendID
 	ops := &httpapi.Operations{Control: h, Frontend: g, Clock: daemon.Clock, Extra: func() map[string]uint64 { return daemonCounters(h) }}
