--- a/capacity/singlerouter.go
+++ b/capacity/singlerouter.go
@@ -73,7 +73,7 @@
 		panic(err)
 	}
 	for i := range c.Services {
-		c.Services[i].KeepTokens = keepTokens
+		c.Services[i].PrefixCacheTokens = keepTokens
 	}
 	r := &singleRouter{node: &light.Node{Name: "n1", Zone: "a1"}, costs: NewCosts(), clock: clock, now: time.Second}
 	r.node.Router = router.New(router.Defaults("n1", "b", "a1"))
--- a/control/node.go
+++ b/control/node.go
@@ -90,7 +90,7 @@
 // New returns a node that starts at now. All later steps use the same clock.
 func New(now time.Duration, cfg Config) *Node {
 	if cfg.Read == nil {
-		cfg.Read = (&config.Documents{}).Read
+		cfg.Read = (&config.CachingReader{}).Read
 	}
 	if cfg.Build == 0 {
 		cfg.Build = transport.Build
--- a/control/voters.go
+++ b/control/voters.go
@@ -48,7 +48,7 @@
 	if n.snapshot == nil {
 		return 0
 	}
-	return n.snapshot.Config.ReplaceVoter
+	return n.snapshot.Config.ReplaceVoterAfter
 }
 
 // maintainVoters keeps the voter set complete. Only the node that is first in rank does so. If two nodes both consider themselves first,
--- a/daemon/operatorconn_test.go
+++ b/daemon/operatorconn_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	routes := bunrouter.New()
-	platform.Routes(routes, OperatorControl{Daemon: d}, &platform.Reader{})
+	platform.AddRoutes(routes, OperatorControl{Daemon: d}, &platform.CachingReader{})
 	server := httptest.NewUnstartedServer(routes)
 	server.Config.ConnContext = d.PauseGuard.ConnContext
 	server.Start()
--- a/daemon/pausedconnections_test.go
+++ b/daemon/pausedconnections_test.go
@@ -44,7 +44,7 @@
 	g := NewPauseGuard(func() time.Duration { return time.Duration(now.Load()) })
 	c := &guardedControl{guard: g}
 	routes := bunrouter.New()
-	platform.Routes(routes, c, &platform.Reader{})
+	platform.AddRoutes(routes, c, &platform.CachingReader{})
 	server := httptest.NewUnstartedServer(routes)
 	server.Config.ConnContext = g.ConnContext
 	server.Start()
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -68,7 +68,7 @@
 }
 
 func readBody(w http.ResponseWriter, r bunrouter.Request) ([]byte, error) {
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxDocumentBytes))
 }
 
 // decodeBody reads the body of a request and returns a decoder for it.
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Open(raw)
+	return config.NewDecoder(raw)
 }
 
 func (o *Operations) getConfig(w http.ResponseWriter, _ bunrouter.Request) error {
@@ -135,7 +135,7 @@
 		}
 		var names []string
 		for _, e := range d.List("voters", 1, 15) {
-			names = append(names, e.Text(64))
+			names = append(names, e.StringElement(64))
 		}
 		d.Close()
 		if err = d.Err(); err != nil {
@@ -153,9 +153,9 @@
 	}
 	op := control.SetReplicaStates{At: uint64(time.Now().UnixMilli())}
 	for _, e := range d.List("replicas", 1, 4096) {
-		row := control.ReplicaState{Replica: e.Str("replica", true, 64), State: router.ListingState(e.Str("state", true, 16))}
+		row := control.ReplicaState{Replica: e.String("replica", true, 64), State: router.ListingState(e.String("state", true, 16))}
 		if !row.State.Valid() {
-			e.AddViolation(e.At("state"), string(row.State), "present, leaving or gone")
+			e.AddViolation(e.FieldPath("state"), string(row.State), "present, leaving or gone")
 		}
 		e.Close()
 		op.Rows = append(op.Rows, row)
--- a/httpapi/responses.go
+++ b/httpapi/responses.go
@@ -77,7 +77,7 @@
 }
 
 func violation(path, value, bound string) error {
-	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: value, Bound: bound}}}
+	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: value, Requirement: bound}}}
 }
 
 // respondAnswer sends the response to a call with its result.
--- a/standin/rehearsal/quota.go
+++ b/standin/rehearsal/quota.go
@@ -59,7 +59,7 @@
 // recordRun records a request that a replica starts to run, with the time of this process's clock.
 func (r *quotaRehearsal) recordRun(run ReplicaRun) {
 	q := run.Request
-	promptTokens, outputTokens := platform.ParseTokens(q.Header.Get(platform.HeaderTokens))
+	promptTokens, outputTokens := platform.ParseTokens(q.Header.Get(platform.HeaderTokenUsage))
 	r.runs <- ledger.QuotaRun{AtMs: time.Now().UnixMilli(), Tenant: q.Header.Get(platform.HeaderTenant), Cost: float64(promptTokens + outputTokens)}
 }
 
--- a/standin/rehearsal/quotaclient.go
+++ b/standin/rehearsal/quotaclient.go
@@ -138,8 +138,8 @@
 	c.sent++
 	_ = c.conn.SetDeadline(time.Now().Add(requestTimeout))
 	head := fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 2\r\n%s: %s\r\n%s: %s-%d\r\n%s: m\r\n%s: %d,%d\r\n%s: %x:%d\r\n%s: %d\r\n\r\n{}",
-		q.path, c.name, hostname, platform.HeaderCredential, apiKeyOf(q.tenant), platform.HeaderAttempt, c.name, c.sent, platform.HeaderModel,
-		platform.HeaderTokens, q.prompt, responseTokens, platform.HeaderPrefix, c.rng.Uint32(), q.prompt, platform.HeaderDeadline, requestTimeout.Milliseconds())
+		q.path, c.name, hostname, platform.HeaderCredential, apiKeyOf(q.tenant), platform.HeaderAttemptID, c.name, c.sent, platform.HeaderModel,
+		platform.HeaderTokenUsage, q.prompt, responseTokens, platform.HeaderPromptPrefix, c.rng.Uint32(), q.prompt, platform.HeaderDeadline, requestTimeout.Milliseconds())
 	if _, err := io.WriteString(c.conn, head); err != nil {
 		c.disconnect()
 		return 0
--- a/standin/rehearsal/soakcheck.go
+++ b/standin/rehearsal/soakcheck.go
@@ -37,7 +37,7 @@
 	ledgerRows := json.NewEncoder(s.Ledger)
 	var all []ledger.SoakRun
 	for _, run := range s.recordedRuns {
-		attempt := run.Request.Header.Get(platform.HeaderAttempt)
+		attempt := run.Request.Header.Get(platform.HeaderAttemptID)
 		stopped := run.Replica.stoppedAt.Load()
 		row := ledger.SoakRun{
 			AtMs: run.atMs, Attempt: attempt, Instance: run.Replica.Instance, Zone: run.Replica.zone, Altered: run.alteration,
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -86,13 +86,13 @@
 
 // Read parses a plan. The error is a *config.InvalidError. The JSON key "breakdowns" contains the faults.
 func Read(name string, raw []byte) (Plan, error) {
-	d, err := config.Open(raw)
+	d, err := config.NewDecoder(raw)
 	var p Plan
 	if err != nil {
 		return p, err
 	}
 	p = Default(name)
-	if s := d.Str("shape", false, 16); s != "" {
+	if s := d.String("shape", false, 16); s != "" {
 		p.Shape = s
 	}
 	p.Scale = d.Int("times", 1, 1, 16)
@@ -102,16 +102,16 @@
 	case site:
 		shape, p.Rate, p.HotRatio = spec.Shape, 0, 0
 	case !ok:
-		d.AddViolation(d.At("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
+		d.AddViolation(d.FieldPath("shape"), p.Shape, "tramites, atlas, tramites site or atlas site")
 	}
 	p.Seconds, p.Seeds, p.FirstSeed = d.Int("seconds", p.Seconds, 20, 3600), d.Int("seeds", p.Seeds, 1, 1000), d.Int("firstSeed", 1, 1, 1<<30)
 	p.PrefixIndex, p.RoundRobin = d.Bool("index", true), d.Bool("roundRobin", false)
-	p.readLoad(d.Sub("load"))
+	p.readLoad(d.Object("load"))
 	for _, f := range d.List("breakdowns", 0, 1024) {
 		p.Faults = append(p.Faults, readFault(f, shape, site))
 	}
 	if site && p.Scale > 1 {
-		d.AddViolation(d.At("times"), fmt.Sprint(p.Scale), "1 for a site")
+		d.AddViolation(d.FieldPath("times"), fmt.Sprint(p.Scale), "1 for a site")
 	}
 	p.readConfig(d, site)
 	d.Close()
@@ -119,11 +119,11 @@
 }
 
 func (p *Plan) readLoad(d *config.Decoder) {
-	p.Rate = d.Num("rate", p.Rate, 0.1, 10000)
-	p.HotRatio = d.Num("hot", p.HotRatio, 0, 1)
+	p.Rate = d.Number("rate", p.Rate, 0.1, 10000)
+	p.HotRatio = d.Number("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Bursts = append(p.Bursts, workload.Burst{From: milliseconds(c, "fromMs"), Until: milliseconds(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Bursts = append(p.Bursts, workload.Burst{From: milliseconds(c, "fromMs"), Until: milliseconds(c, "untilMs"), Times: c.Number("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
@@ -131,17 +131,17 @@
 
 // readConfig reads the file that replaces the fleet's own configuration.
 func (p *Plan) readConfig(d *config.Decoder, site bool) {
-	path := d.Str("config", false, 4096)
+	path := d.String("config", false, 4096)
 	if path == "" {
 		return
 	}
 	if site {
-		d.AddViolation(d.At("config"), path, "absent for a site")
+		d.AddViolation(d.FieldPath("config"), path, "absent for a site")
 		return
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		d.AddViolation(d.At("config"), path, "a readable file")
+		d.AddViolation(d.FieldPath("config"), path, "a readable file")
 	}
 	p.Config = raw
 }
@@ -152,24 +152,24 @@
 }
 
 func readFault(d *config.Decoder, shape shape.Shape, site bool) sim.Fault {
-	f := sim.Fault{At: milliseconds(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
+	f := sim.Fault{At: milliseconds(d, "atMs"), Kind: d.String("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	kinds := fleetFaultKinds()
 	if site {
 		kinds = sim.SiteFaults()
 	}
 	if !slices.Contains(kinds, f.Kind) {
-		d.AddViolation(d.At("kind"), f.Kind, "one of "+strings.Join(kinds, ", "))
+		d.AddViolation(d.FieldPath("kind"), f.Kind, "one of "+strings.Join(kinds, ", "))
 	}
 	for i, e := range d.List("on", 0, 4096) {
-		name := e.Text(64)
+		name := e.StringElement(64)
 		if !inFleet(shape, name) {
-			d.AddViolation(fmt.Sprintf("%s[%d]", d.At("on"), i), name, "the name of a node, zone or replica of the fleet")
+			d.AddViolation(fmt.Sprintf("%s[%d]", d.FieldPath("on"), i), name, "the name of a node, zone or replica of the fleet")
 		}
 		f.On = append(f.On, name)
 	}
 	needsTarget := map[string]bool{sim.PartitionZone: true, sim.PartitionControl: true, sim.EvacuateFault: true, sim.SwapVoters: true}
 	if needsTarget[f.Kind] && len(f.On) == 0 {
-		d.AddViolation(d.At("on"), "empty", "at least one name for "+f.Kind)
+		d.AddViolation(d.FieldPath("on"), "empty", "at least one name for "+f.Kind)
 	}
 	d.Close()
 	return f
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -54,7 +54,7 @@
 	s.Charter, s.Load.Classes = p.Config, nil
 	for _, service := range c.Services {
 		for _, class := range service.Classes {
-			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: service.Name, Name: class.Name, Repeatable: class.Repeatable})
+			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: service.Name, Name: class.Name, Repeatable: class.Idempotent})
 		}
 	}
 	return s, nil
