--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -73,8 +73,8 @@
 	c.of(n, ofInput(in)).Step += elapsed
 }
 
-// Asked counts a probe of a replica.
-func (c *Costs) Asked(n *light.Node) { c.of(n, Probes).Probes++ }
+// Probed counts a probe of a replica.
+func (c *Costs) Probed(n *light.Node) { c.of(n, Probes).Probes++ }
 
 // Wrote counts an entry that was synced to disk.
 func (c *Costs) Wrote(n *light.Node) { c.of(n, Register).Writes++ }
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -77,19 +77,19 @@
 	h.Boot()
 	warm := p.Warm + p.bootSpread()
 	h.Run(p.bootSpread() + min(8*time.Second, p.Warm/2))
-	h.Load(warm + p.Measured)
+	h.SubmitLoad(warm + p.Measured)
 	h.Run(warm)
 	r.Costs.Reset()
-	h.Puts, h.Firsts = nil, nil
-	clear(h.Ends)
-	h.Change()
+	h.ApplyTimes, h.FirstTokenTimes = nil, nil
+	clear(h.Outcomes)
+	h.PutPeriodically()
 	h.Run(warm + p.Measured)
 	for _, n := range h.Nodes {
 		if n.Router.NotReady(h.Now) == "" {
 			r.Ready++
 		}
 	}
-	r.Nodes, r.Puts, r.Firsts, r.Ends = h.Nodes, h.Puts, h.Firsts, h.Ends
+	r.Nodes, r.Puts, r.Firsts, r.Ends = h.Nodes, h.ApplyTimes, h.FirstTokenTimes, h.Outcomes
 	return r
 }
 
@@ -102,15 +102,15 @@
 	m := replica.DefaultModel()
 	m.Capacity = light.Capacity
 	plan := light.Plan{
-		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
-		Body: func(n int) []byte { return light.Document(plain, n, p.ConfigBytes) },
+		Seed: p.Seed, Model: m, CrossZoneDelay: p.ZoneDelay, WatchSpread: p.bootSpread(), Clock: p.Clock,
+		Document: func(n int) []byte { return light.Document(plain, n, p.ConfigBytes) },
 	}
 	if p.Changes > 0 {
-		plan.PutEvery = time.Duration(float64(time.Second) / p.Changes)
+		plan.PutInterval = time.Duration(float64(time.Second) / p.Changes)
 	}
 	if p.Rate > 0 {
-		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: 0}, p.Seed, "q")
-		plan.Next = src.Next
+		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, PrefixesPerClass: p.Prefixes, HotRatio: 0}, p.Seed, "q")
+		plan.NextRequest = src.Next
 	}
 	return plan
 }
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -40,7 +40,7 @@
 	path := c.Flag("ledger", "File that gets a line for each run.").String()
 	m := replica.DefaultModel()
 	c.Flag("room", "Requests that it runs at once.").Default("8").IntVar(&m.Capacity)
-	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.Keep)
+	c.Flag("keep", "Tokens that its prefix cache keeps.").Default("65536").IntVar(&m.CacheCapacity)
 	c.Flag("pieces", "Pieces in an answer.").Default("24").IntVar(&m.Chunks)
 	c.Flag("cold", "How long it stays cold.").Default("6s").DurationVar(&m.WarmupTime)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
@@ -99,7 +99,7 @@
 }
 
 func clientLoad(rate, hotRatio float64, service string, repeatable, once []string) workload.Load {
-	load := workload.Load{Rate: rate, Prefixes: 24, HotRatio: hotRatio}
+	load := workload.Load{Rate: rate, PrefixesPerClass: 24, HotRatio: hotRatio}
 	for _, k := range repeatable {
 		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: true})
 	}
--- a/cmd/mallowbridge/whatif.go
+++ b/cmd/mallowbridge/whatif.go
@@ -65,7 +65,7 @@
 	first := c.Flag("seed", "First seed.").Default("1").Uint64()
 	shapeName := c.Flag("shape", "Fleet: tramites or atlas.").Default("tramites").Enum("tramites", "atlas")
 	cmds["recovery"] = func(_ io.Reader, out io.Writer) error {
-		sh, _ := shape.Named(*shapeName)
+		sh, _ := shape.ByName(*shapeName)
 		fmt.Fprintf(out, "%-36s %8s %8s %8s\n", fmt.Sprintf("%s, ms over %d seeds from %d", *shapeName, *seeds, *first), "p50", "p95", "max")
 		for _, r := range sim.Measure(sh, *first, *seeds) {
 			fmt.Fprintf(out, "%-36s %8d %8d %8d\n", r.Name, sim.Quantile(r.Ms, 0.5), sim.Quantile(r.Ms, 0.95), sim.Quantile(r.Ms, 1))
@@ -79,7 +79,7 @@
 	if file == "" {
 		return nil
 	}
-	shape, _ := shape.Named(p.Shape)
+	shape, _ := shape.ByName(p.Shape)
 	asks, unused, err := whatif.ReadHAR(file, shape.Classes)
 	if err != nil {
 		return err
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -70,7 +70,7 @@
 	for cut := 1; cut < 2*changes+20; cut++ {
 		d := disk.New(uint64(cut))
 		k, _ := opened(t, d)
-		d.PowerLossAt = d.Writes + cut
+		d.PowerLossAfter = d.Writes + cut
 		kept := 0
 		for i := 1; i <= changes; i++ {
 			if k.Append(accepted(i)) != nil {
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -46,7 +46,7 @@
 	r := &rig{t: t, tomb: &tomb.Tomb{}}
 	clock := func() time.Duration { return time.Duration(r.now.Load()) }
 	m := replica.DefaultModel()
-	m.Base, m.PerToken, m.Every, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
+	m.BaseTime, m.PerToken, m.ChunkInterval, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
 	reps := ""
 	for i := range 2 {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,7 +102,7 @@
 func (r *rig) ask(kind, id string) ledger.Got {
 	a := standin.NewAgent(nil)
 	return a.Once(context.Background(), strings.TrimPrefix(r.srv.URL, "http://"), workload.Request{
-		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
+		ID: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
--- a/sim/answers.go
+++ b/sim/answers.go
@@ -15,8 +15,8 @@
 func (i *Instance) job(k *socket, r *sentRequest) *engine.Job {
 	q := r.try.request
 	stride := max(i.service.Stride, 1)
-	j := &engine.Job{Parts: q.parts, Prompt: max(q.prompt+r.after*stride, 1), Out: max((q.events-r.after)*stride, 1), Work: q.work, Priority: r.rank, Until: r.until}
-	run := fmt.Sprintf("%s.%d", i.ID, i.engine.Seq+1)
+	j := &engine.Job{Blocks: q.parts, PromptTokens: max(q.prompt+r.after*stride, 1), OutputTokens: max((q.events-r.after)*stride, 1), WorkTime: q.work, Priority: r.rank, StartBy: r.until}
+	run := fmt.Sprintf("%s.%d", i.ID, i.engine.LastSeq+1)
 	headed := false
 	bad := ""
 	if g := i.garble; g.every > 0 && i.s.rng.IntN(g.every) == 0 && (g.how != endsInsideEvent || q.class.Streaming) {
@@ -26,9 +26,9 @@
 	if q.class.Streaming && q.events > 1 {
 		at = 1 + i.s.rng.IntN(q.events)
 	}
-	j.Overdue = func() { i.refuse(k, r) }
-	j.Begun = func() { i.s.rules.began(i, r) }
-	j.Event = func(n int, last bool) {
+	j.OnExpired = func() { i.refuse(k, r) }
+	j.OnStart = func() { i.s.rules.began(i, r) }
+	j.OnEvent = func(n int, last bool) {
 		n += r.after
 		p := packet{data: q.data(n, run), end: last}
 		if !headed {
@@ -82,7 +82,7 @@
 	if how != "silent" {
 		k.reply(p)
 	}
-	i.engine.Drop(j)
+	i.engine.Cancel(j)
 	k.job = nil
 	return true
 }
--- a/sim/audit.go
+++ b/sim/audit.go
@@ -21,21 +21,21 @@
 
 // Classes of breach of the rules.
 const (
-	OldSnapshot     = "old configuration obeyed"
-	OlderSnapshot   = "older configuration came back"
-	ToEvacuated     = "work for an emptied domain"
-	ToLeaving       = "work for a leaving replica"
-	TooManySeconds  = "too many second goes"
-	Flooded         = "cold replica flooded"
-	LostVersion     = "accepted configuration was lost"
-	NoReturn        = "service did not return"
-	TwoValues       = "one mark, two configurations"
-	TwoHolders      = "two holders of one claim"
-	Unreadable      = "a frame that a neighbouring build cannot read"
-	Undue           = "contents of a configuration not obeyed"
-	RepeatedUnsafe  = "second go of a kind that may not be repeated"
-	StalePrediction = "warm guess outlived its time"
-	Unproved        = "counted as confirmed without proof"
+	OldSnapshot          = "old configuration obeyed"
+	OlderSnapshot        = "older configuration came back"
+	ToEvacuated          = "work for an emptied domain"
+	ToDraining           = "work for a leaving replica"
+	TooManyRetries       = "too many second goes"
+	WarmupOverloaded     = "cold replica flooded"
+	LostVersion          = "accepted configuration was lost"
+	NotRecovered         = "service did not return"
+	TwoConfigs           = "one mark, two configurations"
+	TwoLeaseHolders      = "two holders of one claim"
+	UnreadableFrame      = "a frame that a neighbouring build cannot read"
+	ConfigNotApplied     = "contents of a configuration not obeyed"
+	RetriedNonIdempotent = "second go of a kind that may not be repeated"
+	StalePrediction      = "warm guess outlived its time"
+	UnprovenConfirmation = "counted as confirmed without proof"
 )
 
 // A fact is known outside the nodes; zone is where it was told.
@@ -58,23 +58,23 @@
 // Audit checks the rules of the fleet as the run goes, by what was told outside the nodes. Breaches holds the first 50 breaches, Story the
 // trace before the first, Exempt how many attempts only a network cut excuses.
 type Audit struct {
-	w             *World
-	Breaches      []ledger.Breach
-	versions      []versionFact
-	highest       uint64
-	evacuatedAt   map[string]versionFact
-	drainedAt     map[string]versionFact
-	applied       map[string]uint64
-	bodies        map[uint64]string
-	contents      []*content
-	partitions    []partitionSpan
-	firstAttempts []time.Duration
-	retries       []time.Duration
-	predictions   map[predictionKey]time.Duration
-	proofs        map[predictionKey]bool
-	Story         []string
-	Exempt        int
-	orders        map[string][]versionAt
+	w                 *World
+	Breaches          []ledger.Breach
+	versions          []versionFact
+	highest           uint64
+	evacuatedAt       map[string]versionFact
+	drainedAt         map[string]versionFact
+	applied           map[string]uint64
+	bodies            map[uint64]string
+	contents          []*content
+	partitions        []partitionSpan
+	firstAttempts     []time.Duration
+	retries           []time.Duration
+	predictions       map[predictionKey]time.Duration
+	proofs            map[predictionKey]bool
+	TraceBeforeBreach []string
+	ExcusedAttempts   int
+	orders            map[string][]versionAt
 }
 
 func newAudit(w *World) *Audit {
@@ -102,16 +102,16 @@
 		return false
 	}
 	if a.w.Now-a.known(n, f) <= within {
-		a.Exempt++
+		a.ExcusedAttempts++
 		return false
 	}
 	return true
 }
 
 func (a *Audit) breach(what, who, detail string) {
-	a.w.Say("BREACH %s: %s: %s", what, who, detail)
+	a.w.Tracef("BREACH %s: %s: %s", what, who, detail)
 	if len(a.Breaches) == 0 {
-		a.Story = slices.Clone(a.w.Trace[max(0, len(a.w.Trace)-storyLines):])
+		a.TraceBeforeBreach = slices.Clone(a.w.Trace[max(0, len(a.w.Trace)-storyLines):])
 	}
 	if len(a.Breaches) < 50 {
 		a.Breaches = append(a.Breaches, ledger.Breach{What: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.Now, detail)})
@@ -123,14 +123,14 @@
 	if v.Version > a.highest {
 		a.highest = v.Version
 		a.versions = append(a.versions, versionFact{at: a.w.Now, version: v.Version, zone: n.Zone})
-		a.w.Say("accepted mark %d", v.Version)
+		a.w.Tracef("accepted mark %d", v.Version)
 	}
 }
 
 func (a *Audit) same(v *register.Value) {
 	text := string(v.Document) + fmt.Sprint(v.EvacuatedZones)
 	if old, ok := a.bodies[v.Version]; ok && old != text {
-		a.breach(TwoValues, fmt.Sprint(v.Version), "")
+		a.breach(TwoConfigs, fmt.Sprint(v.Version), "")
 	}
 	a.bodies[v.Version] = text
 }
@@ -168,7 +168,7 @@
 	}
 	for i := len(a.versions) - 1; i >= 0 && a.versions[i].version > version; i-- {
 		if a.versions[i].version > due && now-a.versions[i].at > orderWithin {
-			a.Exempt++
+			a.ExcusedAttempts++
 			break
 		}
 	}
@@ -177,7 +177,7 @@
 	}
 	a.applied[n.Name] = max(a.applied[n.Name], version)
 	if left, ok := a.drainedAt[c.replica.Name]; ok && a.late(n, left, leavingWithin) {
-		a.breach(ToLeaving, c.replica.Name, n.Name)
+		a.breach(ToDraining, c.replica.Name, n.Name)
 	}
 	a.appliesContents(f, c, due)
 	if f.attempts == 1 {
@@ -194,15 +194,15 @@
 		return k
 	}
 	if s, fst := in(a.retries), in(a.firstAttempts); float64(s) > retryRatio*float64(fst)+secondPlus {
-		a.breach(TooManySeconds, n.Name, fmt.Sprintf("%d for %d", s, fst))
+		a.breach(TooManyRetries, n.Name, fmt.Sprintf("%d for %d", s, fst))
 	}
 }
 
 func (a *Audit) begun(r *FleetReplica) {
-	if r.model.Floods > 0 {
-		a.breach(Flooded, r.Name, fmt.Sprintf("%d running, bears %d, cold for %s", len(r.model.Running), r.model.Bears(a.w.Now), a.w.Now-r.model.StartedAt))
-		a.w.Report.Floods += r.model.Floods
-		r.model.Floods = 0
+	if r.model.WarmupOverloads > 0 {
+		a.breach(WarmupOverloaded, r.Name, fmt.Sprintf("%d running, bears %d, cold for %s", len(r.model.Running), r.model.RunningLimit(a.w.Now), a.w.Now-r.model.StartedAt))
+		a.w.Report.WarmupOverloads += r.model.WarmupOverloads
+		r.model.WarmupOverloads = 0
 	}
 }
 
@@ -214,7 +214,7 @@
 		}
 		for _, d := range n.node.HeldRoles(n.local()) {
 			if by[d] != "" {
-				a.breach(TwoHolders, d, by[d]+" and "+n.Name)
+				a.breach(TwoLeaseHolders, d, by[d]+" and "+n.Name)
 			}
 			by[d] = n.Name
 		}
@@ -226,8 +226,8 @@
 	a.orders[n.Name] = append(a.orders[n.Name], versionAt{at: a.w.Now, version: n.router.Version()})
 }
 
-// Obeyed tells for each accepted version how long the slowest node took to obey it or a later one.
-func (a *Audit) Obeyed() []int64 {
+// ApplyTimes tells for each accepted version how long the slowest node took to obey it or a later one.
+func (a *Audit) ApplyTimes() []int64 {
 	var ms []int64
 	for _, s := range a.versions {
 		var slowest int64
--- a/sim/client.go
+++ b/sim/client.go
@@ -123,7 +123,7 @@
 // watch gives a stream up after a long silence.
 func (c *clientAttempt) watch() {
 	q := c.request
-	most := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.Gap)
+	most := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.TargetGap)
 	quiet := q.s.w.Now - q.lastEventAt
 	if quiet >= most {
 		c.hangup()
@@ -138,7 +138,7 @@
 		return
 	}
 	c.over = true
-	c.request.s.report.GaveUp++
+	c.request.s.report.ClientDisconnects++
 	c.request.s.rules.ended(c, "gave up")
 	c.request.done(false)
 	n := c.n
--- a/sim/config.go
+++ b/sim/config.go
@@ -15,7 +15,7 @@
 func (w *World) varied(large bool) []byte {
 	w.asks++
 	var d shape.Doc
-	if err := json.Unmarshal(w.S.Charter, &d); err != nil {
+	if err := json.Unmarshal(w.Scenario.Config, &d); err != nil {
 		panic(err)
 	}
 	d["replaceLostVoterMs"] = 15000 + w.asks
@@ -47,7 +47,7 @@
 			replica["role"] = "prefill"
 		}
 		if rng.IntN(16) == 0 {
-			replica["domain"] = w.S.Shape.Zones[rng.IntN(len(w.S.Shape.Zones))]
+			replica["domain"] = w.Scenario.Shape.Zones[rng.IntN(len(w.Scenario.Shape.Zones))]
 		}
 	}
 	service["replicas"] = reps
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -80,11 +80,11 @@
 		for _, x := range a.inForce(due) {
 			versions = append(versions, x.version)
 		}
-		a.breach(Undue, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Class.Name, c.replica.Name, f.n.router.Version(), due, versions))
+		a.breach(ConfigNotApplied, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Class.Name, c.replica.Name, f.n.router.Version(), due, versions))
 	case !kept:
 		a.breach(ToEvacuated, c.replica.Name, f.n.Name)
 	}
 	if f.attempts > 1 && listed && !repeatable {
-		a.breach(RepeatedUnsafe, f.ask.Request, f.n.Name)
+		a.breach(RetriedNonIdempotent, f.ask.ID, f.n.Name)
 	}
 }
--- a/sim/disk/disk.go
+++ b/sim/disk/disk.go
@@ -9,9 +9,9 @@
 )
 
 // OpError says why a simulated disk refused an operation.
-type OpError struct{ What string }
+type OpError struct{ Reason string }
 
-func (e *OpError) Error() string { return "disk: " + e.What }
+func (e *OpError) Error() string { return "disk: " + e.Reason }
 
 type file struct {
 	kept, now []byte
@@ -21,26 +21,26 @@
 // Disk is a simulated storage.Disk that forgets or tears what was not synced at a power cut. Full and BadSync have writes and syncs fail;
 // PowerLossAt is after how many writes the power goes (-1: never).
 type Disk struct {
-	rng         *rand.Rand
-	files       map[string]*file
-	Full        bool
-	BadSync     bool
-	Writes      int
-	PowerLossAt int
+	rng            *rand.Rand
+	files          map[string]*file
+	Full           bool
+	FailSync       bool
+	Writes         int
+	PowerLossAfter int
 }
 
 // New makes an empty disk.
 func New(seed uint64) *Disk {
-	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, PowerLossAt: -1}
+	return &Disk{rng: rand.New(rand.NewPCG(seed, 23)), files: map[string]*file{}, PowerLossAfter: -1}
 }
 
 func (d *Disk) spent() error {
 	d.Writes++
-	if d.PowerLossAt >= 0 && d.Writes > d.PowerLossAt {
-		return &OpError{What: "power is gone"}
+	if d.PowerLossAfter >= 0 && d.Writes > d.PowerLossAfter {
+		return &OpError{Reason: "power is gone"}
 	}
 	if d.Full {
-		return &OpError{What: "no space left"}
+		return &OpError{Reason: "no space left"}
 	}
 	return nil
 }
@@ -94,8 +94,8 @@
 	if err := d.spent(); err != nil {
 		return err
 	}
-	if d.BadSync {
-		return &OpError{What: "sync failed"}
+	if d.FailSync {
+		return &OpError{Reason: "sync failed"}
 	}
 	f := d.get(name)
 	f.kept = slices.Clone(f.now)
@@ -124,7 +124,7 @@
 		f.now = d.torn(f.kept, f.now)
 		f.kept, f.named = slices.Clone(f.now), true
 	}
-	d.PowerLossAt, d.Full, d.BadSync = -1, false, false
+	d.PowerLossAfter, d.Full, d.FailSync = -1, false, false
 }
 
 func (d *Disk) torn(kept, now []byte) []byte {
@@ -150,8 +150,8 @@
 	return left
 }
 
-// Copy is what a power cut would leave at best: all that was synced.
-func (d *Disk) Copy() map[string]*file {
+// SyncedCopy is what a power cut would leave at best: all that was synced.
+func (d *Disk) SyncedCopy() map[string]*file {
 	files := map[string]*file{}
 	for name, f := range d.files {
 		if f.named {
@@ -167,8 +167,8 @@
 // Wipe loses all files.
 func (d *Disk) Wipe() { d.files = map[string]*file{} }
 
-// Rot flips a bit of a file; ok is false where the file is shorter.
-func (d *Disk) Rot(name string, at int) (ok bool) {
+// FlipBit flips a bit of a file; ok is false where the file is shorter.
+func (d *Disk) FlipBit(name string, at int) (ok bool) {
 	f := d.files[name]
 	if f == nil || at >= len(f.now) {
 		return false
--- a/sim/document.go
+++ b/sim/document.go
@@ -73,17 +73,17 @@
 	c.Revision = 1
 	for _, o := range s.Services {
 		c.Services = append(c.Services, config.Service{
-			Name: o.Name, Model: shape.Prompt, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
-			KeepTokens: o.Memory, Stride: o.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictions,
+			Name: o.Name, Model: shape.ModelName, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
+			KeepTokens: o.MemoryTokens, Stride: o.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictions,
 		})
 	}
 	for _, t := range s.Classes {
 		c.Routes = append(c.Routes, config.Route{
 			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), TrafficSplit: []config.WeightedService{{Service: t.Service, Weight: 1}}, Streaming: t.Streaming,
-			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.LatencyTarget, TargetGap: t.Gap, MaxAttempts: t.Attempts, Priority: t.Priority,
+			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.LatencyTarget, TargetGap: t.TargetGap, MaxAttempts: t.MaxAttempts, Priority: t.Priority,
 		})
 	}
-	for i := range s.Idle {
+	for i := range s.IdleRoutes {
 		c.Routes = append(c.Routes, s.idle(fmt.Sprintf("idle%d", i+1), i))
 	}
 	return c
--- a/sim/engine/engine.go
+++ b/sim/engine/engine.go
@@ -14,17 +14,17 @@
 // Spec describes a replica that runs its requests in one batch. Without Step it generates nothing, and each request takes its
 // own time of work.
 type Spec struct {
-	Slots int
-	Queue int
-	// Setup passes before a request joins the queue.
-	Setup time.Duration
-	// Step is how long one token of all takes, PerSlot what each further request of the batch adds.
-	Step, PerSlot time.Duration
-	// Prefill is how many tokens of prompts are read in a millisecond, Chunk the most that are read within one step.
-	Prefill float64
-	Chunk   int
-	// Memory is shared by running requests and kept parts, in tokens.
-	Memory int
+	Slots      int
+	QueueLimit int
+	// SetupTime passes before a request joins the queue.
+	SetupTime time.Duration
+	// StepTime is how long one token of all takes, StepTimePerSlot what each further request of the batch adds.
+	StepTime, StepTimePerSlot time.Duration
+	// PrefillRate is how many tokens of prompts are read in a millisecond, Chunk the most that are read within one step.
+	PrefillRate  float64
+	PrefillChunk int
+	// MemoryTokens is shared by running requests and kept parts, in tokens.
+	MemoryTokens int
 	// Stride is how many tokens an event holds.
 	Stride int
 }
@@ -33,24 +33,24 @@
 type Engine struct {
 	Spec
 	q *eventqueue.Queue
-	// Slow multiplies the time that everything takes.
-	Slow       func() float64
+	// Slowdown multiplies the time that everything takes.
+	Slowdown   func() float64
 	cache      prefixCache
 	queued     []*Job
 	running    []*Job
 	arriving   int
 	heldTokens int
-	Seq        int
+	LastSeq    int
 	stepping   bool
 	dead       bool
 
-	Admitted, Refused, Preempted uint64
-	Prompted, Cached             uint64
+	Admitted, Rejected, Preempted uint64
+	PromptTokens, CachedTokens    uint64
 }
 
 // New makes an engine that lives by the clock of the queue.
 func New(q *eventqueue.Queue, s Spec) *Engine {
-	return &Engine{Spec: s, q: q, Slow: func() float64 { return 1 }, cache: newPrefixCache()}
+	return &Engine{Spec: s, q: q, Slowdown: func() float64 { return 1 }, cache: newPrefixCache()}
 }
 
 // Load is what a replica tells of itself in answers.
@@ -58,18 +58,18 @@
 	return len(e.running), len(e.queued) + e.arriving, e.Slots
 }
 
-// Take lets a job in, or turns it away when the queue is full or it is larger than the memory.
-func (e *Engine) Take(j *Job) bool {
+// Submit lets a job in, or turns it away when the queue is full or it is larger than the memory.
+func (e *Engine) Submit(j *Job) bool {
 	full := len(e.running) >= e.Slots || len(e.queued)+e.arriving > 0
-	if (full && len(e.queued)+e.arriving >= e.Queue) || (e.Memory > 0 && j.Prompt+j.Out > e.Memory) {
-		e.Refused++
+	if (full && len(e.queued)+e.arriving >= e.QueueLimit) || (e.MemoryTokens > 0 && j.PromptTokens+j.OutputTokens > e.MemoryTokens) {
+		e.Rejected++
 		return false
 	}
 	e.Admitted++
-	e.Seq++
-	j.seq = e.Seq
+	e.LastSeq++
+	j.seq = e.LastSeq
 	e.arriving++
-	e.q.After(e.Setup, func() {
+	e.q.After(e.SetupTime, func() {
 		e.arriving--
 		if j.abandoned || e.dead {
 			return
@@ -88,8 +88,8 @@
 	e.queued = slices.Insert(e.queued, at, j)
 }
 
-// Drop forgets a job whose connection closed.
-func (e *Engine) Drop(j *Job) {
+// Cancel forgets a job whose connection closed.
+func (e *Engine) Cancel(j *Job) {
 	if j.abandoned {
 		return
 	}
@@ -116,7 +116,7 @@
 		return
 	}
 	e.admit()
-	if e.Step > 0 && !e.stepping && len(e.running) > 0 {
+	if e.StepTime > 0 && !e.stepping && len(e.running) > 0 {
 		e.stepping = true
 		e.step()
 	}
@@ -125,10 +125,10 @@
 func (e *Engine) admit() {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
 		j := e.queued[0]
-		if j.Until > 0 && e.q.Now >= j.Until && !j.started {
+		if j.StartBy > 0 && e.q.Now >= j.StartBy && !j.started {
 			e.queued = e.queued[1:]
 			j.abandoned = true
-			j.Overdue()
+			j.OnExpired()
 			continue
 		}
 		if !e.fits(j) {
@@ -136,51 +136,51 @@
 		}
 		e.queued = e.queued[1:]
 		e.running = append(e.running, j)
-		if e.Step == 0 {
+		if e.StepTime == 0 {
 			e.labour(j)
 			continue
 		}
-		cached := min(e.cache.hit(j.Parts), j.Prompt-1)
-		e.cache.touch(j.Parts)
+		cached := min(e.cache.hit(j.Blocks), j.PromptTokens-1)
+		e.cache.touch(j.Blocks)
 		if !j.joined {
 			j.joined, j.cached = true, cached
-			e.Prompted, e.Cached = e.Prompted+uint64(prefixindex.Tokens(j.Parts)), e.Cached+uint64(cached)
+			e.PromptTokens, e.CachedTokens = e.PromptTokens+uint64(prefixindex.Tokens(j.Blocks)), e.CachedTokens+uint64(cached)
 		}
-		j.unread = j.Prompt - cached + j.made
+		j.unread = j.PromptTokens - cached + j.made
 		j.heldTokens = j.unread
 		e.heldTokens += j.heldTokens
-		e.cache.evict(max(e.Memory-e.heldTokens, 0))
+		e.cache.evict(max(e.MemoryTokens-e.heldTokens, 0))
 	}
 }
 
 // fits leaves room for what the batch goes on to make.
 func (e *Engine) fits(j *Job) bool {
-	return e.Memory == 0 || len(e.running) == 0 || e.heldTokens+j.Prompt+j.made <= e.Memory-e.Memory/64
+	return e.MemoryTokens == 0 || len(e.running) == 0 || e.heldTokens+j.PromptTokens+j.made <= e.MemoryTokens-e.MemoryTokens/64
 }
 
 func (e *Engine) labour(j *Job) {
 	j.start()
-	e.q.After(time.Duration(float64(j.Work)*e.Slow()), func() {
+	e.q.After(time.Duration(float64(j.WorkTime)*e.Slowdown()), func() {
 		if j.abandoned || e.dead {
 			return
 		}
 		e.leave(j)
 		j.abandoned = true
-		j.Event(1, true)
+		j.OnEvent(1, true)
 		e.kick()
 	})
 }
 
 func (e *Engine) step() {
-	left, read := e.Chunk, 0
+	left, read := e.PrefillChunk, 0
 	for _, j := range e.running {
 		j.reading = min(j.unread, left)
 		left -= j.reading
 		read += j.reading
 	}
-	d := float64(e.Step) + float64(len(e.running)-1)*float64(e.PerSlot) + float64(read)/e.Prefill*float64(time.Millisecond)
+	d := float64(e.StepTime) + float64(len(e.running)-1)*float64(e.StepTimePerSlot) + float64(read)/e.PrefillRate*float64(time.Millisecond)
 	batch := slices.Clone(e.running)
-	e.q.After(time.Duration(d*e.Slow()), func() {
+	e.q.After(time.Duration(d*e.Slowdown()), func() {
 		if e.dead {
 			return
 		}
@@ -203,7 +203,7 @@
 		if j.unread > 0 || j.reading == 0 {
 			return
 		}
-		added := min(e.cache.keep(j.Parts), j.heldTokens-1)
+		added := min(e.cache.keep(j.Blocks), j.heldTokens-1)
 		j.heldTokens -= added
 		e.heldTokens -= added
 	}
@@ -211,19 +211,19 @@
 	j.made++
 	j.heldTokens++
 	e.heldTokens++
-	last := j.made >= j.Out
+	last := j.made >= j.OutputTokens
 	if last {
 		e.leave(j)
 		j.abandoned = true
 	}
 	if last || j.made%e.Stride == 0 {
-		j.Event((j.made+e.Stride-1)/e.Stride, last)
+		j.OnEvent((j.made+e.Stride-1)/e.Stride, last)
 	}
 }
 
 // preempt puts the newest of the least urgent back when memory has run out, to be read anew.
 func (e *Engine) preempt() {
-	for e.heldTokens > e.Memory && len(e.running) > 1 {
+	for e.heldTokens > e.MemoryTokens && len(e.running) > 1 {
 		worst := slices.MaxFunc(e.running, func(a, b *Job) int {
 			if a.Priority != b.Priority {
 				return a.Priority - b.Priority
@@ -234,5 +234,5 @@
 		e.join(worst)
 		e.Preempted++
 	}
-	e.cache.evict(max(e.Memory-e.heldTokens, 0))
+	e.cache.evict(max(e.MemoryTokens-e.heldTokens, 0))
 }
--- a/sim/engine/engine_test.go
+++ b/sim/engine/engine_test.go
@@ -21,8 +21,8 @@
 func (x *timed) job(q *eventqueue.Queue, header string, prompt, out, rank int) *Job {
 	parts, _ := prefixindex.Parse("m1", header)
 	return &Job{
-		Parts: parts, Prompt: prompt, Out: out, Priority: rank, Begun: func() { x.begun = q.Now }, Overdue: func() {},
-		Event: func(_ int, last bool) {
+		Blocks: parts, PromptTokens: prompt, OutputTokens: out, Priority: rank, OnStart: func() { x.begun = q.Now }, OnExpired: func() {},
+		OnEvent: func(_ int, last bool) {
 			if x.events++; x.events == 1 {
 				x.first = q.Now
 			}
@@ -35,8 +35,8 @@
 
 func spec() Spec {
 	return Spec{
-		Slots: 128, Queue: 384, Setup: 31 * time.Millisecond, Step: 3410 * time.Microsecond, PerSlot: 97 * time.Microsecond, Prefill: 112,
-		Chunk: 1024, Memory: 100000, Stride: 6,
+		Slots: 128, QueueLimit: 384, SetupTime: 31 * time.Millisecond, StepTime: 3410 * time.Microsecond, StepTimePerSlot: 97 * time.Microsecond, PrefillRate: 112,
+		PrefillChunk: 1024, MemoryTokens: 100000, Stride: 6,
 	}
 }
 
@@ -46,7 +46,7 @@
 		q, e := newTestEngine(spec())
 		xs := make([]timed, n)
 		for i := range xs {
-			e.Take(xs[i].job(q, "", 100, 600, 0))
+			e.Submit(xs[i].job(q, "", 100, 600, 0))
 		}
 		q.Run(time.Minute)
 		spans[n] = xs[0].last - xs[0].first
@@ -59,10 +59,10 @@
 func TestLongPromptDelaysTokensOfOthers(t *testing.T) {
 	q, e := newTestEngine(spec())
 	var short, long timed
-	e.Take(short.job(q, "", 100, 60, 0))
+	e.Submit(short.job(q, "", 100, 60, 0))
 	q.Run(100 * time.Millisecond)
 	alone := short.first
-	e.Take(long.job(q, "", 50000, 6, 0))
+	e.Submit(long.job(q, "", 50000, 6, 0))
 	q.Run(10 * time.Second)
 	if short.last-alone < 300*time.Millisecond || long.first < 500*time.Millisecond {
 		t.Errorf("short from %s to %s, long from %s", alone, short.last, long.first)
@@ -74,7 +74,7 @@
 	first := func(header string, prompt int) time.Duration {
 		var x timed
 		from := q.Now
-		e.Take(x.job(q, header, prompt, 1, 0))
+		e.Submit(x.job(q, header, prompt, 1, 0))
 		q.Run(q.Now + 10*time.Second)
 		return x.first - from
 	}
@@ -94,29 +94,29 @@
 
 func TestFullMemoryPreemptsLeastUrgent(t *testing.T) {
 	s := spec()
-	s.Memory = 1000
+	s.MemoryTokens = 1000
 	q, e := newTestEngine(s)
 	var urgent, patient timed
-	e.Take(urgent.job(q, "", 400, 500, 0))
-	e.Take(patient.job(q, "", 400, 500, 5))
+	e.Submit(urgent.job(q, "", 400, 500, 0))
+	e.Submit(patient.job(q, "", 400, 500, 5))
 	q.Run(time.Minute)
 	if e.Preempted == 0 || urgent.last == 0 || patient.last < urgent.last {
 		t.Errorf("preempted %d, urgent ends at %s, patient at %s", e.Preempted, urgent.last, patient.last)
 	}
 	var huge timed
-	if e.Take(huge.job(q, "", 1200, 1, 0)) {
+	if e.Submit(huge.job(q, "", 1200, 1, 0)) {
 		t.Error("a prompt larger than the memory was taken")
 	}
 }
 
 func TestFullQueueRejects(t *testing.T) {
-	q, e := newTestEngine(Spec{Slots: 2, Queue: 3})
+	q, e := newTestEngine(Spec{Slots: 2, QueueLimit: 3})
 	taken := 0
 	for range 8 {
 		var x timed
 		j := x.job(q, "", 1, 1, 0)
-		j.Work = time.Second
-		if e.Take(j) {
+		j.WorkTime = time.Second
+		if e.Submit(j) {
 			taken++
 		}
 		q.Run(q.Now)
--- a/sim/engine/job.go
+++ b/sim/engine/job.go
@@ -8,17 +8,17 @@
 
 // A Job is one request at an engine.
 type Job struct {
-	Parts    []prefixindex.Block
-	Prompt   int
-	Out      int
-	Work     time.Duration
-	Priority int
-	// Until is when it is no longer worth starting.
-	Until time.Duration
-	// Begun is called when it starts running, event for each event, from 1, late when its time was over in the queue.
-	Begun   func()
-	Event   func(n int, last bool)
-	Overdue func()
+	Blocks       []prefixindex.Block
+	PromptTokens int
+	OutputTokens int
+	WorkTime     time.Duration
+	Priority     int
+	// StartBy is when it is no longer worth starting.
+	StartBy time.Duration
+	// OnStart is called when it starts running, event for each event, from 1, late when its time was over in the queue.
+	OnStart   func()
+	OnEvent   func(n int, last bool)
+	OnExpired func()
 
 	seq        int
 	unread     int
@@ -34,6 +34,6 @@
 func (j *Job) start() {
 	if !j.started {
 		j.started = true
-		j.Begun()
+		j.OnStart()
 	}
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -18,36 +18,36 @@
 
 // Classes of fault.
 const (
-	Kill               = "kill"
-	Power              = "power"
-	Freeze             = "freeze"
-	PartitionNode      = "cut"
-	PartitionOneWay    = "cut one way"
-	PartitionZone      = "cut domain"
-	SplitCore          = "split core"
-	Wipe               = "wipe"
-	Relocate           = "move"
-	SlowDisk           = "slow disk"
-	StallDisk          = "stall disk"
-	FullDisk           = "full disk"
-	BadDisk            = "bad disk"
-	ReplicaCrash       = "replica crash"
-	ReplicaUnreachable = "replica dark"
-	Release            = "release"
-	EvacuateFault      = "empty"
-	PutStorm           = "put storm"
-	Race               = "race"
-	SwapVoters         = "swap voters"
-	AllDown            = "all down"
-	LargePuts          = "large puts"
-	ReplicaCorrupt     = "replica twists"
-	ReplicaFailing     = "replica breaks each answer"
-	ReplicaRestart     = "replica restarts at once"
-	PartitionControl   = "cut domain from other nodes"
-	ClockBack          = "clock set back"
-	FreezeAct          = "freeze in an act"
-	Lists              = "lists"
-	Upgrade            = "upgrade"
+	Kill                = "kill"
+	Power               = "power"
+	Freeze              = "freeze"
+	PartitionNode       = "cut"
+	PartitionOneWay     = "cut one way"
+	PartitionZone       = "cut domain"
+	SplitCore           = "split core"
+	WipeDisk            = "wipe"
+	Relocate            = "move"
+	SlowDisk            = "slow disk"
+	StallDisk           = "stall disk"
+	FullDisk            = "full disk"
+	BadDisk             = "bad disk"
+	ReplicaCrash        = "replica crash"
+	ReplicaUnreachable  = "replica dark"
+	Release             = "release"
+	EvacuateFault       = "empty"
+	PutStorm            = "put storm"
+	ConcurrentPuts      = "race"
+	SwapVoters          = "swap voters"
+	AllPowerOff         = "all down"
+	LargePuts           = "large puts"
+	ReplicaCorrupt      = "replica twists"
+	ReplicaFailing      = "replica breaks each answer"
+	ReplicaRestart      = "replica restarts at once"
+	PartitionControl    = "cut domain from other nodes"
+	ClockBack           = "clock set back"
+	FreezeInVoterChange = "freeze in an act"
+	UnreliableLists     = "lists"
+	Upgrade             = "upgrade"
 )
 
 func (w *World) nodes(names []string) []*Node {
@@ -70,16 +70,16 @@
 	return names
 }
 
-// Break lets a fault strike now.
-func (w *World) Break(f Fault) {
-	w.Say("fault %s %v for %s", f.Kind, f.On, f.For)
+// Inject lets a fault strike now.
+func (w *World) Inject(f Fault) {
+	w.Tracef("fault %s %v for %s", f.Kind, f.On, f.For)
 	if w.site != nil {
 		w.site.strike(f)
 		return
 	}
 	ns := w.nodes(f.On)
 	switch f.Kind {
-	case Kill, Power, Wipe, Relocate, AllDown, ClockBack:
+	case Kill, Power, WipeDisk, Relocate, AllPowerOff, ClockBack:
 		w.down(f, ns)
 	case Freeze:
 		for _, n := range ns {
@@ -97,11 +97,11 @@
 		w.isolate(ns, f.For, false, false)
 	case PartitionZone, PartitionControl:
 		w.isolate(w.nodes(w.inDomain(f.On[0])), f.For, true, f.Kind == PartitionZone, f.On[0])
-	case FreezeAct:
+	case FreezeInVoterChange:
 		w.trap = func(n *Node, what control.ChangeKind) {
 			if what == control.ChangeVotersBegun {
 				w.trap = nil
-				w.Break(Fault{Kind: Freeze, On: []string{n.Name}, For: f.For})
+				w.Inject(Fault{Kind: Freeze, On: []string{n.Name}, For: f.For})
 			}
 		}
 	case SplitCore:
@@ -120,7 +120,7 @@
 }
 
 func (w *World) down(f Fault, ns []*Node) {
-	if f.Kind == AllDown {
+	if f.Kind == AllPowerOff {
 		ns = w.Nodes
 	}
 	for _, n := range ns {
@@ -147,7 +147,7 @@
 		return
 	}
 	n.Disk.PowerLoss()
-	if kind == Wipe || kind == Relocate {
+	if kind == WipeDisk || kind == Relocate {
 		n.Disk.Wipe()
 	}
 }
@@ -171,7 +171,7 @@
 		w.Audit.partitions = append(w.Audit.partitions, partitionSpan{zone: zone[0], from: w.Now, until: w.Now + d})
 	}
 	w.After(d, func() {
-		w.Say("cut heals")
+		w.Tracef("cut heals")
 		heal()
 	})
 }
@@ -197,11 +197,11 @@
 		case FullDisk:
 			n.Disk.Full = true
 		case BadDisk:
-			n.Disk.BadSync = true
+			n.Disk.FailSync = true
 		}
 		w.After(f.For, func() {
 			n.slow, n.stall = 0, false
-			n.Disk.Full, n.Disk.BadSync = false, false
+			n.Disk.Full, n.Disk.FailSync = false, false
 			if f.Kind == FullDisk || f.Kind == BadDisk {
 				n.kill()
 				n.start()
@@ -226,15 +226,15 @@
 	restart := func() { r.start(w.Now) }
 	switch f.Kind {
 	case ReplicaFailing:
-		r.Unhealthy = true
-		w.After(f.For, func() { r.Unhealthy = false })
+		r.Failing = true
+		w.After(f.For, func() { r.Failing = false })
 	case ReplicaCorrupt:
-		r.CorruptAnswers = 40
-		w.After(f.For, func() { r.CorruptAnswers = 0 })
+		r.CorruptOneIn = 40
+		w.After(f.For, func() { r.CorruptOneIn = 0 })
 	case ReplicaUnreachable:
-		r.Dark = true
+		r.Unreachable = true
 		w.After(f.For, func() {
-			r.Dark = false
+			r.Unreachable = false
 			r.crash()
 			w.After(2*time.Second, restart)
 		})
--- a/sim/faultwindows.go
+++ b/sim/faultwindows.go
@@ -40,7 +40,7 @@
 // still tells that nothing disturbed a node, or the core, in that time and Bounds.Touch before.
 func (r *rules) still(node string, from, until time.Duration) bool {
 	for _, t := range r.faults {
-		if t.node == node && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
+		if t.node == node && t.from <= until && t.until >= from-r.s.spec.Bounds.Settle {
 			return false
 		}
 	}
@@ -57,7 +57,7 @@
 	case q.calm:
 		return bound, true
 	case r.still(n.Name, q.sent, q.sent) && r.majority(q.sent):
-		return bound + r.s.spec.Bounds.Outer, true
+		return bound + r.s.spec.Bounds.UnsettledExtra, true
 	}
 	return 0, false
 }
@@ -65,7 +65,7 @@
 // majority tells that most of the core ran and was joined for long before now.
 func (r *rules) majority(now time.Duration) bool {
 	for _, t := range r.faults {
-		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-r.s.spec.Bounds.Outer-r.s.spec.Bounds.Touch {
+		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-r.s.spec.Bounds.UnsettledExtra-r.s.spec.Bounds.Settle {
 			return false
 		}
 	}
@@ -75,7 +75,7 @@
 // unplanned tells that something nobody planned happened anywhere in that time or Bounds.Touch before.
 func (r *rules) unplanned(from, until time.Duration) bool {
 	for _, t := range r.faults {
-		if !t.planned && t.from <= until && t.until >= from-r.s.spec.Bounds.Touch {
+		if !t.planned && t.from <= until && t.until >= from-r.s.spec.Bounds.Settle {
 			return true
 		}
 	}
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -15,31 +15,31 @@
 // FleetReplica is a simulated replica with its connections. Dark: it answers nothing; Unhealthy: it breaks each answer; CorruptAnswers: it spoils a line in one
 // of so many answers.
 type FleetReplica struct {
-	w              *World
-	Name           string
-	Zone           string
-	Up             bool
-	Dark           bool
-	Draining       bool
-	Unhealthy      bool
-	since          time.Duration
-	before         string
-	CorruptAnswers int
-	incarnations   uint64
-	watchers       []func()
-	model          *replica.Replica
-	conns          map[string]*fleetConn
+	w            *World
+	Name         string
+	Zone         string
+	Up           bool
+	Unreachable  bool
+	Draining     bool
+	Failing      bool
+	since        time.Duration
+	before       string
+	CorruptOneIn int
+	incarnations uint64
+	watchers     []func()
+	model        *replica.Replica
+	conns        map[string]*fleetConn
 }
 
 func (w *World) replicas() {
-	c, err := config.Read(w.S.Charter)
+	c, err := config.Read(w.Scenario.Config)
 	if err != nil {
 		panic(err)
 	}
 	for _, o := range c.Services {
 		for _, rc := range o.Replicas {
 			r := &FleetReplica{w: w, Name: rc.Name, Zone: rc.Zone, conns: map[string]*fleetConn{}}
-			w.Reps = append(w.Reps, r)
+			w.Replicas = append(w.Replicas, r)
 			w.replicasByName[r.Name] = r
 			w.byURL[rc.Addr] = r
 			r.start(-time.Hour)
@@ -53,15 +53,15 @@
 	if r.incarnations++; r.model != nil {
 		r.before = r.model.Instance
 	}
-	r.Up, r.Draining, r.since, r.CorruptAnswers = true, false, r.w.Now, 0
-	r.model = replica.NewReplica(r.w.S.Model, fmt.Sprintf("%s.%d", r.Name, r.incarnations), born)
+	r.Up, r.Draining, r.since, r.CorruptOneIn = true, false, r.w.Now, 0
+	r.model = replica.New(r.w.Scenario.Model, fmt.Sprintf("%s.%d", r.Name, r.incarnations), born)
 }
 
 func (r *FleetReplica) crash() {
 	if !r.Up {
 		return
 	}
-	r.w.Say("replica %s crashes", r.Name)
+	r.w.Tracef("replica %s crashes", r.Name)
 	r.collect()
 	r.Up = false
 	for _, id := range sortedKeys(r.conns) {
@@ -77,12 +77,12 @@
 
 func (r *FleetReplica) collect() {
 	rp := &r.w.Report
-	rp.Floods += r.model.Floods
+	rp.WarmupOverloads += r.model.WarmupOverloads
 	rp.CachedTokens += r.model.CachedTokens
 	rp.PrefixTokens += r.model.PrefixTokens
-	rp.Admitted += r.model.Admitted
-	rp.Refused += r.model.Refused
-	r.model.Floods, r.model.CachedTokens, r.model.PrefixTokens, r.model.Admitted, r.model.Refused = 0, 0, 0, 0, 0
+	rp.ReplicaAdmitted += r.model.Admitted
+	rp.ReplicaRejected += r.model.Rejected
+	r.model.WarmupOverloads, r.model.CachedTokens, r.model.PrefixTokens, r.model.Admitted, r.model.Rejected = 0, 0, 0, 0, 0
 }
 
 func (r *FleetReplica) record(event, req, id string, n int) {
@@ -93,7 +93,7 @@
 
 // twist spoils one line of some answers: it is lost, repeated, or of another go or instance. An answer is whole only if all are right.
 func (r *FleetReplica) twist(c *fleetConn, l *router.ResponseLine) bool {
-	if r.CorruptAnswers == 0 || r.w.whim.IntN(r.CorruptAnswers) > 0 {
+	if r.CorruptOneIn == 0 || r.w.whim.IntN(r.CorruptOneIn) > 0 {
 		return true
 	}
 	c.corrupted = true
@@ -123,7 +123,7 @@
 		return
 	}
 	n := alive[w.rng.IntN(len(alive))]
-	w.Say("platform lists %s as %s at %s", name, state, n.Name)
+	w.Tracef("platform lists %s as %s at %s", name, state, n.Name)
 	if state == router.Present {
 		w.Audit.back(name)
 	} else {
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -41,8 +41,8 @@
 
 func (w *World) submit(a workload.Request, zone string, try int) {
 	n := w.pick(zone)
-	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.Now, flow: router.RequestFlow{Request: a.Request}}
-	f.got = ledger.Got{AtMs: w.Now.Milliseconds(), Request: a.Request, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
+	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.Now, flow: router.RequestFlow{Request: a.ID}}
+	f.got = ledger.Got{AtMs: w.Now.Milliseconds(), Request: a.ID, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
@@ -60,13 +60,13 @@
 				f.end(router.OutcomeRejected)
 				return
 			}
-			if n.asks[a.Request] != nil {
+			if n.asks[a.ID] != nil {
 				f.end(router.OutcomeRepeat)
 				return
 			}
-			n.asks[a.Request] = f
+			n.asks[a.ID] = f
 			n.decide(n.router.Step(n.local(), router.Arrival{
-				Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens,
+				Request: a.ID, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens,
 			}))
 		})
 	})
@@ -82,7 +82,7 @@
 	f.got.Outcome = outcome
 	f.w.Got = append(f.w.Got, f.got)
 	f.w.Report.take(f)
-	if f.w.S.Resend && f.try == 0 && !f.began() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
+	if f.w.Scenario.ResendLost && f.try == 0 && !f.began() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
 		f.w.After(time.Second, func() { f.w.submit(f.ask, f.domain, 1) })
 	}
 }
@@ -108,7 +108,7 @@
 			if c.replica.conns[c.place.AttemptID] == c {
 				delete(c.replica.conns, c.place.AttemptID)
 				c.replica.model.Release(f.w.Now, c.place.AttemptID)
-				c.replica.record("cut", f.ask.Request, c.place.AttemptID, c.chunk)
+				c.replica.record("cut", f.ask.ID, c.place.AttemptID, c.chunk)
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 		case router.ForwardLine:
 			f.pass(m.Line)
 		case router.Finish:
-			delete(f.n.asks, f.ask.Request)
+			delete(f.n.asks, f.ask.ID)
 			if m.Outcome == router.OutcomeRejected {
 				f.w.Report.Reasons[m.Placement.Reason]++
 				f.w.Report.RejectedLate += uint64(map[bool]int{true: 1}[m.Placement.RejectedLate])
@@ -190,8 +190,8 @@
 	c := &fleetConn{request: f, replica: r, place: d, open: true}
 	f.conn = c
 	w.Audit.placed(f, c)
-	w.Report.Predicted += uint64(d.PredictedTokens)
-	w.Report.Confirmed += uint64(d.ConfirmedTokens)
+	w.Report.PredictedTokens += uint64(d.PredictedTokens)
+	w.Report.ConfirmedTokens += uint64(d.ConfirmedTokens)
 	if c.partitioned() {
 		f.n.later(dialFor, func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID}) })
 		return
@@ -200,9 +200,9 @@
 }
 
 func (f *fleetRequest) glance() {
-	f.w.Call(f.n, control.Witness{Request: f.ask.Request, Peek: true}, func(a control.Answer) {
+	f.w.Call(f.n, control.Witness{Request: f.ask.ID, Peek: true}, func(a control.Answer) {
 		f.n.live(func() {
-			if !f.over && f.n.asks[f.ask.Request] == f {
+			if !f.over && f.n.asks[f.ask.ID] == f {
 				f.do(f.flow.OnConnectionEvent(router.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
 			}
 		})
@@ -210,7 +210,7 @@
 }
 
 func (f *fleetRequest) vouch(c *fleetConn) {
-	f.w.Call(f.n, control.Witness{Request: f.ask.Request, SpareTime: c.place.SpareTime}, func(a control.Answer) {
+	f.w.Call(f.n, control.Witness{Request: f.ask.ID, SpareTime: c.place.SpareTime}, func(a control.Answer) {
 		c.happened(router.WitnessesAnswered{AttemptID: c.place.AttemptID, Result: control.WitnessOutcome(a)})
 	})
 }
--- a/sim/fleetscenarios.go
+++ b/sim/fleetscenarios.go
@@ -15,7 +15,7 @@
 	Name       string
 	NoFailures bool
 	Faults     func(s shape.Shape, rng *rand.Rand) []Fault
-	Change     func(s *Scenario)
+	Adjust     func(s *Scenario)
 }
 
 const sec = time.Second
@@ -58,9 +58,9 @@
 func trafficScenarios() []FleetScenario {
 	return []FleetScenario{
 		{Name: "calm", Faults: fixed()},
-		{Name: "crowd and hot key", Faults: fixed(), Change: func(s *Scenario) {
+		{Name: "crowd and hot key", Faults: fixed(), Adjust: func(s *Scenario) {
 			s.Load.HotRatio = 0.4
-			s.Load.Bursts = []workload.Burst{{From: 10 * sec, Until: 16 * sec, Times: 4}, {From: 22 * sec, Until: 24 * sec, Times: 8}}
+			s.Load.Bursts = []workload.Burst{{From: 10 * sec, Until: 16 * sec, Factor: 4}, {From: 22 * sec, Until: 24 * sec, Factor: 8}}
 		}},
 		{Name: "replicas crash", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
@@ -72,7 +72,7 @@
 		{Name: "replicas go dark", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(ReplicaUnreachable, 10*sec, 12*sec, some(rng, replicaNames(), 3)...), one(ReplicaUnreachable, 20*sec, 10*sec, some(rng, replicaNames(), 3)...)}
 		}},
-		{Name: "rolling release", Faults: fixed(one(Release, 10*sec, 0, replicaNames()...)), Change: func(s *Scenario) { s.Lasts = 90 * sec }},
+		{Name: "rolling release", Faults: fixed(one(Release, 10*sec, 0, replicaNames()...)), Adjust: func(s *Scenario) { s.Duration = 90 * sec }},
 		{Name: "our processes are killed", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 8 {
@@ -144,7 +144,7 @@
 			}
 			return fs
 		}},
-		{Name: "core is split", Faults: fixed(one(SplitCore, 12*sec, 10*sec, "n1", "n2", "n3"), one(Race, 10*sec, 16*sec))},
+		{Name: "core is split", Faults: fixed(one(SplitCore, 12*sec, 10*sec, "n1", "n2", "n3"), one(ConcurrentPuts, 10*sec, 16*sec))},
 		{Name: "domain is cut off", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PartitionZone, 12*sec, 10*sec, s.Zones[rng.IntN(len(s.Zones))]), one(PutStorm, 10*sec, 15*sec)}
 		}},
@@ -158,7 +158,7 @@
 		}},
 		{Name: "core comes back empty elsewhere", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 9*sec, 60*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...), one(Relocate, 52*sec, 2*sec, some(rng, s.Voters, 1)...)}
-		}, Change: func(s *Scenario) { s.Lasts = 100 * sec }},
+		}, Adjust: func(s *Scenario) { s.Duration = 100 * sec }},
 		{Name: "voters are swapped", Faults: func(s shape.Shape, _ *rand.Rand) []Fault {
 			first, second := []string{"n2", "n3"}, []string{"n1", "n3"}
 			if s.Nodes[3].Disk {
@@ -167,21 +167,21 @@
 			return []Fault{one(PutStorm, 9*sec, 25*sec), one(SwapVoters, 12*sec, 0, first...), one(Kill, 12200*time.Millisecond, 2*sec, "n1", "n2"),
 				one(SwapVoters, 20*sec, 0, second...), one(Power, 28*sec, 3*sec, "n2")}
 		}},
-		{Name: "operators race", Faults: fixed(one(Race, 9*sec, 20*sec)), Change: func(s *Scenario) { s.Loss, s.Dup = 0.02, 0.02 }},
+		{Name: "operators race", Faults: fixed(one(ConcurrentPuts, 9*sec, 20*sec)), Adjust: func(s *Scenario) { s.LossRatio, s.DupRatio = 0.02, 0.02 }},
 		{Name: "configurations at their size limit", Faults: fixed(one(LargePuts, 9*sec, 8*sec), one(Power, 13*sec, 2*sec, "n2"))},
-		{Name: "all machines lose power", Faults: fixed(one(PutStorm, 9*sec, 6*sec), one(AllDown, 14*sec, 3*sec))},
+		{Name: "all machines lose power", Faults: fixed(one(PutStorm, 9*sec, 6*sec), one(AllPowerOff, 14*sec, 3*sec))},
 		{Name: "last fault at day's end", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(PutStorm, 10*sec, 20*sec), one(Wipe, 35*sec, -1, some(rng, s.Voters, 1)...)}
+			return []Fault{one(PutStorm, 10*sec, 20*sec), one(WipeDisk, 35*sec, -1, some(rng, s.Voters, 1)...)}
 		}},
 	}
 }
 
 // Scenario is the scenario played on a shape with a seed.
 func (sc FleetScenario) Scenario(sh shape.Shape, seed uint64) Scenario {
-	s := Scenario{Seed: seed, Shape: sh, Lasts: 50 * sec, Load: workload.Load{Classes: sh.Classes, Rate: 60, Prefixes: 24, HotRatio: 0.1}, Resend: true}
+	s := Scenario{Seed: seed, Shape: sh, Duration: 50 * sec, Load: workload.Load{Classes: sh.Classes, Rate: 60, PrefixesPerClass: 24, HotRatio: 0.1}, ResendLost: true}
 	s.Faults = sc.Faults(sh, rand.New(rand.NewPCG(seed, 37)))
-	if sc.Change != nil {
-		sc.Change(&s)
+	if sc.Adjust != nil {
+		sc.Adjust(&s)
 	}
 	return s
 }
--- a/sim/fleetscenarios_test.go
+++ b/sim/fleetscenarios_test.go
@@ -53,19 +53,19 @@
 	if sc.NoFailures && all.Rejected+all.Lost+all.Partial+all.Unknown > 0 {
 		t.Errorf("denied %d, lost %d, partial %d, unknown %d", all.Rejected, all.Lost, all.Partial, all.Unknown)
 	}
-	if puts(w.S.Faults) && w.Report.PutsTaken < 3 {
-		t.Errorf("only %d configurations were taken, %d denied", w.Report.PutsTaken, w.Report.PutsDenied)
+	if puts(w.Scenario.Faults) && w.Report.PutsAccepted < 3 {
+		t.Errorf("only %d configurations were taken, %d denied", w.Report.PutsAccepted, w.Report.PutsRejected)
 	}
 	var out strings.Builder
 	w.Report.Write(&out)
 	t.Log("\n" + out.String())
 	if t.Failed() {
-		t.Logf("go test ./sim -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.Story, "\n"))
+		t.Logf("go test ./sim -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.TraceBeforeBreach, "\n"))
 	}
 }
 
 func puts(fs []Fault) bool {
-	return slices.ContainsFunc(fs, func(f Fault) bool { return f.Kind == PutStorm || f.Kind == Race || f.Kind == LargePuts })
+	return slices.ContainsFunc(fs, func(f Fault) bool { return f.Kind == PutStorm || f.Kind == ConcurrentPuts || f.Kind == LargePuts })
 }
 
 func TestSameSeedSameRun(t *testing.T) {
@@ -77,7 +77,7 @@
 	var runs [2]string
 	for i := range runs {
 		w := Run(sc.Scenario(shape.Atlas(), 7))
-		runs[i] = fmt.Sprint(w.Ran, w.Got, w.Net.Sent)
+		runs[i] = fmt.Sprint(w.Ran, w.Got, w.Net.Messages)
 	}
 	if runs[0] != runs[1] {
 		t.Error("one seed gave two different runs")
--- a/sim/grownshape.go
+++ b/sim/grownshape.go
@@ -4,35 +4,35 @@
 
 // Bounds are the times and counts that the rules of a platform name.
 type Bounds struct {
-	// Touch is how long a machine must have been undisturbed before it counts as in touch.
-	Touch time.Duration
+	// Settle is how long a machine must have been undisturbed before it counts as in touch.
+	Settle time.Duration
 	// Ack is how long an order may wait for its acknowledgement in a calm time.
 	Ack time.Duration
 	// Apply is how long after its acknowledgement a configuration must be obeyed.
 	Apply time.Duration
-	// Outer is what an unsettled core adds to Apply.
-	Outer time.Duration
+	// UnsettledExtra is what an unsettled core adds to Apply.
+	UnsettledExtra time.Duration
 	// Drain is how long a replica that leaves may still be sent requests.
 	Drain time.Duration
 	// CatchUp is how long after its return a machine still counts as lost.
 	CatchUp time.Duration
-	// Recover is how long after a closing fault requests must be served again.
-	Recover time.Duration
+	// Recovery is how long after a closing fault requests must be served again.
+	Recovery time.Duration
 	// RetryExtra is how many second attempts a service may get in a window beyond its share.
 	RetryExtra int
 }
 
 func smallBounds() Bounds {
 	return Bounds{
-		Touch: 3 * time.Second, Ack: 4 * time.Second, Apply: 2 * time.Second, Outer: 5 * time.Second, Drain: 3 * time.Second,
-		CatchUp: 4 * time.Second, Recover: 12 * time.Second, RetryExtra: 62,
+		Settle: 3 * time.Second, Ack: 4 * time.Second, Apply: 2 * time.Second, UnsettledExtra: 5 * time.Second, Drain: 3 * time.Second,
+		CatchUp: 4 * time.Second, Recovery: 12 * time.Second, RetryExtra: 62,
 	}
 }
 
 func grownBounds(retryExtra int) Bounds {
 	return Bounds{
-		Touch: 4 * time.Second, Ack: 5 * time.Second, Apply: 2500 * time.Millisecond, Outer: 6 * time.Second, Drain: 4 * time.Second,
-		CatchUp: 6 * time.Second, Recover: 15 * time.Second, RetryExtra: retryExtra,
+		Settle: 4 * time.Second, Ack: 5 * time.Second, Apply: 2500 * time.Millisecond, UnsettledExtra: 6 * time.Second, Drain: 4 * time.Second,
+		CatchUp: 6 * time.Second, Recovery: 15 * time.Second, RetryExtra: retryExtra,
 	}
 }
 
@@ -51,11 +51,11 @@
 func GrownTramitesSite(ratio float64) SiteSpec {
 	const nodes, zones, disks, replicas = 88, 3, 6, 89
 	s := SiteSpec{
-		Shape: siteNodes("grown-tramites site", partOf(nodes, ratio, 2*disks), zones, disks), Far: 500 * time.Microsecond, Idle: 40,
+		Shape: siteNodes("grown-tramites site", partOf(nodes, ratio, 2*disks), zones, disks), CrossZoneDelay: 500 * time.Microsecond, IdleRoutes: 40,
 		Bounds: grownBounds(216), FaultTolerance: 2, ListRate: 310,
 		Services: []ServiceSpec{llmService("permisos", partOf(replicas, ratio, zones), 437458), plainService("borrador", 4)},
 	}
-	s.Services[0].Slots, s.Services[0].Queue, s.Services[0].WarmupRate = 24, 72, 18
+	s.Services[0].Slots, s.Services[0].QueueLimit, s.Services[0].WarmupRate = 24, 72, 18
 	s.Classes = siteTraffic{
 		llm: "permisos", plain: "borrador", classes: [3]string{"dossier", "zoning", "checklist"}, scale: ratio * trafficScale,
 		target: 300 * time.Millisecond, work: 60 * time.Millisecond, deadline: 1500 * time.Millisecond,
@@ -67,7 +67,7 @@
 func GrownAtlasSite(ratio float64) SiteSpec {
 	const nodes, zones, disks, replicas = 72, 5, 5, 60
 	s := SiteSpec{
-		Shape: siteNodes("grown-atlas site", partOf(nodes, ratio, 2*disks), zones, disks), Far: 1400 * time.Microsecond, Idle: 40,
+		Shape: siteNodes("grown-atlas site", partOf(nodes, ratio, 2*disks), zones, disks), CrossZoneDelay: 1400 * time.Microsecond, IdleRoutes: 40,
 		Bounds: grownBounds(184), FaultTolerance: 2, ListRate: 260,
 		Services: []ServiceSpec{llmService("logbook", partOf(replicas, ratio, zones), 827815), plainService("onair", 5)},
 	}
@@ -75,11 +75,11 @@
 		llm: "logbook", plain: "onair", classes: [3]string{"reconcile", "award", "lookup"}, scale: ratio * trafficScale,
 		target: 150 * time.Millisecond, work: 30 * time.Millisecond, deadline: 1500 * time.Millisecond,
 	}.trafficClasses()
-	s.Classes[1].Attempts = 2
+	s.Classes[1].MaxAttempts = 2
 	return s
 }
 
-// Sites are the four sites of the users' platform, the large ones with that share of their machines.
-func Sites(ratio float64) []SiteSpec {
+// AllSites are the four sites of the users' platform, the large ones with that share of their machines.
+func AllSites(ratio float64) []SiteSpec {
 	return []SiteSpec{TramitesSite(), AtlasSite(), GrownTramitesSite(ratio), GrownAtlasSite(ratio)}
 }
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -51,7 +51,7 @@
 		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Zone: zone, service: o, pace: pace, engine: engine.New(&s.w.Queue, o.Spec),
 		up: true, startedAt: s.w.Now, leaves: never, ends: never,
 	}
-	i.engine.Slow = func() float64 {
+	i.engine.Slowdown = func() float64 {
 		if s.w.Now < i.warmupUntil {
 			return i.pace * 2
 		}
@@ -84,7 +84,7 @@
 		return
 	}
 	i.leaves = i.s.w.Now
-	i.s.w.Say("%s at %s drains", i.ID, i.Addr)
+	i.s.w.Tracef("%s at %s drains", i.ID, i.Addr)
 	i.s.w.After(listBehind+i.s.spec.Bounds.Drain+500*time.Millisecond, func() { i.end(false) })
 }
 
@@ -94,7 +94,7 @@
 		return
 	}
 	i.up, i.ends, i.lost = false, i.s.w.Now, crash
-	i.s.w.Say("%s at %s ends, crash: %v", i.ID, i.Addr, crash)
+	i.s.w.Tracef("%s at %s ends, crash: %v", i.ID, i.Addr, crash)
 	i.engine.Stop()
 	i.s.tallied(i)
 	for _, k := range i.sockets {
@@ -117,7 +117,7 @@
 func (i *Instance) hangup(k *socket) {
 	i.sockets = slices.DeleteFunc(i.sockets, func(o *socket) bool { return o == k })
 	if k.job != nil {
-		i.engine.Drop(k.job)
+		i.engine.Cancel(k.job)
 		k.job = nil
 	}
 }
@@ -152,7 +152,7 @@
 		return
 	}
 	j := i.job(k, r)
-	if !i.engine.Take(j) {
+	if !i.engine.Submit(j) {
 		i.refuse(k, r)
 		return
 	}
@@ -175,7 +175,7 @@
 
 func (i *Instance) row(at time.Duration) router.Instance {
 	r := router.Instance{
-		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.Prompt, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
+		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.ModelName, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
 	}
 	if i.warmupUntil > 0 && i.warmupFrom <= at {
 		r.WarmUpRemaining = max(i.warmupUntil-at, 0)
--- a/sim/light/cluster.go
+++ b/sim/light/cluster.go
@@ -28,14 +28,14 @@
 	Shape shape.Shape
 	Model replica.Model
 	Meter Meter
-	// Next gives the load, in order of time; nil: none.
-	Next func() workload.Request
-	// PutEvery is the time between changes of configuration; 0: only the first. Body gives the n-th.
-	PutEvery time.Duration
-	Body     func(n int) []byte
-	Far      time.Duration
-	// Roll spreads over so long when each node first looks at its replicas.
-	Roll time.Duration
+	// NextRequest gives the load, in order of time; nil: none.
+	NextRequest func() workload.Request
+	// PutInterval is the time between changes of configuration; 0: only the first. Body gives the n-th.
+	PutInterval    time.Duration
+	Document       func(n int) []byte
+	CrossZoneDelay time.Duration
+	// WatchSpread spreads over so long when each node first looks at its replicas.
+	WatchSpread time.Duration
 	// Clock is what inputs are timed by.
 	Clock func() time.Duration
 }
@@ -55,8 +55,8 @@
 	Sent(t Transfer)
 	// Stepped is one input (control.In or router.Event) and the real time that the machine took for it.
 	Stepped(n *Node, in any, elapsed time.Duration)
-	// Asked is one question to a replica for its usage.
-	Asked(n *Node)
+	// Probed is one question to a replica for its usage.
+	Probed(n *Node)
 	// Wrote is one entry to be synced to a node's disk.
 	Wrote(n *Node)
 }
@@ -64,7 +64,7 @@
 // Cluster is a fleet that runs a Plan.
 type Cluster struct {
 	eventqueue.Queue
-	S       Plan
+	Plan    Plan
 	rng     *rand.Rand
 	net     *network.Net
 	pipe    *transport.Writer
@@ -79,23 +79,23 @@
 	puts    int
 	offered map[uint64]time.Duration
 	obeyed  map[uint64]int
-	// Puts is how long each accepted configuration took from its service until the last node obeyed it or a later one.
-	Puts []time.Duration
-	// Ends counts how requests ended.
-	Ends map[string]int
-	// Firsts are the times to first token.
-	Firsts []time.Duration
+	// ApplyTimes is how long each accepted configuration took from its service until the last node obeyed it or a later one.
+	ApplyTimes []time.Duration
+	// Outcomes counts how requests ended.
+	Outcomes map[string]int
+	// FirstTokenTimes are the times to first token.
+	FirstTokenTimes []time.Duration
 }
 
 // New makes the fleet; nothing runs yet.
 func New(p Plan) *Cluster {
 	h := &Cluster{
-		S: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: network.New(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*Node{},
+		Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 53)), net: network.New(p.Seed), pipe: transport.NewWriter(), byAddr: map[string]*Node{},
 		reps: map[string]*replica.Replica{}, where: map[string]string{}, answers: map[uint64]func(a control.Answer){},
-		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Ends: map[string]int{},
+		offered: map[uint64]time.Duration{}, obeyed: map[uint64]int{}, Outcomes: map[string]int{},
 	}
 	h.out = transport.NewReader(&h.buf)
-	h.net.Far = max(h.net.Far, p.Far)
+	h.net.CrossZoneDelay = max(h.net.CrossZoneDelay, p.CrossZoneDelay)
 	for i, s := range p.Shape.Nodes {
 		n := &Node{h: h, Name: s.Name, Zone: s.Zone, Addr: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255), watchers: map[string]bool{}, asks: map[string]*request{}}
 		if s.Disk {
@@ -109,17 +109,17 @@
 
 // Boot starts all nodes within a third of a second, bootstraps the register and puts the first configuration.
 func (h *Cluster) Boot() {
-	c, err := config.Read(h.S.Shape.Config)
+	c, err := config.Read(h.Plan.Shape.Config)
 	if err != nil {
 		panic(err)
 	}
 	for _, o := range c.Services {
 		for _, r := range o.Replicas {
-			h.reps[r.Name], h.where[r.Name] = replica.NewReplica(h.S.Model, r.Name+".1", -time.Hour), r.Zone
+			h.reps[r.Name], h.where[r.Name] = replica.New(h.Plan.Model, r.Name+".1", -time.Hour), r.Zone
 		}
 	}
 	for i, n := range h.Nodes {
-		n.upgradeAt = h.S.Roll * time.Duration(i) / time.Duration(len(h.Nodes))
+		n.upgradeAt = h.Plan.WatchSpread * time.Duration(i) / time.Duration(len(h.Nodes))
 		h.After(time.Duration(i)*300*time.Millisecond/time.Duration(len(h.Nodes)), n.start)
 	}
 	h.After(time.Second, h.found)
@@ -141,13 +141,13 @@
 }
 
 func (h *Cluster) found() {
-	n := h.node(h.S.Shape.Voters[0])
-	h.call(n, control.Bootstrap{Names: h.S.Shape.Voters}, func(a control.Answer) {
+	n := h.node(h.Plan.Shape.Voters[0])
+	h.call(n, control.Bootstrap{Names: h.Plan.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
 			h.After(300*time.Millisecond, h.found)
 			return
 		}
-		h.put(n, 0, h.S.Shape.Config)
+		h.put(n, 0, h.Plan.Shape.Config)
 	})
 }
 
@@ -162,37 +162,37 @@
 	})
 }
 
-// Change puts a configuration every PutEvery from half of that on, each at another node.
-func (h *Cluster) Change() {
-	if h.S.PutEvery == 0 {
+// PutPeriodically puts a configuration every PutEvery from half of that on, each at another node.
+func (h *Cluster) PutPeriodically() {
+	if h.Plan.PutInterval == 0 {
 		return
 	}
 	var next func()
 	next = func() {
 		n := h.Nodes[h.puts%len(h.Nodes)]
-		h.put(n, n.Router.Version(), h.S.Body(h.puts))
-		h.After(h.S.PutEvery, next)
+		h.put(n, n.Router.Version(), h.Plan.Document(h.puts))
+		h.After(h.Plan.PutInterval, next)
 	}
-	h.After(h.S.PutEvery/2, next)
+	h.After(h.Plan.PutInterval/2, next)
 }
 
 func (h *Cluster) inForce(version uint64) {
 	at, known := h.offered[version]
 	if known && h.obeyed[version] == len(h.Nodes) {
-		h.Puts = append(h.Puts, h.Now-at)
+		h.ApplyTimes = append(h.ApplyTimes, h.Now-at)
 		delete(h.offered, version)
 	}
 }
 
-// Load submits the requests of Next from now until then, each to a node at random.
-func (h *Cluster) Load(until time.Duration) {
-	if h.S.Next == nil {
+// SubmitLoad submits the requests of Next from now until then, each to a node at random.
+func (h *Cluster) SubmitLoad(until time.Duration) {
+	if h.Plan.NextRequest == nil {
 		return
 	}
 	from := h.Now
 	var next func()
 	next = func() {
-		a := h.S.Next()
+		a := h.Plan.NextRequest()
 		if from+a.At >= until {
 			return
 		}
@@ -209,20 +209,20 @@
 	if to == nil || to.Control == nil {
 		return
 	}
-	start := h.S.Clock()
+	start := h.Plan.Clock()
 	frame, err := h.pipe.Frame(s.Msg)
-	encoded := h.S.Clock() - start
+	encoded := h.Plan.Clock() - start
 	if err != nil {
 		panic(err)
 	}
 	h.buf.Write(frame)
-	start = h.S.Clock()
+	start = h.Plan.Clock()
 	same, err := h.out.Next()
-	decoded := h.S.Clock() - start
+	decoded := h.Plan.Clock() - start
 	if err != nil {
 		panic(err)
 	}
-	h.S.Meter.Sent(Transfer{From: from, To: to, Msg: s.Msg, FrameBytes: len(frame), Encode: encoded, Decode: decoded})
+	h.Plan.Meter.Sent(Transfer{From: from, To: to, Msg: s.Msg, FrameBytes: len(frame), Encode: encoded, Decode: decoded})
 	h.After(h.net.Delay(from.Zone == to.Zone), func() { to.step(control.Received{From: from.Addr, Msg: same}) })
 }
 
--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -74,16 +74,16 @@
 }
 
 func (n *Node) step(in control.Input) {
-	start := n.h.S.Clock()
+	start := n.h.Plan.Clock()
 	out := n.Control.Step(n.h.Now, in)
-	n.h.S.Meter.Stepped(n, in, n.h.S.Clock()-start)
+	n.h.Plan.Meter.Stepped(n, in, n.h.Plan.Clock()-start)
 	n.carry(out)
 }
 
 func (n *Node) event(ev router.Event) {
-	start := n.h.S.Clock()
+	start := n.h.Plan.Clock()
 	ds := n.Router.Step(n.h.Now, ev)
-	n.h.S.Meter.Stepped(n, ev, n.h.S.Clock()-start)
+	n.h.Plan.Meter.Stepped(n, ev, n.h.Plan.Clock()-start)
 	for _, d := range ds {
 		if g := n.asks[d.Request]; g != nil {
 			n.perform(g, g.flow.OnDecision(d))
@@ -97,7 +97,7 @@
 	}
 	n.unsaved = append(n.unsaved, out.Writes...)
 	for range out.Writes {
-		n.h.S.Meter.Wrote(n)
+		n.h.Plan.Meter.Wrote(n)
 	}
 	n.save()
 	for _, ev := range out.Events {
@@ -147,7 +147,7 @@
 	if n.h.reps[p.Replica] == nil {
 		return
 	}
-	n.h.S.Meter.Asked(n)
+	n.h.Plan.Meter.Probed(n)
 	n.h.After(2*n.delay(p.Replica), func() { n.step(n.report(p.Replica, p.Local)) })
 }
 
@@ -158,16 +158,16 @@
 				continue
 			}
 			n.watchers[r.Name] = true
-			n.h.S.Meter.Asked(n)
+			n.h.Plan.Meter.Probed(n)
 			n.h.At(max(n.h.Now, n.upgradeAt)+2*n.delay(r.Name), func() { n.step(control.ConnectionChange{State: control.ConnectionUp, Probed: n.report(r.Name, true)}) })
 		}
 	}
 }
 
 func (n *Node) submit(a workload.Request) {
-	g := &request{ask: a, at: n.h.Now, flow: router.RequestFlow{Request: a.Request}}
-	n.asks[a.Request] = g
-	n.event(router.Arrival{Request: a.Request, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens})
+	g := &request{ask: a, at: n.h.Now, flow: router.RequestFlow{Request: a.ID}}
+	n.asks[a.ID] = g
+	n.event(router.Arrival{Request: a.ID, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens})
 }
 
 func (n *Node) perform(g *request, actions []router.Action) {
@@ -177,11 +177,11 @@
 			g.on, g.due = m.Placement.Replica, 0
 			n.h.After(2*n.delay(g.on), func() { n.happened(g, router.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
 		case router.AskWitnesses:
-			n.h.call(n, control.Witness{Request: g.ask.Request, SpareTime: m.Placement.SpareTime}, func(a control.Answer) {
+			n.h.call(n, control.Witness{Request: g.ask.ID, SpareTime: m.Placement.SpareTime}, func(a control.Answer) {
 				n.happened(g, router.WitnessesAnswered{AttemptID: m.Placement.AttemptID, Result: control.WitnessOutcome(a)})
 			})
 		case router.AskWitnessesEarly:
-			n.h.call(n, control.Witness{Request: g.ask.Request, Peek: true}, func(a control.Answer) {
+			n.h.call(n, control.Witness{Request: g.ask.ID, Peek: true}, func(a control.Answer) {
 				n.happened(g, router.WitnessesAnswered{Result: control.WitnessOutcome(a)})
 			})
 		case router.Write:
@@ -189,8 +189,8 @@
 		case router.NotifyRouter:
 			n.event(m.Event)
 		case router.Finish:
-			delete(n.asks, g.ask.Request)
-			n.h.Ends[m.Outcome]++
+			delete(n.asks, g.ask.ID)
+			n.h.Outcomes[m.Outcome]++
 		}
 	}
 }
@@ -206,20 +206,20 @@
 
 func (n *Node) admitted(g *request, id string) {
 	r := n.h.reps[g.on]
-	parts, _ := prefixindex.Parse(shape.Prompt, g.ask.Prefix)
+	parts, _ := prefixindex.Parse(shape.ModelName, g.ask.Prefix)
 	plan, ok := r.Admit(n.h.Now, id, parts, g.ask.TailTokens)
 	if !ok {
 		n.back(g, n.h.Now, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusTooManyRequests})
 		return
 	}
-	at := n.h.Now + plan.First
+	at := n.h.Now + plan.FirstTokenTime
 	n.back(g, at, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusOK})
-	n.h.Firsts = append(n.h.Firsts, at-g.at)
+	n.h.FirstTokenTimes = append(n.h.FirstTokenTimes, at-g.at)
 	for i := range plan.Chunks {
-		text := ledger.ChunkText(g.ask.Request, id, i)
-		n.back(g, at+time.Duration(i)*plan.Every, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
+		text := ledger.ChunkText(g.ask.ID, id, i)
+		n.back(g, at+time.Duration(i)*plan.ChunkInterval, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
-	end := at + time.Duration(plan.Chunks-1)*plan.Every
+	end := at + time.Duration(plan.Chunks-1)*plan.ChunkInterval
 	n.back(g, end, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
 	n.h.At(end, func() { r.Release(n.h.Now, id) })
 }
--- a/sim/light/shape.go
+++ b/sim/light/shape.go
@@ -25,7 +25,7 @@
 			ks = append(ks, shape.Doc{"name": k, "value": 5, "urgency": 3 - i, "firstTokenMs": 1900, "repeatable": i < 2})
 		}
 		os = append(os, shape.Doc{
-			"name": name, "model": shape.Prompt, "replicas": rs, "kinds": ks, "crossCost": 0.5, "cold": shape.Doc{"startRoom": 1, "rampMs": 0},
+			"name": name, "model": shape.ModelName, "replicas": rs, "kinds": ks, "crossCost": 0.5, "cold": shape.Doc{"startRoom": 1, "rampMs": 0},
 		})
 	}
 	s.Config, _ = json.Marshal(shape.Doc{"replaceLostVoterMs": 15000, "offers": os})
@@ -50,7 +50,7 @@
 			ks = append(ks, shape.Doc{"name": fmt.Sprintf("padding-of-a-name-that-is-long-enough-%d", i), "firstTokenMs": 1900})
 		}
 		name := fmt.Sprintf("pad%d", at)
-		pad := shape.Doc{"name": name, "model": shape.Prompt, "kinds": ks, "replicas": []any{shape.Doc{"name": name, "addr": "10.201.0.1:9000", "domain": s.Zones[0]}}}
+		pad := shape.Doc{"name": name, "model": shape.ModelName, "kinds": ks, "replicas": []any{shape.Doc{"name": name, "addr": "10.201.0.1:9000", "domain": s.Zones[0]}}}
 		raw, _ = json.Marshal(pad)
 		size += len(raw) + 1
 		services = append(services, pad)
--- a/sim/marathon.go
+++ b/sim/marathon.go
@@ -21,18 +21,18 @@
 func marathonFaults() marathonKinds {
 	var kinds marathonKinds
 	kinds.onCore = []string{
-		Kill, Power, Wipe, Relocate, Retire, Freeze, ClockBack, PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionControl, PartitionOneWay, PartitionIn, PartitionNode, SlowDisk, StallDisk, FullDisk,
-		OldDisk,
+		Kill, Power, WipeDisk, Relocate, ReplaceMachine, Freeze, ClockBack, PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionControl, PartitionOneWay, PartitionIn, PartitionNode, SlowDisk, StallDisk, FullDisk,
+		StaleDisk,
 	}
 	kinds.onNodes = []string{Kill, Power, Freeze, PartitionNode, PartitionControl, PartitionOneWay, PartitionIn, ClockBack, Upgrade}
 	kinds.onReplicas = []string{ReplicaCrash, ReplicaUnreachable, ReplicaFreeze, Release, ScaleIn}
-	kinds.plain = []string{PutStorm, Change, Race, SameNumber, BadPuts, AckLost, EvacuateFault, ListDown, BurstFault, HotKey, ScaleOut, GarbleAnswers}
+	kinds.plain = []string{PutStorm, ChangeConfig, ConcurrentPuts, SameRevision, InvalidPuts, LoseAcks, EvacuateFault, ListUnavailable, BurstFault, HotKey, ScaleOut, CorruptResponses}
 	return kinds
 }
 
 // Marathon is a long day on which three faults at a time begin, drawn from all kinds, under orders that never pause.
 func Marathon() SiteScenario {
-	return SiteScenario{Name: "marathon", Lasts: marathonLasts, Traffic: few, Close: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+	return SiteScenario{Name: "marathon", Duration: marathonLasts, TrafficRatio: few, ClosingFaults: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 		fs := pressing(s, rng, marathonFrom, marathonEnds)
 		for at := marathonFrom + sec; at < marathonEnds-5*sec; at += time.Duration(2000+rng.IntN(2500)) * ms {
 			for range atOnce {
@@ -61,7 +61,7 @@
 	switch f.Kind {
 	case EvacuateFault:
 		f.On = some(rng, s.Shape.Zones, 1)
-	case GarbleAnswers:
+	case CorruptResponses:
 		f.On = []string{drawn(rng, "cut", "reset", "late", "junk", "silent", "surplus")}
 	}
 	return f
--- a/sim/measure.go
+++ b/sim/measure.go
@@ -41,9 +41,9 @@
 }
 
 func (g *measurement) world() *World {
-	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: workload.Load{Classes: g.shape.Classes, Rate: 60, Prefixes: 24, HotRatio: 0.1}})
+	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: workload.Load{Classes: g.shape.Classes, Rate: 60, PrefixesPerClass: 24, HotRatio: 0.1}})
 	w.Boot()
-	w.Load(5*time.Second, 4*time.Minute)
+	w.SubmitLoad(5*time.Second, 4*time.Minute)
 	w.Run(12 * time.Second)
 	return w
 }
@@ -144,7 +144,7 @@
 
 func (g *measurement) restart() {
 	w := g.world()
-	r := w.Reps[w.rng.IntN(len(w.Reps))]
+	r := w.Replicas[w.rng.IntN(len(w.Replicas))]
 	old := r.model.Instance
 	r.crash()
 	from := w.Now
--- a/sim/measurettl.go
+++ b/sim/measurettl.go
@@ -29,10 +29,10 @@
 func (g *measurement) tracks() {
 	w := g.world()
 	w.Run(45 * time.Second)
-	base := w.Reps[0].model.Base
+	base := w.Replicas[0].model.BaseTime
 	slow := func(d time.Duration) {
-		for _, r := range w.Reps {
-			r.model.Base = d
+		for _, r := range w.Replicas {
+			r.model.BaseTime = d
 		}
 	}
 	g.tell("T before", w)
@@ -57,7 +57,7 @@
 func (g *measurement) falseWarm() {
 	w := g.world()
 	for i := range 10 {
-		w.At(w.Now+time.Duration(3*i)*time.Second, func() { w.Break(Fault{Kind: ReplicaCrash, On: some(w.whim, replicaNames(), 2), For: 2 * time.Second}) })
+		w.At(w.Now+time.Duration(3*i)*time.Second, func() { w.Inject(Fault{Kind: ReplicaCrash, On: some(w.whim, replicaNames(), 2), For: 2 * time.Second}) })
 	}
 	w.Run(52 * time.Second)
 	s := w.predictionStats()
--- a/sim/mixedscenarios.go
+++ b/sim/mixedscenarios.go
@@ -26,10 +26,10 @@
 	return []FleetScenario{
 		{Name: "our nodes are upgraded one by one", NoFailures: true, Faults: func(s shape.Shape, _ *rand.Rand) []Fault {
 			return []Fault{one(Upgrade, 9*sec, 0, nodeNames(s)...)}
-		}, Change: func(s *Scenario) { s.Lasts = 80 * sec }},
+		}, Adjust: func(s *Scenario) { s.Duration = 80 * sec }},
 		{Name: "neighbouring builds are mixed", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(PutStorm, 9*sec, 20*sec), one(Kill, 12*sec, 2*sec, some(rng, nodeNames(s), 3)...), one(PartitionZone, 20*sec, 5*sec, s.Zones[rng.IntN(len(s.Zones))])}
-		}, Change: func(s *Scenario) { s.Builds = true }},
+		}, Adjust: func(s *Scenario) { s.MixNextBuild = true }},
 		{Name: "one order while machines freeze", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 5 {
@@ -37,10 +37,10 @@
 				fs = append(fs, one(Freeze, at, 5*sec, some(rng, nodeNames(s)[4:], 4)...), one(PutStorm, at+2300*time.Millisecond, 50*time.Millisecond))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Rate = 150 }},
+		}, Adjust: func(s *Scenario) { s.Load.Rate = 150 }},
 		{Name: "a release that breaks each answer", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(ReplicaFailing, 9*sec, 25*sec, some(rng, replicaNames(), 9)...)}
-		}, Change: func(s *Scenario) { s.Load.Rate = 40 }},
+		}, Adjust: func(s *Scenario) { s.Load.Rate = 40 }},
 		{Name: "replicas answer wrongly", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			return []Fault{one(ReplicaCorrupt, 9*sec, 25*sec, some(rng, replicaNames(), 9)...)}
 		}},
@@ -50,14 +50,14 @@
 				fs = append(fs, one(ReplicaRestart, time.Duration(9000+2200*i+rng.IntN(900))*time.Millisecond, 0, some(rng, replicaNames(), 3)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 12 * sec, Until: 30 * sec, Times: 2.5}} }},
+		}, Adjust: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 12 * sec, Until: 30 * sec, Factor: 2.5}} }},
 		{Name: "replicas flap", Faults: func(_ shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 30 {
 				fs = append(fs, one(ReplicaCrash, time.Duration(9000+900*i)*time.Millisecond, 400*time.Millisecond, some(rng, replicaNames(), 5)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 8 * sec, Until: 38 * sec, Times: 3}} }},
+		}, Adjust: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 8 * sec, Until: 38 * sec, Factor: 3}} }},
 		{Name: "probers die while replicas restart", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			var fs []Fault
 			for i := range 6 {
@@ -66,14 +66,14 @@
 				fs = append(fs, one(ReplicaCrash, at+time.Duration(300+rng.IntN(2500))*time.Millisecond, 300*time.Millisecond, some(rng, replicaNames(), 4)...))
 			}
 			return fs
-		}, Change: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 9 * sec, Until: 36 * sec, Times: 1.5}} }},
+		}, Adjust: func(s *Scenario) { s.Load.Bursts = []workload.Burst{{From: 9 * sec, Until: 36 * sec, Factor: 1.5}} }},
 	}
 }
 
 func zoneAndPowerScenarios() []FleetScenario {
 	return []FleetScenario{
 		{Name: "platform lists late and out of order", Faults: func(_ shape.Shape, _ *rand.Rand) []Fault {
-			return []Fault{one(Lists, 9*sec, 25*sec), one(PutStorm, 12*sec, 12*sec)}
+			return []Fault{one(UnreliableLists, 9*sec, 25*sec), one(PutStorm, 12*sec, 12*sec)}
 		}},
 		{Name: "release while a domain empties", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			d := s.Zones[rng.IntN(len(s.Zones))]
@@ -90,19 +90,19 @@
 			for i := range 7 {
 				fs = append(fs, one(ClockBack, time.Duration(9+4*i)*sec, 1200*time.Millisecond, back[i%2*2:i%2*2+2]...))
 			}
-			return append(fs, one(PutStorm, 9*sec, 25*sec), one(Lists, 9*sec, 20*sec))
+			return append(fs, one(PutStorm, 9*sec, 25*sec), one(UnreliableLists, 9*sec, 20*sec))
 		}},
 		{Name: "core freezes in an act", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(FreezeAct, 9*sec, 7*sec), one(PutStorm, 9*sec, 50*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...)}
-		}, Change: func(s *Scenario) { s.Lasts = 70 * sec }},
+			return []Fault{one(FreezeInVoterChange, 9*sec, 7*sec), one(PutStorm, 9*sec, 50*sec), one(Relocate, 12*sec, 2*sec, some(rng, s.Voters, 1)...)}
+		}, Adjust: func(s *Scenario) { s.Duration = 70 * sec }},
 		{Name: "day ends with a domain lost", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
 			d := s.Zones[rng.IntN(3)]
-			return []Fault{one(PutStorm, 10*sec, 29900*time.Millisecond), one(Wipe, 39900*time.Millisecond, -1, namesIn(s, d)...), one(ReplicaCrash, 39900*time.Millisecond, -1, reps(s, d)...)}
+			return []Fault{one(PutStorm, 10*sec, 29900*time.Millisecond), one(WipeDisk, 39900*time.Millisecond, -1, namesIn(s, d)...), one(ReplicaCrash, 39900*time.Millisecond, -1, reps(s, d)...)}
 		}},
 		{Name: "day ends with all power and one disk lost", Faults: func(s shape.Shape, rng *rand.Rand) []Fault {
-			return []Fault{one(PutStorm, 10*sec, 30*sec), one(AllDown, 40*sec, -1), one(Wipe, 41*sec, -1, some(rng, s.Voters, 1)...)}
+			return []Fault{one(PutStorm, 10*sec, 30*sec), one(AllPowerOff, 40*sec, -1), one(WipeDisk, 41*sec, -1, some(rng, s.Voters, 1)...)}
 		}},
-		{Name: "everything at once", Faults: everyFleetFault, Change: func(s *Scenario) { s.Lasts, s.Loss = 70*sec, 0.01 }},
+		{Name: "everything at once", Faults: everyFleetFault, Adjust: func(s *Scenario) { s.Duration, s.LossRatio = 70*sec, 0.01 }},
 	}
 }
 
--- a/sim/network/net.go
+++ b/sim/network/net.go
@@ -19,24 +19,24 @@
 // Net is the simulated network: shares of messages that are lost and doubled, one-way delays within (Near) and between zones (Far) with a
 // random addition of up to Jitter, and counts of messages and bytes, between zones also by kind.
 type Net struct {
-	rng          *rand.Rand
-	links        map[[2]string]*link
-	Loss, Dup    float64
-	Near, Far    time.Duration
-	Jitter       time.Duration
-	Partitions   map[int]func(from, to string) bool
-	partitionSeq int
-	Sent         uint64
-	Bytes        uint64
-	CrossBytes   uint64
-	CrossKind    map[string]uint64
+	rng                       *rand.Rand
+	links                     map[[2]string]*link
+	LossRatio, DupRatio       float64
+	ZoneDelay, CrossZoneDelay time.Duration
+	Jitter                    time.Duration
+	Partitions                map[int]func(from, to string) bool
+	partitionSeq              int
+	Messages                  uint64
+	Bytes                     uint64
+	CrossBytes                uint64
+	CrossBytesByKind          map[string]uint64
 }
 
 // New makes a network that loses nothing; seed draws its delays.
 func New(seed uint64) *Net {
 	return &Net{
-		rng: rand.New(rand.NewPCG(seed, 29)), links: map[[2]string]*link{}, Near: 300 * time.Microsecond, Far: 3 * time.Millisecond,
-		Jitter: 2 * time.Millisecond, Partitions: map[int]func(from, to string) bool{}, CrossKind: map[string]uint64{},
+		rng: rand.New(rand.NewPCG(seed, 29)), links: map[[2]string]*link{}, ZoneDelay: 300 * time.Microsecond, CrossZoneDelay: 3 * time.Millisecond,
+		Jitter: 2 * time.Millisecond, Partitions: map[int]func(from, to string) bool{}, CrossBytesByKind: map[string]uint64{},
 	}
 }
 
@@ -60,9 +60,9 @@
 
 // Delay draws how long a message takes one way, within a zone (near) or between two.
 func (n *Net) Delay(near bool) time.Duration {
-	d := n.Far
+	d := n.CrossZoneDelay
 	if near {
-		d = n.Near
+		d = n.ZoneDelay
 	}
 	return d + time.Duration(n.rng.Int64N(int64(n.Jitter)))
 }
@@ -87,21 +87,21 @@
 	return same, len(frame)
 }
 
-// Carry takes a message over the network: what arrives of it, none, one or two, as it is read from its frames, and after what delays.
+// Deliver takes a message over the network: what arrives of it, none, one or two, as it is read from its frames, and after what delays.
 // Bytes between zones are counted under its kind.
-func (n *Net) Carry(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
+func (n *Net) Deliver(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
 	same, size := n.copy(from, to, msg)
-	n.Sent++
+	n.Messages++
 	n.Bytes += uint64(size)
 	if !near {
 		n.CrossBytes += uint64(size)
-		n.CrossKind[kind] += uint64(size)
+		n.CrossBytesByKind[kind] += uint64(size)
 	}
-	if n.Blocked(from, to) || n.rng.Float64() < n.Loss {
+	if n.Blocked(from, to) || n.rng.Float64() < n.LossRatio {
 		return nil, nil
 	}
 	copies, delays := []any{same}, []time.Duration{n.Delay(near)}
-	if n.rng.Float64() < n.Dup {
+	if n.rng.Float64() < n.DupRatio {
 		copies, delays = append(copies, same), append(delays, n.Delay(near)+50*time.Millisecond)
 	}
 	return copies, delays
--- a/sim/node.go
+++ b/sim/node.go
@@ -61,14 +61,14 @@
 		skew: time.Duration(w.rng.Int64N(int64(100 * time.Hour))),
 		wall: time.Duration(w.whim.Int64N(int64(10 * time.Second))), asks: map[string]*fleetRequest{},
 	}
-	if w.S.Builds && i%2 == 0 {
+	if w.Scenario.MixNextBuild && i%2 == 0 {
 		n.build = transport.Build + 1
 	}
-	if w.S.Older && i%2 == 1 {
+	if w.Scenario.MixPreviousBuild && i%2 == 1 {
 		n.build = transport.Build - 1
 	}
 	if s.Disk {
-		n.Disk = disk.New(w.S.Seed*100 + uint64(i))
+		n.Disk = disk.New(w.Scenario.Seed*100 + uint64(i))
 	}
 	w.byAddr[n.Addr] = n
 	return n
@@ -98,7 +98,7 @@
 	boot := strconv.FormatUint(w.whim.Uint64(), 36)
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot,
-		Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.S.Seed<<16 + n.incarnation,
+		Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.Scenario.Seed<<16 + n.incarnation,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
 	rc := router.Defaults(n.Name, boot, n.Zone)
@@ -111,12 +111,12 @@
 	}
 	n.node = control.New(n.local(), cfg)
 	n.frontendID = n.Name + "." + boot
-	rc.Scheduler.RoundRobin = w.S.RoundRob
+	rc.Scheduler.RoundRobin = w.Scenario.RoundRobin
 	n.router = router.New(rc)
-	if w.S.IndexOff || w.S.RoundRob {
+	if w.Scenario.DisableIndex || w.Scenario.RoundRobin {
 		n.router.DisableIndex()
 	}
-	w.Say("%s starts", n.Name)
+	w.Tracef("%s starts", n.Name)
 	n.startTicking()
 	if w.site != nil {
 		n.arm()
@@ -136,7 +136,7 @@
 func (n *Node) openJournal(cfg *control.Config) bool {
 	journal, err := control.OpenJournal(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.incarnation))
 	if err != nil {
-		n.w.Say("%s cannot start: %v", n.Name, err)
+		n.w.Tracef("%s cannot start: %v", n.Name, err)
 		n.w.Audit.breach("disk cannot be read", n.Name, err.Error())
 		return false
 	}
@@ -198,7 +198,7 @@
 	}
 	n.Alive = false
 	n.incarnation = 0
-	n.w.Say("%s is killed", n.Name)
+	n.w.Tracef("%s is killed", n.Name)
 	for _, name := range sortedKeys(n.asks) {
 		n.asks[name].orphan()
 	}
@@ -208,7 +208,7 @@
 
 func (n *Node) freeze() {
 	if n.Alive {
-		n.w.Say("%s freezes", n.Name)
+		n.w.Tracef("%s freezes", n.Name)
 		n.frozen = true
 	}
 }
@@ -217,7 +217,7 @@
 	if !n.frozen {
 		return
 	}
-	n.w.Say("%s thaws", n.Name)
+	n.w.Tracef("%s thaws", n.Name)
 	n.frozen = false
 	box := n.inbox
 	n.inbox = nil
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -48,10 +48,10 @@
 			continue
 		}
 		if to.foreign(s.Msg) {
-			w.Audit.breach(Unreadable, to.Name, fmt.Sprintf("%T from %s", s.Msg, n.Name))
+			w.Audit.breach(UnreadableFrame, to.Name, fmt.Sprintf("%T from %s", s.Msg, n.Name))
 			continue
 		}
-		msgs, delays := w.Net.Carry(n.Addr, s.To, n.Zone == to.Zone, s.Msg, fmt.Sprintf("%T", s.Msg))
+		msgs, delays := w.Net.Deliver(n.Addr, s.To, n.Zone == to.Zone, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
 			w.After(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.speaks(), Msg: m}) })
 		}
@@ -60,7 +60,7 @@
 
 func (n *Node) logAll(changes []control.Change) {
 	for _, c := range changes {
-		n.w.Say("%s %s: %s", n.Name, c.What, c.Detail)
+		n.w.Tracef("%s %s: %s", n.Name, c.What, c.Detail)
 		if n.w.trap != nil {
 			n.w.trap(n, c.What)
 		}
--- a/sim/operatorjudge.go
+++ b/sim/operatorjudge.go
@@ -10,12 +10,12 @@
 		o.repeated(d, n, f)
 		return
 	}
-	w.Say("order %d is settled: %v after %s", d.base, f, w.Now-d.from)
+	w.Tracef("order %d is settled: %v after %s", d.base, f, w.Now-d.from)
 	if v != nil {
 		o.judgeVersion(d, n, f)
 	}
 	if f != acked && o.owedAnswer(d) && w.Now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.Now) {
-		o.s.rules.breach(RuleAcks, fmt.Sprint(d.base), "not within %s", w.Now-d.from)
+		o.s.rules.breach(RuleNotAcknowledged, fmt.Sprint(d.base), "not within %s", w.Now-d.from)
 	}
 	if f == acked && o.acked != nil {
 		then := o.acked
@@ -40,10 +40,10 @@
 	v := d.v
 	switch {
 	case f == acked && v.flawed:
-		o.s.rules.breach(RuleTaken, fmt.Sprint(v.revision), "flawed, and taken by %s", n.Name)
+		o.s.rules.breach(RuleInvalidAccepted, fmt.Sprint(v.revision), "flawed, and taken by %s", n.Name)
 	case f == acked:
 		v.acked = o.s.w.Now
-		o.s.report.Puts++
+		o.s.report.PutsAccepted++
 		o.rival(v, d)
 		o.taken = append(o.taken, d)
 		o.inForce(v)
@@ -53,6 +53,6 @@
 			return
 		}
 		v.refused = true
-		o.s.report.PutsRefused++
+		o.s.report.PutsRejected++
 	}
 }
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -140,7 +140,7 @@
 func (o *operators) rival(v *version, d *order) {
 	for _, x := range o.s.rules.versions {
 		if x != v && x.acked > 0 && (x.base == d.base && d.base > 0 || x.revision == v.revision) {
-			o.s.rules.breach(RuleTaken, fmt.Sprint(v.revision), "and %d, both on top of %d", x.revision, d.base)
+			o.s.rules.breach(RuleInvalidAccepted, fmt.Sprint(v.revision), "and %d, both on top of %d", x.revision, d.base)
 		}
 	}
 }
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -16,13 +16,13 @@
 		n := w.someNode()
 		w.Evacuate(n, f.On[0], false, func(control.Answer) {})
 		w.After(f.For, func() { w.Evacuate(w.someNode(), f.On[0], true, func(control.Answer) {}) })
-	case Lists:
+	case UnreliableLists:
 		w.lists(w.Now+f.For, map[string]router.ListingState{}, 0)
 	case SwapVoters:
-		w.Call(w.someNode(), control.ReplaceVoters{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Say("swap: %v", a.Err) })
+		w.Call(w.someNode(), control.ReplaceVoters{ID: "swap" + f.At.String(), Names: f.On}, func(a control.Answer) { w.Tracef("swap: %v", a.Err) })
 	case PutStorm:
 		w.putStorm(w.Now+f.For, 1, 120*time.Millisecond, false)
-	case Race:
+	case ConcurrentPuts:
 		w.putStorm(w.Now+f.For, 4, 120*time.Millisecond, false)
 	case LargePuts:
 		w.putStorm(w.Now+f.For, 1, 1500*time.Millisecond, true)
@@ -42,11 +42,11 @@
 
 func (w *World) putAnswered(a control.Answer) {
 	if a.Err != nil {
-		w.Report.PutsDenied++
+		w.Report.PutsRejected++
 		w.learn(a.Err)
 		return
 	}
-	w.Report.PutsTaken++
+	w.Report.PutsAccepted++
 	w.expect = max(w.expect, a.Value.Version)
 }
 
@@ -81,7 +81,7 @@
 	if w.Now >= end+5*time.Second {
 		return
 	}
-	if at := w.Reps[w.whim.IntN(len(w.Reps))].Name; w.Now < end && w.whim.IntN(2) == 0 {
+	if at := w.Replicas[w.whim.IntN(len(w.Replicas))].Name; w.Now < end && w.whim.IntN(2) == 0 {
 		states[at] = []router.ListingState{router.Draining, router.Removed, router.Present, router.Draining}[w.whim.IntN(4)]
 		state := states[at]
 		w.list(at, router.Present)
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -24,7 +24,7 @@
 }
 
 func (c *fleetConn) keys() ([]predictionKey, []int) {
-	parts, _ := prefixindex.Parse(shape.Prompt, c.request.ask.Prefix)
+	parts, _ := prefixindex.Parse(shape.ModelName, c.request.ask.Prefix)
 	var tokens []int
 	var keys []predictionKey
 	for _, p := range parts {
@@ -36,7 +36,7 @@
 // placed compares what a placement counted on with what its node can have seen: its own commits and their answers.
 func (a *Audit) placed(f *fleetRequest, c *fleetConn) {
 	keys, tokens := c.keys()
-	a.counted(placementCheck{f.n, f.ask.Request, c.place, keys, tokens}, func(key predictionKey) bool { return a.proof(f.n, c.prefixOwner(), key) })
+	a.counted(placementCheck{f.n, f.ask.ID, c.place, keys, tokens}, func(key predictionKey) bool { return a.proof(f.n, c.prefixOwner(), key) })
 }
 
 // A placementCheck is a decision of a node, with the parts of the prompt that it may have counted on and the tokens of each.
@@ -63,7 +63,7 @@
 		}
 	}
 	if c.decision.ConfirmedTokens > sure {
-		a.breach(Unproved, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, c.decision.ConfirmedTokens, sure, c.decision.Replica))
+		a.breach(UnprovenConfirmation, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, c.decision.ConfirmedTokens, sure, c.decision.Replica))
 	}
 	if counted := c.decision.ConfirmedTokens + c.decision.PredictedTokens; counted > all {
 		a.breach(StalePrediction, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, counted, all, c.decision.Replica))
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -62,7 +62,7 @@
 	q := c.request
 	a := router.Arrival{Request: name, Host: siteHost, Path: c.path, Timeout: c.timeout}
 	if q.class.Streaming {
-		a.Prefix, a.Model, a.PromptTokens, a.MaxOutputTokens = q.prefix, shape.Prompt, q.prompt, q.events*s.stride(q.class.Service)
+		a.Prefix, a.Model, a.PromptTokens, a.MaxOutputTokens = q.prefix, shape.ModelName, q.prompt, q.events*s.stride(q.class.Service)
 	}
 	n.decide(n.turn(a))
 	return t
--- a/sim/replica/replica.go
+++ b/sim/replica/replica.go
@@ -13,20 +13,20 @@
 // each token not cached, more when it is full or warming up (for WarmupTime after its start), then Chunks come one Every so often. Its usage figures
 // lag behind by UsageLag.
 type Model struct {
-	Capacity   int
-	Keep       int
-	Base       time.Duration
-	PerToken   time.Duration
-	Every      time.Duration
-	Chunks     int
-	WarmupTime time.Duration
-	UsageLag   time.Duration
+	Capacity      int
+	CacheCapacity int
+	BaseTime      time.Duration
+	PerToken      time.Duration
+	ChunkInterval time.Duration
+	Chunks        int
+	WarmupTime    time.Duration
+	UsageLag      time.Duration
 }
 
 // DefaultModel is a replica of usual size.
 func DefaultModel() Model {
 	return Model{
-		Capacity: 8, Keep: 65536, Base: 60 * time.Millisecond, PerToken: 200 * time.Microsecond, Every: 15 * time.Millisecond,
+		Capacity: 8, CacheCapacity: 65536, BaseTime: 60 * time.Millisecond, PerToken: 200 * time.Microsecond, ChunkInterval: 15 * time.Millisecond,
 		Chunks: 24, WarmupTime: 6 * time.Second, UsageLag: 300 * time.Millisecond,
 	}
 }
@@ -34,11 +34,11 @@
 // Plan is how a replica will serve an admitted request: the time to its first token, that between pieces, and how many of the prefix's
 // Tokens were cached.
 type Plan struct {
-	First  time.Duration
-	Every  time.Duration
-	Chunks int
-	Cached int
-	Tokens int
+	FirstTokenTime time.Duration
+	ChunkInterval  time.Duration
+	Chunks         int
+	CachedTokens   int
+	PrefixTokens   int
 }
 
 type promptReading struct {
@@ -63,12 +63,12 @@
 	Running   map[string]bool
 	history   []sample
 
-	Admitted, Refused, Floods  uint64
-	CachedTokens, PrefixTokens uint64
+	Admitted, Rejected, WarmupOverloads uint64
+	CachedTokens, PrefixTokens          uint64
 }
 
-// NewReplica makes an instance that started at now.
-func NewReplica(m Model, instance string, now time.Duration) *Replica {
+// New makes an instance that started at now.
+func New(m Model, instance string, now time.Duration) *Replica {
 	return &Replica{
 		Model: m, Instance: instance, StartedAt: now, kept: map[prefixindex.Key]*list.Element{}, order: list.New(), Running: map[string]bool{},
 	}
@@ -81,8 +81,8 @@
 	return 1 - float64(now-r.StartedAt)/float64(r.WarmupTime)
 }
 
-// Bears is how many requests the replica may run at now, by how far it has warmed up.
-func (r *Replica) Bears(now time.Duration) int {
+// RunningLimit is how many requests the replica may run at now, by how far it has warmed up.
+func (r *Replica) RunningLimit(now time.Duration) int {
 	return max(1, int(float64(r.Capacity)*(1-r.coldness(now)))) + 1
 }
 
@@ -94,7 +94,7 @@
 		}
 	}
 	r.prompts = r.prompts[i:]
-	for r.tokens > r.Keep {
+	for r.tokens > r.CacheCapacity {
 		e := r.order.Back()
 		p := e.Value.(prefixindex.Block)
 		r.order.Remove(e)
@@ -116,7 +116,7 @@
 func (r *Replica) Admit(now time.Duration, goID string, parts []prefixindex.Block, tail int) (p Plan, ok bool) {
 	r.completeRunning(now)
 	if len(r.Running) >= r.Capacity {
-		r.Refused++
+		r.Rejected++
 		return p, false
 	}
 	r.Admitted++
@@ -134,13 +134,13 @@
 	full := float64(len(r.Running)) / float64(r.Capacity)
 	slowdown := r.coldness(now)
 	r.Running[goID] = true
-	if slowdown > 0 && len(r.Running) > r.Bears(now) {
-		r.Floods++
+	if slowdown > 0 && len(r.Running) > r.RunningLimit(now) {
+		r.WarmupOverloads++
 	}
 	r.recordRunning(now)
-	work := r.Base + time.Duration(total+tail-cached)*r.PerToken
-	p = Plan{First: time.Duration(float64(work) * (1 + full) * (1 + slowdown)), Every: r.Every, Chunks: r.Chunks, Cached: cached, Tokens: total}
-	at := now + p.First
+	work := r.BaseTime + time.Duration(total+tail-cached)*r.PerToken
+	p = Plan{FirstTokenTime: time.Duration(float64(work) * (1 + full) * (1 + slowdown)), ChunkInterval: r.ChunkInterval, Chunks: r.Chunks, CachedTokens: cached, PrefixTokens: total}
+	at := now + p.FirstTokenTime
 	i := len(r.prompts)
 	for i > 0 && r.prompts[i-1].at > at {
 		i--
--- a/sim/report.go
+++ b/sim/report.go
@@ -12,23 +12,23 @@
 
 // ClassResult counts how the requests of one kind ended. Firsts are times to the first token, in milliseconds.
 type ClassResult struct {
-	Done, Rejected, Partial, Unknown, Lost, Repeat, RejectedLate int
-	Firsts                                                       []int64
+	Done, Rejected, Partial, Unknown, Lost, Repeated, RejectedLate int
+	FirstTokenMs                                                   []int64
 }
 
 // Report is what a run came to. Reasons counts those of rejections, Retries second attempts, Predicted and Confirmed the prefix tokens that
 // placements counted on. ReturnMs is how long the fleet took to serve after the full stop at the end.
 type Report struct {
-	Classes                                              map[string]*ClassResult
-	Reasons                                              map[string]int
-	Arrived, RejectedLate, Retries, Predicted, Confirmed uint64
-	Floods, CachedTokens, PrefixTokens                   uint64
-	Admitted, Refused                                    uint64
-	PutsTaken, PutsDenied                                int
-	CrossBytes, Bytes, Sent, StreamCross                 uint64
-	Steps, Visited                                       uint64
-	Exempt                                               int
-	ReturnMs                                             int64
+	Classes                                                          map[string]*ClassResult
+	Reasons                                                          map[string]int
+	Arrived, RejectedLate, Retries, PredictedTokens, ConfirmedTokens uint64
+	WarmupOverloads, CachedTokens, PrefixTokens                      uint64
+	ReplicaAdmitted, ReplicaRejected                                 uint64
+	PutsAccepted, PutsRejected                                       int
+	CrossBytes, Bytes, Messages, ResponseCrossBytes                  uint64
+	RouterTicks, RowsVisited                                         uint64
+	ExcusedAttempts                                                  int
+	RecoveryMs                                                       int64
 }
 
 func (r *Report) take(f *fleetRequest) {
@@ -38,13 +38,13 @@
 		r.Classes[f.ask.Class.Name] = k
 	}
 	at := map[string]*int{
-		"done": &k.Done, "denied": &k.Rejected, "partial": &k.Partial, "unknown": &k.Unknown, "lost": &k.Lost, "repeat": &k.Repeat,
+		"done": &k.Done, "denied": &k.Rejected, "partial": &k.Partial, "unknown": &k.Unknown, "lost": &k.Lost, "repeat": &k.Repeated,
 	}[f.got.Outcome]
 	if at != nil {
 		*at++
 	}
 	if f.got.FirstMs > 0 {
-		k.Firsts = append(k.Firsts, f.got.FirstMs)
+		k.FirstTokenMs = append(k.FirstTokenMs, f.got.FirstMs)
 	}
 }
 
@@ -58,8 +58,8 @@
 		k.Partial += o.Partial
 		k.Unknown += o.Unknown
 		k.Lost += o.Lost
-		k.Repeat += o.Repeat
-		k.Firsts = append(k.Firsts, o.Firsts...)
+		k.Repeated += o.Repeated
+		k.FirstTokenMs = append(k.FirstTokenMs, o.FirstTokenMs...)
 	}
 	return k
 }
@@ -84,18 +84,18 @@
 	fmt.Fprintf(out, "%-10s %7s %7s %8s %8s %6s %9s %9s\n", "kind", "done", "denied", "partial", "unknown", "lost", "first p50", "first p95")
 	row := func(name string, k *ClassResult) {
 		fmt.Fprintf(out, "%-10s %7d %7d %8d %8d %6d %7dms %7dms\n", name, k.Done, k.Rejected, k.Partial, k.Unknown, k.Lost,
-			Quantile(k.Firsts, 0.5), Quantile(k.Firsts, 0.95))
+			Quantile(k.FirstTokenMs, 0.5), Quantile(k.FirstTokenMs, 0.95))
 	}
 	for _, name := range sortedKeys(r.Classes) {
 		row(name, r.Classes[name])
 	}
 	all := r.Total()
 	row("all", &all)
-	fmt.Fprintf(out, "denied late %d, second goes %d, replicas full %d of %d\n", r.RejectedLate, r.Retries, r.Refused, r.Admitted+r.Refused)
+	fmt.Fprintf(out, "denied late %d, second goes %d, replicas full %d of %d\n", r.RejectedLate, r.Retries, r.ReplicaRejected, r.ReplicaAdmitted+r.ReplicaRejected)
 	fmt.Fprintf(out, "prefix tokens in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", 100*r.HitRate(),
-		100*float64(r.Confirmed)/float64(max(r.PrefixTokens, 1)), 100*float64(r.Predicted)/float64(max(r.PrefixTokens, 1)))
+		100*float64(r.ConfirmedTokens)/float64(max(r.PrefixTokens, 1)), 100*float64(r.PredictedTokens)/float64(max(r.PrefixTokens, 1)))
 	fmt.Fprintf(out, "control bytes %d, between domains %d\n", r.Bytes, r.CrossBytes)
-	fmt.Fprintf(out, "gos that only a cut excuses: %d\n", r.Exempt)
+	fmt.Fprintf(out, "gos that only a cut excuses: %d\n", r.ExcusedAttempts)
 	for _, why := range sortedKeys(r.Reasons) {
 		fmt.Fprintf(out, "denied because %s: %d\n", why, r.Reasons[why])
 	}
@@ -105,17 +105,17 @@
 	for _, n := range w.Nodes {
 		if n.Alive {
 			c := n.router.Counters()
-			w.Report.Steps += c.Ticks
-			w.Report.Visited += c.RowsVisited
+			w.Report.RouterTicks += c.Ticks
+			w.Report.RowsVisited += c.RowsVisited
 		}
 	}
-	for _, r := range w.Reps {
+	for _, r := range w.Replicas {
 		if r.Up {
 			r.collect()
 		}
 	}
-	w.Report.Exempt = w.Audit.Exempt
-	w.Report.Bytes, w.Report.CrossBytes, w.Report.Sent = w.Net.Bytes, w.Net.CrossBytes, w.Net.Sent
+	w.Report.ExcusedAttempts = w.Audit.ExcusedAttempts
+	w.Report.Bytes, w.Report.CrossBytes, w.Report.Messages = w.Net.Bytes, w.Net.CrossBytes, w.Net.Messages
 }
 
 const returnWithin = 12 * time.Second
@@ -123,7 +123,7 @@
 func (w *World) finish() {
 	w.collect()
 	w.Net.Partitions = map[int]func(from, to string) bool{}
-	w.Net.Loss, w.Net.Dup = 0, 0
+	w.Net.LossRatio, w.Net.DupRatio = 0, 0
 	for _, n := range w.Nodes {
 		n.thaw()
 		n.kill()
@@ -132,8 +132,8 @@
 		}
 		n.stall, n.slow = false, 0
 	}
-	for _, r := range w.Reps {
-		r.Dark = false
+	for _, r := range w.Replicas {
+		r.Unreachable = false
 		if !r.Up {
 			r.start(w.Now)
 		}
@@ -144,8 +144,8 @@
 	}
 	w.await(from, func() { w.dayEnd() })
 	w.Run(from + returnWithin + 8*time.Second)
-	if w.Report.ReturnMs == 0 {
-		w.Audit.breach(NoReturn, "fleet", "nothing served after a full stop")
+	if w.Report.RecoveryMs == 0 {
+		w.Audit.breach(NotRecovered, "fleet", "nothing served after a full stop")
 	}
 	w.Audit.Breaches = append(w.Audit.Breaches, ledger.Check(w.Ran, w.Got)...)
 }
@@ -161,9 +161,9 @@
 		w.After(100*time.Millisecond, func() { w.await(from, then) })
 		return
 	}
-	w.Report.ReturnMs = (w.Now - from).Milliseconds()
+	w.Report.RecoveryMs = (w.Now - from).Milliseconds()
 	if w.Now-from > returnWithin {
-		w.Audit.breach(NoReturn, "fleet", fmt.Sprintf("%d of %d nodes serve after %s", ready, len(w.Nodes), w.Now-from))
+		w.Audit.breach(NotRecovered, "fleet", fmt.Sprintf("%d of %d nodes serve after %s", ready, len(w.Nodes), w.Now-from))
 	}
 	then()
 }
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -8,28 +8,28 @@
 
 // Rules that a site keeps its nodes to, as named in breaches.
 const (
-	RuleMixed   = "mixed answers"
-	RuleTwice   = "ran twice"
-	RuleRefused = "ran and was refused"
-	RuleDenied  = "proper request denied"
-	RuleRoute   = "no configuration allows it"
-	RuleDrain   = "sent to a draining replica"
-	RuleLost    = "answer lost in planned work"
-	RuleConfig  = "configuration not obeyed"
-	RuleBack    = "older configuration came back"
-	RuleTaken   = "flawed or lost configuration taken"
-	RuleBudget  = "too many second attempts"
-	RuleOrder   = "stream broken"
-	RuleWarmup  = "cold replica flooded"
-	RuleEvac    = "evacuation not obeyed"
-	RuleKept    = "acknowledged order lost"
-	RuleRecover = "service did not recover"
-	RuleAcks    = "order not acknowledged"
-	RuleTries   = "sent to too many replicas"
-	RuleServed  = "too little served"
-	RuleStale   = "old configuration handed out"
-	RuleRepeat  = "taken order refused"
-	RuleDenies  = "order refused though nothing else was taken"
+	RuleMixedResponses    = "mixed answers"
+	RuleRanTwice          = "ran twice"
+	RuleRanThoughRejected = "ran and was refused"
+	RuleWronglyRejected   = "proper request denied"
+	RuleNoRoute           = "no configuration allows it"
+	RuleDrain             = "sent to a draining replica"
+	RuleLostInPlannedStop = "answer lost in planned work"
+	RuleConfigNotApplied  = "configuration not obeyed"
+	RuleConfigWentBack    = "older configuration came back"
+	RuleInvalidAccepted   = "flawed or lost configuration taken"
+	RuleRetryBudget       = "too many second attempts"
+	RuleBrokenStream      = "stream broken"
+	RuleWarmup            = "cold replica flooded"
+	RuleEvacuation        = "evacuation not obeyed"
+	RuleOrderLost         = "acknowledged order lost"
+	RuleRecovery          = "service did not recover"
+	RuleNotAcknowledged   = "order not acknowledged"
+	RuleTooManyAttempts   = "sent to too many replicas"
+	RuleTooFewServed      = "too little served"
+	RuleStaleRead         = "old configuration handed out"
+	RuleAcceptedRejected  = "taken order refused"
+	RuleNeedlessRejection = "order refused though nothing else was taken"
 )
 
 // rules judges by what user agents, replicas, operators and the platform see.
@@ -76,7 +76,7 @@
 	}
 	if e := r.evacs[i.Zone]; e != nil && e.acked > 0 && !e.lifted {
 		if bound, must := r.within(n, q, evacWithin); must && now > e.acked+bound {
-			r.breach(RuleEvac, i.Zone, "%s sends to %s, %s after it was acknowledged", n.Name, i.ID, now-e.acked)
+			r.breach(RuleEvacuation, i.Zone, "%s sends to %s, %s after it was acknowledged", n.Name, i.ID, now-e.acked)
 		}
 	}
 	r.cold(i, q)
@@ -121,7 +121,7 @@
 		most = max(most, countIn(r.requests[service], now-back-retryWindow, now-back))
 	}
 	if n := countIn(r.retries[service], now-retryWindow, now); float64(n) > retryRatio*float64(most)+float64(r.s.spec.Bounds.RetryExtra) {
-		r.breach(RuleBudget, service, "%d for %d requests", n, most)
+		r.breach(RuleRetryBudget, service, "%d for %d requests", n, most)
 	}
 }
 
@@ -132,10 +132,10 @@
 		return
 	}
 	if c.runsBegun > 1 {
-		r.breach(RuleTwice, c.id, "at %s from %s", i.ID, q.n.Name)
+		r.breach(RuleRanTwice, c.id, "at %s from %s", i.ID, q.n.Name)
 	}
 	if c.refused {
-		r.breach(RuleRefused, c.id, "runs at %s after it was refused by %s", i.ID, q.n.Name)
+		r.breach(RuleRanThoughRejected, c.id, "runs at %s after it was refused by %s", i.ID, q.n.Name)
 	}
 }
 
@@ -156,7 +156,7 @@
 func (r *rules) refused(c *clientAttempt, n *Node) {
 	c.refused = true
 	if c.runsBegun > 0 && !c.request.class.Repeatable {
-		r.breach(RuleRefused, c.id, "refused by %s, though it ran", n.Name)
+		r.breach(RuleRanThoughRejected, c.id, "refused by %s, though it ran", n.Name)
 	}
 }
 
@@ -175,9 +175,9 @@
 func (r *rules) ended(c *clientAttempt, how string) {
 	r.s.report.Outcomes[how]++
 	if c.fault != "" {
-		what := RuleMixed
+		what := RuleMixedResponses
 		if c.request.class.Streaming {
-			what = RuleOrder
+			what = RuleBrokenStream
 		}
 		r.breach(what, c.id, "%s by %s", c.fault, c.n.Name)
 	}
@@ -189,5 +189,5 @@
 	if !planned || r.unplanned(c.readAt, now) || (now > since+grace/2 && c.working && c.sent <= since+excusedFor) {
 		return
 	}
-	r.breach(RuleLost, c.id, "read by %s %s before, sent to %d replicas", c.n.Name, now-c.readAt, c.passes)
+	r.breach(RuleLostInPlannedStop, c.id, "read by %s %s before, sent to %d replicas", c.n.Name, now-c.readAt, c.passes)
 }
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -119,15 +119,15 @@
 		return rt != nil
 	})
 	if versions.latest == nil {
-		what := RuleRoute
+		what := RuleNoRoute
 		if versions.refused {
-			what = RuleTaken
+			what = RuleInvalidAccepted
 		}
 		r.breach(what, c.path, "%s at %s from %s", c.id, i.service.Name, q.n.Name)
 		return
 	}
 	if c.passes > most {
-		r.breach(RuleTries, c.id, "%d, at most %d", c.passes, most)
+		r.breach(RuleTooManyAttempts, c.id, "%d, at most %d", c.passes, most)
 	}
 	bound, must := r.within(q.n, q, r.s.spec.Bounds.Apply)
 	r.obeyed(q.n, c, versions, applyBound{bound, must})
@@ -142,7 +142,7 @@
 // obeyed compares the versions that explain how a node handled a try with what it must obey and with what it obeyed before.
 func (r *rules) obeyed(n *Node, c *clientAttempt, versions versionRange, bound applyBound) {
 	if due := r.due(c.sent, bound.within); bound.must && versions.latest.revision < due {
-		r.breach(RuleConfig, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, versions.latest.revision, due)
+		r.breach(RuleConfigNotApplied, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, versions.latest.revision, due)
 	}
 	slack := backSlack
 	if !r.still(n.Name, c.sent, r.s.w.Now) {
@@ -150,7 +150,7 @@
 	}
 	f := r.lowestVersions[n.incarnation]
 	if versions.latest.revision < f.revision && c.sent > f.at+slack {
-		r.breach(RuleBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, versions.latest.revision, f.revision)
+		r.breach(RuleConfigWentBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, versions.latest.revision, f.revision)
 	}
 	if versions.least.revision > f.revision {
 		r.lowestVersions[n.incarnation] = versionFloor{revision: versions.least.revision, at: r.s.w.Now}
@@ -164,7 +164,7 @@
 	bound, must := r.within(n, q, r.s.spec.Bounds.Apply)
 	if versions.latest == nil {
 		if must && r.due(c.sent, bound) > 0 {
-			r.breach(RuleDenied, c.path, "%s by %s, every version has the route", c.id, n.Name)
+			r.breach(RuleWronglyRejected, c.path, "%s by %s, every version has the route", c.id, n.Name)
 		}
 		return
 	}
--- a/sim/run.go
+++ b/sim/run.go
@@ -6,20 +6,20 @@
 func Run(s Scenario) *World {
 	w := New(s)
 	w.Boot()
-	if s.Tune != nil {
-		s.Tune(w)
+	if s.AfterBoot != nil {
+		s.AfterBoot(w)
 	}
 	for _, f := range s.Faults {
-		w.At(f.At, func() { w.Break(f) })
+		w.At(f.At, func() { w.Inject(f) })
 	}
 	if w.site != nil {
-		w.site.traffic(s.Lasts - 3*time.Second)
-		w.Run(s.Lasts)
+		w.site.traffic(s.Duration - 3*time.Second)
+		w.Run(s.Duration)
 		w.site.finish()
 		return w
 	}
-	w.Load(max(s.From, 5*time.Second), s.Lasts-10*time.Second)
-	w.Run(s.Lasts)
+	w.SubmitLoad(max(s.LoadStart, 5*time.Second), s.Duration-10*time.Second)
+	w.Run(s.Duration)
 	w.finish()
 	return w
 }
--- a/sim/shape/shape.go
+++ b/sim/shape/shape.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// Prompt is the model that all services serve.
-	Prompt = "m1"
+	// ModelName is the model that all services serve.
+	ModelName = "m1"
 	// TickEvery is how often a control node gets a tick.
 	TickEvery = 50 * time.Millisecond
 )
@@ -35,24 +35,24 @@
 	Service string
 	Classes []workload.ClassLoad
 	Config  []byte
-	// Others are what else faults may name: a site's offers and classes, and how answers are garbled.
-	Others []string
+	// OtherTargets are what else faults may name: a site's offers and classes, and how answers are garbled.
+	OtherTargets []string
 }
 
 // Tramites is the shape of the first of the two users' fleets.
 func Tramites() Shape {
-	s, _ := Times("tramites", 1)
+	s, _ := Scaled("tramites", 1)
 	return s
 }
 
 // Atlas is the shape of the second of them.
 func Atlas() Shape {
-	s, _ := Times("atlas", 1)
+	s, _ := Scaled("atlas", 1)
 	return s
 }
 
-// Times is a fleet of the same shape with several times the nodes and replicas, and as many disks.
-func Times(name string, k int) (Shape, bool) {
+// Scaled is a fleet of the same shape with several times the nodes and replicas, and as many disks.
+func Scaled(name string, k int) (Shape, bool) {
 	switch name {
 	case "tramites":
 		return plan{
@@ -69,8 +69,8 @@
 	return s, false
 }
 
-// Named finds a shape by name.
-func Named(name string) (Shape, bool) { return Times(name, 1) }
+// ByName finds a shape by name.
+func ByName(name string) (Shape, bool) { return Scaled(name, 1) }
 
 // A plan is what the shapes differ in. The first nodes have a disk; crossCost is the penalty for another zone.
 type plan struct {
@@ -103,7 +103,7 @@
 	s.Config, _ = json.Marshal(map[string]any{
 		"replaceLostVoterMs": 15000,
 		"offers": []any{map[string]any{
-			"name": p.service, "model": Prompt, "replicas": rs, "kinds": ks, "crossCost": p.crossCost, "cold": map[string]any{"startRoom": 1, "rampMs": 8000},
+			"name": p.service, "model": ModelName, "replicas": rs, "kinds": ks, "crossCost": p.crossCost, "cold": map[string]any{"startRoom": 1, "rampMs": 8000},
 		}},
 	})
 	return s
--- a/sim/site.go
+++ b/sim/site.go
@@ -33,19 +33,19 @@
 
 func (w *World) openSite(spec SiteSpec) {
 	s := &site{
-		w: w, spec: spec, rng: rand.New(rand.NewPCG(w.S.Seed, 67)), at: map[string]*Instance{}, misses: map[string]int{}, entries: map[string][]*Node{},
+		w: w, spec: spec, rng: rand.New(rand.NewPCG(w.Scenario.Seed, 67)), at: map[string]*Instance{}, misses: map[string]int{}, entries: map[string][]*Node{},
 		report: SiteReport{Reasons: map[string]int{}, Outcomes: map[string]int{}},
 	}
 	w.site = s
 	s.rules = newRules(s)
-	s.ops = operators{s: s, rng: rand.New(rand.NewPCG(w.S.Seed, 71))}
+	s.ops = operators{s: s, rng: rand.New(rand.NewPCG(w.Scenario.Seed, 71))}
 	s.probeClass = spec.Classes[len(spec.Classes)-1]
 	s.probeClass.Name = "look"
-	w.Net.Near, w.Net.Far, w.Net.Jitter = 200*time.Microsecond, spec.Far, 300*time.Microsecond
+	w.Net.ZoneDelay, w.Net.CrossZoneDelay, w.Net.Jitter = 200*time.Microsecond, spec.CrossZoneDelay, 300*time.Microsecond
 	for k := range spec.Services {
 		o := &spec.Services[k]
 		for i := range o.Replicas {
-			s.launch(o, spec.Shape.Zones[i%len(spec.Shape.Zones)], fmt.Sprintf("10.9.%d.%d:8080", k, i), o.Pace[i%len(o.Pace)], false)
+			s.launch(o, spec.Shape.Zones[i%len(spec.Shape.Zones)], fmt.Sprintf("10.9.%d.%d:8080", k, i), o.Slowdowns[i%len(o.Slowdowns)], false)
 		}
 	}
 }
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -10,14 +10,14 @@
 
 // Troubles of a site beyond those of any fleet. On names nodes, zones or classes, or begins with the share of replicas.
 const (
-	BurstFault    = "burst"
-	HotKey        = "hot key"
-	ScaleIn       = "scale in"
-	ScaleOut      = "scale out"
-	GarbleAnswers = "garble"
-	BadPuts       = "flawed puts"
-	ListDown      = "list is down"
-	Change        = "change"
+	BurstFault       = "burst"
+	HotKey           = "hot key"
+	ScaleIn          = "scale in"
+	ScaleOut         = "scale out"
+	CorruptResponses = "garble"
+	InvalidPuts      = "flawed puts"
+	ListUnavailable  = "list is down"
+	ChangeConfig     = "change"
 )
 
 func (s *site) strike(f Fault) {
@@ -26,7 +26,7 @@
 	}
 	ns := s.w.nodes(f.On)
 	switch f.Kind {
-	case Kill, Power, Wipe, ClockBack, AllDown:
+	case Kill, Power, WipeDisk, ClockBack, AllPowerOff:
 		s.stopMachines(f, ns)
 	case Relocate:
 		for _, n := range ns {
@@ -45,9 +45,9 @@
 		s.rollingRestart(ns)
 	case PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionOneWay, PartitionIn:
 		s.partitionLinks(f, ns)
-	case OldDisk, Retire:
+	case StaleDisk, ReplaceMachine:
 		s.comeBack(f, ns)
-	case ListDown:
+	case ListUnavailable:
 		s.downs = append(s.downs, window{from: s.w.Now, until: s.w.Now + f.For})
 	default:
 		if !s.giveOrders(f) {
@@ -67,15 +67,15 @@
 		}
 	case PutStorm:
 		s.ops.change(now+f.For, 330*time.Millisecond, s.ops.vary)
-	case Change:
+	case ChangeConfig:
 		s.ops.change(now+1, time.Second, s.ops.vary)
 	case LargePuts:
 		s.ops.change(now+1, time.Second, s.ops.grow)
-	case Race:
+	case ConcurrentPuts:
 		s.ops.race(3, 1200*time.Millisecond)
-	case BadPuts:
+	case InvalidPuts:
 		s.ops.flawed()
-	case AckLost, Rapid, SameNumber, Repeats, Reads, EvacTurns:
+	case LoseAcks, RapidChanges, SameRevision, ResendChanges, ReadConfig, EvacuateRepeatedly:
 		s.ops.press(f)
 	default:
 		return false
@@ -117,12 +117,12 @@
 }
 
 func (s *site) stopMachines(f Fault, ns []*Node) {
-	if f.Kind == AllDown {
+	if f.Kind == AllPowerOff {
 		ns = s.w.Nodes
 	}
 	s.rules.recordFault(ns, f.For, false, false)
 	for _, n := range ns {
-		n.dark = f.Kind == Power || f.Kind == AllDown
+		n.dark = f.Kind == Power || f.Kind == AllPowerOff
 		n.kill()
 		if f.Kind == ClockBack {
 			n.wall = -s.w.Now - f.For
@@ -130,7 +130,7 @@
 		if n.Disk != nil && f.Kind != Kill && f.Kind != ClockBack {
 			n.Disk.PowerLoss()
 		}
-		if n.Disk != nil && f.Kind == Wipe {
+		if n.Disk != nil && f.Kind == WipeDisk {
 			n.Disk.Wipe()
 		}
 		n.stall, n.slow = false, 0
@@ -215,7 +215,7 @@
 		return
 	}
 	from, incarnation := w.Now, n.incarnation
-	w.Say("%s is told to stop", n.Name)
+	w.Tracef("%s is told to stop", n.Name)
 	s.rules.recordFault([]*Node{n}, grace+time.Second, true, false)
 	n.shuttingDown, n.shutdownAt = true, w.Now
 	w.Call(n, control.Retire{}, func(control.Answer) {})
--- a/sim/sitelist.go
+++ b/sim/sitelist.go
@@ -7,9 +7,9 @@
 )
 
 // ListError says why the platform's list of replicas could not be read.
-type ListError struct{ Why string }
+type ListError struct{ Reason string }
 
-func (e *ListError) Error() string { return "list: " + e.Why }
+func (e *ListError) Error() string { return "list: " + e.Reason }
 
 type window struct{ from, until time.Duration }
 
@@ -40,9 +40,9 @@
 	give := func(r control.ListRead) {
 		n.later(2*w.Net.Delay(false), func() { n.step(r) })
 	}
-	s.report.Lists++
+	s.report.ListCalls++
 	if !s.readable() || w.Net.Blocked(n.Addr, platformAddr) || w.Net.Blocked(platformAddr, n.Addr) {
-		n.later(800*time.Millisecond, func() { n.step(control.ListRead{Err: &ListError{Why: "no answer"}}) })
+		n.later(800*time.Millisecond, func() { n.step(control.ListRead{Err: &ListError{Reason: "no answer"}}) })
 		return
 	}
 	s.calls = append(s.calls, w.Now)
@@ -50,8 +50,8 @@
 		s.calls = s.calls[1:]
 	}
 	if len(s.calls) > s.spec.ListRate {
-		s.report.ListRefused++
-		give(control.ListRead{Err: &ListError{Why: "called too often"}})
+		s.report.ListCallsRejected++
+		give(control.ListRead{Err: &ListError{Reason: "called too often"}})
 		return
 	}
 	at := w.Now - listBehind
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -69,7 +69,7 @@
 func (o *operators) inForce(v *version) {
 	v.seen = true
 	if v.denied {
-		o.s.rules.breach(RuleRepeat, fmt.Sprint(v.revision), "it was refused, and is in force")
+		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "it was refused, and is in force")
 	}
 }
 
@@ -79,9 +79,9 @@
 	v.denied = true
 	switch {
 	case v.seen || v.acked > 0:
-		o.s.rules.breach(RuleRepeat, fmt.Sprint(v.revision), "by %s", n.Name)
+		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "by %s", n.Name)
 	case !o.rivalled(d):
-		o.s.rules.breach(RuleDenies, fmt.Sprint(v.revision), "by %s, on top of %d", n.Name, d.base)
+		o.s.rules.breach(RuleNeedlessRejection, fmt.Sprint(v.revision), "by %s, on top of %d", n.Name, d.base)
 	}
 	o.learn(n)
 }
@@ -132,9 +132,9 @@
 	if err != nil || at == 0 {
 		return
 	}
-	o.s.report.Reads++
+	o.s.report.ConfigReads++
 	if due != nil && at < due.revision {
-		o.s.rules.breach(RuleStale, n.Name, "revision %d, %d was acknowledged", at, due.revision)
+		o.s.rules.breach(RuleStaleRead, n.Name, "revision %d, %d was acknowledged", at, due.revision)
 	}
 	for _, v := range o.s.rules.versions {
 		if v.revision == at && !v.flawed && bytes.Equal(v.raw, body) {
@@ -205,9 +205,9 @@
 
 // repeated judges the answer to a change that was taken before: never a refusal.
 func (o *operators) repeated(d *order, n *Node, f fate) {
-	o.s.report.Repeats++
+	o.s.report.ResentChanges++
 	if f == refused {
-		o.s.rules.breach(RuleRepeat, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.Now-d.v.acked)
+		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.Now-d.v.acked)
 	}
 }
 
--- a/sim/sitepartitions.go
+++ b/sim/sitepartitions.go
@@ -13,24 +13,24 @@
 	PartitionCoreIn  = "core cut, gets nothing"
 	// PartitionIn cuts what machines get from all other nodes; PartitionOneWay is what they send.
 	PartitionIn = "cut, gets nothing"
-	// OldDisk has machines come back with the disk that they had For before.
-	OldDisk = "disk restored from before"
-	// Retire starts an empty machine, and after For stops the one whose place it takes, for good.
-	Retire = "planned replacement"
+	// StaleDisk has machines come back with the disk that they had For before.
+	StaleDisk = "disk restored from before"
+	// ReplaceMachine starts an empty machine, and after For stops the one whose place it takes, for good.
+	ReplaceMachine = "planned replacement"
 	// ReplicaFreeze has replicas of a service stand still and then go on with what lay there.
 	ReplicaFreeze = "replica freezes"
-	// AckLost loses a share of the answers to operators, or all of them for On "all".
-	AckLost = "acknowledgements are lost"
-	// Rapid sends ten changes a second, up to eight under way.
-	Rapid = "rapid changes"
-	// SameNumber has pairs of operators use one number for different changes.
-	SameNumber = "one number twice"
-	// Repeats sends changes again that were acknowledged before.
-	Repeats = "taken changes sent again"
-	// Reads asks nodes for the configuration all the time.
-	Reads = "configuration is read"
-	// EvacTurns evacuates a zone and takes that back by turns.
-	EvacTurns = "evacuated by turns"
+	// LoseAcks loses a share of the answers to operators, or all of them for On "all".
+	LoseAcks = "acknowledgements are lost"
+	// RapidChanges sends ten changes a second, up to eight under way.
+	RapidChanges = "rapid changes"
+	// SameRevision has pairs of operators use one number for different changes.
+	SameRevision = "one number twice"
+	// ResendChanges sends changes again that were acknowledged before.
+	ResendChanges = "taken changes sent again"
+	// ReadConfig asks nodes for the configuration all the time.
+	ReadConfig = "configuration is read"
+	// EvacuateRepeatedly evacuates a zone and takes that back by turns.
+	EvacuateRepeatedly = "evacuated by turns"
 	// AnyCore stands for a machine with a disk that may be lost, and AllCore for as many as may.
 	AnyCore = "any core machine"
 	AllCore = "as many core machines as may be lost"
@@ -84,7 +84,7 @@
 		headroom = 1
 	}
 	f.On = some(s.rng, fit, headroom)
-	s.w.Say("fault %s strikes %v", f.Kind, f.On)
+	s.w.Tracef("fault %s strikes %v", f.Kind, f.On)
 	return false
 }
 
@@ -107,7 +107,7 @@
 // comeBack has machines return as what they were before, or an empty one in their place.
 func (s *site) comeBack(f Fault, ns []*Node) {
 	for _, n := range ns {
-		if f.Kind == Retire {
+		if f.Kind == ReplaceMachine {
 			s.retire(n, f.For)
 			continue
 		}
@@ -117,7 +117,7 @@
 
 // restore takes a copy of a disk, and later starts the machine from it.
 func (s *site) restore(n *Node, d time.Duration) {
-	old := n.Disk.Copy()
+	old := n.Disk.SyncedCopy()
 	s.w.After(d, func() { s.putBack(n, func() { n.Disk.Restore(old) }) })
 }
 
@@ -166,21 +166,21 @@
 	now := o.s.w.Now
 	until := now + f.For
 	switch f.Kind {
-	case AckLost:
+	case LoseAcks:
 		l := ackLoss{window: window{from: now, until: until}, ratio: lostRatio}
 		if slices.Contains(f.On, "all") {
 			l.ratio = 1
 		}
 		o.losses = append(o.losses, l)
-	case Rapid:
+	case RapidChanges:
 		o.rapid(until, 100*time.Millisecond, 0)
-	case SameNumber:
+	case SameRevision:
 		o.sameNumber(int(f.For/time.Second), time.Second)
-	case Repeats:
+	case ResendChanges:
 		o.repeats(until, 300*time.Millisecond)
-	case Reads:
+	case ReadConfig:
 		o.reads(until, 50*time.Millisecond)
-	case EvacTurns:
+	case EvacuateRepeatedly:
 		for _, zone := range f.On {
 			o.turns(zone, until, false)
 		}
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -34,9 +34,9 @@
 	case ScaleOut:
 		for k := range 3 {
 			o := &s.spec.Services[0]
-			s.launch(o, s.spec.Shape.Zones[k%len(s.spec.Shape.Zones)], s.address(o), o.Pace[k%len(o.Pace)], true)
+			s.launch(o, s.spec.Shape.Zones[k%len(s.spec.Shape.Zones)], s.address(o), o.Slowdowns[k%len(o.Slowdowns)], true)
 		}
-	case GarbleAnswers:
+	case CorruptResponses:
 		s.garbleAnswers(f)
 	}
 }
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -12,36 +12,36 @@
 
 // ClassReport counts the requests of one class. Firsts are times to the first event, in milliseconds.
 type ClassReport struct {
-	Asked, Served, InTime int
-	Firsts                []int64
+	Requests, Served, InTime int
+	FirstEventMs             []int64
 }
 
 // SiteReport is what a day at a site came to.
 type SiteReport struct {
-	Requested                            int
-	Classes                              map[string]*ClassReport
-	Outcomes, Reasons                    map[string]int
-	GaveUp, LateEvents, Retries, Resumed int
-	Lists, ListRefused                   int
-	Puts, PutsRefused                    int
-	Reads, Repeats                       int
-	Dials, WrongInstance                 int
-	Confirmed, Predicted                 int
-	Prompted, Cached                     uint64
-	Admitted, Refused, Preempted         uint64
-	after                                time.Duration
-	requested, served                    int
+	Requested                                       int
+	Classes                                         map[string]*ClassReport
+	Outcomes, Reasons                               map[string]int
+	ClientDisconnects, LateEvents, Retries, Resumed int
+	ListCalls, ListCallsRejected                    int
+	PutsAccepted, PutsRejected                      int
+	ConfigReads, ResentChanges                      int
+	Dials, WrongInstance                            int
+	ConfirmedTokens, PredictedTokens                int
+	PromptTokens, CachedTokens                      uint64
+	ReplicaAdmitted, ReplicaRejected, Preempted     uint64
+	after                                           time.Duration
+	requested, served                               int
 }
 
 func (r *SiteReport) take(d *router.Decision) {
-	r.Confirmed += d.ConfirmedTokens
-	r.Predicted += d.PredictedTokens
+	r.ConfirmedTokens += d.ConfirmedTokens
+	r.PredictedTokens += d.PredictedTokens
 }
 
 func (s *site) tallied(i *Instance) {
 	r, e := &s.report, i.engine
-	r.Prompted, r.Cached = r.Prompted+e.Prompted, r.Cached+e.Cached
-	r.Admitted, r.Refused, r.Preempted = r.Admitted+e.Admitted, r.Refused+e.Refused, r.Preempted+e.Preempted
+	r.PromptTokens, r.CachedTokens = r.PromptTokens+e.PromptTokens, r.CachedTokens+e.CachedTokens
+	r.ReplicaAdmitted, r.ReplicaRejected, r.Preempted = r.ReplicaAdmitted+e.Admitted, r.ReplicaRejected+e.Rejected, r.Preempted+e.Preempted
 }
 
 func (r *SiteReport) end(q *clientRequest) {
@@ -56,7 +56,7 @@
 		c = &ClassReport{}
 		r.Classes[q.class.Name] = c
 	}
-	c.Asked++
+	c.Requests++
 	overdue := r.after > 0 && q.at > r.after
 	if overdue {
 		r.requested++
@@ -68,8 +68,8 @@
 	if overdue {
 		r.served++
 	}
-	c.Firsts = append(c.Firsts, (q.first - q.at).Milliseconds())
-	if q.first-q.at <= q.class.LatencyTarget && (q.class.Gap == 0 || q.gap <= q.class.Gap) {
+	c.FirstEventMs = append(c.FirstEventMs, (q.first - q.at).Milliseconds())
+	if q.first-q.at <= q.class.LatencyTarget && (q.class.TargetGap == 0 || q.gap <= q.class.TargetGap) {
 		c.InTime++
 	}
 }
@@ -78,7 +78,7 @@
 func (r *SiteReport) Served() float64 {
 	asked, served := 0, 0
 	for _, c := range r.Classes {
-		asked, served = asked+c.Asked, served+c.Served
+		asked, served = asked+c.Requests, served+c.Served
 	}
 	return float64(served) / float64(max(asked, 1))
 }
@@ -88,12 +88,12 @@
 	fmt.Fprintf(out, "%-10s %6s %6s %7s %9s %9s\n", "class", "asked", "served", "in time", "first p50", "first p95")
 	for _, name := range sortedKeys(r.Classes) {
 		c := r.Classes[name]
-		fmt.Fprintf(out, "%-10s %6d %6d %7d %7dms %7dms\n", name, c.Asked, c.Served, c.InTime, Quantile(c.Firsts, 0.5), Quantile(c.Firsts, 0.95))
+		fmt.Fprintf(out, "%-10s %6d %6d %7d %7dms %7dms\n", name, c.Requests, c.Served, c.InTime, Quantile(c.FirstEventMs, 0.5), Quantile(c.FirstEventMs, 0.95))
 	}
-	fmt.Fprintf(out, "outcomes %v, gave up %d, events late %d\nwhy denied: %v\n", r.Outcomes, r.GaveUp, r.LateEvents, r.Reasons)
-	fmt.Fprintf(out, "second attempts %d, resumed %d, connections %d, misplaced %d, lists %d (%d refused)\n", r.Retries, r.Resumed, r.Dials, r.WrongInstance, r.Lists, r.ListRefused)
-	fmt.Fprintf(out, "documents taken %d, refused %d, read %d, sent again %d; replicas admitted %d, refused %d, preempted %d\n", r.Puts, r.PutsRefused, r.Reads, r.Repeats, r.Admitted, r.Refused, r.Preempted)
-	fmt.Fprintf(out, "prompt parts in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", share(int(r.Cached), r.Prompted), share(r.Confirmed, r.Prompted), share(r.Predicted, r.Prompted))
+	fmt.Fprintf(out, "outcomes %v, gave up %d, events late %d\nwhy denied: %v\n", r.Outcomes, r.ClientDisconnects, r.LateEvents, r.Reasons)
+	fmt.Fprintf(out, "second attempts %d, resumed %d, connections %d, misplaced %d, lists %d (%d refused)\n", r.Retries, r.Resumed, r.Dials, r.WrongInstance, r.ListCalls, r.ListCallsRejected)
+	fmt.Fprintf(out, "documents taken %d, refused %d, read %d, sent again %d; replicas admitted %d, refused %d, preempted %d\n", r.PutsAccepted, r.PutsRejected, r.ConfigReads, r.ResentChanges, r.ReplicaAdmitted, r.ReplicaRejected, r.Preempted)
+	fmt.Fprintf(out, "prompt parts in cache %.1f%%, counted on: confirmed %.1f%%, predicted %.1f%%\n", share(int(r.CachedTokens), r.PromptTokens), share(r.ConfirmedTokens, r.PromptTokens), share(r.PredictedTokens, r.PromptTokens))
 }
 
 func share(part int, of uint64) float64 { return 100 * float64(part) / float64(max(of, 1)) }
@@ -108,13 +108,13 @@
 			s.tallied(i)
 		}
 	}
-	s.kept(s.w.Now + s.spec.Bounds.Touch)
-	s.w.Run(s.w.Now + s.spec.Bounds.Touch + 3*time.Second)
+	s.kept(s.w.Now + s.spec.Bounds.Settle)
+	s.w.Run(s.w.Now + s.spec.Bounds.Settle + 3*time.Second)
 	if s.report.after > 0 && (s.report.requested == 0 || 4*s.report.served < s.report.requested) {
-		s.rules.breach(RuleRecover, "fleet", "%d of %d served", s.report.served, s.report.requested)
+		s.rules.breach(RuleRecovery, "fleet", "%d of %d served", s.report.served, s.report.requested)
 	}
 	if got := s.report.Served(); got < 0.4 {
-		s.rules.breach(RuleServed, "fleet", "%.0f%%", 100*got)
+		s.rules.breach(RuleTooFewServed, "fleet", "%.0f%%", 100*got)
 	}
 }
 
@@ -123,7 +123,7 @@
 	w := s.w
 	n := w.Nodes[s.ops.rng.IntN(len(w.Nodes))]
 	if w.Now > until {
-		s.rules.breach(RuleKept, "document", "nobody gives it")
+		s.rules.breach(RuleOrderLost, "document", "nobody gives it")
 		return
 	}
 	repeated := func() { w.After(200*time.Millisecond, func() { s.kept(until) }) }
@@ -144,19 +144,19 @@
 	at, _ := revisionIn(a.Value.Document)
 	latest := s.rules.newest()
 	if !s.rules.sent(at, a.Value.Document) {
-		s.rules.breach(RuleKept, "document", "revision %d is not what was sent", at)
+		s.rules.breach(RuleOrderLost, "document", "revision %d is not what was sent", at)
 	}
 	if latest != nil && at < latest.revision {
-		s.rules.breach(RuleKept, "document", "%s gives revision %d, %d was acknowledged", n.Name, at, latest.revision)
+		s.rules.breach(RuleOrderLost, "document", "%s gives revision %d, %d was acknowledged", n.Name, at, latest.revision)
 	}
 	for _, d := range sortedKeys(s.rules.evacs) {
 		if e := s.rules.evacs[d]; !e.lifted && !slices.Contains(a.Value.EvacuatedZones, d) {
-			s.rules.breach(RuleKept, "evacuation", "%s does not know that %s is evacuated", n.Name, d)
+			s.rules.breach(RuleOrderLost, "evacuation", "%s does not know that %s is evacuated", n.Name, d)
 		}
 	}
 	for _, d := range sortedKeys(s.rules.reopened) {
 		if slices.Contains(a.Value.EvacuatedZones, d) {
-			s.rules.breach(RuleKept, "evacuation", "%s holds %s evacuated, which was taken back", n.Name, d)
+			s.rules.breach(RuleOrderLost, "evacuation", "%s holds %s evacuated, which was taken back", n.Name, d)
 		}
 	}
 }
--- a/sim/sitescenarios.go
+++ b/sim/sitescenarios.go
@@ -9,17 +9,17 @@
 // A SiteScenario is a scenario at a site.
 type SiteScenario struct {
 	Name string
-	// Least is the share of requests that must be served.
-	Least  float64
-	Faults func(s SiteSpec, rng *rand.Rand) []Fault
-	Lasts  time.Duration
-	// Close comes right after the last acknowledgement of the day.
-	Close func(s SiteSpec, rng *rand.Rand, acked string) []Fault
-	Loss  float64
-	// Traffic is the share of the site's traffic, all of it for 0.
-	Traffic float64
-	// Older has every other node be of the build before.
-	Older bool
+	// MinServed is the share of requests that must be served.
+	MinServed float64
+	Faults    func(s SiteSpec, rng *rand.Rand) []Fault
+	Duration  time.Duration
+	// ClosingFaults comes right after the last acknowledgement of the day.
+	ClosingFaults func(s SiteSpec, rng *rand.Rand, acked string) []Fault
+	LossRatio     float64
+	// TrafficRatio is the share of the site's traffic, all of it for 0.
+	TrafficRatio float64
+	// MixPreviousBuild has every other node be of the build before.
+	MixPreviousBuild bool
 }
 
 const scenarioLasts = 32 * sec
@@ -27,21 +27,21 @@
 // Scenario is the day played at a site with a seed.
 func (d SiteScenario) Scenario(spec SiteSpec, seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 73))
-	if d.Traffic > 0 {
-		spec = spec.scaled(d.Traffic)
+	if d.TrafficRatio > 0 {
+		spec = spec.scaled(d.TrafficRatio)
 	}
-	s := Scenario{Seed: seed, Site: &spec, Lasts: scenarioLasts, Loss: d.Loss, Older: d.Older}
-	if d.Lasts > 0 {
-		s.Lasts = d.Lasts
+	s := Scenario{Seed: seed, Site: &spec, Duration: scenarioLasts, LossRatio: d.LossRatio, MixPreviousBuild: d.MixPreviousBuild}
+	if d.Duration > 0 {
+		s.Duration = d.Duration
 	}
 	if d.Faults != nil {
 		s.Faults = d.Faults(spec, rng)
 	}
-	if d.Close != nil {
-		at := s.Lasts
-		s.Lasts += 20 * sec
-		s.Tune = func(w *World) {
-			w.At(at, func() { w.site.closing(func(acked string) []Fault { return d.Close(spec, rng, acked) }) })
+	if d.ClosingFaults != nil {
+		at := s.Duration
+		s.Duration += 20 * sec
+		s.AfterBoot = func(w *World) {
+			w.At(at, func() { w.site.closing(func(acked string) []Fault { return d.ClosingFaults(spec, rng, acked) }) })
 		}
 	}
 	return s
@@ -59,8 +59,8 @@
 func (s *site) closing(faults func(acked string) []Fault) {
 	s.ops.acked = func(n *Node) {
 		for _, f := range faults(n.Name) {
-			s.w.Break(f)
-			s.report.after = max(s.report.after, s.w.Now+f.For+s.spec.Bounds.Recover)
+			s.w.Inject(f)
+			s.report.after = max(s.report.after, s.w.Now+f.For+s.spec.Bounds.Recovery)
 		}
 	}
 	s.ops.put(s.ops.vary, nil)
@@ -104,7 +104,7 @@
 
 // streamScenarios break streams in ways that a replica's framing doesn't show.
 func streamScenarios() []SiteScenario {
-	inside := one(GarbleAnswers, 12*sec, 12*sec, endsInsideEvent)
+	inside := one(CorruptResponses, 12*sec, 12*sec, endsInsideEvent)
 	return []SiteScenario{
 		{Name: "streams end inside an event", Faults: fixedFaults(inside)},
 		{Name: "streams end inside an event in a release", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
@@ -125,22 +125,22 @@
 		}
 	}
 	garble := func(how string) func(SiteSpec, *rand.Rand) []Fault {
-		return fixedFaults(one(GarbleAnswers, 12*sec, 10*sec, how))
+		return fixedFaults(one(CorruptResponses, 12*sec, 10*sec, how))
 	}
 	return []SiteScenario{
-		{Name: "calm", Least: 0.99},
-		{Name: "release", Least: 0.95, Faults: llm(Release, 0, 12*sec, 20*sec)},
-		{Name: "release of the other offer", Least: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
+		{Name: "calm", MinServed: 0.99},
+		{Name: "release", MinServed: 0.95, Faults: llm(Release, 0, 12*sec, 20*sec)},
+		{Name: "release of the other offer", MinServed: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
 			return []Fault{one(Release, 12*sec, 0, s.Services[1].Name), one(Release, 19*sec, 0, s.Services[0].Name)}
 		}},
 		{Name: "replicas crash", Faults: llm(ReplicaCrash, 3*sec, 12*sec, 17*sec, 22*sec)},
 		{Name: "replicas are lost for good", Faults: llm(ReplicaCrash, -1, 13*sec)},
 		{Name: "replicas go dark", Faults: llm(ReplicaUnreachable, 5*sec, 12*sec, 20*sec)},
-		{Name: "scale in and out", Least: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
+		{Name: "scale in and out", MinServed: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
 			return []Fault{one(ScaleIn, 12*sec, 0, s.Services[0].Name), one(ScaleOut, 18*sec, 0)}
 		}},
 		{Name: "burst", Faults: fixedFaults(one(BurstFault, 13*sec, 5*sec))},
-		{Name: "hot key", Least: 0.95, Faults: fixedFaults(one(HotKey, 13*sec, 8*sec))},
+		{Name: "hot key", MinServed: 0.95, Faults: fixedFaults(one(HotKey, 13*sec, 8*sec))},
 		{Name: "answers are cut", Faults: garble("cut")},
 		{Name: "answers are followed by others", Faults: garble("surplus")},
 		{Name: "answers are followed late", Faults: garble("late")},
@@ -148,10 +148,10 @@
 		{Name: "answers are lost by reset", Faults: garble("reset")},
 		{Name: "answers never come", Faults: garble("silent")},
 		{Name: "replicas break every answer", Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(GarbleAnswers, 13*sec, 7*sec, "reset", "all"), one(BurstFault, 13*sec, 7*sec, s.Classes[2].Name)}
+			return []Fault{one(CorruptResponses, 13*sec, 7*sec, "reset", "all"), one(BurstFault, 13*sec, 7*sec, s.Classes[2].Name)}
 		}},
-		{Name: "list is down in a release", Least: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
-			return []Fault{one(Release, 11*sec, 0, s.Services[1].Name), one(ListDown, 13*sec, 7*sec), one(ScaleOut, 19600*ms, 0)}
+		{Name: "list is down in a release", MinServed: 0.9, Faults: func(s SiteSpec, _ *rand.Rand) []Fault {
+			return []Fault{one(Release, 11*sec, 0, s.Services[1].Name), one(ListUnavailable, 13*sec, 7*sec), one(ScaleOut, 19600*ms, 0)}
 		}},
 	}
 }
--- a/sim/sitescenarios_test.go
+++ b/sim/sitescenarios_test.go
@@ -45,13 +45,13 @@
 		t.Error(b)
 	}
 	r := w.Site()
-	if got := r.Served(); got < d.Least {
-		t.Errorf("%.1f%% are served, not %.1f%%", 100*got, 100*d.Least)
+	if got := r.Served(); got < d.MinServed {
+		t.Errorf("%.1f%% are served, not %.1f%%", 100*got, 100*d.MinServed)
 	}
 	var out strings.Builder
 	r.Write(&out)
 	t.Log("\n" + out.String())
 	if t.Failed() {
-		t.Logf("go test ./stage -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.Story, "\n"))
+		t.Logf("go test ./stage -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.TraceBeforeBreach, "\n"))
 	}
 }
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -17,24 +17,24 @@
 	MaxConns   int
 	WarmupTime time.Duration
 	WarmupRate float64
-	// Pace multiplies the time that everything takes, replica by replica in turn.
-	Pace []float64
+	// Slowdowns multiplies the time that everything takes, replica by replica in turn.
+	Slowdowns []float64
 }
 
 // TrafficClass is one kind of request, with a route of its own.
 type TrafficClass struct {
-	Name, Service                string
-	Rate                         float64
-	Streaming, Repeatable        bool
-	Resumable                    bool
-	Priority, Attempts           int
-	LatencyTarget, Gap, Deadline time.Duration
-	// Work is how long a request takes where nothing is generated.
-	Work time.Duration
-	// System and Shared are parts that many requests begin with: so many of them, of so many tokens.
-	System, SystemTokens int
-	Shared, SharedTokens int
-	Prompt, Events       int
+	Name, Service                      string
+	Rate                               float64
+	Streaming, Repeatable              bool
+	Resumable                          bool
+	Priority, MaxAttempts              int
+	LatencyTarget, TargetGap, Deadline time.Duration
+	// WorkTime is how long a request takes where nothing is generated.
+	WorkTime time.Duration
+	// SystemPrompts and Shared are parts that many requests begin with: so many of them, of so many tokens.
+	SystemPrompts, SystemTokens  int
+	SharedPrefixes, SharedTokens int
+	UniqueTokens, Events         int
 }
 
 // SiteSpec is what a platform brings.
@@ -42,10 +42,10 @@
 	Shape    shape.Shape
 	Services []ServiceSpec
 	Classes  []TrafficClass
-	// Far is the time between zones, one way.
-	Far time.Duration
-	// Idle is how many routes nobody uses but who looks which configuration is in force.
-	Idle int
+	// CrossZoneDelay is the time between zones, one way.
+	CrossZoneDelay time.Duration
+	// IdleRoutes is how many routes nobody uses but who looks which configuration is in force.
+	IdleRoutes int
 	// Bounds are those of the rules that the platform keeps its nodes to.
 	Bounds Bounds
 	// FaultTolerance is how many machines with a disk may be lost together.
@@ -74,16 +74,16 @@
 
 func llmService(name string, replicas, memory int) ServiceSpec {
 	return ServiceSpec{
-		Name: name, Replicas: replicas, MaxConns: 640, WarmupTime: 3 * time.Second, WarmupRate: 20, Pace: []float64{1, 1, 1.3},
+		Name: name, Replicas: replicas, MaxConns: 640, WarmupTime: 3 * time.Second, WarmupRate: 20, Slowdowns: []float64{1, 1, 1.3},
 		Spec: engine.Spec{
-			Slots: 128, Queue: 384, Setup: 31 * time.Millisecond, Step: 3410 * time.Microsecond, PerSlot: 97 * time.Microsecond, Prefill: 112,
-			Chunk: 1024, Memory: memory, Stride: 6,
+			Slots: 128, QueueLimit: 384, SetupTime: 31 * time.Millisecond, StepTime: 3410 * time.Microsecond, StepTimePerSlot: 97 * time.Microsecond, PrefillRate: 112,
+			PrefillChunk: 1024, MemoryTokens: memory, Stride: 6,
 		},
 	}
 }
 
 func plainService(name string, replicas int) ServiceSpec {
-	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Pace: []float64{1}, Spec: engine.Spec{Slots: 6, Queue: 24}}
+	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Slowdowns: []float64{1}, Spec: engine.Spec{Slots: 6, QueueLimit: 24}}
 }
 
 // siteTraffic is what the sites' traffic differs in. classes are the names of two streaming classes and of the plain one; scale multiplies
@@ -98,21 +98,21 @@
 func (t siteTraffic) trafficClasses() []TrafficClass {
 	return []TrafficClass{
 		{
-			Name: t.classes[0], Service: t.llm, Rate: 16.2 * t.scale, Streaming: true, Repeatable: true, Resumable: true, Attempts: 2, LatencyTarget: 800 * time.Millisecond,
-			Gap: 400 * time.Millisecond, Deadline: 15 * time.Second, System: 3, SystemTokens: 512, Shared: 61, SharedTokens: 4870, Prompt: 6610, Events: 64,
+			Name: t.classes[0], Service: t.llm, Rate: 16.2 * t.scale, Streaming: true, Repeatable: true, Resumable: true, MaxAttempts: 2, LatencyTarget: 800 * time.Millisecond,
+			TargetGap: 400 * time.Millisecond, Deadline: 15 * time.Second, SystemPrompts: 3, SystemTokens: 512, SharedPrefixes: 61, SharedTokens: 4870, UniqueTokens: 6610, Events: 64,
 		},
 		{
-			Name: t.classes[1], Service: t.llm, Rate: 75.2 * t.scale, Streaming: true, Priority: 1, Attempts: 1, LatencyTarget: 800 * time.Millisecond,
-			Gap: 400 * time.Millisecond, Deadline: 3 * time.Second, System: 8, SystemTokens: 341, Shared: 639, SharedTokens: 227, Prompt: 1800, Events: 4,
+			Name: t.classes[1], Service: t.llm, Rate: 75.2 * t.scale, Streaming: true, Priority: 1, MaxAttempts: 1, LatencyTarget: 800 * time.Millisecond,
+			TargetGap: 400 * time.Millisecond, Deadline: 3 * time.Second, SystemPrompts: 8, SystemTokens: 341, SharedPrefixes: 639, SharedTokens: 227, UniqueTokens: 1800, Events: 4,
 		},
-		{Name: t.classes[2], Service: t.plain, Rate: 22.8 * t.scale, Repeatable: true, Priority: 2, Attempts: 2, LatencyTarget: t.target, Deadline: t.deadline, Work: t.work},
+		{Name: t.classes[2], Service: t.plain, Rate: 22.8 * t.scale, Repeatable: true, Priority: 2, MaxAttempts: 2, LatencyTarget: t.target, Deadline: t.deadline, WorkTime: t.work},
 	}
 }
 
 // TramitesSite is one of the two small sites of the users' platform.
 func TramitesSite() SiteSpec {
 	s := SiteSpec{
-		Shape: siteNodes("tramites site", 11, 3, 3), Far: 500 * time.Microsecond, Idle: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
+		Shape: siteNodes("tramites site", 11, 3, 3), CrossZoneDelay: 500 * time.Microsecond, IdleRoutes: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
 		Services: []ServiceSpec{llmService("permisos", 9, 654078), plainService("borrador", 3)},
 	}
 	s.Classes = siteTraffic{
@@ -125,20 +125,20 @@
 // AtlasSite is the other small site of the users' platform.
 func AtlasSite() SiteSpec {
 	s := SiteSpec{
-		Shape: siteNodes("atlas site", 12, 4, 4), Far: 900 * time.Microsecond, Idle: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
+		Shape: siteNodes("atlas site", 12, 4, 4), CrossZoneDelay: 900 * time.Microsecond, IdleRoutes: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
 		Services: []ServiceSpec{llmService("logbook", 9, 729140), plainService("onair", 4)},
 	}
 	s.Classes = siteTraffic{
 		llm: "logbook", plain: "onair", classes: [3]string{"reconcile", "award", "lookup"}, scale: 1.04,
 		target: 100 * time.Millisecond, work: 15 * time.Millisecond, deadline: time.Second,
 	}.trafficClasses()
-	s.Classes[1].Attempts = 2
+	s.Classes[1].MaxAttempts = 2
 	s.Services[0].WarmupRate = 6
 	return s
 }
 
-// SiteOf finds a site by name, with all its traffic at so many requests a second, or at its own rate for 0.
-func SiteOf(name string, rate float64) (SiteSpec, bool) {
+// SiteByName finds a site by name, with all its traffic at so many requests a second, or at its own rate for 0.
+func SiteByName(name string, rate float64) (SiteSpec, bool) {
 	var s SiteSpec
 	switch name {
 	case "tramites site":
@@ -156,24 +156,24 @@
 	for _, c := range s.Classes {
 		ownRate += c.Rate
 	}
-	s.Shape.Others = []string{"cut", "junk", "surplus", "late", "reset", "silent", "all"}
+	s.Shape.OtherTargets = []string{"cut", "junk", "surplus", "late", "reset", "silent", "all"}
 	for i := range s.Classes {
 		if rate > 0 {
 			s.Classes[i].Rate *= rate / ownRate
 		}
-		s.Shape.Others = append(s.Shape.Others, s.Classes[i].Name)
+		s.Shape.OtherTargets = append(s.Shape.OtherTargets, s.Classes[i].Name)
 	}
 	for _, o := range s.Services {
-		s.Shape.Others = append(s.Shape.Others, o.Name)
+		s.Shape.OtherTargets = append(s.Shape.OtherTargets, o.Name)
 	}
 	return s, true
 }
 
-// SiteFaults are the kinds of fault that a site knows.
-func SiteFaults() []string {
+// SiteFaultKinds are the kinds of fault that a site knows.
+func SiteFaultKinds() []string {
 	return []string{
-		Kill, Power, Wipe, ClockBack, AllDown, Relocate, Freeze, PartitionNode, PartitionControl, SplitCore, SlowDisk, StallDisk, FullDisk, Upgrade, EvacuateFault, PutStorm, Change,
-		LargePuts, Race, BadPuts, ListDown, BurstFault, HotKey, ReplicaCrash, ReplicaUnreachable, Release, ScaleIn, ScaleOut, GarbleAnswers,
+		Kill, Power, WipeDisk, ClockBack, AllPowerOff, Relocate, Freeze, PartitionNode, PartitionControl, SplitCore, SlowDisk, StallDisk, FullDisk, Upgrade, EvacuateFault, PutStorm, ChangeConfig,
+		LargePuts, ConcurrentPuts, InvalidPuts, ListUnavailable, BurstFault, HotKey, ReplicaCrash, ReplicaUnreachable, Release, ScaleIn, ScaleOut, CorruptResponses,
 	}
 }
 
--- a/sim/sitetraffic.go
+++ b/sim/sitetraffic.go
@@ -28,13 +28,13 @@
 
 func (s *site) traffic(until time.Duration) {
 	t := &s.load
-	t.s, t.rng = s, rand.New(rand.NewPCG(s.w.S.Seed, 61))
+	t.s, t.rng = s, rand.New(rand.NewPCG(s.w.Scenario.Seed, 61))
 	for i, c := range s.spec.Classes {
-		for _, x := range s.w.S.Load.Bursts {
-			t.surges = append(t.surges, loadSurge{from: trafficFrom + x.From, until: trafficFrom + x.Until, class: i, times: x.Times})
+		for _, x := range s.w.Scenario.Load.Bursts {
+			t.surges = append(t.surges, loadSurge{from: trafficFrom + x.From, until: trafficFrom + x.Until, class: i, times: x.Factor})
 		}
 		if c.Streaming {
-			t.surges = append(t.surges, loadSurge{until: until, class: i, times: 1, hot: s.w.S.Load.HotRatio})
+			t.surges = append(t.surges, loadSurge{until: until, class: i, times: 1, hot: s.w.Scenario.Load.HotRatio})
 		}
 		s.w.At(trafficFrom, func() { t.next(i, until) })
 	}
@@ -74,7 +74,7 @@
 	domains := s.spec.Shape.Zones
 	q := &clientRequest{
 		s: s, id: fmt.Sprintf("q%d", t.n), class: c, path: prefixOf(c.Name) + "x", domain: domains[t.rng.IntN(len(domains))], at: s.w.Now,
-		deadline: s.w.Now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.Work), 0.5, 7*int(c.Work))),
+		deadline: s.w.Now + c.Deadline, events: 1, prompt: 1, work: time.Duration(t.spread(int(c.WorkTime), 0.5, 7*int(c.WorkTime))),
 	}
 	if c.Streaming {
 		q.events = t.spread(c.Events, 0.44, 3*c.Events)
@@ -86,16 +86,16 @@
 
 func (q *clientRequest) ask(t *traffic, hot float64) {
 	c := q.class
-	shared := t.rng.IntN(c.Shared)
+	shared := t.rng.IntN(c.SharedPrefixes)
 	if t.rng.Float64() < hot {
 		shared = 0
 	}
-	system := shared % c.System
-	unique := t.spread(c.Prompt, 1, 8*c.Prompt)
+	system := shared % c.SystemPrompts
+	unique := t.spread(c.UniqueTokens, 1, 8*c.UniqueTokens)
 	q.prefix = strings.Join([]string{
 		fmt.Sprintf("%s%d:%d", c.Name, system, c.SystemTokens), fmt.Sprintf("%s%d.%d:%d", c.Name, system, shared, c.SharedTokens),
 		fmt.Sprintf("%s:%d", q.id, unique),
 	}, ",")
-	q.parts, _ = prefixindex.Parse(shape.Prompt, q.prefix)
+	q.parts, _ = prefixindex.Parse(shape.ModelName, q.prefix)
 	q.prompt = c.SystemTokens + c.SharedTokens + unique
 }
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -15,7 +15,7 @@
 	w, r, f := c.request.w, c.replica, c.request
 	c.sent = true
 	if f.n.Zone != r.Zone {
-		w.Report.StreamCross += uint64(300 + 4*f.ask.TailTokens)
+		w.Report.ResponseCrossBytes += uint64(300 + 4*f.ask.TailTokens)
 	}
 	w.After(w.Net.Delay(f.n.Zone == r.Zone), func() {
 		if !r.Up {
@@ -27,25 +27,25 @@
 		if c.partitioned() {
 			return
 		}
-		parts, _ := prefixindex.Parse(shape.Prompt, f.ask.Prefix)
+		parts, _ := prefixindex.Parse(shape.ModelName, f.ask.Prefix)
 		plan, ok := r.model.Admit(w.Now, c.place.AttemptID, parts, f.ask.TailTokens)
 		if !ok {
-			r.record("refused", f.ask.Request, c.place.AttemptID, 0)
+			r.record("refused", f.ask.ID, c.place.AttemptID, 0)
 			c.back(func() {
 				c.happened(router.ResponseHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusTooManyRequests})
 			})
 			return
 		}
-		r.record("begun", f.ask.Request, c.place.AttemptID, 0)
+		r.record("begun", f.ask.ID, c.place.AttemptID, 0)
 		w.Audit.begun(r)
 		r.conns[c.place.AttemptID] = c
 		c.plan = plan
 		inst := r.model.Instance
-		if r.Unhealthy {
-			w.After(plan.First/4, c.spoil)
+		if r.Failing {
+			w.After(plan.FirstTokenTime/4, c.spoil)
 			return
 		}
-		w.After(plan.First, func() { c.emit(inst) })
+		w.After(plan.FirstTokenTime, func() { c.emit(inst) })
 	})
 }
 
@@ -60,7 +60,7 @@
 
 func (c *fleetConn) back(do func()) {
 	w := c.request.w
-	if c.replica.Dark || c.partitioned() {
+	if c.replica.Unreachable || c.partitioned() {
 		return
 	}
 	c.due = max(c.due, w.Now+w.Net.Delay(c.request.n.Zone == c.replica.Zone))
@@ -79,22 +79,22 @@
 	i := c.chunk
 	c.chunk++
 	if f.n.Zone != r.Zone {
-		w.Report.StreamCross += chunkBytes
+		w.Report.ResponseCrossBytes += chunkBytes
 	}
 	if i == 0 {
 		c.back(func() {
 			c.happened(router.ResponseHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusOK})
 		})
 	}
-	l := router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.Request, c.place.AttemptID, i)}
+	l := router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.ID, c.place.AttemptID, i)}
 	if c.corrupted || r.twist(c, &l) {
 		c.line(l)
 	}
 	if c.chunk < c.plan.Chunks {
-		w.After(c.plan.Every, func() { c.emit(inst) })
+		w.After(c.plan.ChunkInterval, func() { c.emit(inst) })
 		return
 	}
-	r.record("done", f.ask.Request, c.place.AttemptID, c.chunk)
+	r.record("done", f.ask.ID, c.place.AttemptID, c.chunk)
 	r.model.Release(w.Now, c.place.AttemptID)
 	delete(r.conns, c.place.AttemptID)
 	c.line(router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -20,7 +20,7 @@
 		return
 	}
 	n, from := ns[0], w.Now
-	w.Say("%s drains", n.Name)
+	w.Tracef("%s drains", n.Name)
 	n.shuttingDown = true
 	w.Call(n, control.Retire{}, func(control.Answer) {})
 	w.After(retire, func() { n.rejecting = n.shuttingDown })
--- a/sim/watcher.go
+++ b/sim/watcher.go
@@ -55,7 +55,7 @@
 func (e *watcher) look(nap time.Duration) {
 	n, r := e.n, e.r
 	repeated := func() { e.look(min(2*nap, lookMost)) }
-	if n.cutFrom(r) || r.Dark {
+	if n.cutFrom(r) || r.Unreachable {
 		e.after(dialFor+nap, repeated)
 		return
 	}
@@ -104,7 +104,7 @@
 
 func (n *Node) probe(p control.Probe) {
 	r := n.w.replicasByName[p.Replica]
-	if r == nil || !r.Up || r.Dark || n.cutFrom(r) {
+	if r == nil || !r.Up || r.Unreachable || n.cutFrom(r) {
 		n.later(400*time.Millisecond, func() { n.step(control.Probed{Replica: p.Replica, Local: p.Local}) })
 		return
 	}
--- a/sim/workload/load.go
+++ b/sim/workload/load.go
@@ -17,23 +17,23 @@
 // Load describes random requests: Rate a second over all kinds, begun by one of Prefixes prefixes a kind, and a HotRatio
 // (0 to 1) of them all of the first kind with its first prefix.
 type Load struct {
-	Classes  []ClassLoad
-	Rate     float64
-	Prefixes int
-	HotRatio float64
-	Bursts   []Burst
+	Classes          []ClassLoad
+	Rate             float64
+	PrefixesPerClass int
+	HotRatio         float64
+	Bursts           []Burst
 }
 
 // Burst multiplies the rate for a while.
 type Burst struct {
 	From, Until time.Duration
-	Times       float64
+	Factor      float64
 }
 
 // Request is one request: when it comes, its prefix as a header, and the tokens that follow the prefix.
 type Request struct {
 	At         time.Duration
-	Request    string
+	ID         string
 	Class      ClassLoad
 	Prefix     string
 	TailTokens int
@@ -59,7 +59,7 @@
 	shape := rand.New(rand.NewPCG(1, 19))
 	for _, k := range l.Classes {
 		var ps []prefix
-		for i := range max(l.Prefixes, 1) {
+		for i := range max(l.PrefixesPerClass, 1) {
 			parts := []string{fmt.Sprintf("%s.sys/%d", k.Name, 256)}
 			for j := range 1 + shape.IntN(3) {
 				parts = append(parts, fmt.Sprintf("%s.%d.%d/%d", k.Name, i, j, 256<<shape.IntN(3)))
@@ -75,7 +75,7 @@
 	r := s.load.Rate
 	for _, c := range s.load.Bursts {
 		if at >= c.From && at < c.Until {
-			r *= c.Times
+			r *= c.Factor
 		}
 	}
 	return r
@@ -93,7 +93,7 @@
 	}
 	s.n++
 	return Request{
-		At: s.next, Request: fmt.Sprintf("%s-%d", s.tag, s.n), Class: s.load.Classes[k], Prefix: pool[i].header,
+		At: s.next, ID: fmt.Sprintf("%s-%d", s.tag, s.n), Class: s.load.Classes[k], Prefix: pool[i].header,
 		TailTokens: 32 + s.rng.IntN(160),
 	}
 }
--- a/sim/world.go
+++ b/sim/world.go
@@ -19,24 +19,24 @@
 // IndexOff and RoundRob route without the prefix index, Resend has clients send lost requests once more, Builds has every other node be of
 // the next build. Asks, if any, take the place of Load; From is when the load begins. Tune is called after Boot.
 type Scenario struct {
-	Seed     uint64
-	Shape    shape.Shape
-	Charter  []byte
-	Load     workload.Load
-	Model    replica.Model
-	Lasts    time.Duration
-	Faults   []Fault
-	Loss     float64
-	Dup      float64
-	IndexOff bool
-	RoundRob bool
-	Resend   bool
-	Builds   bool
-	// Older has every other node be of the build before.
-	Older bool
-	Asks  []workload.Request
-	From  time.Duration
-	Tune  func(w *World)
+	Seed         uint64
+	Shape        shape.Shape
+	Config       []byte
+	Load         workload.Load
+	Model        replica.Model
+	Duration     time.Duration
+	Faults       []Fault
+	LossRatio    float64
+	DupRatio     float64
+	DisableIndex bool
+	RoundRobin   bool
+	ResendLost   bool
+	MixNextBuild bool
+	// MixPreviousBuild has every other node be of the build before.
+	MixPreviousBuild bool
+	Requests         []workload.Request
+	LoadStart        time.Duration
+	AfterBoot        func(w *World)
 	// Site is the platform that the nodes run on, if any; it takes the place of Shape, Config, Load and Model.
 	Site *SiteSpec
 }
@@ -44,12 +44,12 @@
 // World is a fleet with its surroundings in virtual time. One goroutine runs it.
 type World struct {
 	eventqueue.Queue
-	S              Scenario
+	Scenario       Scenario
 	rng            *rand.Rand
 	Net            *network.Net
 	Nodes          []*Node
 	byAddr         map[string]*Node
-	Reps           []*FleetReplica
+	Replicas       []*FleetReplica
 	replicasByName map[string]*FleetReplica
 	byURL          map[string]*FleetReplica
 	whim           *rand.Rand
@@ -78,19 +78,19 @@
 	if s.Site != nil {
 		s.Shape = s.Site.Shape
 	}
-	if s.Charter == nil {
-		s.Charter = s.Shape.Config
+	if s.Config == nil {
+		s.Config = s.Shape.Config
 	}
 	if s.Model.Capacity == 0 {
 		s.Model = replica.DefaultModel()
 		s.Model.Capacity = 12
 	}
 	w := &World{
-		S: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: network.New(s.Seed), byAddr: map[string]*Node{}, replicasByName: map[string]*FleetReplica{},
+		Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 31)), Net: network.New(s.Seed), byAddr: map[string]*Node{}, replicasByName: map[string]*FleetReplica{},
 		byURL: map[string]*FleetReplica{}, whim: rand.New(rand.NewPCG(s.Seed, 47)),
 		answers: map[uint64]func(a control.Answer){}, ready: map[string][]*Node{},
 	}
-	w.Net.Loss, w.Net.Dup = s.Loss, s.Dup
+	w.Net.LossRatio, w.Net.DupRatio = s.LossRatio, s.DupRatio
 	w.Report.Classes, w.Report.Reasons = map[string]*ClassResult{}, map[string]int{}
 	w.Audit = newAudit(w)
 	for i, ns := range s.Shape.Nodes {
@@ -104,8 +104,8 @@
 	return w
 }
 
-// Say adds a line to the trace.
-func (w *World) Say(format string, args ...any) {
+// Tracef adds a line to the trace.
+func (w *World) Tracef(format string, args ...any) {
 	w.Trace = append(w.Trace, fmt.Sprintf("%8.3fs ", w.Now.Seconds())+fmt.Sprintf(format, args...))
 	if len(w.Trace) > traceLines && !Verbose {
 		w.Trace = w.Trace[len(w.Trace)-traceLines/2:]
@@ -137,15 +137,15 @@
 }
 
 func (w *World) found() {
-	w.Call(w.Node(w.S.Shape.Voters[0]), control.Bootstrap{Names: w.S.Shape.Voters}, func(a control.Answer) {
+	w.Call(w.Node(w.Scenario.Shape.Voters[0]), control.Bootstrap{Names: w.Scenario.Shape.Voters}, func(a control.Answer) {
 		if a.Err != nil {
-			w.Say("found: %v", a.Err)
+			w.Tracef("found: %v", a.Err)
 			w.After(300*time.Millisecond, w.found)
 			return
 		}
-		w.Put(w.Node(w.S.Shape.Voters[0]), 0, w.S.Charter, func(a control.Answer) {
+		w.Put(w.Node(w.Scenario.Shape.Voters[0]), 0, w.Scenario.Config, func(a control.Answer) {
 			if a.Err != nil {
-				w.Say("first put: %v", a.Err)
+				w.Tracef("first put: %v", a.Err)
 			}
 		})
 	})
@@ -164,7 +164,7 @@
 func (w *World) pick(zone string) *Node {
 	ns := w.ready[zone]
 	if len(ns) == 0 {
-		for _, d := range w.S.Shape.Zones {
+		for _, d := range w.Scenario.Shape.Zones {
 			ns = append(ns, w.ready[d]...)
 		}
 	}
@@ -174,15 +174,15 @@
 	return ns[w.rng.IntN(len(ns))]
 }
 
-// Load submits the scenario's requests between the two times.
-func (w *World) Load(from, until time.Duration) {
-	for _, a := range w.S.Asks {
-		w.At(from+a.At, func() { w.submit(a, w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))], 0) })
+// SubmitLoad submits the scenario's requests between the two times.
+func (w *World) SubmitLoad(from, until time.Duration) {
+	for _, a := range w.Scenario.Requests {
+		w.At(from+a.At, func() { w.submit(a, w.Scenario.Shape.Zones[w.rng.IntN(len(w.Scenario.Shape.Zones))], 0) })
 	}
-	if len(w.S.Asks) > 0 {
+	if len(w.Scenario.Requests) > 0 {
 		return
 	}
-	src := workload.NewSource(w.S.Load, w.S.Seed, fmt.Sprintf("q%d", w.S.Seed))
+	src := workload.NewSource(w.Scenario.Load, w.Scenario.Seed, fmt.Sprintf("q%d", w.Scenario.Seed))
 	var next func()
 	next = func() {
 		a := src.Next()
@@ -190,7 +190,7 @@
 			return
 		}
 		w.At(from+a.At, func() {
-			zone := w.S.Shape.Zones[w.rng.IntN(len(w.S.Shape.Zones))]
+			zone := w.Scenario.Shape.Zones[w.rng.IntN(len(w.Scenario.Shape.Zones))]
 			w.submit(a, zone, 0)
 			next()
 		})
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -28,7 +28,7 @@
 
 func playAll(t *testing.T, scenarios []SiteScenario) {
 	t.Helper()
-	sites := Sites(FewMachines)
+	sites := AllSites(FewMachines)
 	for i, scenario := range scenarios {
 		if raced && i > 0 {
 			continue
@@ -50,8 +50,8 @@
 	seen := map[string]int{}
 	for seed := range uint64(40) {
 		s := Marathon().Scenario(AtlasSite(), seed)
-		if s.Lasts < 110*time.Second || len(s.Faults) < 3*20 {
-			t.Errorf("seed %d: %s with %d troubles", seed, s.Lasts, len(s.Faults))
+		if s.Duration < 110*time.Second || len(s.Faults) < 3*20 {
+			t.Errorf("seed %d: %s with %d troubles", seed, s.Duration, len(s.Faults))
 		}
 		for _, f := range s.Faults {
 			seen[f.Kind]++
@@ -72,8 +72,8 @@
 	}
 	w := Run(Marathon().Scenario(TramitesSite(), *first))
 	r := w.Site()
-	if r.Puts < 300 || r.Reads < 500 || r.Repeats < 200 {
-		t.Errorf("%d changes were taken, %d reads answered, %d changes sent again", r.Puts, r.Reads, r.Repeats)
+	if r.PutsAccepted < 300 || r.ConfigReads < 500 || r.ResentChanges < 200 {
+		t.Errorf("%d changes were taken, %d reads answered, %d changes sent again", r.PutsAccepted, r.ConfigReads, r.ResentChanges)
 	}
 }
 
@@ -120,13 +120,13 @@
 	ops.found(w.Nodes[0], w.sent.raw, w.latest)
 	wantBreach(t, w.World, "")
 	ops.found(w.Nodes[0], w.old.raw, w.latest)
-	wantBreach(t, w.World, RuleStale)
+	wantBreach(t, w.World, RuleStaleRead)
 }
 
 func TestCheckerDetectsRejectedThoughApplied(t *testing.T) {
 	w := newOperatorWorld(t)
 	w.site.ops.denied(&order{v: w.latest, base: 3}, w.Nodes[0])
-	wantBreach(t, w.World, RuleRepeat)
+	wantBreach(t, w.World, RuleAcceptedRejected)
 }
 
 func TestCheckerDetectsRejectedThenApplied(t *testing.T) {
@@ -136,13 +136,13 @@
 	w.site.ops.denied(&order{v: w.sent, base: 5}, w.Nodes[0])
 	wantBreach(t, w.World, "")
 	w.site.ops.found(w.Nodes[0], w.sent.raw, w.latest)
-	wantBreach(t, w.World, RuleRepeat)
+	wantBreach(t, w.World, RuleAcceptedRejected)
 }
 
 func TestCheckerDetectsRejectedWithoutRival(t *testing.T) {
 	w := newOperatorWorld(t)
 	w.site.ops.denied(&order{v: w.sent, base: 5}, w.Nodes[0])
-	wantBreach(t, w.World, RuleDenies)
+	wantBreach(t, w.World, RuleNeedlessRejection)
 }
 
 func TestCheckerDetectsRejectedRepeat(t *testing.T) {
@@ -152,7 +152,7 @@
 	w.site.ops.finishOrder(d, w.Nodes[0], unclear)
 	wantBreach(t, w.World, "")
 	w.site.ops.finishOrder(d, w.Nodes[0], refused)
-	wantBreach(t, w.World, RuleRepeat)
+	wantBreach(t, w.World, RuleAcceptedRejected)
 }
 
 func TestCheckerDetectsRevisionAppliedTwice(t *testing.T) {
@@ -174,7 +174,7 @@
 	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"b"}}})
 	wantBreach(t, w.World, "")
 	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"a"}}})
-	wantBreach(t, w.World, RuleKept)
+	wantBreach(t, w.World, RuleOrderLost)
 }
 
 // TestCoreFaultsWaitTheirTurn checks on a marathon that never more machines with a disk are struck than may be lost.
--- a/standin/agent.go
+++ b/standin/agent.go
@@ -30,14 +30,14 @@
 
 // Once sends one request to one node and gives the line of the client's ledger for it. Failures are outcomes.
 func (a *Agent) Once(ctx context.Context, node string, k workload.Request) ledger.Got {
-	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.Request, Kind: k.Class.Name, Repeatable: k.Class.Repeatable, Outcome: outcomeLost}
+	g := ledger.Got{AtMs: time.Now().UnixMilli(), Node: node, Request: k.ID, Kind: k.Class.Name, Repeatable: k.Class.Repeatable, Outcome: outcomeLost}
 	body := `{"prompt":"` + strings.Repeat("tail", max(k.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+k.Class.Service+"/"+k.Class.Name, strings.NewReader(body))
 	if err != nil {
 		return g
 	}
 	req.GetBody = nil
-	req.Header.Set("X-Request-Id", k.Request)
+	req.Header.Set("X-Request-Id", k.ID)
 	req.Header.Set("X-Prompt-Prefix", k.Prefix)
 	began := time.Now()
 	resp, err := a.Client.Do(req)
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -66,7 +66,7 @@
 // NewReplica starts a replica that ends with the tomb.
 func NewReplica(t *tomb.Tomb, o ReplicaOptions) *Replica {
 	r := &Replica{
-		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.NewReplica(o.Engine, o.Instance, o.Clock()),
+		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.New(o.Engine, o.Instance, o.Clock()),
 		runs: json.NewEncoder(o.Runs), jobs: make(chan job),
 	}
 	t.Go(func() error {
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -16,7 +16,7 @@
 		<-req.Context().Done()
 		return nil
 	}
-	if s.fault.DisconnectAt == "begun" || !r.wait(req, s.plan.First) {
+	if s.fault.DisconnectAt == "begun" || !r.wait(req, s.plan.FirstTokenTime) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -27,7 +27,7 @@
 		if !more {
 			return nil
 		}
-		if enc.Encode(line) != nil || ctl.Flush() != nil || !r.wait(req, s.plan.Every) {
+		if enc.Encode(line) != nil || ctl.Flush() != nil || !r.wait(req, s.plan.ChunkInterval) {
 			r.do(func(r *Replica) { r.record("cut", request, id, i) })
 			return nil
 		}
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -66,7 +66,7 @@
 	for seed := range uint64(6) {
 		for powerLost := range complete.Writes {
 			d := disk.New(seed)
-			d.PowerLossAt = powerLost
+			d.PowerLossAfter = powerLost
 			acked := write(d, n)
 			d.PowerLoss()
 			_, got, err := load(d)
@@ -93,7 +93,7 @@
 		for at := range complete.Size(name) {
 			d := disk.New(1)
 			write(d, n)
-			d.Rot(name, at)
+			d.FlipBit(name, at)
 			_, got, err := load(d)
 			var bad *storage.UnreadableError
 			if errors.As(err, &bad) {
@@ -121,11 +121,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.BadSync = true
+	d.FailSync = true
 	if v.Append([][]byte{[]byte("lost")}) == nil {
 		t.Fatal("a failed sync was taken for a good one")
 	}
-	d.BadSync = false
+	d.FailSync = false
 	var broken *storage.WriteFailedError
 	if err = v.Append([][]byte{[]byte("more")}); !errors.As(err, &broken) {
 		t.Fatalf("wrote on after a failed sync: %v", err)
--- a/whatif/har.go
+++ b/whatif/har.go
@@ -45,7 +45,7 @@
 			start = at
 		}
 		ask.At = time.Duration(at.UnixNano())
-		ask.Request = fmt.Sprintf("har-%d", i)
+		ask.ID = fmt.Sprintf("har-%d", i)
 		asks = append(asks, ask)
 	}
 	for i := range asks {
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -59,10 +59,10 @@
 
 func faultClasses() []string {
 	return []string{
-		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.Wipe, sim.Relocate,
+		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.WipeDisk, sim.Relocate,
 		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.ReplicaCrash, sim.ReplicaUnreachable, sim.Release, sim.EvacuateFault,
-		sim.PutStorm, sim.Race, sim.SwapVoters, sim.AllDown, sim.LargePuts, sim.ReplicaCorrupt, sim.ReplicaRestart, sim.ReplicaFailing, sim.PartitionControl, sim.ClockBack,
-		sim.FreezeAct, sim.Lists, sim.Upgrade,
+		sim.PutStorm, sim.ConcurrentPuts, sim.SwapVoters, sim.AllPowerOff, sim.LargePuts, sim.ReplicaCorrupt, sim.ReplicaRestart, sim.ReplicaFailing, sim.PartitionControl, sim.ClockBack,
+		sim.FreezeInVoterChange, sim.UnreliableLists, sim.Upgrade,
 	}
 }
 
@@ -91,8 +91,8 @@
 		p.Shape = s
 	}
 	p.Times = d.Int("times", 1, 1, 16)
-	shape, ok := shape.Times(p.Shape, p.Times)
-	spec, site := sim.SiteOf(p.Shape, 0)
+	shape, ok := shape.Scaled(p.Shape, p.Times)
+	spec, site := sim.SiteByName(p.Shape, 0)
 	switch {
 	case site:
 		shape, p.Rate, p.HotRatio = spec.Shape, 0, 0
@@ -118,7 +118,7 @@
 	p.HotRatio = d.Num("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Times: c.Num("times", 1, 0.01, 1000)})
+		p.Crowds = append(p.Crowds, workload.Burst{From: ms(c, "fromMs"), Until: ms(c, "untilMs"), Factor: c.Num("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
@@ -149,7 +149,7 @@
 	f := sim.Fault{At: ms(d, "atMs"), Kind: d.Str("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	all := faultClasses()
 	if site {
-		all = sim.SiteFaults()
+		all = sim.SiteFaultKinds()
 	}
 	if !slices.Contains(all, f.Kind) {
 		d.AddViolation(d.At("kind"), f.Kind, "one of "+strings.Join(all, ", "))
@@ -170,6 +170,6 @@
 }
 
 func inFleet(s shape.Shape, name string) bool {
-	return slices.Contains(s.Zones, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
+	return slices.Contains(s.Zones, name) || slices.Contains(s.OtherTargets, name) || (len(s.OtherTargets) == 0 && strings.HasPrefix(name, "r")) ||
 		slices.ContainsFunc(s.Nodes, func(n shape.Node) bool { return n.Name == name })
 }
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -33,13 +33,13 @@
 const warmUp = 15 * time.Second
 
 func (p Plan) scenario(seed uint64) (sim.Scenario, error) {
-	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
+	if spec, ok := sim.SiteByName(p.Shape, p.Rate); ok {
 		return p.site(seed, spec), nil
 	}
-	shape, _ := shape.Times(p.Shape, p.Times)
+	shape, _ := shape.Scaled(p.Shape, p.Times)
 	s := sim.Scenario{
-		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + warmUp, From: warmUp, Faults: p.Faults, Resend: true, IndexOff: !p.Index, RoundRob: p.RoundRobin,
-		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Crowds}, Asks: p.Requests,
+		Seed: seed, Shape: shape, Duration: time.Duration(p.Seconds)*time.Second + warmUp, LoadStart: warmUp, Faults: p.Faults, ResendLost: true, DisableIndex: !p.Index, RoundRobin: p.RoundRobin,
+		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, PrefixesPerClass: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Crowds}, Requests: p.Requests,
 	}
 	if p.Config == nil {
 		return s, nil
@@ -48,7 +48,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.Charter, s.Load.Classes = p.Config, nil
+	s.Config, s.Load.Classes = p.Config, nil
 	for _, o := range c.Services {
 		for _, k := range o.Classes {
 			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: o.Name, Name: k.Name, Repeatable: k.Repeatable})
@@ -93,7 +93,7 @@
 
 func (r *Result) add(w *sim.World) {
 	of := figures
-	if w.S.Site != nil {
+	if w.Scenario.Site != nil {
 		of = siteFigures
 	}
 	for _, f := range of(w) {
@@ -103,7 +103,7 @@
 		r.Values[f.name] = append(r.Values[f.name], f.value)
 	}
 	for _, b := range w.Audit.Breaches {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("seed %d: %s", w.S.Seed, b))
+		r.Breaches = append(r.Breaches, fmt.Sprintf("seed %d: %s", w.Scenario.Seed, b))
 	}
 }
 
@@ -124,7 +124,7 @@
 }
 
 func (l *list) outcomes(w *sim.World) {
-	for _, k := range w.S.Load.Classes {
+	for _, k := range w.Scenario.Load.Classes {
 		kr := w.Report.Classes[k.Name]
 		if kr == nil {
 			kr = &sim.ClassResult{}
@@ -134,8 +134,8 @@
 		l.count(k.Name+" partial", uint64(kr.Partial))
 		l.count(k.Name+" unknown", uint64(kr.Unknown))
 		l.count(k.Name+" lost", uint64(kr.Lost))
-		l.count(k.Name+" first token p50 ms", uint64(sim.Quantile(kr.Firsts, 0.5)))
-		l.count(k.Name+" first token p95 ms", uint64(sim.Quantile(kr.Firsts, 0.95)))
+		l.count(k.Name+" first token p50 ms", uint64(sim.Quantile(kr.FirstTokenMs, 0.5)))
+		l.count(k.Name+" first token p95 ms", uint64(sim.Quantile(kr.FirstTokenMs, 0.95)))
 	}
 	total := w.Report.Total()
 	l.count("denied early", uint64(total.Rejected)-w.Report.RejectedLate)
@@ -148,24 +148,24 @@
 		l.add(name, 100*float64(part)/float64(max(w.Report.PrefixTokens, 1)))
 	}
 	ratio("prefix found in cache %", w.Report.CachedTokens)
-	ratio("counted on, confirmed %", w.Report.Confirmed)
-	ratio("counted on, predicted %", w.Report.Predicted)
+	ratio("counted on, confirmed %", w.Report.ConfirmedTokens)
+	ratio("counted on, predicted %", w.Report.PredictedTokens)
 }
 
 func (l *list) control(w *sim.World) {
 	rp := &w.Report
-	obeyed := w.Audit.Obeyed()
+	obeyed := w.Audit.ApplyTimes()
 	l.count("slowest node obeys p50 ms", uint64(sim.Quantile(obeyed, 0.5)))
 	l.count("slowest node obeys p95 ms", uint64(sim.Quantile(obeyed, 0.95)))
 	l.count("control KB", rp.Bytes/1024)
 	l.count("control KB between domains", rp.CrossBytes/1024)
-	for _, kind := range slices.Sorted(maps.Keys(w.Net.CrossKind)) {
-		l.count("  of it "+kind, w.Net.CrossKind[kind]/1024)
+	for _, kind := range slices.Sorted(maps.Keys(w.Net.CrossBytesByKind)) {
+		l.count("  of it "+kind, w.Net.CrossBytesByKind[kind]/1024)
 	}
-	l.count("stream KB between domains", rp.StreamCross/1024)
-	l.add("control bytes per node and second", float64(rp.Bytes)/w.S.Lasts.Seconds()/float64(len(w.Nodes)))
-	l.add("rows visited per event", float64(rp.Visited)/float64(max(rp.Steps, 1)))
-	l.count("service back after ms", uint64(rp.ReturnMs))
+	l.count("stream KB between domains", rp.ResponseCrossBytes/1024)
+	l.add("control bytes per node and second", float64(rp.Bytes)/w.Scenario.Duration.Seconds()/float64(len(w.Nodes)))
+	l.add("rows visited per event", float64(rp.RowsVisited)/float64(max(rp.RouterTicks, 1)))
+	l.count("service back after ms", uint64(rp.RecoveryMs))
 }
 
 // spread gives mean and standard deviation.
