--- a/sim/network/net.go
+++ b/sim/network/net.go
@@ -1,5 +1,6 @@
-// Package network is the simulated network between control nodes: it delays, loses and doubles messages, partitions nodes, and carries
-// each message through the frames that real nodes write and read. A Net is owned by one goroutine.
+// Package network simulates the network between control nodes: a Net delays, loses and duplicates messages, partitions nodes, and encodes and
+// decodes each message with the frames that real nodes write and read. Deliver carries one message, Partition blocks some. A Net is owned by
+// one goroutine.
 package network
 
 import (
@@ -10,14 +11,16 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
+// link encodes and decodes the messages from one address to another; as on a real connection, both ends keep state between messages.
 type link struct {
-	w   *transport.Writer
-	buf bytes.Buffer
-	r   *transport.Reader
+	writer *transport.Writer
+	buf    bytes.Buffer
+	reader *transport.Reader
 }
 
-// Net is the simulated network: shares of messages that are lost and doubled, one-way delays within (Near) and between zones (Far) with a
-// random addition of up to Jitter, and counts of messages and bytes, between zones also by kind.
+// Net is the simulated network. LossRatio and DupRatio are the shares of messages that are lost and duplicated. The one-way delay is ZoneDelay
+// within a zone and CrossZoneDelay between zones, plus a random addition of up to Jitter. Messages and Bytes count all messages, CrossBytes
+// and CrossBytesByKind those between zones.
 type Net struct {
 	rng                       *rand.Rand
 	links                     map[[2]string]*link
@@ -25,14 +28,14 @@
 	ZoneDelay, CrossZoneDelay time.Duration
 	Jitter                    time.Duration
 	Partitions                map[int]func(from, to string) bool
-	partitionSeq              int
+	lastPartition             int
 	Messages                  uint64
 	Bytes                     uint64
 	CrossBytes                uint64
 	CrossBytesByKind          map[string]uint64
 }
 
-// New makes a network that loses nothing; seed draws its delays.
+// New returns a network that loses nothing; seed determines its delays and losses.
 func New(seed uint64) *Net {
 	return &Net{
 		rng: rand.New(rand.NewPCG(seed, 29)), links: map[[2]string]*link{}, ZoneDelay: 300 * time.Microsecond, CrossZoneDelay: 3 * time.Millisecond,
@@ -40,15 +43,15 @@
 	}
 }
 
-// Partition blocks messages from one address to another until the function that it returns is called.
+// Partition blocks the messages for which blocked returns true, until the returned function is called.
 func (n *Net) Partition(blocked func(from, to string) bool) func() {
-	n.partitionSeq++
-	id := n.partitionSeq
+	n.lastPartition++
+	id := n.lastPartition
 	n.Partitions[id] = blocked
 	return func() { delete(n.Partitions, id) }
 }
 
-// Blocked tells whether a partition keeps messages from one address to another.
+// Blocked reports whether a partition blocks messages from one address to another.
 func (n *Net) Blocked(from, to string) bool {
 	for _, c := range n.Partitions {
 		if c(from, to) {
@@ -58,7 +61,7 @@
 	return false
 }
 
-// Delay draws how long a message takes one way, within a zone (near) or between two.
+// Delay draws the one-way delay of a message, within a zone (near) or between two.
 func (n *Net) Delay(near bool) time.Duration {
 	d := n.CrossZoneDelay
 	if near {
@@ -67,30 +70,31 @@
 	return d + time.Duration(n.rng.Int64N(int64(n.Jitter)))
 }
 
-func (n *Net) copy(from, to string, msg any) (any, int) {
+// roundTrip returns a message as it is decoded from its frame, and the frame's length in bytes.
+func (n *Net) roundTrip(from, to string, msg any) (any, int) {
 	key := [2]string{from, to}
 	l := n.links[key]
 	if l == nil {
-		l = &link{w: transport.NewWriter()}
-		l.r = transport.NewReader(&l.buf)
+		l = &link{writer: transport.NewWriter()}
+		l.reader = transport.NewReader(&l.buf)
 		n.links[key] = l
 	}
-	frame, err := l.w.Frame(msg)
+	frame, err := l.writer.Frame(msg)
 	if err != nil {
 		panic(err)
 	}
 	l.buf.Write(frame)
-	same, err := l.r.Next()
+	decoded, err := l.reader.Next()
 	if err != nil {
 		panic(err)
 	}
-	return same, len(frame)
+	return decoded, len(frame)
 }
 
-// Deliver takes a message over the network: what arrives of it, none, one or two, as it is read from its frames, and after what delays.
-// Bytes between zones are counted under its kind.
+// Deliver carries a message over the network. It returns the copies that arrive (none, one or two), as decoded from their frames, and the
+// delay of each. Bytes between zones are counted under the message's kind.
 func (n *Net) Deliver(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
-	same, size := n.copy(from, to, msg)
+	received, size := n.roundTrip(from, to, msg)
 	n.Messages++
 	n.Bytes += uint64(size)
 	if !near {
@@ -100,9 +104,9 @@
 	if n.Blocked(from, to) || n.rng.Float64() < n.LossRatio {
 		return nil, nil
 	}
-	copies, delays := []any{same}, []time.Duration{n.Delay(near)}
+	copies, delays := []any{received}, []time.Duration{n.Delay(near)}
 	if n.rng.Float64() < n.DupRatio {
-		copies, delays = append(copies, same), append(delays, n.Delay(near)+50*time.Millisecond)
+		copies, delays = append(copies, received), append(delays, n.Delay(near)+50*time.Millisecond)
 	}
 	return copies, delays
 }
