--- a/sim/eventqueue/queue.go
+++ b/sim/eventqueue/queue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is the simulated clock: it runs functions at moments of virtual time, in the order of their times and, at one moment,
-// in the order in which they were added. A Queue is owned by one goroutine.
+// Package eventqueue is the simulated clock: a Queue runs functions at given virtual times, in the order of these times and, for equal times,
+// in the order in which they were added. At and After add functions, Run advances the time. A Queue is owned by one goroutine.
 package eventqueue
 
 import (
@@ -10,47 +10,47 @@
 type event struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	run func()
 }
 
-type events []event
+type eventHeap []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
+func (q eventHeap) Len() int { return len(q) }
+func (q eventHeap) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
+func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventHeap) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventHeap) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return x
 }
 
-// Queue holds what is to happen. The zero Queue stands at time 0.
+// Queue is a queue of functions to be called. The zero Queue is ready to use and starts at time 0.
 type Queue struct {
-	// Now is the present moment; it moves only while Run runs.
-	Now time.Duration
-	seq uint64
-	q   events
+	// Now is the current virtual time; only Run advances it.
+	Now    time.Duration
+	seq    uint64
+	events eventHeap
 }
 
-// At has do called at t, or now where that is past.
+// At schedules do for time t, or for Now if t is past.
 func (q *Queue) At(t time.Duration, do func()) {
 	q.seq++
-	heap.Push(&q.q, event{at: max(t, q.Now), seq: q.seq, do: do})
+	heap.Push(&q.events, event{at: max(t, q.Now), seq: q.seq, run: do})
 }
 
-// After has do called in a time from now.
+// After schedules do for d after Now.
 func (q *Queue) After(d time.Duration, do func()) { q.At(q.Now+d, do) }
 
-// Run runs what is due until that moment.
+// Run calls the functions that are due up to and including until, and leaves Now at until.
 func (q *Queue) Run(until time.Duration) {
-	for len(q.q) > 0 && q.q[0].at <= until {
-		e := heap.Pop(&q.q).(event)
+	for len(q.events) > 0 && q.events[0].at <= until {
+		e := heap.Pop(&q.events).(event)
 		q.Now = e.at
-		e.do()
+		e.run()
 	}
 	q.Now = until
 }
