--- a/sim/light/node.go
+++ b/sim/light/node.go
@@ -17,9 +17,9 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-// Node is one node's two real machines, Control and Router, with a disk where the shape gives it one.
+// Node is one node with its two real state machines, Control and Router, and a disk if the shape has one for it.
 type Node struct {
-	h         *Cluster
+	cluster   *Cluster
 	Name      string
 	Addr      string
 	Zone      string
@@ -27,25 +27,26 @@
 	Router    *router.Router
 	Disk      *disk.Disk
 	journal   *control.Journal
-	saving    bool
-	unsaved   []control.LogWrite
-	watchers  map[string]bool
-	asks      map[string]*request
+	writing   bool
+	unwritten []control.LogWrite
+	watched   map[string]bool
+	requests  map[string]*request
 	version   uint64
-	upgradeAt time.Duration
+	// watchFrom is the earliest time at which the node connects to its replicas.
+	watchFrom time.Duration
 }
 
-// request is a request on its way: due keeps its answer's lines in order.
+// request is a request in progress. lastDue is when the newest line of its response arrives, which keeps the lines in order.
 type request struct {
-	ask  workload.Request
-	at   time.Duration
-	flow router.RequestFlow
-	due  time.Duration
-	on   string
+	request   workload.Request
+	arrivedAt time.Duration
+	flow      router.RequestFlow
+	lastDue   time.Duration
+	replica   string
 }
 
 func (n *Node) start() {
-	h := n.h
+	h := n.cluster
 	cfg := control.Config{
 		Name: n.Name, Addr: n.Addr, HTTP: n.Addr, Zone: n.Zone, Boot: "b" + n.Name, Incarnation: h.rng.Uint64() >> 16, Seed: h.rng.Uint64(),
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(),
@@ -54,12 +55,12 @@
 		cfg.Seeds = append(cfg.Seeds, o.Addr)
 	}
 	if n.Disk != nil {
-		k, err := control.OpenJournal(n.Disk, "disk-"+n.Name)
+		journal, err := control.OpenJournal(n.Disk, "disk-"+n.Name)
 		if err != nil {
 			panic(err)
 		}
-		n.journal = k
-		kept := k.State()
+		n.journal = journal
+		kept := journal.State()
 		cfg.Disk = &kept
 	}
 	n.Control = control.New(h.Now, cfg)
@@ -68,163 +69,165 @@
 }
 
 func (n *Node) tick() {
-	n.h.After(shape.TickEvery, n.tick)
+	n.cluster.After(shape.TickEvery, n.tick)
 	n.step(control.Tick{})
-	n.event(router.Tick{})
+	n.stepRouter(router.Tick{})
 }
 
 func (n *Node) step(in control.Input) {
-	start := n.h.Plan.Clock()
-	out := n.Control.Step(n.h.Now, in)
-	n.h.Plan.Meter.Stepped(n, in, n.h.Plan.Clock()-start)
-	n.carry(out)
+	start := n.cluster.Plan.Clock()
+	out := n.Control.Step(n.cluster.Now, in)
+	n.cluster.Plan.Meter.Stepped(n, in, n.cluster.Plan.Clock()-start)
+	n.handleOutput(out)
 }
 
-func (n *Node) event(ev router.Event) {
-	start := n.h.Plan.Clock()
-	ds := n.Router.Step(n.h.Now, ev)
-	n.h.Plan.Meter.Stepped(n, ev, n.h.Plan.Clock()-start)
+func (n *Node) stepRouter(ev router.Event) {
+	start := n.cluster.Plan.Clock()
+	ds := n.Router.Step(n.cluster.Now, ev)
+	n.cluster.Plan.Meter.Stepped(n, ev, n.cluster.Plan.Clock()-start)
 	for _, d := range ds {
-		if g := n.asks[d.Request]; g != nil {
-			n.perform(g, g.flow.OnDecision(d))
+		if r := n.requests[d.Request]; r != nil {
+			n.perform(r, r.flow.OnDecision(d))
 		}
 	}
 }
 
-func (n *Node) carry(out control.Output) {
+func (n *Node) handleOutput(out control.Output) {
 	for _, s := range out.Sends {
-		n.h.carry(n, s)
+		n.cluster.send(n, s)
 	}
-	n.unsaved = append(n.unsaved, out.Writes...)
+	n.unwritten = append(n.unwritten, out.Writes...)
 	for range out.Writes {
-		n.h.Plan.Meter.Wrote(n)
+		n.cluster.Plan.Meter.Wrote(n)
 	}
-	n.save()
+	n.writeJournal()
 	for _, ev := range out.Events {
-		n.event(ev)
+		n.stepRouter(ev)
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			n.watch(o.Snapshot)
-			n.applies(o)
+			n.watchReplicas(o.Snapshot)
+			n.snapshotApplied(o)
 		}
 	}
 	for _, p := range out.Probes {
 		n.probe(p)
 	}
 	for _, a := range out.Answers {
-		if done := n.h.answers[a.ID]; done != nil {
-			delete(n.h.answers, a.ID)
+		if done := n.cluster.pendingCalls[a.ID]; done != nil {
+			delete(n.cluster.pendingCalls, a.ID)
 			done(a)
 		}
 	}
 }
 
-func (n *Node) save() {
-	if n.saving || len(n.unsaved) == 0 {
+func (n *Node) writeJournal() {
+	if n.writing || len(n.unwritten) == 0 {
 		return
 	}
-	n.saving = true
-	batch := n.unsaved
-	n.unsaved = nil
-	n.h.After(3*time.Millisecond, func() {
-		n.saving = false
+	n.writing = true
+	batch := n.unwritten
+	n.unwritten = nil
+	n.cluster.After(3*time.Millisecond, func() {
+		n.writing = false
 		err := n.journal.Append(batch)
 		n.step(control.Persisted{Seq: batch[len(batch)-1].Seq, Err: err})
-		n.save()
+		n.writeJournal()
 	})
 }
 
 func (n *Node) delay(replica string) time.Duration {
-	return n.h.net.Delay(n.Zone == n.h.where[replica])
+	return n.cluster.net.Delay(n.Zone == n.cluster.replicaZones[replica])
 }
 
-func (n *Node) report(replica string, local bool) control.Probed {
-	r := n.h.reps[replica]
-	running, lag := r.Usage(n.h.Now)
+func (n *Node) probeResult(replica string, local bool) control.Probed {
+	r := n.cluster.replicas[replica]
+	running, lag := r.Usage(n.cluster.Now)
 	return control.Probed{Replica: replica, Local: local, OK: true, InstanceID: r.Instance, Running: running, Lag: lag}
 }
 
 func (n *Node) probe(p control.Probe) {
-	if n.h.reps[p.Replica] == nil {
+	if n.cluster.replicas[p.Replica] == nil {
 		return
 	}
-	n.h.Plan.Meter.Probed(n)
-	n.h.After(2*n.delay(p.Replica), func() { n.step(n.report(p.Replica, p.Local)) })
+	n.cluster.Plan.Meter.Probed(n)
+	n.cluster.After(2*n.delay(p.Replica), func() { n.step(n.probeResult(p.Replica, p.Local)) })
 }
 
-func (n *Node) watch(p *config.Snapshot) {
-	for _, o := range p.Config.Services {
-		for _, r := range o.Replicas {
-			if n.h.reps[r.Name] == nil || n.watchers[r.Name] {
+func (n *Node) watchReplicas(snapshot *config.Snapshot) {
+	for _, service := range snapshot.Config.Services {
+		for _, r := range service.Replicas {
+			if n.cluster.replicas[r.Name] == nil || n.watched[r.Name] {
 				continue
 			}
-			n.watchers[r.Name] = true
-			n.h.Plan.Meter.Probed(n)
-			n.h.At(max(n.h.Now, n.upgradeAt)+2*n.delay(r.Name), func() { n.step(control.ConnectionChange{State: control.ConnectionUp, Probed: n.report(r.Name, true)}) })
+			n.watched[r.Name] = true
+			n.cluster.Plan.Meter.Probed(n)
+			n.cluster.At(max(n.cluster.Now, n.watchFrom)+2*n.delay(r.Name), func() {
+				n.step(control.ConnectionChange{State: control.ConnectionUp, Probed: n.probeResult(r.Name, true)})
+			})
 		}
 	}
 }
 
 func (n *Node) submit(a workload.Request) {
-	g := &request{ask: a, at: n.h.Now, flow: router.RequestFlow{Request: a.ID}}
-	n.asks[a.ID] = g
-	n.event(router.Arrival{Request: a.ID, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens})
+	r := &request{request: a, arrivedAt: n.cluster.Now, flow: router.RequestFlow{Request: a.ID}}
+	n.requests[a.ID] = r
+	n.stepRouter(router.Arrival{Request: a.ID, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens})
 }
 
-func (n *Node) perform(g *request, actions []router.Action) {
+func (n *Node) perform(r *request, actions []router.Action) {
 	for _, m := range actions {
 		switch m.Kind {
 		case router.Connect:
-			g.on, g.due = m.Placement.Replica, 0
-			n.h.After(2*n.delay(g.on), func() { n.happened(g, router.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
+			r.replica, r.lastDue = m.Placement.Replica, 0
+			n.cluster.After(2*n.delay(r.replica), func() { n.handleEvent(r, router.ConnectResult{AttemptID: m.Placement.AttemptID, OK: true}) })
 		case router.AskWitnesses:
-			n.h.call(n, control.Witness{Request: g.ask.ID, SpareTime: m.Placement.SpareTime}, func(a control.Answer) {
-				n.happened(g, router.WitnessesAnswered{AttemptID: m.Placement.AttemptID, Result: control.WitnessOutcome(a)})
+			n.cluster.call(n, control.Witness{Request: r.request.ID, SpareTime: m.Placement.SpareTime}, func(a control.Answer) {
+				n.handleEvent(r, router.WitnessesAnswered{AttemptID: m.Placement.AttemptID, Result: control.WitnessOutcome(a)})
 			})
 		case router.AskWitnessesEarly:
-			n.h.call(n, control.Witness{Request: g.ask.ID, Peek: true}, func(a control.Answer) {
-				n.happened(g, router.WitnessesAnswered{Result: control.WitnessOutcome(a)})
+			n.cluster.call(n, control.Witness{Request: r.request.ID, Peek: true}, func(a control.Answer) {
+				n.handleEvent(r, router.WitnessesAnswered{Result: control.WitnessOutcome(a)})
 			})
 		case router.Write:
-			n.h.After(n.delay(g.on), func() { n.admitted(g, m.Placement.AttemptID) })
+			n.cluster.After(n.delay(r.replica), func() { n.serve(r, m.Placement.AttemptID) })
 		case router.NotifyRouter:
-			n.event(m.Event)
+			n.stepRouter(m.Event)
 		case router.Finish:
-			delete(n.asks, g.ask.ID)
-			n.h.Outcomes[m.Outcome]++
+			delete(n.requests, r.request.ID)
+			n.cluster.Outcomes[m.Outcome]++
 		}
 	}
 }
 
-func (n *Node) happened(g *request, w router.ConnectionEvent) {
-	n.perform(g, g.flow.OnConnectionEvent(w))
+func (n *Node) handleEvent(r *request, event router.ConnectionEvent) {
+	n.perform(r, r.flow.OnConnectionEvent(event))
 }
 
-func (n *Node) back(g *request, at time.Duration, w router.ConnectionEvent) {
-	g.due = max(g.due, at+n.delay(g.on))
-	n.h.At(g.due, func() { n.happened(g, w) })
+func (n *Node) sendBack(r *request, at time.Duration, event router.ConnectionEvent) {
+	r.lastDue = max(r.lastDue, at+n.delay(r.replica))
+	n.cluster.At(r.lastDue, func() { n.handleEvent(r, event) })
 }
 
-func (n *Node) admitted(g *request, id string) {
-	r := n.h.reps[g.on]
-	parts, _ := prefixindex.Parse(shape.ModelName, g.ask.Prefix)
-	plan, ok := r.Admit(n.h.Now, id, parts, g.ask.TailTokens)
+func (n *Node) serve(req *request, id string) {
+	r := n.cluster.replicas[req.replica]
+	blocks, _ := prefixindex.Parse(shape.ModelName, req.request.Prefix)
+	plan, ok := r.Admit(n.cluster.Now, id, blocks, req.request.TailTokens)
 	if !ok {
-		n.back(g, n.h.Now, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusTooManyRequests})
+		n.sendBack(req, n.cluster.Now, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusTooManyRequests})
 		return
 	}
-	at := n.h.Now + plan.FirstTokenTime
-	n.back(g, at, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusOK})
-	n.h.FirstTokenTimes = append(n.h.FirstTokenTimes, at-g.at)
+	at := n.cluster.Now + plan.FirstTokenTime
+	n.sendBack(req, at, router.ResponseHeadRead{AttemptID: id, EchoedAttemptID: id, Status: http.StatusOK})
+	n.cluster.FirstTokenTimes = append(n.cluster.FirstTokenTimes, at-req.arrivedAt)
 	for i := range plan.Chunks {
-		text := ledger.ChunkText(g.ask.ID, id, i)
-		n.back(g, at+time.Duration(i)*plan.ChunkInterval, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
+		text := ledger.ChunkText(req.request.ID, id, i)
+		n.sendBack(req, at+time.Duration(i)*plan.ChunkInterval, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, Chunk: &i, Text: text}})
 	}
 	end := at + time.Duration(plan.Chunks-1)*plan.ChunkInterval
-	n.back(g, end, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
-	n.h.At(end, func() { r.Release(n.h.Now, id) })
+	n.sendBack(req, end, router.ResponseLineRead{AttemptID: id, Line: router.ResponseLine{AttemptID: id, InstanceID: r.Instance, End: true, Chunks: plan.Chunks}})
+	n.cluster.At(end, func() { r.Release(n.cluster.Now, id) })
 }
 
-// Shape is a fleet of so many nodes and replicas over zones, with so many disks, offers and kinds of request each.
+// Shape returns a fleet of nodes and replicas spread over the zones, whose first nodes have disks. Each service has three request classes.
 func Shape(nodes, replicas, disks, services int, zones []string) shape.Shape {
 	s := shape.Shape{Name: "hollow", Voters: []string{"n1", "n2", "n3"}, Zones: zones}
 	for i := range nodes {
