--- a/sim/engine/engine.go
+++ b/sim/engine/engine.go
@@ -1,5 +1,7 @@
-// Package engine models a batching replica of the users' platform: prompts are read in chunks between the tokens of others, running
-// requests and cached parts share its memory, and the least urgent are preempted. An Engine is owned by one goroutine.
+// Package engine models a language model replica with continuous batching, as the users' platform runs them: prompts are prefilled in chunks
+// between the decode steps of other requests, running requests and cached prefix blocks share the KV cache memory, and requests of the lowest
+// priority are preempted when memory runs out. New makes an Engine from a Spec, and Submit gives it a Job. An Engine runs on the virtual time
+// of an eventqueue.Queue and is owned by one goroutine.
 package engine
 
 import (
@@ -11,54 +13,61 @@
 	"github.com/mallowbridge/mallowbridge/sim/eventqueue"
 )
 
-// Spec describes a replica that runs its requests in one batch. Without Step it generates nothing, and each request takes its
-// own time of work.
+// Spec describes a replica that runs its requests in one batch. If StepTime is 0, the replica generates no tokens and each request takes its
+// own Job.WorkTime.
 type Spec struct {
+	// Slots is how many requests run at once, QueueLimit how many more may wait.
 	Slots      int
 	QueueLimit int
-	// SetupTime passes before a request joins the queue.
+	// SetupTime passes between the submission of a request and its entry into the queue.
 	SetupTime time.Duration
-	// StepTime is how long one token of all takes, StepTimePerSlot what each further request of the batch adds.
+	// StepTime is how long one decode step (one token for each running request) takes with one request in the batch; each further request
+	// adds StepTimePerSlot.
 	StepTime, StepTimePerSlot time.Duration
-	// PrefillRate is how many tokens of prompts are read in a millisecond, Chunk the most that are read within one step.
+	// PrefillRate is how many prompt tokens are prefilled in a millisecond, PrefillChunk the most that are prefilled within one step.
 	PrefillRate  float64
 	PrefillChunk int
-	// MemoryTokens is shared by running requests and kept parts, in tokens.
+	// MemoryTokens is the KV cache memory that running requests and cached prefix blocks share, in tokens. A replica without StepTime has no
+	// limit if it is 0.
 	MemoryTokens int
-	// Stride is how many tokens an event holds.
+	// Stride is how many tokens one event of the response stream contains.
 	Stride int
 }
 
-// Engine runs the requests of one replica as an Spec says. Prompted and Cached count tokens of prompts and those found in the cache.
+// Engine simulates one replica with a Spec.
 type Engine struct {
 	Spec
-	q *eventqueue.Queue
-	// Slowdown multiplies the time that everything takes.
-	Slowdown   func() float64
-	cache      prefixCache
-	queued     []*Job
-	running    []*Job
-	arriving   int
+	clock *eventqueue.Queue
+	// Slowdown returns the factor by which every simulated duration is multiplied.
+	Slowdown func() float64
+	cache    prefixCache
+	queued   []*Job
+	running  []*Job
+	// arriving counts submitted jobs that are still in their SetupTime.
+	arriving int
+	// heldTokens is the KV cache memory of the running jobs, without cached prefix blocks.
 	heldTokens int
-	LastSeq    int
-	stepping   bool
-	dead       bool
+	// LastSeq is the number of the newest admitted job.
+	LastSeq  int
+	stepping bool
+	stopped  bool
 
 	Admitted, Rejected, Preempted uint64
-	PromptTokens, CachedTokens    uint64
+	// PromptTokens counts the tokens of the prefix blocks of started jobs, CachedTokens those found in the prefix cache.
+	PromptTokens, CachedTokens uint64
 }
 
-// New makes an engine that lives by the clock of the queue.
+// New returns an engine that runs on the virtual time of q.
 func New(q *eventqueue.Queue, s Spec) *Engine {
-	return &Engine{Spec: s, q: q, Slowdown: func() float64 { return 1 }, cache: newPrefixCache()}
+	return &Engine{Spec: s, clock: q, Slowdown: func() float64 { return 1 }, cache: newPrefixCache()}
 }
 
-// Load is what a replica tells of itself in answers.
+// Load returns the numbers that a replica reports in its responses; queued includes jobs that are in their SetupTime.
 func (e *Engine) Load() (running, queued, slots int) {
 	return len(e.running), len(e.queued) + e.arriving, e.Slots
 }
 
-// Submit lets a job in, or turns it away when the queue is full or it is larger than the memory.
+// Submit admits a job, or returns false when the queue is full or the job needs more than MemoryTokens.
 func (e *Engine) Submit(j *Job) bool {
 	full := len(e.running) >= e.Slots || len(e.queued)+e.arriving > 0
 	if (full && len(e.queued)+e.arriving >= e.QueueLimit) || (e.MemoryTokens > 0 && j.PromptTokens+j.OutputTokens > e.MemoryTokens) {
@@ -69,18 +78,19 @@
 	e.LastSeq++
 	j.seq = e.LastSeq
 	e.arriving++
-	e.q.After(e.SetupTime, func() {
+	e.clock.After(e.SetupTime, func() {
 		e.arriving--
-		if j.abandoned || e.dead {
+		if j.finished || e.stopped {
 			return
 		}
-		e.join(j)
-		e.kick()
+		e.enqueue(j)
+		e.schedule()
 	})
 	return true
 }
 
-func (e *Engine) join(j *Job) {
+// enqueue inserts a job into the queue by priority, and by age among equals.
+func (e *Engine) enqueue(j *Job) {
 	at := sort.Search(len(e.queued), func(i int) bool {
 		o := e.queued[i]
 		return o.Priority > j.Priority || (o.Priority == j.Priority && o.seq > j.seq)
@@ -88,18 +98,18 @@
 	e.queued = slices.Insert(e.queued, at, j)
 }
 
-// Cancel forgets a job whose connection closed.
+// Cancel removes a job whose connection was closed.
 func (e *Engine) Cancel(j *Job) {
-	if j.abandoned {
+	if j.finished {
 		return
 	}
-	j.abandoned = true
+	j.finished = true
 	e.queued = slices.DeleteFunc(e.queued, func(o *Job) bool { return o == j })
-	e.leave(j)
-	e.kick()
+	e.removeRunning(j)
+	e.schedule()
 }
 
-func (e *Engine) leave(j *Job) {
+func (e *Engine) removeRunning(j *Job) {
 	n := len(e.running)
 	e.running = slices.DeleteFunc(e.running, func(o *Job) bool { return o == j })
 	if len(e.running) < n {
@@ -108,11 +118,12 @@
 	}
 }
 
-// Stop ends the engine; its requests get no more events.
-func (e *Engine) Stop() { e.dead = true }
+// Stop ends the engine; its jobs get no more events.
+func (e *Engine) Stop() { e.stopped = true }
 
-func (e *Engine) kick() {
-	if e.dead {
+// schedule starts queued jobs, and the next step if none is running.
+func (e *Engine) schedule() {
+	if e.stopped {
 		return
 	}
 	e.admit()
@@ -125,9 +136,9 @@
 func (e *Engine) admit() {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
 		j := e.queued[0]
-		if j.StartBy > 0 && e.q.Now >= j.StartBy && !j.started {
+		if j.StartBy > 0 && e.clock.Now >= j.StartBy && !j.started {
 			e.queued = e.queued[1:]
-			j.abandoned = true
+			j.finished = true
 			j.OnExpired()
 			continue
 		}
@@ -137,102 +148,38 @@
 		e.queued = e.queued[1:]
 		e.running = append(e.running, j)
 		if e.StepTime == 0 {
-			e.labour(j)
+			e.runPlain(j)
 			continue
 		}
-		cached := min(e.cache.hit(j.Blocks), j.PromptTokens-1)
+		cached := min(e.cache.cachedTokens(j.Blocks), j.PromptTokens-1)
 		e.cache.touch(j.Blocks)
-		if !j.joined {
-			j.joined, j.cached = true, cached
+		if !j.counted {
+			j.counted, j.cachedTokens = true, cached
 			e.PromptTokens, e.CachedTokens = e.PromptTokens+uint64(prefixindex.Tokens(j.Blocks)), e.CachedTokens+uint64(cached)
 		}
-		j.unread = j.PromptTokens - cached + j.made
-		j.heldTokens = j.unread
+		j.prefillLeft = j.PromptTokens - cached + j.generated
+		j.heldTokens = j.prefillLeft
 		e.heldTokens += j.heldTokens
 		e.cache.evict(max(e.MemoryTokens-e.heldTokens, 0))
 	}
 }
 
-// fits leaves room for what the batch goes on to make.
+// fits reports whether a job fits into memory with 1/64 of it left for the tokens that the batch still generates. A job always fits into an
+// empty batch.
 func (e *Engine) fits(j *Job) bool {
-	return e.MemoryTokens == 0 || len(e.running) == 0 || e.heldTokens+j.PromptTokens+j.made <= e.MemoryTokens-e.MemoryTokens/64
+	return e.MemoryTokens == 0 || len(e.running) == 0 || e.heldTokens+j.PromptTokens+j.generated <= e.MemoryTokens-e.MemoryTokens/64
 }
 
-func (e *Engine) labour(j *Job) {
+// runPlain runs a job on a replica that generates no tokens: it takes the job's WorkTime and sends one event.
+func (e *Engine) runPlain(j *Job) {
 	j.start()
-	e.q.After(time.Duration(float64(j.WorkTime)*e.Slowdown()), func() {
-		if j.abandoned || e.dead {
+	e.clock.After(time.Duration(float64(j.WorkTime)*e.Slowdown()), func() {
+		if j.finished || e.stopped {
 			return
 		}
-		e.leave(j)
-		j.abandoned = true
+		e.removeRunning(j)
+		j.finished = true
 		j.OnEvent(1, true)
-		e.kick()
+		e.schedule()
 	})
 }
-
-func (e *Engine) step() {
-	left, read := e.PrefillChunk, 0
-	for _, j := range e.running {
-		j.reading = min(j.unread, left)
-		left -= j.reading
-		read += j.reading
-	}
-	d := float64(e.StepTime) + float64(len(e.running)-1)*float64(e.StepTimePerSlot) + float64(read)/e.PrefillRate*float64(time.Millisecond)
-	batch := slices.Clone(e.running)
-	e.q.After(time.Duration(d*e.Slowdown()), func() {
-		if e.dead {
-			return
-		}
-		for _, j := range batch {
-			e.advance(j)
-		}
-		e.preempt()
-		e.stepping = false
-		e.kick()
-	})
-}
-
-// advance reads a piece of a prompt, or makes a token; the last piece brings the first token.
-func (e *Engine) advance(j *Job) {
-	if j.abandoned || j.heldTokens == 0 {
-		return
-	}
-	if j.unread > 0 {
-		j.unread -= j.reading
-		if j.unread > 0 || j.reading == 0 {
-			return
-		}
-		added := min(e.cache.keep(j.Blocks), j.heldTokens-1)
-		j.heldTokens -= added
-		e.heldTokens -= added
-	}
-	j.start()
-	j.made++
-	j.heldTokens++
-	e.heldTokens++
-	last := j.made >= j.OutputTokens
-	if last {
-		e.leave(j)
-		j.abandoned = true
-	}
-	if last || j.made%e.Stride == 0 {
-		j.OnEvent((j.made+e.Stride-1)/e.Stride, last)
-	}
-}
-
-// preempt puts the newest of the least urgent back when memory has run out, to be read anew.
-func (e *Engine) preempt() {
-	for e.heldTokens > e.MemoryTokens && len(e.running) > 1 {
-		worst := slices.MaxFunc(e.running, func(a, b *Job) int {
-			if a.Priority != b.Priority {
-				return a.Priority - b.Priority
-			}
-			return a.seq - b.seq
-		})
-		e.leave(worst)
-		e.join(worst)
-		e.Preempted++
-	}
-	e.cache.evict(max(e.MemoryTokens-e.heldTokens, 0))
-}
--- a/sim/engine/prefixcache.go
+++ b/sim/engine/prefixcache.go
@@ -6,59 +6,61 @@
 	"github.com/mallowbridge/mallowbridge/prefixindex"
 )
 
-// A prefixCache holds read parts of prompts; the least recently used give way first.
+// prefixCache contains the prefix blocks of prefilled prompts and evicts the least recently used ones first.
 type prefixCache struct {
-	kept   map[prefixindex.Key]*list.Element
-	order  *list.List
-	tokens int
+	entries map[prefixindex.Key]*list.Element
+	order   *list.List
+	tokens  int
 }
 
 func newPrefixCache() prefixCache {
-	return prefixCache{kept: map[prefixindex.Key]*list.Element{}, order: list.New()}
+	return prefixCache{entries: map[prefixindex.Key]*list.Element{}, order: list.New()}
 }
 
-// hit tells how many tokens need not be read: those of the first parts, up to the first one that is not held.
-func (c *prefixCache) hit(parts []prefixindex.Block) int {
+// cachedTokens returns how many tokens need no prefill: those of the leading blocks, up to the first block that is not cached.
+func (c *prefixCache) cachedTokens(blocks []prefixindex.Block) int {
 	var tokens int
-	for _, p := range parts {
-		if c.kept[p.Key] == nil {
+	for _, block := range blocks {
+		if c.entries[block.Key] == nil {
 			break
 		}
-		tokens += p.Tokens
+		tokens += block.Tokens
 	}
 	return tokens
 }
 
-// keep holds all parts, the first as the most recent one, and tells how many tokens came anew.
-func (c *prefixCache) keep(parts []prefixindex.Block) int {
+// add caches all blocks, the first as the most recently used, and returns how many tokens were added.
+func (c *prefixCache) add(blocks []prefixindex.Block) int {
 	var added int
-	for i := len(parts) - 1; i >= 0; i-- {
-		p := parts[i]
-		if e := c.kept[p.Key]; e != nil {
+	for i := len(blocks) - 1; i >= 0; i-- {
+		block := blocks[i]
+		if e := c.entries[block.Key]; e != nil {
 			c.order.MoveToFront(e)
 			continue
 		}
-		c.kept[p.Key] = c.order.PushFront(p)
-		c.tokens += p.Tokens
-		added += p.Tokens
+		c.entries[block.Key] = c.order.PushFront(block)
+		c.tokens += block.Tokens
+		added += block.Tokens
 	}
 	return added
 }
 
-func (c *prefixCache) touch(parts []prefixindex.Block) {
-	for i := len(parts) - 1; i >= 0; i-- {
-		if e := c.kept[parts[i].Key]; e != nil {
+// touch marks the cached ones among the blocks as most recently used.
+func (c *prefixCache) touch(blocks []prefixindex.Block) {
+	for i := len(blocks) - 1; i >= 0; i-- {
+		if e := c.entries[blocks[i].Key]; e != nil {
 			c.order.MoveToFront(e)
 		}
 	}
 }
 
-func (c *prefixCache) evict(most int) {
-	for c.tokens > most && c.order.Len() > 0 {
+// evict removes the least recently used blocks until at most that many tokens remain.
+func (c *prefixCache) evict(maxTokens int) {
+	for c.tokens > maxTokens && c.order.Len() > 0 {
 		e := c.order.Back()
-		p := e.Value.(prefixindex.Block)
+		block := e.Value.(prefixindex.Block)
 		c.order.Remove(e)
-		delete(c.kept, p.Key)
-		c.tokens -= p.Tokens
+		delete(c.entries, block.Key)
+		c.tokens -= block.Tokens
 	}
 }
