--- a/sim/builds.go
+++ b/sim/builds.go
@@ -10,55 +10,58 @@
 	"github.com/mallowbridge/mallowbridge/wire"
 )
 
-// Novelty is news of a kind that the next build knows and this one does not.
+// Novelty is a gossip item of a type that only the next build knows.
 type Novelty struct{ Text string }
 
-// Since is the first build that reads the item.
+// Since returns the first build that can read the item.
 func (Novelty) Since() uint32 { return transport.Build + 1 }
 
 func init() { wire.RegisterPlain("xx", Novelty{}) }
 
-func (n *Node) novel() {
+// gossipNovelty makes a node of the next build put a Novelty each second.
+func (n *Node) gossipNovelty() {
 	if n.build <= transport.Build || n.w.Now/time.Second == (n.w.Now-shape.TickEvery)/time.Second {
 		return
 	}
 	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Version: gossip.Version{Hi: uint64(n.w.Now)}, Data: Novelty{Text: n.Name}})
 }
 
-// foreign tells whether this node's build would fail to read the message, or to make sense of it.
-func (n *Node) foreign(msg any) bool {
-	build := n.speaks()
+// cannotRead reports whether this node's build could not decode or understand the message.
+func (n *Node) cannotRead(msg any) bool {
+	build := n.buildNumber()
 	switch m := msg.(type) {
 	case register.Promise:
-		return manifest(m.Value) && build < manifestsBuild
+		return isManifest(m.Value) && build < manifestsBuild
 	case register.Accept:
-		return manifest(m.Value) && build < manifestsBuild
+		return isManifest(m.Value) && build < manifestsBuild
 	case gossip.Update:
 		for _, it := range m.Items {
 			v, _ := it.Data.(*register.Value)
-			if unknown(it.Data, build) || manifest(v) && build < manifestsBuild {
+			if addedAfter(it.Data, build) || isManifest(v) && build < manifestsBuild {
 				return true
 			}
 		}
 		return false
 	}
-	return unknown(msg, build)
+	return addedAfter(msg, build)
 }
 
-// speaks is the build that the node says it is.
-func (n *Node) speaks() uint32 {
+// buildNumber returns the build that the node reports.
+func (n *Node) buildNumber() uint32 {
 	if n.build == 0 {
 		return transport.Build
 	}
 	return n.build
 }
 
-// manifestsBuild is the first build that reads manifests of documents.
+// manifestsBuild is the first build that can read manifests of documents.
 const manifestsBuild = 3
 
-func manifest(v *register.Value) bool { return v != nil && !v.Complete() }
+// isManifest reports whether a value contains only the manifest of its document.
+func isManifest(v *register.Value) bool { return v != nil && !v.Complete() }
 
-func unknown(kind any, build uint32) bool {
+// addedAfter reports whether a message's type was added after that build.
+func addedAfter(kind any, build uint32) bool {
 	later, is := kind.(interface{ Since() uint32 })
 	return is && later.Since() > build
 }
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -9,15 +9,16 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// A look is a request that nobody misses: it shows which document a node goes by.
+// configurationProbe marks a request that is no part of the traffic: it shows which configuration a node applies.
 type configurationProbe struct{ revision uint64 }
 
-const bigRoutes = 400
+// largeRouteCount is how many routes a large configuration adds.
+const largeRouteCount = 400
 
 func isIdle(r config.Route) bool { return len(r.Name) > 4 && r.Name[:4] == "idle" }
 
-// vary moves, splits, adds and drops idle routes, and changes time-outs of all.
-func (o *operators) vary(c *config.Config) {
+// varyRoutes changes timeouts of all other routes, and moves, splits, adds and removes idle routes.
+func (o *operators) varyRoutes(c *config.Config) {
 	rng, spec := o.rng, o.s.spec
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -27,8 +28,8 @@
 				r.Timeout += time.Duration(rng.IntN(200)) * time.Millisecond
 			}
 		case rng.IntN(3) == 0:
-			other := spec.Services[rng.IntN(len(spec.Services))].Name
-			r.TrafficSplit = []config.WeightedService{{Service: other, Weight: 1}}
+			service := spec.Services[rng.IntN(len(spec.Services))].Name
+			r.TrafficSplit = []config.WeightedService{{Service: service, Weight: 1}}
 		case rng.IntN(4) == 0:
 			r.TrafficSplit = nil
 			for _, x := range spec.Services {
@@ -42,49 +43,50 @@
 		}
 	}
 	if rng.IntN(2) == 0 {
-		c.Routes = append(c.Routes, spec.idle(fmt.Sprintf("idle%d", 100+o.n), rng.IntN(len(spec.Services))))
+		c.Routes = append(c.Routes, spec.idleRoute(fmt.Sprintf("idle%d", 100+o.lastOrder), rng.IntN(len(spec.Services))))
 	}
 }
 
-func (o *operators) grow(c *config.Config) {
-	for i := range bigRoutes {
-		c.Routes = append(c.Routes, o.s.spec.idle(fmt.Sprintf("idle-big%d.%d", o.n, i), i))
+// addRoutes makes a configuration large.
+func (o *operators) addRoutes(c *config.Config) {
+	for i := range largeRouteCount {
+		c.Routes = append(c.Routes, o.s.spec.idleRoute(fmt.Sprintf("idle-big%d.%d", o.lastOrder, i), i))
 	}
 }
 
-// change has one document after the other taken, with looks at what differs.
-func (o *operators) change(until, gap time.Duration, vary func(c *config.Config)) {
+// changeRepeatedly makes one change after the other, each gap after the previous one was settled, and probes what each accepted one changed.
+func (o *operators) changeRepeatedly(until, gap time.Duration, vary func(c *config.Config)) {
 	if o.s.w.Now >= until {
 		return
 	}
 	base := o.base()
 	o.put(vary, func(v *version, ok bool) {
 		if ok && base != nil {
-			o.looks(base, v)
+			o.probeChange(base, v)
 		}
-		o.s.w.After(gap, func() { o.change(until, gap, vary) })
+		o.s.w.After(gap, func() { o.changeRepeatedly(until, gap, vary) })
 	})
 }
 
-// race has several operators change the same version at once, at different nodes.
-func (o *operators) race(times int, gap time.Duration) {
+// changeConcurrently lets two or three operators change the same version at once, at different nodes.
+func (o *operators) changeConcurrently(times int, gap time.Duration) {
 	if times == 0 {
 		return
 	}
 	if base := o.base(); base != nil {
 		for range 2 + o.rng.IntN(2) {
-			o.put2(base, o.revision(), o.vary, func(v *version, ok bool) {
+			o.putOn(base, o.revision(), o.varyRoutes, func(v *version, ok bool) {
 				if ok {
-					o.looks(base, v)
+					o.probeChange(base, v)
 				}
 			})
 		}
 	}
-	o.s.w.After(gap, func() { o.race(times-1, gap) })
+	o.s.w.After(gap, func() { o.changeConcurrently(times-1, gap) })
 }
 
-// flawed sends documents that must not be taken, each invalid in another way.
-func (o *operators) flawed() {
+// sendInvalid sends configurations that must be rejected, each invalid in another way.
+func (o *operators) sendInvalid() {
 	base := o.base()
 	if base == nil {
 		return
@@ -100,58 +102,59 @@
 		func(c *config.Config) { c.Routes[0].Prefix = c.Routes[1].Prefix },
 		func(c *config.Config) { c.Revision = base.revision },
 	}
-	for i, flaw := range violations {
+	for i, breakRule := range violations {
 		c := base.clone()
-		c.Revision = o.last + 1 + uint64(i)
-		flaw(&c)
-		v := &version{revision: c.Revision, doc: c, raw: writeDocument(c), flawed: true}
-		o.send(&order{op: control.Edit{ID: o.id(), BaseVersion: base.revision, Apply: putEdit(base.revision, v.raw)}, v: v, base: base.revision})
+		c.Revision = o.lastRevision + 1 + uint64(i)
+		breakRule(&c)
+		v := &version{revision: c.Revision, doc: c, raw: writeDocument(c), invalid: true}
+		o.send(&order{op: control.Edit{ID: o.id(), BaseVersion: base.revision, Apply: putEdit(base.revision, v.raw)}, version: v, baseRevision: base.revision})
 	}
-	o.last += uint64(len(violations))
+	o.lastRevision += uint64(len(violations))
 }
 
-// looks asks every node for the routes that two versions differ in, soon after the change and when it must be obeyed.
-func (o *operators) looks(was, is *version) {
-	paths := changedPaths(was, is)
+// probeChange sends every node requests for routes in which two versions differ: soon after the change, and when it must be applied.
+func (o *operators) probeChange(before, after *version) {
+	paths := changedPaths(before, after)
 	o.rng.Shuffle(len(paths), func(i, j int) { paths[i], paths[j] = paths[j], paths[i] })
 	paths = append(paths[:min(len(paths), 3)], prefixOf("never")+"x")
 	for _, d := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, o.s.spec.Bounds.Apply + 50*time.Millisecond} {
 		o.s.w.After(d, func() {
 			for _, n := range o.s.w.Nodes {
 				for _, path := range paths {
-					o.s.lookAt(n, path, is.revision)
+					o.s.probeNode(n, path, after.revision)
 				}
 			}
 		})
 	}
 }
 
-// changedPaths are paths of idle routes that two versions send elsewhere, or that one of them lacks; some twenty at most.
-func changedPaths(was, is *version) []string {
+// changedPaths returns up to 21 paths of idle routes that two versions send to different services, or that one of them lacks.
+func changedPaths(before, after *version) []string {
 	var paths []string
-	for _, r := range append(was.clone().Routes, is.doc.Routes...) {
+	for _, r := range append(before.clone().Routes, after.doc.Routes...) {
 		path := prefixOf(r.Name) + "x"
 		if !isIdle(r) || slices.Contains(paths, path) || len(paths) > 20 {
 			continue
 		}
-		a, b := was.route(path), is.route(path)
-		if a == nil || b == nil || !slices.Equal(a.TrafficSplit, b.TrafficSplit) {
+		routeBefore, routeAfter := before.route(path), after.route(path)
+		if routeBefore == nil || routeAfter == nil || !slices.Equal(routeBefore.TrafficSplit, routeAfter.TrafficSplit) {
 			paths = append(paths, path)
 		}
 	}
 	return paths
 }
 
-func (s *site) lookAt(n *Node, path string, revision uint64) {
+// probeNode sends a request with no effect to a node, to see which version it applies.
+func (s *site) probeNode(n *Node, path string, revision uint64) {
 	if !n.Alive {
 		return
 	}
-	s.load.n++
+	s.generator.lastRequest++
 	q := &clientRequest{
-		s: s, id: fmt.Sprintf("look%d", s.load.n), class: &s.probeClass, path: path, domain: n.Zone, at: s.w.Now, deadline: s.w.Now + time.Second, events: 1, prompt: 1,
-		work: 5 * time.Millisecond, attempts: 1,
+		s: s, id: fmt.Sprintf("look%d", s.generator.lastRequest), class: &s.probeClass, path: path, zone: n.Zone, arrivedAt: s.w.Now, deadline: s.w.Now + time.Second, events: 1, promptTokens: 1,
+		workTime: 5 * time.Millisecond, attempts: 1,
 	}
-	c := &clientAttempt{request: q, id: q.id, n: n, path: path, sent: s.w.Now, timeout: time.Second, probe: &configurationProbe{revision: revision}}
-	s.rules.submitted(c)
+	c := &clientAttempt{request: q, id: q.id, node: n, path: path, sent: s.w.Now, timeout: time.Second, probe: &configurationProbe{revision: revision}}
+	s.rules.attemptSubmitted(c)
 	c.start()
 }
--- a/sim/client.go
+++ b/sim/client.go
@@ -9,176 +9,192 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// A want is what a user agent wants, over all its tries.
+// clientRequest is one request of a client over all its attempts.
 type clientRequest struct {
-	s           *site
-	id          string
-	class       *TrafficClass
-	path        string
-	prefix      string
-	parts       []prefixindex.Block
-	prompt      int
-	events      int
-	work        time.Duration
-	domain      string
-	at          time.Duration
-	deadline    time.Duration
-	attempts    int
-	last        int
-	first       time.Duration
-	lastEventAt time.Duration
-	gap         time.Duration
-	served      bool
-	over        bool
+	s            *site
+	id           string
+	class        *TrafficClass
+	path         string
+	prefix       string
+	blocks       []prefixindex.Block
+	promptTokens int
+	// events is the number of events of the complete response; 1 without streaming.
+	events    int
+	workTime  time.Duration
+	zone      string
+	arrivedAt time.Duration
+	deadline  time.Duration
+	// attempts counts attempts, lastEvent is the number of the last event that the client got.
+	attempts  int
+	lastEvent int
+	// firstEventAt is when the first event or response arrived, lastEventAt the newest, longestGap the longest time between two.
+	firstEventAt time.Duration
+	lastEventAt  time.Duration
+	longestGap   time.Duration
+	served       bool
+	finished     bool
 }
 
-// data is the n-th event, or the whole answer, of one run.
-func (q *clientRequest) data(n int, run string) []byte {
+// responseData returns the n-th event, or the whole response without streaming, of one run at a replica.
+func (q *clientRequest) responseData(n int, run string) []byte {
 	if !q.class.Streaming {
 		return fmt.Appendf(nil, "%s of %s", q.id, run)
 	}
 	return fmt.Appendf(nil, "id: %d\ndata: %s %s %d\n\n", n, q.id, run, q.events)
 }
 
-// A try is one request of a user agent to one node.
+// clientAttempt is one HTTP request of a client to one node.
 type clientAttempt struct {
 	request *clientRequest
-	n       *Node
+	node    *Node
 	id      string
 	path    string
 	sent    time.Duration
 	timeout time.Duration
-	last    int
-	passes  int
-	read    bool
-	over    bool
-	proxied *proxyRequest
-	due     time.Duration
-	h       *head
-	text    []byte
-	run     string
-	fault   string
-	status  int
-	// runsBegun counts the runs at replicas, eventsMade is the newest event of any.
-	runsBegun, eventsMade int
-	madeAt                time.Duration
-	refused               bool
-	harmed                bool
-	// working tells that a replica was at work when the node's process ended.
-	working bool
-	readAt  time.Duration
-	probe   *configurationProbe
+	// resumeAfter is the last event that the client has, from which the attempt resumes the stream.
+	resumeAfter int
+	// sends counts how often nodes sent the attempt to a replica.
+	sends int
+	// accepted is set once the node has read the request.
+	accepted bool
+	finished bool
+	proxied  *proxyRequest
+	// lastDue is when the newest data from the node arrives, which keeps the data in order.
+	lastDue time.Duration
+	head    *responseHead
+	// unparsed is the part of the response that has not been read as events, runID the run that made the newest event.
+	unparsed []byte
+	runID    string
+	// fault describes how the response breaks the rules, if it does.
+	fault  string
+	status int
+	// runsStarted counts runs at replicas; lastEventMade is the newest event that any of them produced, at madeAt.
+	runsStarted, lastEventMade int
+	madeAt                     time.Duration
+	// rejected is set if a node rejected the attempt; harmed if a replica fault broke it.
+	rejected bool
+	harmed   bool
+	// replicaWorking is set if a replica was running the attempt when the node's process ended.
+	replicaWorking bool
+	acceptedAt     time.Duration
+	// probe is set for requests that only find out which configuration a node applies.
+	probe *configurationProbe
 }
 
+// clientDelay is the one-way delay between clients or operators and nodes.
 const clientDelay = time.Millisecond
 
 func (q *clientRequest) submit() {
 	s := q.s
 	q.attempts++
-	c := &clientAttempt{request: q, id: fmt.Sprintf("%s.%d", q.id, q.attempts), path: q.path, sent: s.w.Now, timeout: q.deadline - s.w.Now, last: q.last}
-	if c.n = s.pick(q.domain); c.n == nil {
-		q.failed(c, 0, false)
+	c := &clientAttempt{request: q, id: fmt.Sprintf("%s.%d", q.id, q.attempts), path: q.path, sent: s.w.Now, timeout: q.deadline - s.w.Now, resumeAfter: q.lastEvent}
+	if c.node = s.pickEntryNode(q.zone); c.node == nil {
+		q.retryOrFail(c, 0, false)
 		return
 	}
-	s.rules.submitted(c)
+	s.rules.attemptSubmitted(c)
 	c.start()
 }
 
+// start sends the attempt and schedules the client's timeouts: a third of the deadline, at most 1 s, until the node accepts the request, and the
+// deadline for the response.
 func (c *clientAttempt) start() {
 	w := c.request.s.w
-	w.After(clientDelay, c.reach)
+	w.After(clientDelay, c.reachNode)
 	w.After(min(time.Second, c.timeout/3), func() {
-		if !c.read && !c.over && (c.request.class.Repeatable || !c.n.Alive) {
-			c.over = true
-			c.request.failed(c, 0, true)
+		if !c.accepted && !c.finished && (c.request.class.Repeatable || !c.node.Alive) {
+			c.finished = true
+			c.request.retryOrFail(c, 0, true)
 		}
 	})
-	w.After(c.timeout, func() { c.hangup() })
+	w.After(c.timeout, func() { c.disconnect() })
 	if c.request.class.Streaming {
 		c.request.lastEventAt = w.Now
-		c.watch()
+		c.watchIdle()
 	}
 }
 
-// reach has the request come to its node, which reads it once it accepts connections.
-func (c *clientAttempt) reach() {
-	n := c.n
+// reachNode delivers the request to its node, which reads it once it accepts connections.
+func (c *clientAttempt) reachNode() {
+	n := c.node
 	switch {
-	case !n.Alive && n.dark:
+	case !n.Alive && n.poweredOff:
 		return
 	case !n.Alive:
-		c.disconnected()
+		c.connectionLost()
 		return
 	}
-	n.live(func() {
+	n.runIfAlive(func() {
 		n.accept(func() {
-			if !c.over {
-				c.read, c.readAt = true, n.w.Now
+			if !c.finished {
+				c.accepted, c.acceptedAt = true, n.w.Now
 				n.takeAttempt(c)
 			}
 		})
 	})
 }
 
-// watch gives a stream up after a long silence.
-func (c *clientAttempt) watch() {
+// watchIdle closes a stream that has been silent for long.
+func (c *clientAttempt) watchIdle() {
 	q := c.request
-	most := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.TargetGap)
-	quiet := q.s.w.Now - q.lastEventAt
-	if quiet >= most {
-		c.hangup()
+	maxSilence := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.TargetGap)
+	silence := q.s.w.Now - q.lastEventAt
+	if silence >= maxSilence {
+		c.disconnect()
 	}
-	if !c.over {
-		q.s.w.After(max(most-quiet, time.Millisecond), c.watch)
+	if !c.finished {
+		q.s.w.After(max(maxSilence-silence, time.Millisecond), c.watchIdle)
 	}
 }
 
-func (c *clientAttempt) hangup() {
-	if c.over {
+// disconnect ends the attempt and the request because the client gives up.
+func (c *clientAttempt) disconnect() {
+	if c.finished {
 		return
 	}
-	c.over = true
+	c.finished = true
 	c.request.s.report.ClientDisconnects++
-	c.request.s.rules.ended(c, "gave up")
+	c.request.s.rules.attemptEnded(c, "gave up")
 	c.request.done(false)
-	n := c.n
+	n := c.node
 	c.request.s.w.After(clientDelay, func() {
 		if t := c.proxied; t != nil && n.Alive && n.incarnation == t.incarnation {
-			n.live(func() {
+			n.runIfAlive(func() {
 				if !t.exchange.Finished() {
-					t.happened(proxy.ClientDisconnected{})
+					t.handleSignal(proxy.ClientDisconnected{})
 				}
 			})
 		}
 	})
 }
 
-// send carries what a node sends to the user agent, in order.
+// send delivers what a node sends to the client, in order.
 func (c *clientAttempt) send(_ *Node, do func()) {
 	w := c.request.s.w
-	c.due = max(c.due, w.Now+clientDelay)
-	w.At(c.due, func() {
-		if !c.over {
+	c.lastDue = max(c.lastDue, w.Now+clientDelay)
+	w.At(c.lastDue, func() {
+		if !c.finished {
 			do()
 		}
 	})
 }
 
-// failed tries again where that is allowed and there is time.
-func (q *clientRequest) failed(c *clientAttempt, after time.Duration, unrun bool) {
+// retryOrFail makes another attempt if the request may be repeated and there is time, and else ends the request. notExecuted says that the
+// attempt certainly did not run.
+func (q *clientRequest) retryOrFail(c *clientAttempt, retryAfter time.Duration, notExecuted bool) {
 	left := q.deadline - q.s.w.Now
-	repeated := q.class.Repeatable || unrun
-	if c.status == http.StatusNotFound || !repeated || q.attempts > 1 || left < 50*time.Millisecond || (q.last > 0 && !q.class.Resumable) || c.probe != nil {
+	mayRepeat := q.class.Repeatable || notExecuted
+	if c.status == http.StatusNotFound || !mayRepeat || q.attempts > 1 || left < 50*time.Millisecond || (q.lastEvent > 0 && !q.class.Resumable) || c.probe != nil {
 		q.done(false)
 		return
 	}
-	q.s.w.After(min(after, left/3)+time.Millisecond, q.submit)
+	q.s.w.After(min(retryAfter, left/3)+time.Millisecond, q.submit)
 }
 
 func (q *clientRequest) done(served bool) {
-	if q.over {
+	if q.finished {
 		return
 	}
-	q.over, q.served = true, served
-	q.s.report.end(q)
+	q.finished, q.served = true, served
+	q.s.report.countRequest(q)
 }
--- a/sim/clientread.go
+++ b/sim/clientread.go
@@ -8,85 +8,87 @@
 	"time"
 )
 
-func (c *clientAttempt) heads(h head) {
-	c.h = &h
+// readHead handles the head of a response. A successful one must carry a seal, the id of the run.
+func (c *clientAttempt) readHead(h responseHead) {
+	c.head = &h
 	if h.status/100 == 2 && h.seal == "" {
-		c.fault = "a success without a seal"
+		c.fault = "a successful response without a seal"
 	}
 }
 
-func (c *clientAttempt) reads(data []byte) {
+func (c *clientAttempt) readData(data []byte) {
 	q := c.request
-	c.text = append(c.text, data...)
+	c.unparsed = append(c.unparsed, data...)
 	if !q.class.Streaming {
 		return
 	}
 	for {
-		at := bytes.Index(c.text, []byte("\n\n"))
+		at := bytes.Index(c.unparsed, []byte("\n\n"))
 		if at < 0 {
 			return
 		}
-		c.event(string(c.text[:at]))
-		c.text = c.text[at+2:]
+		c.readEvent(string(c.unparsed[:at]))
+		c.unparsed = c.unparsed[at+2:]
 	}
 }
 
-func (c *clientAttempt) event(text string) {
+// readEvent checks that an event belongs to the request and follows the one before.
+func (c *clientAttempt) readEvent(text string) {
 	q := c.request
 	now := q.s.w.Now
 	var n, events int
 	var id, run string
 	if _, err := fmt.Sscanf(text, "id: %d\ndata: %s %s %d", &n, &id, &run, &events); err != nil || id != q.id {
-		c.fault = "an event of another answer: " + strconv.Quote(text)
+		c.fault = "an event of another response: " + strconv.Quote(text)
 		return
 	}
-	if n != q.last+1 {
-		c.fault = fmt.Sprintf("event %d after %d", n, q.last)
+	if n != q.lastEvent+1 {
+		c.fault = fmt.Sprintf("event %d follows event %d", n, q.lastEvent)
 	}
-	if c.run != "" && c.run != run && !q.class.Resumable {
-		c.fault = "events of two runs: " + c.run + " and " + run
+	if c.runID != "" && c.runID != run && !q.class.Resumable {
+		c.fault = "a stream that may not be resumed has events of two runs: " + c.runID + " and " + run
 	}
-	if q.first == 0 {
-		q.first = now
+	if q.firstEventAt == 0 {
+		q.firstEventAt = now
 	} else {
-		q.gap = max(q.gap, now-q.lastEventAt)
+		q.longestGap = max(q.longestGap, now-q.lastEventAt)
 	}
-	c.run, q.last, q.lastEventAt = run, n, now
-	q.s.rules.passed(c, n)
+	c.runID, q.lastEvent, q.lastEventAt = run, n, now
+	q.s.rules.eventForwarded(c, n)
 }
 
-// ended is a complete answer, of a replica or of the node itself.
-func (c *clientAttempt) ended(status int, after time.Duration) {
-	c.over, c.status = true, status
+// responseEnded handles the end of a complete response, from a replica or from the node itself.
+func (c *clientAttempt) responseEnded(status int, retryAfter time.Duration) {
+	c.finished, c.status = true, status
 	q := c.request
-	if status == http.StatusOK && c.h != nil && c.h.status == http.StatusOK {
+	if status == http.StatusOK && c.head != nil && c.head.status == http.StatusOK {
 		switch {
-		case q.class.Streaming && (q.last != q.events || len(c.text) > 0):
-			c.fault = fmt.Sprintf("ends as complete after %d of %d events", q.last, q.events)
-		case !q.class.Streaming && string(c.text) != string(q.data(1, c.h.seal)):
-			c.fault = "another body: " + strconv.Quote(string(c.text))
+		case q.class.Streaming && (q.lastEvent != q.events || len(c.unparsed) > 0):
+			c.fault = fmt.Sprintf("the stream ends as complete after %d of %d events", q.lastEvent, q.events)
+		case !q.class.Streaming && string(c.unparsed) != string(q.responseData(1, c.head.seal)):
+			c.fault = "the body of another response: " + strconv.Quote(string(c.unparsed))
 		}
-		if q.first == 0 {
-			q.first = q.s.w.Now
+		if q.firstEventAt == 0 {
+			q.firstEventAt = q.s.w.Now
 		}
-		q.s.rules.ended(c, "done")
+		q.s.rules.attemptEnded(c, "done")
 		q.done(c.fault == "")
 		return
 	}
 	if status == http.StatusOK {
-		status = c.h.status
+		status = c.head.status
 	}
-	q.s.rules.ended(c, strconv.Itoa(status))
-	q.failed(c, after, status == http.StatusServiceUnavailable)
+	q.s.rules.attemptEnded(c, strconv.Itoa(status))
+	q.retryOrFail(c, retryAfter, status == http.StatusServiceUnavailable)
 }
 
-// disconnected is a connection that ends before the answer does.
-func (c *clientAttempt) disconnected() {
-	if c.over {
+// connectionLost handles a connection that ended before the response did.
+func (c *clientAttempt) connectionLost() {
+	if c.finished {
 		return
 	}
-	c.over = true
+	c.finished = true
 	q := c.request
-	q.s.rules.ended(c, "cut")
-	q.failed(c, 0, !c.read)
+	q.s.rules.attemptEnded(c, "cut")
+	q.retryOrFail(c, 0, !c.accepted)
 }
--- a/sim/config.go
+++ b/sim/config.go
@@ -9,36 +9,39 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-const largeBytes = 1000 << 10
+// largeConfigBytes is the size to which configurations are padded that test the size limit.
+const largeConfigBytes = 1000 << 10
 
-// varied makes configurations that change what traffic does: replicas, rooms, roles, zones and kinds come and go.
-func (w *World) varied(large bool) []byte {
-	w.asks++
-	var d shape.Doc
-	if err := json.Unmarshal(w.Scenario.Config, &d); err != nil {
+// nextConfig returns a random variation of the first configuration that changes how traffic is routed: replicas, capacities, roles, zones and
+// request classes differ. A large one is padded to the size limit.
+func (w *World) nextConfig(large bool) []byte {
+	w.lastID++
+	var doc shape.Doc
+	if err := json.Unmarshal(w.Scenario.Config, &doc); err != nil {
 		panic(err)
 	}
-	d["replaceLostVoterMs"] = 15000 + w.asks
-	for _, o := range d["offers"].([]any) {
-		w.vary(o.(shape.Doc))
+	doc["replaceLostVoterMs"] = 15000 + w.lastID
+	for _, service := range doc["offers"].([]any) {
+		w.varyService(service.(shape.Doc))
 	}
 	if large {
-		d["offers"] = append(d["offers"].([]any), padding()...)
+		doc["offers"] = append(doc["offers"].([]any), paddingServices()...)
 	}
-	body, err := json.Marshal(d)
+	body, err := json.Marshal(doc)
 	if err != nil {
 		panic(err)
 	}
 	return body
 }
 
-func (w *World) vary(service shape.Doc) {
-	rng := w.whim
-	reps := service["replicas"].([]any)
-	rng.Shuffle(len(reps), func(i, j int) { reps[i], reps[j] = reps[j], reps[i] })
-	reps = reps[:len(reps)-rng.IntN(4)]
+// varyService varies the replicas and request classes of one service.
+func (w *World) varyService(service shape.Doc) {
+	rng := w.auxRNG
+	replicas := service["replicas"].([]any)
+	rng.Shuffle(len(replicas), func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
+	replicas = replicas[:len(replicas)-rng.IntN(4)]
 	split := rng.IntN(6) == 0
-	for i, r := range reps {
+	for i, r := range replicas {
 		replica := r.(shape.Doc)
 		if rng.IntN(8) == 0 {
 			replica["room"] = 6 + rng.IntN(7)
@@ -50,7 +53,7 @@
 			replica["domain"] = w.Scenario.Shape.Zones[rng.IntN(len(w.Scenario.Shape.Zones))]
 		}
 	}
-	service["replicas"] = reps
+	service["replicas"] = replicas
 	classes := service["kinds"].([]any)
 	if second := classes[1].(shape.Doc); rng.IntN(3) == 0 {
 		second["repeatable"] = false
@@ -61,27 +64,28 @@
 	service["kinds"] = classes
 }
 
-// padding is real work for a reader: hundreds of services, thousands of kinds, thousands of replicas that are down.
-func padding() []any {
+// paddingServices returns hundreds of services with thousands of request classes and thousands of replicas that are down, so that reading the
+// configuration costs real work.
+func paddingServices() []any {
 	rng := rand.New(rand.NewPCG(3, 43))
 	long := strings.Repeat("x", 44)
 	size := 0
 	var services []any
-	for i := 0; size < largeBytes; i++ {
-		var reps, classes []any
+	for i := 0; size < largeConfigBytes; i++ {
+		var replicas, classes []any
 		for j := range 12 {
-			reps = append(reps, shape.Doc{"name": fmt.Sprintf("pad-%d-%d", i, j), "addr": fmt.Sprintf("10.9.%d.%d:9000", i, j), "domain": string(rune('a' + rng.IntN(3)))})
+			replicas = append(replicas, shape.Doc{"name": fmt.Sprintf("pad-%d-%d", i, j), "addr": fmt.Sprintf("10.9.%d.%d:9000", i, j), "domain": string(rune('a' + rng.IntN(3)))})
 		}
 		for j := range 48 {
 			classes = append(classes, shape.Doc{"name": fmt.Sprintf("%s-%d", long, j), "firstTokenMs": 1000 + rng.IntN(9000)})
 		}
-		o := shape.Doc{"name": fmt.Sprintf("pad-%d", i), "model": "m1", "replicas": reps, "kinds": classes}
-		raw, err := json.Marshal(o)
+		service := shape.Doc{"name": fmt.Sprintf("pad-%d", i), "model": "m1", "replicas": replicas, "kinds": classes}
+		raw, err := json.Marshal(service)
 		if err != nil {
 			panic(err)
 		}
 		size += len(raw)
-		services = append(services, o)
+		services = append(services, service)
 	}
 	return services[:len(services)-1]
 }
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -9,46 +9,51 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// content is what one configuration allows. It may be in force from the moment that it was sent, unless it was denied.
-type content struct {
+// configContent is what one configuration allows. It may be in force from the time it was sent, unless it was rejected.
+type configContent struct {
 	version  uint64
 	accepted bool
-	denied   bool
+	rejected bool
+	// classes has whether each class (service/class) is idempotent.
 	classes  map[string]bool
 	replicas map[string]config.Replica
 }
 
-func (a *Audit) offered(expect uint64, body []byte) *content {
-	ch, err := config.Read(body)
+// configSent records a configuration that an operator sends; expect is the version that it is to replace.
+func (a *Audit) configSent(expect uint64, body []byte) *configContent {
+	parsed, err := config.Read(body)
 	if err != nil {
 		panic(err)
 	}
-	c := &content{version: expect + 1, classes: map[string]bool{}, replicas: map[string]config.Replica{}}
-	for _, o := range ch.Services {
-		for _, k := range o.Classes {
-			c.classes[o.Name+"/"+k.Name] = k.Repeatable
+	c := &configContent{version: expect + 1, classes: map[string]bool{}, replicas: map[string]config.Replica{}}
+	for _, service := range parsed.Services {
+		for _, class := range service.Classes {
+			c.classes[service.Name+"/"+class.Name] = class.Repeatable
 		}
-		for _, r := range o.Replicas {
+		for _, r := range service.Replicas {
 			c.replicas[r.Name] = r
 		}
 	}
-	a.contents = append(a.contents, c)
+	a.configContents = append(a.configContents, c)
 	return c
 }
 
-func (c *content) answered(a control.Answer) {
+// setOutcome records the result of the put. Only a conflict or a missing quorum excludes that the configuration comes into force.
+func (c *configContent) setOutcome(a control.Answer) {
 	var conflict *register.ConflictError
 	var unreached *register.NoQuorumError
 	c.accepted = a.Err == nil
-	c.denied = errors.As(a.Err, &conflict) || errors.As(a.Err, &unreached)
+	c.rejected = errors.As(a.Err, &conflict) || errors.As(a.Err, &unreached)
 }
 
-func (a *Audit) inForce(due uint64) []*content {
-	var base *content
-	var cs []*content
-	for _, c := range a.contents {
+// possiblyInForce returns the configurations that a node may apply if it must have applied version due: the newest accepted one up to due, and
+// all later ones that were not rejected.
+func (a *Audit) possiblyInForce(due uint64) []*configContent {
+	var base *configContent
+	var cs []*configContent
+	for _, c := range a.configContents {
 		switch {
-		case c.denied:
+		case c.rejected:
 		case c.version > due:
 			cs = append(cs, c)
 		case c.accepted && (base == nil || c.version > base.version):
@@ -61,30 +66,31 @@
 	return cs
 }
 
-func (a *Audit) appliesContents(f *fleetRequest, c *fleetConn, due uint64) {
-	listed, repeatable, kept := false, false, false
-	for _, x := range a.inForce(due) {
-		repeated, known := x.classes[f.ask.Class.Service+"/"+f.ask.Class.Name]
-		replica, has := x.replicas[c.replica.Name]
+// checkContents checks that a configuration that may be in force allows the attempt.
+func (a *Audit) checkContents(f *fleetRequest, c *fleetConn, due uint64) {
+	allowed, repeatable, zoneAllowed := false, false, false
+	for _, candidate := range a.possiblyInForce(due) {
+		idempotent, known := candidate.classes[f.request.Class.Service+"/"+f.request.Class.Name]
+		replica, has := candidate.replicas[c.replica.Name]
 		if !known || !has || replica.Role == "prefill" {
 			continue
 		}
-		listed = true
-		repeatable = repeatable || repeated
-		empty, emptied := a.evacuatedAt[replica.Zone]
-		kept = kept || !emptied || !a.late(f.n, empty, emptyWithin)
+		allowed = true
+		repeatable = repeatable || idempotent
+		evacuated, isEvacuated := a.evacuatedAt[replica.Zone]
+		zoneAllowed = zoneAllowed || !isEvacuated || !a.overdue(f.n, evacuated, fleetEvacuateWithin)
 	}
 	switch {
-	case !listed:
+	case !allowed:
 		var versions []uint64
-		for _, x := range a.inForce(due) {
-			versions = append(versions, x.version)
+		for _, candidate := range a.possiblyInForce(due) {
+			versions = append(versions, candidate.version)
 		}
-		a.breach(ConfigNotApplied, f.n.Name, fmt.Sprintf("%s on %s, mark %d, due %d, in force %d", f.ask.Class.Name, c.replica.Name, f.n.router.Version(), due, versions))
-	case !kept:
+		a.breach(ConfigNotApplied, f.n.Name, fmt.Sprintf("class %s to replica %s, node has version %d, must have %d, possibly in force: %d", f.request.Class.Name, c.replica.Name, f.n.router.Version(), due, versions))
+	case !zoneAllowed:
 		a.breach(ToEvacuated, c.replica.Name, f.n.Name)
 	}
-	if f.attempts > 1 && listed && !repeatable {
-		a.breach(RetriedNonIdempotent, f.ask.ID, f.n.Name)
+	if f.attempts > 1 && allowed && !repeatable {
+		a.breach(RetriedNonIdempotent, f.request.ID, f.n.Name)
 	}
 }
--- a/sim/controlcalls.go
+++ b/sim/controlcalls.go
@@ -7,47 +7,47 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// Call runs an operation at a node and has done called with its answer; a node that goes down meanwhile answers a NodeDownError after 6 s.
+// Call runs an operation at a node and calls done with the result. If the node goes down in the meantime, done gets a NodeDownError after 6 s.
 func (w *World) Call(n *Node, op control.Op, done func(a control.Answer)) {
-	w.asks++
-	id := w.asks
-	w.answers[id] = done
+	w.lastID++
+	id := w.lastID
+	w.pendingCalls[id] = done
 	incarnation := n.incarnation
 	n.step(control.Command{ID: id, Op: op})
 	w.After(6*time.Second, func() {
-		if w.answers[id] != nil && (n.incarnation != incarnation || !n.Alive) {
-			delete(w.answers, id)
+		if w.pendingCalls[id] != nil && (n.incarnation != incarnation || !n.Alive) {
+			delete(w.pendingCalls, id)
 			done(control.Answer{ID: id, Err: &NodeDownError{Node: n.Name}})
 		}
 	})
 }
 
-// NodeDownError says that a node went down before it answered.
+// NodeDownError says that a node went down before it responded.
 type NodeDownError struct{ Node string }
 
-func (e *NodeDownError) Error() string { return e.Node + " went down with the answer" }
+func (e *NodeDownError) Error() string { return e.Node + " went down before it responded" }
 
-// Put puts a configuration at a node and has it audited.
+// Put puts a configuration at a node and audits it.
 func (w *World) Put(n *Node, expect uint64, body []byte, done func(a control.Answer)) {
-	w.asks++
-	op := control.Put{ID: fmt.Sprintf("put-%d", w.asks), ExpectedVersion: expect, Document: body}
-	c := w.Audit.offered(expect, body)
+	w.lastID++
+	op := control.Put{ID: fmt.Sprintf("put-%d", w.lastID), ExpectedVersion: expect, Document: body}
+	c := w.Audit.configSent(expect, body)
 	w.Call(n, op, func(a control.Answer) {
-		c.answered(a)
+		c.setOutcome(a)
 		if a.Err == nil {
-			w.Audit.accepted(n, a.Value)
+			w.Audit.configAccepted(n, a.Value)
 		}
 		done(a)
 	})
 }
 
-// Evacuate empties a zone at a node, or takes that back, and has it audited.
+// Evacuate evacuates a zone through a node, or ends the evacuation, and audits it.
 func (w *World) Evacuate(n *Node, zone string, restore bool, done func(a control.Answer)) {
-	w.asks++
-	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.asks), Zone: zone, Restore: restore}, func(a control.Answer) {
+	w.lastID++
+	w.Call(n, control.Evacuate{ID: fmt.Sprintf("empty-%d", w.lastID), Zone: zone, Restore: restore}, func(a control.Answer) {
 		if a.Err == nil {
-			w.Audit.accepted(n, a.Value)
-			w.Audit.emptied(n, zone, !restore)
+			w.Audit.configAccepted(n, a.Value)
+			w.Audit.zoneEvacuated(n, zone, !restore)
 		}
 		done(a)
 	})
--- a/sim/disksandpower_test.go
+++ b/sim/disksandpower_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// partOfGrown is the part of a grown site's machines, replicas and traffic that is played; all its disks are.
-const partOfGrown = 0.25
+// grownRatio is the share of a large site's machines, replicas and traffic that is simulated; all its disks are.
+const grownRatio = 0.25
 
-// TestDisksAreLostWhileAllLosePower ends a day of the grown shapes with as many lost disks as they tolerate, all other machines without
-// power at the same moment, those without a disk too.
+// TestDisksAreLostWhileAllLosePower ends a run of the large sites with the loss of as many disks as they tolerate, while all other machines,
+// also those without a disk, lose power at the same time.
 func TestDisksAreLostWhileAllLosePower(t *testing.T) {
 	found := 0
 	for _, scenario := range SiteScenarios() {
@@ -18,11 +18,11 @@
 		}
 		found++
 		eachSeed(func(seed uint64) {
-			playParallel(t, scenario, GrownTramitesSite(partOfGrown), seed)
-			playParallel(t, scenario, GrownAtlasSite(partOfGrown), seed)
+			playParallel(t, scenario, GrownTramitesSite(grownRatio), seed)
+			playParallel(t, scenario, GrownAtlasSite(grownRatio), seed)
 		})
 	}
 	if found != 1 {
-		t.Errorf("%d scenarios", found)
+		t.Errorf("found %d scenarios with lost disks, want 1", found)
 	}
 }
--- a/sim/document.go
+++ b/sim/document.go
@@ -13,43 +13,45 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// A site's operators write a config.Config as JSON: routes, services whose replicas are discovered, limits and a revision.
+// A site's operators write a config.Config as JSON: routes, services whose replicas are discovered, limits and a revision. This file reads and
+// edits these documents.
 
-func flawed(path, val, bound string) error {
+// invalidDocument returns the error for a value that breaks a bound.
+func invalidDocument(path, val, bound string) error {
 	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Bound: bound}}})
 }
 
-// readDocument is the config.Reader of a site.
+// readDocument is the function with which a site's nodes read configurations.
 func readDocument(raw []byte) (config.Config, error) {
 	var c config.Config
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return config.Config{}, flawed("$", err.Error(), "a charter")
+		return config.Config{}, invalidDocument("$", err.Error(), "a configuration")
 	}
 	if c.Revision == 0 {
-		return config.Config{}, flawed("$.Revision", "0", "above 0")
+		return config.Config{}, invalidDocument("$.Revision", "0", "above 0")
 	}
 	services := map[string]bool{}
-	for _, o := range c.Services {
-		services[o.Name] = true
+	for _, service := range c.Services {
+		services[service.Name] = true
 	}
-	places := map[string]bool{}
+	locations := map[string]bool{}
 	for i, r := range c.Routes {
-		at, sum := fmt.Sprintf("$.Routes[%d]", i), 0.0
+		path, sum := fmt.Sprintf("$.Routes[%d]", i), 0.0
 		for _, s := range r.TrafficSplit {
 			if !services[s.Service] {
-				return config.Config{}, flawed(at+".Split", s.Service, "a known offer")
+				return config.Config{}, invalidDocument(path+".Split", s.Service, "a known service")
 			}
 			sum += s.Weight
 		}
-		switch place := r.Host + r.Prefix; {
+		switch location := r.Host + r.Prefix; {
 		case sum <= 0:
-			return config.Config{}, flawed(at+".Split", "0 in all", "above 0")
+			return config.Config{}, invalidDocument(path+".Split", "a sum of 0", "above 0")
 		case r.Timeout <= 0:
-			return config.Config{}, flawed(at+".Timeout", "0", "above 0")
-		case places[place]:
-			return config.Config{}, flawed(at+".Prefix", place, "named once")
+			return config.Config{}, invalidDocument(path+".Timeout", "0", "above 0")
+		case locations[location]:
+			return config.Config{}, invalidDocument(path+".Prefix", location, "used by one route only")
 		default:
-			places[place] = true
+			locations[location] = true
 		}
 	}
 	return c, nil
@@ -67,30 +69,30 @@
 
 func prefixOf(name string) string { return "/" + name + "/" }
 
-// first is the document that a day begins with.
-func (s SiteSpec) first() config.Config {
+// firstConfig returns the configuration with which a run begins.
+func (s SiteSpec) firstConfig() config.Config {
 	var c config.Config
 	c.Revision = 1
-	for _, o := range s.Services {
+	for _, service := range s.Services {
 		c.Services = append(c.Services, config.Service{
-			Name: o.Name, Model: shape.ModelName, Discovered: true, Queues: true, MaxConns: o.MaxConns, WarmupRate: o.WarmupRate, WarmupTime: o.WarmupTime,
-			KeepTokens: o.MemoryTokens, Stride: o.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictions,
+			Name: service.Name, Model: shape.ModelName, Discovered: true, Queues: true, MaxConns: service.MaxConns, WarmupRate: service.WarmupRate, WarmupTime: service.WarmupTime,
+			KeepTokens: service.MemoryTokens, Stride: service.Stride, RetryRatio: retryRatio, RetryExtra: s.Bounds.RetryExtra * 3 / 4, StaleCap: maxPredictionTTL,
 		})
 	}
-	for _, t := range s.Classes {
+	for _, class := range s.Classes {
 		c.Routes = append(c.Routes, config.Route{
-			Name: t.Name, Host: siteHost, Prefix: prefixOf(t.Name), TrafficSplit: []config.WeightedService{{Service: t.Service, Weight: 1}}, Streaming: t.Streaming,
-			Repeatable: t.Repeatable, Resumable: t.Resumable, Timeout: t.Deadline, FirstToken: t.LatencyTarget, TargetGap: t.TargetGap, MaxAttempts: t.MaxAttempts, Priority: t.Priority,
+			Name: class.Name, Host: siteHost, Prefix: prefixOf(class.Name), TrafficSplit: []config.WeightedService{{Service: class.Service, Weight: 1}}, Streaming: class.Streaming,
+			Repeatable: class.Repeatable, Resumable: class.Resumable, Timeout: class.Deadline, FirstToken: class.LatencyTarget, TargetGap: class.TargetGap, MaxAttempts: class.MaxAttempts, Priority: class.Priority,
 		})
 	}
 	for i := range s.IdleRoutes {
-		c.Routes = append(c.Routes, s.idle(fmt.Sprintf("idle%d", i+1), i))
+		c.Routes = append(c.Routes, s.idleRoute(fmt.Sprintf("idle%d", i+1), i))
 	}
 	return c
 }
 
-// idle is a route that only lookers use; it may go to any service.
-func (s SiteSpec) idle(name string, service int) config.Route {
+// idleRoute returns a route that only configuration probes use; it may lead to any service.
+func (s SiteSpec) idleRoute(name string, service int) config.Route {
 	plain := s.Classes[len(s.Classes)-1]
 	return config.Route{
 		Name: name, Host: siteHost, Prefix: prefixOf(name), TrafficSplit: []config.WeightedService{{Service: s.Services[service%len(s.Services)].Name, Weight: 1}}, Repeatable: true,
@@ -98,9 +100,10 @@
 	}
 }
 
-// An edit makes the next document of the one in place.
+// edit computes the next document from the current one.
 type edit = func(cur []byte) ([]byte, error)
 
+// revisionIn returns the revision of a document, 0 if there is none.
 func revisionIn(cur []byte) (uint64, error) {
 	if len(cur) == 0 {
 		return 0, nil
@@ -109,25 +112,25 @@
 	return c.Revision, err
 }
 
-// putEdit replaces the whole document of the revision base.
+// putEdit returns an edit that replaces the whole document, if that has the revision base.
 func putEdit(base uint64, raw []byte) edit {
 	return func(cur []byte) ([]byte, error) {
-		at, err := revisionIn(cur)
+		revision, err := revisionIn(cur)
 		if err != nil {
 			return nil, err
 		}
-		if at != base {
-			return nil, &register.ConflictError{Version: at}
+		if revision != base {
+			return nil, &register.ConflictError{Version: revision}
 		}
 		c, err := readDocument(raw)
 		if err == nil && c.Revision <= base {
-			err = flawed("$.Revision", fmt.Sprint(c.Revision), fmt.Sprintf("above %d", base))
+			err = invalidDocument("$.Revision", fmt.Sprint(c.Revision), fmt.Sprintf("above %d", base))
 		}
 		return raw, err
 	}
 }
 
-// patchEdit adds or replaces routes by name and removes others.
+// patchEdit returns an edit that adds or replaces routes by name and removes others, if the document has the revision base.
 func patchEdit(base, revision uint64, upsert []config.Route, remove []string) edit {
 	return func(cur []byte) ([]byte, error) {
 		c, err := readDocument(cur)
@@ -139,13 +142,13 @@
 		}
 		c.Revision = revision
 		c.Routes = slices.DeleteFunc(c.Routes, func(r config.Route) bool { return slices.Contains(remove, r.Name) })
-		for _, u := range upsert {
-			at := slices.IndexFunc(c.Routes, func(r config.Route) bool { return r.Name == u.Name })
+		for _, route := range upsert {
+			at := slices.IndexFunc(c.Routes, func(r config.Route) bool { return r.Name == route.Name })
 			if at < 0 {
-				c.Routes = append(c.Routes, u)
+				c.Routes = append(c.Routes, route)
 				continue
 			}
-			c.Routes[at] = u
+			c.Routes[at] = route
 		}
 		raw := writeDocument(c)
 		_, err = readDocument(raw)
@@ -153,13 +156,13 @@
 	}
 }
 
-// routeFor finds the route of a request as the document has it, or nothing.
+// routeFor returns the configuration's route with the longest prefix of the path, or nil.
 func routeFor(c *config.Config, path string) *config.Route {
-	var r *config.Route
+	var best *config.Route
 	for i := range c.Routes {
-		if o := &c.Routes[i]; strings.HasPrefix(path, o.Prefix) && (r == nil || len(o.Prefix) > len(r.Prefix)) {
-			r = o
+		if route := &c.Routes[i]; strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
+			best = route
 		}
 	}
-	return r
+	return best
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -7,7 +7,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// Fault is one thing that goes wrong at the time At, on the nodes, replicas or zones named, for that long; a negative For means for good.
+// Fault is one fault, or other disturbance, that begins at At on the named nodes, replicas or zones and lasts For; a negative For means for good.
 type Fault struct {
 	At       time.Duration `json:"at"`
 	Kind     string        `json:"kind"`
@@ -16,41 +16,55 @@
 	Document []byte        `json:"-"`
 }
 
-// Classes of fault.
+// Kinds of fault.
 const (
-	Kill                = "kill"
-	Power               = "power"
-	Freeze              = "freeze"
-	PartitionNode       = "cut"
-	PartitionOneWay     = "cut one way"
-	PartitionZone       = "cut domain"
-	SplitCore           = "split core"
-	WipeDisk            = "wipe"
-	Relocate            = "move"
-	SlowDisk            = "slow disk"
-	StallDisk           = "stall disk"
-	FullDisk            = "full disk"
-	BadDisk             = "bad disk"
-	ReplicaCrash        = "replica crash"
-	ReplicaUnreachable  = "replica dark"
-	Release             = "release"
-	EvacuateFault       = "empty"
-	PutStorm            = "put storm"
-	ConcurrentPuts      = "race"
-	SwapVoters          = "swap voters"
-	AllPowerOff         = "all down"
-	LargePuts           = "large puts"
-	ReplicaCorrupt      = "replica twists"
-	ReplicaFailing      = "replica breaks each answer"
-	ReplicaRestart      = "replica restarts at once"
-	PartitionControl    = "cut domain from other nodes"
-	ClockBack           = "clock set back"
+	// Kill ends processes. Power and AllPowerOff (of all nodes) also lose data on disks that was not synced.
+	Kill   = "kill"
+	Power  = "power"
+	Freeze = "freeze"
+	// PartitionNode cuts nodes off from all others, on a site also from replicas and the platform. PartitionOneWay blocks only what nodes send to
+	// others. PartitionZone cuts off a zone with its replicas, PartitionControl only nodes from nodes. SplitCore blocks messages among the
+	// named nodes.
+	PartitionNode   = "cut"
+	PartitionOneWay = "cut one way"
+	PartitionZone   = "cut domain"
+	SplitCore       = "split core"
+	// WipeDisk restarts machines with empty disks, Relocate also at other addresses.
+	WipeDisk = "wipe"
+	Relocate = "move"
+	// SlowDisk delays syncs, StallDisk keeps them from completing; FullDisk fails writes, BadDisk syncs.
+	SlowDisk     = "slow disk"
+	StallDisk    = "stall disk"
+	FullDisk     = "full disk"
+	BadDisk      = "bad disk"
+	ReplicaCrash = "replica crash"
+	// ReplicaUnreachable stops all responses of replicas, which then restart.
+	ReplicaUnreachable = "replica dark"
+	// Release replaces replicas one after the other.
+	Release       = "release"
+	EvacuateFault = "empty"
+	// PutStorm puts one configuration after the other, ConcurrentPuts several at a time, LargePuts those of the maximum size.
+	PutStorm       = "put storm"
+	ConcurrentPuts = "race"
+	SwapVoters     = "swap voters"
+	AllPowerOff    = "all down"
+	LargePuts      = "large puts"
+	// ReplicaCorrupt corrupts lines of responses, ReplicaFailing breaks off each response, ReplicaRestart restarts replicas within 30 ms.
+	ReplicaCorrupt   = "replica twists"
+	ReplicaFailing   = "replica breaks each answer"
+	ReplicaRestart   = "replica restarts at once"
+	PartitionControl = "cut domain from other nodes"
+	// ClockBack restarts nodes with their wall clocks set back.
+	ClockBack = "clock set back"
+	// FreezeInVoterChange freezes the node that begins the next voter change.
 	FreezeInVoterChange = "freeze in an act"
-	UnreliableLists     = "lists"
-	Upgrade             = "upgrade"
+	// UnreliableLists makes the platform report replica states late, repeatedly and out of order.
+	UnreliableLists = "lists"
+	// Upgrade restarts nodes one after the other with the daemon's drain sequence.
+	Upgrade = "upgrade"
 )
 
-func (w *World) nodes(names []string) []*Node {
+func (w *World) nodesNamed(names []string) []*Node {
 	var ns []*Node
 	for _, name := range names {
 		if n := w.Node(name); n != nil {
@@ -60,7 +74,7 @@
 	return ns
 }
 
-func (w *World) inDomain(zone string) []string {
+func (w *World) nodeNamesInZone(zone string) []string {
 	var names []string
 	for _, n := range w.Nodes {
 		if n.Zone == zone {
@@ -70,17 +84,17 @@
 	return names
 }
 
-// Inject lets a fault strike now.
+// Inject starts a fault now.
 func (w *World) Inject(f Fault) {
 	w.Tracef("fault %s %v for %s", f.Kind, f.On, f.For)
 	if w.site != nil {
-		w.site.strike(f)
+		w.site.inject(f)
 		return
 	}
-	ns := w.nodes(f.On)
+	ns := w.nodesNamed(f.On)
 	switch f.Kind {
 	case Kill, Power, WipeDisk, Relocate, AllPowerOff, ClockBack:
-		w.down(f, ns)
+		w.stopNodes(f, ns)
 	case Freeze:
 		for _, n := range ns {
 			incarnation := n.incarnation
@@ -92,56 +106,57 @@
 			})
 		}
 	case PartitionNode:
-		w.isolate(ns, f.For, true, false)
+		w.isolateNodes(ns, f.For, true, false)
 	case PartitionOneWay:
-		w.isolate(ns, f.For, false, false)
+		w.isolateNodes(ns, f.For, false, false)
 	case PartitionZone, PartitionControl:
-		w.isolate(w.nodes(w.inDomain(f.On[0])), f.For, true, f.Kind == PartitionZone, f.On[0])
+		w.isolateNodes(w.nodesNamed(w.nodeNamesInZone(f.On[0])), f.For, true, f.Kind == PartitionZone, f.On[0])
 	case FreezeInVoterChange:
-		w.trap = func(n *Node, what control.ChangeKind) {
+		w.onControlChange = func(n *Node, what control.ChangeKind) {
 			if what == control.ChangeVotersBegun {
-				w.trap = nil
+				w.onControlChange = nil
 				w.Inject(Fault{Kind: Freeze, On: []string{n.Name}, For: f.For})
 			}
 		}
 	case SplitCore:
-		w.split(ns, f.For)
+		w.partitionAmong(ns, f.For)
 	case SlowDisk, StallDisk, FullDisk, BadDisk:
-		w.ail(f, ns)
+		w.failDisks(f, ns)
 	case ReplicaCrash, ReplicaUnreachable, ReplicaCorrupt, ReplicaRestart, ReplicaFailing:
 		w.breakReplicas(f)
 	case Upgrade:
-		w.upgrade(ns)
+		w.rollingUpgrade(ns)
 	case Release:
-		w.release(f.On, 3*time.Second)
+		w.rollingRelease(f.On, 3*time.Second)
 	default:
-		w.order(f, ns)
+		w.injectOrderFault(f, ns)
 	}
 }
 
-func (w *World) down(f Fault, ns []*Node) {
-	if f.Kind == AllPowerOff {
+// stopNodes kills nodes, does to their disks and clocks what the fault says, and starts them again when it ends.
+func (w *World) stopNodes(fault Fault, ns []*Node) {
+	if fault.Kind == AllPowerOff {
 		ns = w.Nodes
 	}
 	for _, n := range ns {
 		n.kill()
-		n.loseDisk(f.Kind)
-		n.stall, n.slow = false, 0
-		switch f.Kind {
+		n.loseDisk(fault.Kind)
+		n.diskStalled, n.syncDelay = false, 0
+		switch fault.Kind {
 		case ClockBack:
-			n.wall = -w.Now - f.For
+			n.wallOffset = -w.Now - fault.For
 		case Relocate:
-			delete(w.byAddr, n.Addr)
+			delete(w.nodesByAddr, n.Addr)
 			n.Addr += "9"
-			w.byAddr[n.Addr] = n
+			w.nodesByAddr[n.Addr] = n
 		}
-		if f.For >= 0 {
-			w.After(f.For, func() { n.start() })
+		if fault.For >= 0 {
+			w.After(fault.For, func() { n.start() })
 		}
 	}
 }
 
-// loseDisk has a fault do to the disk of a node whose process was killed what it does: all but a kill lose what was not synced.
+// loseDisk applies a fault to the disk of a node whose process was killed. All faults except a kill lose data that was not synced.
 func (n *Node) loseDisk(kind string) {
 	if n.Disk == nil || kind == Kill {
 		return
@@ -152,31 +167,34 @@
 	}
 }
 
-func (w *World) isolate(ns []*Node, d time.Duration, both, replicas bool, zone ...string) {
+// isolateNodes partitions nodes from all others: both ways, or only what they send. withReplicas includes replicas on both sides of the
+// partition. zone is given if the nodes are those of a zone; the audit then takes the partition into account.
+func (w *World) isolateNodes(ns []*Node, duration time.Duration, bothWays, withReplicas bool, zone ...string) {
 	in := func(addr string) bool {
 		if len(addr) > 4 && addr[:4] == "rep/" {
 			return len(zone) > 0 && w.replicasByName[addr[4:]].Zone == zone[0]
 		}
 		return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr })
 	}
-	replica := func(addr string) bool { return len(addr) > 4 && addr[:4] == "rep/" }
+	isReplica := func(addr string) bool { return len(addr) > 4 && addr[:4] == "rep/" }
 	heal := w.Net.Partition(func(from, to string) bool {
-		if !replicas && (replica(from) || replica(to)) {
+		if !withReplicas && (isReplica(from) || isReplica(to)) {
 			return false
 		}
-		a, b := in(from), in(to)
-		return a != b && (both || a)
+		fromInside, toInside := in(from), in(to)
+		return fromInside != toInside && (bothWays || fromInside)
 	})
 	if len(zone) > 0 {
-		w.Audit.partitions = append(w.Audit.partitions, partitionSpan{zone: zone[0], from: w.Now, until: w.Now + d})
+		w.Audit.partitions = append(w.Audit.partitions, partitionSpan{zone: zone[0], from: w.Now, until: w.Now + duration})
 	}
-	w.After(d, func() {
-		w.Tracef("cut heals")
+	w.After(duration, func() {
+		w.Tracef("partition heals")
 		heal()
 	})
 }
 
-func (w *World) split(ns []*Node, d time.Duration) {
+// partitionAmong blocks all messages between the nodes, but not those to and from others.
+func (w *World) partitionAmong(ns []*Node, d time.Duration) {
 	in := func(addr string) bool {
 		return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr })
 	}
@@ -184,23 +202,24 @@
 	w.After(d, heal)
 }
 
-func (w *World) ail(f Fault, ns []*Node) {
+// failDisks makes disks slow, stalled, full or failing; a node whose disk was full or failing is restarted at the end.
+func (w *World) failDisks(f Fault, ns []*Node) {
 	for _, n := range ns {
 		if n.Disk == nil {
 			continue
 		}
 		switch f.Kind {
 		case SlowDisk:
-			n.slow = 400 * time.Millisecond
+			n.syncDelay = 400 * time.Millisecond
 		case StallDisk:
-			n.stall = true
+			n.diskStalled = true
 		case FullDisk:
 			n.Disk.Full = true
 		case BadDisk:
 			n.Disk.FailSync = true
 		}
 		w.After(f.For, func() {
-			n.slow, n.stall = 0, false
+			n.syncDelay, n.diskStalled = 0, false
 			n.Disk.Full, n.Disk.FailSync = false, false
 			if f.Kind == FullDisk || f.Kind == BadDisk {
 				n.kill()
@@ -208,43 +227,8 @@
 				return
 			}
 			if n.Alive {
-				n.save()
+				n.writeJournal()
 			}
 		})
 	}
 }
-
-func (w *World) breakReplicas(f Fault) {
-	for _, name := range f.On {
-		w.replicasByName[name].breakDown(f)
-	}
-}
-
-// breakDown has a fault strike the replica, and end.
-func (r *FleetReplica) breakDown(f Fault) {
-	w := r.w
-	restart := func() { r.start(w.Now) }
-	switch f.Kind {
-	case ReplicaFailing:
-		r.Failing = true
-		w.After(f.For, func() { r.Failing = false })
-	case ReplicaCorrupt:
-		r.CorruptOneIn = 40
-		w.After(f.For, func() { r.CorruptOneIn = 0 })
-	case ReplicaUnreachable:
-		r.Unreachable = true
-		w.After(f.For, func() {
-			r.Unreachable = false
-			r.crash()
-			w.After(2*time.Second, restart)
-		})
-	case ReplicaRestart:
-		r.crash()
-		w.After(30*time.Millisecond, restart)
-	default:
-		r.crash()
-		if f.For >= 0 {
-			w.After(f.For, restart)
-		}
-	}
-}
--- a/sim/faultwindows.go
+++ b/sim/faultwindows.go
@@ -2,91 +2,95 @@
 
 import "time"
 
-// A fault disturbs one node, or the core (node is empty), from one moment until another. Planned ones are a part of the day's work.
+// fault is the time in which a node, or the core if node is empty, is disturbed. A planned one is a part of regular operation, such as a
+// rolling restart.
 type fault struct {
 	node        string
 	from, until time.Duration
 	planned     bool
 }
 
-// recordFault notes fault on machines; that of a machine with a disk unsettles the core at its begin and end, that of most of them all through.
-func (r *rules) recordFault(ns []*Node, d time.Duration, planned, slows bool) {
+// recordFault records a fault of machines. If one of them has a disk, the core is also disturbed: at the fault's start and end, or all through
+// if at least half of the core machines are affected or the fault slows the core.
+func (r *rules) recordFault(nodes []*Node, duration time.Duration, planned, slowsCore bool) {
 	now := r.s.w.Now
-	until := now + d
-	if d < 0 {
+	until := now + duration
+	if duration < 0 {
 		until = never
 	}
-	core, total := 0, 0
+	affected, total := 0, 0
 	for _, n := range r.s.w.Nodes {
 		if n.Disk != nil && !n.removed {
 			total++
 		}
 	}
-	for _, n := range ns {
+	for _, n := range nodes {
 		r.faults = append(r.faults, &fault{node: n.Name, from: now, until: until, planned: planned})
 		if n.Disk != nil {
-			core++
+			affected++
 		}
 	}
 	switch {
-	case core == 0:
-	case 2*core >= total || slows:
+	case affected == 0:
+	case 2*affected >= total || slowsCore:
 		r.faults = append(r.faults, &fault{from: now, until: until, planned: planned})
 	default:
 		r.faults = append(r.faults, &fault{from: now, until: now, planned: planned}, &fault{from: until, until: until, planned: planned})
 	}
 }
 
-// still tells that nothing disturbed a node, or the core, in that time and Bounds.Touch before.
-func (r *rules) still(node string, from, until time.Duration) bool {
-	for _, t := range r.faults {
-		if t.node == node && t.from <= until && t.until >= from-r.s.spec.Bounds.Settle {
+// undisturbed reports whether nothing disturbed a node, or the core if node is empty, in that time and Bounds.Settle before.
+func (r *rules) undisturbed(node string, from, until time.Duration) bool {
+	for _, f := range r.faults {
+		if f.node == node && f.from <= until && f.until >= from-r.s.spec.Bounds.Settle {
 			return false
 		}
 	}
 	return true
 }
 
+// inTouch reports whether neither the node nor the core is disturbed, so that the node must have current data.
 func (r *rules) inTouch(n *Node, now time.Duration) bool {
-	return r.still(n.Name, now, now) && r.still("", now, now)
+	return r.undisturbed(n.Name, now, now) && r.undisturbed("", now, now)
 }
 
-// within is how long after its acknowledgement a node must obey an order, and whether it must.
-func (r *rules) within(n *Node, q *sentRequest, bound time.Duration) (time.Duration, bool) {
+// applyBoundFor returns within what time after its acknowledgement a node must apply an order, and whether it must at all. An undisturbed node
+// that is not in touch because the core is disturbed, but settled, gets Bounds.UnsettledExtra more.
+func (r *rules) applyBoundFor(n *Node, q *sentRequest, bound time.Duration) (time.Duration, bool) {
 	switch {
-	case q.calm:
+	case q.inTouch:
 		return bound, true
-	case r.still(n.Name, q.sent, q.sent) && r.majority(q.sent):
+	case r.undisturbed(n.Name, q.sent, q.sent) && r.coreSettled(q.sent):
 		return bound + r.s.spec.Bounds.UnsettledExtra, true
 	}
 	return 0, false
 }
 
-// majority tells that most of the core ran and was joined for long before now.
-func (r *rules) majority(now time.Duration) bool {
-	for _, t := range r.faults {
-		if t.node == "" && t.until > t.from && t.from <= now && t.until >= now-r.s.spec.Bounds.UnsettledExtra-r.s.spec.Bounds.Settle {
+// coreSettled reports whether a majority of the core has been up and connected for Bounds.UnsettledExtra and Bounds.Settle.
+func (r *rules) coreSettled(now time.Duration) bool {
+	for _, f := range r.faults {
+		if f.node == "" && f.until > f.from && f.from <= now && f.until >= now-r.s.spec.Bounds.UnsettledExtra-r.s.spec.Bounds.Settle {
 			return false
 		}
 	}
 	return true
 }
 
-// unplanned tells that something nobody planned happened anywhere in that time or Bounds.Touch before.
-func (r *rules) unplanned(from, until time.Duration) bool {
-	for _, t := range r.faults {
-		if !t.planned && t.from <= until && t.until >= from-r.s.spec.Bounds.Settle {
+// hadUnplannedFault reports whether any unplanned fault happened in that time or Bounds.Settle before.
+func (r *rules) hadUnplannedFault(from, until time.Duration) bool {
+	for _, f := range r.faults {
+		if !f.planned && f.from <= until && f.until >= from-r.s.spec.Bounds.Settle {
 			return true
 		}
 	}
 	return false
 }
 
-// leaving tells that the node was being stopped on purpose at some time of the span, and since when.
-func (r *rules) leaving(node string, from, until time.Duration) (time.Duration, bool) {
-	for _, t := range r.faults {
-		if t.planned && t.node == node && t.from <= until && t.until >= from {
-			return t.from, true
+// plannedStop reports whether the node was being stopped as planned within that time, and since when.
+func (r *rules) plannedStop(node string, from, until time.Duration) (time.Duration, bool) {
+	for _, f := range r.faults {
+		if f.planned && f.node == node && f.from <= until && f.until >= from {
+			return f.from, true
 		}
 	}
 	return 0, false
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -12,36 +12,39 @@
 	"github.com/mallowbridge/mallowbridge/sim/replica"
 )
 
-// FleetReplica is a simulated replica with its connections. Dark: it answers nothing; Unhealthy: it breaks each answer; CorruptAnswers: it spoils a line in one
-// of so many answers.
+// FleetReplica is a simulated replica of a fleet with its connections.
 type FleetReplica struct {
-	w            *World
-	Name         string
-	Zone         string
-	Up           bool
-	Unreachable  bool
-	Draining     bool
-	Failing      bool
-	since        time.Duration
-	before       string
-	CorruptOneIn int
-	incarnations uint64
-	watchers     []func()
-	model        *replica.Replica
-	conns        map[string]*fleetConn
+	w    *World
+	Name string
+	Zone string
+	Up   bool
+	// While Unreachable is set, the replica sends no response; while Failing is set, it breaks off each response.
+	Unreachable bool
+	Draining    bool
+	Failing     bool
+	// startedAt is when this instance started, previousInstance the id of the one before.
+	startedAt        time.Duration
+	previousInstance string
+	// CorruptOneIn: a line is corrupted in about one of so many; 0 means none.
+	CorruptOneIn    int
+	lastIncarnation uint64
+	// onCrash are called when the replica crashes: they reset the idle connections of nodes.
+	onCrash []func()
+	model   *replica.Replica
+	conns   map[string]*fleetConn
 }
 
-func (w *World) replicas() {
+func (w *World) startReplicas() {
 	c, err := config.Read(w.Scenario.Config)
 	if err != nil {
 		panic(err)
 	}
-	for _, o := range c.Services {
-		for _, rc := range o.Replicas {
+	for _, service := range c.Services {
+		for _, rc := range service.Replicas {
 			r := &FleetReplica{w: w, Name: rc.Name, Zone: rc.Zone, conns: map[string]*fleetConn{}}
 			w.Replicas = append(w.Replicas, r)
 			w.replicasByName[r.Name] = r
-			w.byURL[rc.Addr] = r
+			w.replicasByAddr[rc.Addr] = r
 			r.start(-time.Hour)
 		}
 	}
@@ -49,12 +52,12 @@
 
 func (r *FleetReplica) addr() string { return "rep/" + r.Name }
 
-func (r *FleetReplica) start(born time.Duration) {
-	if r.incarnations++; r.model != nil {
-		r.before = r.model.Instance
+func (r *FleetReplica) start(startedAt time.Duration) {
+	if r.lastIncarnation++; r.model != nil {
+		r.previousInstance = r.model.Instance
 	}
-	r.Up, r.Draining, r.since, r.CorruptOneIn = true, false, r.w.Now, 0
-	r.model = replica.New(r.w.Scenario.Model, fmt.Sprintf("%s.%d", r.Name, r.incarnations), born)
+	r.Up, r.Draining, r.startedAt, r.CorruptOneIn = true, false, r.w.Now, 0
+	r.model = replica.New(r.w.Scenario.Model, fmt.Sprintf("%s.%d", r.Name, r.lastIncarnation), startedAt)
 }
 
 func (r *FleetReplica) crash() {
@@ -62,26 +65,27 @@
 		return
 	}
 	r.w.Tracef("replica %s crashes", r.Name)
-	r.collect()
+	r.collectCounters()
 	r.Up = false
 	for _, id := range sortedKeys(r.conns) {
 		r.conns[id].reset()
 	}
 	r.conns = map[string]*fleetConn{}
-	watchers := r.watchers
-	r.watchers = nil
-	for _, shut := range watchers {
-		shut()
+	callbacks := r.onCrash
+	r.onCrash = nil
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-func (r *FleetReplica) collect() {
-	rp := &r.w.Report
-	rp.WarmupOverloads += r.model.WarmupOverloads
-	rp.CachedTokens += r.model.CachedTokens
-	rp.PrefixTokens += r.model.PrefixTokens
-	rp.ReplicaAdmitted += r.model.Admitted
-	rp.ReplicaRejected += r.model.Rejected
+// collectCounters moves the instance's counters into the report.
+func (r *FleetReplica) collectCounters() {
+	report := &r.w.Report
+	report.WarmupOverloads += r.model.WarmupOverloads
+	report.CachedTokens += r.model.CachedTokens
+	report.PrefixTokens += r.model.PrefixTokens
+	report.ReplicaAdmitted += r.model.Admitted
+	report.ReplicaRejected += r.model.Rejected
 	r.model.WarmupOverloads, r.model.CachedTokens, r.model.PrefixTokens, r.model.Admitted, r.model.Rejected = 0, 0, 0, 0, 0
 }
 
@@ -91,57 +95,60 @@
 	})
 }
 
-// twist spoils one line of some answers: it is lost, repeated, or of another go or instance. An answer is whole only if all are right.
-func (r *FleetReplica) twist(c *fleetConn, l *router.ResponseLine) bool {
-	if r.CorruptOneIn == 0 || r.w.whim.IntN(r.CorruptOneIn) > 0 {
+// corruptLine corrupts one line of some responses: the line is lost, has the number of the one before, or comes from another attempt or
+// instance. It returns false if the line is lost. A response is complete only if all its lines are correct.
+func (r *FleetReplica) corruptLine(c *fleetConn, line *router.ResponseLine) bool {
+	if r.CorruptOneIn == 0 || r.w.auxRNG.IntN(r.CorruptOneIn) > 0 {
 		return true
 	}
 	c.corrupted = true
-	switch r.w.whim.IntN(4) {
+	switch r.w.auxRNG.IntN(4) {
 	case 0:
 		return false
 	case 1:
-		l.AttemptID, l.Text = "someone.else.1", ledger.ChunkText("someone", "someone.else.1", *l.Chunk)
+		line.AttemptID, line.Text = "someone.else.1", ledger.ChunkText("someone", "someone.else.1", *line.Chunk)
 	case 2:
-		l.InstanceID += "x"
+		line.InstanceID += "x"
 	case 3:
-		n := *l.Chunk - 1
-		l.Chunk = &n
+		n := *line.Chunk - 1
+		line.Chunk = &n
 	}
 	return true
 }
 
-func (w *World) list(name string, state router.ListingState) {
-	var alive []*Node
+// reportListing tells a random live node the platform's state of a replica, as soon as there is such a node.
+func (w *World) reportListing(name string, state router.ListingState) {
+	var live []*Node
 	for _, n := range w.Nodes {
 		if n.Alive && !n.frozen {
-			alive = append(alive, n)
+			live = append(live, n)
 		}
 	}
-	if len(alive) == 0 {
-		w.After(time.Second, func() { w.list(name, state) })
+	if len(live) == 0 {
+		w.After(time.Second, func() { w.reportListing(name, state) })
 		return
 	}
-	n := alive[w.rng.IntN(len(alive))]
+	n := live[w.rng.IntN(len(live))]
 	w.Tracef("platform lists %s as %s at %s", name, state, n.Name)
 	if state == router.Present {
-		w.Audit.back(name)
+		w.Audit.replicaListedAgain(name)
 	} else {
-		w.Audit.drains(n, name)
+		w.Audit.replicaDraining(n, name)
 	}
 	w.Call(n, control.SetReplicaStates{At: n.unixMs(), Rows: []control.ReplicaState{{Replica: name, State: state}}}, func(control.Answer) {})
 }
 
-func (w *World) release(names []string, each time.Duration) {
+// rollingRelease replaces one replica after the other: it drains, ends and starts again.
+func (w *World) rollingRelease(names []string, interval time.Duration) {
 	for i, name := range names {
 		r := w.replicasByName[name]
-		w.After(time.Duration(i)*each, func() {
+		w.After(time.Duration(i)*interval, func() {
 			r.Draining = true
-			w.After(500*time.Millisecond, func() { w.list(name, router.Draining) })
+			w.After(500*time.Millisecond, func() { w.reportListing(name, router.Draining) })
 			w.After(4500*time.Millisecond, func() { r.crash() })
 			w.After(6500*time.Millisecond, func() {
 				r.start(w.Now)
-				w.After(500*time.Millisecond, func() { w.list(name, router.Present) })
+				w.After(500*time.Millisecond, func() { w.reportListing(name, router.Present) })
 			})
 		})
 	}
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -10,39 +10,42 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
+// fleetRequest is one request of a client of a fleet; resends counts how often the client sent it again.
 type fleetRequest struct {
-	w        *World
-	n        *Node
-	ask      workload.Request
-	domain   string
-	try      int
-	at       time.Duration
-	got      ledger.Got
-	flow     router.RequestFlow
-	conn     *fleetConn
-	attempts int
-	over     bool
+	w         *World
+	n         *Node
+	request   workload.Request
+	zone      string
+	resends   int
+	arrivedAt time.Duration
+	got       ledger.Got
+	flow      router.RequestFlow
+	conn      *fleetConn
+	attempts  int
+	finished  bool
 }
 
+// fleetConn is the connection of a fleetRequest to a replica. chunk is the next chunk to be sent; lastDue keeps the chunks in order.
 type fleetConn struct {
-	request *fleetRequest
-	replica *FleetReplica
-	place   router.Decision
-	open    bool
-	sent    bool
-	chunk   int
-	plan    replica.Plan
-	due     time.Duration
+	request   *fleetRequest
+	replica   *FleetReplica
+	placement router.Decision
+	open      bool
+	sent      bool
+	chunk     int
+	plan      replica.Plan
+	lastDue   time.Duration
 
 	corrupted bool
 }
 
-const dialFor = 500 * time.Millisecond
+// fleetDialTimeout is how long a node waits for a connection across a partition to fail.
+const fleetDialTimeout = 500 * time.Millisecond
 
-func (w *World) submit(a workload.Request, zone string, try int) {
-	n := w.pick(zone)
-	f := &fleetRequest{w: w, n: n, ask: a, domain: zone, try: try, at: w.Now, flow: router.RequestFlow{Request: a.ID}}
-	f.got = ledger.Got{AtMs: w.Now.Milliseconds(), Request: a.ID, Kind: a.Class.Name, Repeatable: a.Class.Repeatable}
+func (w *World) submit(request workload.Request, zone string, resends int) {
+	n := w.pickReadyNode(zone)
+	f := &fleetRequest{w: w, n: n, request: request, zone: zone, resends: resends, arrivedAt: w.Now, flow: router.RequestFlow{Request: request.ID}}
+	f.got = ledger.Got{AtMs: w.Now.Milliseconds(), Request: request.ID, Kind: request.Class.Name, Repeatable: request.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
@@ -53,50 +56,51 @@
 			f.end("lost")
 			return
 		}
-		n.live(func() {
+		n.runIfAlive(func() {
 			f.got.Node = n.frontendID
 			w.Report.Arrived++
 			if n.rejecting {
 				f.end(router.OutcomeRejected)
 				return
 			}
-			if n.asks[a.ID] != nil {
+			if n.fleetRequests[request.ID] != nil {
 				f.end(router.OutcomeRepeat)
 				return
 			}
-			n.asks[a.ID] = f
-			n.decide(n.router.Step(n.local(), router.Arrival{
-				Request: a.ID, Service: a.Class.Service, Class: a.Class.Name, Prefix: a.Prefix, TailTokens: a.TailTokens,
+			n.fleetRequests[request.ID] = f
+			n.handleDecisions(n.router.Step(n.localTime(), router.Arrival{
+				Request: request.ID, Service: request.Class.Service, Class: request.Class.Name, Prefix: request.Prefix, TailTokens: request.TailTokens,
 			}))
 		})
 	})
 }
 
-func (f *fleetRequest) began() bool { return len(f.got.Chunks) > 0 }
+func (f *fleetRequest) hasOutput() bool { return len(f.got.Chunks) > 0 }
 
 func (f *fleetRequest) end(outcome string) {
-	if f.over {
+	if f.finished {
 		return
 	}
-	f.over = true
+	f.finished = true
 	f.got.Outcome = outcome
 	f.w.Got = append(f.w.Got, f.got)
-	f.w.Report.take(f)
-	if f.w.Scenario.ResendLost && f.try == 0 && !f.began() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
-		f.w.After(time.Second, func() { f.w.submit(f.ask, f.domain, 1) })
+	f.w.Report.addOutcome(f)
+	if f.w.Scenario.ResendLost && f.resends == 0 && !f.hasOutput() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
+		f.w.After(time.Second, func() { f.w.submit(f.request, f.zone, 1) })
 	}
 }
 
-func (f *fleetRequest) orphan() {
-	f.drop()
-	if f.began() {
+// nodeStopped ends a request whose node's process ended.
+func (f *fleetRequest) nodeStopped() {
+	f.closeConnection()
+	if f.hasOutput() {
 		f.end(router.OutcomePartial)
 		return
 	}
 	f.end("lost")
 }
 
-func (f *fleetRequest) drop() {
+func (f *fleetRequest) closeConnection() {
 	c := f.conn
 	f.conn = nil
 	if c == nil || !c.open {
@@ -105,51 +109,51 @@
 	c.open = false
 	if c.sent {
 		f.w.After(f.w.Net.Delay(true), func() {
-			if c.replica.conns[c.place.AttemptID] == c {
-				delete(c.replica.conns, c.place.AttemptID)
-				c.replica.model.Release(f.w.Now, c.place.AttemptID)
-				c.replica.record("cut", f.ask.ID, c.place.AttemptID, c.chunk)
+			if c.replica.conns[c.placement.AttemptID] == c {
+				delete(c.replica.conns, c.placement.AttemptID)
+				c.replica.model.Release(f.w.Now, c.placement.AttemptID)
+				c.replica.record("cut", f.request.ID, c.placement.AttemptID, c.chunk)
 			}
 		})
 	}
 }
 
-func (n *Node) decide(ds []router.Decision) {
+func (n *Node) handleDecisions(ds []router.Decision) {
 	for _, d := range ds {
 		if d.UnreadTokens > 0 && n.w.site != nil {
 			n.step(control.Prefills{Rows: []router.Prefill{{Replica: d.Replica, Tokens: d.UnreadTokens}}})
 		}
-		if f := n.asks[d.Request]; f != nil {
-			f.do(f.flow.OnDecision(d))
+		if f := n.fleetRequests[d.Request]; f != nil {
+			f.perform(f.flow.OnDecision(d))
 		}
 		if t := n.requests[d.Request]; t != nil {
-			t.decided(d)
+			t.handleDecision(d)
 		}
 	}
 }
 
-func (f *fleetRequest) do(actions []router.Action) {
+func (f *fleetRequest) perform(actions []router.Action) {
 	var next []router.Decision
 	for _, m := range actions {
 		switch m.Kind {
 		case router.Connect:
 			f.dial(m.Placement)
 		case router.AskWitnesses:
-			f.vouch(f.conn)
+			f.askWitnesses(f.conn)
 		case router.AskWitnessesEarly:
-			f.glance()
+			f.askWitnessesEarly()
 		case router.Write:
 			f.attempts++
-			f.w.Audit.sent(f, f.conn)
-			f.conn.travel()
+			f.w.Audit.attemptSent(f, f.conn)
+			f.conn.sendRequest()
 		case router.Disconnect:
-			f.drop()
+			f.closeConnection()
 		case router.NotifyRouter:
-			next = append(next, f.n.router.Step(f.n.local(), m.Event)...)
+			next = append(next, f.n.router.Step(f.n.localTime(), m.Event)...)
 		case router.ForwardLine:
-			f.pass(m.Line)
+			f.forwardLine(m.Line)
 		case router.Finish:
-			delete(f.n.asks, f.ask.ID)
+			delete(f.n.fleetRequests, f.request.ID)
 			if m.Outcome == router.OutcomeRejected {
 				f.w.Report.Reasons[m.Placement.Reason]++
 				f.w.Report.RejectedLate += uint64(map[bool]int{true: 1}[m.Placement.RejectedLate])
@@ -157,24 +161,24 @@
 			f.end(m.Outcome)
 		}
 	}
-	f.n.decide(next)
+	f.n.handleDecisions(next)
 }
 
-func (f *fleetRequest) pass(l router.ResponseLine) {
+func (f *fleetRequest) forwardLine(l router.ResponseLine) {
 	if l.Chunk == nil {
 		return
 	}
 	if f.got.FirstMs == 0 {
-		f.got.FirstMs = max((f.w.Now - f.at).Milliseconds(), 1)
+		f.got.FirstMs = max((f.w.Now - f.arrivedAt).Milliseconds(), 1)
 	}
 	f.got.Chunks = append(f.got.Chunks, l.Text)
 }
 
-func (c *fleetConn) happened(in router.ConnectionEvent) {
+func (c *fleetConn) handleEvent(in router.ConnectionEvent) {
 	f := c.request
-	f.n.live(func() {
-		if f.conn == c && !f.over {
-			f.do(f.flow.OnConnectionEvent(in))
+	f.n.runIfAlive(func() {
+		if f.conn == c && !f.finished {
+			f.perform(f.flow.OnConnectionEvent(in))
 		}
 	})
 }
@@ -187,30 +191,32 @@
 func (f *fleetRequest) dial(d router.Decision) {
 	w := f.w
 	r := w.replicasByName[d.Replica]
-	c := &fleetConn{request: f, replica: r, place: d, open: true}
+	c := &fleetConn{request: f, replica: r, placement: d, open: true}
 	f.conn = c
-	w.Audit.placed(f, c)
+	w.Audit.attemptPlaced(f, c)
 	w.Report.PredictedTokens += uint64(d.PredictedTokens)
 	w.Report.ConfirmedTokens += uint64(d.ConfirmedTokens)
 	if c.partitioned() {
-		f.n.later(dialFor, func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID}) })
+		f.n.later(fleetDialTimeout, func() { c.handleEvent(router.ConnectResult{AttemptID: d.AttemptID}) })
 		return
 	}
-	f.n.later(2*w.Net.Delay(f.n.Zone == r.Zone), func() { c.happened(router.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
+	f.n.later(2*w.Net.Delay(f.n.Zone == r.Zone), func() { c.handleEvent(router.ConnectResult{AttemptID: d.AttemptID, OK: r.Up}) })
 }
 
-func (f *fleetRequest) glance() {
-	f.w.Call(f.n, control.Witness{Request: f.ask.ID, Peek: true}, func(a control.Answer) {
-		f.n.live(func() {
-			if !f.over && f.n.asks[f.ask.ID] == f {
-				f.do(f.flow.OnConnectionEvent(router.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
+// askWitnessesEarly asks the witnesses about the request without registering it.
+func (f *fleetRequest) askWitnessesEarly() {
+	f.w.Call(f.n, control.Witness{Request: f.request.ID, Peek: true}, func(a control.Answer) {
+		f.n.runIfAlive(func() {
+			if !f.finished && f.n.fleetRequests[f.request.ID] == f {
+				f.perform(f.flow.OnConnectionEvent(router.WitnessesAnswered{Result: control.WitnessOutcome(a)}))
 			}
 		})
 	})
 }
 
-func (f *fleetRequest) vouch(c *fleetConn) {
-	f.w.Call(f.n, control.Witness{Request: f.ask.ID, SpareTime: c.place.SpareTime}, func(a control.Answer) {
-		c.happened(router.WitnessesAnswered{AttemptID: c.place.AttemptID, Result: control.WitnessOutcome(a)})
+// askWitnesses registers the request with the witnesses before it is sent.
+func (f *fleetRequest) askWitnesses(c *fleetConn) {
+	f.w.Call(f.n, control.Witness{Request: f.request.ID, SpareTime: c.placement.SpareTime}, func(a control.Answer) {
+		c.handleEvent(router.WitnessesAnswered{AttemptID: c.placement.AttemptID, Result: control.WitnessOutcome(a)})
 	})
 }
--- a/sim/fleetscenarios_test.go
+++ b/sim/fleetscenarios_test.go
@@ -11,50 +11,50 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 1, "seeds for each scene and shape; under the race detector a few scenes stand for all")
+	seeds = flag.Int("seeds", 1, "number of seeds for each scenario and shape; under the race detector only some scenarios are played")
 	first = flag.Uint64("seed", 1, "first seed")
 )
 
 func TestFleetScenarios(t *testing.T) {
 	for i, scenario := range FleetScenarios() {
-		if raced && i%8 != 0 {
+		if raceEnabled && i%8 != 0 {
 			continue
 		}
 		t.Run(testName(scenario.Name), func(t *testing.T) {
 			t.Parallel()
 			eachSeed(func(seed uint64) {
-				rehearseParallel(t, scenario, shape.Tramites(), seed)
-				rehearseParallel(t, scenario, shape.Atlas(), seed)
+				playFleetParallel(t, scenario, shape.Tramites(), seed)
+				playFleetParallel(t, scenario, shape.Atlas(), seed)
 			})
 		})
 	}
 }
 
-func rehearseParallel(t *testing.T, scenario FleetScenario, shape shape.Shape, seed uint64) {
+func playFleetParallel(t *testing.T, scenario FleetScenario, shape shape.Shape, seed uint64) {
 	t.Helper()
 	t.Run(fmt.Sprint(shape.Name, "/", seed), func(t *testing.T) {
 		t.Parallel()
-		rehearse(t, scenario, shape, seed)
+		playFleet(t, scenario, shape, seed)
 	})
 }
 
-func rehearse(t *testing.T, sc FleetScenario, sh shape.Shape, seed uint64) {
-	w := Run(sc.Scenario(sh, seed))
-	if w.trap != nil {
-		t.Error("the act in which a node was to freeze never came")
+func playFleet(t *testing.T, scenario FleetScenario, sh shape.Shape, seed uint64) {
+	w := Run(scenario.Scenario(sh, seed))
+	if w.onControlChange != nil {
+		t.Error("the voter change during which a node was to be frozen never began")
 	}
 	for _, b := range w.Audit.Breaches {
 		t.Error(b)
 	}
-	all := w.Report.Total()
-	if all.Done < 100 {
-		t.Errorf("only %d requests were done", all.Done)
+	total := w.Report.Total()
+	if total.Done < 100 {
+		t.Errorf("only %d requests were completed", total.Done)
 	}
-	if sc.NoFailures && all.Rejected+all.Lost+all.Partial+all.Unknown > 0 {
-		t.Errorf("denied %d, lost %d, partial %d, unknown %d", all.Rejected, all.Lost, all.Partial, all.Unknown)
+	if scenario.NoFailures && total.Rejected+total.Lost+total.Partial+total.Unknown > 0 {
+		t.Errorf("rejected %d, lost %d, partial %d, unknown %d, want none", total.Rejected, total.Lost, total.Partial, total.Unknown)
 	}
 	if puts(w.Scenario.Faults) && w.Report.PutsAccepted < 3 {
-		t.Errorf("only %d configurations were taken, %d denied", w.Report.PutsAccepted, w.Report.PutsRejected)
+		t.Errorf("only %d configurations were accepted, %d rejected", w.Report.PutsAccepted, w.Report.PutsRejected)
 	}
 	var out strings.Builder
 	w.Report.Write(&out)
@@ -68,18 +68,18 @@
 	return slices.ContainsFunc(fs, func(f Fault) bool { return f.Kind == PutStorm || f.Kind == ConcurrentPuts || f.Kind == LargePuts })
 }
 
-func TestSameSeedSameRun(t *testing.T) {
-	if raced {
-		t.Skip("a world is one goroutine; the plain run covers it")
+func TestSameSeedRepeatsRun(t *testing.T) {
+	if raceEnabled {
+		t.Skip("a world runs in one goroutine, so that the run without the race detector covers it")
 	}
-	scenes := FleetScenarios()
-	sc := scenes[len(scenes)-1]
+	scenarios := FleetScenarios()
+	scenario := scenarios[len(scenarios)-1]
 	var runs [2]string
 	for i := range runs {
-		w := Run(sc.Scenario(shape.Atlas(), 7))
+		w := Run(scenario.Scenario(shape.Atlas(), 7))
 		runs[i] = fmt.Sprint(w.Ran, w.Got, w.Net.Messages)
 	}
 	if runs[0] != runs[1] {
-		t.Error("one seed gave two different runs")
+		t.Error("two runs with the same seed differ")
 	}
 }
--- a/sim/grownshape.go
+++ b/sim/grownshape.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Bounds are the times and counts that the rules of a platform name.
+// Bounds are the times and counts in the rules of a platform.
 type Bounds struct {
-	// Settle is how long a machine must have been undisturbed before it counts as in touch.
+	// Settle is how long a machine must have been undisturbed before its data must be current.
 	Settle time.Duration
-	// Ack is how long an order may wait for its acknowledgement in a calm time.
+	// Ack is how long the acknowledgement of an order may take while the core is undisturbed.
 	Ack time.Duration
-	// Apply is how long after its acknowledgement a configuration must be obeyed.
+	// Apply is how long after its acknowledgement a configuration must be applied.
 	Apply time.Duration
-	// UnsettledExtra is what an unsettled core adds to Apply.
+	// UnsettledExtra is added to Apply and other bounds while the core is not settled.
 	UnsettledExtra time.Duration
-	// Drain is how long a replica that leaves may still be sent requests.
+	// Drain is how long requests may still be sent to a draining replica.
 	Drain time.Duration
 	// CatchUp is how long after its return a machine still counts as lost.
 	CatchUp time.Duration
 	// Recovery is how long after a closing fault requests must be served again.
 	Recovery time.Duration
-	// RetryExtra is how many second attempts a service may get in a window beyond its share.
+	// RetryExtra is how many retries a service may get within a retry window in addition to retryRatio of its requests.
 	RetryExtra int
 }
 
@@ -36,24 +36,24 @@
 	}
 }
 
-// NoFailures is the share of a large site's machines and replicas that SiteOf gives; FewMachines that of most simulated days, where all
-// machines with a disk remain and only their number of followers, replicas and requests is smaller.
+// AllMachines is the share of a large site's machines and replicas that SiteByName returns. FewMachines is the share in most simulated runs: all
+// machines with a disk remain, and only the numbers of other machines, replicas and requests are smaller.
 const (
 	AllMachines = 1.0
 	FewMachines = 0.25
-	// trafficScale is the share of the requests of a large site that is simulated: its control side is the matter here.
+	// trafficScale sets the request rates of a large site relative to those of a small one; it is low because these sites test the control plane.
 	trafficScale = 1.5
 )
 
-func partOf(n int, ratio float64, least int) int { return max(int(float64(n)*ratio), least) }
+func scaledCount(n int, ratio float64, least int) int { return max(int(float64(n)*ratio), least) }
 
-// GrownTramitesSite has the disks of the large site with zones of two disks each, and a share of its machines and replicas.
+// GrownTramitesSite returns the large site with two disks in each of three zones, and with a share of its machines and replicas.
 func GrownTramitesSite(ratio float64) SiteSpec {
 	const nodes, zones, disks, replicas = 88, 3, 6, 89
 	s := SiteSpec{
-		Shape: siteNodes("grown-tramites site", partOf(nodes, ratio, 2*disks), zones, disks), CrossZoneDelay: 500 * time.Microsecond, IdleRoutes: 40,
+		Shape: siteNodes("grown-tramites site", scaledCount(nodes, ratio, 2*disks), zones, disks), CrossZoneDelay: 500 * time.Microsecond, IdleRoutes: 40,
 		Bounds: grownBounds(216), FaultTolerance: 2, ListRate: 310,
-		Services: []ServiceSpec{llmService("permisos", partOf(replicas, ratio, zones), 437458), plainService("borrador", 4)},
+		Services: []ServiceSpec{llmService("permisos", scaledCount(replicas, ratio, zones), 437458), plainService("borrador", 4)},
 	}
 	s.Services[0].Slots, s.Services[0].QueueLimit, s.Services[0].WarmupRate = 24, 72, 18
 	s.Classes = siteTraffic{
@@ -63,13 +63,13 @@
 	return s
 }
 
-// GrownAtlasSite has the disks of the large site with one disk in each of five zones, and a share of its machines and replicas.
+// GrownAtlasSite returns the large site with one disk in each of five zones, and with a share of its machines and replicas.
 func GrownAtlasSite(ratio float64) SiteSpec {
 	const nodes, zones, disks, replicas = 72, 5, 5, 60
 	s := SiteSpec{
-		Shape: siteNodes("grown-atlas site", partOf(nodes, ratio, 2*disks), zones, disks), CrossZoneDelay: 1400 * time.Microsecond, IdleRoutes: 40,
+		Shape: siteNodes("grown-atlas site", scaledCount(nodes, ratio, 2*disks), zones, disks), CrossZoneDelay: 1400 * time.Microsecond, IdleRoutes: 40,
 		Bounds: grownBounds(184), FaultTolerance: 2, ListRate: 260,
-		Services: []ServiceSpec{llmService("logbook", partOf(replicas, ratio, zones), 827815), plainService("onair", 5)},
+		Services: []ServiceSpec{llmService("logbook", scaledCount(replicas, ratio, zones), 827815), plainService("onair", 5)},
 	}
 	s.Classes = siteTraffic{
 		llm: "logbook", plain: "onair", classes: [3]string{"reconcile", "award", "lookup"}, scale: ratio * trafficScale,
@@ -79,7 +79,7 @@
 	return s
 }
 
-// AllSites are the four sites of the users' platform, the large ones with that share of their machines.
+// AllSites returns the four sites of the users' platform, the large ones with that share of their machines.
 func AllSites(ratio float64) []SiteSpec {
 	return []SiteSpec{TramitesSite(), AtlasSite(), GrownTramitesSite(ratio), GrownAtlasSite(ratio)}
 }
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -11,63 +11,74 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// An Instance is one incarnation of a replica at an address.
+// Instance is one incarnation of a site's replica at an address.
 type Instance struct {
-	s           *site
-	ID, Addr    string
-	Zone        string
-	service     *ServiceSpec
-	pace        float64
-	engine      *engine.Engine
-	up, dark    bool
-	startedAt   time.Duration
-	leaves      time.Duration
-	ends        time.Duration
-	lost        bool
+	s        *site
+	ID, Addr string
+	Zone     string
+	service  *ServiceSpec
+	// slowdown multiplies the time of everything that the instance does.
+	slowdown float64
+	engine   *engine.Engine
+	// While unreachable is set, the instance receives and sends nothing, but its connections stay open.
+	up, unreachable bool
+	startedAt       time.Duration
+	// drainingSince and endedAt are never until the instance drains or ends.
+	drainingSince time.Duration
+	endedAt       time.Duration
+	// crashed is set if the instance ended by a crash; the platform's list then contains it for crashListedFor longer.
+	crashed bool
+	// warmupFrom and warmupUntil are the newest warm-up.
 	warmupFrom  time.Duration
 	warmupUntil time.Duration
 	sockets     []*socket
-	arrivals    []arrival
-	garble      garbling
+	arrivals    []requestArrival
+	corruption  responseCorruption
 }
 
-type arrival struct{ sent, at time.Duration }
+// requestArrival is when a request to an instance was sent and when it arrived.
+type requestArrival struct{ sent, at time.Duration }
 
-// A garble spoils the share of answers that Every gives: how is cut, inside, junk, surplus, late, reset or silent.
-type garbling struct {
-	every int
-	how   string
+// responseCorruption corrupts one in oneIn responses; 0 means none. kind is cut, inside, junk, surplus, late, reset or silent.
+type responseCorruption struct {
+	oneIn int
+	kind  string
 }
 
 const (
-	never       = time.Duration(1<<62 - 1)
-	lingers     = 1500 * time.Millisecond
-	closesEvery = 50
+	// never is the time of an event that has not happened.
+	never = time.Duration(1<<62 - 1)
+	// crashListedFor is how long the platform's list still contains a crashed instance.
+	crashListedFor = 1500 * time.Millisecond
+	// closeOneIn: one in so many responses asks for the connection to be closed.
+	closeOneIn = 50
 )
 
-func (s *site) launch(o *ServiceSpec, zone, addr string, pace float64, warm bool) *Instance {
-	s.born++
+// launch starts an instance at an address. Without warmUp, the instance counts as having run for a minute already.
+func (s *site) launch(service *ServiceSpec, zone, addr string, slowdown float64, warmUp bool) *Instance {
+	s.lastInstanceID++
 	i := &Instance{
-		s: s, ID: fmt.Sprintf("i-%d", s.born), Addr: addr, Zone: zone, service: o, pace: pace, engine: engine.New(&s.w.Queue, o.Spec),
-		up: true, startedAt: s.w.Now, leaves: never, ends: never,
+		s: s, ID: fmt.Sprintf("i-%d", s.lastInstanceID), Addr: addr, Zone: zone, service: service, slowdown: slowdown, engine: engine.New(&s.w.Queue, service.Spec),
+		up: true, startedAt: s.w.Now, drainingSince: never, endedAt: never,
 	}
 	i.engine.Slowdown = func() float64 {
 		if s.w.Now < i.warmupUntil {
-			return i.pace * 2
+			return i.slowdown * 2
 		}
-		return i.pace
+		return i.slowdown
 	}
-	if warm {
-		i.chill()
+	if warmUp {
+		i.startWarmup()
 	} else {
 		i.startedAt = -time.Minute
 	}
-	s.at[addr] = i
+	s.instanceAt[addr] = i
 	s.instances = append(s.instances, i)
 	return i
 }
 
-func (i *Instance) chill() {
+// startWarmup starts a warm-up, or extends the current one.
+func (i *Instance) startWarmup() {
 	if i.s.w.Now >= i.warmupUntil {
 		i.warmupFrom = i.s.w.Now
 	}
@@ -78,33 +89,33 @@
 	return i.service.WarmupRate > 0 && i.s.w.Now < i.warmupUntil
 }
 
-// drain has the list show that the instance leaves; it serves on for a little more than it must.
+// drain makes the list show the instance as draining; the instance then serves for 500 ms longer than it has to.
 func (i *Instance) drain() {
-	if !i.up || i.leaves != never {
+	if !i.up || i.drainingSince != never {
 		return
 	}
-	i.leaves = i.s.w.Now
+	i.drainingSince = i.s.w.Now
 	i.s.w.Tracef("%s at %s drains", i.ID, i.Addr)
-	i.s.w.After(listBehind+i.s.spec.Bounds.Drain+500*time.Millisecond, func() { i.end(false) })
+	i.s.w.After(listStaleness+i.s.spec.Bounds.Drain+500*time.Millisecond, func() { i.stop(false) })
 }
 
-// end is the end of an incarnation: planned, or as a crash, which the list notices late.
-func (i *Instance) end(crash bool) {
+// stop ends the incarnation, planned or as a crash, which the list shows only later.
+func (i *Instance) stop(crash bool) {
 	if !i.up {
 		return
 	}
-	i.up, i.ends, i.lost = false, i.s.w.Now, crash
+	i.up, i.endedAt, i.crashed = false, i.s.w.Now, crash
 	i.s.w.Tracef("%s at %s ends, crash: %v", i.ID, i.Addr, crash)
 	i.engine.Stop()
-	i.s.tallied(i)
+	i.s.addEngineCounters(i)
 	for _, k := range i.sockets {
-		k.harm()
-		k.down.send(func() { k.take(packet{reset: true}) })
+		k.markHarmed()
+		k.toNode.send(func() { k.receive(packet{reset: true}) })
 	}
 	i.sockets = nil
 }
 
-// accept takes a new connection, unless too many are open.
+// accept accepts a new connection unless too many are open.
 func (i *Instance) accept(k *socket) bool {
 	if !i.up || len(i.sockets) >= i.service.MaxConns {
 		return false
@@ -114,7 +125,7 @@
 	return true
 }
 
-func (i *Instance) hangup(k *socket) {
+func (i *Instance) connectionClosed(k *socket) {
 	i.sockets = slices.DeleteFunc(i.sockets, func(o *socket) bool { return o == k })
 	if k.job != nil {
 		i.engine.Cancel(k.job)
@@ -122,60 +133,62 @@
 	}
 }
 
-func (i *Instance) load() *router.ReplicaLoad {
+func (i *Instance) loadReport() *router.ReplicaLoad {
 	running, queued, slots := i.engine.Load()
 	return &router.ReplicaLoad{Replica: i.ID, Running: running, Queued: queued, Slots: slots}
 }
 
-func (i *Instance) head(r *sentRequest, status int) *head {
-	h := &head{status: status, attempt: r.attempt, instance: i.ID, load: i.load(), shut: i.leaves != never}
+func (i *Instance) newHead(r *sentRequest, status int) *responseHead {
+	h := &responseHead{status: status, attempt: r.attempt, instance: i.ID, load: i.loadReport(), closing: i.drainingSince != never}
 	return h
 }
 
-// serve takes a request that came in on a connection.
+// serve handles a request that arrived on a connection. An instance in warm-up that gets far too many requests in a second crashes.
 func (i *Instance) serve(k *socket, r *sentRequest) {
-	if !i.up || i.dark {
+	if !i.up || i.unreachable {
 		return
 	}
 	w := i.s.w
-	if r.target != "" && r.target != i.ID {
-		h := i.head(r, http.StatusMisdirectedRequest)
-		h.notRun = true
+	if r.targetInstance != "" && r.targetInstance != i.ID {
+		h := i.newHead(r, http.StatusMisdirectedRequest)
+		h.notExecuted = true
 		i.s.report.WrongInstance++
 		k.reply(packet{head: h, end: true})
 		return
 	}
-	i.s.rules.arrived(i, r)
-	i.arrivals = append(i.arrivals, arrival{sent: r.sent, at: w.Now})
-	if i.warmingUp() && i.recent() > 3*int(i.service.WarmupRate)+warmupSlack {
-		i.end(true)
+	i.s.rules.requestArrived(i, r)
+	i.arrivals = append(i.arrivals, requestArrival{sent: r.sent, at: w.Now})
+	if i.warmingUp() && i.arrivalsInLastSecond() > 3*int(i.service.WarmupRate)+warmupSlack {
+		i.stop(true)
 		return
 	}
-	j := i.job(k, r)
+	j := i.newJob(k, r)
 	if !i.engine.Submit(j) {
-		i.refuse(k, r)
+		i.reject(k, r)
 		return
 	}
 	k.job = j
 }
 
-func (i *Instance) recent() int {
+func (i *Instance) arrivalsInLastSecond() int {
 	var n int
-	for x := len(i.arrivals) - 1; x >= 0 && i.s.w.Now-i.arrivals[x].at < time.Second; x-- {
+	for k := len(i.arrivals) - 1; k >= 0 && i.s.w.Now-i.arrivals[k].at < time.Second; k-- {
 		n++
 	}
 	return n
 }
 
-func (i *Instance) refuse(k *socket, r *sentRequest) {
-	h := i.head(r, http.StatusServiceUnavailable)
-	h.notRun = true
+// reject responds that the request was not run.
+func (i *Instance) reject(k *socket, r *sentRequest) {
+	h := i.newHead(r, http.StatusServiceUnavailable)
+	h.notExecuted = true
 	k.reply(packet{head: h, end: true})
 }
 
-func (i *Instance) row(at time.Duration) router.Instance {
+// listRow is the instance's row in the platform's list of that time.
+func (i *Instance) listRow(at time.Duration) router.Instance {
 	r := router.Instance{
-		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.ModelName, Weights: "1", Capacity: i.service.Slots, Draining: i.leaves <= at,
+		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.ModelName, Weights: "1", Capacity: i.service.Slots, Draining: i.drainingSince <= at,
 	}
 	if i.warmupUntil > 0 && i.warmupFrom <= at {
 		r.WarmUpRemaining = max(i.warmupUntil-at, 0)
@@ -183,23 +196,23 @@
 	return r
 }
 
-// listed tells whether the list of that moment names the instance.
-func (i *Instance) listed(at time.Duration) bool {
-	until := i.ends
-	if i.lost && until != never {
-		until += lingers
+// listedAt reports whether the platform's list of that time contains the instance.
+func (i *Instance) listedAt(at time.Duration) bool {
+	until := i.endedAt
+	if i.crashed && until != never {
+		until += crashListedFor
 	}
 	return i.startedAt <= at && at < until
 }
 
-// shown is when the list first shows the instance as leaving or gone.
-func (i *Instance) shown() time.Duration {
-	at := min(i.leaves, i.ends)
-	if i.lost && i.leaves == never {
-		at = i.ends + lingers
+// listedAsLeavingAt returns when the list, as read by nodes, first shows the instance as draining or no longer contains it.
+func (i *Instance) listedAsLeavingAt() time.Duration {
+	at := min(i.drainingSince, i.endedAt)
+	if i.crashed && i.drainingSince == never {
+		at = i.endedAt + crashListedFor
 	}
 	if at == never {
 		return never
 	}
-	return at + listBehind
+	return at + listStaleness
 }
--- a/sim/instancejob.go
+++ b/sim/instancejob.go
@@ -8,69 +8,69 @@
 	"github.com/mallowbridge/mallowbridge/sim/engine"
 )
 
-// endsInsideEvent is the fault of a stream that ends with proper framing in the middle of an event.
-const endsInsideEvent = "inside"
+// truncatedEvent is the corruption of a stream that ends in the middle of an event, with correct HTTP framing.
+const truncatedEvent = "inside"
 
-// job makes the request's work; what is taken up is read as a longer prompt.
-func (i *Instance) job(k *socket, r *sentRequest) *engine.Job {
-	q := r.try.request
+// newJob returns the job of a request. The events that a resumed stream already has count as a longer prompt.
+func (i *Instance) newJob(k *socket, r *sentRequest) *engine.Job {
+	request := r.client.request
 	stride := max(i.service.Stride, 1)
-	j := &engine.Job{Blocks: q.parts, PromptTokens: max(q.prompt+r.after*stride, 1), OutputTokens: max((q.events-r.after)*stride, 1), WorkTime: q.work, Priority: r.rank, StartBy: r.until}
-	run := fmt.Sprintf("%s.%d", i.ID, i.engine.LastSeq+1)
-	headed := false
-	bad := ""
-	if g := i.garble; g.every > 0 && i.s.rng.IntN(g.every) == 0 && (g.how != endsInsideEvent || q.class.Streaming) {
-		bad = g.how
+	job := &engine.Job{Blocks: request.blocks, PromptTokens: max(request.promptTokens+r.afterEvent*stride, 1), OutputTokens: max((request.events-r.afterEvent)*stride, 1), WorkTime: request.workTime, Priority: r.priority, StartBy: r.deadline}
+	runID := fmt.Sprintf("%s.%d", i.ID, i.engine.LastSeq+1)
+	headSent := false
+	corruption := ""
+	if g := i.corruption; g.oneIn > 0 && i.s.rng.IntN(g.oneIn) == 0 && (g.kind != truncatedEvent || request.class.Streaming) {
+		corruption = g.kind
 	}
-	at := 0
-	if q.class.Streaming && q.events > 1 {
-		at = 1 + i.s.rng.IntN(q.events)
+	corruptFrom := 0
+	if request.class.Streaming && request.events > 1 {
+		corruptFrom = 1 + i.s.rng.IntN(request.events)
 	}
-	j.OnExpired = func() { i.refuse(k, r) }
-	j.OnStart = func() { i.s.rules.began(i, r) }
-	j.OnEvent = func(n int, last bool) {
-		n += r.after
-		p := packet{data: q.data(n, run), end: last}
-		if !headed {
-			headed = true
-			p.head = i.head(r, http.StatusOK)
-			p.head.seal, p.head.stream, p.head.shut = run, q.class.Streaming, p.head.shut || i.s.rng.IntN(closesEvery) == 0
+	job.OnExpired = func() { i.reject(k, r) }
+	job.OnStart = func() { i.s.rules.runStarted(i, r) }
+	job.OnEvent = func(n int, last bool) {
+		n += r.afterEvent
+		p := packet{data: request.responseData(n, runID), end: last}
+		if !headSent {
+			headSent = true
+			p.head = i.newHead(r, http.StatusOK)
+			p.head.seal, p.head.stream, p.head.closing = runID, request.class.Streaming, p.head.closing || i.s.rng.IntN(closeOneIn) == 0
 		}
 		if last {
 			k.job = nil
 		}
-		if bad != "" && (n >= at || last) && i.spoil(k, j, bad, p) {
+		if corruption != "" && (n >= corruptFrom || last) && i.corrupt(k, job, corruption, p) {
 			return
 		}
-		i.s.rules.made(r, n)
+		i.s.rules.eventMade(r, n)
 		k.reply(p)
 	}
-	return j
+	return job
 }
 
-// spoil sends what a replica in fault sends in the place of this packet, and tells whether the answer is over.
-func (i *Instance) spoil(k *socket, j *engine.Job, how string, p packet) bool {
+// corrupt sends what a faulty replica sends instead of this packet, and reports whether that ends the response.
+func (i *Instance) corrupt(k *socket, j *engine.Job, kind string, p packet) bool {
 	w := i.s.w
-	k.harm()
-	switch how {
+	k.markHarmed()
+	switch kind {
 	case "surplus", "late":
 		if !p.end {
 			return false
 		}
 		k.reply(p)
-		repeated := packet{head: p.head, data: p.data, end: true}
-		if repeated.head == nil {
-			repeated.head = &head{status: http.StatusOK, attempt: "another", instance: i.ID}
+		extra := packet{head: p.head, data: p.data, end: true}
+		if extra.head == nil {
+			extra.head = &responseHead{status: http.StatusOK, attempt: "another", instance: i.ID}
 		}
-		wait := time.Duration(0)
-		if how == "late" {
-			wait = time.Duration(i.s.rng.Int64N(int64(300 * time.Millisecond)))
+		delay := time.Duration(0)
+		if kind == "late" {
+			delay = time.Duration(i.s.rng.Int64N(int64(300 * time.Millisecond)))
 		}
-		w.After(wait, func() { k.reply(repeated) })
+		w.After(delay, func() { k.reply(extra) })
 		return true
 	case "cut":
 		p.data, p.end, p.reset = p.data[:len(p.data)/2], false, true
-	case endsInsideEvent:
+	case truncatedEvent:
 		p.data, p.end = p.data[:len(p.data)/2], true
 	case "reset":
 		p = packet{reset: true}
@@ -79,7 +79,7 @@
 	case "silent":
 		p = packet{}
 	}
-	if how != "silent" {
+	if kind != "silent" {
 		k.reply(p)
 	}
 	i.engine.Cancel(j)
--- a/sim/marathon.go
+++ b/sim/marathon.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	marathonLasts = 116 * sec
-	marathonFrom  = 11 * sec
-	marathonEnds  = 104 * sec
-	// atOnce is how many faults begin together.
-	atOnce = 3
+	marathonDuration = 116 * sec
+	marathonStart    = 11 * sec
+	marathonEnd      = 104 * sec
+	// faultsAtOnce is how many faults begin at about the same time.
+	faultsAtOnce = 3
 )
 
-// marathonKinds are the kinds of fault of a marathon by what they strike.
+// marathonKinds are the kinds of fault of a marathon by their targets.
 type marathonKinds struct {
 	onCore, onNodes, onReplicas, plain []string
 }
@@ -30,12 +30,12 @@
 	return kinds
 }
 
-// Marathon is a long day on which three faults at a time begin, drawn from all kinds, under orders that never pause.
+// Marathon returns a long scenario with constant operator orders, in which three random faults of all kinds begin at a time.
 func Marathon() SiteScenario {
-	return SiteScenario{Name: "marathon", Duration: marathonLasts, TrafficRatio: few, ClosingFaults: lossAndMore, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
-		fs := pressing(s, rng, marathonFrom, marathonEnds)
-		for at := marathonFrom + sec; at < marathonEnds-5*sec; at += time.Duration(2000+rng.IntN(2500)) * ms {
-			for range atOnce {
+	return SiteScenario{Name: "marathon", Duration: marathonDuration, TrafficRatio: controlDayTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+		fs := constantOrders(s, rng, marathonStart, marathonEnd)
+		for at := marathonStart + sec; at < marathonEnd-5*sec; at += time.Duration(2000+rng.IntN(2500)) * ms {
+			for range faultsAtOnce {
 				fs = append(fs, marathonFault(s, rng, at+time.Duration(rng.IntN(700))*ms))
 			}
 		}
@@ -51,18 +51,18 @@
 	}
 	switch rng.IntN(5) {
 	case 0, 1:
-		return one(drawn(rng, kinds.onCore...), at, lasts, AnyCore)
+		return newFault(pickOne(rng, kinds.onCore...), at, lasts, AnyCore)
 	case 2:
-		return one(drawn(rng, kinds.onNodes...), at, lasts, some(rng, nodeNames(s.Shape)[len(disks(s)):], 1+rng.IntN(2))...)
+		return newFault(pickOne(rng, kinds.onNodes...), at, lasts, pickSome(rng, nodeNames(s.Shape)[len(diskNodes(s)):], 1+rng.IntN(2))...)
 	case 3:
-		return one(drawn(rng, kinds.onReplicas...), at, lasts, s.Services[rng.IntN(len(s.Services))].Name)
+		return newFault(pickOne(rng, kinds.onReplicas...), at, lasts, s.Services[rng.IntN(len(s.Services))].Name)
 	}
-	f := one(drawn(rng, kinds.plain...), at, min(lasts, 6*sec))
+	f := newFault(pickOne(rng, kinds.plain...), at, min(lasts, 6*sec))
 	switch f.Kind {
 	case EvacuateFault:
-		f.On = some(rng, s.Shape.Zones, 1)
+		f.On = pickSome(rng, s.Shape.Zones, 1)
 	case CorruptResponses:
-		f.On = []string{drawn(rng, "cut", "reset", "late", "junk", "silent", "surplus")}
+		f.On = []string{pickOne(rng, "cut", "reset", "late", "junk", "silent", "surplus")}
 	}
 	return f
 }
--- a/sim/measure.go
+++ b/sim/measure.go
@@ -9,37 +9,40 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-// Measurement is a name and the times measured under it, in milliseconds.
+// Measurement is a named series of measured values, mostly times in milliseconds.
 type Measurement struct {
 	Name string
 	Ms   []int64
 }
 
+// measurement runs the measurements of one shape; seed is the current one.
 type measurement struct {
 	shape   shape.Shape
 	seed    uint64
 	results []Measurement
 }
 
-// Measure breaks one thing at a time in a calm fleet under load and times how long the fleet takes, for each seed.
+// Measure injects one fault at a time into an otherwise undisturbed fleet under load and measures how long the fleet takes to react, for each
+// seed.
 func Measure(shape shape.Shape, from, seeds uint64) []Measurement {
 	g := &measurement{shape: shape}
 	for g.seed = from; g.seed < from+seeds; g.seed++ {
-		g.lost("killed", func(n *Node) { n.kill() })
-		g.lost("frozen", func(n *Node) { n.freeze() })
-		g.lost("cut off", func(n *Node) { n.w.isolate([]*Node{n}, time.Minute, true, false) })
-		g.alone()
-		g.wakes()
-		g.orders()
-		g.handover()
-		g.restart()
-		g.stop()
-		g.tracks()
-		g.falseWarm()
+		g.failureDetection("killed", func(n *Node) { n.kill() })
+		g.failureDetection("frozen", func(n *Node) { n.freeze() })
+		g.failureDetection("cut off", func(n *Node) { n.w.isolateNodes([]*Node{n}, time.Minute, true, false) })
+		g.isolation()
+		g.wakeup()
+		g.configPut()
+		g.roleHandover()
+		g.replicaRestart()
+		g.fullStop()
+		g.ttlTracking()
+		g.falsePredictions()
 	}
 	return g.results
 }
 
+// world returns a fleet that has been running under load for 7 s.
 func (g *measurement) world() *World {
 	w := New(Scenario{Seed: g.seed, Shape: g.shape, Load: workload.Load{Classes: g.shape.Classes, Rate: 60, PrefixesPerClass: 24, HotRatio: 0.1}})
 	w.Boot()
@@ -48,7 +51,8 @@
 	return w
 }
 
-func (g *measurement) read(name string, w *World, from time.Duration, until func() bool) {
+// timeUntil runs the world until the condition holds, for at most 30 s after from, and adds the time since from under the name.
+func (g *measurement) timeUntil(name string, w *World, from time.Duration, until func() bool) {
 	for !until() && w.Now < from+30*time.Second {
 		w.Run(w.Now + 5*time.Millisecond)
 	}
@@ -65,7 +69,8 @@
 	g.results = append(g.results, Measurement{Name: name, Ms: []int64{ms}})
 }
 
-func (w *World) others(n *Node, all bool, test func(o *Node) bool) bool {
+// checkOthers reports whether the test holds for all (or, if all is false, any) live nodes other than n.
+func (w *World) checkOthers(n *Node, all bool, test func(o *Node) bool) bool {
 	for _, o := range w.Nodes {
 		if o != n && o.Alive && !o.frozen && test(o) != all {
 			return !all
@@ -74,58 +79,65 @@
 	return all
 }
 
-func (g *measurement) lost(how string, harm func(n *Node)) {
+// failureDetection measures when the first and the last node consider a node dead.
+func (g *measurement) failureDetection(name string, inject func(n *Node)) {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	from := w.Now
-	harm(n)
+	inject(n)
 	dead := func(o *Node) bool {
 		m, _ := o.node.Members.Table.Get(n.Name)
 		return m.State == membership.Dead
 	}
-	g.read(how+": first node knows", w, from, func() bool { return w.others(n, false, dead) })
-	g.read(how+": all nodes know", w, from, func() bool { return w.others(n, true, dead) })
+	g.timeUntil(name+": first node knows", w, from, func() bool { return w.checkOthers(n, false, dead) })
+	g.timeUntil(name+": all nodes know", w, from, func() bool { return w.checkOthers(n, true, dead) })
 }
 
-func (g *measurement) alone() {
+// isolation measures when a node that is cut off stops serving, and when it serves again after the partition.
+func (g *measurement) isolation() {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	from := w.Now
-	w.isolate([]*Node{n}, 6*time.Second, true, false)
-	g.read("cut off: it denies", w, from, func() bool { return n.router.NotReady(n.local()) != "" })
+	w.isolateNodes([]*Node{n}, 6*time.Second, true, false)
+	g.timeUntil("cut off: it denies", w, from, func() bool { return n.router.NotReady(n.localTime()) != "" })
 	w.Run(from + 6*time.Second)
-	g.read("cut healed: it serves", w, w.Now, func() bool { return n.router.NotReady(n.local()) == "" })
+	g.timeUntil("cut healed: it serves", w, w.Now, func() bool { return n.router.NotReady(n.localTime()) == "" })
 }
 
-func (g *measurement) wakes() {
+// wakeup measures when a node serves again after it was frozen for 6 s.
+func (g *measurement) wakeup() {
 	w := g.world()
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	n.freeze()
 	w.Run(w.Now + 6*time.Second)
 	n.thaw()
 	w.Run(w.Now + 100*time.Millisecond)
-	g.read("woken: it serves", w, w.Now-100*time.Millisecond, func() bool { return n.router.NotReady(n.local()) == "" })
+	g.timeUntil("woken: it serves", w, w.Now-100*time.Millisecond, func() bool { return n.router.NotReady(n.localTime()) == "" })
 }
 
-func (g *measurement) orders() {
+// configPut measures when a put is accepted and when all nodes apply it.
+func (g *measurement) configPut() {
 	w := g.world()
 	version := uint64(0)
 	from := w.Now
-	w.Put(w.someNode(), w.Nodes[0].router.Version(), w.varied(false), func(a control.Answer) {
+	w.Put(w.someNode(), w.Nodes[0].router.Version(), w.nextConfig(false), func(a control.Answer) {
 		if a.Err == nil {
 			version = a.Value.Version
 		}
 	})
-	g.read("put: accepted", w, from, func() bool { return version > 0 })
-	g.read("put: all nodes obey, after yes", w, w.Now, func() bool { return w.others(nil, true, func(o *Node) bool { return o.router.Version() >= version }) })
+	g.timeUntil("put: accepted", w, from, func() bool { return version > 0 })
+	g.timeUntil("put: all nodes obey, after yes", w, w.Now, func() bool {
+		return w.checkOthers(nil, true, func(o *Node) bool { return o.router.Version() >= version })
+	})
 }
 
-func (g *measurement) handover() {
+// roleHandover measures when another node holds the lease of a killed node's singleton role.
+func (g *measurement) roleHandover() {
 	w := g.world()
 	role := "probe/" + g.shape.Zones[w.rng.IntN(len(g.shape.Zones))]
 	holder := func() *Node {
 		for _, o := range w.Nodes {
-			for _, d := range o.node.HeldRoles(o.local()) {
+			for _, d := range o.node.HeldRoles(o.localTime()) {
 				if o.Alive && d == role {
 					return o
 				}
@@ -139,26 +151,28 @@
 	}
 	from := w.Now
 	n.kill()
-	g.read("duty: held by another", w, from, func() bool { return holder() != nil })
+	g.timeUntil("duty: held by another", w, from, func() bool { return holder() != nil })
 }
 
-func (g *measurement) restart() {
+// replicaRestart measures when all nodes distrust a crashed replica's instance, and when they trust the new one.
+func (g *measurement) replicaRestart() {
 	w := g.world()
 	r := w.Replicas[w.rng.IntN(len(w.Replicas))]
 	old := r.model.Instance
 	r.crash()
 	from := w.Now
-	doubts := func(o *Node) bool { return o.router.TrustedInstance(r.Name) != old }
-	g.read("replica crashed: all nodes see it", w, from, func() bool { return w.others(nil, true, doubts) })
+	distrusts := func(o *Node) bool { return o.router.TrustedInstance(r.Name) != old }
+	g.timeUntil("replica crashed: all nodes see it", w, from, func() bool { return w.checkOthers(nil, true, distrusts) })
 	w.Run(w.Now + time.Second)
 	from = w.Now
 	r.start(w.Now)
-	g.read("replica is back: all nodes see it", w, from, func() bool {
-		return w.others(nil, true, func(o *Node) bool { return o.router.TrustedInstance(r.Name) == r.model.Instance })
+	g.timeUntil("replica is back: all nodes see it", w, from, func() bool {
+		return w.checkOthers(nil, true, func(o *Node) bool { return o.router.TrustedInstance(r.Name) == r.model.Instance })
 	})
 }
 
-func (g *measurement) stop() {
+// fullStop measures when the first and the last node serve after all lost power.
+func (g *measurement) fullStop() {
 	w := g.world()
 	for _, n := range w.Nodes {
 		n.kill()
@@ -171,7 +185,7 @@
 	for _, n := range w.Nodes {
 		w.After(time.Duration(w.rng.Int64N(int64(time.Second))), n.start)
 	}
-	ready := func(n *Node) bool { return n.router.NotReady(n.local()) == "" }
-	g.read("full stop: first node serves", w, from, func() bool { return w.others(nil, false, ready) })
-	g.read("full stop: all nodes serve", w, from, func() bool { return w.Now > from+time.Second && w.others(nil, true, ready) })
+	isReady := func(n *Node) bool { return n.router.NotReady(n.localTime()) == "" }
+	g.timeUntil("full stop: first node serves", w, from, func() bool { return w.checkOthers(nil, false, isReady) })
+	g.timeUntil("full stop: all nodes serve", w, from, func() bool { return w.Now > from+time.Second && w.checkOthers(nil, true, isReady) })
 }
--- a/sim/measurettl.go
+++ b/sim/measurettl.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-const slower = 400 * time.Millisecond
+// slowBaseTime is the BaseTime of replicas that became slower.
+const slowBaseTime = 400 * time.Millisecond
 
-// predictionStats are the nodes' mean time to live of predictions, in milliseconds, and their counters, added up.
+// predictionStats are the nodes' mean time to live (TTL) of predictions in milliseconds, and the sums of their counters.
 type predictionStats struct {
 	ttl                    int64
 	early, stale, recorded uint64
@@ -16,48 +17,51 @@
 func (w *World) predictionStats() predictionStats {
 	var s predictionStats
 	for _, n := range w.Nodes {
-		h, t := n.router.IndexStats()
-		s.ttl += t.Milliseconds() / int64(len(w.Nodes))
-		s.early += h.EarlyExpiries
-		s.stale += h.StaleExpiries
-		s.recorded += h.Recorded
+		counters, ttl := n.router.IndexStats()
+		s.ttl += ttl.Milliseconds() / int64(len(w.Nodes))
+		s.early += counters.EarlyExpiries
+		s.stale += counters.StaleExpiries
+		s.recorded += counters.Recorded
 	}
 	return s
 }
 
-// tracks follows T while all replicas take longer to their first token for 40 s, and then no longer do.
-func (g *measurement) tracks() {
+// ttlTracking measures how the TTL of predictions (T) follows a time to first token that is longer for 40 s and then as before.
+func (g *measurement) ttlTracking() {
 	w := g.world()
 	w.Run(45 * time.Second)
 	base := w.Replicas[0].model.BaseTime
-	slow := func(d time.Duration) {
+	setBaseTime := func(d time.Duration) {
 		for _, r := range w.Replicas {
 			r.model.BaseTime = d
 		}
 	}
-	g.tell("T before", w)
+	g.addTTL("T before", w)
 	before := w.predictionStats()
-	slow(slower)
+	setBaseTime(slowBaseTime)
 	for i := range 4 {
 		w.Run(w.Now + 10*time.Second)
-		g.tell(fmt.Sprintf("T %d s after 340 ms more", 10*i+10), w)
+		g.addTTL(fmt.Sprintf("T %d s after 340 ms more", 10*i+10), w)
 	}
 	after := w.predictionStats()
 	g.add("per mille confirmed after T meanwhile", int64(1000*(after.early-before.early)/max(after.recorded-before.recorded, 1)))
-	slow(base)
+	setBaseTime(base)
 	w.Run(w.Now + 40*time.Second)
-	g.tell("T 40 s after it went", w)
+	g.addTTL("T 40 s after it went", w)
 }
 
-func (g *measurement) tell(name string, w *World) {
+func (g *measurement) addTTL(name string, w *World) {
 	g.add(name, w.predictionStats().ttl)
 }
 
-// falseWarm compares guesses that nothing confirmed, while replicas crash, with the source's estimate of rate, share and T.
-func (g *measurement) falseWarm() {
+// falsePredictions measures, while replicas crash, the share of predictions that were never confirmed and how many of them were live on
+// average (their rate over the 47 s of load times T).
+func (g *measurement) falsePredictions() {
 	w := g.world()
 	for i := range 10 {
-		w.At(w.Now+time.Duration(3*i)*time.Second, func() { w.Inject(Fault{Kind: ReplicaCrash, On: some(w.whim, replicaNames(), 2), For: 2 * time.Second}) })
+		w.At(w.Now+time.Duration(3*i)*time.Second, func() {
+			w.Inject(Fault{Kind: ReplicaCrash, On: pickSome(w.auxRNG, replicaNames(), 2), For: 2 * time.Second})
+		})
 	}
 	w.Run(52 * time.Second)
 	s := w.predictionStats()
--- a/sim/node.go
+++ b/sim/node.go
@@ -14,52 +14,65 @@
 	"github.com/mallowbridge/mallowbridge/transport"
 )
 
-// Node is a simulated machine of the fleet with its process: control state machine, router, disk and clock.
+// Node is a simulated machine of the fleet with its process: control state machine, router, disk and clocks.
 type Node struct {
-	w            *World
-	Name         string
-	Addr         string
-	Zone         string
-	Alive        bool
-	frozen       bool
-	rejecting    bool
+	w      *World
+	Name   string
+	Addr   string
+	Zone   string
+	Alive  bool
+	frozen bool
+	// rejecting is set while the node shuts down and answers every request with a rejection.
+	rejecting bool
+	// shuttingDown is set from the order to stop until the process ends.
 	shuttingDown bool
-	// shutdownAt is when the process was told to end, where retire is set.
-	shutdownAt  time.Duration
-	inbox       []func()
+	// shutdownAt is when the process was told to stop, if shuttingDown is set.
+	shutdownAt time.Duration
+	// inbox contains what arrived while the node was frozen.
+	inbox []func()
+	// incarnation is unique among all starts of all nodes; 0 while the process does not run.
 	incarnation uint64
-	frontendID  string
-	build       uint32
-	skew        time.Duration
-	wall        time.Duration
+	// frontendID is the node's name with the id of this start, as in attempt ids.
+	frontendID string
+	build      uint32
+	// clockOffset is added to the virtual time for the monotonic clock, wallOffset for the wall clock.
+	clockOffset time.Duration
+	wallOffset  time.Duration
 	node        *control.Node
 	router      *router.Router
 	journal     *control.Journal
 	Disk        *disk.Disk
-	slow        time.Duration
-	stall       bool
-	saving      bool
-	unsent      []control.LogWrite
-	asks        map[string]*fleetRequest
-	watchers    map[string]*watcher
-	tick        func()
-
-	requests    map[string]*proxyRequest
-	requestSeq  int
-	pool        pool
-	wakes       time.Duration
-	dark        bool
-	repairing   bool
-	serving     bool
+	// syncDelay is the extra time of each sync; while diskStalled is set, no sync completes.
+	syncDelay   time.Duration
+	diskStalled bool
+	writing     bool
+	// unwritten are entries that wait for the write in progress.
+	unwritten     []control.LogWrite
+	fleetRequests map[string]*fleetRequest
+	watchers      map[string]*watcher
+	tick          func()
+
+	requests   map[string]*proxyRequest
+	requestSeq int
+	pool       pool
+	// nextWake is when the router's next tick is scheduled; 0 if none is.
+	nextWake time.Duration
+	// poweredOff is set if the machine itself is down, so that nothing resets its connections.
+	poweredOff bool
+	// repairing is set while a failed disk is rewritten.
+	repairing bool
+	// accepting is set once the process accepts connections; until then they wait in acceptQueue.
+	accepting   bool
 	acceptQueue []func()
-	removed     bool
+	// removed is set if the machine was replaced for good.
+	removed bool
 }
 
 func newNode(w *World, i int, s shape.Node) *Node {
 	n := &Node{
 		w: w, Name: s.Name, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1), Zone: s.Zone,
-		skew: time.Duration(w.rng.Int64N(int64(100 * time.Hour))),
-		wall: time.Duration(w.whim.Int64N(int64(10 * time.Second))), asks: map[string]*fleetRequest{},
+		clockOffset: time.Duration(w.rng.Int64N(int64(100 * time.Hour))),
+		wallOffset:  time.Duration(w.auxRNG.Int64N(int64(10 * time.Second))), fleetRequests: map[string]*fleetRequest{},
 	}
 	if w.Scenario.MixNextBuild && i%2 == 0 {
 		n.build = transport.Build + 1
@@ -70,17 +83,20 @@
 	if s.Disk {
 		n.Disk = disk.New(w.Scenario.Seed*100 + uint64(i))
 	}
-	w.byAddr[n.Addr] = n
+	w.nodesByAddr[n.Addr] = n
 	return n
 }
 
-func (n *Node) local() time.Duration { return n.skew + n.w.Now }
+func (n *Node) localTime() time.Duration { return n.clockOffset + n.w.Now }
 
-func (n *Node) unixMs() uint64 { return uint64((w0 + n.w.Now + n.wall) / time.Millisecond) }
+func (n *Node) unixMs() uint64 {
+	return uint64((clockEpoch + n.w.Now + n.wallOffset) / time.Millisecond)
+}
 
-const w0 = 1_700_000_000 * time.Second
+// clockEpoch is the Unix time at which every run starts.
+const clockEpoch = 1_700_000_000 * time.Second
 
-func (n *Node) seeds() []string {
+func (n *Node) seedAddrs() []string {
 	var addrs []string
 	for _, o := range n.w.Nodes[:3] {
 		addrs = append(addrs, o.Addr)
@@ -88,17 +104,18 @@
 	return addrs
 }
 
+// start starts a new incarnation of the node's process.
 func (n *Node) start() {
 	if n.Alive {
 		return
 	}
 	w := n.w
-	w.incarnations++
-	n.reset(w.incarnations)
-	boot := strconv.FormatUint(w.whim.Uint64(), 36)
+	w.lastIncarnation++
+	n.reset(w.lastIncarnation)
+	boot := strconv.FormatUint(w.auxRNG.Uint64(), 36)
 	cfg := control.Config{
-		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seeds(), Boot: boot,
-		Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.whim.Uint64()), Seed: w.Scenario.Seed<<16 + n.incarnation,
+		Name: n.Name, Addr: n.Addr, Zone: n.Zone, Seeds: n.seedAddrs(), Boot: boot,
+		Incarnation: control.FirstIncarnation(time.UnixMilli(int64(n.unixMs())), w.auxRNG.Uint64()), Seed: w.Scenario.Seed<<16 + n.incarnation,
 		Membership: membership.Defaults(), Gossip: gossip.Defaults(), Build: n.build,
 	}
 	rc := router.Defaults(n.Name, boot, n.Zone)
@@ -109,7 +126,7 @@
 		n.Alive = false
 		return
 	}
-	n.node = control.New(n.local(), cfg)
+	n.node = control.New(n.localTime(), cfg)
 	n.frontendID = n.Name + "." + boot
 	rc.Scheduler.RoundRobin = w.Scenario.RoundRobin
 	n.router = router.New(rc)
@@ -119,20 +136,20 @@
 	w.Tracef("%s starts", n.Name)
 	n.startTicking()
 	if w.site != nil {
-		n.arm()
-		n.open(w.Now)
+		n.scheduleTick()
+		n.startAccepting(w.Now)
 	}
 }
 
-// reset gives the node's process the state that it has at the start of an incarnation.
+// reset puts the node's process into its state at the start of an incarnation.
 func (n *Node) reset(incarnation uint64) {
 	n.watchers, n.rejecting, n.shuttingDown = map[string]*watcher{}, false, false
-	n.incarnation, n.Alive, n.frozen, n.inbox, n.saving, n.unsent, n.journal = incarnation, true, false, nil, false, nil, nil
-	n.serving, n.acceptQueue = false, nil
-	n.dark, n.repairing, n.requests, n.pool, n.wakes = false, false, map[string]*proxyRequest{}, pool{}, 0
+	n.incarnation, n.Alive, n.frozen, n.inbox, n.writing, n.unwritten, n.journal = incarnation, true, false, nil, false, nil, nil
+	n.accepting, n.acceptQueue = false, nil
+	n.poweredOff, n.repairing, n.requests, n.pool, n.nextWake = false, false, map[string]*proxyRequest{}, pool{}, 0
 }
 
-// openJournal reads the node's disk; false where that fails, which is a breach.
+// openJournal reads the node's disk; it returns false and records a breach if that fails.
 func (n *Node) openJournal(cfg *control.Config) bool {
 	journal, err := control.OpenJournal(n.Disk, fmt.Sprintf("disk-%s-%d", n.Name, n.incarnation))
 	if err != nil {
@@ -156,16 +173,17 @@
 		if n.frozen {
 			return
 		}
-		n.novel()
+		n.gossipNovelty()
 		n.step(control.Tick{})
 		if w.site == nil {
-			n.decide(n.router.Step(n.local(), router.Tick{}))
+			n.handleDecisions(n.router.Step(n.localTime(), router.Tick{}))
 		}
 	}
 	n.tick()
 }
 
-func (n *Node) live(do func()) {
+// runIfAlive runs do if the process is alive; if it is frozen, after it thaws, unless it was killed in the meantime.
+func (n *Node) runIfAlive(do func()) {
 	incarnation := n.incarnation
 	wrapped := func() {
 		if n.Alive && n.incarnation == incarnation {
@@ -179,17 +197,18 @@
 	wrapped()
 }
 
+// later schedules do for this incarnation of the process.
 func (n *Node) later(d time.Duration, do func()) {
 	incarnation := n.incarnation
 	n.w.After(d, func() {
 		if n.incarnation == incarnation {
-			n.live(do)
+			n.runIfAlive(do)
 		}
 	})
 }
 
 func (n *Node) step(in control.Input) {
-	n.live(func() { n.carry(n.node.Step(n.local(), in)) })
+	n.runIfAlive(func() { n.handleOutput(n.node.Step(n.localTime(), in)) })
 }
 
 func (n *Node) kill() {
@@ -199,16 +218,16 @@
 	n.Alive = false
 	n.incarnation = 0
 	n.w.Tracef("%s is killed", n.Name)
-	for _, name := range sortedKeys(n.asks) {
-		n.asks[name].orphan()
+	for _, name := range sortedKeys(n.fleetRequests) {
+		n.fleetRequests[name].nodeStopped()
 	}
-	n.asks = map[string]*fleetRequest{}
-	n.halt()
+	n.fleetRequests = map[string]*fleetRequest{}
+	n.closeConnections()
 }
 
 func (n *Node) freeze() {
 	if n.Alive {
-		n.w.Tracef("%s freezes", n.Name)
+		n.w.Tracef("%s is frozen", n.Name)
 		n.frozen = true
 	}
 }
@@ -217,11 +236,11 @@
 	if !n.frozen {
 		return
 	}
-	n.w.Tracef("%s thaws", n.Name)
+	n.w.Tracef("%s is no longer frozen", n.Name)
 	n.frozen = false
-	box := n.inbox
+	queued := n.inbox
 	n.inbox = nil
-	for _, do := range box {
+	for _, do := range queued {
 		do()
 	}
 }
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -8,78 +8,81 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-func (n *Node) carry(out control.Output) {
+// handleOutput carries out what a step of the control state machine asks for.
+func (n *Node) handleOutput(out control.Output) {
 	w := n.w
 	n.sendAll(out.Sends)
 	if len(out.Writes) > 0 {
-		n.unsent = append(n.unsent, out.Writes...)
-		n.save()
+		n.unwritten = append(n.unwritten, out.Writes...)
+		n.writeJournal()
 	}
 	if out.ReadReplicaList {
-		n.list()
+		n.readReplicaList()
 	}
 	for _, ev := range out.Events {
-		n.decide(n.turn(ev))
+		n.handleDecisions(n.stepRouter(ev))
 		if o, ok := ev.(router.SnapshotUpdate); ok {
-			w.Audit.applies(n)
-			n.watch(o.Snapshot)
+			w.Audit.snapshotApplied(n)
+			n.watchReplicas(o.Snapshot)
 		}
 	}
 	for _, p := range out.Probes {
 		n.probe(p)
 	}
 	for _, name := range out.Reconnects {
-		n.watchers[name].poke()
+		n.watchers[name].reconnect()
 	}
-	n.logAll(out.Changes)
+	n.traceChanges(out.Changes)
 	for _, a := range out.Answers {
-		if done := w.answers[a.ID]; done != nil {
-			delete(w.answers, a.ID)
+		if done := w.pendingCalls[a.ID]; done != nil {
+			delete(w.pendingCalls, a.ID)
 			done(a)
 		}
 	}
 }
 
+// sendAll sends messages to other nodes. A message that the receiver's build cannot read is a breach.
 func (n *Node) sendAll(sends []control.Send) {
 	w := n.w
 	for _, s := range sends {
-		to := w.byAddr[s.To]
+		to := w.nodesByAddr[s.To]
 		if to == nil {
 			continue
 		}
-		if to.foreign(s.Msg) {
+		if to.cannotRead(s.Msg) {
 			w.Audit.breach(UnreadableFrame, to.Name, fmt.Sprintf("%T from %s", s.Msg, n.Name))
 			continue
 		}
 		msgs, delays := w.Net.Deliver(n.Addr, s.To, n.Zone == to.Zone, s.Msg, fmt.Sprintf("%T", s.Msg))
 		for i, m := range msgs {
-			w.After(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.speaks(), Msg: m}) })
+			w.After(delays[i], func() { to.step(control.Received{From: n.Addr, Build: n.buildNumber(), Msg: m}) })
 		}
 	}
 }
 
-func (n *Node) logAll(changes []control.Change) {
+func (n *Node) traceChanges(changes []control.Change) {
 	for _, c := range changes {
 		n.w.Tracef("%s %s: %s", n.Name, c.What, c.Detail)
-		if n.w.trap != nil {
-			n.w.trap(n, c.What)
+		if n.w.onControlChange != nil {
+			n.w.onControlChange(n, c.What)
 		}
 	}
 }
 
-func (n *Node) save() {
-	if n.saving || n.stall || len(n.unsent) == 0 {
+// writeJournal writes all waiting entries in one batch, after the write in progress.
+func (n *Node) writeJournal() {
+	if n.writing || n.diskStalled || len(n.unwritten) == 0 {
 		return
 	}
-	n.saving = true
-	batch := n.unsent
-	n.unsent = nil
-	d := time.Millisecond + time.Duration(n.w.rng.Int64N(int64(4*time.Millisecond))) + n.slow
+	n.writing = true
+	batch := n.unwritten
+	n.unwritten = nil
+	d := time.Millisecond + time.Duration(n.w.rng.Int64N(int64(4*time.Millisecond))) + n.syncDelay
 	n.later(d, func() {
-		n.saving = false
+		n.writing = false
 		err := n.journal.Append(batch)
 		n.step(control.Persisted{Seq: batch[len(batch)-1].Seq, Err: err})
-		n.save()
+		n.writeJournal()
 		if err != nil && n.w.site != nil && !n.repairing {
 			n.repairDisk()
 		}
--- a/sim/norace_test.go
+++ b/sim/norace_test.go
@@ -2,4 +2,4 @@
 
 package sim
 
-const raced = false
+const raceEnabled = false
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -11,178 +11,190 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// operators send orders to any node and repeat them elsewhere until one answers clearly.
+// operators send orders to random nodes and repeat each at other nodes until one gives a clear outcome.
 type operators struct {
-	s    *site
-	rng  *rand.Rand
-	last uint64
-	n    int
-	// acked is called once, right after the next order that is acknowledged.
-	acked func(n *Node)
-	// ungated takes the gate out, for orders that lay in the socket of a node that stood still.
-	ungated bool
-	// underWay is how many changes of a rapid run are not settled yet.
-	underWay int
-	// losses are the times in which answers to operators are lost.
-	losses []ackLoss
-	// taken are the changes that were acknowledged, to be sent again.
-	taken []*order
+	s   *site
+	rng *rand.Rand
+	// lastRevision is the newest revision number used, lastOrder the number of the newest order id.
+	lastRevision uint64
+	lastOrder    int
+	// onNextAck is called once, right after the next acknowledgement, with the node that gave it.
+	onNextAck func(n *Node)
+	// gateDisabled lets nodes execute orders that were waiting in the socket while the node was frozen.
+	gateDisabled bool
+	// inFlight counts the rapid changes that are not settled yet.
+	inFlight int
+	// ackLosses are the times in which responses to operators are lost.
+	ackLosses []ackLoss
+	// accepted are the acknowledged changes, which may be sent again.
+	accepted []*order
 }
 
-// An order is one call of an operator, sent unchanged to node after node.
+// order is one operator request, sent unchanged to one node after the other.
 type order struct {
-	op      control.Op
-	v       *version
-	base    uint64
-	from    time.Duration
-	until   time.Duration
-	calls   int
-	over    bool
+	op           control.Op
+	version      *version
+	baseRevision uint64
+	// sentAt is when the order was first sent, giveUpAt when it is no longer repeated.
+	sentAt   time.Duration
+	giveUpAt time.Duration
+	calls    int
+	settled  bool
+	// unclear is set if a call may have been executed without a clear response.
 	unclear bool
-	forced  bool
-	// answerLost says that an answer to it was lost on its way; repeated that it was acknowledged before.
+	// untilAcked makes operators repeat the order without a time limit.
+	untilAcked bool
+	// answerLost is set if a response to the order was lost; repeated if the order was acknowledged before and is sent again.
 	answerLost, repeated bool
-	end                  func(acked bool)
+	onSettled            func(acked bool)
 }
 
-type fate uint8
+// outcome is the outcome of a call or an order.
+type outcome uint8
 
 const (
-	acked fate = iota + 1
-	refused
+	acknowledged outcome = iota + 1
+	rejected
 	unclear
 )
 
-func fateOf(err error) fate {
+// outcomeOf returns the outcome of a call: a conflict or an invalid configuration is a rejection, any other error is unclear.
+func outcomeOf(err error) outcome {
 	var conflict *register.ConflictError
 	var bad *config.InvalidError
 	switch {
 	case err == nil:
-		return acked
+		return acknowledged
 	case errors.As(err, &conflict), errors.As(err, &bad):
-		return refused
+		return rejected
 	}
 	return unclear
 }
 
-const callAnew = time.Second
+// callTimeout is how long operators wait for a response before they try another node.
+const callTimeout = time.Second
 
+// send sends an order until it is settled.
 func (o *operators) send(d *order) {
-	d.from, d.until = o.s.w.Now, o.s.w.Now+o.s.spec.Bounds.Ack+2*time.Second
-	if d.forced {
-		d.until = never
+	d.sentAt, d.giveUpAt = o.s.w.Now, o.s.w.Now+o.s.spec.Bounds.Ack+2*time.Second
+	if d.untilAcked {
+		d.giveUpAt = never
 	}
-	if d.v != nil && !d.repeated {
-		o.s.rules.offered(d.v)
-		d.v.base, d.v.refused = d.base, d.v.flawed
+	if d.version != nil && !d.repeated {
+		o.s.rules.versionSent(d.version)
+		d.version.base, d.version.rejected = d.baseRevision, d.version.invalid
 	}
-	o.try(d, 100*time.Millisecond)
+	o.call(d, 100*time.Millisecond)
 }
 
-func (o *operators) try(d *order, pause time.Duration) {
+// call sends the order to a random node, and again to another one after pause, or callTimeout without a response, until it is settled.
+func (o *operators) call(d *order, pause time.Duration) {
 	w := o.s.w
-	if d.over {
+	if d.settled {
 		return
 	}
-	if w.Now >= d.until {
-		o.finishOrder(d, nil, unclear)
+	if w.Now >= d.giveUpAt {
+		o.settle(d, nil, unclear)
 		return
 	}
 	d.calls++
 	call := d.calls
-	next := func(wait time.Duration) {
+	retryAfter := func(wait time.Duration) {
 		w.After(wait, func() {
 			if call == d.calls {
-				o.try(d, min(2*pause, time.Second))
+				o.call(d, min(2*pause, time.Second))
 			}
 		})
 	}
 	n := w.Nodes[o.rng.IntN(len(w.Nodes))]
 	if !n.Alive {
-		next(pause)
+		retryAfter(pause)
 		return
 	}
 	sent := w.Now
 	w.After(clientDelay, func() {
-		if o.gated(n) {
+		if o.rejectedByGate(n) {
 			d.unclear = true
 			return
 		}
-		w.Call(n, o.callOf(d), func(a control.Answer) {
-			overdue := w.Now-sent > callAnew || call != d.calls
-			if o.answered(d, n, a, overdue) {
-				next(pause)
+		w.Call(n, o.opFor(d), func(a control.Answer) {
+			late := w.Now-sent > callTimeout || call != d.calls
+			if o.callAnswered(d, n, a, late) {
+				retryAfter(pause)
 			}
 		})
 	})
-	next(callAnew)
+	retryAfter(callTimeout)
 }
 
-// answered takes in the answer to one call of an order, and tells whether another is to follow it. Nobody waits for a late one any more.
-func (o *operators) answered(d *order, n *Node, a control.Answer, overdue bool) bool {
-	f := fateOf(a.Err)
+// callAnswered handles the response to one call of an order, and reports whether the order must be sent again. A response after callTimeout has
+// no receiver any more.
+func (o *operators) callAnswered(d *order, n *Node, a control.Answer, late bool) bool {
+	result := outcomeOf(a.Err)
 	switch {
-	case o.loses():
+	case o.losesAck():
 		d.unclear, d.answerLost = true, true
-		o.extend(d)
-	case d.over || overdue:
+		o.extendDeadline(d)
+	case d.settled || late:
 		d.unclear = true
-	case f == unclear:
+	case result == unclear:
 		d.unclear = true
 		return true
 	default:
-		o.finishOrder(d, n, f)
+		o.settle(d, n, result)
 	}
 	return false
 }
 
-// rival looks for another change that was taken on top of the same version.
-func (o *operators) rival(v *version, d *order) {
-	for _, x := range o.s.rules.versions {
-		if x != v && x.acked > 0 && (x.base == d.base && d.base > 0 || x.revision == v.revision) {
-			o.s.rules.breach(RuleInvalidAccepted, fmt.Sprint(v.revision), "and %d, both on top of %d", x.revision, d.base)
+// checkConflictingAck checks that no other change on top of the same revision, or with the same revision number, was acknowledged.
+func (o *operators) checkConflictingAck(v *version, d *order) {
+	for _, other := range o.s.rules.versions {
+		if other != v && other.ackedAt > 0 && (other.base == d.baseRevision && d.baseRevision > 0 || other.revision == v.revision) {
+			o.s.rules.breach(RuleInvalidAccepted, fmt.Sprint(v.revision), "and %d were both accepted on top of %d", other.revision, d.baseRevision)
 		}
 	}
 }
 
 func (o *operators) id() string {
-	o.n++
-	return fmt.Sprintf("order-%d", o.n)
+	o.lastOrder++
+	return fmt.Sprintf("order-%d", o.lastOrder)
 }
 
+// revision returns a new revision number, which may skip some.
 func (o *operators) revision() uint64 {
-	o.last += 1 + uint64(o.rng.IntN(3))
-	return o.last
+	o.lastRevision += 1 + uint64(o.rng.IntN(3))
+	return o.lastRevision
 }
 
-// open puts the first document, again and again until it is taken.
-func (o *operators) open() {
-	c := o.s.spec.first()
+// putFirst puts the first configuration until it is accepted.
+func (o *operators) putFirst() {
+	c := o.s.spec.firstConfig()
 	c.Revision = o.revision()
 	v := &version{revision: c.Revision, doc: c, raw: writeDocument(c)}
-	o.send(&order{op: control.Edit{ID: o.id(), Apply: putEdit(0, v.raw)}, v: v, forced: true})
+	o.send(&order{op: control.Edit{ID: o.id(), Apply: putEdit(0, v.raw)}, version: v, untilAcked: true})
 }
 
-// put replaces the document by what vary makes of the newest one; patch says only what differs.
+// put changes the newest known configuration with vary, and sends the result as a whole document or as a patch.
 func (o *operators) put(vary func(c *config.Config), end func(v *version, acked bool)) {
 	base := o.base()
 	if base == nil {
 		return
 	}
-	o.put2(base, o.revision(), vary, end)
+	o.putOn(base, o.revision(), vary, end)
 }
 
-func (o *operators) put2(base *version, revision uint64, vary func(c *config.Config), end func(v *version, acked bool)) {
+// putOn sends a change of base under a given revision number.
+func (o *operators) putOn(base *version, revision uint64, vary func(c *config.Config), end func(v *version, acked bool)) {
 	c := base.clone()
 	vary(&c)
 	c.Revision = revision
 	v := &version{revision: c.Revision, doc: c, raw: writeDocument(c)}
 	e := putEdit(base.revision, v.raw)
 	if o.rng.IntN(2) == 0 {
-		e = patchEdit(base.revision, c.Revision, c.Routes, gone(base.doc.Routes, c.Routes))
+		e = patchEdit(base.revision, c.Revision, c.Routes, removedRoutes(base.doc.Routes, c.Routes))
 		v.raw, _ = e(base.raw)
 	}
-	o.send(&order{op: control.Edit{ID: o.id(), BaseVersion: base.revision, Apply: e}, v: v, base: base.revision, end: func(ok bool) {
+	o.send(&order{op: control.Edit{ID: o.id(), BaseVersion: base.revision, Apply: e}, version: v, baseRevision: base.revision, onSettled: func(ok bool) {
 		if end != nil {
 			end(v, ok)
 		}
@@ -195,7 +207,8 @@
 	return c
 }
 
-func gone(old, added []config.Route) []string {
+// removedRoutes returns the names of routes that only old has.
+func removedRoutes(old, added []config.Route) []string {
 	kept := map[string]bool{}
 	for _, r := range added {
 		kept[r.Name] = true
--- a/sim/ordersettle.go
+++ b/sim/ordersettle.go
@@ -2,57 +2,57 @@
 
 import "fmt"
 
-// finishOrder ends an order. One that was answered vaguely before may be in force though it was refused.
-func (o *operators) finishOrder(d *order, n *Node, f fate) {
-	w, v := o.s.w, d.v
-	d.over = true
+// settle ends an order and checks its outcome. An order with an unclear outcome at one node may be in force although another node rejected it.
+func (o *operators) settle(d *order, n *Node, result outcome) {
+	w, v := o.s.w, d.version
+	d.settled = true
 	if d.repeated {
-		o.repeated(d, n, f)
+		o.checkResend(d, n, result)
 		return
 	}
-	w.Tracef("order %d is settled: %v after %s", d.base, f, w.Now-d.from)
+	w.Tracef("order on top of revision %d is settled with outcome %v after %s", d.baseRevision, result, w.Now-d.sentAt)
 	if v != nil {
-		o.judgeVersion(d, n, f)
+		o.versionSettled(d, n, result)
 	}
-	if f != acked && o.owedAnswer(d) && w.Now-d.from >= o.s.spec.Bounds.Ack && o.s.rules.still("", d.from, w.Now) {
-		o.s.rules.breach(RuleNotAcknowledged, fmt.Sprint(d.base), "not within %s", w.Now-d.from)
+	if result != acknowledged && o.ackOwed(d) && w.Now-d.sentAt >= o.s.spec.Bounds.Ack && o.s.rules.undisturbed("", d.sentAt, w.Now) {
+		o.s.rules.breach(RuleNotAcknowledged, fmt.Sprint(d.baseRevision), "not acknowledged within %s", w.Now-d.sentAt)
 	}
-	if f == acked && o.acked != nil {
-		then := o.acked
-		o.acked = nil
-		then(n)
+	if result == acknowledged && o.onNextAck != nil {
+		callback := o.onNextAck
+		o.onNextAck = nil
+		callback(n)
 	}
-	if d.end != nil {
-		d.end(f == acked)
+	if d.onSettled != nil {
+		d.onSettled(result == acknowledged)
 	}
 }
 
-// owedAnswer tells whether the order should have been acknowledged: a proper one that no other overtook, and whose answers came.
-func (o *operators) owedAnswer(d *order) bool {
-	if d.forced || d.answerLost {
+// ackOwed reports whether the order should have been acknowledged: it is valid, no other change overtook it, and no response to it was lost.
+func (o *operators) ackOwed(d *order) bool {
+	if d.untilAcked || d.answerLost {
 		return false
 	}
-	return d.v == nil || !d.v.flawed && !o.overtaken(d)
+	return d.version == nil || !d.version.invalid && !o.overtaken(d)
 }
 
-// judgeVersion notes what became of a configuration, and judges whether it may have.
-func (o *operators) judgeVersion(d *order, n *Node, f fate) {
-	v := d.v
+// versionSettled records the outcome of a configuration change and checks it.
+func (o *operators) versionSettled(d *order, n *Node, result outcome) {
+	v := d.version
 	switch {
-	case f == acked && v.flawed:
-		o.s.rules.breach(RuleInvalidAccepted, fmt.Sprint(v.revision), "flawed, and taken by %s", n.Name)
-	case f == acked:
-		v.acked = o.s.w.Now
+	case result == acknowledged && v.invalid:
+		o.s.rules.breach(RuleInvalidAccepted, fmt.Sprint(v.revision), "invalid, but accepted by %s", n.Name)
+	case result == acknowledged:
+		v.ackedAt = o.s.w.Now
 		o.s.report.PutsAccepted++
-		o.rival(v, d)
-		o.taken = append(o.taken, d)
-		o.inForce(v)
-	case f == refused && !v.flawed:
-		o.denied(d, n)
+		o.checkConflictingAck(v, d)
+		o.accepted = append(o.accepted, d)
+		o.markInForce(v)
+	case result == rejected && !v.invalid:
+		o.checkRejection(d, n)
 		if d.unclear {
 			return
 		}
-		v.refused = true
+		v.rejected = true
 		o.s.report.PutsRejected++
 	}
 }
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -9,110 +9,118 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-const maxPredictions = 2 * time.Second
+// maxPredictionTTL is the longest time for which a predicted prefix block may be counted on.
+const maxPredictionTTL = 2 * time.Second
 
+// predictionKey is a prefix block at a replica as seen by one frontend. instance is empty in predictions and on sites.
 type predictionKey struct {
-	front, replica, instance string
-	part                     prefixindex.Key
+	frontend, replica, instance string
+	block                       prefixindex.Key
 }
 
+// prefixOwner returns the replica that prefills the prompt.
 func (c *fleetConn) prefixOwner() *FleetReplica {
-	if c.place.Prefill != "" {
-		return c.request.w.byURL[c.place.Prefill]
+	if c.placement.Prefill != "" {
+		return c.request.w.replicasByAddr[c.placement.Prefill]
 	}
 	return c.replica
 }
 
-func (c *fleetConn) keys() ([]predictionKey, []int) {
-	parts, _ := prefixindex.Parse(shape.ModelName, c.request.ask.Prefix)
+// predictionKeys returns the keys of the request's prefix blocks and their numbers of tokens.
+func (c *fleetConn) predictionKeys() ([]predictionKey, []int) {
+	blocks, _ := prefixindex.Parse(shape.ModelName, c.request.request.Prefix)
 	var tokens []int
 	var keys []predictionKey
-	for _, p := range parts {
-		keys, tokens = append(keys, predictionKey{front: c.request.n.frontendID, replica: c.prefixOwner().Name, part: p.Key}), append(tokens, p.Tokens)
+	for _, block := range blocks {
+		keys, tokens = append(keys, predictionKey{frontend: c.request.n.frontendID, replica: c.prefixOwner().Name, block: block.Key}), append(tokens, block.Tokens)
 	}
 	return keys, tokens
 }
 
-// placed compares what a placement counted on with what its node can have seen: its own commits and their answers.
-func (a *Audit) placed(f *fleetRequest, c *fleetConn) {
-	keys, tokens := c.keys()
-	a.counted(placementCheck{f.n, f.ask.ID, c.place, keys, tokens}, func(key predictionKey) bool { return a.proof(f.n, c.prefixOwner(), key) })
+// attemptPlaced compares the tokens that a placement counted on with what its node can know: its own attempts and the responses to them.
+func (a *Audit) attemptPlaced(f *fleetRequest, c *fleetConn) {
+	keys, tokens := c.predictionKeys()
+	a.checkPrediction(placementCheck{f.n, f.request.ID, c.placement, keys, tokens}, func(key predictionKey) bool { return a.isProven(f.n, c.prefixOwner(), key) })
 }
 
-// A placementCheck is a decision of a node, with the parts of the prompt that it may have counted on and the tokens of each.
+// placementCheck is a decision of a node, with the prefix blocks of the prompt and their numbers of tokens.
 type placementCheck struct {
 	node     *Node
 	request  string
 	decision router.Decision
-	keys     []predictionKey
+	blocks   []predictionKey
 	tokens   []int
 }
 
-// counted compares the tokens that a decision counted on with those that are proved, and with those that may be predicted.
-func (a *Audit) counted(c placementCheck, proved func(key predictionKey) bool) {
-	sure, all, certain := 0, 0, true
-	for i, key := range c.keys {
+// checkPrediction compares the tokens that a decision counted on with those in proven blocks, and with those in proven or still predicted blocks.
+func (a *Audit) checkPrediction(c placementCheck, proved func(key predictionKey) bool) {
+	provenTokens, allowedTokens, allProven := 0, 0, true
+	for i, key := range c.blocks {
 		proof := proved(key)
 		if !proof && a.w.Now >= a.predictions[key] {
 			break
 		}
-		certain = certain && proof
-		all += c.tokens[i]
-		if certain {
-			sure += c.tokens[i]
+		allProven = allProven && proof
+		allowedTokens += c.tokens[i]
+		if allProven {
+			provenTokens += c.tokens[i]
 		}
 	}
-	if c.decision.ConfirmedTokens > sure {
-		a.breach(UnprovenConfirmation, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, c.decision.ConfirmedTokens, sure, c.decision.Replica))
+	if c.decision.ConfirmedTokens > provenTokens {
+		a.breach(UnprovenConfirmation, c.request, fmt.Sprintf("%s counted on %d tokens, at most %d allowed, at %s", c.node.Name, c.decision.ConfirmedTokens, provenTokens, c.decision.Replica))
 	}
-	if counted := c.decision.ConfirmedTokens + c.decision.PredictedTokens; counted > all {
-		a.breach(StalePrediction, c.request, fmt.Sprintf("%s counted on %d of %d tokens at %s", c.node.Name, counted, all, c.decision.Replica))
+	if expected := c.decision.ConfirmedTokens + c.decision.PredictedTokens; expected > allowedTokens {
+		a.breach(StalePrediction, c.request, fmt.Sprintf("%s counted on %d tokens, at most %d allowed, at %s", c.node.Name, expected, allowedTokens, c.decision.Replica))
 	}
-	_, t := c.node.router.IndexStats()
-	for _, key := range c.keys {
-		a.predictions[key] = max(a.predictions[key], a.w.Now+min(t, maxPredictions))
+	_, ttl := c.node.router.IndexStats()
+	for _, key := range c.blocks {
+		a.predictions[key] = max(a.predictions[key], a.w.Now+min(ttl, maxPredictionTTL))
 	}
 }
 
-// recordPrediction does the same for a trip, whose replica is one incarnation.
-func (t *proxyRequest) recordPrediction() {
+// checkPrediction does the same for a request through the proxy, where a replica name is one incarnation.
+func (t *proxyRequest) checkPrediction() {
 	a := t.n.w.Audit
-	keys, tokens := t.keys()
-	a.counted(placementCheck{t.n, t.attempt.id, t.exchange.Placement, keys, tokens}, func(key predictionKey) bool { return a.proofs[key] })
+	keys, tokens := t.predictionKeys()
+	a.checkPrediction(placementCheck{t.n, t.attempt.id, t.exchange.Placement, keys, tokens}, func(key predictionKey) bool { return a.proofs[key] })
 }
 
-func (t *proxyRequest) keys() ([]predictionKey, []int) {
+func (t *proxyRequest) predictionKeys() ([]predictionKey, []int) {
 	var tokens []int
 	var keys []predictionKey
-	for _, p := range t.attempt.request.parts {
-		keys, tokens = append(keys, predictionKey{front: t.n.frontendID, replica: t.exchange.Placement.Replica, part: p.Key}), append(tokens, p.Tokens)
+	for _, block := range t.attempt.request.blocks {
+		keys, tokens = append(keys, predictionKey{frontend: t.n.frontendID, replica: t.exchange.Placement.Replica, block: block.Key}), append(tokens, block.Tokens)
 	}
 	return keys, tokens
 }
 
-func (t *proxyRequest) confirmed() {
-	keys, _ := t.keys()
+// recordProofs records that a response confirmed the request's prefix blocks.
+func (t *proxyRequest) recordProofs() {
+	keys, _ := t.predictionKeys()
 	for _, key := range keys {
 		t.n.w.Audit.proofs[key] = true
 	}
 }
 
-func (a *Audit) proof(n *Node, r *FleetReplica, key predictionKey) bool {
+// isProven reports whether a response confirmed the block at the replica's instance, or at the previous one if the node need not know of the
+// restart yet.
+func (a *Audit) isProven(n *Node, r *FleetReplica, key predictionKey) bool {
 	key.instance = r.model.Instance
 	if a.proofs[key] {
 		return true
 	}
-	key.instance = r.before
-	return a.proofs[key] && !a.late(n, versionFact{at: r.since, zone: r.Zone}, leavingWithin)
+	key.instance = r.previousInstance
+	return a.proofs[key] && !a.overdue(n, versionFact{at: r.startedAt, zone: r.Zone}, drainWithin)
 }
 
-func (a *Audit) proved(c *fleetConn, inst string) {
-	if c.place.Prefill != "" {
-		inst = c.prefixOwner().model.Instance
+// addProofs records that a response of an instance confirmed the request's prefix blocks.
+func (a *Audit) addProofs(c *fleetConn, instance string) {
+	if c.placement.Prefill != "" {
+		instance = c.prefixOwner().model.Instance
 	}
-	keys, _ := c.keys()
+	keys, _ := c.predictionKeys()
 	for _, key := range keys {
-		key.instance = inst
+		key.instance = instance
 		a.proofs[key] = true
 	}
 }
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -10,229 +10,238 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// A proxyRequest takes one attempt through a node: it carries out the actions of proxy's exchange, one after the other, as proxy's transfer does.
+// proxyRequest carries one attempt through a node: it performs the actions of a proxy.Exchange one after the other, as package proxy does with
+// real connections.
 type proxyRequest struct {
-	n           *Node
-	incarnation uint64
-	attempt     *clientAttempt
-	exchange    proxy.Exchange
-	conn        *socket
-	answerHead  *head
-	events      proxy.EventStream
-	body        []byte
-	arrived     time.Duration
-	deadline    time.Duration
-	mode        mode
-	turn        int
-	headed      bool
-	flowing     bool
-	queued      []router.Decision
+	n *Node
+	// incarnation is the one of the node's process that handles the request.
+	incarnation  uint64
+	attempt      *clientAttempt
+	exchange     proxy.Exchange
+	conn         *socket
+	responseHead *responseHead
+	events       proxy.EventStream
+	body         []byte
+	arrived      time.Duration
+	deadline     time.Duration
+	waitState    waitState
+	// seq distinguishes the timers of connections and of sent requests.
+	seq int
+	// headSent is set once the client got a response head, streamStarted once the current response had a complete event.
+	headSent      bool
+	streamStarted bool
+	// queued are router decisions that arrived during a wait.
+	queued []router.Decision
 }
 
-// A mode is what the trip waits for; meanwhile decisions wait, too.
-type mode uint8
+// waitState is what the request waits for. In all states but notWaiting, router decisions are queued.
+type waitState uint8
 
 const (
-	free mode = iota
+	notWaiting waitState = iota
 	connecting
-	asking
-	draining
-	streaming
-	holding
+	awaitingHead
+	discarding
+	forwardingStream
+	buffering
 )
 
 const (
-	dialMost           = 400 * time.Millisecond
-	defaultIdleTimeout = 4 * time.Second
-	advertisedIdle     = 3800 * time.Millisecond
-	overGrace          = 250 * time.Millisecond
-	eventBytes         = 1 << 20
+	// Times and limits of the simulated proxy.
+	dialTimeout           = 400 * time.Millisecond
+	defaultIdleTimeout    = 4 * time.Second
+	advertisedIdleTimeout = 3800 * time.Millisecond
+	deadlineSlack         = 250 * time.Millisecond
+	maxEventBytes         = 1 << 20
 )
 
-func (n *Node) begin(c *clientAttempt) *proxyRequest {
+// startProxyRequest starts to route an attempt.
+func (n *Node) startProxyRequest(c *clientAttempt) *proxyRequest {
 	s := n.w.site
 	n.requestSeq++
 	name := n.frontendID + "-" + strconv.Itoa(n.requestSeq)
-	t := &proxyRequest{n: n, incarnation: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.EventStream{MaxEventBytes: eventBytes}}
-	if c.last > 0 {
-		t.events.LastID = strconv.Itoa(c.last)
+	t := &proxyRequest{n: n, incarnation: n.incarnation, attempt: c, arrived: n.w.Now, exchange: proxy.Exchange{Request: name}, events: proxy.EventStream{MaxEventBytes: maxEventBytes}}
+	if c.resumeAfter > 0 {
+		t.events.LastID = strconv.Itoa(c.resumeAfter)
 	}
 	t.deadline = n.w.Now + c.timeout
 	n.requests[name] = t
 	q := c.request
 	a := router.Arrival{Request: name, Host: siteHost, Path: c.path, Timeout: c.timeout}
 	if q.class.Streaming {
-		a.Prefix, a.Model, a.PromptTokens, a.MaxOutputTokens = q.prefix, shape.ModelName, q.prompt, q.events*s.stride(q.class.Service)
+		a.Prefix, a.Model, a.PromptTokens, a.MaxOutputTokens = q.prefix, shape.ModelName, q.promptTokens, q.events*s.stride(q.class.Service)
 	}
-	n.decide(n.turn(a))
+	n.handleDecisions(n.stepRouter(a))
 	return t
 }
 
-func (t *proxyRequest) decided(d router.Decision) {
-	if t.mode != free {
+func (t *proxyRequest) handleDecision(d router.Decision) {
+	if t.waitState != notWaiting {
 		t.queued = append(t.queued, d)
 		return
 	}
-	t.do(t.exchange.HandleDecision(d))
+	t.perform(t.exchange.HandleDecision(d))
 }
 
-// happened hands a signal in, then the decisions that came while the trip waited.
-func (t *proxyRequest) happened(sig proxy.Signal) {
-	t.mode = free
-	t.do(t.exchange.HandleSignal(sig))
-	for len(t.queued) > 0 && t.mode == free && !t.exchange.Finished() {
+// handleSignal passes a signal to the exchange, and then the decisions that arrived during the wait.
+func (t *proxyRequest) handleSignal(sig proxy.Signal) {
+	t.waitState = notWaiting
+	t.perform(t.exchange.HandleSignal(sig))
+	for len(t.queued) > 0 && t.waitState == notWaiting && !t.exchange.Finished() {
 		d := t.queued[0]
 		t.queued = t.queued[1:]
-		t.do(t.exchange.HandleDecision(d))
+		t.perform(t.exchange.HandleDecision(d))
 	}
 }
 
-func (t *proxyRequest) do(actions []proxy.Action) {
+func (t *proxyRequest) perform(actions []proxy.Action) {
 	var next []router.Decision
 	for _, m := range actions {
 		switch m.Kind {
 		case proxy.Connect:
 			t.connect()
 		case proxy.WriteRequest:
-			t.write()
+			t.writeRequest()
 		case proxy.ReleaseConnection:
-			t.park()
+			t.releaseConnection()
 		case proxy.CloseConnection:
-			t.drop()
+			t.closeConnection()
 		case proxy.NotifyRouter:
-			next = append(next, t.n.turn(m.Event)...)
+			next = append(next, t.n.stepRouter(m.Event)...)
 		case proxy.DiscardResponse:
-			t.mode = draining
+			t.waitState = discarding
 		case proxy.ForwardResponse:
-			t.pass()
+			t.startForwarding()
 		case proxy.Finish:
 			t.finish(m)
 		}
 	}
-	t.n.decide(next)
+	t.n.handleDecisions(next)
 }
 
 func (t *proxyRequest) connect() {
-	d, w := t.exchange.Placement, t.n.w
-	t.recordPrediction()
-	t.mode = connecting
-	t.turn++
-	k, capped := t.n.pool.kept(w.Now, d.Instance, t.attempt.id, d.MaxConns)
+	placement, w := t.exchange.Placement, t.n.w
+	t.checkPrediction()
+	t.waitState = connecting
+	t.seq++
+	conn, atLimit := t.n.pool.get(w.Now, placement.Instance, t.attempt.id, placement.MaxConns)
 	switch {
-	case capped:
+	case atLimit:
 		t.connectedAfter(0, func() proxy.Signal { return proxy.ConnectFailed{AtConnectionLimit: true} })
-	case k != nil:
-		t.use(k)
+	case conn != nil:
+		t.useConnection(conn)
 		t.connectedAfter(0, func() proxy.Signal { return proxy.Connected{} })
 	default:
-		t.dial(w.site.at[d.Addr])
+		t.dial(w.site.instanceAt[placement.Addr])
 	}
 }
 
-// dial opens a connection to the instance at the placement's address, if there is one.
-func (t *proxyRequest) dial(i *Instance) {
-	d, w := t.exchange.Placement, t.n.w
-	failed := func() proxy.Signal {
-		t.n.pool.leave(d.Instance)
+// dial opens a connection to the instance at the placement's address, if there is such an instance.
+func (t *proxyRequest) dial(instance *Instance) {
+	placement, w := t.exchange.Placement, t.n.w
+	fail := func() proxy.Signal {
+		t.n.pool.forget(placement.Instance)
 		return proxy.ConnectFailed{}
 	}
 	switch {
-	case i == nil:
-		t.connectedAfter(time.Millisecond, failed)
+	case instance == nil:
+		t.connectedAfter(time.Millisecond, fail)
 		return
-	case i.dark || w.Net.Blocked(t.n.Addr, i.addr()) || w.Net.Blocked(i.addr(), t.n.Addr):
-		t.connectedAfter(dialMost, failed)
+	case instance.unreachable || w.Net.Blocked(t.n.Addr, instance.addr()) || w.Net.Blocked(instance.addr(), t.n.Addr):
+		t.connectedAfter(dialTimeout, fail)
 		return
 	}
-	t.connectedAfter(2*w.Net.Delay(t.n.Zone == i.Zone)+time.Millisecond, func() proxy.Signal {
-		k := newSocket(t.n, i, d.Instance)
-		if !i.accept(k) {
-			return failed()
+	t.connectedAfter(2*w.Net.Delay(t.n.Zone == instance.Zone)+time.Millisecond, func() proxy.Signal {
+		conn := newSocket(t.n, instance, placement.Instance)
+		if !instance.accept(conn) {
+			return fail()
 		}
-		t.use(k)
+		t.useConnection(conn)
 		return proxy.Connected{}
 	})
 }
 
-// connectedAfter hands in how the connecting ended, unless the request has gone on meanwhile.
+// connectedAfter passes the outcome of connecting to the exchange after wait, unless the request is no longer waiting for it.
 func (t *proxyRequest) connectedAfter(wait time.Duration, outcome func() proxy.Signal) {
-	turn, instance := t.turn, t.exchange.Placement.Instance
+	seq, instance := t.seq, t.exchange.Placement.Instance
 	t.n.later(wait, func() {
-		if t.turn == turn && t.mode == connecting {
-			t.happened(outcome())
+		if t.seq == seq && t.waitState == connecting {
+			t.handleSignal(outcome())
 		} else if wait > 0 {
-			t.n.pool.leave(instance)
+			t.n.pool.forget(instance)
 		}
 	})
 }
 
-func (t *proxyRequest) use(k *socket) { t.conn, k.t = k, t }
+func (t *proxyRequest) useConnection(k *socket) { t.conn, k.proxied = k, t }
 
-func (t *proxyRequest) park() {
-	k := t.conn
-	if t.conn = nil; k == nil {
+func (t *proxyRequest) releaseConnection() {
+	conn := t.conn
+	if t.conn = nil; conn == nil {
 		return
 	}
-	if k.t = nil; !k.used {
-		k.until = t.n.w.Now + defaultIdleTimeout
+	if conn.proxied = nil; !conn.used {
+		conn.idleUntil = t.n.w.Now + defaultIdleTimeout
 	}
-	t.n.pool.park(k)
+	t.n.pool.put(conn)
 }
 
-func (t *proxyRequest) drop() {
-	k := t.conn
-	if t.conn = nil; k == nil {
+func (t *proxyRequest) closeConnection() {
+	conn := t.conn
+	if t.conn = nil; conn == nil {
 		return
 	}
-	k.close()
-	t.n.pool.leave(k.key)
+	conn.close()
+	t.n.pool.forget(conn.instance)
 }
 
-// took is what the connection in use brought.
-func (t *proxyRequest) took(p packet) {
+// packetReceived handles a packet from the connection in use.
+func (t *proxyRequest) packetReceived(p packet) {
 	switch {
-	case t.mode < asking:
+	case t.waitState < awaitingHead:
 		t.conn.stale = true
-	case p.reset || p.junk || (p.head != nil && t.mode > asking):
-		t.lost()
-	case t.mode == asking && p.head == nil:
-		t.lost()
-	case t.mode == asking:
-		t.answerHead = p.head
-		t.happened(t.replied(p.head))
-		if t.mode > asking {
-			t.more(p)
+	case p.reset || p.junk || (p.head != nil && t.waitState > awaitingHead):
+		t.connectionLost()
+	case t.waitState == awaitingHead && p.head == nil:
+		t.connectionLost()
+	case t.waitState == awaitingHead:
+		t.responseHead = p.head
+		t.handleSignal(t.headSignal(p.head))
+		if t.waitState > awaitingHead {
+			t.handleData(p)
 		}
 	default:
-		t.more(p)
+		t.handleData(p)
 	}
 }
 
-func (t *proxyRequest) lost() {
-	t.drop()
-	t.happened(proxy.ConnectionLost{})
+func (t *proxyRequest) connectionLost() {
+	t.closeConnection()
+	t.handleSignal(proxy.ConnectionLost{})
 }
 
-func (t *proxyRequest) replied(h *head) proxy.ResponseHeadRead {
+// headSignal returns the signal for a response head.
+func (t *proxyRequest) headSignal(h *responseHead) proxy.ResponseHeadRead {
 	var s proxy.ResponseHeadRead
 	s.Status = h.status
 	if h.attempt != t.attempt.id {
 		s.Mismatched = true
 		return s
 	}
-	s.NotExecuted, s.Unsealed, s.Instance, s.Load = h.notRun, h.seal == "", h.instance, h.load
+	s.NotExecuted, s.Unsealed, s.Instance, s.Load = h.notExecuted, h.seal == "", h.instance, h.load
 	if !s.NotExecuted && !s.Unsealed {
-		t.confirmed()
+		t.recordProofs()
 	}
 	s.Stream = t.exchange.Placement.Route != nil && t.exchange.Placement.Route.Streaming && h.stream && h.status == http.StatusOK
 	return s
 }
 
-func (t *proxyRequest) pass() {
-	t.mode, t.flowing = holding, false
-	if t.exchange.Placement.Route != nil && t.exchange.Placement.Route.Streaming && t.answerHead.stream {
-		t.mode = streaming
-		if t.headed {
+// startForwarding forwards the response from now on: event by event for a stream, otherwise as a whole.
+func (t *proxyRequest) startForwarding() {
+	t.waitState, t.streamStarted = buffering, false
+	if t.exchange.Placement.Route != nil && t.exchange.Placement.Route.Streaming && t.responseHead.stream {
+		t.waitState = forwardingStream
+		if t.headSent {
 			t.n.w.site.report.Resumed++
 		}
 		t.events.StartResponse("")
--- a/sim/proxyrequestend.go
+++ b/sim/proxyrequestend.go
@@ -7,27 +7,28 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// more takes data of an answer whose head was taken.
-func (t *proxyRequest) more(p packet) {
-	switch t.mode {
-	case draining:
+// handleData handles response data after the head.
+func (t *proxyRequest) handleData(p packet) {
+	switch t.waitState {
+	case discarding:
 		if p.end {
-			t.recycle()
-			t.happened(proxy.ResponseEnded{})
+			t.reuseConnection()
+			t.handleSignal(proxy.ResponseEnded{})
 		}
-	case holding:
+	case buffering:
 		t.body = append(t.body, p.data...)
 		if p.end {
-			t.answer(t.body)
-			t.recycle()
-			t.happened(proxy.ResponseEnded{})
+			t.forward(t.body)
+			t.reuseConnection()
+			t.handleSignal(proxy.ResponseEnded{})
 		}
-	case streaming:
-		t.flow(p)
+	case forwardingStream:
+		t.forwardEvents(p)
 	}
 }
 
-func (t *proxyRequest) flow(p packet) {
+// forwardEvents forwards the complete events of a stream.
+func (t *proxyRequest) forwardEvents(p packet) {
 	complete, err := t.events.Feed(p.data)
 	if err == nil && p.end && t.events.HasPartialEvent() {
 		err = io.ErrUnexpectedEOF
@@ -37,49 +38,50 @@
 		complete = append(complete[:len(complete):len(complete)], t.events.Remaining()...)
 	}
 	if len(complete) > 0 {
-		if !t.flowing {
-			t.flowing = true
+		if !t.streamStarted {
+			t.streamStarted = true
 			t.exchange.CannotResume = t.events.CannotResume
-			t.do(t.exchange.HandleSignal(proxy.ResponseStarted{}))
-			t.mode = streaming
+			t.perform(t.exchange.HandleSignal(proxy.ResponseStarted{}))
+			t.waitState = forwardingStream
 		}
 		t.exchange.CannotResume = t.events.CannotResume
-		t.answer(complete)
+		t.forward(complete)
 	}
 	switch {
 	case err != nil:
-		t.lost()
+		t.connectionLost()
 	case ended:
-		t.answer(nil)
-		t.recycle()
-		t.happened(proxy.ResponseEnded{})
+		t.forward(nil)
+		t.reuseConnection()
+		t.handleSignal(proxy.ResponseEnded{})
 	}
 }
 
-// recycle ends the use of a connection whose answer was read whole.
-func (t *proxyRequest) recycle() {
-	if t.conn.stale || t.answerHead.shut {
-		t.drop()
+// reuseConnection returns a connection to the pool after its response was read completely, or closes it.
+func (t *proxyRequest) reuseConnection() {
+	if t.conn.stale || t.responseHead.closing {
+		t.closeConnection()
 		return
 	}
-	t.conn.until = t.n.w.Now + advertisedIdle
-	t.park()
+	t.conn.idleUntil = t.n.w.Now + advertisedIdleTimeout
+	t.releaseConnection()
 }
 
-// answer passes bytes on to the user agent, the head of the first replica before them.
-func (t *proxyRequest) answer(data []byte) {
+// forward sends data to the client, after the response head of the first replica.
+func (t *proxyRequest) forward(data []byte) {
 	c := t.attempt
-	if !t.headed {
-		t.headed = true
-		h := *t.answerHead
-		c.send(t.n, func() { c.heads(h) })
+	if !t.headSent {
+		t.headSent = true
+		h := *t.responseHead
+		c.send(t.n, func() { c.readHead(h) })
 	}
 	if len(data) > 0 {
 		data = append([]byte(nil), data...)
-		c.send(t.n, func() { c.reads(data) })
+		c.send(t.n, func() { c.readData(data) })
 	}
 }
 
+// statuses are the HTTP statuses of outcomes for which the node itself responds.
 var statuses = map[proxy.Outcome]int{
 	proxy.Rejected: http.StatusServiceUnavailable, proxy.NotFound: http.StatusNotFound, proxy.Unknown: http.StatusBadGateway, proxy.Expired: http.StatusGatewayTimeout,
 }
@@ -89,25 +91,25 @@
 	delete(t.n.requests, t.exchange.Request)
 	switch m.Outcome {
 	case proxy.Completed:
-		c.send(t.n, func() { c.ended(http.StatusOK, 0) })
+		c.send(t.n, func() { c.responseEnded(http.StatusOK, 0) })
 	case proxy.AbandonedByClient:
 	case proxy.Aborted:
-		c.send(t.n, func() { c.disconnected() })
+		c.send(t.n, func() { c.connectionLost() })
 	default:
 		if m.Outcome == proxy.Rejected {
 			t.n.w.site.report.Reasons[m.Reason]++
 		}
 		status := statuses[m.Outcome]
-		t.n.w.site.rules.finished(t, status)
-		c.send(t.n, func() { c.ended(status, m.RetryAfter) })
+		t.n.w.site.rules.nodeResponded(t, status)
+		c.send(t.n, func() { c.responseEnded(status, m.RetryAfter) })
 	}
 }
 
-// orphan is what becomes of a trip whose process ended.
-func (t *proxyRequest) orphan() {
+// nodeStopped closes the connections of a request whose node's process ended.
+func (t *proxyRequest) nodeStopped() {
 	if t.conn != nil {
-		t.attempt.working = t.conn.job != nil
+		t.attempt.replicaWorking = t.conn.job != nil
 		t.conn.close()
 	}
-	t.attempt.send(t.n, t.attempt.disconnected)
+	t.attempt.send(t.n, t.attempt.connectionLost)
 }
--- a/sim/proxyrequestsend.go
+++ b/sim/proxyrequestsend.go
@@ -7,8 +7,8 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// expiry is when the time of the request is over.
-func (t *proxyRequest) expiry() time.Duration {
+// deadlineAt returns the earlier of the client's deadline and the route's timeout.
+func (t *proxyRequest) deadlineAt() time.Duration {
 	at := t.deadline
 	if r := t.exchange.Placement.Route; r != nil && r.Timeout > 0 {
 		at = min(at, t.arrived+r.Timeout)
@@ -16,30 +16,31 @@
 	return at
 }
 
-func (t *proxyRequest) write() {
-	w, d, k := t.n.w, &t.exchange.Placement, t.conn
-	at := t.expiry()
-	if at-w.Now < time.Millisecond {
-		t.happened(proxy.DeadlinePassed{})
+// writeRequest sends the request on the current connection and schedules its deadline.
+func (t *proxyRequest) writeRequest() {
+	w, placement, conn := t.n.w, &t.exchange.Placement, t.conn
+	deadline := t.deadlineAt()
+	if deadline-w.Now < time.Millisecond {
+		t.handleSignal(proxy.DeadlinePassed{})
 		return
 	}
-	t.mode, t.answerHead, t.body = asking, nil, nil
-	t.turn++
-	turn := t.turn
-	k.used, k.attempt = true, t.attempt.id
-	r := &sentRequest{
-		try: t.attempt, n: t.n, attempt: t.attempt.id, target: d.Instance, after: t.attempt.last, rank: d.Priority, until: at, sent: w.Now,
-		again: t.attempt.passes > 0, calm: w.site.rules.inTouch(t.n, w.Now),
+	t.waitState, t.responseHead, t.body = awaitingHead, nil, nil
+	t.seq++
+	seq := t.seq
+	conn.used, conn.attempt = true, t.attempt.id
+	request := &sentRequest{
+		client: t.attempt, node: t.n, attempt: t.attempt.id, targetInstance: placement.Instance, afterEvent: t.attempt.resumeAfter, priority: placement.Priority, deadline: deadline, sent: w.Now,
+		retried: t.attempt.sends > 0, inTouch: w.site.rules.inTouch(t.n, w.Now),
 	}
-	if d.Resumes && t.headed {
-		r.after, _ = strconv.Atoi(t.events.LastID)
+	if placement.Resumes && t.headSent {
+		request.afterEvent, _ = strconv.Atoi(t.events.LastID)
 	}
-	t.attempt.passes++
-	w.site.report.take(d)
-	k.up.send(func() { k.to.serve(k, r) })
-	t.n.later(at-w.Now+overGrace, func() {
-		if t.turn == turn && t.conn == k && t.mode != free {
-			t.happened(proxy.DeadlinePassed{})
+	t.attempt.sends++
+	w.site.report.addPlacement(placement)
+	conn.toReplica.send(func() { conn.to.serve(conn, request) })
+	t.n.later(deadline-w.Now+deadlineSlack, func() {
+		if t.seq == seq && t.conn == conn && t.waitState != notWaiting {
+			t.handleSignal(proxy.DeadlinePassed{})
 		}
 	})
 }
--- a/sim/race_test.go
+++ b/sim/race_test.go
@@ -2,4 +2,4 @@
 
 package sim
 
-const raced = true
+const raceEnabled = true
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rules that a site keeps its nodes to, as named in breaches.
+// Rules that nodes must keep on a site, as named in breaches.
 const (
 	RuleMixedResponses    = "mixed answers"
 	RuleRanTwice          = "ran twice"
@@ -32,28 +32,33 @@
 	RuleNeedlessRejection = "order refused though nothing else was taken"
 )
 
-// rules judges by what user agents, replicas, operators and the platform see.
+// rules checks the rules of a site by what clients, replicas, operators and the platform observe.
 type rules struct {
-	s              *site
-	faults         []*fault
-	versions       []*version
-	evacs          map[string]*evacuation
-	requests       map[string][]time.Duration
-	retries        map[string][]time.Duration
-	lowestVersions map[uint64]versionFloor
-	// reopened are the zones whose evacuation was taken back, as acknowledged, and that nobody evacuated since.
-	reopened map[string]bool
+	s      *site
+	faults []*fault
+	// versions are all configurations that operators sent.
+	versions []*version
+	// evacuations are the current ones, also those that operators are ending.
+	evacuations map[string]*evacuation
+	// requests and retries are the times of each service's requests and of the retries at its replicas.
+	requests map[string][]time.Duration
+	retries  map[string][]time.Duration
+	// versionFloors has the floor of each incarnation of a node.
+	versionFloors map[uint64]versionFloor
+	// restored are the zones whose evacuation was ended with an acknowledgement and that were not evacuated again.
+	restored map[string]bool
 	Refused  int
 }
 
+// evacuation was acknowledged at ackedAt; restored is set once operators ask to end it.
 type evacuation struct {
-	acked  time.Duration
-	lifted bool
+	ackedAt  time.Duration
+	restored bool
 }
 
 func newRules(s *site) *rules {
 	return &rules{
-		s: s, evacs: map[string]*evacuation{}, requests: map[string][]time.Duration{}, retries: map[string][]time.Duration{}, lowestVersions: map[uint64]versionFloor{}, reopened: map[string]bool{},
+		s: s, evacuations: map[string]*evacuation{}, requests: map[string][]time.Duration{}, retries: map[string][]time.Duration{}, versionFloors: map[uint64]versionFloor{}, restored: map[string]bool{},
 	}
 }
 
@@ -61,32 +66,34 @@
 	r.s.w.Audit.breach(what, who, fmt.Sprintf(format, args...))
 }
 
-func (r *rules) submitted(c *clientAttempt) {
-	for _, service := range r.offers(c.path) {
+// attemptSubmitted counts a request for each service that may get it.
+func (r *rules) attemptSubmitted(c *clientAttempt) {
+	for _, service := range r.servicesFor(c.path) {
 		r.requests[service] = append(r.requests[service], r.s.w.Now)
 	}
 }
 
-// arrived judges a request at a replica that takes it for its own.
-func (r *rules) arrived(i *Instance, q *sentRequest) {
-	now, n := r.s.w.Now, q.n
-	r.config(i, q)
-	if at := i.shown(); q.calm && at < now && r.s.since(at) > r.s.spec.Bounds.Drain {
-		r.breach(RuleDrain, i.ID, "%s, %s after the list showed it", n.Name, now-at)
+// requestArrived checks a request that arrived at the instance that it was meant for.
+func (r *rules) requestArrived(i *Instance, q *sentRequest) {
+	now, n := r.s.w.Now, q.node
+	r.checkRoute(i, q)
+	if at := i.listedAsLeavingAt(); q.inTouch && at < now && r.s.listReadableSince(at) > r.s.spec.Bounds.Drain {
+		r.breach(RuleDrain, i.ID, "%s sent a request %s after the list showed the replica as draining or gone", n.Name, now-at)
 	}
-	if e := r.evacs[i.Zone]; e != nil && e.acked > 0 && !e.lifted {
-		if bound, must := r.within(n, q, evacWithin); must && now > e.acked+bound {
-			r.breach(RuleEvacuation, i.Zone, "%s sends to %s, %s after it was acknowledged", n.Name, i.ID, now-e.acked)
+	if e := r.evacuations[i.Zone]; e != nil && e.ackedAt > 0 && !e.restored {
+		if bound, binding := r.applyBoundFor(n, q, evacuateWithin); binding && now > e.ackedAt+bound {
+			r.breach(RuleEvacuation, i.Zone, "%s sent to %s, %s after the evacuation was acknowledged", n.Name, i.ID, now-e.ackedAt)
 		}
 	}
-	r.cold(i, q)
-	if q.again {
-		r.second(i.service.Name)
+	r.checkWarmup(i, q)
+	if q.retried {
+		r.checkRetryBudget(i.service.Name)
 	}
 }
 
-// cold counts what a replica that warms up gets within a second: sent and arrived in it.
-func (r *rules) cold(i *Instance, q *sentRequest) {
+// checkWarmup limits the requests that a replica in warm-up gets within a second. It counts those that were both sent and received within the
+// last second.
+func (r *rules) checkWarmup(i *Instance, q *sentRequest) {
 	if !i.warmingUp() {
 		return
 	}
@@ -96,11 +103,12 @@
 			count++
 		}
 	}
-	if most := i.service.WarmupRate*warmupOverage + warmupSlack; float64(count) > most {
-		r.breach(RuleWarmup, i.ID, "%d requests in a second, at most %g, last from %s", count, most, q.n.Name)
+	if limit := i.service.WarmupRate*warmupTolerance + warmupSlack; float64(count) > limit {
+		r.breach(RuleWarmup, i.ID, "%d requests within a second, at most %g allowed, the last from %s", count, limit, q.node.Name)
 	}
 }
 
+// countIn counts the times after from and up to until.
 func countIn(ts []time.Duration, from, until time.Duration) int {
 	var n int
 	for x := len(ts) - 1; x >= 0 && ts[x] > from; x-- {
@@ -111,83 +119,85 @@
 	return n
 }
 
-// second judges a further arrival of one request against those asked for in this window, the one before, or between.
-func (r *rules) second(service string) {
+// checkRetryBudget limits retries to a ratio of the requests in this window, the previous one or the one half a window ago, whichever has most.
+func (r *rules) checkRetryBudget(service string) {
 	now := r.s.w.Now
 	r.retries[service] = append(r.retries[service], now)
 	r.s.report.Retries++
 	most := 0
-	for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
-		most = max(most, countIn(r.requests[service], now-back-retryWindow, now-back))
+	for _, offset := range []time.Duration{0, retryWindow / 2, retryWindow} {
+		most = max(most, countIn(r.requests[service], now-offset-retryWindow, now-offset))
 	}
 	if n := countIn(r.retries[service], now-retryWindow, now); float64(n) > retryRatio*float64(most)+float64(r.s.spec.Bounds.RetryExtra) {
-		r.breach(RuleRetryBudget, service, "%d for %d requests", n, most)
+		r.breach(RuleRetryBudget, service, "%d retries for %d requests", n, most)
 	}
 }
 
-func (r *rules) began(i *Instance, q *sentRequest) {
-	c := q.try
-	c.runsBegun++
+// runStarted checks that an attempt that is not idempotent runs once, and not at all after a rejection.
+func (r *rules) runStarted(i *Instance, q *sentRequest) {
+	c := q.client
+	c.runsStarted++
 	if c.request.class.Repeatable {
 		return
 	}
-	if c.runsBegun > 1 {
-		r.breach(RuleRanTwice, c.id, "at %s from %s", i.ID, q.n.Name)
+	if c.runsStarted > 1 {
+		r.breach(RuleRanTwice, c.id, "runs again at %s, sent by %s", i.ID, q.node.Name)
 	}
-	if c.refused {
-		r.breach(RuleRanThoughRejected, c.id, "runs at %s after it was refused by %s", i.ID, q.n.Name)
+	if c.rejected {
+		r.breach(RuleRanThoughRejected, c.id, "runs at %s after it was rejected, sent by %s", i.ID, q.node.Name)
 	}
 }
 
-// made notes that a replica produced its n-th event.
-func (r *rules) made(q *sentRequest, n int) {
-	c := q.try
-	c.eventsMade, c.madeAt = n, r.s.w.Now
+// eventMade records that a replica produced the n-th event.
+func (r *rules) eventMade(q *sentRequest, n int) {
+	c := q.client
+	c.lastEventMade, c.madeAt = n, r.s.w.Now
 }
 
-// passed counts events that came later to the user agent than they may.
-func (r *rules) passed(c *clientAttempt, n int) {
-	if n == c.eventsMade && r.s.w.Now-c.madeAt > passWithin {
+// eventForwarded counts events that reached the client later than allowed.
+func (r *rules) eventForwarded(c *clientAttempt, n int) {
+	if n == c.lastEventMade && r.s.w.Now-c.madeAt > forwardWithin {
 		r.s.report.LateEvents++
 	}
 }
 
-// refused notes a node's promise that a try has not run and never will.
-func (r *rules) refused(c *clientAttempt, n *Node) {
-	c.refused = true
-	if c.runsBegun > 0 && !c.request.class.Repeatable {
-		r.breach(RuleRanThoughRejected, c.id, "refused by %s, though it ran", n.Name)
+// attemptRejected records a node's promise that an attempt has not run and never will.
+func (r *rules) attemptRejected(c *clientAttempt, n *Node) {
+	c.rejected = true
+	if c.runsStarted > 0 && !c.request.class.Repeatable {
+		r.breach(RuleRanThoughRejected, c.id, "rejected by %s, though it ran", n.Name)
 	}
 }
 
-// finished judges what a node answers by itself.
-func (r *rules) finished(t *proxyRequest, status int) {
+// nodeResponded checks a response that a node made itself.
+func (r *rules) nodeResponded(t *proxyRequest, status int) {
 	c := t.attempt
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		r.refused(c, t.n)
+		r.attemptRejected(c, t.n)
 	case http.StatusNotFound:
-		r.unknown(c, t.n)
+		r.routeNotFound(c, t.n)
 	}
 }
 
-// ended judges how a try ended for its user agent.
-func (r *rules) ended(c *clientAttempt, how string) {
-	r.s.report.Outcomes[how]++
+// attemptEnded checks how an attempt ended for its client. A lost response is excused unless the only cause is a planned stop of the node. It
+// is also excused in the second half of the grace period if a replica was still running an attempt sent soon after the order to stop.
+func (r *rules) attemptEnded(c *clientAttempt, outcome string) {
+	r.s.report.Outcomes[outcome]++
 	if c.fault != "" {
 		what := RuleMixedResponses
 		if c.request.class.Streaming {
 			what = RuleBrokenStream
 		}
-		r.breach(what, c.id, "%s by %s", c.fault, c.n.Name)
+		r.breach(what, c.id, "%s, from %s", c.fault, c.node.Name)
 	}
-	if how != "cut" || !c.read || c.harmed {
+	if outcome != "cut" || !c.accepted || c.harmed {
 		return
 	}
 	now := r.s.w.Now
-	since, planned := r.leaving(c.n.Name, c.readAt, now)
-	if !planned || r.unplanned(c.readAt, now) || (now > since+grace/2 && c.working && c.sent <= since+excusedFor) {
+	since, planned := r.plannedStop(c.node.Name, c.acceptedAt, now)
+	if !planned || r.hadUnplannedFault(c.acceptedAt, now) || (now > since+shutdownGrace/2 && c.replicaWorking && c.sent <= since+excusedFor) {
 		return
 	}
-	r.breach(RuleLostInPlannedStop, c.id, "read by %s %s before, sent to %d replicas", c.n.Name, now-c.readAt, c.passes)
+	r.breach(RuleLostInPlannedStop, c.id, "accepted by %s %s before, sent to %d replicas", c.node.Name, now-c.acceptedAt, c.sends)
 }
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -6,59 +6,64 @@
 	"github.com/mallowbridge/mallowbridge/config"
 )
 
-// A version is one document that operators sent. It may be in force from then on, unless it was refused.
+// version is one configuration that operators sent. It may be in force from then on, unless it was rejected.
 type version struct {
+	// revision is the operators' number of it, base that of the configuration it was made from.
 	revision uint64
 	doc      config.Config
 	raw      []byte
 	base     uint64
-	flawed   bool
-	offered  time.Duration
-	acked    time.Duration
-	refused  bool
-	// seen says that it was in force at some time; denied that an operator was told that another is.
-	seen, denied bool
-	routes       map[string]*config.Route
+	// invalid is set if the configuration must be rejected.
+	invalid bool
+	sentAt  time.Duration
+	ackedAt time.Duration
+	// rejected is set if the configuration must not come into force: it is invalid, or it was clearly rejected.
+	rejected bool
+	// wasInForce is set if the configuration was in force at some time; reportedRejected if an operator was told that another one is.
+	wasInForce, reportedRejected bool
+	// routes caches the route for each path, nil if there is none.
+	routes map[string]*config.Route
 }
 
-// A floor is the least version that a life of a node has shown to obey, and since when.
+// versionFloor is the newest revision that one incarnation of a node has certainly applied, it or a later one, and when it was first seen to.
 type versionFloor struct {
 	revision uint64
 	at       time.Duration
 }
 
-func (r *rules) offered(v *version) {
-	v.offered, v.routes = r.s.w.Now, map[string]*config.Route{}
+func (r *rules) versionSent(v *version) {
+	v.sentAt, v.routes = r.s.w.Now, map[string]*config.Route{}
 	r.versions = append(r.versions, v)
 }
 
 func (v *version) route(path string) *config.Route {
-	rt, known := v.routes[path]
+	route, known := v.routes[path]
 	if !known {
-		rt = routeFor(&v.doc, path)
-		v.routes[path] = rt
+		route = routeFor(&v.doc, path)
+		v.routes[path] = route
 	}
-	return rt
+	return route
 }
 
-func (v *version) allows(path, service string) *config.Route {
-	if rt := v.route(path); rt != nil {
-		for _, s := range rt.TrafficSplit {
+// routeTo returns the route of a path if it leads to the service.
+func (v *version) routeTo(path, service string) *config.Route {
+	if route := v.route(path); route != nil {
+		for _, s := range route.TrafficSplit {
 			if s.Service == service && s.Weight > 0 {
-				return rt
+				return route
 			}
 		}
 	}
 	return nil
 }
 
-// offers are those that any version sends the path to.
-func (r *rules) offers(path string) []string {
+// servicesFor returns the services to which any version routes the path.
+func (r *rules) servicesFor(path string) []string {
 	seen := map[string]bool{}
 	var names []string
 	for _, v := range r.versions {
-		if rt := v.route(path); rt != nil && !v.refused {
-			for _, s := range rt.TrafficSplit {
+		if route := v.route(path); route != nil && !v.rejected {
+			for _, s := range route.TrafficSplit {
 				if !seen[s.Service] {
 					seen[s.Service] = true
 					names = append(names, s.Service)
@@ -69,33 +74,34 @@
 	return names
 }
 
-// due is the newest version that a request sent then must be handled by, or by a later one.
-func (r *rules) due(sent, within time.Duration) uint64 {
+// dueRevision returns the revision that a request sent at a time must be handled with, or with a later one, if nodes must apply a version
+// within a time after its acknowledgement.
+func (r *rules) dueRevision(sent, within time.Duration) uint64 {
 	var revision uint64
 	for _, v := range r.versions {
-		if v.acked > 0 && sent > v.acked+within {
+		if v.ackedAt > 0 && sent > v.ackedAt+within {
 			revision = max(revision, v.revision)
 		}
 	}
 	return revision
 }
 
-// versionRange is the least and the newest version that explain what a node did, nil where none does. refused says that a document which
-// must not be taken explains it.
+// versionRange has the oldest and the newest version that explain what a node did, nil if none does. rejected is set if a configuration that
+// must not be in force explains it.
 type versionRange struct {
 	least, latest *version
-	refused       bool
+	rejected      bool
 }
 
-// handled finds the versions that handle a request as it was.
-func (r *rules) handled(test func(v *version) bool) versionRange {
+// versionsWhere returns the range of versions for which the test holds.
+func (r *rules) versionsWhere(test func(v *version) bool) versionRange {
 	var found versionRange
 	for _, v := range r.versions {
 		if !test(v) {
 			continue
 		}
-		if v.refused {
-			found.refused = true
+		if v.rejected {
+			found.rejected = true
 			continue
 		}
 		if found.least == nil || v.revision < found.least.revision {
@@ -108,74 +114,77 @@
 	return found
 }
 
-func (r *rules) config(i *Instance, q *sentRequest) {
-	c := q.try
-	most := 0
-	versions := r.handled(func(v *version) bool {
-		rt := v.allows(c.path, i.service.Name)
-		if rt != nil && !v.refused {
-			most = max(most, rt.MaxAttempts)
+// checkRoute checks that a configuration that may be in force routes the request to the instance's service and allows that many attempts.
+func (r *rules) checkRoute(i *Instance, q *sentRequest) {
+	c := q.client
+	maxAttempts := 0
+	versions := r.versionsWhere(func(v *version) bool {
+		route := v.routeTo(c.path, i.service.Name)
+		if route != nil && !v.rejected {
+			maxAttempts = max(maxAttempts, route.MaxAttempts)
 		}
-		return rt != nil
+		return route != nil
 	})
 	if versions.latest == nil {
 		what := RuleNoRoute
-		if versions.refused {
+		if versions.rejected {
 			what = RuleInvalidAccepted
 		}
-		r.breach(what, c.path, "%s at %s from %s", c.id, i.service.Name, q.n.Name)
+		r.breach(what, c.path, "%s arrived at %s from %s", c.id, i.service.Name, q.node.Name)
 		return
 	}
-	if c.passes > most {
-		r.breach(RuleTooManyAttempts, c.id, "%d, at most %d", c.passes, most)
+	if c.sends > maxAttempts {
+		r.breach(RuleTooManyAttempts, c.id, "sent %d times, at most %d allowed", c.sends, maxAttempts)
 	}
-	bound, must := r.within(q.n, q, r.s.spec.Bounds.Apply)
-	r.obeyed(q.n, c, versions, applyBound{bound, must})
+	bound, binding := r.applyBoundFor(q.node, q, r.s.spec.Bounds.Apply)
+	r.checkApplied(q.node, c, versions, applyBound{bound, binding})
 }
 
-// applyBound is how long after its acknowledgement a version may still not be obeyed; it binds only where must is set.
+// applyBound is within what time after its acknowledgement a version must be applied; it counts only if binding is set.
 type applyBound struct {
-	within time.Duration
-	must   bool
+	within  time.Duration
+	binding bool
 }
 
-// obeyed compares the versions that explain how a node handled a try with what it must obey and with what it obeyed before.
-func (r *rules) obeyed(n *Node, c *clientAttempt, versions versionRange, bound applyBound) {
-	if due := r.due(c.sent, bound.within); bound.must && versions.latest.revision < due {
-		r.breach(RuleConfigNotApplied, c.path, "%s by %s as in revision %d, %d is due", c.id, n.Name, versions.latest.revision, due)
+// checkApplied compares the versions that explain how a node handled an attempt with the one that it must apply and with those that it applied
+// before.
+func (r *rules) checkApplied(n *Node, c *clientAttempt, versions versionRange, bound applyBound) {
+	if due := r.dueRevision(c.sent, bound.within); bound.binding && versions.latest.revision < due {
+		r.breach(RuleConfigNotApplied, c.path, "%s handled by %s as in revision %d, %d must be applied", c.id, n.Name, versions.latest.revision, due)
 	}
-	slack := backSlack
-	if !r.still(n.Name, c.sent, r.s.w.Now) {
+	slack := oldVersionSlack
+	if !r.undisturbed(n.Name, c.sent, r.s.w.Now) {
 		slack *= 8
 	}
-	f := r.lowestVersions[n.incarnation]
+	f := r.versionFloors[n.incarnation]
 	if versions.latest.revision < f.revision && c.sent > f.at+slack {
-		r.breach(RuleConfigWentBack, c.path, "%s by %s as in revision %d, after %d", c.id, n.Name, versions.latest.revision, f.revision)
+		r.breach(RuleConfigWentBack, c.path, "%s handled by %s as in revision %d, after revision %d", c.id, n.Name, versions.latest.revision, f.revision)
 	}
 	if versions.least.revision > f.revision {
-		r.lowestVersions[n.incarnation] = versionFloor{revision: versions.least.revision, at: r.s.w.Now}
+		r.versionFloors[n.incarnation] = versionFloor{revision: versions.least.revision, at: r.s.w.Now}
 	}
 }
 
-// unknown judges a node's word that there is no such route.
-func (r *rules) unknown(c *clientAttempt, n *Node) {
-	versions := r.handled(func(v *version) bool { return v.route(c.path) == nil })
-	q := &sentRequest{n: n, sent: r.s.w.Now, calm: r.inTouch(n, r.s.w.Now)}
-	bound, must := r.within(n, q, r.s.spec.Bounds.Apply)
+// routeNotFound checks a node's response that there is no such route.
+func (r *rules) routeNotFound(c *clientAttempt, n *Node) {
+	versions := r.versionsWhere(func(v *version) bool { return v.route(c.path) == nil })
+	q := &sentRequest{node: n, sent: r.s.w.Now, inTouch: r.inTouch(n, r.s.w.Now)}
+	bound, binding := r.applyBoundFor(n, q, r.s.spec.Bounds.Apply)
 	if versions.latest == nil {
-		if must && r.due(c.sent, bound) > 0 {
-			r.breach(RuleWronglyRejected, c.path, "%s by %s, every version has the route", c.id, n.Name)
+		if binding && r.dueRevision(c.sent, bound) > 0 {
+			r.breach(RuleWronglyRejected, c.path, "%s rejected by %s, though every version has the route", c.id, n.Name)
 		}
 		return
 	}
-	r.obeyed(n, c, versions, applyBound{bound, must})
+	r.checkApplied(n, c, versions, applyBound{bound, binding})
 }
 
-func (r *rules) newest() *version {
+// newestAcked returns the newest acknowledged version, or nil.
+func (r *rules) newestAcked() *version {
 	var v *version
-	for _, o := range r.versions {
-		if o.acked > 0 && (v == nil || o.revision > v.revision) {
-			v = o
+	for _, candidate := range r.versions {
+		if candidate.ackedAt > 0 && (v == nil || candidate.revision > v.revision) {
+			v = candidate
 		}
 	}
 	return v
--- a/sim/run.go
+++ b/sim/run.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Run plays a scenario from the start of the fleet to its end, with the checks that follow a full stop.
+// Run plays a scenario from the start of the fleet to its end, including the checks after the final full stop.
 func Run(s Scenario) *World {
 	w := New(s)
 	w.Boot()
@@ -13,7 +13,7 @@
 		w.At(f.At, func() { w.Inject(f) })
 	}
 	if w.site != nil {
-		w.site.traffic(s.Duration - 3*time.Second)
+		w.site.startTraffic(s.Duration - 3*time.Second)
 		w.Run(s.Duration)
 		w.site.finish()
 		return w
--- a/sim/site.go
+++ b/sim/site.go
@@ -10,68 +10,76 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// A site is the platform around the nodes of a world: it lists replicas, hands user agents to nodes, and its operators write documents.
+// site is the platform around the nodes of a world: it lists replicas, distributes clients over nodes, and its operators change the
+// configuration.
 type site struct {
-	w          *World
-	spec       SiteSpec
-	rng        *rand.Rand
-	load       traffic
-	at         map[string]*Instance
+	w         *World
+	spec      SiteSpec
+	rng       *rand.Rand
+	generator trafficGenerator
+	// instanceAt has the newest instance at each address.
+	instanceAt map[string]*Instance
 	instances  []*Instance
-	born       int
-	seeds      []string
-	first      bool
-	calls      []time.Duration
-	downs      []window
-	misses     map[string]int
-	entries    map[string][]*Node
-	rules      *rules
-	ops        operators
-	report     SiteReport
+	// lastInstanceID numbers instances and new addresses.
+	lastInstanceID int
+	// seeds are the seed addresses that nodes get at their start; while bootstrapping is set, nodes may bootstrap a new fleet.
+	seeds         []string
+	bootstrapping bool
+	// listCallTimes are the times of the calls of the list within the last second, listOutages the times in which it cannot be read.
+	listCallTimes []time.Duration
+	listOutages   []window
+	// missedPolls counts each node's readiness polls since it was last ready; entryNodes are the nodes that receive clients, by zone.
+	missedPolls map[string]int
+	entryNodes  map[string][]*Node
+	rules       *rules
+	operators   operators
+	report      SiteReport
+	// probeClass is the request class of configuration probes.
 	probeClass TrafficClass
 }
 
-func (w *World) openSite(spec SiteSpec) {
+// attachSite creates the platform and its first instances.
+func (w *World) attachSite(spec SiteSpec) {
 	s := &site{
-		w: w, spec: spec, rng: rand.New(rand.NewPCG(w.Scenario.Seed, 67)), at: map[string]*Instance{}, misses: map[string]int{}, entries: map[string][]*Node{},
+		w: w, spec: spec, rng: rand.New(rand.NewPCG(w.Scenario.Seed, 67)), instanceAt: map[string]*Instance{}, missedPolls: map[string]int{}, entryNodes: map[string][]*Node{},
 		report: SiteReport{Reasons: map[string]int{}, Outcomes: map[string]int{}},
 	}
 	w.site = s
 	s.rules = newRules(s)
-	s.ops = operators{s: s, rng: rand.New(rand.NewPCG(w.Scenario.Seed, 71))}
+	s.operators = operators{s: s, rng: rand.New(rand.NewPCG(w.Scenario.Seed, 71))}
 	s.probeClass = spec.Classes[len(spec.Classes)-1]
 	s.probeClass.Name = "look"
 	w.Net.ZoneDelay, w.Net.CrossZoneDelay, w.Net.Jitter = 200*time.Microsecond, spec.CrossZoneDelay, 300*time.Microsecond
 	for k := range spec.Services {
-		o := &spec.Services[k]
-		for i := range o.Replicas {
-			s.launch(o, spec.Shape.Zones[i%len(spec.Shape.Zones)], fmt.Sprintf("10.9.%d.%d:8080", k, i), o.Slowdowns[i%len(o.Slowdowns)], false)
+		service := &spec.Services[k]
+		for i := range service.Replicas {
+			s.launch(service, spec.Shape.Zones[i%len(spec.Shape.Zones)], fmt.Sprintf("10.9.%d.%d:8080", k, i), service.Slowdowns[i%len(service.Slowdowns)], false)
 		}
 	}
 }
 
 func (s *site) boot() {
 	w := s.w
-	s.first = true
+	s.bootstrapping = true
 	for _, n := range w.Nodes[:3] {
 		s.seeds = append(s.seeds, n.Addr)
 	}
 	for _, n := range w.Nodes {
 		w.After(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), n.start)
 	}
-	w.After(2*time.Second, func() { s.first = false })
-	w.After(600*time.Millisecond, s.ops.open)
-	s.poll()
+	w.After(2*time.Second, func() { s.bootstrapping = false })
+	w.After(600*time.Millisecond, s.operators.putFirst)
+	s.pollReadiness()
 	w.Audit.checkLeases()
 }
 
-// configure makes a node's settings those of the ordinary path.
+// configure adapts a node's settings to the site.
 func (s *site) configure(c *control.Config, r *router.Config) {
-	c.Read, c.ListEvery, c.FaultTolerance, c.Bootstraps, c.ServesIsolated = readDocument, time.Second, s.spec.FaultTolerance, s.first, true
+	c.Read, c.ListEvery, c.FaultTolerance, c.Bootstraps, c.ServesIsolated = readDocument, time.Second, s.spec.FaultTolerance, s.bootstrapping, true
 	c.Seeds = slices.Clone(s.seeds)
 	r.Scheduler.QueueLimit, r.Scheduler.ControlTimeout = 1024, time.Minute
-	if s.w.tune != nil {
-		s.w.tune(c, r)
+	if s.w.adjustNode != nil {
+		s.w.adjustNode(c, r)
 	}
 }
 
@@ -84,56 +92,58 @@
 	return 1
 }
 
-func (s *site) alive(service string) []*Instance {
-	var is []*Instance
+func (s *site) activeInstances(service string) []*Instance {
+	var instances []*Instance
 	for _, i := range s.instances {
-		if i.up && (service == "" || i.service.Name == service) && i.leaves == never {
-			is = append(is, i)
+		if i.up && (service == "" || i.service.Name == service) && i.drainingSince == never {
+			instances = append(instances, i)
 		}
 	}
-	return is
+	return instances
 }
 
-// poll asks every node each second whether it is ready; two misses take it out.
-func (s *site) poll() {
-	s.entries = map[string][]*Node{}
+// pollReadiness asks every node each second whether it is ready. A node that is not ready twice in a row gets no more clients.
+func (s *site) pollReadiness() {
+	s.entryNodes = map[string][]*Node{}
 	for _, zone := range s.spec.Shape.Zones {
-		s.entries[zone] = s.pollZone(zone)
+		s.entryNodes[zone] = s.pollZone(zone)
 	}
-	s.w.After(time.Second, s.poll)
+	s.w.After(time.Second, s.pollReadiness)
 }
 
-// pollZone gives the machines of a zone that receive clients: those that are in, or all where that is under half of them.
+// pollZone returns the nodes of a zone that receive clients: those that did not miss two polls in a row. If these are some, but less than
+// half of the zone's nodes, all its nodes receive clients.
 func (s *site) pollZone(zone string) []*Node {
-	var in, all []*Node
+	var ready, all []*Node
 	for _, n := range s.w.Nodes {
 		if n.Zone != zone || n.removed {
 			continue
 		}
 		all = append(all, n)
-		s.misses[n.Name]++
-		if n.Alive && !n.frozen && !n.shuttingDown && n.router.NotReady(n.local()) == "" {
-			s.misses[n.Name] = 0
+		s.missedPolls[n.Name]++
+		if n.Alive && !n.frozen && !n.shuttingDown && n.router.NotReady(n.localTime()) == "" {
+			s.missedPolls[n.Name] = 0
 		}
-		if s.misses[n.Name] < 2 {
-			in = append(in, n)
+		if s.missedPolls[n.Name] < 2 {
+			ready = append(ready, n)
 		}
 	}
-	if len(in) > 0 && 2*len(in) < len(all) {
+	if len(ready) > 0 && 2*len(ready) < len(all) {
 		return all
 	}
-	return in
+	return ready
 }
 
-func (s *site) pick(zone string) *Node {
-	ns := s.entries[zone]
-	for _, d := range s.spec.Shape.Zones {
-		if len(ns) == 0 {
-			ns = s.entries[d]
+// pickEntryNode returns a random node that receives the clients of a zone, of another zone if it has none, or nil.
+func (s *site) pickEntryNode(zone string) *Node {
+	candidates := s.entryNodes[zone]
+	for _, other := range s.spec.Shape.Zones {
+		if len(candidates) == 0 {
+			candidates = s.entryNodes[other]
 		}
 	}
-	if len(ns) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return ns[s.rng.IntN(len(ns))]
+	return candidates[s.rng.IntN(len(candidates))]
 }
