--- a/sim/siteevacuate.go
+++ b/sim/siteevacuate.go
@@ -6,50 +6,51 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// longestStay is the longest pause between an evacuation and its end.
-const longestStay = 9 * time.Second
+// maxEvacuationPause is the longest pause between an evacuation and its end, and between that and the next evacuation.
+const maxEvacuationPause = 9 * time.Second
 
-// evacuate closes a zone, or opens it again after its replicas need to warm up.
-func (o *operators) evacuate(zone string, back bool) {
-	o.evacuateThen(zone, back, func() {})
+// evacuate evacuates a zone, or ends its evacuation, after which its replicas must warm up.
+func (o *operators) evacuate(zone string, restore bool) {
+	o.evacuateThen(zone, restore, func() {})
 }
 
-func (o *operators) evacuateThen(zone string, back bool, then func()) {
+func (o *operators) evacuateThen(zone string, restore bool, onSettled func()) {
 	r := o.s.rules
-	delete(r.reopened, zone)
-	if back {
-		if e := r.evacs[zone]; e != nil {
-			e.lifted = true
+	delete(r.restored, zone)
+	if restore {
+		if e := r.evacuations[zone]; e != nil {
+			e.restored = true
 		}
-		o.chill(zone)
+		o.warmUpZone(zone)
 	}
-	o.send(&order{op: control.Evacuate{Zone: zone, Restore: back}, end: func(ok bool) {
+	o.send(&order{op: control.Evacuate{Zone: zone, Restore: restore}, onSettled: func(ok bool) {
 		switch {
-		case ok && back:
-			delete(r.evacs, zone)
-			r.reopened[zone] = true
+		case ok && restore:
+			delete(r.evacuations, zone)
+			r.restored[zone] = true
 		case ok:
-			r.evacs[zone] = &evacuation{acked: o.s.w.Now}
+			r.evacuations[zone] = &evacuation{ackedAt: o.s.w.Now}
 		}
-		then()
+		onSettled()
 	}})
 }
 
-func (o *operators) chill(zone string) {
+// warmUpZone starts a warm-up of all instances in a zone.
+func (o *operators) warmUpZone(zone string) {
 	for _, i := range o.s.instances {
 		if i.up && i.Zone == zone && i.service.WarmupRate > 0 {
-			i.chill()
+			i.startWarmup()
 		}
 	}
 }
 
-// turns evacuates a zone and takes it back, again and again; each order follows the one before as soon as that is settled.
-func (o *operators) turns(zone string, until time.Duration, back bool) {
-	if o.s.w.Now >= until && !back {
+// evacuateRepeatedly evacuates a zone and ends the evacuation again and again, each order a random pause after the one before is settled.
+func (o *operators) evacuateRepeatedly(zone string, until time.Duration, restore bool) {
+	if o.s.w.Now >= until && !restore {
 		return
 	}
-	o.evacuateThen(zone, back, func() {
-		pause := time.Duration(o.rng.Int64N(int64(longestStay)))
-		o.s.w.After(pause, func() { o.turns(zone, until, !back) })
+	o.evacuateThen(zone, restore, func() {
+		pause := time.Duration(o.rng.Int64N(int64(maxEvacuationPause)))
+		o.s.w.After(pause, func() { o.evacuateRepeatedly(zone, until, !restore) })
 	})
 }
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// Troubles of a site beyond those of any fleet. On names nodes, zones or classes, or begins with the share of replicas.
+// Kinds of fault that only sites have. Fault.On has names of nodes, zones, services or request classes, or of a kind of response corruption.
 const (
 	BurstFault       = "burst"
 	HotKey           = "hot key"
@@ -20,63 +20,64 @@
 	ChangeConfig     = "change"
 )
 
-func (s *site) strike(f Fault) {
-	if s.waits(&f) {
+// inject starts a fault now, or later if too many core machines are lost.
+func (s *site) inject(f Fault) {
+	if s.deferCoreFault(&f) {
 		return
 	}
-	ns := s.w.nodes(f.On)
+	ns := s.w.nodesNamed(f.On)
 	switch f.Kind {
 	case Kill, Power, WipeDisk, ClockBack, AllPowerOff:
 		s.stopMachines(f, ns)
 	case Relocate:
 		for _, n := range ns {
-			s.replace(n, f.For)
+			s.replaceMachine(n, f.For)
 		}
 	case Freeze:
 		s.freezeMachines(ns, f.For)
 	case PartitionNode, PartitionControl:
-		s.isolate(ns, f.For, f.Kind == PartitionNode)
+		s.isolateMachines(ns, f.For, f.Kind == PartitionNode)
 	case SplitCore:
 		s.rules.recordFault(ns, f.For, false, 2*len(ns) > 3)
-		s.w.split(ns, f.For)
+		s.w.partitionAmong(ns, f.For)
 	case SlowDisk, StallDisk, FullDisk:
-		s.harmDisks(f, ns)
+		s.failDisks(f, ns)
 	case Upgrade:
 		s.rollingRestart(ns)
 	case PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionOneWay, PartitionIn:
 		s.partitionLinks(f, ns)
 	case StaleDisk, ReplaceMachine:
-		s.comeBack(f, ns)
+		s.restoreOrReplace(f, ns)
 	case ListUnavailable:
-		s.downs = append(s.downs, window{from: s.w.Now, until: s.w.Now + f.For})
+		s.listOutages = append(s.listOutages, window{from: s.w.Now, until: s.w.Now + f.For})
 	default:
-		if !s.giveOrders(f) {
+		if !s.injectOrderFault(f) {
 			s.injectTrafficFault(f)
 		}
 	}
 }
 
-// giveOrders has the operators do what the fault says; false where it isn't theirs.
-func (s *site) giveOrders(f Fault) bool {
+// injectOrderFault makes the operators do what a fault says; it returns false for faults of other kinds.
+func (s *site) injectOrderFault(f Fault) bool {
 	now := s.w.Now
 	switch f.Kind {
 	case EvacuateFault:
 		for _, zone := range f.On {
-			s.ops.evacuate(zone, false)
-			s.w.After(f.For, func() { s.ops.evacuate(zone, true) })
+			s.operators.evacuate(zone, false)
+			s.w.After(f.For, func() { s.operators.evacuate(zone, true) })
 		}
 	case PutStorm:
-		s.ops.change(now+f.For, 330*time.Millisecond, s.ops.vary)
+		s.operators.changeRepeatedly(now+f.For, 330*time.Millisecond, s.operators.varyRoutes)
 	case ChangeConfig:
-		s.ops.change(now+1, time.Second, s.ops.vary)
+		s.operators.changeRepeatedly(now+1, time.Second, s.operators.varyRoutes)
 	case LargePuts:
-		s.ops.change(now+1, time.Second, s.ops.grow)
+		s.operators.changeRepeatedly(now+1, time.Second, s.operators.addRoutes)
 	case ConcurrentPuts:
-		s.ops.race(3, 1200*time.Millisecond)
+		s.operators.changeConcurrently(3, 1200*time.Millisecond)
 	case InvalidPuts:
-		s.ops.flawed()
+		s.operators.sendInvalid()
 	case LoseAcks, RapidChanges, SameRevision, ResendChanges, ReadConfig, EvacuateRepeatedly:
-		s.ops.press(f)
+		s.operators.applyOperatorFault(f)
 	default:
 		return false
 	}
@@ -96,21 +97,21 @@
 	}
 }
 
-// slowSync is how long a slow disk takes for a sync.
-const slowSync = 50 * time.Millisecond
+// slowSyncDelay is the extra time that a slow disk takes for a sync.
+const slowSyncDelay = 50 * time.Millisecond
 
-func (s *site) harmDisks(f Fault, ns []*Node) {
+func (s *site) failDisks(f Fault, ns []*Node) {
 	ns = slices.DeleteFunc(ns, func(n *Node) bool { return n.Disk == nil })
 	s.rules.recordFault(ns, f.For, false, true)
 	for _, n := range ns {
-		n.slow, n.stall, n.Disk.Full = 0, f.Kind == StallDisk, f.Kind == FullDisk
+		n.syncDelay, n.diskStalled, n.Disk.Full = 0, f.Kind == StallDisk, f.Kind == FullDisk
 		if f.Kind == SlowDisk {
-			n.slow = slowSync
+			n.syncDelay = slowSyncDelay
 		}
 		s.w.After(f.For, func() {
-			n.slow, n.stall, n.Disk.Full = 0, false, false
+			n.syncDelay, n.diskStalled, n.Disk.Full = 0, false, false
 			if n.Alive {
-				n.save()
+				n.writeJournal()
 			}
 		})
 	}
@@ -122,10 +123,10 @@
 	}
 	s.rules.recordFault(ns, f.For, false, false)
 	for _, n := range ns {
-		n.dark = f.Kind == Power || f.Kind == AllPowerOff
+		n.poweredOff = f.Kind == Power || f.Kind == AllPowerOff
 		n.kill()
 		if f.Kind == ClockBack {
-			n.wall = -s.w.Now - f.For
+			n.wallOffset = -s.w.Now - f.For
 		}
 		if n.Disk != nil && f.Kind != Kill && f.Kind != ClockBack {
 			n.Disk.PowerLoss()
@@ -133,7 +134,7 @@
 		if n.Disk != nil && f.Kind == WipeDisk {
 			n.Disk.Wipe()
 		}
-		n.stall, n.slow = false, 0
+		n.diskStalled, n.syncDelay = false, 0
 		if f.For >= 0 {
 			s.w.After(f.For+time.Duration(s.w.rng.Int64N(int64(300*time.Millisecond))), func() { s.start(n) })
 		}
@@ -148,8 +149,8 @@
 	n.start()
 }
 
-// replace puts an empty machine at another address in the place of one, and tells the nodes the new seeds some time later.
-func (s *site) replace(old *Node, d time.Duration) {
+// replaceMachine replaces a machine by an empty one at another address, and some time later tells the nodes the new seeds.
+func (s *site) replaceMachine(old *Node, d time.Duration) {
 	w := s.w
 	if old.removed {
 		return
@@ -159,20 +160,20 @@
 	old.removed = true
 	successor := s.successor(old)
 	w.After(d, func() { s.start(successor) })
-	s.renewSeeds(old, successor, d)
+	s.updateSeeds(old, successor, d)
 }
 
-// successor is an empty machine at another address, not started yet.
+// successor adds an empty machine at another address, which is not started yet.
 func (s *site) successor(old *Node) *Node {
 	w := s.w
 	added := newNode(w, len(w.Nodes), shape.Node{Name: old.Name + "b", Zone: old.Zone, Disk: old.Disk != nil})
-	added.wall = 0
+	added.wallOffset = 0
 	w.Nodes = append(w.Nodes, added)
 	return added
 }
 
-// renewSeeds tells the nodes the address of a successor some time after its start.
-func (s *site) renewSeeds(old, added *Node, d time.Duration) {
+// updateSeeds tells the nodes the address of a successor seedLag after its start.
+func (s *site) updateSeeds(old, added *Node, d time.Duration) {
 	w := s.w
 	w.After(d+seedLag, func() {
 		for i, a := range s.seeds {
@@ -188,23 +189,24 @@
 	})
 }
 
-// isolate cuts machines off from all other nodes, and from replicas and the platform where whole.
-func (s *site) isolate(ns []*Node, d time.Duration, complete bool) {
+// isolateMachines partitions machines from all other nodes, and with complete set also from replicas and the platform.
+func (s *site) isolateMachines(ns []*Node, d time.Duration, complete bool) {
 	s.rules.recordFault(ns, d, false, false)
 	in := func(addr string) bool { return slices.ContainsFunc(ns, func(n *Node) bool { return n.Addr == addr }) }
 	heal := s.w.Net.Partition(func(from, to string) bool {
-		a, b := in(from), in(to)
-		if !complete && (s.w.byAddr[from] == nil || s.w.byAddr[to] == nil) {
+		fromInside, toInside := in(from), in(to)
+		if !complete && (s.w.nodesByAddr[from] == nil || s.w.nodesByAddr[to] == nil) {
 			return false
 		}
-		return a || b
+		return fromInside || toInside
 	})
 	s.w.After(d, heal)
 }
 
-const stopGap = 1300 * time.Millisecond
+// restartPause is the time between two nodes of a rolling restart.
+const restartPause = 1300 * time.Millisecond
 
-// rollingRestart stops nodes with a warning, one after the other, as the process drains, and starts each again.
+// rollingRestart stops one node after the other with the shutdown sequence of a real process, and starts each again.
 func (s *site) rollingRestart(ns []*Node) {
 	if len(ns) == 0 {
 		return
@@ -215,28 +217,28 @@
 		return
 	}
 	from, incarnation := w.Now, n.incarnation
-	w.Tracef("%s is told to stop", n.Name)
-	s.rules.recordFault([]*Node{n}, grace+time.Second, true, false)
+	w.Tracef("%s starts to shut down", n.Name)
+	s.rules.recordFault([]*Node{n}, shutdownGrace+time.Second, true, false)
 	n.shuttingDown, n.shutdownAt = true, w.Now
 	w.Call(n, control.Retire{}, func(control.Answer) {})
-	left := false
-	var look func()
-	look = func() {
+	hasLeft := false
+	var poll func()
+	poll = func() {
 		switch {
 		case n.incarnation != incarnation:
 			return
-		case w.Now-from > schedule.ExitAfter(), left && len(n.requests) == 0:
+		case w.Now-from > schedule.ExitAfter(), hasLeft && len(n.requests) == 0:
 			n.kill()
 			if !n.removed {
 				w.After(300*time.Millisecond, n.start)
 			}
-			w.After(stopGap, func() { s.rollingRestart(ns[1:]) })
+			w.After(restartPause, func() { s.rollingRestart(ns[1:]) })
 			return
-		case !left && w.Now-from > schedule.LeaveAfter():
-			left = true
+		case !hasLeft && w.Now-from > schedule.LeaveAfter():
+			hasLeft = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
 		}
-		w.After(50*time.Millisecond, look)
+		w.After(50*time.Millisecond, poll)
 	}
-	look()
+	poll()
 }
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -9,82 +9,86 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
+// A starting process accepts connections when its router is ready, checked every acceptPoll, or at the latest after maxAcceptDelay.
 const (
-	openWithin = 700 * time.Millisecond
-	openPoll   = 20 * time.Millisecond
+	maxAcceptDelay = 700 * time.Millisecond
+	acceptPoll     = 20 * time.Millisecond
 )
 
-// accept leaves connections after a start in the listener's queue until they can be served, or for long enough.
+// accept handles a new connection; until the process accepts connections, it waits in the listener's queue.
 func (n *Node) accept(do func()) {
-	if n.serving {
+	if n.accepting {
 		do()
 		return
 	}
 	n.acceptQueue = append(n.acceptQueue, do)
 }
 
-// schedule is how processes at a site shut down.
-var schedule = proxy.ShutdownSchedule{Grace: grace}
+// schedule is the shutdown schedule of a site's processes.
+var schedule = proxy.ShutdownSchedule{Grace: shutdownGrace}
 
-// takeAttempt begins a client's request, or refuses it as a proxy does that shuts down.
+// takeAttempt starts a client's request, or rejects it as a proxy does that is shutting down.
 func (n *Node) takeAttempt(c *clientAttempt) {
 	if !n.shuttingDown || schedule.Admits(n.w.Now-n.shutdownAt, c.timeout) {
-		c.proxied = n.begin(c)
+		c.proxied = n.startProxyRequest(c)
 		return
 	}
 	n.w.site.report.Reasons["shutting down"]++
-	n.w.site.rules.refused(c, n)
-	c.send(n, func() { c.ended(http.StatusServiceUnavailable, refusedAfter) })
+	n.w.site.rules.attemptRejected(c, n)
+	c.send(n, func() { c.responseEnded(http.StatusServiceUnavailable, shutdownRetryAfter) })
 }
 
-// refusedAfter is the Retry-After of a process that shuts down.
-const refusedAfter = 10 * time.Millisecond
+// shutdownRetryAfter is the Retry-After of a process that is shutting down.
+const shutdownRetryAfter = 10 * time.Millisecond
 
-func (n *Node) open(from time.Duration) {
-	if n.router.NotReady(n.local()) != "" && n.w.Now-from < openWithin {
-		n.later(openPoll, func() { n.open(from) })
+// startAccepting polls until the process can accept connections, and then handles the queued ones.
+func (n *Node) startAccepting(from time.Duration) {
+	if n.router.NotReady(n.localTime()) != "" && n.w.Now-from < maxAcceptDelay {
+		n.later(acceptPoll, func() { n.startAccepting(from) })
 		return
 	}
-	n.serving = true
-	door := n.acceptQueue
+	n.accepting = true
+	queued := n.acceptQueue
 	n.acceptQueue = nil
-	for _, do := range door {
+	for _, do := range queued {
 		do()
 	}
 }
 
-// turn gives the router an event and sees to it that it is woken when it needs the time.
-func (n *Node) turn(ev router.Event) []router.Decision {
-	ds := n.router.Step(n.local(), ev)
+// stepRouter passes an event to the router. On a site it also passes the failures that the router observed to the control state machine, and
+// schedules the router's next tick.
+func (n *Node) stepRouter(ev router.Event) []router.Decision {
+	ds := n.router.Step(n.localTime(), ev)
 	if n.w.site == nil {
 		return ds
 	}
-	if f, known := n.router.Failures(n.local()); known {
+	if f, known := n.router.Failures(n.localTime()); known {
 		n.later(0, func() { n.step(control.FailuresObserved{Failures: f}) })
 	}
-	n.arm()
+	n.scheduleTick()
 	return ds
 }
 
-func (n *Node) arm() {
+// scheduleTick schedules a tick for when the router needs one, unless an earlier one is scheduled.
+func (n *Node) scheduleTick() {
 	wait := router.MaxLoopSleep
-	if at, known := n.router.NextTick(n.local()); known {
-		wait = min(max(at-n.local(), time.Millisecond), wait)
+	if at, known := n.router.NextTick(n.localTime()); known {
+		wait = min(max(at-n.localTime(), time.Millisecond), wait)
 	}
 	at := n.w.Now + wait
-	if n.wakes > n.w.Now && n.wakes <= at {
+	if n.nextWake > n.w.Now && n.nextWake <= at {
 		return
 	}
-	n.wakes = at
+	n.nextWake = at
 	n.later(wait, func() {
-		if n.w.Now >= n.wakes && n.wakes > 0 {
-			n.wakes = 0
-			n.decide(n.turn(router.Tick{}))
+		if n.w.Now >= n.nextWake && n.nextWake > 0 {
+			n.nextWake = 0
+			n.handleDecisions(n.stepRouter(router.Tick{}))
 		}
 	})
 }
 
-// repairDisk writes everything anew after a failure, until the disk takes it.
+// repairDisk rewrites the whole state after a disk failure, until that succeeds.
 func (n *Node) repairDisk() {
 	n.repairing = true
 	n.later(500*time.Millisecond, func() {
@@ -97,20 +101,20 @@
 	})
 }
 
-// halt ends what runs at a node whose process ends; without power nobody is told.
-func (n *Node) halt() {
+// closeConnections closes all connections of a node whose process ended. After a power loss, the peers are not notified.
+func (n *Node) closeConnections() {
 	for _, name := range sortedKeys(n.requests) {
 		t := n.requests[name]
-		if !n.dark {
-			t.orphan()
+		if !n.poweredOff {
+			t.nodeStopped()
 		}
 	}
-	if !n.dark {
+	if !n.poweredOff {
 		for _, name := range sortedKeys(n.pool) {
 			for _, k := range n.pool[name].idle {
 				k.close()
 			}
 		}
 	}
-	n.requests, n.pool, n.wakes = map[string]*proxyRequest{}, pool{}, 0
+	n.requests, n.pool, n.nextWake = map[string]*proxyRequest{}, pool{}, 0
 }
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -9,40 +9,42 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// ackLoss is a time in which a share of the answers to operators is lost on the way.
+// ackLoss is a time in which a share of the responses to operators is lost.
 type ackLoss struct {
 	window
 	ratio float64
 }
 
 const (
-	// mostUnderWay is how many changes operators have under way at once.
-	mostUnderWay = 8
-	// lookEvery is how many changes of a rapid run pass between those that are looked at from outside.
-	lookEvery = 10
-	// resendFor is how long an order is sent again whose answers were lost.
+	// maxInFlight is how many unsettled rapid changes there may be.
+	maxInFlight = 8
+	// probeEvery: of the rapid changes, one in so many is probed with requests.
+	probeEvery = 10
+	// resendFor is how long an order is repeated after a response to it was lost.
 	resendFor = 25 * time.Second
-	lostRatio = 0.7
+	// ackLossRatio is the share of responses that a LoseAcks fault loses.
+	ackLossRatio = 0.7
 )
 
-func (o *operators) loses() bool {
-	for _, l := range o.losses {
-		if o.s.w.Now >= l.from && o.s.w.Now < l.until {
-			return o.rng.Float64() < l.ratio
+// losesAck reports whether the response that arrives now is lost.
+func (o *operators) losesAck() bool {
+	for _, loss := range o.ackLosses {
+		if o.s.w.Now >= loss.from && o.s.w.Now < loss.until {
+			return o.rng.Float64() < loss.ratio
 		}
 	}
 	return false
 }
 
-// extend has an order whose answer was lost sent for long.
-func (*operators) extend(d *order) {
-	if !d.forced {
-		d.until = max(d.until, d.from+resendFor)
+// extendDeadline makes an order whose response was lost be repeated for longer.
+func (*operators) extendDeadline(d *order) {
+	if !d.untilAcked {
+		d.giveUpAt = max(d.giveUpAt, d.sentAt+resendFor)
 	}
 }
 
-// callOf is what a call carries: an order keeps its id, but for evacuations, which have none on the wire.
-func (o *operators) callOf(d *order) control.Op {
+// opFor returns the operation that a call sends: every call of an order has the same id, except for evacuations, which have none on the wire.
+func (o *operators) opFor(d *order) control.Op {
 	if e, is := d.op.(control.Evacuate); is {
 		e.ID = o.id()
 		return e
@@ -50,101 +52,101 @@
 	return d.op
 }
 
-// gated tells that an order comes to a node that stands still. The daemon's gate takes none that lay there when it goes on; whether
-// the caller hears that is unknown to it by then.
-func (o *operators) gated(n *Node) bool { return n.frozen && !o.ungated }
+// rejectedByGate reports whether an order arrives at a frozen node. The daemon's gate executes no operator request that waited while the node was
+// frozen. The operator may not learn of the rejection, so that the outcome is unclear to it.
+func (o *operators) rejectedByGate(n *Node) bool { return n.frozen && !o.gateDisabled }
 
-// base is the newest version that operators know to be or have been in force.
+// base returns the newest version that operators know to be or have been in force.
 func (o *operators) base() *version {
 	var v *version
-	for _, x := range o.s.rules.versions {
-		if (x.acked > 0 || x.seen) && (v == nil || x.revision > v.revision) {
-			v = x
+	for _, other := range o.s.rules.versions {
+		if (other.ackedAt > 0 || other.wasInForce) && (v == nil || other.revision > v.revision) {
+			v = other
 		}
 	}
 	return v
 }
 
-// inForce notes that a version was in force; one that was refused must never be.
-func (o *operators) inForce(v *version) {
-	v.seen = true
-	if v.denied {
-		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "it was refused, and is in force")
+// markInForce records that a version was in force, which one that was reported as rejected must never be.
+func (o *operators) markInForce(v *version) {
+	v.wasInForce = true
+	if v.reportedRejected {
+		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "it was rejected, but is in force")
 	}
 }
 
-// denied judges the refusal of a proper change: it must not have been taken, and another must be or may be.
-func (o *operators) denied(d *order, n *Node) {
-	v := d.v
-	v.denied = true
+// checkRejection checks the rejection of a valid change: it must not have been accepted, and another change must at least possibly have been.
+func (o *operators) checkRejection(d *order, n *Node) {
+	v := d.version
+	v.reportedRejected = true
 	switch {
-	case v.seen || v.acked > 0:
-		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "by %s", n.Name)
-	case !o.rivalled(d):
-		o.s.rules.breach(RuleNeedlessRejection, fmt.Sprint(v.revision), "by %s, on top of %d", n.Name, d.base)
+	case v.wasInForce || v.ackedAt > 0:
+		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "rejected by %s, though it was in force", n.Name)
+	case !o.hasRival(d):
+		o.s.rules.breach(RuleNeedlessRejection, fmt.Sprint(v.revision), "rejected by %s, on top of %d", n.Name, d.baseRevision)
 	}
-	o.learn(n)
+	o.readFromRejecting(n)
 }
 
-// rivalled tells whether another change may have been taken on top of the order's base or later.
-func (o *operators) rivalled(d *order) bool {
-	for _, x := range o.s.rules.versions {
-		if x != d.v && !x.flawed && x.revision > d.base && x.base >= d.base && (!x.denied || x.seen) {
+// hasRival reports whether another change may have been accepted on top of the order's base or of a later revision.
+func (o *operators) hasRival(d *order) bool {
+	for _, other := range o.s.rules.versions {
+		if other != d.version && !other.invalid && other.revision > d.baseRevision && other.base >= d.baseRevision && (!other.reportedRejected || other.wasInForce) {
 			return true
 		}
 	}
 	return false
 }
 
-// overtaken tells that another change on top of the same version was acknowledged, so that the order's own can't be any more.
+// overtaken reports whether another change on top of the same base was acknowledged, so that this one cannot be accepted any more.
 func (o *operators) overtaken(d *order) bool {
-	for _, x := range o.s.rules.versions {
-		if x != d.v && x.acked > 0 && x.base == d.base {
+	for _, other := range o.s.rules.versions {
+		if other != d.version && other.ackedAt > 0 && other.base == d.baseRevision {
 			return true
 		}
 	}
 	return false
 }
 
-// learn reads the configuration at the node that refused a change, so that the next builds on what is in force.
-func (o *operators) learn(n *Node) {
+// readFromRejecting reads the configuration at the node that rejected a change, so that the next change starts from what is in force.
+func (o *operators) readFromRejecting(n *Node) {
 	if n.Alive {
 		o.read(n)
 	}
 }
 
-// read asks a node for the configuration and judges it by what was acknowledged before the call.
+// read gets the configuration from a node and compares it with the newest one that was acknowledged before the call.
 func (o *operators) read(n *Node) {
 	sent := o.s.w.Now
-	due := o.s.rules.newest()
+	due := o.s.rules.newestAcked()
 	o.s.w.After(clientDelay, func() {
 		o.s.w.Call(n, control.Get{}, func(a control.Answer) {
-			if a.Err != nil || a.Value == nil || o.s.w.Now-sent > callAnew {
+			if a.Err != nil || a.Value == nil || o.s.w.Now-sent > callTimeout {
 				return
 			}
-			o.found(n, a.Value.Document, due)
+			o.checkRead(n, a.Value.Document, due)
 		})
 	})
 }
 
-func (o *operators) found(n *Node, body []byte, due *version) {
-	at, err := revisionIn(body)
-	if err != nil || at == 0 {
+func (o *operators) checkRead(n *Node, body []byte, due *version) {
+	revision, err := revisionIn(body)
+	if err != nil || revision == 0 {
 		return
 	}
 	o.s.report.ConfigReads++
-	if due != nil && at < due.revision {
-		o.s.rules.breach(RuleStaleRead, n.Name, "revision %d, %d was acknowledged", at, due.revision)
+	if due != nil && revision < due.revision {
+		o.s.rules.breach(RuleStaleRead, n.Name, "returned revision %d, revision %d was acknowledged", revision, due.revision)
 	}
 	for _, v := range o.s.rules.versions {
-		if v.revision == at && !v.flawed && bytes.Equal(v.raw, body) {
-			o.inForce(v)
+		if v.revision == revision && !v.invalid && bytes.Equal(v.raw, body) {
+			o.markInForce(v)
 		}
 	}
 }
 
-// reads asks one node after the other for the configuration.
-func (o *operators) reads(until, gap time.Duration) {
+// readRepeatedly gets the configuration from a random node each gap.
+func (o *operators) readRepeatedly(until, gap time.Duration) {
 	w := o.s.w
 	if w.Now >= until {
 		return
@@ -152,77 +154,77 @@
 	if n := w.Nodes[o.rng.IntN(len(w.Nodes))]; n.Alive {
 		o.read(n)
 	}
-	w.After(gap, func() { o.reads(until, gap) })
+	w.After(gap, func() { o.readRepeatedly(until, gap) })
 }
 
-// rapid sends a change each gap, with up to mostUnderWay of them not settled.
-func (o *operators) rapid(until, gap time.Duration, count int) {
+// changeRapidly sends a change each gap while fewer than maxInFlight are unsettled.
+func (o *operators) changeRapidly(until, gap time.Duration, count int) {
 	if o.s.w.Now >= until {
 		return
 	}
 	base := o.base()
-	if base != nil && o.underWay < mostUnderWay {
-		o.underWay++
-		o.put(o.vary, func(v *version, ok bool) {
-			o.underWay--
-			if ok && count%lookEvery == 0 {
-				o.looks(base, v)
+	if base != nil && o.inFlight < maxInFlight {
+		o.inFlight++
+		o.put(o.varyRoutes, func(v *version, ok bool) {
+			o.inFlight--
+			if ok && count%probeEvery == 0 {
+				o.probeChange(base, v)
 			}
 		})
 	}
-	o.s.w.After(gap, func() { o.rapid(until, gap, count+1) })
+	o.s.w.After(gap, func() { o.changeRapidly(until, gap, count+1) })
 }
 
-// sameNumber has two operators pick one number for different changes of the same version.
-func (o *operators) sameNumber(times int, gap time.Duration) {
+// sendSameRevision makes two operators send different changes of the same version under one revision number, every gap.
+func (o *operators) sendSameRevision(times int, gap time.Duration) {
 	if times == 0 {
 		return
 	}
 	if base := o.base(); base != nil {
-		number := o.revision()
+		revision := o.revision()
 		for i := range 2 {
-			version := time.Duration(i+1) * time.Millisecond
-			o.put2(base, number, func(c *config.Config) {
-				o.vary(c)
-				c.Routes[0].Timeout += version
+			extra := time.Duration(i+1) * time.Millisecond
+			o.putOn(base, revision, func(c *config.Config) {
+				o.varyRoutes(c)
+				c.Routes[0].Timeout += extra
 			}, nil)
 		}
 	}
-	o.s.w.After(gap, func() { o.sameNumber(times-1, gap) })
+	o.s.w.After(gap, func() { o.sendSameRevision(times-1, gap) })
 }
 
-// repeats sends changes anew that were acknowledged at any time before.
-func (o *operators) repeats(until, gap time.Duration) {
+// resendRepeatedly sends a random acknowledged change again each gap.
+func (o *operators) resendRepeatedly(until, gap time.Duration) {
 	if o.s.w.Now >= until {
 		return
 	}
-	if len(o.taken) > 0 {
-		old := o.taken[o.rng.IntN(len(o.taken))]
-		o.send(&order{op: old.op, v: old.v, base: old.base, repeated: true})
+	if len(o.accepted) > 0 {
+		old := o.accepted[o.rng.IntN(len(o.accepted))]
+		o.send(&order{op: old.op, version: old.version, baseRevision: old.baseRevision, repeated: true})
 	}
-	o.s.w.After(gap, func() { o.repeats(until, gap) })
+	o.s.w.After(gap, func() { o.resendRepeatedly(until, gap) })
 }
 
-// repeated judges the answer to a change that was taken before: never a refusal.
-func (o *operators) repeated(d *order, n *Node, f fate) {
+// checkResend checks the response to a change that was accepted before, which must not be a rejection.
+func (o *operators) checkResend(d *order, n *Node, result outcome) {
 	o.s.report.ResentChanges++
-	if f == refused {
-		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(d.v.revision), "by %s, %s after it was acknowledged", n.Name, o.s.w.Now-d.v.acked)
+	if result == rejected {
+		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(d.version.revision), "rejected by %s, %s after it was acknowledged", n.Name, o.s.w.Now-d.version.ackedAt)
 	}
 }
 
-// sent tells whether a document is one that was sent under its number, and the one that was acknowledged if any was.
-func (r *rules) sent(revision uint64, body []byte) bool {
-	known, right := false, false
+// matchesSent reports whether a document is one that was sent under its revision, and the acknowledged one if any was.
+func (r *rules) matchesSent(revision uint64, body []byte) bool {
+	known, matches := false, false
 	for _, v := range r.versions {
-		if v.revision != revision || v.flawed {
+		if v.revision != revision || v.invalid {
 			continue
 		}
 		same := bytes.Equal(v.raw, body)
-		if v.acked > 0 {
+		if v.ackedAt > 0 {
 			return same
 		}
-		known, right = true, right || same
+		known, matches = true, matches || same
 	}
-	return right || !known
+	return matches || !known
 }
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -6,127 +6,129 @@
 	"time"
 )
 
-// injectTrafficFault is fault with replicas and traffic.
+// injectTrafficFault starts a fault of replicas or of the traffic.
 func (s *site) injectTrafficFault(f Fault) {
 	switch f.Kind {
 	case BurstFault:
-		s.burst(f)
+		s.addBurst(f)
 	case HotKey:
-		s.load.surges = append(s.load.surges, loadSurge{from: s.w.Now, until: s.w.Now + f.For, class: 1, times: 1, hot: 0.28})
+		s.generator.surges = append(s.generator.surges, loadSurge{from: s.w.Now, until: s.w.Now + f.For, classIndex: 1, factor: 1, hotRatio: 0.28})
 	case ReplicaCrash, ReplicaUnreachable, ReplicaRestart:
-		most := 2
+		maxInstances := 2
 		if len(f.On) > 0 && slices.Contains(s.spec.Shape.Zones, f.On[0]) {
-			most = len(s.instances)
+			maxInstances = len(s.instances)
 		}
-		for _, i := range s.chosen(f, most) {
-			s.crash(i, f)
+		for _, i := range s.pickInstances(f, maxInstances) {
+			s.crashInstance(i, f)
 		}
 	case ReplicaFreeze:
-		for _, i := range s.chosen(f, 2) {
+		for _, i := range s.pickInstances(f, 2) {
 			s.freezeReplica(i, f.For)
 		}
 	case Release:
-		s.renew(s.chosen(f, 4))
+		s.rollInstances(s.pickInstances(f, 4))
 	case ScaleIn:
-		for _, i := range s.chosen(f, 2) {
+		for _, i := range s.pickInstances(f, 2) {
 			i.drain()
 		}
 	case ScaleOut:
 		for k := range 3 {
-			o := &s.spec.Services[0]
-			s.launch(o, s.spec.Shape.Zones[k%len(s.spec.Shape.Zones)], s.address(o), o.Slowdowns[k%len(o.Slowdowns)], true)
+			service := &s.spec.Services[0]
+			s.launch(service, s.spec.Shape.Zones[k%len(s.spec.Shape.Zones)], s.pickAddress(service), service.Slowdowns[k%len(service.Slowdowns)], true)
 		}
 	case CorruptResponses:
-		s.garbleAnswers(f)
+		s.corruptResponses(f)
 	}
 }
 
-// burst multiplies the traffic of the classes that the fault names, or a little that of all streams.
-func (s *site) burst(f Fault) {
-	for i, c := range s.spec.Classes {
-		surge := loadSurge{from: s.w.Now, until: s.w.Now + f.For, class: i, times: 1.5}
-		named := slices.Contains(f.On, c.Name)
+// addBurst triples the traffic of the classes that the fault names; without names, it multiplies that of all streaming classes by 1.5.
+func (s *site) addBurst(f Fault) {
+	for i, class := range s.spec.Classes {
+		surge := loadSurge{from: s.w.Now, until: s.w.Now + f.For, classIndex: i, factor: 1.5}
+		named := slices.Contains(f.On, class.Name)
 		if named {
-			surge.times = 3
+			surge.factor = 3
 		}
-		if named || (len(f.On) == 0 && c.Streaming) {
-			s.load.surges = append(s.load.surges, surge)
+		if named || (len(f.On) == 0 && class.Streaming) {
+			s.generator.surges = append(s.generator.surges, surge)
 		}
 	}
 }
 
-// garbleAnswers has some replicas answer wrongly, in the way that the fault names first; all of them, and always, where it names another.
-func (s *site) garbleAnswers(f Fault) {
-	how, every, on := "reset", 25, 6
+// corruptResponses makes some replicas corrupt some responses, in the way that the fault names first. If it has a second name, all replicas
+// corrupt all responses.
+func (s *site) corruptResponses(f Fault) {
+	kind, oneIn, count := "reset", 25, 6
 	if len(f.On) > 0 {
-		how = f.On[0]
+		kind = f.On[0]
 	}
 	if len(f.On) > 1 {
-		every, on = 1, len(s.instances)
+		oneIn, count = 1, len(s.instances)
 	}
-	for _, i := range s.chosen(Fault{}, on) {
-		i.garble = garbling{every: every, how: how}
-		s.w.After(f.For, func() { i.garble = garbling{} })
+	for _, i := range s.pickInstances(Fault{}, count) {
+		i.corruption = responseCorruption{oneIn: oneIn, kind: kind}
+		s.w.After(f.For, func() { i.corruption = responseCorruption{} })
 	}
 }
 
-// chosen picks replicas at random, of the service or zone that the fault names, or of any.
-func (s *site) chosen(f Fault, n int) []*Instance {
+// pickInstances returns up to n random instances, of the service or zone that the fault names, or of any.
+func (s *site) pickInstances(f Fault, n int) []*Instance {
 	service := ""
 	if len(f.On) > 0 {
 		service = f.On[0]
 	}
-	is := s.alive(service)
+	instances := s.activeInstances(service)
 	if slices.Contains(s.spec.Shape.Zones, service) {
-		is = slices.DeleteFunc(s.alive(""), func(i *Instance) bool { return i.Zone != service })
+		instances = slices.DeleteFunc(s.activeInstances(""), func(i *Instance) bool { return i.Zone != service })
 	}
-	s.rng.Shuffle(len(is), func(i, j int) { is[i], is[j] = is[j], is[i] })
-	return is[:min(n, len(is))]
+	s.rng.Shuffle(len(instances), func(i, j int) { instances[i], instances[j] = instances[j], instances[i] })
+	return instances[:min(n, len(instances))]
 }
 
-func (s *site) crash(i *Instance, f Fault) {
+// crashInstance crashes an instance, or makes it unreachable first, and starts another one at its address when the fault ends.
+func (s *site) crashInstance(i *Instance, f Fault) {
 	for _, k := range i.sockets {
-		k.harm()
+		k.markHarmed()
 	}
-	repeated := func() {
-		if s.at[i.Addr] == i {
-			s.launch(i.service, i.Zone, i.Addr, i.pace, true)
+	relaunch := func() {
+		if s.instanceAt[i.Addr] == i {
+			s.launch(i.service, i.Zone, i.Addr, i.slowdown, true)
 		}
 	}
 	if f.Kind == ReplicaUnreachable {
-		i.dark = true
+		i.unreachable = true
 		s.w.After(f.For, func() {
-			i.dark = false
-			i.end(true)
-			s.w.After(time.Second, repeated)
+			i.unreachable = false
+			i.stop(true)
+			s.w.After(time.Second, relaunch)
 		})
 		return
 	}
-	i.end(true)
+	i.stop(true)
 	if f.For >= 0 {
-		s.w.After(f.For, repeated)
+		s.w.After(f.For, relaunch)
 	}
 }
 
-// renew replaces replicas one after the other: the old one drains, a new one comes where there is an address.
-func (s *site) renew(is []*Instance) {
-	if len(is) == 0 {
+// rollInstances replaces instances one after the other: the old one drains, and a new one starts at a free address.
+func (s *site) rollInstances(instances []*Instance) {
+	if len(instances) == 0 {
 		return
 	}
-	old, w := is[0], s.w
+	old, w := instances[0], s.w
 	old.drain()
-	w.After(2*time.Second, func() { s.launch(old.service, old.Zone, s.address(old.service), old.pace, true) })
-	w.After(time.Second, func() { s.renew(is[1:]) })
+	w.After(2*time.Second, func() { s.launch(old.service, old.Zone, s.pickAddress(old.service), old.slowdown, true) })
+	w.After(time.Second, func() { s.rollInstances(instances[1:]) })
 }
 
-// address gives one that a replica, of another service if possible, held before and that is free long enough; or a new one.
-func (s *site) address(o *ServiceSpec) string {
-	free := func(i *Instance) bool {
-		return !i.up && s.at[i.Addr] == i && s.w.Now-i.ends > reuseAfter && i.service != o
+// pickAddress returns an address that an instance of another service had until addressReuseAfter ago, or a new one.
+func (s *site) pickAddress(service *ServiceSpec) string {
+	isFree := func(i *Instance) bool {
+		return !i.up && s.instanceAt[i.Addr] == i && s.w.Now-i.endedAt > addressReuseAfter && i.service != service
 	}
-	if at := slices.IndexFunc(s.instances, free); at >= 0 {
+	if at := slices.IndexFunc(s.instances, isFree); at >= 0 {
 		return s.instances[at].Addr
 	}
-	s.born++
-	return fmt.Sprintf("10.10.0.%d:8080", s.born)
+	s.lastInstanceID++
+	return fmt.Sprintf("10.10.0.%d:8080", s.lastInstanceID)
 }
--- a/sim/sitescenarios_test.go
+++ b/sim/sitescenarios_test.go
@@ -8,7 +8,7 @@
 
 func TestSiteScenarios(t *testing.T) {
 	for i, scenario := range SiteScenarios() {
-		if raced && i%8 != 0 {
+		if raceEnabled && i%8 != 0 {
 			continue
 		}
 		t.Run(testName(scenario.Name), func(t *testing.T) {
@@ -21,10 +21,10 @@
 	}
 }
 
-// testName is a scenario's name without spaces.
+// testName returns a scenario's name without spaces.
 func testName(name string) string { return strings.ReplaceAll(name, " ", "-") }
 
-// eachSeed calls play with each seed that the flags ask for.
+// eachSeed calls play with each seed that the flags select.
 func eachSeed(play func(seed uint64)) {
 	for i := range uint64(*seeds) {
 		play(*first + i)
@@ -46,12 +46,12 @@
 	}
 	r := w.Site()
 	if got := r.Served(); got < d.MinServed {
-		t.Errorf("%.1f%% are served, not %.1f%%", 100*got, 100*d.MinServed)
+		t.Errorf("%.1f%% of requests were served, want at least %.1f%%", 100*got, 100*d.MinServed)
 	}
 	var out strings.Builder
 	r.Write(&out)
 	t.Log("\n" + out.String())
 	if t.Failed() {
-		t.Logf("go test ./stage -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.TraceBeforeBreach, "\n"))
+		t.Logf("go test ./sim -run '%s' -seed %d -seeds 1\n%s", t.Name(), seed, strings.Join(w.Audit.TraceBeforeBreach, "\n"))
 	}
 }
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -8,70 +8,86 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// ServiceSpec is a group of alike replicas that the platform lists.
+// ServiceSpec is a service whose replicas the platform lists.
 type ServiceSpec struct {
 	Name string
 	engine.Spec
 	Replicas int
-	// MaxConns is how many connections a replica takes from all nodes together.
-	MaxConns   int
+	// MaxConns is how many connections a replica accepts from all nodes together.
+	MaxConns int
+	// WarmupTime is how long a replica warms up after its start; in that time it may get WarmupRate requests per second.
 	WarmupTime time.Duration
 	WarmupRate float64
-	// Slowdowns multiplies the time that everything takes, replica by replica in turn.
+	// Slowdowns are factors for all times of a replica, assigned to the replicas in turn.
 	Slowdowns []float64
 }
 
-// TrafficClass is one kind of request, with a route of its own.
+// TrafficClass is a request class with its own route.
 type TrafficClass struct {
-	Name, Service                      string
-	Rate                               float64
-	Streaming, Repeatable              bool
-	Resumable                          bool
-	Priority, MaxAttempts              int
+	Name, Service string
+	// Rate is in requests per second.
+	Rate                  float64
+	Streaming, Repeatable bool
+	Resumable             bool
+	Priority, MaxAttempts int
+	// LatencyTarget is for the time to the first event, TargetGap for the time between events.
 	LatencyTarget, TargetGap, Deadline time.Duration
-	// WorkTime is how long a request takes where nothing is generated.
+	// WorkTime is the mean time that a request takes at a replica that generates no tokens.
 	WorkTime time.Duration
-	// SystemPrompts and Shared are parts that many requests begin with: so many of them, of so many tokens.
+	// Prompts begin with one of SystemPrompts blocks of SystemTokens tokens, followed by one of SharedPrefixes blocks of SharedTokens tokens.
 	SystemPrompts, SystemTokens  int
 	SharedPrefixes, SharedTokens int
-	UniqueTokens, Events         int
+	// UniqueTokens is the mean length of the rest of the prompt, Events the mean number of events of a response.
+	UniqueTokens, Events int
 }
 
-// SiteSpec is what a platform brings.
+// SiteSpec describes a platform: its machines, services, traffic and bounds.
 type SiteSpec struct {
 	Shape    shape.Shape
 	Services []ServiceSpec
 	Classes  []TrafficClass
-	// CrossZoneDelay is the time between zones, one way.
+	// CrossZoneDelay is the one-way delay between zones.
 	CrossZoneDelay time.Duration
-	// IdleRoutes is how many routes nobody uses but who looks which configuration is in force.
+	// IdleRoutes is the number of routes without traffic, which only configuration probes use.
 	IdleRoutes int
-	// Bounds are those of the rules that the platform keeps its nodes to.
+	// Bounds are those of the rules that nodes must keep.
 	Bounds Bounds
-	// FaultTolerance is how many machines with a disk may be lost together.
+	// FaultTolerance is how many core machines may be lost at the same time.
 	FaultTolerance int
-	// ListRate is how many calls a second the platform's list takes.
+	// ListRate is how many calls per second the platform's list accepts.
 	ListRate int
 }
 
-// Times of the platform that are alike on all sites.
+// Times and limits that are the same on all sites.
 const (
-	seedLag    = 3 * time.Second
-	reuseAfter = 2 * time.Second
-	grace      = 8 * time.Second
-	// excusedFor is how long after SIGTERM a request may be sent for its end in the second half of the grace period to be excused.
-	excusedFor    = 3 * time.Second
-	backSlack     = 250 * time.Millisecond
-	retryRatio    = 0.2
-	retryWindow   = 10 * time.Second
-	warmupOverage = 1.5
-	warmupSlack   = 5
-	evacWithin    = 5 * time.Second
-	passWithin    = 120 * time.Millisecond
-	listBehind    = 800 * time.Millisecond
-	trafficFrom   = 10 * time.Second
+	// seedLag is how long after a machine's replacement nodes are told the new seeds.
+	seedLag = 3 * time.Second
+	// addressReuseAfter is how long an address stays unused after its instance ended.
+	addressReuseAfter = 2 * time.Second
+	// shutdownGrace is the grace period of a process that is told to stop.
+	shutdownGrace = 8 * time.Second
+	// excusedFor: a response lost in the second half of the grace period is excused if the client sent the request at most this long after SIGTERM.
+	excusedFor = 3 * time.Second
+	// oldVersionSlack is how long after a node first applied a version requests that clients send to it may still be handled with an older
+	// one; eight times that if the node is disturbed.
+	oldVersionSlack = 250 * time.Millisecond
+	// A service may get retryRatio retries per request within a retryWindow, plus Bounds.RetryExtra.
+	retryRatio  = 0.2
+	retryWindow = 10 * time.Second
+	// A replica in warm-up may get warmupTolerance times its rate plus warmupSlack requests in a second.
+	warmupTolerance = 1.5
+	warmupSlack     = 5
+	// evacuateWithin is how long after its acknowledgement an evacuation must be applied.
+	evacuateWithin = 5 * time.Second
+	// forwardWithin is how long an event may take from the replica to the client.
+	forwardWithin = 120 * time.Millisecond
+	// listStaleness is how old the platform's list is when it is read.
+	listStaleness = 800 * time.Millisecond
+	// trafficStart is when clients begin to send requests.
+	trafficStart = 10 * time.Second
 )
 
+// llmService returns a service that generates tokens, with the given KV cache memory per replica in tokens.
 func llmService(name string, replicas, memory int) ServiceSpec {
 	return ServiceSpec{
 		Name: name, Replicas: replicas, MaxConns: 640, WarmupTime: 3 * time.Second, WarmupRate: 20, Slowdowns: []float64{1, 1, 1.3},
@@ -82,12 +98,13 @@
 	}
 }
 
+// plainService returns a service that generates no tokens.
 func plainService(name string, replicas int) ServiceSpec {
 	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Slowdowns: []float64{1}, Spec: engine.Spec{Slots: 6, QueueLimit: 24}}
 }
 
-// siteTraffic is what the sites' traffic differs in. classes are the names of two streaming classes and of the plain one; scale multiplies
-// all rates; target, work and deadline are those of the plain class.
+// siteTraffic is what the sites' traffic differs in: the two services, the names of two streaming classes and of the plain one, the factor for
+// all rates, and the latency target, mean work time and deadline of the plain class.
 type siteTraffic struct {
 	llm, plain             string
 	classes                [3]string
@@ -109,7 +126,7 @@
 	}
 }
 
-// TramitesSite is one of the two small sites of the users' platform.
+// TramitesSite returns one of the two small sites of the users' platform.
 func TramitesSite() SiteSpec {
 	s := SiteSpec{
 		Shape: siteNodes("tramites site", 11, 3, 3), CrossZoneDelay: 500 * time.Microsecond, IdleRoutes: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
@@ -122,7 +139,7 @@
 	return s
 }
 
-// AtlasSite is the other small site of the users' platform.
+// AtlasSite returns the other small site of the users' platform.
 func AtlasSite() SiteSpec {
 	s := SiteSpec{
 		Shape: siteNodes("atlas site", 12, 4, 4), CrossZoneDelay: 900 * time.Microsecond, IdleRoutes: 8, Bounds: smallBounds(), FaultTolerance: 1, ListRate: 44,
@@ -137,7 +154,7 @@
 	return s
 }
 
-// SiteByName finds a site by name, with all its traffic at so many requests a second, or at its own rate for 0.
+// SiteByName returns the site of that name. Its classes together have the given rate in requests per second, or the site's own rate for 0.
 func SiteByName(name string, rate float64) (SiteSpec, bool) {
 	var s SiteSpec
 	switch name {
@@ -163,13 +180,13 @@
 		}
 		s.Shape.OtherTargets = append(s.Shape.OtherTargets, s.Classes[i].Name)
 	}
-	for _, o := range s.Services {
-		s.Shape.OtherTargets = append(s.Shape.OtherTargets, o.Name)
+	for _, service := range s.Services {
+		s.Shape.OtherTargets = append(s.Shape.OtherTargets, service.Name)
 	}
 	return s, true
 }
 
-// SiteFaultKinds are the kinds of fault that a site knows.
+// SiteFaultKinds returns the kinds of fault that can be named in plans for a site.
 func SiteFaultKinds() []string {
 	return []string{
 		Kill, Power, WipeDisk, ClockBack, AllPowerOff, Relocate, Freeze, PartitionNode, PartitionControl, SplitCore, SlowDisk, StallDisk, FullDisk, Upgrade, EvacuateFault, PutStorm, ChangeConfig,
@@ -177,14 +194,14 @@
 	}
 }
 
-// siteNodes are machines over zones in turn, the first of each with a disk; three of those are the seeds.
-func siteNodes(name string, nodes, domains, disks int) shape.Shape {
+// siteNodes returns a shape with machines assigned to the zones in turn, the first disks of them with a disk.
+func siteNodes(name string, nodes, zones, disks int) shape.Shape {
 	s := shape.Shape{Name: name}
-	for i := range domains {
+	for i := range zones {
 		s.Zones = append(s.Zones, string(rune('a'+i)))
 	}
 	for i := range nodes {
-		s.Nodes = append(s.Nodes, shape.Node{Name: fmt.Sprintf("n%d", i+1), Zone: s.Zones[i%domains], Disk: i < disks})
+		s.Nodes = append(s.Nodes, shape.Node{Name: fmt.Sprintf("n%d", i+1), Zone: s.Zones[i%zones], Disk: i < disks})
 	}
 	return s
 }
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -8,189 +8,207 @@
 	"github.com/mallowbridge/mallowbridge/sim/engine"
 )
 
-// A request is what a node sends to a replica.
+// sentRequest is a request as a node sent it to a replica.
 type sentRequest struct {
-	try     *clientAttempt
-	n       *Node
-	attempt string
-	target  string
-	after   int
-	rank    int
-	until   time.Duration
-	sent    time.Duration
-	// again tells that the try was sent to a replica before; calm that the node was in touch when it passed the request on.
-	again, calm bool
-}
-
-type head struct {
-	status   int
-	attempt  string
-	instance string
-	seal     string
-	stream   bool
-	notRun   bool
-	shut     bool
-	load     *router.ReplicaLoad
+	client *clientAttempt
+	node   *Node
+	// attempt is the attempt's id; targetInstance the instance for which the request is meant, if any.
+	attempt        string
+	targetInstance string
+	// afterEvent is the last event that the client has, from which the replica continues.
+	afterEvent int
+	priority   int
+	deadline   time.Duration
+	sent       time.Duration
+	// retried is set if the attempt was sent to a replica before; inTouch if the node was in touch when it sent the request.
+	retried, inTouch bool
+}
+
+// responseHead is the head of a response. attempt echoes the request's attempt, seal is the id of the run, notExecuted promises that the request
+// did not run, and closing announces that the connection will be closed.
+type responseHead struct {
+	status      int
+	attempt     string
+	instance    string
+	seal        string
+	stream      bool
+	notExecuted bool
+	closing     bool
+	load        *router.ReplicaLoad
 }
 
-// A packet is a piece of an answer: head, data, its end, or what is none.
+// packet is a piece of a response: its head, data, its end, a connection reset, or junk that is not HTTP.
 type packet struct {
-	head        *head
+	head        *responseHead
 	data        []byte
 	end         bool
 	reset, junk bool
 }
 
-const userTimeout = 1500 * time.Millisecond
+// tcpUserTimeout is how long data may wait on a blocked connection before the connection breaks.
+const tcpUserTimeout = 1500 * time.Millisecond
 
-// A pipe carries one way of a connection, in order; a cut holds it up, and one that lasts breaks it.
+// pipe is one direction of a connection, which keeps the order. A partition or a frozen replica blocks it, and breaks it after tcpUserTimeout.
 type pipe struct {
 	s        *site
 	from, to string
-	near     bool
-	due      time.Duration
-	held     []func()
-	since    time.Duration
-	broken   bool
-	stuck    func() bool
-	fail     func()
+	sameZone bool
+	lastDue  time.Duration
+	// queue is the data that waits, in order; blockedSince is 0 while the pipe is not blocked.
+	queue        []func()
+	blockedSince time.Duration
+	broken       bool
+	// blocked reports whether one of the ends is unresponsive, fail is called when the connection breaks.
+	blocked func() bool
+	fail    func()
 }
 
 func (p *pipe) send(do func()) {
 	if p.broken {
 		return
 	}
-	p.held = append(p.held, do)
-	if len(p.held) == 1 {
+	p.queue = append(p.queue, do)
+	if len(p.queue) == 1 {
 		p.pump()
 	}
 }
 
+// pump sends the queued data, or tries again in 50 ms while the pipe is blocked.
 func (p *pipe) pump() {
 	w := p.s.w
-	for len(p.held) > 0 && !p.broken {
-		if w.Net.Blocked(p.from, p.to) || w.Net.Blocked(p.to, p.from) || p.stuck() {
-			if p.since == 0 {
-				p.since = w.Now
+	for len(p.queue) > 0 && !p.broken {
+		if w.Net.Blocked(p.from, p.to) || w.Net.Blocked(p.to, p.from) || p.blocked() {
+			if p.blockedSince == 0 {
+				p.blockedSince = w.Now
 			}
-			if w.Now-p.since > userTimeout {
-				p.broken, p.held = true, nil
+			if w.Now-p.blockedSince > tcpUserTimeout {
+				p.broken, p.queue = true, nil
 				p.fail()
 				return
 			}
 			w.After(50*time.Millisecond, p.pump)
 			return
 		}
-		p.since = 0
-		do := p.held[0]
-		p.held = p.held[1:]
-		p.due = max(p.due, w.Now+w.Net.Delay(p.near))
-		w.At(p.due, do)
+		p.blockedSince = 0
+		do := p.queue[0]
+		p.queue = p.queue[1:]
+		p.lastDue = max(p.lastDue, w.Now+w.Net.Delay(p.sameZone))
+		w.At(p.lastDue, do)
 	}
 }
 
-// A socket is a connection from a node to an instance.
+// socket is a connection from a node to an instance.
 type socket struct {
 	n           *Node
 	incarnation uint64
 	to          *Instance
-	key         string
-	t           *proxyRequest
-	attempt     string
-	up, down    *pipe
-	stale       bool
-	used        bool
-	until       time.Duration
-	job         *engine.Job
-}
-
-func newSocket(n *Node, to *Instance, key string) *socket {
-	k := &socket{n: n, incarnation: n.incarnation, to: to, key: key}
-	near := n.Zone == to.Zone
-	k.up = &pipe{s: to.s, from: n.Addr, to: to.addr(), near: near, fail: func() { k.take(packet{reset: true}) }}
-	k.down = &pipe{s: to.s, from: to.addr(), to: n.Addr, near: near, fail: func() { to.hangup(k) }}
-	k.up.stuck = func() bool { return to.dark }
-	k.down.stuck = func() bool { return to.dark || n.unplugged(k.incarnation) }
+	// instance is the one to which the node connected, as the node knows it.
+	instance string
+	// proxied is the request that uses the connection, attempt the id of the last one that did.
+	proxied           *proxyRequest
+	attempt           string
+	toReplica, toNode *pipe
+	// stale is set if the connection must not be used again.
+	stale bool
+	// used is set once a request was sent; idleUntil is how long the connection may stay idle.
+	used      bool
+	idleUntil time.Duration
+	job       *engine.Job
+}
+
+func newSocket(n *Node, to *Instance, instance string) *socket {
+	k := &socket{n: n, incarnation: n.incarnation, to: to, instance: instance}
+	sameZone := n.Zone == to.Zone
+	k.toReplica = &pipe{s: to.s, from: n.Addr, to: to.addr(), sameZone: sameZone, fail: func() { k.receive(packet{reset: true}) }}
+	k.toNode = &pipe{s: to.s, from: to.addr(), to: n.Addr, sameZone: sameZone, fail: func() { to.connectionClosed(k) }}
+	k.toReplica.blocked = func() bool { return to.unreachable }
+	k.toNode.blocked = func() bool { return to.unreachable || n.lostPower(k.incarnation) }
 	return k
 }
 
 func (i *Instance) addr() string { return "rep/" + i.Addr }
 
-// unplugged tells that the machine lost its power, so that nobody answers for that life any more.
-func (n *Node) unplugged(incarnation uint64) bool { return n.incarnation != incarnation && n.dark }
+// lostPower reports whether the machine lost power, so that nothing resets the connections of that incarnation.
+func (n *Node) lostPower(incarnation uint64) bool {
+	return n.incarnation != incarnation && n.poweredOff
+}
 
+// reply sends a packet to the node, unless the instance's end is closed.
 func (k *socket) reply(p packet) {
 	if slices.Contains(k.to.sockets, k) {
-		k.down.send(func() { k.take(p) })
+		k.toNode.send(func() { k.receive(p) })
 	}
 }
 
-// take is what the node's end of the connection gets.
-func (k *socket) take(p packet) {
+// receive handles a packet at the node's end. Data that no request expects makes the connection stale.
+func (k *socket) receive(p packet) {
 	n := k.n
 	if n.incarnation != k.incarnation || !n.Alive {
 		return
 	}
-	n.live(func() {
-		if k.t == nil || k.stale {
+	n.runIfAlive(func() {
+		if k.proxied == nil || k.stale {
 			k.stale = true
 			return
 		}
-		k.t.took(p)
+		k.proxied.packetReceived(p)
 	})
 }
 
-// harm notes that the replica, not a node, breaks the answer off.
-func (k *socket) harm() {
-	if k.t != nil {
-		k.t.attempt.harmed = true
+// markHarmed records that the replica, not a node, breaks off the response.
+func (k *socket) markHarmed() {
+	if k.proxied != nil {
+		k.proxied.attempt.harmed = true
 	}
 }
 
 func (k *socket) close() {
 	k.stale = true
-	k.t = nil
-	k.up.send(func() { k.to.hangup(k) })
+	k.proxied = nil
+	k.toReplica.send(func() { k.to.connectionClosed(k) })
 }
 
-// A pool keeps connections by instance.
-type pool map[string]*shelf
+// pool contains a node's connections by instance.
+type pool map[string]*poolEntry
 
-type shelf struct {
+// poolEntry has the idle connections to an instance and counts all its open ones.
+type poolEntry struct {
 	idle []*socket
 	open int
 }
 
-// kept gives a connection that is still good; or tells that a new one may be opened, which is counted already.
-func (p pool) kept(now time.Duration, instance, attempt string, conns int) (*socket, bool) {
-	s := p[instance]
-	if s == nil {
-		s = &shelf{}
-		p[instance] = s
+// get returns an idle connection that is usable and that the attempt did not use before. Without one, it returns nil and counts a new connection
+// as open; or it returns true if maxConns connections are open already.
+func (p pool) get(now time.Duration, instance, attempt string, maxConns int) (*socket, bool) {
+	entry := p[instance]
+	if entry == nil {
+		entry = &poolEntry{}
+		p[instance] = entry
 	}
-	var k *socket
-	for len(s.idle) > 0 {
-		k = s.idle[len(s.idle)-1]
-		s.idle = s.idle[:len(s.idle)-1]
-		if !k.stale && now < k.until && k.attempt != attempt {
-			return k, false
+	var conn *socket
+	for len(entry.idle) > 0 {
+		conn = entry.idle[len(entry.idle)-1]
+		entry.idle = entry.idle[:len(entry.idle)-1]
+		if !conn.stale && now < conn.idleUntil && conn.attempt != attempt {
+			return conn, false
 		}
-		s.open--
-		k.close()
+		entry.open--
+		conn.close()
 	}
-	if conns > 0 && s.open >= conns {
+	if maxConns > 0 && entry.open >= maxConns {
 		return nil, true
 	}
-	s.open++
+	entry.open++
 	return nil, false
 }
 
-func (p pool) leave(instance string) {
-	if s := p[instance]; s != nil {
-		s.open--
+// forget counts a connection as closed.
+func (p pool) forget(instance string) {
+	if entry := p[instance]; entry != nil {
+		entry.open--
 	}
 }
 
-func (p pool) park(k *socket) {
-	p[k.key].idle = append(p[k.key].idle, k)
+func (p pool) put(k *socket) {
+	p[k.instance].idle = append(p[k.instance].idle, k)
 }
--- a/sim/stream.go
+++ b/sim/stream.go
@@ -9,71 +9,76 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
+// chunkBytes is the assumed size of a chunk on the wire.
 const chunkBytes = 120
 
-func (c *fleetConn) travel() {
+// sendRequest sends the attempt to the replica, which admits or rejects it.
+func (c *fleetConn) sendRequest() {
 	w, r, f := c.request.w, c.replica, c.request
 	c.sent = true
 	if f.n.Zone != r.Zone {
-		w.Report.ResponseCrossBytes += uint64(300 + 4*f.ask.TailTokens)
+		w.Report.ResponseCrossBytes += uint64(300 + 4*f.request.TailTokens)
 	}
 	w.After(w.Net.Delay(f.n.Zone == r.Zone), func() {
 		if !r.Up {
 			if c.open {
-				c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID})
+				c.handleEvent(router.ConnectionLost{AttemptID: c.placement.AttemptID})
 			}
 			return
 		}
 		if c.partitioned() {
 			return
 		}
-		parts, _ := prefixindex.Parse(shape.ModelName, f.ask.Prefix)
-		plan, ok := r.model.Admit(w.Now, c.place.AttemptID, parts, f.ask.TailTokens)
+		blocks, _ := prefixindex.Parse(shape.ModelName, f.request.Prefix)
+		plan, ok := r.model.Admit(w.Now, c.placement.AttemptID, blocks, f.request.TailTokens)
 		if !ok {
-			r.record("refused", f.ask.ID, c.place.AttemptID, 0)
-			c.back(func() {
-				c.happened(router.ResponseHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusTooManyRequests})
+			r.record("refused", f.request.ID, c.placement.AttemptID, 0)
+			c.sendBack(func() {
+				c.handleEvent(router.ResponseHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: c.placement.AttemptID, Status: http.StatusTooManyRequests})
 			})
 			return
 		}
-		r.record("begun", f.ask.ID, c.place.AttemptID, 0)
-		w.Audit.begun(r)
-		r.conns[c.place.AttemptID] = c
+		r.record("begun", f.request.ID, c.placement.AttemptID, 0)
+		w.Audit.attemptStarted(r)
+		r.conns[c.placement.AttemptID] = c
 		c.plan = plan
-		inst := r.model.Instance
+		instance := r.model.Instance
 		if r.Failing {
-			w.After(plan.FirstTokenTime/4, c.spoil)
+			w.After(plan.FirstTokenTime/4, c.failResponse)
 			return
 		}
-		w.After(plan.FirstTokenTime, func() { c.emit(inst) })
+		w.After(plan.FirstTokenTime, func() { c.sendChunk(instance) })
 	})
 }
 
-func (c *fleetConn) spoil() {
+// failResponse breaks the response off before its first chunk.
+func (c *fleetConn) failResponse() {
 	r := c.replica
-	if r.conns[c.place.AttemptID] == c {
-		delete(r.conns, c.place.AttemptID)
-		r.model.Release(c.request.w.Now, c.place.AttemptID)
-		c.back(func() { c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID}) })
+	if r.conns[c.placement.AttemptID] == c {
+		delete(r.conns, c.placement.AttemptID)
+		r.model.Release(c.request.w.Now, c.placement.AttemptID)
+		c.sendBack(func() { c.handleEvent(router.ConnectionLost{AttemptID: c.placement.AttemptID}) })
 	}
 }
 
-func (c *fleetConn) back(do func()) {
+// sendBack runs do at the node after the network delay, in order, if the connection works.
+func (c *fleetConn) sendBack(do func()) {
 	w := c.request.w
 	if c.replica.Unreachable || c.partitioned() {
 		return
 	}
-	c.due = max(c.due, w.Now+w.Net.Delay(c.request.n.Zone == c.replica.Zone))
-	w.At(c.due, func() {
+	c.lastDue = max(c.lastDue, w.Now+w.Net.Delay(c.request.n.Zone == c.replica.Zone))
+	w.At(c.lastDue, func() {
 		if c.open {
 			do()
 		}
 	})
 }
 
-func (c *fleetConn) emit(inst string) {
+// sendChunk sends the next chunk, and schedules the one after it or ends the response.
+func (c *fleetConn) sendChunk(instance string) {
 	r, w, f := c.replica, c.request.w, c.request
-	if r.conns[c.place.AttemptID] != c || !r.Up || r.model.Instance != inst {
+	if r.conns[c.placement.AttemptID] != c || !r.Up || r.model.Instance != instance {
 		return
 	}
 	i := c.chunk
@@ -82,30 +87,30 @@
 		w.Report.ResponseCrossBytes += chunkBytes
 	}
 	if i == 0 {
-		c.back(func() {
-			c.happened(router.ResponseHeadRead{AttemptID: c.place.AttemptID, EchoedAttemptID: c.place.AttemptID, Status: http.StatusOK})
+		c.sendBack(func() {
+			c.handleEvent(router.ResponseHeadRead{AttemptID: c.placement.AttemptID, EchoedAttemptID: c.placement.AttemptID, Status: http.StatusOK})
 		})
 	}
-	l := router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, Chunk: &i, Text: ledger.ChunkText(f.ask.ID, c.place.AttemptID, i)}
-	if c.corrupted || r.twist(c, &l) {
-		c.line(l)
+	line := router.ResponseLine{AttemptID: c.placement.AttemptID, InstanceID: instance, Chunk: &i, Text: ledger.ChunkText(f.request.ID, c.placement.AttemptID, i)}
+	if c.corrupted || r.corruptLine(c, &line) {
+		c.sendLine(line)
 	}
 	if c.chunk < c.plan.Chunks {
-		w.After(c.plan.ChunkInterval, func() { c.emit(inst) })
+		w.After(c.plan.ChunkInterval, func() { c.sendChunk(instance) })
 		return
 	}
-	r.record("done", f.ask.ID, c.place.AttemptID, c.chunk)
-	r.model.Release(w.Now, c.place.AttemptID)
-	delete(r.conns, c.place.AttemptID)
-	c.line(router.ResponseLine{AttemptID: c.place.AttemptID, InstanceID: inst, End: true, Chunks: c.chunk})
+	r.record("done", f.request.ID, c.placement.AttemptID, c.chunk)
+	r.model.Release(w.Now, c.placement.AttemptID)
+	delete(r.conns, c.placement.AttemptID)
+	c.sendLine(router.ResponseLine{AttemptID: c.placement.AttemptID, InstanceID: instance, End: true, Chunks: c.chunk})
 }
 
-func (c *fleetConn) line(l router.ResponseLine) {
-	c.back(func() {
+func (c *fleetConn) sendLine(l router.ResponseLine) {
+	c.sendBack(func() {
 		if l.Chunk != nil && *l.Chunk == 0 {
-			c.request.w.Audit.proved(c, l.InstanceID)
+			c.request.w.Audit.addProofs(c, l.InstanceID)
 		}
-		c.happened(router.ResponseLineRead{AttemptID: c.place.AttemptID, Line: l})
+		c.handleEvent(router.ResponseLineRead{AttemptID: c.placement.AttemptID, Line: l})
 	})
 }
 
@@ -115,7 +120,7 @@
 	}
 	c.request.w.After(c.request.w.Net.Delay(true), func() {
 		if c.open {
-			c.happened(router.ConnectionLost{AttemptID: c.place.AttemptID})
+			c.handleEvent(router.ConnectionLost{AttemptID: c.placement.AttemptID})
 		}
 	})
 }
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -6,16 +6,19 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
+// Times of a rolling upgrade, as the daemon has them: rejectAfterRetire after it is told to stop, a node rejects requests; it leaves the
+// membership when all requests are sent, or unsentTimeout later; and it ends when all requests are done, or after maxDrain. The next node follows
+// upgradePause after the node serves again. Progress is checked every drainPoll.
 const (
-	drainLook = 20 * time.Millisecond
-	retire    = 1500 * time.Millisecond
-	letGo     = 3 * time.Second
-	drainMost = 10 * time.Second
-	listLag   = 1500 * time.Millisecond
+	drainPoll         = 20 * time.Millisecond
+	rejectAfterRetire = 1500 * time.Millisecond
+	unsentTimeout     = 3 * time.Second
+	maxDrain          = 10 * time.Second
+	upgradePause      = 1500 * time.Millisecond
 )
 
-// upgrade stops nodes with a warning, one by one, as the daemon drains, and goes on when the one before serves again.
-func (w *World) upgrade(ns []*Node) {
+// rollingUpgrade restarts one node after the other with the daemon's drain sequence, each when the one before serves again.
+func (w *World) rollingUpgrade(ns []*Node) {
 	if len(ns) == 0 {
 		return
 	}
@@ -23,25 +26,25 @@
 	w.Tracef("%s drains", n.Name)
 	n.shuttingDown = true
 	w.Call(n, control.Retire{}, func(control.Answer) {})
-	w.After(retire, func() { n.rejecting = n.shuttingDown })
-	departed := false
-	var look func()
-	look = func() {
+	w.After(rejectAfterRetire, func() { n.rejecting = n.shuttingDown })
+	hasLeft := false
+	var poll func()
+	poll = func() {
 		switch {
 		case !n.Alive:
 			n.start()
-		case !n.shuttingDown && n.router.NotReady(n.local()) == "":
-			w.After(listLag, func() { w.upgrade(ns[1:]) })
+		case !n.shuttingDown && n.router.NotReady(n.localTime()) == "":
+			w.After(upgradePause, func() { w.rollingUpgrade(ns[1:]) })
 			return
-		case n.rejecting && !departed && (n.router.UnsentRequests() == 0 || w.Now-from > retire+letGo):
-			departed = true
+		case n.rejecting && !hasLeft && (n.router.UnsentRequests() == 0 || w.Now-from > rejectAfterRetire+unsentTimeout):
+			hasLeft = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
-		case n.rejecting && departed && (len(n.asks) == 0 || w.Now-from > drainMost):
+		case n.rejecting && hasLeft && (len(n.fleetRequests) == 0 || w.Now-from > maxDrain):
 			n.kill()
-			w.After(300*time.Millisecond, look)
+			w.After(300*time.Millisecond, poll)
 			return
 		}
-		w.After(drainLook, look)
+		w.After(drainPoll, poll)
 	}
-	look()
+	poll()
 }
--- a/sim/watcher.go
+++ b/sim/watcher.go
@@ -7,108 +7,114 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
+// A watcher reconnects after watchRetryAfter, doubled after each failure up to maxWatchRetry. Across a partition, a closed connection is
+// noticed by keep-alive after keepAliveTimeout.
 const (
-	watchRetryAfter = 100 * time.Millisecond
-	lookMost        = 5 * time.Second
-	alive           = 2 * time.Second
+	watchRetryAfter  = 100 * time.Millisecond
+	maxWatchRetry    = 5 * time.Second
+	keepAliveTimeout = 2 * time.Second
 )
 
+// report returns the response to a health check.
 func (r *FleetReplica) report() control.Probed {
 	running, lag := r.model.Usage(r.w.Now)
 	return control.Probed{Replica: r.Name, OK: true, InstanceID: r.model.Instance, Running: running, Draining: r.Draining, Lag: lag}
 }
 
-func (n *Node) cutFrom(r *FleetReplica) bool {
+func (n *Node) partitionedFrom(r *FleetReplica) bool {
 	return n.w.Net.Blocked(n.Addr, r.addr()) || n.w.Net.Blocked(r.addr(), n.Addr)
 }
 
-func (n *Node) watch(p *config.Snapshot) {
-	for _, o := range p.Config.Services {
-		for _, c := range o.Replicas {
-			if r := n.w.replicasByName[c.Name]; r != nil && n.watchers[c.Name] == nil {
-				n.watchers[c.Name] = &watcher{n: n, r: r, incarnation: n.incarnation}
-				n.watchers[c.Name].look(watchRetryAfter)
+// watchReplicas opens a connection to each replica of a configuration that has none.
+func (n *Node) watchReplicas(snapshot *config.Snapshot) {
+	for _, service := range snapshot.Config.Services {
+		for _, rc := range service.Replicas {
+			if r := n.w.replicasByName[rc.Name]; r != nil && n.watchers[rc.Name] == nil {
+				n.watchers[rc.Name] = &watcher{n: n, r: r, incarnation: n.incarnation}
+				n.watchers[rc.Name].connect(watchRetryAfter)
 			}
 		}
 	}
 }
 
-// An eye is one node's idle connection to one replica; turns tell its timers apart.
+// watcher is a node's idle connection to a replica, through which it notices a crash at once. timerSeq invalidates earlier timers.
 type watcher struct {
 	n           *Node
 	r           *FleetReplica
 	incarnation uint64
-	turn        int
+	timerSeq    int
 	open        bool
 }
 
 func (e *watcher) after(d time.Duration, do func()) {
-	e.turn++
-	turn := e.turn
+	e.timerSeq++
+	seq := e.timerSeq
 	e.n.w.After(d, func() {
-		if e.turn == turn && e.n.incarnation == e.incarnation && e.n.Alive {
+		if e.timerSeq == seq && e.n.incarnation == e.incarnation && e.n.Alive {
 			do()
 		}
 	})
 }
 
-func (e *watcher) look(nap time.Duration) {
+// connect tries to connect, and again after a growing pause.
+func (e *watcher) connect(retryAfter time.Duration) {
 	n, r := e.n, e.r
-	repeated := func() { e.look(min(2*nap, lookMost)) }
-	if n.cutFrom(r) || r.Unreachable {
-		e.after(dialFor+nap, repeated)
+	retry := func() { e.connect(min(2*retryAfter, maxWatchRetry)) }
+	if n.partitionedFrom(r) || r.Unreachable {
+		e.after(fleetDialTimeout+retryAfter, retry)
 		return
 	}
-	sight := control.ConnectionChange{State: control.ConnectionRefused, Probed: control.Probed{Replica: r.Name}}
+	change := control.ConnectionChange{State: control.ConnectionRefused, Probed: control.Probed{Replica: r.Name}}
 	if r.Up {
-		sight = control.ConnectionChange{State: control.ConnectionUp, Probed: r.report()}
+		change = control.ConnectionChange{State: control.ConnectionUp, Probed: r.report()}
 		e.open = true
-		e.stare(r.incarnations)
+		e.watchConnection(r.lastIncarnation)
 	} else {
-		e.after(nap, repeated)
+		e.after(retryAfter, retry)
 	}
-	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(sight) })
+	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(change) })
 }
 
-// stare notices when the replica of that life is gone: at once by its reset, and by keep-alive where a cut held that back.
-func (e *watcher) stare(lives uint64) {
+// watchConnection waits for the end of a replica's incarnation: its reset arrives at once, or keep-alive notices it if a partition blocks that.
+func (e *watcher) watchConnection(incarnation uint64) {
 	n, r := e.n, e.r
-	e.turn++
-	if r.Up && r.incarnations == lives {
-		r.watchers = append(r.watchers, func() {
+	e.timerSeq++
+	if r.Up && r.lastIncarnation == incarnation {
+		r.onCrash = append(r.onCrash, func() {
 			if n.incarnation == e.incarnation && n.Alive {
-				e.gone()
+				e.connectionClosed()
 			}
 		})
 	}
 }
 
-func (e *watcher) gone() {
+func (e *watcher) connectionClosed() {
 	n, r := e.n, e.r
-	if n.cutFrom(r) {
-		e.after(alive, e.gone)
+	if n.partitionedFrom(r) {
+		e.after(keepAliveTimeout, e.connectionClosed)
 		return
 	}
 	e.open = false
 	n.later(n.w.Net.Delay(n.Zone == r.Zone), func() {
 		n.step(control.ConnectionChange{State: control.ConnectionClosed, Probed: control.Probed{Replica: r.Name}})
-		e.look(watchRetryAfter)
+		e.connect(watchRetryAfter)
 	})
 }
 
-func (e *watcher) poke() {
+// reconnect tries to connect at once if there is no connection.
+func (e *watcher) reconnect() {
 	if e != nil && !e.open {
-		e.look(watchRetryAfter)
+		e.connect(watchRetryAfter)
 	}
 }
 
 func (n *Node) probe(p control.Probe) {
 	r := n.w.replicasByName[p.Replica]
-	if r == nil || !r.Up || r.Unreachable || n.cutFrom(r) {
+	if r == nil || !r.Up || r.Unreachable || n.partitionedFrom(r) {
 		n.later(400*time.Millisecond, func() { n.step(control.Probed{Replica: p.Replica, Local: p.Local}) })
 		return
 	}
-	res := r.report()
-	res.Local = p.Local
-	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(res) })
+	result := r.report()
+	result.Local = p.Local
+	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(result) })
 }
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -10,16 +10,16 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// fewSeeds is how many seeds play each day at one of the sites in turn; with more, each day is played at all of them.
-const fewSeeds = 2
+// maxFewSeeds: up to this many seeds, each scenario is played at one site per seed, in turn; with more seeds at all sites.
+const maxFewSeeds = 2
 
 func TestWorstScenarios(t *testing.T) { playAll(t, WorstScenarios()) }
 
 func TestMarathon(t *testing.T) { playAll(t, []SiteScenario{Marathon()}) }
 
-// sitesForSeed are all sites, or one after the other where only few seeds are played.
+// sitesForSeed returns all sites, or one in turn if only a few seeds are played.
 func sitesForSeed(sites []SiteSpec, turn uint64) []SiteSpec {
-	if *seeds > fewSeeds {
+	if *seeds > maxFewSeeds {
 		return sites
 	}
 	at := turn % uint64(len(sites))
@@ -30,7 +30,7 @@
 	t.Helper()
 	sites := AllSites(FewMachines)
 	for i, scenario := range scenarios {
-		if raced && i > 0 {
+		if raceEnabled && i > 0 {
 			continue
 		}
 		t.Run(testName(scenario.Name), func(t *testing.T) {
@@ -44,40 +44,40 @@
 	}
 }
 
-// TestMarathonIsLong counts what a marathon is made of, over some seeds: every kind of fault, three at a time, 300 changes sent.
-func TestMarathonIsLong(t *testing.T) {
+// TestMarathonCoversAllFaultKinds checks over some seeds that marathons are long, have many faults, and together contain every kind of fault.
+func TestMarathonCoversAllFaultKinds(t *testing.T) {
 	kinds := marathonFaults()
 	seen := map[string]int{}
 	for seed := range uint64(40) {
 		s := Marathon().Scenario(AtlasSite(), seed)
 		if s.Duration < 110*time.Second || len(s.Faults) < 3*20 {
-			t.Errorf("seed %d: %s with %d troubles", seed, s.Duration, len(s.Faults))
+			t.Errorf("seed %d: the marathon lasts %s with %d faults", seed, s.Duration, len(s.Faults))
 		}
 		for _, f := range s.Faults {
 			seen[f.Kind]++
 		}
 	}
-	for _, classes := range [][]string{kinds.onCore, kinds.onNodes, kinds.onReplicas, kinds.plain} {
-		for _, k := range classes {
+	for _, targets := range [][]string{kinds.onCore, kinds.onNodes, kinds.onReplicas, kinds.plain} {
+		for _, k := range targets {
 			if seen[k] == 0 {
-				t.Errorf("%s never came", k)
+				t.Errorf("no marathon has the fault %q", k)
 			}
 		}
 	}
 }
 
-func TestMarathonChangesHundreds(t *testing.T) {
-	if raced {
-		t.Skip("a world is one goroutine; the plain run covers it")
+func TestMarathonAppliesHundredsOfChanges(t *testing.T) {
+	if raceEnabled {
+		t.Skip("a world runs in one goroutine, so that the run without the race detector covers it")
 	}
 	w := Run(Marathon().Scenario(TramitesSite(), *first))
 	r := w.Site()
 	if r.PutsAccepted < 300 || r.ConfigReads < 500 || r.ResentChanges < 200 {
-		t.Errorf("%d changes were taken, %d reads answered, %d changes sent again", r.PutsAccepted, r.ConfigReads, r.ResentChanges)
+		t.Errorf("%d changes were accepted, %d reads answered, %d changes sent again", r.PutsAccepted, r.ConfigReads, r.ResentChanges)
 	}
 }
 
-// operatorWorld is a world whose operators can be asked directly, with two versions acknowledged and one that was only sent.
+// operatorWorld is a world for tests of the operators' checks, with two acknowledged versions and one that was only sent.
 type operatorWorld struct {
 	*World
 	old, latest, sent *version
@@ -86,19 +86,20 @@
 func newOperatorWorld(t *testing.T) operatorWorld {
 	t.Helper()
 	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{TramitesSite()}[0]})
-	offer := func(revision, base uint64) *version {
-		c := w.site.spec.first()
+	send := func(revision, base uint64) *version {
+		c := w.site.spec.firstConfig()
 		c.Revision = revision
 		v := &version{revision: revision, base: base, doc: c, raw: writeDocument(c)}
-		w.site.rules.offered(v)
+		w.site.rules.versionSent(v)
 		return v
 	}
-	o := operatorWorld{World: w, old: offer(3, 0), latest: offer(5, 3), sent: offer(7, 5)}
-	o.old.acked, o.latest.acked = 1, 2
-	o.old.seen, o.latest.seen = true, true
+	o := operatorWorld{World: w, old: send(3, 0), latest: send(5, 3), sent: send(7, 5)}
+	o.old.ackedAt, o.latest.ackedAt = 1, 2
+	o.old.wasInForce, o.latest.wasInForce = true, true
 	return o
 }
 
+// wantBreach checks that there is exactly one breach, of that kind, or none if what is empty.
 func wantBreach(t *testing.T, w *World, what string) {
 	t.Helper()
 	var got []string
@@ -109,93 +110,93 @@
 	case what == "" && len(got) > 0:
 		t.Errorf("breaches: %v", got)
 	case what != "" && (len(got) != 1 || !strings.HasPrefix(got[0], what)):
-		t.Errorf("breaches %v, not %q", got, what)
+		t.Errorf("breaches %v, want one of %q", got, what)
 	}
 }
 
 func TestCheckerDetectsStaleRead(t *testing.T) {
 	w := newOperatorWorld(t)
-	ops := &w.site.ops
-	ops.found(w.Nodes[0], w.latest.raw, w.old)
-	ops.found(w.Nodes[0], w.sent.raw, w.latest)
+	ops := &w.site.operators
+	ops.checkRead(w.Nodes[0], w.latest.raw, w.old)
+	ops.checkRead(w.Nodes[0], w.sent.raw, w.latest)
 	wantBreach(t, w.World, "")
-	ops.found(w.Nodes[0], w.old.raw, w.latest)
+	ops.checkRead(w.Nodes[0], w.old.raw, w.latest)
 	wantBreach(t, w.World, RuleStaleRead)
 }
 
 func TestCheckerDetectsRejectedThoughApplied(t *testing.T) {
 	w := newOperatorWorld(t)
-	w.site.ops.denied(&order{v: w.latest, base: 3}, w.Nodes[0])
+	w.site.operators.checkRejection(&order{version: w.latest, baseRevision: 3}, w.Nodes[0])
 	wantBreach(t, w.World, RuleAcceptedRejected)
 }
 
 func TestCheckerDetectsRejectedThenApplied(t *testing.T) {
 	w := newOperatorWorld(t)
 	rival := &version{revision: 8, base: 5, doc: w.sent.doc, raw: []byte("other")}
-	w.site.rules.offered(rival)
-	w.site.ops.denied(&order{v: w.sent, base: 5}, w.Nodes[0])
+	w.site.rules.versionSent(rival)
+	w.site.operators.checkRejection(&order{version: w.sent, baseRevision: 5}, w.Nodes[0])
 	wantBreach(t, w.World, "")
-	w.site.ops.found(w.Nodes[0], w.sent.raw, w.latest)
+	w.site.operators.checkRead(w.Nodes[0], w.sent.raw, w.latest)
 	wantBreach(t, w.World, RuleAcceptedRejected)
 }
 
 func TestCheckerDetectsRejectedWithoutRival(t *testing.T) {
 	w := newOperatorWorld(t)
-	w.site.ops.denied(&order{v: w.sent, base: 5}, w.Nodes[0])
+	w.site.operators.checkRejection(&order{version: w.sent, baseRevision: 5}, w.Nodes[0])
 	wantBreach(t, w.World, RuleNeedlessRejection)
 }
 
 func TestCheckerDetectsRejectedRepeat(t *testing.T) {
 	w := newOperatorWorld(t)
-	d := &order{v: w.old, repeated: true}
-	w.site.ops.finishOrder(d, w.Nodes[0], acked)
-	w.site.ops.finishOrder(d, w.Nodes[0], unclear)
+	d := &order{version: w.old, repeated: true}
+	w.site.operators.settle(d, w.Nodes[0], acknowledged)
+	w.site.operators.settle(d, w.Nodes[0], unclear)
 	wantBreach(t, w.World, "")
-	w.site.ops.finishOrder(d, w.Nodes[0], refused)
+	w.site.operators.settle(d, w.Nodes[0], rejected)
 	wantBreach(t, w.World, RuleAcceptedRejected)
 }
 
 func TestCheckerDetectsRevisionAppliedTwice(t *testing.T) {
 	w := newOperatorWorld(t)
 	twin := &version{revision: 5, base: 3, doc: w.sent.doc, raw: []byte("twin")}
-	w.site.rules.offered(twin)
-	w.site.ops.finishOrder(&order{v: twin, base: 3}, w.Nodes[0], acked)
+	w.site.rules.versionSent(twin)
+	w.site.operators.settle(&order{version: twin, baseRevision: 3}, w.Nodes[0], acknowledged)
 	if len(w.Audit.Breaches) == 0 {
-		t.Error("two changes of one number were taken unseen")
+		t.Error("the acceptance of two changes of one revision was not detected")
 	}
-	if w.site.rules.sent(5, []byte("neither")) || !w.site.rules.sent(5, w.latest.raw) {
-		t.Error("the document read back is not compared with the one acknowledged")
+	if w.site.rules.matchesSent(5, []byte("neither")) || !w.site.rules.matchesSent(5, w.latest.raw) {
+		t.Error("the document that was read is not compared with the acknowledged one")
 	}
 }
 
 func TestCheckerDetectsReturnedEvacuation(t *testing.T) {
 	w := newOperatorWorld(t)
-	w.site.rules.reopened["a"] = true
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"b"}}})
+	w.site.rules.restored["a"] = true
+	w.site.checkFinalState(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"b"}}})
 	wantBreach(t, w.World, "")
-	w.site.compare(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"a"}}})
+	w.site.checkFinalState(w.Nodes[0], control.Answer{Value: &register.Value{Document: w.latest.raw, EvacuatedZones: []string{"a"}}})
 	wantBreach(t, w.World, RuleOrderLost)
 }
 
-// TestCoreFaultsWaitTheirTurn checks on a marathon that never more machines with a disk are struck than may be lost.
-func TestCoreFaultsWaitTheirTurn(t *testing.T) {
+// TestCoreFaultsRespectFaultTolerance checks that a fault of core machines waits while as many are lost as the site tolerates.
+func TestCoreFaultsRespectFaultTolerance(t *testing.T) {
 	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{GrownAtlasSite(FewMachines)}[0]})
 	for _, n := range w.Nodes {
 		n.Alive = true
 	}
 	s := w.site
-	f := one(Freeze, 0, time.Second, AllCore)
-	if s.waits(&f) || len(f.On) != s.spec.FaultTolerance {
-		t.Fatalf("struck %v", f.On)
+	f := newFault(Freeze, 0, time.Second, AllCore)
+	if s.deferCoreFault(&f) || len(f.On) != s.spec.FaultTolerance {
+		t.Fatalf("the fault affects %v", f.On)
 	}
-	s.rules.recordFault(w.nodes(f.On), time.Second, false, false)
-	overdue := one(Freeze, 0, time.Second, AnyCore)
-	if !s.waits(&overdue) {
-		t.Errorf("struck %v while %v are lost", overdue.On, f.On)
+	s.rules.recordFault(w.nodesNamed(f.On), time.Second, false, false)
+	second := newFault(Freeze, 0, time.Second, AnyCore)
+	if !s.deferCoreFault(&second) {
+		t.Errorf("the fault affects %v while %v are lost", second.On, f.On)
 	}
 	w.Now = time.Second + s.spec.Bounds.CatchUp + 1
-	next := one(Freeze, 0, time.Second, AnyCore)
-	if s.waits(&next) || len(next.On) != 1 {
-		t.Errorf("struck %v after the others are back", next.On)
+	next := newFault(Freeze, 0, time.Second, AnyCore)
+	if s.deferCoreFault(&next) || len(next.On) != 1 {
+		t.Errorf("the fault affects %v after the others are back, want one machine", next.On)
 	}
 }
