--- a/sim/audit.go
+++ b/sim/audit.go
@@ -27,8 +27,8 @@
 
 // Kinds of breach of the audit's rules.
 const (
-	OldSnapshot          = "old configuration obeyed"
-	OlderSnapshot        = "older configuration came back"
+	StaleSnapshot        = "old configuration obeyed"
+	SnapshotWentBack     = "older configuration came back"
 	ToEvacuated          = "work for an emptied domain"
 	ToDraining           = "work for a leaving replica"
 	TooManyRetries       = "too many second goes"
--- a/sim/auditattempts.go
+++ b/sim/auditattempts.go
@@ -21,7 +21,7 @@
 	now, n := a.w.Now, f.n
 	version, due := n.router.Version(), a.dueVersion(n)
 	if version < due {
-		a.breach(OldSnapshot, n.Name, fmt.Sprintf("node has version %d, must have %d", version, due))
+		a.breach(StaleSnapshot, n.Name, fmt.Sprintf("node has version %d, must have %d", version, due))
 	}
 	for i := len(a.versions) - 1; i >= 0 && a.versions[i].version > version; i-- {
 		if a.versions[i].version > due && now-a.versions[i].at > applyWithin {
@@ -30,7 +30,7 @@
 		}
 	}
 	if version < a.newestApplied[n.Name] {
-		a.breach(OlderSnapshot, n.Name, fmt.Sprintf("version %d after %d", version, a.newestApplied[n.Name]))
+		a.breach(SnapshotWentBack, n.Name, fmt.Sprintf("version %d after %d", version, a.newestApplied[n.Name]))
 	}
 	a.newestApplied[n.Name] = max(a.newestApplied[n.Name], version)
 	if drained, ok := a.drainedAt[c.replica.Name]; ok && a.overdue(n, drained, drainWithin) {
