--- a/sim/instance.go
+++ b/sim/instance.go
@@ -153,7 +153,7 @@
 		h := i.newHead(r, http.StatusMisdirectedRequest)
 		h.notExecuted = true
 		i.s.report.WrongInstance++
-		k.reply(packet{head: h, end: true})
+		k.respond(packet{head: h, end: true})
 		return
 	}
 	i.s.rules.requestArrived(i, r)
@@ -182,7 +182,7 @@
 func (i *Instance) reject(k *socket, r *sentRequest) {
 	h := i.newHead(r, http.StatusServiceUnavailable)
 	h.notExecuted = true
-	k.reply(packet{head: h, end: true})
+	k.respond(packet{head: h, end: true})
 }
 
 // listRow is the instance's row in the platform's list of that time.
--- a/sim/instancejob.go
+++ b/sim/instancejob.go
@@ -43,7 +43,7 @@
 			return
 		}
 		i.s.rules.eventMade(r, n)
-		k.reply(p)
+		k.respond(p)
 	}
 	return job
 }
@@ -57,7 +57,7 @@
 		if !p.end {
 			return false
 		}
-		k.reply(p)
+		k.respond(p)
 		extra := packet{head: p.head, data: p.data, end: true}
 		if extra.head == nil {
 			extra.head = &responseHead{status: http.StatusOK, attempt: "another", instance: i.ID}
@@ -66,7 +66,7 @@
 		if kind == "late" {
 			delay = time.Duration(i.s.rng.Int64N(int64(300 * time.Millisecond)))
 		}
-		w.After(delay, func() { k.reply(extra) })
+		w.After(delay, func() { k.respond(extra) })
 		return true
 	case "cut":
 		p.data, p.end, p.reset = p.data[:len(p.data)/2], false, true
@@ -80,7 +80,7 @@
 		p = packet{}
 	}
 	if kind != "silent" {
-		k.reply(p)
+		k.respond(p)
 	}
 	i.engine.Cancel(j)
 	k.job = nil
--- a/sim/marathon.go
+++ b/sim/marathon.go
@@ -30,9 +30,9 @@
 	return kinds
 }
 
-// Marathon returns a long scenario with constant operator orders, in which three random faults of all kinds begin at a time.
+// Marathon returns a long scenario with constant operator requests, in which three random faults of all kinds begin at a time.
 func Marathon() SiteScenario {
-	return SiteScenario{Name: "marathon", Duration: marathonDuration, TrafficRatio: controlDayTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+	return SiteScenario{Name: "marathon", Duration: marathonDuration, TrafficRatio: controlTestTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 		fs := constantOrders(s, rng, marathonStart, marathonEnd)
 		for at := marathonStart + sec; at < marathonEnd-5*sec; at += time.Duration(2000+rng.IntN(2500)) * ms {
 			for range faultsAtOnce {
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -44,9 +44,9 @@
 	unclear bool
 	// untilAcked makes operators repeat the order without a time limit.
 	untilAcked bool
-	// answerLost is set if a response to the order was lost; repeated if the order was acknowledged before and is sent again.
-	answerLost, repeated bool
-	onSettled            func(acked bool)
+	// responseLost is set if a response to the order was lost; repeated if the order was acknowledged before and is sent again.
+	responseLost, repeated bool
+	onSettled              func(acked bool)
 }
 
 // outcome is the outcome of a call or an order.
@@ -119,7 +119,7 @@
 		}
 		w.Call(n, o.opFor(d), func(a control.Answer) {
 			late := w.Now-sent > callTimeout || call != d.calls
-			if o.callAnswered(d, n, a, late) {
+			if o.callReturned(d, n, a, late) {
 				retryAfter(pause)
 			}
 		})
@@ -127,13 +127,13 @@
 	retryAfter(callTimeout)
 }
 
-// callAnswered handles the response to one call of an order, and reports whether the order must be sent again. A response after callTimeout has
+// callReturned handles the response to one call of an order, and reports whether the order must be sent again. A response after callTimeout has
 // no receiver any more.
-func (o *operators) callAnswered(d *order, n *Node, a control.Answer, late bool) bool {
+func (o *operators) callReturned(d *order, n *Node, a control.Answer, late bool) bool {
 	result := outcomeOf(a.Err)
 	switch {
 	case o.losesAck():
-		d.unclear, d.answerLost = true, true
+		d.unclear, d.responseLost = true, true
 		o.extendDeadline(d)
 	case d.settled || late:
 		d.unclear = true
--- a/sim/orders.go
+++ b/sim/orders.go
@@ -36,12 +36,12 @@
 		return
 	}
 	for range atOnce {
-		w.Put(w.someNode(), w.expectedVersion, w.nextConfig(large), w.putAnswered)
+		w.Put(w.someNode(), w.expectedVersion, w.nextConfig(large), w.putReturned)
 	}
 	w.After(interval, func() { w.putStorm(end, atOnce, interval, large) })
 }
 
-func (w *World) putAnswered(a control.Answer) {
+func (w *World) putReturned(a control.Answer) {
 	if a.Err != nil {
 		w.Report.PutsRejected++
 		w.learnVersion(a.Err)
--- a/sim/ordersettle.go
+++ b/sim/ordersettle.go
@@ -29,7 +29,7 @@
 
 // ackOwed reports whether the order should have been acknowledged: it is valid, no other change overtook it, and no response to it was lost.
 func (o *operators) ackOwed(d *order) bool {
-	if d.untilAcked || d.answerLost {
+	if d.untilAcked || d.responseLost {
 		return false
 	}
 	return d.version == nil || !d.version.invalid && !o.overtaken(d)
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -133,8 +133,8 @@
 	return n.incarnation != incarnation && n.poweredOff
 }
 
-// reply sends a packet to the node, unless the instance's end is closed.
-func (k *socket) reply(p packet) {
+// respond sends a packet to the node, unless the instance's end is closed.
+func (k *socket) respond(p packet) {
 	if slices.Contains(k.to.sockets, k) {
 		k.toNode.send(func() { k.receive(p) })
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -70,7 +70,7 @@
 	Report Report
 	// Trace contains the newest lines of the event log.
 	Trace []string
-	// pendingCalls are the callbacks of operations that nodes have not answered yet, by operation id.
+	// pendingCalls are the callbacks of operations that nodes have not completed yet, by operation id.
 	pendingCalls map[uint64]func(a control.Answer)
 	lastID       uint64
 	// readyByZone are the nodes that the platform considers ready, by zone.
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -73,7 +73,7 @@
 	w := Run(Marathon().Scenario(TramitesSite(), *first))
 	r := w.Site()
 	if r.PutsAccepted < 300 || r.ConfigReads < 500 || r.ResentChanges < 200 {
-		t.Errorf("%d changes were accepted, %d reads answered, %d changes sent again", r.PutsAccepted, r.ConfigReads, r.ResentChanges)
+		t.Errorf("%d changes were accepted, %d reads were completed, %d changes sent again", r.PutsAccepted, r.ConfigReads, r.ResentChanges)
 	}
 }
 
--- a/sim/worstscenarios.go
+++ b/sim/worstscenarios.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// constantOrders returns the operator orders of a whole run: rapid changes, reads, evacuations, accepted changes that are sent again, and
+// constantOrders returns the operator requests of a whole run: rapid changes, reads, evacuations, accepted changes that are sent again, and
 // different changes under one revision number.
 func constantOrders(s SiteSpec, rng *rand.Rand, from, until time.Duration) []Fault {
 	zone := s.Shape.Zones[rng.IntN(len(s.Shape.Zones))]
@@ -15,13 +15,13 @@
 	}
 }
 
-// controlDayTraffic is the share of the traffic in scenarios that test the control plane.
-const controlDayTraffic = 0.25
+// controlTestTraffic is the share of the traffic in scenarios that test the control plane.
+const controlTestTraffic = 0.25
 
 // pickOne returns a random one of the words.
 func pickOne(rng *rand.Rand, words ...string) string { return words[rng.IntN(len(words))] }
 
-// WorstScenarios returns scenarios for the five kinds of failure that the control plane had, most of them under constant operator orders.
+// WorstScenarios returns scenarios for the five kinds of failure that the control plane had, most of them under constant operator requests.
 func WorstScenarios() []SiteScenario {
 	return append(partitionScenarios(), lossScenarios()...)
 }
@@ -30,12 +30,12 @@
 	const long = 20 * sec
 	partitions := []string{PartitionCore, PartitionCoreOut, PartitionCoreIn, PartitionControl, PartitionOneWay, PartitionIn, PartitionNode}
 	return []SiteScenario{
-		{Name: "a control machine is cut off for 20 s", Duration: 64 * sec, TrafficRatio: controlDayTraffic, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+		{Name: "a control machine is cut off for 20 s", Duration: 64 * sec, TrafficRatio: controlTestTraffic, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := constantOrders(s, rng, 11*sec, 58*sec)
 			fs = append(fs, newFault(pickOne(rng, partitions...), 13*sec, long, AnyCore), newFault(pickOne(rng, partitions...), 35*sec, long, AllCore))
 			return append(fs, newFault(PartitionIn, 20*sec, long, pickSome(rng, nodeNames(s.Shape)[len(diskNodes(s)):], 2)...))
 		}},
-		{Name: "a control machine stands still for 20 s", Duration: 64 * sec, TrafficRatio: controlDayTraffic, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+		{Name: "a control machine stands still for 20 s", Duration: 64 * sec, TrafficRatio: controlTestTraffic, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := constantOrders(s, rng, 11*sec, 58*sec)
 			fs = append(fs, newFault(Freeze, 13*sec, long, AnyCore), newFault(Freeze, 35*sec, long, AllCore))
 			for at := 14 * sec; at < 50*sec; at += 5 * sec {
@@ -43,7 +43,7 @@
 			}
 			return fs
 		}},
-		{Name: "orders are repeated while acknowledgements are lost", Duration: 60 * sec, TrafficRatio: controlDayTraffic, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+		{Name: "orders are repeated while acknowledgements are lost", Duration: 60 * sec, TrafficRatio: controlTestTraffic, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := constantOrders(s, rng, 11*sec, 50*sec)
 			fs = append(fs, newFault(LoseAcks, 12*sec, long), newFault(LoseAcks, 38*sec, 4*sec, "all"), newFault(SameRevision, 13*sec, long))
 			return append(fs, newFault(Power, 15*sec, 3*sec, AnyCore), newFault(Freeze, 24*sec, 4*sec, AnyCore), newFault(pickOne(rng, partitions...), 33*sec, 4*sec, AnyCore))
@@ -75,7 +75,7 @@
 
 func lossScenarios() []SiteScenario {
 	return []SiteScenario{
-		{Name: "a second loss right after a repair", Duration: 66 * sec, TrafficRatio: controlDayTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+		{Name: "a second loss right after a repair", Duration: 66 * sec, TrafficRatio: controlTestTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := constantOrders(s, rng, 11*sec, 60*sec)
 			for i := range 12 {
 				kind := pickOne(rng, WipeDisk, Relocate, ReplaceMachine, Power, WipeDisk, Kill, StaleDisk)
@@ -83,7 +83,7 @@
 			}
 			return fs
 		}},
-		{Name: "a member returns after hundreds of changes", Duration: 62 * sec, TrafficRatio: controlDayTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
+		{Name: "a member returns after hundreds of changes", Duration: 62 * sec, TrafficRatio: controlTestTraffic, ClosingFaults: loseCoreDisks, Faults: func(s SiteSpec, rng *rand.Rand) []Fault {
 			fs := constantOrders(s, rng, 11*sec, 56*sec)
 			fs = append(fs, newFault(Kill, 12*sec, 25*sec, AnyCore), newFault(StaleDisk, 11500*ms, 30*sec, AnyCore))
 			return append(fs, newFault(WipeDisk, 38*sec, sec, AnyCore), newFault(Power, 40*sec, sec, AnyCore), newFault(WipeDisk, 42*sec, sec, AllCore))
