--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -76,8 +76,8 @@
 	c.of(n, mechanismOfInput(in)).StepTime += elapsed
 }
 
-// Asked records a usage request to a replica.
-func (c *Costs) Asked(n *light.Node) { c.of(n, Probes).Probes++ }
+// Probed records a usage request to a replica.
+func (c *Costs) Probed(n *light.Node) { c.of(n, Probes).Probes++ }
 
 // Wrote records an entry that was synced to disk.
 func (c *Costs) Wrote(n *light.Node) { c.of(n, Register).Writes++ }
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -83,19 +83,19 @@
 	fleet.Boot()
 	settleTime := p.SettleTime + p.bootSpread()
 	fleet.Run(p.bootSpread() + min(8*time.Second, p.SettleTime/2))
-	fleet.Load(settleTime + p.MeasureTime)
+	fleet.SubmitLoad(settleTime + p.MeasureTime)
 	fleet.Run(settleTime)
 	r.Costs.Reset()
-	fleet.Puts, fleet.Firsts = nil, nil
-	clear(fleet.Ends)
-	fleet.Change()
+	fleet.ApplyTimes, fleet.FirstTokenTimes = nil, nil
+	clear(fleet.Outcomes)
+	fleet.PutPeriodically()
 	fleet.Run(settleTime + p.MeasureTime)
 	for _, n := range fleet.Nodes {
 		if n.Router.NotReady(fleet.Now) == "" {
 			r.Ready++
 		}
 	}
-	r.Nodes, r.ApplyTimes, r.FirstTokenTimes, r.Outcomes = fleet.Nodes, fleet.Puts, fleet.Firsts, fleet.Ends
+	r.Nodes, r.ApplyTimes, r.FirstTokenTimes, r.Outcomes = fleet.Nodes, fleet.ApplyTimes, fleet.FirstTokenTimes, fleet.Outcomes
 	return r
 }
 
@@ -108,15 +108,15 @@
 	m := replica.DefaultModel()
 	m.Capacity = light.Capacity
 	plan := light.Plan{
-		Seed: p.Seed, Model: m, Far: p.ZoneDelay, Roll: p.bootSpread(), Clock: p.Clock,
-		Body: func(n int) []byte { return light.Document(unpadded, n, p.ConfigBytes) },
+		Seed: p.Seed, Model: m, CrossZoneDelay: p.ZoneDelay, WatchSpread: p.bootSpread(), Clock: p.Clock,
+		Document: func(n int) []byte { return light.Document(unpadded, n, p.ConfigBytes) },
 	}
 	if p.PutRate > 0 {
-		plan.PutEvery = time.Duration(float64(time.Second) / p.PutRate)
+		plan.PutInterval = time.Duration(float64(time.Second) / p.PutRate)
 	}
 	if p.Rate > 0 {
-		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: 0}, p.Seed, "q")
-		plan.Next = src.Next
+		src := workload.NewSource(workload.Load{Classes: shape.Classes, Rate: p.Rate, PrefixesPerClass: p.Prefixes, HotRatio: 0}, p.Seed, "q")
+		plan.NextRequest = src.Next
 	}
 	return plan
 }
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -41,7 +41,7 @@
 	path := c.Flag("ledger", "File to which a line is written for each run.").String()
 	m := replica.DefaultModel()
 	c.Flag("room", "Maximum number of concurrent requests.").Default("8").IntVar(&m.Capacity)
-	c.Flag("keep", "Size of the prefix cache in tokens.").Default("65536").IntVar(&m.Keep)
+	c.Flag("keep", "Size of the prefix cache in tokens.").Default("65536").IntVar(&m.CacheCapacity)
 	c.Flag("pieces", "Number of chunks in a response.").Default("24").IntVar(&m.Chunks)
 	c.Flag("cold", "How long the replica warms up.").Default("6s").DurationVar(&m.WarmupTime)
 	cmds["replica"] = func(io.Reader, io.Writer) error {
@@ -101,7 +101,7 @@
 
 // clientLoad returns the load of stand-in clients: requests of idempotent classes and of classes that are not idempotent.
 func clientLoad(rate, hotRatio float64, service string, idempotent, nonIdempotent []string) workload.Load {
-	load := workload.Load{Rate: rate, Prefixes: 24, HotRatio: hotRatio}
+	load := workload.Load{Rate: rate, PrefixesPerClass: 24, HotRatio: hotRatio}
 	for _, k := range idempotent {
 		load.Classes = append(load.Classes, workload.ClassLoad{Service: service, Name: k, Repeatable: true})
 	}
--- a/httpapi/frontend_test.go
+++ b/httpapi/frontend_test.go
@@ -51,7 +51,7 @@
 	f := &fixture{t: t, tomb: &tomb.Tomb{}}
 	clock := func() time.Duration { return time.Duration(f.now.Load()) }
 	m := replica.DefaultModel()
-	m.Base, m.PerToken, m.Every, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
+	m.BaseTime, m.PerToken, m.ChunkInterval, m.Chunks, m.WarmupTime = time.Millisecond, 0, time.Millisecond, 6, 0
 	reps := ""
 	for i := range 2 {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -108,7 +108,7 @@
 func (f *fixture) send(kind, id string) ledger.SendResult {
 	a := standin.NewClient(nil)
 	return a.Send(context.Background(), strings.TrimPrefix(f.srv.URL, "http://"), workload.Request{
-		Request: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
+		ID: id, Prefix: "p/100", TailTokens: 8, Class: workload.ClassLoad{Service: "o", Name: kind, Repeatable: kind == "again"},
 	})
 }
 
--- a/standin/client.go
+++ b/standin/client.go
@@ -30,7 +30,7 @@
 
 // Send sends one request to one node and returns its row of the client's ledger. Failures are outcomes, not errors.
 func (c *Client) Send(ctx context.Context, node string, r workload.Request) ledger.SendResult {
-	got := ledger.SendResult{AtMs: time.Now().UnixMilli(), Node: node, Request: r.Request, Class: r.Class.Name, Idempotent: r.Class.Repeatable, Outcome: outcomeLost}
+	got := ledger.SendResult{AtMs: time.Now().UnixMilli(), Node: node, Request: r.ID, Class: r.Class.Name, Idempotent: r.Class.Repeatable, Outcome: outcomeLost}
 	// A token counts as 4 bytes, and the JSON around the prompt as 3 tokens.
 	body := `{"prompt":"` + strings.Repeat("tail", max(r.TailTokens-3, 1)) + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/v1/offers/"+r.Class.Service+"/"+r.Class.Name, strings.NewReader(body))
@@ -39,7 +39,7 @@
 	}
 	// Without GetBody, the HTTP client can't send the request again on a new connection.
 	req.GetBody = nil
-	req.Header.Set("X-Request-Id", r.Request)
+	req.Header.Set("X-Request-Id", r.ID)
 	req.Header.Set("X-Prompt-Prefix", r.Prefix)
 	sentAt := time.Now()
 	resp, err := c.HTTP.Do(req)
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -77,7 +77,7 @@
 // NewReplica starts a replica that stops when the tomb dies.
 func NewReplica(t *tomb.Tomb, o ReplicaOptions) *Replica {
 	r := &Replica{
-		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.NewReplica(o.Engine, o.Instance, o.Clock()),
+		t: t, name: o.Name, model: o.Model, clock: o.Clock, engine: replica.New(o.Engine, o.Instance, o.Clock()),
 		ledger: json.NewEncoder(o.Ledger), jobs: make(chan job),
 	}
 	t.Go(func() error {
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -17,7 +17,7 @@
 		<-req.Context().Done()
 		return nil
 	}
-	if a.fault.DisconnectAt == "begun" || !r.wait(req, a.plan.First) {
+	if a.fault.DisconnectAt == "begun" || !r.wait(req, a.plan.FirstTokenTime) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -28,7 +28,7 @@
 		if !ok {
 			return nil
 		}
-		if enc.Encode(line) != nil || ctl.Flush() != nil || !r.wait(req, a.plan.Every) {
+		if enc.Encode(line) != nil || ctl.Flush() != nil || !r.wait(req, a.plan.ChunkInterval) {
 			r.do(func(r *Replica) { r.record("cut", request, attempt, i) })
 			return nil
 		}
--- a/storage/store_test.go
+++ b/storage/store_test.go
@@ -68,7 +68,7 @@
 	for seed := range uint64(6) {
 		for failingWrite := range intact.Writes {
 			d := disk.New(seed)
-			d.PowerLossAt = failingWrite
+			d.PowerLossAfter = failingWrite
 			acked := write(d, n)
 			d.PowerLoss()
 			_, got, err := load(d)
@@ -95,7 +95,7 @@
 		for at := range intact.Size(name) {
 			d := disk.New(1)
 			write(d, n)
-			d.Rot(name, at)
+			d.FlipBit(name, at)
 			_, got, err := load(d)
 			var bad *storage.UnreadableError
 			if errors.As(err, &bad) {
@@ -123,11 +123,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.BadSync = true
+	d.FailSync = true
 	if store.Append([][]byte{[]byte("lost")}) == nil {
 		t.Fatal("Append succeeded although the sync failed")
 	}
-	d.BadSync = false
+	d.FailSync = false
 	var broken *storage.WriteFailedError
 	if err = store.Append([][]byte{[]byte("more")}); !errors.As(err, &broken) {
 		t.Fatalf("Append after a failed sync: %v", err)
--- a/whatif/har.go
+++ b/whatif/har.go
@@ -45,7 +45,7 @@
 			start = at
 		}
 		request.At = time.Duration(at.UnixNano())
-		request.Request = fmt.Sprintf("har-%d", i)
+		request.ID = fmt.Sprintf("har-%d", i)
 		requests = append(requests, request)
 	}
 	for i := range requests {
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -64,10 +64,10 @@
 // fleetFaultKinds returns the kinds of faults that a plan for a fleet may name; sim.SiteFaults returns those for a site.
 func fleetFaultKinds() []string {
 	return []string{
-		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.Wipe, sim.Relocate,
+		sim.Kill, sim.Power, sim.Freeze, sim.PartitionNode, sim.PartitionOneWay, sim.PartitionZone, sim.SplitCore, sim.WipeDisk, sim.Relocate,
 		sim.SlowDisk, sim.StallDisk, sim.FullDisk, sim.BadDisk, sim.ReplicaCrash, sim.ReplicaUnreachable, sim.Release, sim.EvacuateFault,
-		sim.PutStorm, sim.Race, sim.SwapVoters, sim.AllDown, sim.LargePuts, sim.ReplicaCorrupt, sim.ReplicaRestart, sim.ReplicaFailing, sim.PartitionControl, sim.ClockBack,
-		sim.FreezeAct, sim.Lists, sim.Upgrade,
+		sim.PutStorm, sim.ConcurrentPuts, sim.SwapVoters, sim.AllPowerOff, sim.LargePuts, sim.ReplicaCorrupt, sim.ReplicaRestart, sim.ReplicaFailing, sim.PartitionControl, sim.ClockBack,
+		sim.FreezeInVoterChange, sim.UnreliableLists, sim.Upgrade,
 	}
 }
 
@@ -96,8 +96,8 @@
 		p.Shape = s
 	}
 	p.Scale = d.Int("times", 1, 1, 16)
-	shape, ok := shape.Times(p.Shape, p.Scale)
-	spec, site := sim.SiteOf(p.Shape, 0)
+	shape, ok := shape.Scaled(p.Shape, p.Scale)
+	spec, site := sim.SiteByName(p.Shape, 0)
 	switch {
 	case site:
 		shape, p.Rate, p.HotRatio = spec.Shape, 0, 0
@@ -123,7 +123,7 @@
 	p.HotRatio = d.Number("hot", p.HotRatio, 0, 1)
 	p.Prefixes = d.Int("prefixes", p.Prefixes, 1, 10000)
 	for _, c := range d.List("crowds", 0, 64) {
-		p.Bursts = append(p.Bursts, workload.Burst{From: milliseconds(c, "fromMs"), Until: milliseconds(c, "untilMs"), Times: c.Number("times", 1, 0.01, 1000)})
+		p.Bursts = append(p.Bursts, workload.Burst{From: milliseconds(c, "fromMs"), Until: milliseconds(c, "untilMs"), Factor: c.Number("times", 1, 0.01, 1000)})
 		c.Close()
 	}
 	d.Close()
@@ -155,7 +155,7 @@
 	f := sim.Fault{At: milliseconds(d, "atMs"), Kind: d.String("kind", true, 32), For: time.Duration(d.Int("forMs", 3000, -1, 3600000)) * time.Millisecond}
 	kinds := fleetFaultKinds()
 	if site {
-		kinds = sim.SiteFaults()
+		kinds = sim.SiteFaultKinds()
 	}
 	if !slices.Contains(kinds, f.Kind) {
 		d.AddViolation(d.FieldPath("kind"), f.Kind, "one of "+strings.Join(kinds, ", "))
@@ -178,6 +178,6 @@
 // inFleet reports whether a fault may name this target: a zone, node or replica of the shape, or one of its other targets. In a shape without
 // other targets every name that starts with "r" counts as a replica.
 func inFleet(s shape.Shape, name string) bool {
-	return slices.Contains(s.Zones, name) || slices.Contains(s.Others, name) || (len(s.Others) == 0 && strings.HasPrefix(name, "r")) ||
+	return slices.Contains(s.Zones, name) || slices.Contains(s.OtherTargets, name) || (len(s.OtherTargets) == 0 && strings.HasPrefix(name, "r")) ||
 		slices.ContainsFunc(s.Nodes, func(n shape.Node) bool { return n.Name == name })
 }
--- a/whatif/run.go
+++ b/whatif/run.go
@@ -36,13 +36,13 @@
 
 // scenario returns the simulator's scenario for one seed. The error is an invalid configuration.
 func (p Plan) scenario(seed uint64) (sim.Scenario, error) {
-	if spec, ok := sim.SiteOf(p.Shape, p.Rate); ok {
+	if spec, ok := sim.SiteByName(p.Shape, p.Rate); ok {
 		return p.siteScenario(seed, spec), nil
 	}
-	shape, _ := shape.Times(p.Shape, p.Scale)
+	shape, _ := shape.Scaled(p.Shape, p.Scale)
 	s := sim.Scenario{
-		Seed: seed, Shape: shape, Lasts: time.Duration(p.Seconds)*time.Second + fleetWarmUp, From: fleetWarmUp, Faults: p.Faults, Resend: true, IndexOff: !p.PrefixIndex, RoundRob: p.RoundRobin,
-		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, Prefixes: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Bursts}, Asks: p.Requests,
+		Seed: seed, Shape: shape, Duration: time.Duration(p.Seconds)*time.Second + fleetWarmUp, LoadStart: fleetWarmUp, Faults: p.Faults, ResendLost: true, DisableIndex: !p.PrefixIndex, RoundRobin: p.RoundRobin,
+		Load: workload.Load{Classes: shape.Classes, Rate: p.Rate, PrefixesPerClass: p.Prefixes, HotRatio: p.HotRatio, Bursts: p.Bursts}, Requests: p.Requests,
 	}
 	if p.Config == nil {
 		return s, nil
@@ -51,7 +51,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.Charter, s.Load.Classes = p.Config, nil
+	s.Config, s.Load.Classes = p.Config, nil
 	for _, service := range c.Services {
 		for _, class := range service.Classes {
 			s.Load.Classes = append(s.Load.Classes, workload.ClassLoad{Service: service.Name, Name: class.Name, Repeatable: class.Idempotent})
@@ -96,7 +96,7 @@
 
 func (r *Result) add(w *sim.World) {
 	measure := fleetMetrics
-	if w.S.Site != nil {
+	if w.Scenario.Site != nil {
 		measure = siteMetrics
 	}
 	for _, m := range measure(w) {
@@ -106,7 +106,7 @@
 		r.Values[m.name] = append(r.Values[m.name], m.value)
 	}
 	for _, b := range w.Audit.Breaches {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("seed %d: %s", w.S.Seed, b))
+		r.Breaches = append(r.Breaches, fmt.Sprintf("seed %d: %s", w.Scenario.Seed, b))
 	}
 }
 
@@ -128,7 +128,7 @@
 
 // addOutcomes adds the outcomes and the time to the first token of each request class, and the totals of rejections and retries.
 func (l *metricList) addOutcomes(w *sim.World) {
-	for _, c := range w.S.Load.Classes {
+	for _, c := range w.Scenario.Load.Classes {
 		result := w.Report.Classes[c.Name]
 		if result == nil {
 			result = &sim.ClassResult{}
@@ -138,8 +138,8 @@
 		l.addCount(c.Name+" partial", uint64(result.Partial))
 		l.addCount(c.Name+" unknown", uint64(result.Unknown))
 		l.addCount(c.Name+" lost", uint64(result.Lost))
-		l.addCount(c.Name+" first token p50 ms", uint64(sim.Quantile(result.Firsts, 0.5)))
-		l.addCount(c.Name+" first token p95 ms", uint64(sim.Quantile(result.Firsts, 0.95)))
+		l.addCount(c.Name+" first token p50 ms", uint64(sim.Quantile(result.FirstTokenMs, 0.5)))
+		l.addCount(c.Name+" first token p95 ms", uint64(sim.Quantile(result.FirstTokenMs, 0.95)))
 	}
 	total := w.Report.Total()
 	l.addCount("denied early", uint64(total.Rejected)-w.Report.RejectedLate)
@@ -154,25 +154,25 @@
 		l.add(name, 100*float64(part)/float64(max(w.Report.PrefixTokens, 1)))
 	}
 	ratio("prefix found in cache %", w.Report.CachedTokens)
-	ratio("counted on, confirmed %", w.Report.Confirmed)
-	ratio("counted on, predicted %", w.Report.Predicted)
+	ratio("counted on, confirmed %", w.Report.ConfirmedTokens)
+	ratio("counted on, predicted %", w.Report.PredictedTokens)
 }
 
 // addControl adds the time until the slowest node applied a configuration, and the cost of the control plane.
 func (l *metricList) addControl(w *sim.World) {
 	report := &w.Report
-	applied := w.Audit.Obeyed()
+	applied := w.Audit.ApplyTimes()
 	l.addCount("slowest node obeys p50 ms", uint64(sim.Quantile(applied, 0.5)))
 	l.addCount("slowest node obeys p95 ms", uint64(sim.Quantile(applied, 0.95)))
 	l.addCount("control KB", report.Bytes/1024)
 	l.addCount("control KB between domains", report.CrossBytes/1024)
-	for _, kind := range slices.Sorted(maps.Keys(w.Net.CrossKind)) {
-		l.addCount("  of it "+kind, w.Net.CrossKind[kind]/1024)
+	for _, kind := range slices.Sorted(maps.Keys(w.Net.CrossBytesByKind)) {
+		l.addCount("  of it "+kind, w.Net.CrossBytesByKind[kind]/1024)
 	}
-	l.addCount("stream KB between domains", report.StreamCross/1024)
-	l.add("control bytes per node and second", float64(report.Bytes)/w.S.Lasts.Seconds()/float64(len(w.Nodes)))
-	l.add("rows visited per event", float64(report.Visited)/float64(max(report.Steps, 1)))
-	l.addCount("service back after ms", uint64(report.ReturnMs))
+	l.addCount("stream KB between domains", report.ResponseCrossBytes/1024)
+	l.add("control bytes per node and second", float64(report.Bytes)/w.Scenario.Duration.Seconds()/float64(len(w.Nodes)))
+	l.add("rows visited per event", float64(report.RowsVisited)/float64(max(report.RouterTicks, 1)))
+	l.addCount("service back after ms", uint64(report.RecoveryMs))
 }
 
 // meanAndDeviation returns the mean and the sample standard deviation.
