--- a/modelcheck/model.go
+++ b/modelcheck/model.go
@@ -41,8 +41,9 @@
 //
 // A deadline passes only where another operation is queued. Elsewhere it would only make the client stop waiting, and clients send requests
 // again independently of that. LostReplies lose the reply to a request that the acceptor has handled; models with queued replies need none.
-// Finishes and Learns are second halves of a change of voters that a node submits because it knows of the change, and values that a node learns
-// from the other one.
+// Crashes restart the machine of a disk and lose its unfinished writes, Restarts restart the node of a proposer, and Wipes lose a disk.
+// Replacements are changes of voters that a node starts. Finishes are second halves of a change of voters that a node submits because it knows of
+// the change, and Learns are values that a node learns from the other one.
 type Budget struct {
 	Timers, Deadlines, Resends, Duplicates, LostReplies uint8
 	Crashes, Restarts, Wipes                            uint8
