--- a/ledger/check.go
+++ b/ledger/check.go
@@ -25,7 +25,7 @@
 const (
 	// RanTwice: a non-idempotent request ran more than once.
 	RanTwice = "ran twice"
-	// RejectedButRan: a client was told that its request did not run, but it ran.
+	// RejectedButRan: a response reported that the request did not run, but it ran.
 	RejectedButRan = "denied and ran"
 	// WrongRequest: a response contains a chunk or event of another request.
 	WrongRequest = "another's answer"
--- a/ledger/quotas.go
+++ b/ledger/quotas.go
@@ -12,7 +12,7 @@
 type QuotaRun struct {
 	AtMs   int64  `json:"atMs"`
 	Tenant string `json:"tenant"`
-	// Cost is in tokens: those of the prompt and the most that the response may have.
+	// Cost is the number of prompt tokens plus the maximum number of response tokens.
 	Cost float64 `json:"cost"`
 }
 
@@ -25,7 +25,8 @@
 	Rate, Burst float64 `json:",omitempty"`
 }
 
-// QuotaRule bounds the cost of the requests that may run in any window: (rate x window + burst) x (1 + overage) + slack.
+// QuotaRule bounds the cost of the requests that may run in any window: (rate x window + burst) x (1 + overage) + slack. Overage is a
+// fraction, Slack a cost.
 type QuotaRule struct {
 	Window         time.Duration
 	Overage, Slack float64
@@ -38,8 +39,9 @@
 // QuotaWindow is a window in which requests of a tenant ran.
 type QuotaWindow struct {
 	Tenant string
+	// FromMs is the start of the window, in milliseconds since 1970.
 	FromMs int64
-	// Ran is the cost of the requests that ran, Allowed the most that the tenant's limits allow.
+	// Ran is the cost of the requests that ran, Allowed the highest cost that the tenant's limits allow.
 	Ran, Allowed float64
 }
 
