--- a/whatif/har.go
+++ b/whatif/har.go
@@ -18,7 +18,8 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-var errNoHAR = errors.New("is no HAR file")
+// errNoHAR is the cause of the *FileError for a file that is not JSON or has no log.
+var errNoHAR = errors.New("not a HAR file")
 
 // bytesPerToken is the assumed number of bytes of a request body per prompt token.
 const bytesPerToken = 4
@@ -67,7 +68,7 @@
 	}
 	u, err := url.Parse(e.Request.URL)
 	if err != nil {
-		return at, r, "URL is invalid"
+		return at, r, "URL is invalid: " + e.Request.URL
 	}
 	f := strings.Split(strings.Trim(u.Path, "/"), "/")
 	if len(f) != 4 || f[0] != "v1" || f[1] != "offers" {
--- a/whatif/plan.go
+++ b/whatif/plan.go
@@ -41,7 +41,7 @@
 	RoundRobin  bool
 	// Faults are injected at times that count from the start of the run, warm-up included.
 	Faults []sim.Fault
-	// Requests replaces the generated load, unless it is empty.
+	// Requests replaces the generated load, unless it is empty. Runs of a site ignore it.
 	Requests []workload.Request
 }
 
