--- a/config/decoder.go
+++ b/config/decoder.go
@@ -47,14 +47,14 @@
 	return jsonValue{}, false
 }
 
-// String reads a string of at most most bytes. If it is required, it must be present and not empty.
-func (d *Decoder) String(key string, required bool, most int) string {
+// String reads a string of at most maxBytes bytes. If it is required, it must be present and not empty.
+func (d *Decoder) String(key string, required bool, maxBytes int) string {
 	value, ok := d.lookup(key)
 	if !ok && !required {
 		return ""
 	}
-	if !ok || value.kind != 's' || len(value.text) > most || (required && value.text == "") {
-		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a string of 1 to %d bytes", most))
+	if !ok || value.kind != 's' || len(value.text) > maxBytes || (required && value.text == "") {
+		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a string of 1 to %d bytes", maxBytes))
 		return ""
 	}
 	return value.text
@@ -109,7 +109,7 @@
 func (d *Decoder) List(key string, least, most int) []*Decoder {
 	value, _ := d.lookup(key)
 	if len(value.values) < least || len(value.values) > most || (value.kind != 'a' && value.kind != 0) {
-		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a list of %d to %d", least, most))
+		d.AddViolation(d.FieldPath(key), value.describe(), fmt.Sprintf("a list of %d to %d elements", least, most))
 		return nil
 	}
 	var elements []*Decoder
@@ -119,10 +119,10 @@
 	return elements
 }
 
-// StringElement reads the value itself, an element of a list, as a string of 1 to most bytes.
-func (d *Decoder) StringElement(most int) string {
-	if d.value.kind != 's' || d.value.text == "" || len(d.value.text) > most {
-		d.AddViolation(d.path, d.value.describe(), fmt.Sprintf("a string of 1 to %d bytes", most))
+// StringElement reads the value itself, an element of a list, as a string of 1 to maxBytes bytes.
+func (d *Decoder) StringElement(maxBytes int) string {
+	if d.value.kind != 's' || d.value.text == "" || len(d.value.text) > maxBytes {
+		d.AddViolation(d.path, d.value.describe(), fmt.Sprintf("a string of 1 to %d bytes", maxBytes))
 	}
 	return d.value.text
 }
--- a/config/jsonvalue.go
+++ b/config/jsonvalue.go
@@ -76,7 +76,7 @@
 func parseValue(dec *json.Decoder, path string, depth int) (jsonValue, error) {
 	var t jsonValue
 	if depth > maxDepth {
-		return t, newInvalidError(path, "nested", fmt.Sprintf("at most %d deep", maxDepth))
+		return t, newInvalidError(path, fmt.Sprintf("nested %d deep", depth), fmt.Sprintf("at most %d deep", maxDepth))
 	}
 	tok, err := dec.Token()
 	if err != nil {
@@ -142,15 +142,15 @@
 	return t, nil
 }
 
-// describe returns the value as a violation names it: a string, number or boolean quoted, a list or object by its length.
+// describe returns the value as a violation names it: a string, number or boolean quoted, a list or object by its number of elements or fields.
 func (t jsonValue) describe() string {
 	switch t.kind {
 	case 0:
 		return "missing"
 	case 'o':
-		return fmt.Sprintf("object of %d", len(t.keys))
+		return fmt.Sprintf("object of %d fields", len(t.keys))
 	case 'a':
-		return fmt.Sprintf("list of %d", len(t.values))
+		return fmt.Sprintf("list of %d elements", len(t.values))
 	}
 	if len(t.text) > 40 {
 		return strconv.Quote(t.text[:40]) + "..."
--- a/config/split.go
+++ b/config/split.go
@@ -57,7 +57,8 @@
 	ok bool
 }
 
-// Split splits a document. It returns false if the document is not a JSON object or contains a field twice.
+// Split splits a document. It returns false if the document is not a JSON object or contains a field twice. The caller must not modify raw
+// afterwards: a document in the same memory as the previous one is assumed to be equal to it.
 func (c *SplitCache) Split(raw []byte) (*Document, bool) {
 	if c.previous != nil && len(raw) > 0 && len(c.previous.raw) == len(raw) && &c.previous.raw[0] == &raw[0] {
 		return c.previous, true
