--- a/standin/doc.go
+++ b/standin/doc.go
@@ -2,6 +2,6 @@
 // HTTP interface.
 //
 // NewReplica and Replica.Serve run a replica over HTTP; its timing comes from the simulated engine of package sim/replica, and POST /faults
-// makes it misbehave. NewClient and Client.Run send a generated load to the nodes. Both write ledgers, whose rows are ledger.Ran and
-// ledger.Got, so that package ledger can check afterwards what ran against what clients received.
+// makes it misbehave. NewClient and Client.Run send a generated load to the nodes. Both write ledgers, whose rows are ledger.RunEvent and
+// ledger.SendResult, so that package ledger can check afterwards what ran against what clients received.
 package standin
--- a/standin/rehearsal/quotaclient.go
+++ b/standin/rehearsal/quotaclient.go
@@ -55,7 +55,7 @@
 	}
 	d := &demand{rng: r.newRand(demandStream)}
 	for now := time.Now(); now.Before(end); now = time.Now() {
-		for _, q := range d.due(now) {
+		for _, q := range d.requestsUntil(now) {
 			select {
 			case requests <- q:
 			default:
@@ -92,8 +92,8 @@
 	return [phaseCount]float64{idle: 0, normal: 1, overload: overloadFactor}[p]
 }
 
-// due returns the requests that became due since the last call.
-func (d *demand) due(now time.Time) []quotaRequest {
+// requestsUntil returns the requests that the tenants send between the last call and now.
+func (d *demand) requestsUntil(now time.Time) []quotaRequest {
 	if now.After(d.phaseEnd) {
 		d.phase = demandPhase(d.rng.IntN(int(phaseCount)))
 		d.phaseEnd = now.Add(maxPhase/4 + time.Duration(d.rng.Int64N(int64(maxPhase*3/4))))
--- a/standin/rehearsal/settings.go
+++ b/standin/rehearsal/settings.go
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+i>>2, pid>>6&0xff, pid&0x3f<<2|i&3)
 }
 
-// writeSettings writes the settings file of the i-th node; cloud is the address of the platform, and firstStart tells the node that its fleet has
-// never run.
+// writeSettings writes the settings file of the i-th node; cloud is the address of the platform, and firstStart is set if the fleet has never
+// run.
 func (f *Fleet) writeSettings(i int, cloud string, firstStart bool) error {
 	n := f.nodes[i]
 	n.settings = filepath.Join(f.dir, n.name+".yaml")
--- a/standin/rehearsal/soakzones.go
+++ b/standin/rehearsal/soakzones.go
@@ -18,7 +18,7 @@
 	// maxEvacuation bounds how long a zone stays evacuated, maxEvacuationPause the time between two evacuations.
 	maxEvacuation      = 12 * time.Second
 	maxEvacuationPause = 2 * time.Second
-	// zoneChangeOdds is n for a chance of one in n that an evacuation draws its zone at random instead of repeating the previous zone.
+	// The next evacuation draws its zone at random with probability 1/zoneChangeOdds; otherwise it evacuates the previous zone again.
 	zoneChangeOdds = 3
 	// callerTimeout is the time after which callers try another node.
 	callerTimeout = time.Second
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -68,7 +68,7 @@
 	Instance string
 	// Engine sets the capacity, timing and prefix cache of the simulated engine.
 	Engine replica.Model
-	// Ledger receives a JSON line (ledger.Ran) for each event of a run.
+	// Ledger receives a JSON line (ledger.RunEvent) for each event of a run.
 	Ledger io.Writer
 	// Clock is a monotonic clock.
 	Clock func() time.Duration
