--- a/capacity/singlerouter.go
+++ b/capacity/singlerouter.go
@@ -31,10 +31,11 @@
 
 func tenantHeader(i int) string { return fmt.Sprintf("tenant%d/256,task/512", i) }
 
+// evictingSessionHeader returns the headers of the sweep called evicting, which sends the same requests as the sweep called sessions.
 func evictingSessionHeader(i int) string { return sessionHeader(i) }
 
 // routerSweep returns a sweep that sends x requests, each with its own prefix, one after another through one router. The CPU points of requests
-// are microseconds per request, not per second.
+// are microseconds per request, not per second. In the sweep called evicting, the prefix caches are so small that they evict prefixes.
 func routerSweep(name, axis string, header prefixHeader) Sweep {
 	keepTokens := unbounded
 	if name == "evicting" {
@@ -58,7 +59,7 @@
 type singleRouter struct {
 	node  *light.Node
 	costs *Costs
-	// clock measures CPU time; now is the virtual time that the router is told.
+	// clock measures CPU time; now is the virtual time that is passed to the router.
 	clock func() time.Duration
 	now   time.Duration
 	// done is the number of completed requests.
