--- a/.ci/namedresults/main.go
+++ b/.ci/namedresults/main.go
@@ -1,7 +1,8 @@
-// Command namedresults finds functions that name a result where the name tells nothing apart: a name is kept where two results have one type,
-// where a deferred function sets it, or where the doc comment says what it is.
+// Command namedresults finds functions whose results have names that are not needed. Names are needed if two results have the same type, if a
+// deferred function uses a result, or if the doc comment describes a result by its name.
 //
-// Usage, from the repository's root: go run ./.ci/namedresults. It prints each place and exits with 1 if there are any.
+// Usage, from the root of the repository: go run ./.ci/namedresults. It prints the position of each such function and exits with status 1 if
+// there are any.
 package main
 
 import (
@@ -34,8 +35,8 @@
 		if err != nil {
 			return err
 		}
-		for _, place := range needless(file) {
-			fmt.Printf("%s: a result has a name that is not needed\n", files.Position(place))
+		for _, position := range unneededNames(file) {
+			fmt.Printf("%s: a result has a name that is not needed\n", files.Position(position))
 			found++
 		}
 		return nil
@@ -49,12 +50,12 @@
 	}
 }
 
-// needless gives the places of the functions in a file whose results need no names.
-func needless(file *ast.File) []token.Pos {
-	var places []token.Pos
+// unneededNames returns the positions of the functions in a file whose results have names that are not needed.
+func unneededNames(file *ast.File) []token.Pos {
+	var positions []token.Pos
 	check := func(signature *ast.FuncType, body *ast.BlockStmt, doc *ast.CommentGroup) {
-		if hasNames(signature) && !sharesType(signature) && !setByDefer(signature, body) && !explained(signature, doc) {
-			places = append(places, signature.Pos())
+		if hasNames(signature) && !sharesType(signature) && !usedByDefer(signature, body) && !documented(signature, doc) {
+			positions = append(positions, signature.Pos())
 		}
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -70,14 +71,14 @@
 		}
 		return true
 	})
-	return places
+	return positions
 }
 
 func hasNames(signature *ast.FuncType) bool {
 	return signature.Results != nil && len(signature.Results.List) > 0 && len(signature.Results.List[0].Names) > 0
 }
 
-// sharesType tells whether two results have one type, so that names tell them apart.
+// sharesType reports whether two results have the same type, so that only their names distinguish them.
 func sharesType(signature *ast.FuncType) bool {
 	seen := map[string]bool{}
 	for _, result := range signature.Results.List {
@@ -90,8 +91,8 @@
 	return false
 }
 
-// setByDefer tells whether a deferred function uses a result.
-func setByDefer(signature *ast.FuncType, body *ast.BlockStmt) bool {
+// usedByDefer reports whether a deferred function uses a result.
+func usedByDefer(signature *ast.FuncType, body *ast.BlockStmt) bool {
 	if body == nil {
 		return false
 	}
@@ -123,8 +124,8 @@
 	return false
 }
 
-// explained tells whether a doc comment says what a result is, by its name.
-func explained(signature *ast.FuncType, doc *ast.CommentGroup) bool {
+// documented reports whether the doc comment describes a result: its name is followed by a verb like "is" or "names".
+func documented(signature *ast.FuncType, doc *ast.CommentGroup) bool {
 	if doc == nil {
 		return false
 	}
