--- a/embed.go
+++ b/embed.go
@@ -11,7 +11,7 @@
 )
 
 // Embed returns a router that follows the daemon at addr (host:port) until the tomb dies. name must be unique among the daemon's followers.
-// zone is the router's zone until the daemon sends its own.
+// zone is the router's zone until the daemon sends its own. clock is a monotonic clock.
 func Embed(t *tomb.Tomb, addr, name, zone string, clock func() time.Duration) *Router {
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
--- a/follow.go
+++ b/follow.go
@@ -16,7 +16,7 @@
 type GapError struct{ Got, Want uint64 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("got event %d, want event %d", e.Got, e.Want)
+	return fmt.Sprintf("events of the daemon were lost: got event %d, want event %d", e.Got, e.Want)
 }
 
 const (
