--- a/cmd/mallowbridge/decide.go
+++ b/cmd/mallowbridge/decide.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// TimeError is the error for an event without a time, or with one before Least, in milliseconds.
+// TimeError is the error for an event without a time, or with a time before Least: the time of the previous event, in milliseconds.
 type TimeError struct{ Least int64 }
 
 func (e *TimeError) Error() string {
@@ -118,6 +118,7 @@
 
 func (e *UnknownEventError) Error() string { return "unknown event " + fmt.Sprintf("%q", e.Name) }
 
+// eventDecoders maps the published names of events to their decoders. parseEvent handles "order" and "tick" itself.
 var eventDecoders = map[string]func(raw []byte) (router.Event, error){
 	"arrive": decodeEvent[router.Arrival], "listing": decodeEvent[router.Listing], "usage": decodeEvent[router.LoadReport],
 	"routers": decodeEvent[router.Routers], "feed": decodeEvent[router.ControlStatus], "leave": decodeEvent[router.ReadyToSend],
--- a/cmd/mallowbridge/operate.go
+++ b/cmd/mallowbridge/operate.go
@@ -15,13 +15,15 @@
 	"github.com/gravitational/trace"
 )
 
-// RejectedError is the error if a node rejected an operator's request, with the HTTP status and body of the response.
+// RejectedError is the error if a node responded to an operator's request with a status other than 200.
 type RejectedError struct {
 	Status int
 	Body   string
 }
 
-func (e *RejectedError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Body) }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("the node responded with status %d: %s", e.Status, e.Body)
+}
 
 var httpClient = &http.Client{Timeout: 10 * time.Second}
 
--- a/cmd/mallowbridge/quotas.go
+++ b/cmd/mallowbridge/quotas.go
@@ -52,6 +52,6 @@
 	for _, w := range r.Windows {
 		fmt.Fprintf(&usage, "%s %.3f of what is allowed, ", w.Tenant, w.Utilization())
 	}
-	return fmt.Sprintf("%d asked, %d ran, %d over quota, %d unauthorized, %d unanswered, %.3f of the usual refused; %d kills, %d stops, %d freezes, %d reloads, %d crashes, %d revisions; %s",
+	return fmt.Sprintf("%d asked, %d ran, %d over quota, %d unauthorized, %d unanswered, %.3f of the requests within limits rejected; %d kills, %d stops, %d freezes, %d reloads, %d crashes, %d revisions; %s",
 		r.Requests, r.Runs, r.OverQuota, r.Unauthorized, r.Failed, r.CompliantRejectRatio, r.Kills, r.Stops, r.Freezes, r.Reloads, r.Crashes, r.Revisions, usage.String())
 }
--- a/cmd/mallowbridge/standins.go
+++ b/cmd/mallowbridge/standins.go
@@ -111,13 +111,13 @@
 	return load
 }
 
-// printOutcomes prints the number of requests by outcome and percentiles of the time to the first token.
+// printOutcomes prints the number of requests by outcome and percentiles of the time to the first chunk.
 func printOutcomes(out io.Writer, counts map[string]int, firstTokenMs []int64) error {
 	for _, k := range []string{"done", "denied", "partial", "unknown", "repeat", "bad", "lost"} {
 		fmt.Fprintf(out, "%-8s %d\n", k, counts[k])
 	}
 	if n := len(firstTokenMs); n > 0 {
-		fmt.Fprintf(out, "first piece: median %d ms, 95%% %d ms\n", firstTokenMs[n/2], firstTokenMs[n*95/100])
+		fmt.Fprintf(out, "first chunk: median %d ms, 95th percentile %d ms\n", firstTokenMs[n/2], firstTokenMs[n*95/100])
 	}
 	return nil
 }
@@ -129,27 +129,27 @@
 
 func addCheckCommand(app *kingpin.Application, cmds map[string]command) {
 	c := app.Command("check", "Check the ledgers of stand-in replicas and clients for breaches of the rules.")
-	ran := c.Flag("ran", "Glob pattern of the replicas' ledgers.").String()
-	got := c.Flag("got", "Glob pattern of the clients' ledgers.").String()
-	answers := c.Flag("streams", "Glob pattern of the ledgers of streaming clients.").String()
+	runPattern := c.Flag("ran", "Glob pattern of the replicas' ledgers.").String()
+	resultPattern := c.Flag("got", "Glob pattern of the clients' ledgers.").String()
+	streamPattern := c.Flag("streams", "Glob pattern of the ledgers of streaming clients.").String()
 	cmds["check"] = func(_ io.Reader, out io.Writer) error {
-		gots, err := readLedgers[ledger.SendResult](*got)
+		results, err := readLedgers[ledger.SendResult](*resultPattern)
 		if err != nil {
 			return err
 		}
-		rans, err := readLedgers[ledger.RunEvent](*ran)
+		runs, err := readLedgers[ledger.RunEvent](*runPattern)
 		if err != nil {
 			return err
 		}
-		streamed, err := readLedgers[ledger.StreamResponse](*answers)
+		responses, err := readLedgers[ledger.StreamResponse](*streamPattern)
 		if err != nil {
 			return err
 		}
-		if len(gots)+len(streamed) == 0 {
-			return trace.BadParameter("no ledger of a client has a line: --got or --streams")
+		if len(results)+len(responses) == 0 {
+			return trace.BadParameter("no ledger of a client has a line: check the patterns of --got and --streams")
 		}
-		counts := fmt.Sprintf("%d runs, %d streams, %d outcomes, ", len(rans), len(streamed), len(gots))
-		return printBreaches(out, counts, append(ledger.Check(rans, gots), ledger.CheckStreams(streamed)...))
+		counts := fmt.Sprintf("%d runs, %d streams, %d outcomes, ", len(runs), len(responses), len(results))
+		return printBreaches(out, counts, append(ledger.Check(runs, results), ledger.CheckStreams(responses)...))
 	}
 }
 
