--- a/prefixindex/config.go
+++ b/prefixindex/config.go
@@ -16,9 +16,9 @@
 	Window, MinSamples int
 	// MaxTTLStep is the largest change of the TTL per second, as a fraction of it.
 	MaxTTLStep float64
-	// AlertWindow is the interval at which the counters that alerts compare against are advanced. An alert needs at
-	// least MinAlertCount predictions, and more expiries than EarlyAlert or StaleAlert, which are fractions of the
-	// predictions.
+	// AlertWindow is the interval between two snapshots of the counters. Alerts evaluate the counts since the older of
+	// the last two snapshots. An alert needs at least MinAlertCount predictions, and more expiries than EarlyAlert or
+	// StaleAlert, which are fractions of the predictions.
 	AlertWindow            time.Duration
 	MinAlertCount          uint64
 	EarlyAlert, StaleAlert float64
--- a/prefixindex/index.go
+++ b/prefixindex/index.go
@@ -13,8 +13,8 @@
 	// Disabled makes Lookup find nothing, as a baseline in comparisons.
 	Disabled bool
 
-	// counterSnapshots holds the counters of the last two advances: first the older ones, then the newer ones. They are
-	// AlertWindow apart, and snapshotAt is the time of the newer ones.
+	// counterSnapshots holds the last two snapshots of the counters, the older one first. They are at least AlertWindow
+	// apart. snapshotAt is the time of the newer one.
 	counterSnapshots [2]Counters
 	snapshotAt       time.Duration
 }
@@ -43,7 +43,7 @@
 // TTL returns the TTL of a prediction recorded now.
 func (x *Index) TTL() time.Duration { return x.ttl.current }
 
-// Predict records that an attempt is expected to add these blocks to a replica's cache.
+// Predict records that the attempt with the number id is expected to add these blocks to a replica's cache.
 func (x *Index) Predict(now time.Duration, replica int, id uint64, blocks []Block) {
 	c := x.replicas[replica]
 	p := &prediction{replica: replica, at: now, until: now + x.ttl.current, blocks: blocks, open: true}
@@ -108,7 +108,8 @@
 	x.InferredEvictions++
 }
 
-// Reset drops everything about a replica except the open prediction of the attempt spared (0: none).
+// Reset drops everything about a replica except the open prediction of the attempt with the number spared. If spared is
+// 0, it drops all predictions.
 func (x *Index) Reset(replica int, spared uint64) {
 	old := x.replicas[replica]
 	c := newReplicaCache(old.capacity)
@@ -146,7 +147,7 @@
 	overdue := len(c.awaiting) > 0 && x.ResponseOverdue(now, replica)
 	allConfirmed := true
 	for _, block := range blocks {
-		if e := c.confirmed[block.Key]; e != nil && now-e.Value.(confirmedBlock).seen < x.cfg.ConfirmedTTL {
+		if e := c.confirmed[block.Key]; e != nil && now-e.Value.(confirmedBlock).confirmedAt < x.cfg.ConfirmedTTL {
 			if allConfirmed {
 				confirmed += block.Tokens
 			} else {
--- a/prefixindex/index_test.go
+++ b/prefixindex/index_test.go
@@ -86,7 +86,7 @@
 	x.Confirm(10*ms, 0, 1)
 	x.Predict(20*ms, 0, 2, parseBlocks(t, "a/100, b/100, c/100"))
 	if confirmed, predicted := x.Lookup(30*ms, 0, parseBlocks(t, "a/100, b/100, c/100, d/100")); confirmed != 200 || predicted != 100 {
-		t.Errorf("confirmed %d, predicted %d", confirmed, predicted)
+		t.Errorf("confirmed %d, predicted %d, want 200 and 100", confirmed, predicted)
 	}
 	if confirmed, predicted := x.Lookup(30*ms, 0, parseBlocks(t, "b/100, a/100")); confirmed+predicted != 0 {
 		t.Errorf("blocks in another order counted: confirmed %d, predicted %d", confirmed, predicted)
@@ -182,10 +182,10 @@
 	x.EndAttempt(91)
 	x.Tick(11 * time.Second)
 	if x.EarlyExpiries != 1 || x.StaleExpiries != 9 || x.Confirmed != 91 {
-		t.Errorf("early %d, stale %d, confirmed %d", x.EarlyExpiries, x.StaleExpiries, x.Confirmed)
+		t.Errorf("early %d, stale %d, confirmed %d; want 1, 9, 91", x.EarlyExpiries, x.StaleExpiries, x.Confirmed)
 	}
 	if early, stale := x.Alerts(); early || !stale {
-		t.Errorf("alerts: early %v, stale %v", early, stale)
+		t.Errorf("alerts: early %v, stale %v; want only stale", early, stale)
 	}
 }
 
--- a/prefixindex/replicacache.go
+++ b/prefixindex/replicacache.go
@@ -17,8 +17,8 @@
 
 // confirmedBlock is a block whose caching was confirmed, and the time of its last confirmation.
 type confirmedBlock struct {
-	block Block
-	seen  time.Duration
+	block       Block
+	confirmedAt time.Duration
 }
 
 // replicaCache is the believed content of one replica's prefix cache. order lists the confirmed blocks, most recently
@@ -52,11 +52,11 @@
 
 func (*Index) addConfirmed(now time.Duration, c *replicaCache, block Block) {
 	if e := c.confirmed[block.Key]; e != nil {
-		e.Value = confirmedBlock{block: block, seen: now}
+		e.Value = confirmedBlock{block: block, confirmedAt: now}
 		c.order.MoveToFront(e)
 		return
 	}
-	c.confirmed[block.Key] = c.order.PushFront(confirmedBlock{block: block, seen: now})
+	c.confirmed[block.Key] = c.order.PushFront(confirmedBlock{block: block, confirmedAt: now})
 	c.tokens += block.Tokens
 }
 
