--- a/lease/lease.go
+++ b/lease/lease.go
@@ -17,8 +17,8 @@
 	DriftMargin = TTL / 10
 )
 
-// Token is the fencing token of a lease. Tokens are ordered by the epoch of the voter set, then by number; work done under a lower token than
-// the newest one is void.
+// Token is the fencing token of a lease. Tokens are ordered by the epoch of the voter set, then by number; work published under
+// a lower token than the newest one must be ignored.
 type Token struct {
 	Epoch, Number uint64
 }
@@ -45,7 +45,7 @@
 	// Disk identifies the voter; requests to another disk are not answered.
 	Disk string
 	rows map[string]*grantRow
-	// graceUntil is until when nothing new is granted, because leases that the grantor does not know of may still be in force.
+	// graceUntil is the time before which nothing new is granted, because leases that the grantor does not know of may still be in force.
 	graceUntil time.Duration
 	epoch      uint64
 }
@@ -153,8 +153,8 @@
 	return current.Token, true
 }
 
-// Acquire returns requests to acquire or renew the lease on a role, if they are due. The caller must call it repeatedly for as long as it wants
-// the role.
+// Acquire returns the messages to send to acquire or renew the lease on a role. It returns none before RenewInterval has passed since the last
+// request, or during a backoff. The caller must call it repeatedly for as long as it wants the role.
 func (h *Holder) Acquire(now time.Duration, role string, voters *register.Value) []Send {
 	current := h.leases[role]
 	if current == nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// Release gives up the lease on a role, and returns the messages that tell the grantors.
+// Release gives up the lease on a role, and returns the messages that inform the grantors.
 func (h *Holder) Release(role string, voters *register.Value) []Send {
 	current := h.leases[role]
 	if current == nil {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,7 +17,7 @@
 	do func()
 }
 
-// simulation contains one role, holders that learn of changes of the voter set late and whose clocks drift, and grantors that restart.
+// simulation contains one role, holders that learn of changes of the voter set with a delay and whose clocks drift, and grantors that restart.
 type simulation struct {
 	rng      *rand.Rand
 	now      time.Duration
@@ -25,7 +25,7 @@
 	grantors map[string]*Grantor
 	holders  []*Holder
 	drift    []float64
-	// views contains the voter set that each holder knows; voters is the newest.
+	// views contains the voter set that each holder knows; voters is the newest voter set.
 	views  []*register.Value
 	voters *register.Value
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// step runs the events that are due.
+// step runs the events whose time has come.
 func (s *simulation) step() {
 	due := s.events[:0:0]
 	kept := s.events[:0]
--- a/lease/storm_test.go
+++ b/lease/storm_test.go
@@ -14,7 +14,7 @@
 type faultySimulation struct {
 	simulation
 	grantorDrift map[string]float64
-	// frozen is until when each holder is frozen.
+	// frozen is the time until which each holder is frozen.
 	frozen []time.Duration
 	// newest is the newest token under which a holder has had the role.
 	newest Token
