--- a/register/bootstrap_test.go
+++ b/register/bootstrap_test.go
@@ -30,7 +30,7 @@
 func (d *proposerPair) checkDocument(text string) {
 	d.t.Helper()
 	if err := d.submitAndWait(d.y, nil); err != nil || string(d.last.Value.Document) != text {
-		d.t.Errorf("%v: read %q, confirmed was %q", err, d.last.Value.Document, text)
+		d.t.Errorf("error %v: read %q, confirmed was %q", err, d.last.Value.Document, text)
 	}
 }
 
--- a/register/cancel_test.go
+++ b/register/cancel_test.go
@@ -12,7 +12,7 @@
 	cancelChanges = 60
 )
 
-// TestCancelledChangeIsNotProposedLater guards against the fault EVAC: a change is executed although its client has disconnected. Two of three
+// TestCancelledChangeIsNotProposedLater guards against a change that is executed although its client has disconnected (case EVAC of review/3). Two of three
 // proposers are under load. Changes at the third are cancelled at random times. They must end at once, and a change that ends as
 // not proposed must never be found in the register.
 func TestCancelledChangeIsNotProposedLater(t *testing.T) {
--- a/register/clone.go
+++ b/register/clone.go
@@ -30,7 +30,7 @@
 // KnownValue returns the newest value that the proposer knows, whose voters it asks, or nil.
 func (p *Proposer) KnownValue() *Value { return p.known }
 
-// Busy reports whether an operation is running, whose timer may fire.
+// Busy reports whether an operation is running. Only then can a timer fire.
 func (p *Proposer) Busy() bool { return p.current != nil }
 
 // Queued reports whether an operation waits for the current one to end.
--- a/register/cluster_test.go
+++ b/register/cluster_test.go
@@ -104,7 +104,7 @@
 	c.step(p)
 }
 
-// step lets the proposer handle what is due, as a node does after each input, sends its messages and passes on its results.
+// step calls the proposer's Tick, as a node does after each input, sends its messages and passes on its results.
 func (c *cluster) step(p *Proposer) {
 	p.Tick(c.now)
 	sends, results := p.TakeOutput()
--- a/register/contention_test.go
+++ b/register/contention_test.go
@@ -130,7 +130,7 @@
 		for _, p := range c.proposers {
 			c.submit(p, orderBound, false, func(r Result, elapsed time.Duration) {
 				if r.Err != nil {
-					t.Errorf("seed %d: %v after %v", seed, r.Err, elapsed)
+					t.Errorf("seed %d: an order ended with %v after %v", seed, r.Err, elapsed)
 				}
 				times = append(times, elapsed)
 			})
--- a/register/doc.go
+++ b/register/doc.go
@@ -6,6 +6,6 @@
 // old and the new voters are needed. EditLog and OrderLog record the applied operator requests ("orders"), so that a request that is sent
 // again is recognized.
 //
-// All types are state machines without I/O: they are given the time and a message, and return what to send and whether to write to disk.
+// All types are state machines without I/O: their methods take the time and a message, and return what to send and whether to write to disk.
 // Package control drives them.
 package register
--- a/register/editlog.go
+++ b/register/editlog.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
+	"fmt"
 )
 
 // MaxLoggedOrders is the maximum number of entries of EditLog and of OrderLog. Changes are applied one after another, each in at least two
@@ -34,22 +35,23 @@
 // was based on (uvarint) and the order's hash. Revisions are strictly increasing, so that a revision has at most one entry.
 type EditLog []byte
 
-// BaseTooOldError means that an order is based on a revision that the log of applied orders no longer covers, so that it is unknown whether it
-// was applied.
+// BaseTooOldError means that an order is based on a revision (or version) that the log of applied orders no longer covers. It is therefore
+// unknown whether the order was applied.
 type BaseTooOldError struct {
-	// Base is the revision that the order is based on, Current the current revision.
+	// Base is the revision that the order is based on, Current the current revision. For a put, both are versions of the register.
 	Base, Current uint64
 }
 
-func (*BaseTooOldError) Error() string {
-	return "the request is based on a revision that the log of applied requests no longer covers"
+func (e *BaseTooOldError) Error() string {
+	return fmt.Sprintf("the request is based on version %d, which the log of applied requests no longer covers; the current version is %d", e.Base, e.Current)
 }
 
-// ScopeConflictError means that another order on the same scope was applied after this one had begun. This one changed nothing.
+// ScopeConflictError means that another order on the same scope was applied after this one first read the register. This one changed
+// nothing.
 type ScopeConflictError struct{ Scope string }
 
 func (e *ScopeConflictError) Error() string {
-	return "another request for " + e.Scope + " was applied meanwhile and nothing was changed"
+	return "another request for " + e.Scope + " was applied in the meantime, so this request changed nothing"
 }
 
 // each calls visit with each entry, oldest first, until visit returns false.
--- a/register/manifest.go
+++ b/register/manifest.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 
 	"github.com/gravitational/trace"
 )
@@ -19,7 +20,9 @@
 // OrderLogError means that Bytes bytes are not a valid encoding of EditLog and OrderLog.
 type OrderLogError struct{ Bytes int }
 
-func (*OrderLogError) Error() string { return "invalid encoding of the order logs" }
+func (e *OrderLogError) Error() string {
+	return fmt.Sprintf("the order logs (%d bytes) have an invalid encoding", e.Bytes)
+}
 
 // EncodeOrderLogs returns EditLog, preceded by its length as a uvarint, and OrderLog as one byte slice.
 func (v *Value) EncodeOrderLogs() []byte {
--- a/register/manifest_test.go
+++ b/register/manifest_test.go
@@ -28,7 +28,7 @@
 	var bad *OrderLogError
 	for _, raw := range [][]byte{nil, {200}, {5, 1, 2}} {
 		if err := (&Value{}).DecodeOrderLogs(raw); !errors.As(err, &bad) {
-			t.Errorf("%v: %v", raw, err)
+			t.Errorf("%v was decoded: %v", raw, err)
 		}
 	}
 }
--- a/register/orderlog_test.go
+++ b/register/orderlog_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if version, ok := v.AppliedAt("a"); !ok || version != 6 {
-		t.Errorf("%d %v", version, ok)
+		t.Errorf("order a: applied at version %d, found: %v", version, ok)
 	}
 }
 
--- a/register/outcome_test.go
+++ b/register/outcome_test.go
@@ -62,10 +62,10 @@
 		}
 		d.setReachable(majority...)
 		if got := outcome(d.waitForResult(d.x)); got != "412" {
-			t.Errorf("%v: %s", majority, got)
+			t.Errorf("%v reached: the superseded order has the outcome %s, not 412", majority, got)
 		}
 		if err := d.submitAndWait(d.y, nil); err != nil || string(d.last.Value.Document) != "theirs" {
-			t.Errorf("%v: %v, read %q", majority, err, d.last.Value.Document)
+			t.Errorf("%v reached: error %v, read %q", majority, err, d.last.Value.Document)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	d.dropAccepted = false
 	d.setReachable("a", "b")
 	if got := outcome(d.submitAndWait(d.x, edit(0, "mine"))); got != "412" {
-		t.Errorf("%s", got)
+		t.Errorf("x's order has the outcome %s, not 412", got)
 	}
 	for _, disks := range [][]string{{"b", "c"}, {"a", "c"}, {"a", "b"}} {
 		d.setReachable(disks...)
@@ -116,7 +116,7 @@
 	}
 	for _, r := range results {
 		if got := outcome(r.Err); got != "503 unchanged" {
-			t.Errorf("%d: %s", r.ID, got)
+			t.Errorf("operation %d has the outcome %s, not 503 unchanged", r.ID, got)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		d.x.OnAccepted(d.now, r)
 	}
 	if _, results := d.x.TakeOutput(); len(results) != 1 || results[0].Err != nil {
-		t.Errorf("%v", fmt.Sprint(results))
+		t.Errorf("a chosen change was not acknowledged: %v", fmt.Sprint(results))
 	}
 }
 
@@ -146,7 +146,7 @@
 	d.x.Submit(d.now, d.now+4*time.Second, 1, edit(0, "long"))
 	d.x.Submit(d.now, d.now+operationTimeout, 2, nil)
 	if outcome(d.waitForResult(d.x)) != "503 unchanged" || d.last.ID != 2 || d.now > operationTimeout+200*time.Millisecond {
-		t.Errorf("%+v at %s", d.last, d.now)
+		t.Errorf("the first operation to end is %+v at %s", d.last, d.now)
 	}
 }
 
@@ -154,6 +154,6 @@
 	d := newProposerPair(t)
 	d.x.Submit(d.now, d.now, 2, edit(0, "late"))
 	if sends, results := d.x.TakeOutput(); len(sends) != 0 || len(results) != 1 || outcome(results[0].Err) != "503 unchanged" {
-		t.Errorf("%v %v", sends, results)
+		t.Errorf("an operation without time left sent %v and ended with %v", sends, results)
 	}
 }
--- a/register/readonly_test.go
+++ b/register/readonly_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if got := outcome(d.waitForResult(d.y)); got != "200" {
-		t.Error(got)
+		t.Errorf("the read has the outcome %s, not 200", got)
 	}
 }
 
--- a/register/restoreddisk_test.go
+++ b/register/restoreddisk_test.go
@@ -21,7 +21,7 @@
 		p.Submit(0, time.Second, 1, change)
 		r := runAlone(p, disks)
 		if r == nil || r.Err != nil || r.Value.Version < confirmed.Version {
-			t.Fatalf("%+v", r)
+			t.Fatalf("the operation lost the confirmed value: %+v", r)
 		}
 		if change != nil && r.Value.Version != confirmed.Version+1 {
 			t.Fatalf("a change builds on version %d", r.Value.Version-1)
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -69,8 +69,8 @@
 	return v
 }
 
-// continueBootstrap continues a bootstrap after a promise. If a disk has a value, a register exists already: this one, from an earlier attempt,
-// or another one. That value is then completed like any change and never replaced by the first value.
+// continueBootstrap continues a bootstrap after a promise. If a disk has a value, a register exists already: either the one that an
+// earlier attempt of this bootstrap created, or another one. That value is then completed like any change and never replaced by the first value.
 func (p *Proposer) continueBootstrap(now time.Duration) {
 	first := p.current.bootstrapValue
 	if best := p.baseValue(); best != nil {
--- a/register/starvation_test.go
+++ b/register/starvation_test.go
@@ -84,7 +84,7 @@
 			}
 		}
 		if elapsed := r.now - from; r.last.Err != nil || elapsed > limit {
-			t.Errorf("seed %d: %v after %s, with %d competing changes", seed, r.last.Err, elapsed, changes)
+			t.Errorf("seed %d: the change ended with error %v after %s, with %d competing changes", seed, r.last.Err, elapsed, changes)
 		}
 	}
 }
