--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -93,7 +93,7 @@
 	seen := len(r.changes)
 	for range 3000 {
 		for _, c := range r.changes[seen:] {
-			if name, begun := strings.CutSuffix(c, " "+string(ChangeVotersBegun)); begun {
+			if name, found := strings.CutSuffix(c, " "+string(ChangeVotersBegun)); found {
 				return name
 			}
 		}
--- a/control/changes.go
+++ b/control/changes.go
@@ -8,8 +8,8 @@
 // EditChange returns the change of the register that an Edit requests.
 func EditChange(op Edit) register.Change { return editChange(op) }
 
-// BeginVoterChange returns a change that installs the next voters beside the current ones, if the voter set still has the epoch for which
-// they were chosen.
+// BeginVoterChange returns a change that installs the next voters in addition to the current ones, if the voter set still has the epoch for
+// which they were chosen.
 func BeginVoterChange(epoch uint64, voters []register.Voter) register.Change {
 	return beginVoterChangeAt(epoch, voters)
 }
--- a/control/chunks.go
+++ b/control/chunks.go
@@ -18,15 +18,15 @@
 	keptDocuments = 64
 	keptBodies    = 8
 	keptBytes     = 8 << 20
-	// maxProposalChunkBytes is the maximum size of the chunks that a proposal contains beside a manifest.
+	// maxProposalChunkBytes is the maximum size of the chunks that a proposal contains together with a manifest.
 	maxProposalChunkBytes = 64 << 10
 )
 
-// ChunkPull requests chunks. Names are their names, one after another.
+// ChunkPull requests chunks. Names is the concatenation of their names, chunk.NameBytes each.
 type ChunkPull struct{ Names []byte }
 
-// ChunkData replies to a ChunkPull, in several messages if the chunks are many. Missing are the names of the chunks that the sender does
-// not have.
+// ChunkData replies to a ChunkPull, in several messages if the chunks are many. Missing is the concatenation of the names of the chunks
+// that the sender does not have.
 type ChunkData struct {
 	Chunks  [][]byte
 	Missing []byte
--- a/control/chunks_test.go
+++ b/control/chunks_test.go
@@ -162,7 +162,7 @@
 		l.boot(name, false)
 		t.Logf("%s applied the document after %v", name, l.untilApplied(last, applyWithin))
 	}
-	t.Log(m.kinds)
+	t.Logf("bytes by kind of message: %v", m.kinds)
 	for name, folder := range l.folders {
 		if folder.size() > 8<<20 {
 			t.Errorf("%s has %d bytes on disk", name, folder.size())
--- a/control/chunkserving_test.go
+++ b/control/chunkserving_test.go
@@ -26,14 +26,14 @@
 			n.documents.store.Add(bytes.Repeat([]byte(fmt.Sprintf("another document, %d;", i)), 1000))
 		}
 		out := n.Step(l.now, Received{From: "n5", Build: chunksBuild, Msg: ChunkPull{Names: parts.Segments}})
-		given := 0
+		sent := 0
 		for _, s := range out.Sends {
 			if data, is := s.Msg.(ChunkData); is {
-				given += len(data.Chunks)
+				sent += len(data.Chunks)
 			}
 		}
-		if given != len(parts.Segments)/chunk.NameBytes {
-			t.Errorf("%s sent %d chunks of %d", name, given, len(parts.Segments)/chunk.NameBytes)
+		if sent != len(parts.Segments)/chunk.NameBytes {
+			t.Errorf("%s sent %d chunks of %d", name, sent, len(parts.Segments)/chunk.NameBytes)
 		}
 	}
 }
--- a/control/chunkslab_test.go
+++ b/control/chunkslab_test.go
@@ -136,7 +136,7 @@
 func (m *meter) reset() { m.zones, m.kinds = map[[2]string]int{}, map[string]int{} }
 
 func (m *meter) sent(from, to string, msg any) bool {
-	if !carries(msg) || m.l.nodes[to] == nil {
+	if !carriesConfiguration(msg) || m.l.nodes[to] == nil {
 		return false
 	}
 	w := m.writers[[2]string{from, to}]
@@ -153,7 +153,7 @@
 	return false
 }
 
-func carries(msg any) bool {
+func carriesConfiguration(msg any) bool {
 	switch m := msg.(type) {
 	case register.Prepare, register.Promise, register.Accept, register.Accepted, gossip.Announcement, gossip.Pull, ChunkPull, ChunkData:
 		return true
--- a/control/chunksmixed_test.go
+++ b/control/chunksmixed_test.go
@@ -18,7 +18,7 @@
 	l.sent = func(from, to string, msg any) bool {
 		old := l.builds[to] != 0 || l.builds[from] != 0
 		if old && isChunkMessage(msg) {
-			t.Errorf("%T from %s to %s", msg, from, to)
+			t.Errorf("message %T, which an older build cannot decode or send, from %s to %s", msg, from, to)
 		}
 		for _, v := range valuesOf(msg) {
 			seen.withManifest, seen.inline = count(t, old, v, seen.withManifest, seen.inline)
--- a/control/contention_test.go
+++ b/control/contention_test.go
@@ -24,11 +24,11 @@
 		l.write("n1", fmt.Sprint("first ", i))
 	}
 	l.untilTick()
-	begun := l.now
+	startedAt := l.now
 	if a := l.write("n6", "second"); a.Err != nil {
 		t.Fatal(a.Err)
 	}
-	if elapsed := l.now - begun; elapsed >= tick-2*time.Millisecond {
+	if elapsed := l.now - startedAt; elapsed >= tick-2*time.Millisecond {
 		t.Errorf("the request took %v", elapsed)
 	}
 }
--- a/control/durablereplies.go
+++ b/control/durablereplies.go
@@ -29,7 +29,7 @@
 	// lastSeq is the sequence number of the last write, 0 before the first.
 	lastSeq uint64
 	pending []pendingReply
-	// pendingSince is since when the first pending reply has been the first.
+	// pendingSince is when the oldest pending reply became the oldest one.
 	pendingSince time.Duration
 	// err is the error of the last write; no reply is sent until the disk is repaired.
 	err error
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxPullChunks is the maximum number of chunks requested at once, and chunkBatchBytes the number of their bytes after which a message
-	// is full, so that pings are not delayed by more.
+	// maxPullChunks is the maximum number of chunks requested at once. chunkBatchBytes is the number of bytes of chunks at which a reply is
+	// sent and another one started, so that no reply delays pings by more than the time to send about that much.
 	maxPullChunks   = 96
 	chunkBatchBytes = 64 << 10
 	// maxNearPull is the maximum number of missing segments for which the sender of the announcement is asked alone, if it is near. For
@@ -96,8 +96,8 @@
 func (n *Node) pull(now time.Duration, f *fetch, missing []chunk.Name) {
 	var names []byte
 	for _, name := range missing {
-		since, flying := n.documents.requestedAt[name]
-		if flying && now-since < pullRetryAfter {
+		since, requested := n.documents.requestedAt[name]
+		if requested && now-since < pullRetryAfter {
 			continue
 		}
 		n.documents.requestedAt[name] = now
@@ -162,7 +162,7 @@
 	})
 }
 
-// tickFetches switches to the next source if the current one does not reply, and gives up fetches that did not finish within fetchTimeout.
+// tickFetches switches to the next source if the current one does not reply, and abandons fetches that did not finish within fetchTimeout.
 func (n *Node) tickFetches(now time.Duration) {
 	n.advance(now, func(f *fetch, _ []chunk.Name) bool {
 		if now-f.progressAt >= pullRetryAfter {
--- a/control/format_test.go
+++ b/control/format_test.go
@@ -24,7 +24,7 @@
 )
 
 // The files under testdata/format were written by the build fccf204. They are frozen: a build that fails to read one of them, or writes
-// other field names, can't serve beside that build. -write-format writes files that are missing, for messages that are new.
+// other field names, can't run in one fleet with that build. -write-format writes files that are missing, for messages that are new.
 var writeFormat = flag.Bool("write-format", false, "write the files of the format that are missing")
 
 const formatFolder = "testdata/format"
--- a/control/formatadded_test.go
+++ b/control/formatadded_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// addedFields are the fields that messages have got since the former build, each at the end of its message. The former build skips them,
+// addedFields are the fields that were added to messages since the former build, each at the end of its message. The former build skips them,
 // and its messages leave them at zero.
 var addedFields = map[string][]string{"quota-answer": {"Left"}}
 
--- a/control/formatschema_test.go
+++ b/control/formatschema_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// whole decodes a top-level value. All but structs follow a zero byte.
-func (s *gobStream) whole(id int64) {
+// topLevelValue decodes a top-level value. All but structs follow a zero byte.
+func (s *gobStream) topLevelValue(id int64) {
 	if s.types[id].kind != "struct" && s.uint() != 0 {
 		s.t.Fatal("a top-level value does not follow a zero byte")
 	}
@@ -161,7 +161,7 @@
 		_ = s.string()
 		return
 	case gobInterface:
-		s.held()
+		s.interfaceValue()
 		return
 	}
 	def, known := s.types[id]
@@ -186,8 +186,8 @@
 	}
 }
 
-// held decodes the value in an interface.
-func (s *gobStream) held() {
+// interfaceValue decodes the value in an interface.
+func (s *gobStream) interfaceValue() {
 	name := s.string()
 	if name == "" {
 		return
@@ -195,7 +195,7 @@
 	s.names[name] = true
 	id := s.sequence()
 	_ = s.uint()
-	s.whole(id)
+	s.topLevelValue(id)
 }
 
 // schema returns the types that a gob stream defines and the names of those in interfaces. Each type is expanded to its basic types, and
@@ -204,19 +204,19 @@
 	t.Helper()
 	stream := &gobStream{gobReader: &gobReader{t: t}, rest: &gobReader{t: t, raw: raw}, types: map[int64]gobType{}, names: map[string]bool{}}
 	for len(stream.rest.raw) > 0 {
-		stream.whole(stream.sequence())
+		stream.topLevelValue(stream.sequence())
 	}
 	all := map[string]bool{}
 	for name := range stream.names {
 		all["name "+name] = true
 	}
 	for id := range stream.types {
-		all[spell(stream.types, id, nil)] = true
+		all[describeType(stream.types, id, nil)] = true
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-func spell(types map[int64]gobType, id int64, within []int64) string {
+func describeType(types map[int64]gobType, id int64, within []int64) string {
 	def, known := types[id]
 	switch {
 	case slices.Contains(within, id):
@@ -226,7 +226,7 @@
 	}
 	var parts []string
 	for i, part := range def.ids {
-		text := spell(types, part, append(within, id))
+		text := describeType(types, part, append(within, id))
 		if def.kind == "struct" {
 			text = def.names[i] + " " + text
 		}
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -13,7 +13,7 @@
 	Msg   any
 }
 
-// Tick makes the node do what is due at the time of the Step. The caller must send several within membership.Config.PauseGap.
+// Tick makes the node check its timers and do its periodic work. The caller must send several within membership.Config.PauseGap.
 type Tick struct{}
 
 // Persisted reports that the log writes up to the sequence number Seq are durable, or that writing failed with Err.
@@ -24,7 +24,7 @@
 	Repaired bool
 }
 
-// Probed is the outcome of a Probe. Local is that of the Probe. OK reports whether the replica responded; the other fields are valid only
+// Probed is the outcome of a Probe. Local is copied from the Probe. OK reports whether the replica responded; the other fields are valid only
 // then: the instance ID, its running requests, whether it is draining, and the age of these figures (Lag).
 type Probed struct {
 	Replica    string
@@ -70,9 +70,9 @@
 	Document        []byte
 }
 
-// Edit replaces the document with the result of Apply on the current one. Apply may be called several times. BaseVersion is the operators'
-// own revision that the edit was made on; Apply fails with a register.ConflictError that contains the current revision. An ID belongs to a
-// single base.
+// Edit replaces the document with the result of Apply on the current one. Apply may be called several times. BaseRevision is the operators'
+// own revision that the edit was made on. If it is not the current one, Apply fails with a register.ConflictError that contains the current
+// revision. An ID must always be used with the same BaseRevision.
 type Edit struct {
 	ID           string
 	BaseRevision uint64
@@ -121,7 +121,7 @@
 // SetEmbeddedRouters sets how many routers embedded in other programs follow this node; they count as routers of the fleet.
 type SetEmbeddedRouters struct{ Count int }
 
-// Retire announces that the process was told to terminate and will leave soon. Until then the node still votes, and its voter slot moves to
+// Retire announces that the process was asked to terminate and will leave soon. Until then the node still votes, and its voter slot moves to
 // a standby disk.
 type Retire struct{}
 
--- a/control/join.go
+++ b/control/join.go
@@ -39,7 +39,7 @@
 	inputAt time.Duration
 	// neighboursRead contains the addresses of the nodes that have sent a gossip update since restartedAt.
 	neighboursRead map[string]bool
-	// servesFrom is when the other routers have had time to count this node's router; 0: not joined yet.
+	// servesFrom is the time from which the node may serve, because the other routers have counted its router by then; 0: not joined yet.
 	servesFrom time.Duration
 }
 
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -95,14 +95,14 @@
 	l.sendValue("a4", 1)
 	l.run(10 * time.Second)
 	if why := l.n.notServingReason(l.now); why != "" {
-		t.Fatal(why)
+		t.Fatalf("not serving because of %q", why)
 	}
 	last := l.nextPing()
 	l.now += 6 * time.Second
 	l.step(Received{From: "a2", Msg: membership.Ack{Seq: last.Seq}})
 	l.step(Tick{})
 	if why := l.n.notServingReason(l.now); why != "catching up" {
-		t.Errorf("after 6 s without a tick: %q", why)
+		t.Errorf("after 6 s without a tick: not serving because of %q, want \"catching up\"", why)
 	}
 }
 
--- a/control/journalparts_test.go
+++ b/control/journalparts_test.go
@@ -16,7 +16,8 @@
 
 var texts = map[int][]byte{}
 
-// text returns a document of 60 KB in which one line depends on the number. No two eighths of it have content in common.
+// text returns a document of about 45 KB in which one line depends on the number. If the number is a multiple of 8, it returns 600 KiB of
+// random bytes instead, which have nothing in common with the other documents.
 func text(number int) (raw []byte) {
 	if raw = texts[number]; raw != nil {
 		return raw
--- a/control/lab_test.go
+++ b/control/lab_test.go
@@ -12,7 +12,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// delivery is a message to a node, or an input of the node itself (from is empty), that is due at the time at.
+// delivery is a message to a node, or an input of the node itself (from is empty), to be delivered at the time at.
 type delivery struct {
 	at   time.Duration
 	from string
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if a := l.call("n5", Get{}); string(a.Value.Document) != "5" || len(a.Value.EvacuatedZones) != 1 {
-		t.Errorf("%+v", a.Value)
+		t.Errorf("after all disks were wiped in turn, the register contains %+v", a.Value)
 	}
 }
 
@@ -65,7 +65,7 @@
 		}
 	}
 	if a := l.call("n4", Evacuate{ID: "e", Zone: "z"}); a.Err != nil || a.Version != puts+1 {
-		t.Fatalf("%v, version %d", a.Err, a.Version)
+		t.Fatalf("evacuation: %v, version %d", a.Err, a.Version)
 	}
 	for _, i := range []uint64{puts - 400, puts - 1} {
 		if a := l.call("n5", put(i)); a.Err != nil || a.Version != i+1 {
--- a/control/node.go
+++ b/control/node.go
@@ -14,7 +14,7 @@
 )
 
 // Config describes one node. Name, Addr (address of the node protocol), HTTP (address of the public HTTP side) and Zone are published to
-// the other nodes. Boot distinguishes a node's successive processes, Build is the build of its messages (0: transport.Build), Incarnation
+// the other nodes. BootID distinguishes a node's successive processes, Build is the build of its messages (0: transport.Build), Incarnation
 // the first incarnation of its member entry (see FirstIncarnation), and Seed seeds its random choices. Seeds are the addresses that it
 // contacts while it joins. Disk is the state that its disk kept; nil if the node has no disk.
 type Config struct {
--- a/control/operations.go
+++ b/control/operations.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// drainProposer ticks the proposer and handles its output. It runs after each input and not only at ticks, because the proposer's pauses
+// drainProposer ticks the proposer and handles its output. It runs after each input and not only at ticks, because the proposer's backoffs
 // are shorter than the interval between ticks.
 func (n *Node) drainProposer(now time.Duration) {
 	n.proposer.Tick(now)
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -93,10 +93,10 @@
 		at := l.now
 		var none *register.NoQuorumError
 		if a := l.call("n5", op); !errors.As(a.Err, &none) {
-			t.Errorf("%d: %v", i, a.Err)
+			t.Errorf("call %d without voters: error %v, want a NoQuorumError", i, a.Err)
 		}
 		if elapsed := l.now - at; elapsed > 950*time.Millisecond {
-			t.Errorf("%d was answered after %s", i, elapsed)
+			t.Errorf("call %d was answered after %s", i, elapsed)
 		}
 	}
 }
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestOrderOfCallerThatLeftDoesNotUndoLaterOne guards against EVAC: a request to restore a zone waited at a node that was cut off from the
-// voters, its client disconnected, a later evacuation was acknowledged elsewhere, and the request was executed when the voters were
-// reachable again, before its deadline.
+// TestOrderOfCallerThatLeftDoesNotUndoLaterOne guards against a fault found in review (case EVAC of review/3): a request to restore a zone waited at a
+// node that was cut off from the voters. Its client disconnected, and a later evacuation was acknowledged elsewhere. When the voters were
+// reachable again before the request's deadline, the request was executed all the same.
 func TestOrderOfCallerThatLeftDoesNotUndoLaterOne(t *testing.T) {
 	for seed := range uint64(cancelSeeds) {
 		rng := rand.New(rand.NewPCG(seed, 33))
--- a/control/overlap_test.go
+++ b/control/overlap_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestVoterIsReplacedDuringAnotherReplacement tells one voter to terminate and, at each millisecond of its replacement, wipes the disk of
+// TestVoterIsReplacedDuringAnotherReplacement asks one voter to terminate and, at each millisecond of its replacement, wipes the disk of
 // another, which comes back empty. When the first has left, the voter set must be complete and tolerate the next loss.
 func TestVoterIsReplacedDuringAnotherReplacement(t *testing.T) {
 	for at := range 40 {
--- a/control/partition_test.go
+++ b/control/partition_test.go
@@ -46,7 +46,7 @@
 		from := l.now
 		a := l.call(at, op)
 		if a.Err == nil || isConflict(a.Err) {
-			l.t.Errorf("call %d at %s: %v, %v", i, at, a.Value, a.Err)
+			l.t.Errorf("call %d at %s: value %v, error %v, want an error that is no conflict", i, at, a.Value, a.Err)
 		}
 		if elapsed := l.now - from; elapsed > 950*time.Millisecond {
 			l.t.Errorf("call %d at %s was answered after %s", i, at, elapsed)
@@ -57,7 +57,7 @@
 func (l *lab) wantUnchanged(at string) {
 	l.t.Helper()
 	if a := l.call(at, Get{}); a.Err != nil || string(a.Value.Document) != "1" || len(a.Value.EvacuatedZones) > 0 {
-		l.t.Errorf("%v %+v", a.Err, a.Value)
+		l.t.Errorf("the register has changed: error %v, value %+v", a.Err, a.Value)
 	}
 }
 
@@ -130,7 +130,7 @@
 	l.run(2 * time.Second)
 	for _, id := range []uint64{l.ids, l.ids - 1, 900} {
 		if a, ok := l.answers[id]; !ok || a.Err == nil || isConflict(a.Err) {
-			t.Errorf("%d: %v %v", id, ok, a.Err)
+			t.Errorf("request %d: answered %v, error %v", id, ok, a.Err)
 		}
 	}
 	l.wantUnchanged("n4")
@@ -154,11 +154,11 @@
 	l.run(5 * time.Second)
 	a := l.call("n4", Get{})
 	if a.Err != nil || !slices.Contains(a.Value.EvacuatedZones, "z") {
-		t.Errorf("%v %v", a.Err, strings.Join(a.Value.EvacuatedZones, ","))
+		t.Errorf("the zone is not evacuated: error %v, evacuated zones %v", a.Err, strings.Join(a.Value.EvacuatedZones, ","))
 	}
 }
 
-// TestEvacuationIsFencedByLaterOne gives the old request a timeout of ten seconds, so that only the scope guard keeps it from taking
+// TestEvacuationIsFencedByLaterOne sets a deadline of ten seconds for the old request, so that only the scope guard keeps it from taking
 // effect.
 func TestEvacuationIsFencedByLaterOne(t *testing.T) {
 	for what, first := range map[string]bool{"later request changes nothing": false, "later request restores": true} {
@@ -188,7 +188,7 @@
 			t.Errorf("%s: the old request ended with %v", what, a.Err)
 		}
 		if a := l.call("n4", Get{}); slices.Contains(a.Value.EvacuatedZones, "z") == first {
-			t.Errorf("%s: an old request took effect after it: %v", what, a.Value.EvacuatedZones)
+			t.Errorf("%s: the old request took effect after the later one: evacuated zones %v", what, a.Value.EvacuatedZones)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	}
 	first.LogScoped("y", "b", true)
 	if next, err := change(first.Clone(), &guard); err != nil || next == nil {
-		t.Errorf("%v", err)
+		t.Errorf("fenced by a request for another zone: %v", err)
 	}
 	for i := range register.MaxLoggedOrders {
 		first.LogScoped("y", string(rune('c'+i)), true)
@@ -224,6 +224,6 @@
 	}
 	next.LogScoped("z", "b", true)
 	if repeated, err := change(next.Clone(), &guard); err != nil || repeated != nil {
-		t.Errorf("%v %v", repeated, err)
+		t.Errorf("an applied request was applied again or rejected: %v, error %v", repeated, err)
 	}
 }
--- a/control/prefill_test.go
+++ b/control/prefill_test.go
@@ -25,7 +25,7 @@
 	}
 	out = l.nodes["n5"].Step(l.now, Received{From: "n4", Msg: Prefills{Rows: []router.Prefill{row}}})
 	if len(out.Events) != 1 || out.Events[0] != row {
-		t.Errorf("%+v", out.Events)
+		t.Errorf("a received message caused the events %+v", out.Events)
 	}
 	for _, s := range out.Sends {
 		if _, is := s.Msg.(Prefills); is {
--- a/control/quotas.go
+++ b/control/quotas.go
@@ -114,9 +114,9 @@
 	var owner membership.Member
 	var highest uint64
 	for _, m := range members {
-		rank := scheduler.RendezvousWeight("quota/"+tenant, m.Name)
-		if owner.Name == "" || rank > highest || rank == highest && m.Name < owner.Name {
-			owner, highest = m, rank
+		weight := scheduler.RendezvousWeight("quota/"+tenant, m.Name)
+		if owner.Name == "" || weight > highest || weight == highest && m.Name < owner.Name {
+			owner, highest = m, weight
 		}
 	}
 	return owner
--- a/control/quotas_test.go
+++ b/control/quotas_test.go
@@ -169,6 +169,6 @@
 	n.Members.Merge(0, owner)
 	next := quotaOwner(labTenant.Name, n.quotaZones(0)["1"])
 	if next.Name == owner.Name || len(n.quotaZones(0)["1"]) != len(members)-1 || next.State != membership.Alive {
-		t.Errorf("%+v", next)
+		t.Errorf("the share has passed to %+v", next)
 	}
 }
--- a/control/refill_test.go
+++ b/control/refill_test.go
@@ -160,7 +160,7 @@
 	r.call(r.victim, Retire{})
 	from := r.now
 	var elapsed time.Duration
-	if r.spares() > 0 {
+	if r.standbyCount() > 0 {
 		elapsed = r.untilFull(warningTime)
 	}
 	r.changeDocument()
@@ -171,7 +171,7 @@
 	return elapsed
 }
 
-func (r *voterLossRun) spares() int {
+func (r *voterLossRun) standbyCount() int {
 	var count int
 	for name, disk := range r.disks {
 		if !isVoter(r.latest().Voters, disk) && !r.down[name] {
@@ -204,7 +204,7 @@
 	var elapsed []time.Duration
 	for seed := range uint64(*voterLossSeeds) {
 		r := newVoterLossRun(t, shape, seed)
-		if l.name == "SIGTERM, for good" && r.spares() == 0 {
+		if l.name == "SIGTERM, for good" && r.standbyCount() == 0 {
 			continue
 		}
 		elapsed = append(elapsed, l.play(r))
--- a/control/repairers_test.go
+++ b/control/repairers_test.go
@@ -114,8 +114,8 @@
 		a.known = r.Value
 		a.proposer.LearnChosen(r.Value)
 	}
-	version, taken := r.Value.AppliedAt(body)
-	if !a.operator || r.Err != nil || !taken {
+	version, applied := r.Value.AppliedAt(body)
+	if !a.operator || r.Err != nil || !applied {
 		return
 	}
 	if other, ok := w.confirmed[version]; ok && other != body {
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// TestNodesThatWereToldToEndRejoinWhileTheirSeedsAreDown guards against CONFIG: core nodes that shut down gracefully came back knowing only
-// seeds that were down. No node contacted a member that had left, and after the second restart there was no majority of voters any more.
+// TestNodesThatWereToldToEndRejoinWhileTheirSeedsAreDown guards against a fault found in review (case CONFIG of review/2): core
+// nodes that shut down gracefully came back knowing only seeds that were down. No node contacted a member that had left, and after the
+// second restart there was no majority of voters any more.
 func TestNodesThatWereToldToEndRejoinWhileTheirSeedsAreDown(t *testing.T) {
 	l := newLab(t, 8)
 	l.run(3 * time.Second)
--- a/control/status.go
+++ b/control/status.go
@@ -17,8 +17,8 @@
 
 // Status is a node's state as shown to operators. Serving and NotServing are whether its router serves and, if not, the reason. Version is
 // the newest version that the node knows, AppliedVersion the one that its router applies. Next are the next voters during a change of
-// voters. Leases are the roles whose lease this node has. Deaths counts members that were declared dead, Refutes those that refuted it.
-// GossipItems is the number of gossip items in the store.
+// voters. Leases are the roles whose lease this node has. Deaths counts members that died or left, Refutes the reports about this node that
+// it refuted because they contradicted its own state. GossipItems is the number of gossip items in the store.
 type Status struct {
 	Name           string           `json:"name"`
 	Zone           string           `json:"domain"`
--- a/control/voterinterrupt_test.go
+++ b/control/voterinterrupt_test.go
@@ -38,7 +38,7 @@
 	t.Logf("%d runs", runs)
 }
 
-func interruptVoterChange(t *testing.T, confirmedBy []string, begun, finished []string, lost string) {
+func interruptVoterChange(t *testing.T, confirmedBy []string, beginDisks, finishDisks []string, lost string) {
 	t.Helper()
 	h := newManualRegister(t)
 	order := h.proposer("o", edit(0, "order"))
@@ -46,24 +46,24 @@
 	if !confirmed(h.accept(order, accepts, confirmedBy...)) {
 		t.Fatal("the request was not confirmed")
 	}
-	h.changeVoters(begun, finished)
+	h.changeVoters(beginDisks, finishDisks)
 	delete(h.disks, lost)
 	if got := h.readAll(); got != "order" {
-		t.Fatalf("confirmed by %v, started at %v, finished at %v, lost %s: read %q", confirmedBy, begun, finished, lost, got)
+		t.Fatalf("confirmed by %v, change started by %v and finished by %v, lost %s: read %q", confirmedBy, beginDisks, finishDisks, lost, got)
 	}
 }
 
 // changeVoters starts the change and, if it was chosen, finishes it.
-func (h *manualRegister) changeVoters(begins, finishes []string) {
+func (h *manualRegister) changeVoters(beginDisks, finishDisks []string) {
 	begin := h.proposer("m", beginVoterChangeAt(0, votersOf("a", "b", "d")))
 	accepts, _ := h.prepare(begin, 1, "a", "b", "c")
-	done := h.accept(begin, accepts, begins...)
+	done := h.accept(begin, accepts, beginDisks...)
 	if !confirmed(done) {
 		return
 	}
 	finish := h.proposer("n", finishVoterChangeAt(done[0].Value.Epoch))
 	accepts, _ = h.prepare(finish, 3, "a", "b", "c", "d")
-	h.accept(finish, accepts, finishes...)
+	h.accept(finish, accepts, finishDisks...)
 }
 
 // readAll reads the register from a node that knows only the first voters and reaches all remaining disks.
--- a/control/voters.go
+++ b/control/voters.go
@@ -82,8 +82,8 @@
 	n.proposeUrgent(now, finishVoterChangeAt(epoch), func(time.Duration, register.Result) {})
 }
 
-// beginVoterChangeAt returns a change that installs the next voters beside the current ones, if the epoch is still the one for which they
-// were chosen.
+// beginVoterChangeAt returns a change that installs the next voters in addition to the current ones, if the epoch is still the one for which
+// they were chosen.
 func beginVoterChangeAt(epoch uint64, vs []register.Voter) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
 		if slices.Equal(cur.NextVoters, vs) || slices.Equal(cur.Voters, vs) {
@@ -99,8 +99,8 @@
 }
 
 // finishVoterChangeAt returns a change that makes the next voters of the given epoch the voters. The epoch must be one whose change is
-// known to be chosen. A later change that was only accepted somewhere must not be finished: the old voters may never learn of it and could
-// choose values on their own beside the new voters.
+// known to be chosen. A later change that was only accepted somewhere must not be finished: the old voters may never learn of it, and the
+// old and the new voters could then choose different values.
 func finishVoterChangeAt(epoch uint64) register.Change {
 	return func(cur *register.Value) (*register.Value, error) {
 		if len(cur.NextVoters) == 0 || cur.Epoch != epoch {
--- a/control/voters_test.go
+++ b/control/voters_test.go
@@ -63,7 +63,7 @@
 	l.boot("n0", false)
 	l.run(3 * time.Second)
 	if got := l.read("n0"); got != "first" {
-		t.Errorf("reads %q", got)
+		t.Errorf("read %q, want \"first\"", got)
 	}
 }
 
@@ -109,10 +109,10 @@
 	l.write("n4", "x")
 	bad := errors.New("flawed")
 	if a := l.call("n5", Edit{ID: "e", Apply: func([]byte) ([]byte, error) { return nil, bad }}); !errors.Is(a.Err, bad) {
-		t.Fatalf("%v", a.Err)
+		t.Fatalf("an edit that fails ended with %v", a.Err)
 	}
 	if got := l.read("n4"); got != "x" {
-		t.Errorf("reads %q", got)
+		t.Errorf("read %q after an edit that failed, want \"x\"", got)
 	}
 }
 
@@ -170,12 +170,12 @@
 	l.run(2 * time.Second)
 	l.step("n0", Persisted{Err: errors.New("no space left")})
 	if !l.nodes["n0"].Members.Self.Degraded {
-		t.Fatal("a voter with a full disk still votes")
+		t.Fatal("a voter whose write failed is not marked as degraded")
 	}
 	l.step("n0", Persisted{Repaired: true})
 	l.run(time.Second)
 	l.down["n1"] = true
 	if a := l.write("n5", "x"); a.Err != nil || l.nodes["n0"].Members.Self.Degraded {
-		t.Fatal(a.Err)
+		t.Fatalf("a write after the disk recovered: error %v, still degraded %v", a.Err, l.nodes["n0"].Members.Self.Degraded)
 	}
 }
--- a/control/voterset.go
+++ b/control/voterset.go
@@ -53,7 +53,7 @@
 	return ""
 }
 
-// firstLeaving returns the disk of the first voter whose process was told to terminate or has left. A restart cannot be distinguished from a
+// firstLeaving returns the disk of the first voter whose process was asked to terminate or has left. A restart cannot be distinguished from a
 // permanent exit: if there is a standby disk, it becomes the voter, and the returning disk becomes a standby.
 func (s voterSet) firstLeaving() string {
 	for _, v := range s.value.Voters {
--- a/control/witness.go
+++ b/control/witness.go
@@ -20,8 +20,8 @@
 	witnessResend = 60 * time.Millisecond
 	// witnessMemory is how long a witness remembers a request.
 	witnessMemory = 10 * time.Minute
-	// witnessTimeout is the minimum timeout of a query, and how long it insists on replies from witnesses that have been up for all of
-	// witnessMemory; witnessTimeoutMax is the maximum timeout.
+	// witnessTimeout is the minimum timeout of a query, and how long only replies from witnesses that have been up for all of witnessMemory
+	// count towards the quorum; witnessTimeoutMax is the maximum timeout.
 	witnessTimeout    = 200 * time.Millisecond
 	witnessTimeoutMax = 2500 * time.Millisecond
 	// maxRemembered is the maximum number of requests that a witness remembers.
@@ -192,8 +192,8 @@
 
 func (w *witnessState) tick(now time.Duration, n *Node) {
 	w.trackDead(now, n)
-	for _, requestID := range slices.Sorted(maps.Keys(w.inquiries)) {
-		a := w.inquiries[requestID]
+	for _, queryID := range slices.Sorted(maps.Keys(w.inquiries)) {
+		a := w.inquiries[queryID]
 		waited := now - a.startedAt
 		if waited >= witnessTimeout {
 			a.dropDead(n)
--- a/control/witness_test.go
+++ b/control/witness_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (f *witnessFleet) carry(from string, out Output) {
+func (f *witnessFleet) handleOutput(from string, out Output) {
 	for _, a := range out.Answers {
 		f.answers[a.ID] = a
 	}
@@ -49,7 +49,7 @@
 		switch s.Msg.(type) {
 		case WitnessQuery, WitnessReply, WitnessForget:
 			if !f.silent[s.To] && !f.silent[from] {
-				f.carry(s.To, f.nodes[s.To].Step(f.now, Received{From: from, Msg: s.Msg}))
+				f.handleOutput(s.To, f.nodes[s.To].Step(f.now, Received{From: from, Msg: s.Msg}))
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 	request := op.Request
 	f.asked++
 	id, from := f.asked, f.now
-	f.carry(at, f.nodes[at].Step(f.now, Command{ID: id, Op: op}))
+	f.handleOutput(at, f.nodes[at].Step(f.now, Command{ID: id, Op: op}))
 	for ; f.now-from < 3*time.Second; f.now += 10 * time.Millisecond {
 		if a, ok := f.answers[id]; ok {
 			return WitnessOutcome(a), f.now - from
@@ -71,7 +71,7 @@
 		n := f.nodes[at]
 		n.out = &Output{}
 		n.witness.tick(f.now, n)
-		f.carry(at, *n.out)
+		f.handleOutput(at, *n.out)
 	}
 	f.t.Fatalf("the query for %s was never answered", request)
 	return "", 0
