--- a/proxy/action.go
+++ b/proxy/action.go
@@ -40,7 +40,7 @@
 	NotFound
 	// Unknown is a 502: the request may have run.
 	Unknown
-	// Expired is a 504: the request's time is over and it may have run.
+	// Expired is a 504: the deadline of the request has passed and it may have run.
 	Expired
 	// Aborted means that the response was cut off after its first bytes.
 	Aborted
@@ -52,8 +52,8 @@
 	Unauthorized
 )
 
-// Action is one step for the transfer. Event is set for NotifyRouter; Outcome, Reason and RetryAfter (when the client may send the request
-// again) are set for Finish.
+// Action is one step for the transfer. Event is set for NotifyRouter; Outcome, Reason and RetryAfter are set for Finish. Reason is for the
+// body of the error response, and RetryAfter is how long the client should wait before it sends the request again; 0 means no such header.
 type Action struct {
 	Kind       ActionKind
 	Event      router.Event
@@ -68,19 +68,20 @@
 // Connected signals that a connection to the replica is ready, with no request written to it yet.
 type Connected struct{}
 
-// ConnectFailed signals that no connection could be had: the replica was not reached, or this node already has as many connections to it as
-// allowed.
+// ConnectFailed signals that there is no connection to send the request on: dialing the replica failed, or this node already has the maximum
+// number of connections to it.
 type ConnectFailed struct{ AtConnectionLimit bool }
 
 // ResponseHeadRead signals that the head of a response was read, and describes it.
 type ResponseHeadRead struct {
 	Status int
 	// Mismatched is set if the response belongs to another request, NotExecuted if the replica states that it did not and will not run the
-	// request, CloseDelimited if only the end of the connection ends the response, and Unsealed if the seal of the replica is missing.
+	// request, CloseDelimited if only the end of the connection ends the response, and Unsealed if it lacks the header Headers.Seal.
 	Mismatched, NotExecuted, CloseDelimited, Unsealed bool
 	// Stream is set if the response is a stream of events and the route permits streaming.
 	Stream bool
-	// VersionRequested is set if the request named the weights version to continue with, so that a 421 says nothing about the instance.
+	// VersionRequested is set if the request named the weights version to continue with, so that a 421 may reject the version and doesn't
+	// mean that another instance responded.
 	// VersionMismatch is set if the response was generated with other weights than the part already forwarded.
 	VersionRequested, VersionMismatch bool
 	// Instance is the replica instance that the response names, and Load its load; both may be missing.
@@ -100,7 +101,7 @@
 // Unwritten signals that writing the request failed before any byte of it left this node.
 type Unwritten struct{}
 
-// DeadlinePassed signals that the request's time is over. Unwritten is set if no byte of the request had been written by then.
+// DeadlinePassed signals that the deadline of the request has passed. Unwritten is set if no byte of the request had been written by then.
 type DeadlinePassed struct{ Unwritten bool }
 
 // ClientDisconnected signals that the client closed its connection or accepts no more bytes.
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -17,9 +17,12 @@
 
 // States of a client's connection. Only an idle one may be closed, and only before a byte of the next request has been read.
 const (
+	// stateNew lasts until the first byte of the first request has been read.
 	stateNew int32 = iota
+	// stateIdle lasts from the end of a response until the first byte of the next request has been read.
 	stateIdle
 	stateActive
+	// stateClosing lasts while closeIdle sets the read deadline; activate waits for it to end.
 	stateClosing
 	stateClosed
 )
@@ -48,6 +51,7 @@
 	writeDeadline, finalDeadline time.Time
 }
 
+// longAgo is a read deadline that makes a pending read fail at once.
 var longAgo = time.Unix(1, 0)
 
 func (c *client) Read(b []byte) (int, error) {
@@ -135,8 +139,8 @@
 	return nil
 }
 
-// deadlineRenewalFraction avoids setting the write deadline on the socket for most writes: a deadline that is earlier than the new one by
-// less than a tenth of the stall timeout is kept.
+// deadlineRenewalFraction is the part of the stall timeout (a tenth) by which a write deadline may be earlier than a new one would be and is
+// still kept. Most writes therefore don't set the deadline of the socket.
 const deadlineRenewalFraction = 10
 
 // maxStalledWindows is how many stall timeouts in a row must pass without progress before a write fails.
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -36,7 +36,7 @@
 	// lastAttemptID is the attempt ID of the last request written; written is set once any request has been.
 	lastAttemptID string
 	written       bool
-	// sentHEAD is set once a HEAD request was written: a late response to it names a length but has no body.
+	// sentHEAD is set once a HEAD request was written. A late or duplicate response to it has a Content-Length but no body, so it can't be skipped.
 	sentHEAD bool
 	// usableUntil is when the connection becomes too old to be reused; usableUntilNonRetryable is the same, usually earlier, time for
 	// requests that must not be sent twice. Both are zero until the connection has been idle.
--- a/proxy/continuity.go
+++ b/proxy/continuity.go
@@ -5,15 +5,14 @@
 	"strconv"
 )
 
-// MissingIDError reports that a resumed stream began with an event without an id, so the proxy can't tell whether the client already has
-// the event.
+// MissingIDError reports that a resumed stream began with an event without an id, so it is unknown whether the client already has the event.
 type MissingIDError struct {
 	// After is the id of the newest event that the client has.
 	After string
 }
 
 func (e *MissingIDError) Error() string {
-	return "event without id, but the one after " + strconv.Quote(e.After) + " was expected"
+	return "resumed stream: event without an id, but the one after " + strconv.Quote(e.After) + " was expected"
 }
 
 // GapError reports that a resumed stream left out an event, although the ids had been consecutive so far.
@@ -23,7 +22,7 @@
 }
 
 func (e *GapError) Error() string {
-	return "event " + strconv.Quote(e.Got) + ", but the one after " + strconv.Quote(e.After) + " was expected"
+	return "resumed stream: event " + strconv.Quote(e.Got) + ", but the one after " + strconv.Quote(e.After) + " was expected"
 }
 
 // WeightsMismatchError reports that a resumed stream was generated with another version of the model's weights than the events that the
@@ -31,7 +30,7 @@
 type WeightsMismatchError struct{ Expected, Got uint64 }
 
 func (e *WeightsMismatchError) Error() string {
-	return "weights version " + strconv.FormatUint(e.Got, 10) + ", but version " + strconv.FormatUint(e.Expected, 10) + " was expected"
+	return "resumed stream: weights version " + strconv.FormatUint(e.Got, 10) + ", but version " + strconv.FormatUint(e.Expected, 10) + " was expected"
 }
 
 // weightsVersion is a version of a model's weights, if it is known.
--- a/proxy/continuity_test.go
+++ b/proxy/continuity_test.go
@@ -190,7 +190,6 @@
 	}
 }
 
-// TestGapErrorNamesIDs checks the text of the error.
 func TestGapErrorNamesIDs(t *testing.T) {
 	e := proxy.EventStream{MaxEventBytes: 1 << 10}
 	if _, err := e.Feed([]byte(events(1, 2))); err != nil {
@@ -198,5 +197,5 @@
 	}
 	e.StartResponse("")
 	_, err := e.Feed([]byte(event(4)))
-	want(t, "error", err, `event "4", but the one after "2" was expected`)
+	want(t, "error", err, `resumed stream: event "4", but the one after "2" was expected`)
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -13,15 +13,15 @@
 
 const (
 	noAttempt phase = iota
-	// connecting: waiting for a connection.
+	// connecting lasts while the transfer gets a connection.
 	connecting
-	// connected: waiting for the router to permit sending.
+	// connected lasts until the router permits sending.
 	connected
-	// written: the request is being sent, or its response is awaited.
+	// written lasts from the start of sending the request until the head of its response has been read.
 	written
-	// forwarding: the response is sent to the client.
+	// forwarding lasts while the response is sent to the client.
 	forwarding
-	// draining: a response that is not forwarded is read to its end.
+	// draining lasts while a response that is not forwarded is read to its end.
 	draining
 )
 
@@ -33,8 +33,8 @@
 	// CannotResume is set while the part of the stream already forwarded can't be continued by another replica.
 	CannotResume bool
 	phase        phase
-	// placed is set at the first placement, and retryable is what the route of that placement says. Later placements don't change it, even
-	// if they name another route, because the request's body may already have been released.
+	// placed is set at the first placement. retryable is set if the route of that placement allows the request to be sent again after it may
+	// have run. Later placements don't change it, even if they name another route, because the request's body may already have been released.
 	placed, retryable bool
 	// stream is set if the response being forwarded is a stream, nonStreamForwarded once bytes of a response that isn't one were forwarded.
 	stream, nonStreamForwarded bool
@@ -78,7 +78,8 @@
 	}
 }
 
-// mayHaveRun reports whether the request may have run: it has not only if each attempt was never written or was refused by its replica.
+// mayHaveRun reports whether the request may have run. It certainly has not if none of its attempts was written, except attempts that their
+// replicas refused.
 func (e *Exchange) mayHaveRun() bool {
 	return e.mayHaveRunBefore || e.phase == written || e.phase == forwarding
 }
@@ -102,7 +103,7 @@
 	e.emit(Action{Kind: Finish, Outcome: outcome, Reason: reason, RetryAfter: retryAfter})
 }
 
-// endAttempt reports the result of the current attempt to the router.
+// endAttempt reports the result of the current attempt to the router. It closes the connection of a failed attempt.
 func (e *Exchange) endAttempt(result router.AttemptResult) {
 	if result == router.Failed {
 		e.abandonAttempt()
@@ -117,7 +118,8 @@
 	return route != nil && (route.Idempotent || route.Resumable)
 }
 
-// canPlace reports whether the request may be sent to the replica that the router chose, given what happened to it so far.
+// canPlace reports whether the request may be sent to the replica that the router chose: a response that has started must be resumable, and
+// a request that may have run must be retryable.
 func (e *Exchange) canPlace(decision router.Decision) bool {
 	if e.responseStarted && (e.CannotResume || e.nonStreamForwarded || !decision.Resumes) {
 		return false
@@ -139,7 +141,8 @@
 	e.emit(Action{Kind: Connect})
 }
 
-// HandleDecision processes a decision of the router and returns the actions to carry out, in order.
+// HandleDecision processes a decision of the router and returns the actions to carry out, in order. During an attempt, decisions about an
+// earlier attempt are ignored.
 func (e *Exchange) HandleDecision(decision router.Decision) []Action {
 	if e.finished || (e.phase != noAttempt && decision.AttemptID != "" && decision.AttemptID != e.Placement.AttemptID && decision.Verdict != router.Place) {
 		return nil
--- a/proxy/expire.go
+++ b/proxy/expire.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// expiryInterval is how often idle connections that are too old are closed.
 const expiryInterval = time.Second
 
 // scheduleExpiry makes closeExpired run once the expiry interval has passed. The caller must own the state of the pool.
@@ -12,7 +13,7 @@
 	}
 }
 
-// closeExpired closes idle connections that are too old to be used, and repeats while any idle connections are left.
+// closeExpired closes idle connections that are too old to be used, and schedules its next run while any idle connections are left.
 func (p *Pool) closeExpired() {
 	now := time.Now()
 	state := <-p.state
--- a/proxy/foreign_test.go
+++ b/proxy/foreign_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestResponsesWithOtherAttemptIDAreDropped checks that a response with an attempt ID is not taken as the response to a request without
-// one, and that two requests without one don't share a connection, because a late response to the first could not be told apart from the
-// response to the second.
+// one, and that two requests without one don't share a connection, because a late response to the first could not be
+// distinguished from the response to the second.
 func TestResponsesWithOtherAttemptIDAreDropped(t *testing.T) {
 	const plain = "GET /a HTTP/1.1\r\nHost: h.example\r\n\r\n"
 	response := func(body string) string {
--- a/proxy/freeze_test.go
+++ b/proxy/freeze_test.go
@@ -14,7 +14,7 @@
 	"github.com/mallowbridge/mallowbridge/proxy"
 )
 
-// freeze stands in for a machine that is stopped for d.
+// freeze simulates that the machine is stopped for d: the goroutine sleeps.
 func freeze(d time.Duration) { <-time.After(d) }
 
 // TestTimeInSocketBufferCounts checks requests that waited in the socket buffer while the machine was stopped. Their time counts from when
@@ -46,7 +46,7 @@
 		want(t, "sent", request.req.Header.Get("X-Attempt"), "id2")
 		left, _ := strconv.Atoi(request.req.Header.Get("X-Wait-Ms"))
 		if most := int((time.Minute - frozen*9/10).Milliseconds()); left > most {
-			t.Errorf("replica was told %d ms, although the request had waited %s", left, frozen)
+			t.Errorf("the replica received a deadline of %d ms, although the request had waited %s", left, frozen)
 		}
 		conn.respond(t, request, "200 OK", "", "two")
 		want(t, "in time", inTime.readResponse(t, method).body, "two")
@@ -89,7 +89,7 @@
 			}
 			request := conn.nextRequest(t)
 			if left, _ := strconv.Atoi(request.req.Header.Get("X-Wait-Ms")); left > c.maxLeft {
-				t.Errorf("replica was told %d ms, want at most %d", left, c.maxLeft)
+				t.Errorf("the replica received a deadline of %d ms, want at most %d", left, c.maxLeft)
 			}
 			conn.respond(t, request, "200 OK", "", "two")
 			want(t, "response", client.readResponse(t, "GET").status, c.status)
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -52,7 +52,7 @@
 	return x.proxy.shutdown.Load().admit(time.Now(), x.deadline)
 }
 
-// slowUpload is how long reading the body may take before the router is given a shorter timeout.
+// slowUpload is the time for reading the body above which that time is subtracted from the timeout in the router.Arrival.
 const slowUpload = 100 * time.Millisecond
 
 // host returns the host of the request in lower case, without the port.
@@ -115,8 +115,8 @@
 
 var connectionClose = []string{"close"}
 
-// setConnectionHeader tells the client what happens to its connection. It is closed if the node is shutting down or the limits have
-// changed; otherwise Keep-Alive names how long it may be idle.
+// setConnectionHeader announces in the response whether the client's connection is closed after it, which is so if the node is shutting down
+// or the limits have changed; otherwise it sets Keep-Alive to how long the connection may be idle.
 func (x *transfer) setConnectionHeader() {
 	h := x.w.Header()
 	switch {
--- a/proxy/lost_test.go
+++ b/proxy/lost_test.go
@@ -41,17 +41,17 @@
 	}
 }
 
-// newClosingReplica returns a replica that closes connections that were idle for a time, and reads nothing in the last part of that time,
-// called deaf. It sends each attempt ID that it reads to ran.
-func newClosingReplica(t *testing.T, idle, deaf time.Duration, ran chan<- string) *manualReplica {
+// newClosingReplica returns a replica that closes connections that were idle for a time, and that no longer reads from them during the last
+// part of that time, which lasts unread. It sends each attempt ID that it reads to ran.
+func newClosingReplica(t *testing.T, idle, unread time.Duration, ran chan<- string) *manualReplica {
 	manual := newManualReplica(t)
 	go manual.acceptEach(func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		for {
-			_ = c.SetReadDeadline(time.Now().Add(idle - deaf))
+			_ = c.SetReadDeadline(time.Now().Add(idle - unread))
 			req, err := http.ReadRequest(in)
 			if err != nil {
-				<-time.After(deaf)
+				<-time.After(unread)
 				return
 			}
 			ran <- req.Header.Get("X-Attempt")
@@ -65,14 +65,14 @@
 // TestRequestLostToIdleClose counts how many requests that must not be sent twice are lost to a replica that closes idle connections, with
 // and without a limit on their idle time. Each lost request is reported as unknown, and none runs twice.
 func TestRequestLostToIdleClose(t *testing.T) {
-	const callers, calls, idle, deaf = 16, 12, 200 * time.Millisecond, 20 * time.Millisecond
+	const callers, calls, idle, unread = 16, 12, 200 * time.Millisecond, 20 * time.Millisecond
 	for _, idleTimeout := range []time.Duration{time.Hour, idle / 2} {
 		ran := make(chan string, callers*calls)
 		statuses := make(chan int, callers*calls)
 		for n := range callers {
 			settings := proxy.Defaults()
 			settings.IdleTimeoutNonRetryable = idleTimeout
-			_, addr := startWithListener(t, newStubRouter(rejectDecision, newClosingReplica(t, idle, deaf, ran).place(onceRoute)), settings, config.Limits{})
+			_, addr := startWithListener(t, newStubRouter(rejectDecision, newClosingReplica(t, idle, unread, ran).place(onceRoute)), settings, config.Limits{})
 			client, rnd := dial(t, addr), rand.New(rand.NewPCG(uint64(n), 1))
 			go func() {
 				for i := range calls {
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -89,7 +89,7 @@
 }
 
 // get returns an idle connection that is still usable, or else a new one. An idle connection whose last request had the same attempt ID is
-// closed instead: a duplicate response to that request could not be told apart from the response to this one.
+// closed instead: a duplicate response to that request could not be distinguished from the response to this one.
 func (p *Pool) get(ctx context.Context, want connRequest) (*conn, error) {
 	var err error
 	var c *conn
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -19,7 +19,8 @@
 // Headers names the headers that clients and replicas use, and the functions that parse their values. A header whose name is empty is not
 // used.
 type Headers struct {
-	// AttemptID identifies a request. The client sets it, and the replica copies it into the response.
+	// AttemptID identifies a request, so that a response can be matched to it. The client sets it, and the replica copies it into the
+	// response.
 	AttemptID string
 	// TargetInstance names the only replica instance that may run the request.
 	TargetInstance string
@@ -34,7 +35,7 @@
 	Prefix string
 	Model  string
 	Tokens string
-	// Seal is present in every successful response of a replica.
+	// Seal is present in every successful response of a replica; one without it is not forwarded. Its value is not checked.
 	Seal string
 	// Instance in a response names the replica instance that sent it.
 	Instance string
@@ -51,7 +52,7 @@
 	ExpectedVersion string
 
 	// ParseTokens returns the number of prompt tokens and the maximum number of output tokens from the value of Tokens.
-	ParseTokens func(value string) (prompt, most int)
+	ParseTokens func(value string) (prompt, maxOutput int)
 	// ParseLoad parses the value of Load, leaving the replica empty. It returns false if the value is invalid.
 	ParseLoad func(value string) (router.ReplicaLoad, bool)
 }
@@ -71,21 +72,22 @@
 type Settings struct {
 	// DialTimeout bounds how long opening a connection to a replica may take.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection may be idle and still be reused if the replica names no Keep-Alive timeout.
+	// IdleTimeout is how long a connection to a replica may be idle and still be reused if the replica names no Keep-Alive timeout.
 	IdleTimeout time.Duration
 	// IdleMargin shortens the reuse of a connection if the replica names a Keep-Alive timeout: the connection is reused for four fifths of
 	// that timeout less IdleMargin.
 	IdleMargin time.Duration
 	// IdleTimeoutNonRetryable replaces IdleTimeout for requests that must not be sent twice.
 	IdleTimeoutNonRetryable time.Duration
-	// UserTimeout bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+	// UserTimeout bounds how long bytes sent to a replica may stay unacknowledged (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
 	// ReceiveWindow is the longest request body, in bytes, that the kernel of any replica accepts before the replica reads it. A longer one
 	// may stay unacknowledged until the deadline.
 	ReceiveWindow int
 	// DeadlineGrace is how much longer than the request's deadline the proxy waits for a replica to report that the deadline has passed.
 	DeadlineGrace time.Duration
-	// StallTimeout is a time within which a client that reads at all accepts some bytes; see maxStalledWindows.
+	// StallTimeout is the period after which a write to a client is checked for progress. The write fails after two such periods in a row in
+	// which the client accepted no bytes.
 	StallTimeout time.Duration
 	// UploadTimeout bounds how long receiving the body of a request may take in total; an earlier deadline of the client takes precedence.
 	UploadTimeout time.Duration
@@ -147,7 +149,7 @@
 	// byte of its response.
 	handlersRunning atomic.Int64
 	activeClients   atomic.Int64
-	// shutdown is nil until the process is told to exit. closing is set when idle connections are to be closed.
+	// shutdown is nil until Shutdown is called. closing is set when idle connections are to be closed.
 	shutdown atomic.Pointer[shutdown]
 	closing  atomic.Bool
 	// clients is the set of open client connections. A goroutine that receives it owns it until it sends it back.
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// claimsNotRun reports whether a status means that the request did not run and never will.
+// claimsNotRun reports whether a status means that the request did not run and never will. Without the NotExecuted header that is not proven,
+// so such a response is not forwarded and its attempt counts as failed.
 func claimsNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout
 }
--- a/proxy/reset_test.go
+++ b/proxy/reset_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestRepeatedAttemptTakesAnotherConnection checks that two requests with the same attempt ID don't share a connection: a duplicate
-// response to the first could not be told apart from the response to the second.
+// response to the first could not be distinguished from the response to the second.
 func TestRepeatedAttemptTakesAnotherConnection(t *testing.T) {
 	manual := newManualReplica(t)
 	_, addr := startDefault(t, newStubRouter(rejectDecision, manual.place(idempotentRoute)))
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -100,7 +100,7 @@
 	x.w.WriteHeader(x.resp.StatusCode)
 }
 
-// setRetryAfter tells the client when it may send the request again.
+// setRetryAfter sets the Retry-After header, in seconds that may have a fraction.
 func (x *transfer) setRetryAfter(d time.Duration) {
 	x.w.Header().Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', -1, 64))
 }
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -99,7 +99,7 @@
 }
 
 // TestEachAttemptGetsRemainingTime sends a request to a second replica after the first one has delayed it before refusing it. Each replica
-// must be told the time that remains.
+// must receive the remaining time as its deadline.
 func TestEachAttemptGetsRemainingTime(t *testing.T) {
 	const delay = 50 * time.Millisecond
 	slow := newReplica(t, func(request receivedRequest) (string, bool) {
@@ -119,7 +119,7 @@
 	}
 	first, second := left(slow), left(next)
 	if first > time.Minute || first <= 0 || second > first-delay || second <= 0 {
-		t.Errorf("of a minute, the first replica was told %s; the second one, at least %s later, %s", first, delay, second)
+		t.Errorf("the client waits 1m; the first replica received a deadline of %s, the second one, at least %s later, of %s", first, delay, second)
 	}
 }
 
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// sendAndRead writes the request to the replica and reads the head of its response. Responses that belong to an earlier request on the
-// connection are skipped where that is safe.
+// sendAndRead writes the request to the replica and reads the head of its response. If the request must not be sent twice, a response that
+// belongs to an earlier request on the connection is skipped, provided that its end is certain; otherwise the attempt fails.
 func (x *transfer) sendAndRead() {
 	if s := x.send(); s != nil {
 		x.signal(s)
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -46,7 +46,9 @@
 }
 
 const (
-	acceptPause          = 5 * time.Millisecond
+	// acceptPause is the pause after a failed Accept, which may fail again at once, for example without free file descriptors.
+	acceptPause = 5 * time.Millisecond
+	// defaultHeaderTimeout and defaultIdleTimeout apply if the configuration sets no such limit.
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = time.Minute
 	// keepAliveMargin is how much earlier than the idle timeout a client should stop using a connection, for requests that are on their way
--- a/proxy/shutdown.go
+++ b/proxy/shutdown.go
@@ -15,7 +15,7 @@
 // AdmitFor returns how long after SIGTERM new requests are still admitted.
 func (s ShutdownSchedule) AdmitFor() time.Duration { return min(s.Grace/4, maxAdmission) }
 
-// LeaveAfter returns how long after SIGTERM the node gives up its tasks for other nodes.
+// LeaveAfter returns how long after SIGTERM the node leaves the fleet, so that other nodes take over its tasks.
 func (s ShutdownSchedule) LeaveAfter() time.Duration { return s.Grace * 3 / 5 }
 
 // ExitAfter returns how long after SIGTERM the process exits, with or without requests in flight.
@@ -28,7 +28,7 @@
 	return elapsed < s.AdmitFor() && remaining > 0 && elapsed+remaining <= s.ExitAfter()
 }
 
-// shutdown is the state of a proxy whose process has been told to exit. It is set at most once.
+// shutdown is the state of a proxy whose process is shutting down. It is set at most once.
 type shutdown struct {
 	started  time.Time
 	schedule ShutdownSchedule
--- a/proxy/splice_test.go
+++ b/proxy/splice_test.go
@@ -51,7 +51,7 @@
 }
 
 // TestEventWithoutIDIsNotRepeated resumes a stream at a replica that starts from the beginning. If its first event has no id, the proxy
-// can't tell whether the client has it, so the response is cut rather than repeated.
+// can't know whether the client has it, so the response is cut rather than repeated.
 func TestEventWithoutIDIsNotRepeated(t *testing.T) {
 	for name, c := range map[string]struct {
 		again []string
@@ -98,7 +98,7 @@
 func TestEventsBeforeTooLongEventAreForwarded(t *testing.T) {
 	e := proxy.EventStream{MaxEventBytes: 20}
 	complete, err := e.Feed([]byte("id: 1\ndata: a\n\nid: 2\ndata: too long for the bound"))
-	want(t, "given and counted", string(complete)+e.LastID, "id: 1\ndata: a\n\n1")
+	want(t, "returned events and last ID", string(complete)+e.LastID, "id: 1\ndata: a\n\n1")
 	if err == nil {
 		t.Error("a too long event was accepted")
 	}
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -12,7 +12,7 @@
 
 var (
 	statesDepth    = flag.Int("states-depth", 60, "maximum number of inputs in a sequence that TestExchangeStates checks")
-	statesAttempts = flag.Int("states-attempts", 8, "maximum number of attempts in such a sequence")
+	statesAttempts = flag.Int("states-attempts", 8, "maximum number of attempts in a sequence that TestExchangeStates checks")
 )
 
 // attemptTruth is what actually happened to an attempt at its replica, as opposed to what the exchange has recorded.
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -132,7 +132,7 @@
 
 func (w *world) routerNotified(end router.AttemptEnded) string {
 	if (end.Result == router.NotSent || end.Result == router.Refused) && w.current == truthMayRun {
-		return "the router is told that the request did not run, but it may have"
+		return "the router is notified that the request did not run, but it may have"
 	}
 	w.connected = false
 	w.attemptEnded()
--- a/proxy/transfer.go
+++ b/proxy/transfer.go
@@ -16,6 +16,8 @@
 	client   *client
 	body     []byte
 	reserved reservation
+	// arrived is when the first bytes of the request reached this machine, and deadline when the client stops waiting; the latter is zero if
+	// the client named no deadline.
 	arrived  time.Time
 	deadline time.Time
 	exchange Exchange
@@ -93,8 +95,8 @@
 
 func (x *transfer) attemptID() string { return first(x.r.Header, x.proxy.headers.AttemptID) }
 
-// lacksAttemptID reports whether replicas echo an attempt ID but this request has none, so that a response to it can't be told apart from
-// responses to other requests.
+// lacksAttemptID reports whether replicas echo an attempt ID but this request has none, so that a response to it can't be
+// distinguished from responses to other requests.
 func (x *transfer) lacksAttemptID() bool {
 	return x.proxy.headers.AttemptID != "" && x.attemptID() == ""
 }
