--- a/router/chunksequence.go
+++ b/router/chunksequence.go
@@ -20,7 +20,7 @@
 }
 
 func (e *SequenceError) Error() string {
-	return "stream broke: " + e.Field + " is " + e.Got + ", not " + e.Want
+	return "invalid response line: " + e.Field + " is " + e.Got + ", not " + e.Want
 }
 
 // ChunkSequence checks that the lines of a response belong to one attempt at one instance, are in order and are complete. If InstanceID is
@@ -32,7 +32,7 @@
 	ended      bool
 }
 
-// Check checks the next line. Its error is a *SequenceError.
+// Check checks the next line of the response. The error is a *SequenceError if the line is not the expected one.
 func (s *ChunkSequence) Check(l ResponseLine) error {
 	if s.ended {
 		return &SequenceError{Field: "line", Got: "after the end mark", Want: "absent"}
--- a/router/decision.go
+++ b/router/decision.go
@@ -50,8 +50,8 @@
 	RetryAfter time.Duration `json:"after,omitempty"`
 	// RejectedLate marks a rejection after the request was placed, or after it waited for a quarter of its first-token target.
 	RejectedLate bool `json:"late,omitempty"`
-	// ConfirmedTokens and PredictedTokens are the numbers of prompt tokens that the replica is known and predicted to have
-	// cached.
+	// ConfirmedTokens is the number of prompt tokens that the replica is known to have cached, PredictedTokens the number that it is predicted
+	// to have cached.
 	ConfirmedTokens int `json:"confirmed,omitempty"`
 	PredictedTokens int `json:"predicted,omitempty"`
 	// Duplicate marks a rejection of a request that ran before, Invalid that of a request that cannot be served because of what it asks for.
--- a/router/events.go
+++ b/router/events.go
@@ -16,6 +16,7 @@
 
 // Arrival is the arrival of a new request.
 type Arrival struct {
+	// Request is the ID of the request. Service and Class are the names of the service and the request class that it asks for.
 	Request string `json:"request"`
 	Service string `json:"offer"`
 	Class   string `json:"kind"`
@@ -23,7 +24,7 @@
 	Prefix     string `json:"prefix"`
 	TailTokens int    `json:"tail"`
 
-	// Host and Path select a route if Service is empty.
+	// Host and Path select a route if Service is empty. Model is the model whose cached prefixes count; empty means that of the service.
 	Host  string `json:"host,omitempty"`
 	Path  string `json:"path,omitempty"`
 	Model string `json:"model,omitempty"`
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestLoopSleepsUntilRouterIsDue(t *testing.T) {
-	r, tb := routed(routes(1, route("k", "/", all("a")))), &tomb.Tomb{}
+	r, tb := routerWith(routes(1, route("k", "/", entireTraffic("a")))), &tomb.Tomb{}
 	start := time.Now()
 	loop := router.NewLoop(tb, r, func() time.Duration { return convergeTime + time.Since(start) }, time.Hour)
 	decisions := loop.Submit(router.Arrival{Request: "q", Host: "h.example", Path: "/x"})
@@ -50,7 +50,7 @@
 			t.Errorf("%+v after %v", first, time.Since(start))
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the loop did not wake when the router was due")
+		t.Error("the loop did not wake for the router's next tick")
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
@@ -59,7 +59,7 @@
 }
 
 func TestRouterLoopExchangesLongPrompts(t *testing.T) {
-	r, tb := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a")), &tomb.Tomb{}
+	r, tb := routerWith(routes(1, route("k", "/", entireTraffic("a"))), instance("i1", "a"), instance("i2", "a")), &tomb.Tomb{}
 	loop := router.NewLoop(tb, r, func() time.Duration { return convergeTime }, time.Hour)
 	announced := make(chan router.Prefill, 8)
 	loop.OnPrefill(func(p router.Prefill) { announced <- p })
--- a/router/onedecision_test.go
+++ b/router/onedecision_test.go
@@ -20,7 +20,7 @@
 
 // routeOfType returns a streaming route that is randomly idempotent or not, resumable or not, and allows one to three attempts.
 func routeOfType(rng *rand.Rand) config.Route {
-	r := route("k", "/", all("a"))
+	r := route("k", "/", entireTraffic("a"))
 	r.Streaming = true
 	r.Idempotent, r.Resumable = rng.IntN(3) == 0, rng.IntN(3) == 0
 	r.MaxAttempts = 1 + rng.IntN(3)
@@ -36,11 +36,11 @@
 		rng := rand.New(rand.NewPCG(seed, 33))
 		version := uint64(1)
 		snapshot := routes(version, routeOfType(rng))
-		r := routed(snapshot, row("i1", "a"), row("i2", "a"), row("i3", "a"))
+		r := routerWith(snapshot, instance("i1", "a"), instance("i2", "a"), instance("i3", "a"))
 		for i := range configurationRequests {
 			at := convergeTime + time.Duration(i)*configurationPause
 			id, arrivedOn := fmt.Sprint("q", i), &snapshot.Config.Routes[0]
-			first := one(t, get(r, at, id, "/x"), router.Place)
+			first := onlyDecision(t, submit(r, at, id, "/x"), router.Place)
 			r.Step(at, router.ReadyToSend{Request: id, AttemptID: first.AttemptID})
 			began := rng.IntN(2) == 0
 			if began {
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -9,22 +9,22 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// limited returns a tenant with a quota of rate tokens per second.
-func limited(name, key string, rate float64) config.Tenant {
+// limitedTenant returns a tenant with a quota of rate tokens per second.
+func limitedTenant(name, key string, rate float64) config.Tenant {
 	one := tenant(name, key)
 	one.Rate, one.ByTokens, one.UncachedTokens = rate, true, 200
 	return one
 }
 
-// ready places a request of 500 tokens and returns the quota requests that the router makes before the request may be sent.
-func ready(t *testing.T, r *router.Router, now time.Duration, id, path, key string) (router.Decision, []quota.Request) {
+// placeAndRequestQuota places a request of 500 tokens and returns the quota requests that the router makes before the request may be sent.
+func placeAndRequestQuota(t *testing.T, r *router.Router, now time.Duration, id, path, key string) (router.Decision, []quota.Request) {
 	t.Helper()
-	d := one(t, keyed(r, id, path, key), router.Place)
-	return d, asked(t, r, now, d)
+	d := onlyDecision(t, submitWithKey(r, id, path, key), router.Place)
+	return d, requestQuota(t, r, now, d)
 }
 
-// asked reports an attempt as ready to send and returns the router's quota requests. If there are any, the attempt must not be sent yet.
-func asked(t *testing.T, r *router.Router, now time.Duration, placed router.Decision) []quota.Request {
+// requestQuota reports an attempt as ready to send and returns the router's quota requests. If there are any, the attempt must not be sent yet.
+func requestQuota(t *testing.T, r *router.Router, now time.Duration, placed router.Decision) []quota.Request {
 	t.Helper()
 	ds := r.Step(now, router.ReadyToSend{Request: placed.Request, AttemptID: placed.AttemptID})
 	requests := r.TakeQuotaRequests()
@@ -34,70 +34,70 @@
 	return requests
 }
 
-// decided passes the outcome of a quota request to the router.
-func decided(r *router.Router, now time.Duration, o quota.Outcome) []router.Decision {
+// decideQuota passes the outcome of a quota request to the router.
+func decideQuota(r *router.Router, now time.Duration, o quota.Outcome) []router.Decision {
 	return r.Step(now, router.QuotaDecided{Outcome: o})
 }
 
-// final checks the verdict of the last of some decisions and returns that decision.
-func final(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
+// lastDecision checks the verdict of the last of some decisions and returns that decision.
+func lastDecision(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
 	t.Helper()
 	if len(ds) == 0 {
 		t.Fatalf("no decision, want %s", v)
 	}
-	return one(t, ds[len(ds)-1:], v)
+	return onlyDecision(t, ds[len(ds)-1:], v)
 }
 
 // TestTenantsKeepTheirQuotas checks that a request over the quota is rejected as such, that the tenant's next request is rejected at arrival, and
 // that other tenants are not affected.
 func TestTenantsKeepTheirQuotas(t *testing.T) {
-	r := routed(tenants(1, limited("small", "k1", 500), tenant("free", "k2")), row("i1", "a"))
-	_, requests := ready(t, r, convergeTime, "s1", "/a/x", "k1")
+	r := routerWith(tenants(1, limitedTenant("small", "k1", 500), tenant("free", "k2")), instance("i1", "a"))
+	_, requests := placeAndRequestQuota(t, r, convergeTime, "s1", "/a/x", "k1")
 	if len(requests) != 1 || requests[0].Tenant != "small" || requests[0].Cost != 500 {
 		t.Fatalf("%+v", requests)
 	}
-	one(t, decided(r, convergeTime, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}), router.Send)
+	onlyDecision(t, decideQuota(r, convergeTime, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}), router.Send)
 
-	_, requests = ready(t, r, convergeTime, "s2", "/a/x", "k1")
-	d := final(t, decided(r, convergeTime, quota.Outcome{ID: requests[0].ID, RetryAfter: 300 * time.Millisecond, EmptyFor: 200 * time.Millisecond}), router.Reject)
+	_, requests = placeAndRequestQuota(t, r, convergeTime, "s2", "/a/x", "k1")
+	d := lastDecision(t, decideQuota(r, convergeTime, quota.Outcome{ID: requests[0].ID, RetryAfter: 300 * time.Millisecond, EmptyFor: 200 * time.Millisecond}), router.Reject)
 	if !d.OverQuota || d.RetryAfter != 300*time.Millisecond || d.Invalid || d.Unauthorized {
 		t.Errorf("%+v", d)
 	}
-	if d := one(t, keyed(r, "s3", "/a/x", "k1"), router.Reject); !d.OverQuota || d.RetryAfter != 200*time.Millisecond {
+	if d := onlyDecision(t, submitWithKey(r, "s3", "/a/x", "k1"), router.Reject); !d.OverQuota || d.RetryAfter != 200*time.Millisecond {
 		t.Errorf("%+v", d)
 	}
-	if _, requests = ready(t, r, convergeTime, "f1", "/a/x", "k2"); len(requests) > 0 {
+	if _, requests = placeAndRequestQuota(t, r, convergeTime, "f1", "/a/x", "k2"); len(requests) > 0 {
 		t.Errorf("%+v", requests)
 	}
 }
 
 // TestRequestIsChargedWhenItIsSent checks that a grant which has expired when the attempt could be sent is not used but requested again.
 func TestRequestIsChargedWhenItIsSent(t *testing.T) {
-	r := routed(tenants(1, limited("a", "k1", 500)), row("i1", "a"))
-	_, requests := ready(t, r, convergeTime, "q1", "/a/x", "k1")
+	r := routerWith(tenants(1, limitedTenant("a", "k1", 500)), instance("i1", "a"))
+	_, requests := placeAndRequestQuota(t, r, convergeTime, "q1", "/a/x", "k1")
 	late := convergeTime + quota.GrantLifetime + time.Millisecond
-	if ds := decided(r, late, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}); len(ds) > 0 {
+	if ds := decideQuota(r, late, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}); len(ds) > 0 {
 		t.Fatalf("%+v", ds)
 	}
 	again := r.TakeQuotaRequests()
 	if len(again) != 1 {
 		t.Fatalf("%+v", again)
 	}
-	one(t, decided(r, late, quota.Outcome{ID: again[0].ID, Granted: true, Until: late + quota.GrantLifetime}), router.Send)
+	onlyDecision(t, decideQuota(r, late, quota.Outcome{ID: again[0].ID, Granted: true, Until: late + quota.GrantLifetime}), router.Send)
 }
 
 // TestSecondAttemptIsChargedWhereTheFirstMayHaveRun checks that a second attempt needs a grant of its own if the first may have run, and none if
 // no replica ran the first.
 func TestSecondAttemptIsChargedWhereTheFirstMayHaveRun(t *testing.T) {
 	for result, want := range map[router.AttemptResult]int{router.Failed: 1, router.Refused: 0, router.NotSent: 0} {
-		p := tenants(1, limited("a", "k1", 500))
+		p := tenants(1, limitedTenant("a", "k1", 500))
 		p.Config.Routes[0].Idempotent, p.Config.Routes[0].MaxAttempts = true, 3
 		p.Config.Services[0].RetryRatio, p.Config.Services[0].RetryAllowance = 1, 100
-		r := routed(p, row("i1", "a"), row("i2", "a"))
-		placed, requests := ready(t, r, convergeTime, "q1", "/a/x", "k1")
-		one(t, decided(r, convergeTime, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}), router.Send)
-		second := final(t, r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: placed.AttemptID, Result: result}), router.Place)
-		if again := asked(t, r, convergeTime, second); len(again) != want {
+		r := routerWith(p, instance("i1", "a"), instance("i2", "a"))
+		placed, requests := placeAndRequestQuota(t, r, convergeTime, "q1", "/a/x", "k1")
+		onlyDecision(t, decideQuota(r, convergeTime, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + quota.GrantLifetime}), router.Send)
+		second := lastDecision(t, r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: placed.AttemptID, Result: result}), router.Place)
+		if again := requestQuota(t, r, convergeTime, second); len(again) != want {
 			t.Errorf("%s: %+v", result, again)
 		}
 	}
@@ -106,16 +106,16 @@
 // TestSilentOwnersAreNotAQuotaThatIsUsedUp checks that a request is not rejected as over quota if no owner of the quota answers, whether the
 // control plane reports that or the request times out.
 func TestSilentOwnersAreNotAQuotaThatIsUsedUp(t *testing.T) {
-	r := routed(tenants(1, limited("a", "k1", 500)), row("i1", "a"))
-	_, requests := ready(t, r, convergeTime, "q1", "/a/x", "k1")
-	if d := final(t, decided(r, convergeTime, quota.Outcome{ID: requests[0].ID, Unanswered: true}), router.Reject); d.OverQuota || d.RetryAfter <= 0 {
+	r := routerWith(tenants(1, limitedTenant("a", "k1", 500)), instance("i1", "a"))
+	_, requests := placeAndRequestQuota(t, r, convergeTime, "q1", "/a/x", "k1")
+	if d := lastDecision(t, decideQuota(r, convergeTime, quota.Outcome{ID: requests[0].ID, Unanswered: true}), router.Reject); d.OverQuota || d.RetryAfter <= 0 {
 		t.Errorf("%+v", d)
 	}
-	_, requests = ready(t, r, convergeTime, "q2", "/a/x", "k1")
-	if d := final(t, r.Step(convergeTime+time.Second, router.Tick{}), router.Reject); d.OverQuota || d.Request != "q2" {
+	_, requests = placeAndRequestQuota(t, r, convergeTime, "q2", "/a/x", "k1")
+	if d := lastDecision(t, r.Step(convergeTime+time.Second, router.Tick{}), router.Reject); d.OverQuota || d.Request != "q2" {
 		t.Errorf("%+v", d)
 	}
-	if ds := decided(r, convergeTime+time.Second, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + 2*time.Second}); len(ds) > 0 {
+	if ds := decideQuota(r, convergeTime+time.Second, quota.Outcome{ID: requests[0].ID, Granted: true, Until: convergeTime + 2*time.Second}); len(ds) > 0 {
 		t.Errorf("%+v", ds)
 	}
 }
--- a/router/quotas.go
+++ b/router/quotas.go
@@ -42,7 +42,7 @@
 	lastID uint64
 	// requests contains the quota requests that TakeQuotaRequests has not returned yet.
 	requests []quota.Request
-	// exhaustedUntil is until when a tenant's quota is used up.
+	// exhaustedUntil contains, by tenant, the time until which the quota is used up.
 	exhaustedUntil map[string]time.Duration
 }
 
--- a/router/replicalist.go
+++ b/router/replicalist.go
@@ -102,15 +102,15 @@
 }
 
 // replicaRow returns the row for a new instance. It reuses the row of an instance that was removed long ago if there is one.
-func (r *Router) replicaRow(now time.Duration, name string, keepTokens int) int {
+func (r *Router) replicaRow(now time.Duration, name string, prefixCacheTokens int) int {
 	added, entry := scheduler.Replica{Name: name, Warm: true}, replicaEntry{name: name, discovered: true}
 	id, ok := r.freeRow(now)
 	if ok {
 		delete(r.replicaIDs, r.replicas[id].name)
 		r.replicas[id] = entry
-		r.scheduler.ReuseReplicaRow(id, added, keepTokens)
+		r.scheduler.ReuseReplicaRow(id, added, prefixCacheTokens)
 	} else {
-		id = r.scheduler.AddReplica(added, keepTokens)
+		id = r.scheduler.AddReplica(added, prefixCacheTokens)
 		r.replicas = append(r.replicas, entry)
 	}
 	r.replicaIDs[name] = id
--- a/router/route_test.go
+++ b/router/route_test.go
@@ -27,16 +27,16 @@
 	}
 }
 
-func all(service string) config.WeightedService {
+func entireTraffic(service string) config.WeightedService {
 	return config.WeightedService{Service: service, Weight: 1}
 }
 
-func row(id, service string) router.Instance {
+func instance(id, service string) router.Instance {
 	return router.Instance{ID: id, Service: service, Addr: "10.0.0.1:1", Zone: "a", Model: "m", WeightsRevision: "1", Capacity: 8}
 }
 
-// routed returns a router with a configuration and a platform list.
-func routed(p *config.Snapshot, rows ...router.Instance) *router.Router {
+// routerWith returns a router with a configuration and a platform list.
+func routerWith(p *config.Snapshot, rows ...router.Instance) *router.Router {
 	r := router.New(router.Defaults("n1", "b", "a"))
 	r.Step(0, router.ReplicaList{Instances: rows})
 	r.Step(0, router.SnapshotUpdate{Snapshot: p})
@@ -45,13 +45,13 @@
 	return r
 }
 
-func get(r *router.Router, now time.Duration, id, path string) []router.Decision {
+func submit(r *router.Router, now time.Duration, id, path string) []router.Decision {
 	r.Step(now, router.ControlStatus{})
 	return r.Step(now, router.Arrival{Request: id, Host: "h.example:80", Path: path, Prefix: "ab:300,cd:100", PromptTokens: 500})
 }
 
-// one checks that there is exactly one decision, with the given verdict, and returns it.
-func one(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
+// onlyDecision checks that there is exactly one decision, with the given verdict, and returns it.
+func onlyDecision(t *testing.T, ds []router.Decision, v router.Verdict) router.Decision {
 	t.Helper()
 	if len(ds) != 1 || ds[0].Verdict != v {
 		t.Fatalf("%+v, want %s", ds, v)
@@ -60,28 +60,28 @@
 }
 
 func TestLongestPathPrefixMatches(t *testing.T) {
-	p := routes(1, route("short", "/a/", all("a")), route("long", "/a/b/", all("b")))
-	r := routed(p, row("i1", "a"), row("i2", "b"))
-	d := one(t, get(r, convergeTime, "q1", "/a/b/c"), router.Place)
+	p := routes(1, route("short", "/a/", entireTraffic("a")), route("long", "/a/b/", entireTraffic("b")))
+	r := routerWith(p, instance("i1", "a"), instance("i2", "b"))
+	d := onlyDecision(t, submit(r, convergeTime, "q1", "/a/b/c"), router.Place)
 	if d.Instance != "i2" || d.Route != &p.Config.Routes[1] || d.Deadline != convergeTime+3*time.Second || d.MaxConns != 80 {
 		t.Errorf("%+v", d)
 	}
-	if d = one(t, get(r, convergeTime, "q2", "/a/c"), router.Place); d.Instance != "i1" {
+	if d = onlyDecision(t, submit(r, convergeTime, "q2", "/a/c"), router.Place); d.Instance != "i1" {
 		t.Errorf("%+v", d)
 	}
 	for _, path := range []string{"/", "/b/", "/a"} {
-		if d = one(t, get(r, convergeTime, "q3", path), router.Reject); !d.Invalid {
+		if d = onlyDecision(t, submit(r, convergeTime, "q3", path), router.Reject); !d.Invalid {
 			t.Errorf("%s: %+v", path, d)
 		}
 	}
 }
 
 func TestSplitsFollowTheirWeights(t *testing.T) {
-	big, rows := 0, []router.Instance{row("i1", "a"), row("i2", "b")}
+	big, rows := 0, []router.Instance{instance("i1", "a"), instance("i2", "b")}
 	rows[0].Capacity, rows[1].Capacity = 4000, 4000
-	r := routed(routes(1, route("k", "/", config.WeightedService{Service: "a", Weight: 90}, config.WeightedService{Service: "b", Weight: 10})), rows...)
+	r := routerWith(routes(1, route("k", "/", config.WeightedService{Service: "a", Weight: 90}, config.WeightedService{Service: "b", Weight: 10})), rows...)
 	for i := range 2000 {
-		if one(t, get(r, convergeTime, fmt.Sprint(i), "/x"), router.Place).Instance == "i1" {
+		if onlyDecision(t, submit(r, convergeTime, fmt.Sprint(i), "/x"), router.Place).Instance == "i1" {
 			big++
 		}
 	}
@@ -91,61 +91,61 @@
 }
 
 func TestRouteRemovedWhileRequestIsQueued(t *testing.T) {
-	r := routed(routes(1, route("k", "/", all("a"))))
-	if ds := get(r, convergeTime, "q", "/x"); len(ds) > 0 {
+	r := routerWith(routes(1, route("k", "/", entireTraffic("a"))))
+	if ds := submit(r, convergeTime, "q", "/x"); len(ds) > 0 {
 		t.Fatalf("%+v", ds)
 	}
-	d := one(t, r.Step(convergeTime+time.Millisecond, router.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", all("a")))}), router.Reject)
+	d := onlyDecision(t, r.Step(convergeTime+time.Millisecond, router.SnapshotUpdate{Snapshot: routes(2, route("other", "/o/", entireTraffic("a")))}), router.Reject)
 	if d.Invalid || d.RejectedLate {
 		t.Errorf("%+v", d)
 	}
 }
 
 func TestReplicaListChanges(t *testing.T) {
-	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"))
-	d := one(t, get(r, convergeTime, "q1", "/x"), router.Place)
+	r := routerWith(routes(1, route("k", "/", entireTraffic("a"))), instance("i1", "a"))
+	d := onlyDecision(t, submit(r, convergeTime, "q1", "/x"), router.Place)
 	r.Step(convergeTime, router.ReadyToSend{Request: "q1", AttemptID: d.AttemptID})
 	r.Step(convergeTime, router.ResponseHead{Request: "q1", AttemptID: d.AttemptID})
 	r.Step(convergeTime, router.AttemptEnded{Request: "q1", AttemptID: d.AttemptID, Result: router.Completed})
 	at := convergeTime + 100*time.Millisecond
-	if d = one(t, get(r, at, "q2", "/x"), router.Place); d.ConfirmedTokens != 400 {
+	if d = onlyDecision(t, submit(r, at, "q2", "/x"), router.Place); d.ConfirmedTokens != 400 {
 		t.Errorf("cached prefix is not counted: %+v", d)
 	}
-	newer := row("i1", "a")
+	newer := instance("i1", "a")
 	newer.WeightsRevision = "2"
 	r.Step(at, router.ReplicaList{Instances: []router.Instance{newer}})
-	if d = one(t, get(r, at, "q3", "/x"), router.Place); d.ConfirmedTokens+d.PredictedTokens != 0 {
+	if d = onlyDecision(t, submit(r, at, "q3", "/x"), router.Place); d.ConfirmedTokens+d.PredictedTokens != 0 {
 		t.Errorf("prefix cached with other weights is counted: %+v", d)
 	}
-	r.Step(at, router.ReplicaList{Instances: []router.Instance{row("i0", "a")}, Age: time.Second})
-	if d = one(t, get(r, at, "q4", "/x"), router.Place); d.Instance != "i1" {
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{instance("i0", "a")}, Age: time.Second})
+	if d = onlyDecision(t, submit(r, at, "q4", "/x"), router.Place); d.Instance != "i1" {
 		t.Errorf("an older list was applied: %+v", d)
 	}
 	leaving := newer
 	leaving.Draining = true
-	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, row("i2", "a")}})
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, instance("i2", "a")}})
 	for i := range 4 {
-		if d = one(t, get(r, at, fmt.Sprint("l", i), "/x"), router.Place); d.Instance != "i2" {
+		if d = onlyDecision(t, submit(r, at, fmt.Sprint("l", i), "/x"), router.Place); d.Instance != "i2" {
 			t.Errorf("placed on a draining instance: %+v", d)
 		}
 	}
 	r.Step(at, router.WrongInstance{Replica: "i2"})
-	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, row("i2", "a")}})
-	if ds := get(r, at, "q5", "/x"); len(ds) != 0 {
+	r.Step(at, router.ReplicaList{Instances: []router.Instance{leaving, instance("i2", "a")}})
+	if ds := submit(r, at, "q5", "/x"); len(ds) != 0 {
 		t.Errorf("placed at an address where another instance responds: %+v", ds)
 	}
-	d = one(t, r.Step(at, router.ReplicaList{Instances: []router.Instance{row("i3", "a")}}), router.Place)
+	d = onlyDecision(t, r.Step(at, router.ReplicaList{Instances: []router.Instance{instance("i3", "a")}}), router.Place)
 	if d.Instance != "i3" || d.Request != "q5" {
 		t.Errorf("%+v", d)
 	}
 }
 
 func TestRowsOfRemovedInstancesAreReused(t *testing.T) {
-	r := routed(routes(1, route("k", "/", all("a"))), row("i0", "a"))
+	r := routerWith(routes(1, route("k", "/", entireTraffic("a"))), instance("i0", "a"))
 	for i := range 50 {
 		at := convergeTime + time.Duration(i)*20*time.Second
-		r.Step(at, router.ReplicaList{Instances: []router.Instance{row(fmt.Sprint("i", i), "a")}})
-		if d := one(t, get(r, at, fmt.Sprint("q", i), "/x"), router.Place); d.Instance != fmt.Sprint("i", i) {
+		r.Step(at, router.ReplicaList{Instances: []router.Instance{instance(fmt.Sprint("i", i), "a")}})
+		if d := onlyDecision(t, submit(r, at, fmt.Sprint("q", i), "/x"), router.Place); d.Instance != fmt.Sprint("i", i) {
 			t.Fatalf("%d: %+v", i, d)
 		}
 		r.Step(at, router.ClientDisconnected{Request: fmt.Sprint("q", i)})
@@ -156,11 +156,11 @@
 }
 
 func TestClassesOfRemovedRoutesAreReused(t *testing.T) {
-	r := routed(routes(1, route("k", "/", all("a"))), row("i", "a"))
+	r := routerWith(routes(1, route("k", "/", entireTraffic("a"))), instance("i", "a"))
 	for i := range 50 {
 		name := fmt.Sprint("k", i)
-		r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(uint64(2+i), route(name, "/"+name+"/", all("a")))})
-		d := one(t, get(r, convergeTime, name, "/"+name+"/"), router.Place)
+		r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(uint64(2+i), route(name, "/"+name+"/", entireTraffic("a")))})
+		d := onlyDecision(t, submit(r, convergeTime, name, "/"+name+"/"), router.Place)
 		r.Step(convergeTime, router.ReadyToSend{Request: name, AttemptID: d.AttemptID})
 		r.Step(convergeTime, router.AttemptEnded{Request: name, AttemptID: d.AttemptID, Result: router.Completed})
 	}
@@ -170,19 +170,19 @@
 }
 
 func TestRestoredZoneIsWarmingUp(t *testing.T) {
-	p := routes(1, route("k", "/", all("a")))
+	p := routes(1, route("k", "/", entireTraffic("a")))
 	p.EvacuatedZones = []string{"a"}
-	r := routed(p, row("i", "a"))
-	if ds := get(r, convergeTime, "q0", "/x"); len(ds) > 0 {
+	r := routerWith(p, instance("i", "a"))
+	if ds := submit(r, convergeTime, "q0", "/x"); len(ds) > 0 {
 		t.Fatalf("placed in an evacuated zone: %+v", ds)
 	}
 	n := 0
-	for i, d := range r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(2, route("k", "/", all("a")))}) {
+	for i, d := range r.Step(convergeTime, router.SnapshotUpdate{Snapshot: routes(2, route("k", "/", entireTraffic("a")))}) {
 		n += i + 1
-		one(t, []router.Decision{d}, router.Place)
+		onlyDecision(t, []router.Decision{d}, router.Place)
 	}
 	for i := range 7 {
-		n += len(get(r, convergeTime, fmt.Sprint("q1", i), "/x"))
+		n += len(submit(r, convergeTime, fmt.Sprint("q1", i), "/x"))
 	}
 	if n != 1 {
 		t.Errorf("%d requests placed at once on a replica that may need to warm up, not 1", n)
@@ -191,9 +191,9 @@
 
 // TestReplacedInstanceIsKnownToAllRouters checks that when one router gets a 421 (another instance responded), all routers stop using the instance.
 func TestReplacedInstanceIsKnownToAllRouters(t *testing.T) {
-	p := routes(1, route("r", "/", all("a")))
-	rows := []router.Instance{row("i1", "a"), row("i2", "a")}
-	one, two := routed(p, rows...), routed(p, rows...)
+	p := routes(1, route("r", "/", entireTraffic("a")))
+	rows := []router.Instance{instance("i1", "a"), instance("i2", "a")}
+	one, two := routerWith(p, rows...), routerWith(p, rows...)
 	if f, known := one.Failures(convergeTime); known {
 		t.Fatalf("%+v", f)
 	}
@@ -205,7 +205,7 @@
 	f.By = "n2"
 	two.Step(convergeTime, f)
 	for i := range 8 {
-		for _, d := range get(two, convergeTime+time.Duration(i), fmt.Sprint("q", i), "/") {
+		for _, d := range submit(two, convergeTime+time.Duration(i), fmt.Sprint("q", i), "/") {
 			if d.Instance == "i2" {
 				t.Fatalf("%+v", d)
 			}
@@ -214,12 +214,12 @@
 }
 
 func TestRoundRobinTakesReplicasInTurn(t *testing.T) {
-	r := routed(routes(1, route("k", "/", all("a"))), row("i1", "a"), row("i2", "a"))
+	r := routerWith(routes(1, route("k", "/", entireTraffic("a"))), instance("i1", "a"), instance("i2", "a"))
 	r.EnableRoundRobin()
 	at := map[string]int{}
 	for i := range 4 {
 		ds := r.Step(convergeTime, router.Arrival{Request: fmt.Sprint("q", i), Host: "h.example", Path: "/x", Prefix: "ab:3000,cd:9", PromptTokens: 3100})
-		at[one(t, ds, router.Place).Replica]++
+		at[onlyDecision(t, ds, router.Place).Replica]++
 	}
 	if at["i1"] != 2 || at["i2"] != 2 {
 		t.Error(at)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-// configure gives the router a configuration with one service, its replicas and evacuated zones.
+// configure applies a configuration with one service, the given replicas and evacuated zones.
 func configure(t *testing.T, r *router.Router, version uint64, replicas string, evacuated ...string) {
 	t.Helper()
 	c, err := config.Read([]byte(`{"offers":[{"name":"o","model":"m","cold":{"rampMs":0},"replicas":[` + replicas + `],"kinds":[{"name":"k"}]}]}`))
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -91,10 +91,10 @@
 
 // applyReplica applies a replica of the configuration document. If its address changed, it is a different replica: its instance is unknown and
 // it has nothing cached.
-func (r *Router) applyReplica(now time.Duration, service, keepTokens int, c config.Replica) int {
+func (r *Router) applyReplica(now time.Duration, service, prefixCacheTokens int, c config.Replica) int {
 	id, ok := r.replicaIDs[c.Name]
 	if !ok {
-		id = r.scheduler.AddReplica(scheduler.Replica{Name: c.Name}, keepTokens)
+		id = r.scheduler.AddReplica(scheduler.Replica{Name: c.Name}, prefixCacheTokens)
 		r.replicaIDs[c.Name] = id
 		r.replicas = append(r.replicas, replicaEntry{name: c.Name})
 	}
@@ -107,6 +107,6 @@
 	row.Service, row.Role, row.Capacity, row.Listed = service, c.Role, c.Capacity, true
 	row.Zone, row.SameZone = c.Zone, c.Zone == r.cfg.Zone
 	r.applyEvacuation(now, id, c.Zone)
-	r.scheduler.Index.SetCapacity(id, keepTokens)
+	r.scheduler.Index.SetCapacity(id, prefixCacheTokens)
 	return id
 }
--- a/router/step.go
+++ b/router/step.go
@@ -83,7 +83,7 @@
 	r.scheduler.SetSelf(now, e.Self, e.Zone)
 }
 
-// byZone returns the routers with their zones. Routers without a zone count to the given one.
+// byZone returns the routers with their zones. Routers without a zone are counted in the given one.
 func (e Routers) byZone(zone string) []scheduler.RouterZone {
 	var routers []scheduler.RouterZone
 	for i, name := range e.Names {
@@ -124,7 +124,8 @@
 	return attempt, err == nil
 }
 
-// responseHead handles the head of a response. It shows which instance runs at the replica, unless the platform's list says so.
+// responseHead handles the head of a response. The head shows which instance runs at a replica of the configuration document; for the other
+// replicas, the platform's list does.
 func (r *Router) responseHead(now time.Duration, e ResponseHead) {
 	id, ok := r.requestIDs[e.Request]
 	if !ok {
--- a/router/tenants_test.go
+++ b/router/tenants_test.go
@@ -8,8 +8,8 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// keyed submits a request for a path, with a key unless it is empty.
-func keyed(r *router.Router, id, path, key string) []router.Decision {
+// submitWithKey submits a request for a path, with a key unless it is empty.
+func submitWithKey(r *router.Router, id, path, key string) []router.Decision {
 	r.Step(convergeTime, router.ControlStatus{})
 	a := router.Arrival{Request: id, Host: "h.example", Path: path, PromptTokens: 500}
 	if key != "" {
@@ -19,7 +19,7 @@
 }
 
 func tenants(version uint64, list ...config.Tenant) *config.Snapshot {
-	p := routes(version, route("keyed", "/a/", all("a")), route("open", "/open/", all("a")))
+	p := routes(version, route("keyed", "/a/", entireTraffic("a")), route("open", "/open/", entireTraffic("a")))
 	p.Config.Routes[0].Priority, p.Config.Routes[1].Priority, p.Config.Routes[1].Public = 3, 3, true
 	p.Config.Tenants = list
 	for i := range p.Config.Services {
@@ -41,7 +41,7 @@
 func TestKeysOfTenants(t *testing.T) {
 	first := tenant("first", "k1", "k2")
 	first.Priority, first.HasPriority = 0, true
-	r := routed(tenants(1, first, tenant("second", "k3")), row("i1", "a"))
+	r := routerWith(tenants(1, first, tenant("second", "k3")), instance("i1", "a"))
 	for _, c := range []struct {
 		path, key, tenant string
 		priority          int
@@ -53,17 +53,17 @@
 	} {
 		id := c.path + c.key
 		if c.refused {
-			if d := one(t, keyed(r, id, c.path, c.key), router.Reject); !d.Unauthorized || d.Invalid {
+			if d := onlyDecision(t, submitWithKey(r, id, c.path, c.key), router.Reject); !d.Unauthorized || d.Invalid {
 				t.Errorf("%s: %+v", id, d)
 			}
 			continue
 		}
-		if d := one(t, keyed(r, id, c.path, c.key), router.Place); d.Tenant != c.tenant || d.Priority != c.priority {
+		if d := onlyDecision(t, submitWithKey(r, id, c.path, c.key), router.Place); d.Tenant != c.tenant || d.Priority != c.priority {
 			t.Errorf("%s: tenant %q, priority %d", id, d.Tenant, d.Priority)
 		}
 		r.Step(convergeTime, router.ClientDisconnected{Request: id})
 	}
-	if d := one(t, keyed(r, "lost", "/nowhere", "k1"), router.Reject); !d.Invalid || d.Unauthorized {
+	if d := onlyDecision(t, submitWithKey(r, "lost", "/nowhere", "k1"), router.Reject); !d.Invalid || d.Unauthorized {
 		t.Errorf("no route: %+v", d)
 	}
 }
@@ -71,15 +71,15 @@
 // TestKeysChangeWithTheConfiguration checks that the valid keys are those of the newest version, and that a configuration without tenants
 // requires none.
 func TestKeysChangeWithTheConfiguration(t *testing.T) {
-	r := routed(tenants(1, tenant("first", "k1")), row("i1", "a"))
-	one(t, keyed(r, "q1", "/a/x", "k2"), router.Reject)
+	r := routerWith(tenants(1, tenant("first", "k1")), instance("i1", "a"))
+	onlyDecision(t, submitWithKey(r, "q1", "/a/x", "k2"), router.Reject)
 	r.Step(convergeTime, router.SnapshotUpdate{Snapshot: tenants(2, tenant("first", "k2"))})
-	one(t, keyed(r, "q2", "/a/x", "k2"), router.Place)
-	one(t, keyed(r, "q3", "/a/x", "k1"), router.Reject)
+	onlyDecision(t, submitWithKey(r, "q2", "/a/x", "k2"), router.Place)
+	onlyDecision(t, submitWithKey(r, "q3", "/a/x", "k1"), router.Reject)
 	r.Step(convergeTime, router.SnapshotUpdate{Snapshot: tenants(1, tenant("first", "k1"))})
-	one(t, keyed(r, "q4", "/a/x", "k1"), router.Reject)
+	onlyDecision(t, submitWithKey(r, "q4", "/a/x", "k1"), router.Reject)
 	r.Step(convergeTime, router.SnapshotUpdate{Snapshot: tenants(3)})
-	if d := one(t, keyed(r, "q5", "/a/x", "k1"), router.Place); d.Tenant != "" {
+	if d := onlyDecision(t, submitWithKey(r, "q5", "/a/x", "k1"), router.Place); d.Tenant != "" {
 		t.Errorf("%+v", d)
 	}
 }
@@ -94,11 +94,11 @@
 		p.Config.Services[i].Queues = false
 	}
 	p.Config.Routes[0].FirstTokenTarget, p.Config.Routes[0].Timeout = 20*time.Second, time.Minute
-	only := row("i1", "a")
+	only := instance("i1", "a")
 	only.Capacity = 1
-	r := routed(p, only)
-	running := one(t, keyed(r, "running", "/a/x", "k2"), router.Place)
-	if waiting := append(keyed(r, "late", "/a/x", "k2"), keyed(r, "first", "/a/x", "k1")...); len(waiting) > 0 {
+	r := routerWith(p, only)
+	running := onlyDecision(t, submitWithKey(r, "running", "/a/x", "k2"), router.Place)
+	if waiting := append(submitWithKey(r, "late", "/a/x", "k2"), submitWithKey(r, "first", "/a/x", "k1")...); len(waiting) > 0 {
 		t.Fatalf("%+v", waiting)
 	}
 	r.Step(convergeTime, router.ReadyToSend{Request: "running", AttemptID: running.AttemptID})
