--- a/httpapi/frontend.go
+++ b/httpapi/frontend.go
@@ -138,7 +138,8 @@
 	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 }
 
-// respondError sends an ErrorResponse. If retryAfter is positive, the response tells the client how long to wait before it retries.
+// respondError sends an ErrorResponse. If retryAfter is positive, the response states how long the client should wait before it retries: in
+// the body, and rounded up to whole seconds in the Retry-After header.
 func (f *Frontend) respondError(x *Exchange, status int, response ErrorResponse, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		secs := int64((retryAfter + time.Second - 1) / time.Second)
--- a/httpapi/operations.go
+++ b/httpapi/operations.go
@@ -30,7 +30,8 @@
 	// Frontend is nil, and Router is set, if the node does not serve requests through a Frontend.
 	Frontend *Frontend
 	Router   *router.Loop
-	Clock    func() time.Duration
+	// Clock returns the time on the clock of the router and the control state.
+	Clock func() time.Duration
 	// ExtraCounters, if set, returns further counters to publish.
 	ExtraCounters func() map[string]uint64
 }
--- a/httpapi/responses.go
+++ b/httpapi/responses.go
@@ -76,11 +76,12 @@
 	return respondJSON(w, status, response)
 }
 
-func violation(path, value, bound string) error {
-	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: value, Requirement: bound}}}
+// violation returns the error for a header or query parameter whose value does not meet a requirement.
+func violation(path, value, requirement string) error {
+	return &config.InvalidError{Violations: []config.Violation{{Path: path, Value: value, Requirement: requirement}}}
 }
 
-// respondAnswer sends the response to a call with its result.
+// respondAnswer sends the result of a call that returned, which may be an error.
 func (*Operations) respondAnswer(w http.ResponseWriter, a control.Answer) error {
 	if a.Err != nil {
 		return respondFailure(w, a.Err)
