--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -11,8 +11,9 @@
 )
 
 const (
+	// step is the time by which the simulation advances at once.
 	step = 10 * time.Millisecond
-	// normalDelay is the maximum delay of a message between two nodes where no messages are late.
+	// normalDelay is the maximum delay of a message between two nodes in tests that don't delay messages.
 	normalDelay = 20 * time.Millisecond
 	// takeover is how long a node that takes over a share grants nothing.
 	takeover = 2 * time.Second
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -7,6 +7,7 @@
 type Limit struct{ Rate, Burst float64 }
 
 // Rule is the tolerance for limits: within any Window, at most (Rate x Window + Burst) x (1 + Overage) + Slack may run.
+// Overage is a fraction, and Slack has the unit of the limit.
 type Rule struct {
 	Window         time.Duration
 	Overage, Slack float64
@@ -25,8 +26,9 @@
 
 // share is a zone's part of a limit: the parameters of a token bucket. The bucket may grant a request that costs more
 // than it contains, because a share can be smaller than a request. It then owes up to debt, which must be refilled
-// before the next grant. Over all zones, the sum of the capacities, the debts, and the refill during a window and the
-// lifetime of the last grants is what the rule allows.
+// before the next grant. Within a window, a zone can use at most its capacity, its debt, and what is refilled during the
+// window and the GrantLifetime before it, since grants can be used that long. The sum over all zones is what the rule
+// allows.
 type share struct{ rate, capacity, debt float64 }
 
 func (r Rule) share(l Limit, zones int) share {
--- a/quota/limit_test.go
+++ b/quota/limit_test.go
@@ -29,11 +29,11 @@
 	}
 }
 
-func wantWithinLimit(t *testing.T, most float64) {
+func wantWithinLimit(t *testing.T, usage float64) {
 	t.Helper()
-	t.Logf("a window contains %.3f of what is allowed", most)
-	if most > 1 {
-		t.Errorf("a window contains %.3f of what is allowed", most)
+	t.Logf("a window contains %.3f of what is allowed", usage)
+	if usage > 1 {
+		t.Errorf("a window contains %.3f of what is allowed", usage)
 	}
 }
 
@@ -49,7 +49,7 @@
 	eachSize(t, func(t *testing.T, f *fleet, rate, mean float64) {
 		f.run(0, 30*time.Second, normalLoad*rate, mean)
 		wantFewRefused(t, f)
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 	})
 }
 
@@ -58,7 +58,7 @@
 		f.run(0, 12*time.Second, normalLoad*rate, mean)
 		before := len(f.charges)
 		f.run(12*time.Second, 28*time.Second, 7.5*normalLoad*rate, mean)
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 		var got float64
 		for _, c := range f.charges[before:] {
 			got += c.cost
@@ -84,7 +84,7 @@
 						}
 						f.run(now, now+time.Second, demand*rate, mean)
 					}
-					wantWithinLimit(t, f.most(f.limit, 0))
+					wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 				})
 			})
 		}
@@ -115,7 +115,7 @@
 		lower := quota.Limit{Rate: rate / 4, Burst: rate / 4}
 		f.setLimit(12*time.Second, lower)
 		f.run(12*time.Second, 40*time.Second, normalLoad*rate, mean)
-		wantWithinLimit(t, f.most(lower, 12*time.Second+f.rule.Window))
+		wantWithinLimit(t, f.maxWindowUsage(lower, 12*time.Second+f.rule.Window))
 	})
 }
 
@@ -132,7 +132,7 @@
 		f.demanded, f.refused = 0, 0
 		f.run(14*time.Second+takeover, 40*time.Second, normalLoad*rate, mean)
 		wantFewRefused(t, f)
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 	})
 }
 
@@ -149,7 +149,7 @@
 		f.demanded, f.refused = 0, 0
 		f.run(24*time.Second, 40*time.Second, normalLoad*rate, mean)
 		wantFewRefused(t, f)
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 	})
 }
 
@@ -164,7 +164,7 @@
 				f.minDelay, f.delayRange = delay[0], delay[1]
 				f.run(0, 10*time.Second, 0, mean)
 				f.run(10*time.Second, 30*time.Second, 7.5*normalLoad*rate, mean)
-				wantWithinLimit(t, f.most(f.limit, 0))
+				wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 			})
 		})
 	}
@@ -180,12 +180,12 @@
 			f.restart(now, i%len(f.nodes))
 			f.run(now, now+restartInterval, 2*rate, mean)
 		}
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 	})
 }
 
-// TestChangesOfOwnerDoNotRaiseTheLimit gives nodes different views of which nodes are alive. Each node's view
-// is replaced by another one within the takeover time.
+// TestChangesOfOwnerDoNotRaiseTheLimit makes nodes disagree about which nodes are alive. Each node's view is replaced by
+// another one within the takeover time.
 func TestChangesOfOwnerDoNotRaiseTheLimit(t *testing.T) {
 	const changeInterval = 20 * time.Millisecond
 	eachSize(t, func(t *testing.T, f *fleet, rate, mean float64) {
@@ -195,7 +195,7 @@
 			f.disagree(now, i)
 			f.run(now, now+changeInterval, 4*rate, mean)
 		}
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 	})
 }
 
--- a/quota/mixes_test.go
+++ b/quota/mixes_test.go
@@ -33,11 +33,11 @@
 	// centralMargin is the fraction of the total cost that the fleet may refuse beyond what a central limiter refuses,
 	// which knows of each request at once.
 	centralMargin = 0.02
-	// overloadFactor is the load of an overload as a multiple of the limit. late and lateRange are the minDelay and
-	// delayRange of late messages, restartPause is the interval between restarts.
+	// overloadFactor is the load of an overload as a multiple of the limit. lateMinDelay and lateDelayRange are the minDelay
+	// and delayRange of late messages, restartPause is the interval between restarts.
 	overloadFactor = 7.5
-	late           = 50 * time.Millisecond
-	lateRange      = 200 * time.Millisecond
+	lateMinDelay   = 50 * time.Millisecond
+	lateDelayRange = 200 * time.Millisecond
 	restartPause   = 700 * time.Millisecond
 	// mixWarmup is how long a mix runs before the measurement, mixTime how long it is measured.
 	mixWarmup = 8 * time.Second
@@ -50,8 +50,8 @@
 	playMixes(t,
 		mix{name: "calm", times: normalLoad, delayRange: normalDelay, sizes: []int{0, 1, 2, 3}},
 		mix{name: "restarts", times: normalLoad, delayRange: normalDelay, restartInterval: restartPause, sizes: []int{0, 1, 2}},
-		mix{name: "late messages", times: normalLoad, minDelay: late, delayRange: lateRange, sizes: []int{0, 1, 2, 3}},
-		mix{name: "late messages, many times the limit", times: overloadFactor, minDelay: late, delayRange: lateRange, minUsed: 0.8, sizes: []int{1, 2, 3, 4}})
+		mix{name: "late messages", times: normalLoad, minDelay: lateMinDelay, delayRange: lateDelayRange, sizes: []int{0, 1, 2, 3}},
+		mix{name: "late messages, many times the limit", times: overloadFactor, minDelay: lateMinDelay, delayRange: lateDelayRange, minUsed: 0.8, sizes: []int{1, 2, 3, 4}})
 }
 
 // TestLargeRequestsAreServed covers requests that take much of a zone's share, so that some shares are exhausted while
@@ -60,7 +60,7 @@
 	playMixes(t,
 		mix{name: "calm", times: normalLoad, delayRange: normalDelay, sizes: []int{4}},
 		mix{name: "restarts", times: normalLoad, delayRange: normalDelay, restartInterval: restartPause, sizes: []int{4}},
-		mix{name: "late messages", times: normalLoad, minDelay: late, delayRange: lateRange, sizes: []int{4}})
+		mix{name: "late messages", times: normalLoad, minDelay: lateMinDelay, delayRange: lateDelayRange, sizes: []int{4}})
 }
 
 // TestRestartsInSmallFleetsRefuseLittle covers zones with few routers, whose shares often move to a new owner, which
@@ -88,7 +88,7 @@
 					f := newFleet(seed, size.routers, quota.Limit{Rate: size.rate, Burst: size.rate})
 					m.play(f, size.rate, size.mean)
 					f.wantNoneOpen(t)
-					wantWithinLimit(t, f.most(f.limit, 0))
+					wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 					all.add(f)
 				}
 				all.check(t, m)
--- a/quota/openrequest.go
+++ b/quota/openrequest.go
@@ -34,9 +34,11 @@
 	waiting int
 	// gathered holds the parts that owners granted of a cost that no single share can grant. gathering is true once the
 	// owners were asked for parts.
-	gathering    bool
-	gathered     grants
-	rounds       int
+	gathering bool
+	gathered  grants
+	// rounds counts how often the owners were asked for parts, up to maxGatherRounds.
+	rounds int
+	// unresponsive is set if an owner did not respond in time, or if no owner is known.
 	unresponsive bool
 	// retryAfter and emptyFor are the shortest times that any owner returned.
 	retryAfter, emptyFor time.Duration
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -21,8 +21,8 @@
 	b.tokens = min(b.tokens, s.capacity)
 }
 
-// take takes a cost out of the bucket. The bucket must not be empty before, and must not owe more than its debt
-// afterwards.
+// take takes a cost out of the bucket and reports whether it did. It refuses the cost if the bucket is empty, or if it
+// would owe more than the share's debt afterwards.
 func (b *bucket) take(s share, cost float64) bool {
 	if b.tokens <= 0 || b.tokens-cost < -s.debt {
 		b.refused += cost
--- a/quota/requester.go
+++ b/quota/requester.go
@@ -16,8 +16,8 @@
 // together can, it gathers the cost from them in parts. Grants that were not used are kept for other requests of the
 // tenant until they expire.
 type Requester struct {
-	// next is the last number given to an openRequest or a grant request.
-	next              uint64
+	// lastNumber is the last number given to an openRequest or a grant request.
+	lastNumber        uint64
 	openRequests      map[uint64]*openRequest
 	pending           map[uint64]pendingGrantRequest
 	unusedGrants      map[string]*grants
@@ -30,20 +30,20 @@
 	outcomes      []Outcome
 }
 
-// NewRequester returns a requester that numbers its grant requests from first. Each process of a node must use another
-// first, so that no late response to an earlier process matches.
+// NewRequester returns a requester whose grant requests have increasing numbers above first. Each process of a node must
+// use a different first, so that a delayed response to an earlier process matches no grant request.
 func NewRequester(first uint64) *Requester {
 	return &Requester{
-		next: first, openRequests: map[uint64]*openRequest{}, pending: map[uint64]pendingGrantRequest{}, unusedGrants: map[string]*grants{}, roundTrips: map[string]*roundTrip{},
+		lastNumber: first, openRequests: map[uint64]*openRequest{}, pending: map[uint64]pendingGrantRequest{}, unusedGrants: map[string]*grants{}, roundTrips: map[string]*roundTrip{},
 		unresponsiveUntil: map[string]time.Duration{}, emptyUntil: map[tenantShare]time.Duration{}, usage: map[string]*usage{},
 	}
 }
 
-// Request asks the owners in their order, those that recently did not respond last. It asks none if enough is left of
-// earlier grants.
+// Request asks the owners, given by address, in their order, except that owners that recently did not respond are asked
+// last. It asks none if the unused tokens of earlier grants cover the cost.
 func (r *Requester) Request(now time.Duration, request Request, owners []string) {
-	r.next++
-	id := r.next
+	r.lastNumber++
+	id := r.lastNumber
 	if unused := r.unusedGrants[request.Tenant]; unused != nil {
 		if until, ok := unused.take(now, request.Cost); ok {
 			r.usageOf(request.Tenant).reused++
@@ -67,11 +67,11 @@
 
 // sendGrantRequest queues a GrantRequest and returns its ID.
 func (r *Requester) sendGrantRequest(now time.Duration, id uint64, o *openRequest, owner string, cost float64) uint64 {
-	r.next++
-	r.pending[r.next] = pendingGrantRequest{request: id, owner: owner, tenant: o.Tenant, cost: cost, at: now}
-	r.grantRequests = append(r.grantRequests, GrantRequest{To: owner, ID: r.next, Tenant: o.Tenant, Cost: cost})
+	r.lastNumber++
+	r.pending[r.lastNumber] = pendingGrantRequest{request: id, owner: owner, tenant: o.Tenant, cost: cost, at: now}
+	r.grantRequests = append(r.grantRequests, GrantRequest{To: owner, ID: r.lastNumber, Tenant: o.Tenant, Cost: cost})
 	o.waiting++
-	return r.next
+	return r.lastNumber
 }
 
 // askNext asks the next owner that may have tokens left. If there is none, the request waits for pending responses, or
@@ -160,7 +160,8 @@
 	}
 }
 
-// Tick asks the next owner where one does not respond in time, and drops what is no longer usable.
+// Tick asks the next owner for each request whose current owner did not respond in time. It drops expired grants, and
+// grant requests whose grants could no longer be used.
 func (r *Requester) Tick(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
 		pending := r.pending[id]
--- a/quota/views_test.go
+++ b/quota/views_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestViewsThatDifferForLongDoNotRaiseTheLimit gives nodes different views of which nodes are alive, some of them for
-// longer than the takeover time.
+// TestViewsThatDifferForLongDoNotRaiseTheLimit makes nodes disagree about which nodes are alive, some of them for longer
+// than the takeover time.
 func TestViewsThatDifferForLongDoNotRaiseTheLimit(t *testing.T) {
 	const changeInterval = 20 * time.Millisecond
 	eachSize(t, func(t *testing.T, f *fleet, rate, mean float64) {
@@ -16,6 +16,6 @@
 			f.disagree(now, i)
 			f.run(now, now+changeInterval, 4*rate, mean)
 		}
-		wantWithinLimit(t, f.most(f.limit, 0))
+		wantWithinLimit(t, f.maxWindowUsage(f.limit, 0))
 	})
 }
--- a/quota/window_test.go
+++ b/quota/window_test.go
@@ -12,8 +12,8 @@
 	cost float64
 }
 
-// most returns the largest sum of charges within any window, as a fraction of what the rule allows.
-func (f *fleet) most(limit quota.Limit, from time.Duration) float64 {
+// maxWindowUsage returns the largest sum of charges within any window, as a fraction of what the rule allows.
+func (f *fleet) maxWindowUsage(limit quota.Limit, from time.Duration) float64 {
 	allowed := f.rule.Allowed(limit)
 	var sum, most float64
 	first := 0
