--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -42,9 +42,9 @@
 	stub.decisions <- all
 }
 
-// startEchoReplica starts a replica that serves the requests of a connection, which alternate between the attempt IDs id1 and id2. It
-// allocates nothing while serving.
-func startEchoReplica(b *testing.B, response string) string {
+// startFixedResponseReplica starts a replica that sends the same response to all requests, except for their attempt IDs, which alternate
+// between id1 and id2 on each connection. It allocates nothing while serving.
+func startFixedResponseReplica(b *testing.B, response string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -86,7 +86,7 @@
 
 func benchmark(b *testing.B, route *config.Route, response string, last string) {
 	stub := &singleReplicaRouter{decisions: make(chan map[string]chan router.Decision, 1)}
-	stub.decision = router.Decision{Verdict: router.Place, AttemptID: "g", Addr: startEchoReplica(b, response), Replica: "r", Instance: "i1", Route: route}
+	stub.decision = router.Decision{Verdict: router.Place, AttemptID: "g", Addr: startFixedResponseReplica(b, response), Replica: "r", Instance: "i1", Route: route}
 	stub.decisions <- map[string]chan router.Decision{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/proxy/fault_test.go
+++ b/proxy/fault_test.go
@@ -32,17 +32,17 @@
 	return &clientConn{TCPConn: c.(*net.TCPConn)}
 }
 
-const endlessBytes = 16 << 20
+const longResponseBytes = 16 << 20
 
-// newEndlessReplica returns a replica whose response is larger than any socket buffer.
-func newEndlessReplica(t *testing.T) *replica {
-	return newReplica(t, respondWith("200 OK", "", strings.Repeat("x", endlessBytes)))
+// newLongResponseReplica returns a replica whose response is larger than any socket buffer.
+func newLongResponseReplica(t *testing.T) *replica {
+	return newReplica(t, respondWith("200 OK", "", strings.Repeat("x", longResponseBytes)))
 }
 
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	settings := proxy.Defaults()
 	settings.StallTimeout = 150 * time.Millisecond
-	stub := newStubRouter(unknownDecision, newEndlessReplica(t).place(onceRoute))
+	stub := newStubRouter(unknownDecision, newLongResponseReplica(t).place(onceRoute))
 	p, addr := startWithListener(t, stub, settings, config.Limits{})
 	client := dialWithSmallWindow(t, addr)
 	client.sendRequest(t, "GET", "id1", "", "")
@@ -59,7 +59,7 @@
 func TestSlowReaderIsNotDisconnected(t *testing.T) {
 	settings := proxy.Defaults()
 	settings.StallTimeout = 200 * time.Millisecond
-	stub := newStubRouter(unknownDecision, newEndlessReplica(t).place(onceRoute))
+	stub := newStubRouter(unknownDecision, newLongResponseReplica(t).place(onceRoute))
 	p, addr := startWithListener(t, stub, settings, config.Limits{})
 	client := dialWithSmallWindow(t, addr)
 	client.sendRequest(t, "GET", "id1", "", "")
@@ -111,7 +111,7 @@
 func TestSlowReaderIsDisconnectedAfterRequestDeadline(t *testing.T) {
 	settings := proxy.Defaults()
 	settings.StallTimeout, settings.MaxBufferedResponseBytes = 300*time.Millisecond, 4<<20
-	stub := newStubRouter(unknownDecision, newEndlessReplica(t).place(&config.Route{Timeout: 2 * time.Second}))
+	stub := newStubRouter(unknownDecision, newLongResponseReplica(t).place(&config.Route{Timeout: 2 * time.Second}))
 	p, addr := startWithListener(t, stub, settings, config.Limits{})
 	client := dialWithSmallWindow(t, addr)
 	client.sendRequest(t, "GET", "id1", "", "")
--- a/proxy/kept_test.go
+++ b/proxy/kept_test.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// newForgetfulReplica returns a replica that silently drops connections that were idle for a time: it neither closes them nor responds to
+// newDroppingReplica returns a replica that silently drops connections that were idle for a time: it neither closes them nor responds to
 // requests on them.
-func newForgetfulReplica(t *testing.T, idle time.Duration) *manualReplica {
+func newDroppingReplica(t *testing.T, idle time.Duration) *manualReplica {
 	manual := newManualReplica(t)
 	go manual.acceptEach(func(c *net.TCPConn) {
 		in, last := bufio.NewReader(c), time.Now()
@@ -135,7 +135,7 @@
 	for idleTimeout, answered := range map[time.Duration]int{time.Hour: 3, 20 * time.Millisecond: 6} {
 		settings := proxy.Defaults()
 		settings.IdleTimeoutNonRetryable = idleTimeout
-		p, addr := startWithListener(t, newStubRouter(rejectDecision, newForgetfulReplica(t, 50*time.Millisecond).place(onceRoute)), settings, config.Limits{})
+		p, addr := startWithListener(t, newStubRouter(rejectDecision, newDroppingReplica(t, 50*time.Millisecond).place(onceRoute)), settings, config.Limits{})
 		client := dial(t, addr)
 		pause := time.NewTicker(100 * time.Millisecond)
 		defer pause.Stop()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -157,7 +157,8 @@
 	Counters Counters
 }
 
-// New returns a proxy. The incarnation distinguishes this run of the process from other runs on the same node.
+// New returns a proxy. The function limits returns the limits in force and must be safe for concurrent use. The incarnation distinguishes
+// this run of the process from other runs on the same node.
 func New(decisions Router, headers Headers, settings Settings, limits func() config.Limits, incarnation string) *Proxy {
 	p := &Proxy{router: decisions, headers: headers.canonical(), settings: settings, limits: limits, requestIDPrefix: incarnation + "/"}
 	p.pool, p.budget.Limit = NewPool(settings, &p.Counters), int64(settings.BudgetBytes)
--- a/proxy/states_test.go
+++ b/proxy/states_test.go
@@ -15,13 +15,13 @@
 	statesAttempts = flag.Int("states-attempts", 8, "maximum number of attempts in a sequence that TestExchangeStates checks")
 )
 
-// attemptTruth is what actually happened to an attempt at its replica, as opposed to what the exchange has recorded.
-type attemptTruth uint8
+// actualAttemptState is what actually happened to an attempt at its replica, as opposed to what the exchange has recorded.
+type actualAttemptState uint8
 
 const (
-	truthUntouched attemptTruth = iota
-	truthMayRun
-	truthRefused
+	attemptUnwritten actualAttemptState = iota
+	attemptMayRun
+	attemptRefused
 )
 
 // world is the state of the exchange together with the actual state of replicas, client and clock. Worlds are compared as a whole, so that
@@ -33,7 +33,7 @@
 	connected bool
 	// mayRun is set if an earlier attempt may have run; current is what happened to the current attempt.
 	mayRun           bool
-	current          attemptTruth
+	current          actualAttemptState
 	forwardingStream bool
 	clientHas        clientContent
 	// finalActions counts Finish actions. sendPermitted is 1 if the router has permitted the current attempt to be sent.
--- a/proxy/statesjudge_test.go
+++ b/proxy/statesjudge_test.go
@@ -18,12 +18,12 @@
 	if w.finalActions > 0 && len(actions) > 0 {
 		return "actions after the final response"
 	}
-	if before == written && w.current == truthMayRun {
+	if before == written && w.current == attemptMayRun {
 		switch _, refuses := responseProves(name); {
 		case refuses:
-			w.current = truthRefused
+			w.current = attemptRefused
 		case name == "reset before the write", name == "time over before the write":
-			w.current = truthUntouched
+			w.current = attemptUnwritten
 		}
 	}
 	for _, action := range actions {
@@ -50,8 +50,8 @@
 
 // attemptEnded records that the current attempt is over.
 func (w *world) attemptEnded() {
-	w.mayRun = w.mayRun || w.current == truthMayRun
-	w.current, w.forwardingStream, w.sendPermitted = truthUntouched, false, 0
+	w.mayRun = w.mayRun || w.current == attemptMayRun
+	w.current, w.forwardingStream, w.sendPermitted = attemptUnwritten, false, 0
 }
 
 func (w *world) applyAction(route *config.Route, before phase, name string, action Action) string {
@@ -61,7 +61,7 @@
 	case WriteRequest:
 		return w.write(route)
 	case ReleaseConnection:
-		if w.current != truthUntouched {
+		if w.current != attemptUnwritten {
 			return "a connection that carries a request is released as unused"
 		}
 		w.connected = false
@@ -99,10 +99,10 @@
 		return "written without permission"
 	case w.mayRun && !route.Idempotent && !route.Resumable:
 		return "a request that must not be sent twice may run twice"
-	case w.current != truthUntouched:
+	case w.current != attemptUnwritten:
 		return "written twice to one replica"
 	}
-	w.current = truthMayRun
+	w.current = attemptMayRun
 	return ""
 }
 
@@ -131,7 +131,7 @@
 }
 
 func (w *world) routerNotified(end router.AttemptEnded) string {
-	if (end.Result == router.NotSent || end.Result == router.Refused) && w.current == truthMayRun {
+	if (end.Result == router.NotSent || end.Result == router.Refused) && w.current == attemptMayRun {
 		return "the router is notified that the request did not run, but it may have"
 	}
 	w.connected = false
