--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -86,10 +86,10 @@
 		}
 	}
 	if mean := old.Size / len(Split(base)); mean < 2<<10 || mean > 4<<10 {
-		t.Errorf("chunks have %d bytes on average", mean)
+		t.Errorf("chunks have %d bytes on average, want 2048 to 4096", mean)
 	}
 	if len(old.Segments) > 512 {
-		t.Errorf("a manifest has %d bytes", len(old.Segments))
+		t.Errorf("the segment names of a manifest have %d bytes, want at most 512", len(old.Segments))
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 }
 
-// The store keeps the documents used last, and removes chunks that none of them refers to.
+// TestStoreKeepsWhatWasUsedLast checks that the store keeps the documents used last and removes chunks that none of them refers to.
 func TestStoreKeepsWhatWasUsedLast(t *testing.T) {
 	s := NewStore(3, 1, 1<<20)
 	kept := routes(500, -1)
@@ -187,17 +187,17 @@
 		case errors.As(err, &manifest), errors.As(err, &missing), errors.As(err, &wrong):
 			return
 		default:
-			t.Fatalf("%T %v", err, err)
+			t.Fatalf("Document returned a %T: %v", err, err)
 		}
 		if len(body) != size {
-			t.Fatalf("%d bytes, not %d", len(body), size)
+			t.Fatalf("the document has %d bytes, want %d", len(body), size)
 		}
 		at := 0
 		for _, segment := range splitNames(names) {
 			for _, name := range splitNames(s.Get(segment)) {
 				data := s.Get(name)
 				if !bytes.HasPrefix(body[at:], data) {
-					t.Fatalf("no chunk of the manifest at offset %d", at)
+					t.Fatalf("the document differs from the manifest's chunk at offset %d", at)
 				}
 				at += len(data)
 			}
--- a/chunk/delta.go
+++ b/chunk/delta.go
@@ -10,13 +10,13 @@
 
 // The causes of a DeltaError, in addition to a part outside the base.
 var (
-	ErrWrongBase    = errors.New("the base has another hash")
-	ErrTooLong      = errors.New("the document is too long")
-	ErrHashMismatch = errors.New("the result has another hash")
+	ErrWrongBase    = errors.New("the base does not have the hash that the delta requires")
+	ErrTooLong      = errors.New("the document is longer than the maximum")
+	ErrHashMismatch = errors.New("the result does not have the hash that the delta states")
 )
 
-// Delta describes a document by its differences from another document, the base: it contains the bytes that the base lacks, and the positions of
-// the others in the base. Apply does not depend on where Split cuts. The fields are part of the format on disk.
+// Delta describes a document by its differences from another document, the base: it contains the bytes that the base lacks, and the positions in
+// the base of the other bytes. Apply does not depend on where Split cuts. The fields are part of the format on disk.
 type Delta struct {
 	// Base and Sum are the hashes (NameOf) of the base and of the document.
 	Base []byte
@@ -117,7 +117,7 @@
 	size := 0
 	for i, p := range d.Parts {
 		if p.From < 0 || p.Length < 0 || p.From > len(base) || p.Length > len(base)-p.From {
-			return nil, trace.Wrap(&DeltaError{Cause: fmt.Errorf("part %d lies outside the base", i)})
+			return nil, trace.Wrap(&DeltaError{Cause: fmt.Errorf("part %d, %d bytes at offset %d, lies outside the base of %d bytes", i, p.Length, p.From, len(base))})
 		}
 		if size += len(p.New) + p.Length; size > MaxDocument {
 			return nil, trace.Wrap(&DeltaError{Cause: ErrTooLong})
--- a/chunk/delta_test.go
+++ b/chunk/delta_test.go
@@ -72,10 +72,10 @@
 		next, err := d.Apply(base)
 		var bad *DeltaError
 		if err != nil && !errors.As(err, &bad) {
-			t.Fatalf("%T %v", err, err)
+			t.Fatalf("Apply returned a %T: %v", err, err)
 		}
 		if err == nil && !bytes.Equal(hashOf(next), d.Sum) {
-			t.Fatal("the document has another hash than the delta says")
+			t.Fatal("the document does not have the hash that the delta states")
 		}
 	})
 }
--- a/chunk/manifest.go
+++ b/chunk/manifest.go
@@ -54,9 +54,9 @@
 	count := len(m.Segments) / NameBytes
 	switch {
 	case len(m.Segments)%NameBytes != 0:
-		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("segment names have %d bytes, which is no multiple of a name's length", len(m.Segments))})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("segment names have %d bytes, which is not a multiple of %d", len(m.Segments), NameBytes)})
 	case m.Size < 1 || m.Size > MaxDocument:
-		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("document size of %d bytes is out of range", m.Size)})
+		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("document size of %d bytes: must be 1 to %d", m.Size, MaxDocument)})
 	case m.Size < count || m.Size > count*maxSegmentChunks*MaxChunk:
 		return trace.Wrap(&ManifestError{Cause: fmt.Errorf("document size of %d bytes is impossible with %d segments", m.Size, count)})
 	}
