--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -42,7 +42,7 @@
 	inFlight    []envelope
 	loss        float64
 	partitioned func(from, to string) bool
-	// pulls counts the pulls of each node from each other one.
+	// pulls counts the pulls by the pair of nodes, as "puller of sender".
 	pulls map[string]int
 }
 
@@ -120,7 +120,8 @@
 	}
 }
 
-// until steps the mesh until has is true of every store, for at most the given time. It returns how long that took and whether it happened.
+// until steps the mesh until has returns true for every store, for at most limit. It returns how long that took, and false if the limit was
+// reached.
 func (m *mesh) until(limit time.Duration, has func(s *Store) bool) (time.Duration, bool) {
 	began := m.now
 	for m.now-began < limit {
@@ -132,7 +133,7 @@
 	return limit, m.everywhere(has)
 }
 
-// everywhere reports whether has is true of every store.
+// everywhere reports whether has returns true for every store.
 func (m *mesh) everywhere(has func(s *Store) bool) bool {
 	for _, s := range m.stores {
 		if !has(s) {
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -23,21 +23,21 @@
 }
 
 func TestEveryItemReachesEveryNodeUnderLoss(t *testing.T) {
-	worst := time.Duration(0)
+	slowest := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0.2)
 		m.stores["n0"].Put(Item{Key: "k", Version: Version{Lo: 1}, Data: text("v")})
 		elapsed, all := m.until(spreadWithin, hasVersion("k", Version{Lo: 1}))
-		worst = max(worst, elapsed)
+		slowest = max(slowest, elapsed)
 		if !all {
 			t.Errorf("seed %d: not everywhere after %s", seed, elapsed)
 		}
 	}
-	t.Log("worst:", worst)
+	t.Log("slowest:", slowest)
 }
 
 func TestDigestsRepairAfterPartition(t *testing.T) {
-	worst := time.Duration(0)
+	slowest := time.Duration(0)
 	for seed := range uint64(seeds) {
 		m := newMesh(Defaults(), seed, 0)
 		m.partitioned = func(from, to string) bool { return !m.sameZone(from, to) }
@@ -48,12 +48,12 @@
 		}
 		m.partitioned = nil
 		elapsed, all := m.until(spreadWithin, hasVersion("k", Version{Lo: 1}))
-		worst = max(worst, elapsed)
+		slowest = max(slowest, elapsed)
 		if !all {
 			t.Errorf("seed %d: not everywhere after %s", seed, elapsed)
 		}
 	}
-	t.Log("worst:", worst)
+	t.Log("slowest:", slowest)
 }
 
 // TestItemIsMissingWithoutDigests checks that only anti-entropy repairs a lost push, which the two tests above depend on.
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -81,7 +81,8 @@
 	rng     *rand.Rand
 	items   map[string]Item
 	pending map[string]*pendingPush
-	pulls   map[string]pullAttempt
+	// pulls contains the last pull of each key.
+	pulls map[string]pullAttempt
 	// hash covers the durable items, whose number is durableCount.
 	hash         uint64
 	durableCount int
