--- a/membership/detector.go
+++ b/membership/detector.go
@@ -10,10 +10,11 @@
 type Detector struct {
 	cfg Config
 	// Self is this member as it is announced to others. It is changed by Update only.
-	Self   Member
-	Table  Table
-	rng    *rand.Rand
-	seq    uint64
+	Self  Member
+	Table Table
+	rng   *rand.Rand
+	seq   uint64
+	// probes contains the unanswered pings, relays those that were sent for another member, both by sequence number.
 	probes map[uint64]*probe
 	relays map[uint64]relay
 	// lastPing is when a member was last pinged or last answered, suspectSince when it became suspect.
--- a/membership/member.go
+++ b/membership/member.go
@@ -38,7 +38,7 @@
 	EmbeddedRouters int    `json:"libs"`
 	// Degraded reports that the node's disk is too slow to vote.
 	Degraded bool `json:"unfit,omitempty"`
-	// Retiring reports that the process was told to stop. It still votes, but hands its place in the voter set to another node if it can.
+	// Retiring reports that the process is shutting down. It still votes, but hands its place in the voter set to another node if it can.
 	Retiring bool `json:"retiring,omitempty"`
 }
 
--- a/transport/timeout_test.go
+++ b/transport/timeout_test.go
@@ -8,8 +8,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// TestConnectionsToPeersBoundUnacknowledgedBytes: a machine that lost power does not reset its connections. Without TCP_USER_TIMEOUT, messages
-// sent to it after it is back wait for the next TCP retransmission.
+// TestConnectionsToPeersBoundUnacknowledgedBytes checks that TCP_USER_TIMEOUT is set. A machine that lost power does not reset its connections.
+// Without the timeout, messages sent to it after it is back wait for the next TCP retransmission.
 func TestConnectionsToPeersBoundUnacknowledgedBytes(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -50,7 +50,7 @@
 	return msg
 }
 
-// Decode returns the message that an encoded form stands for, or encoded itself if its type is sent without a conversion.
+// Decode returns the message whose encoded form is encoded, or encoded itself if its type is sent without a conversion.
 func Decode(encoded any) any {
 	if decode := decoders[reflect.TypeOf(encoded)]; decode != nil {
 		return decode(encoded)
