--- a/storage/crash_test.go
+++ b/storage/crash_test.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	// crashLogBytes is the log size from which on the store rotates.
+	// crashLogBytes is the log size in bytes at which the store rotates.
 	crashLogBytes = 60
 	// recoverTries is how often a failed write is followed by Recover before the incarnation gives up.
 	recoverTries = 8
@@ -103,7 +103,8 @@
 type crashCheck struct {
 	t *testing.T
 	// seen are the states that were checked before.
-	seen  map[string]bool
+	seen map[string]bool
+	// opens counts the disks that were opened, fails those whose entries were wrong.
 	opens int
 	fails int
 }
--- a/storage/crashdisk_test.go
+++ b/storage/crashdisk_test.go
@@ -25,7 +25,7 @@
 	ops    int
 	stopAt int
 	failAt int
-	// Operations from fullFrom until before fullTo fail because the disk is full; if the two are equal, it never is.
+	// Operations from fullFrom until before fullTo fail because the disk is full; if the two are equal, it is never full.
 	fullFrom, fullTo int
 	stopped          bool
 }
--- a/storage/repair_test.go
+++ b/storage/repair_test.go
@@ -6,7 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/sim/disk"
 )
 
-// After a write to a full disk has failed, all writes fail until Recover has written the whole state again.
+// TestRecoverAfterFullDisk checks that after a failed write to a full disk all writes fail until Recover has written the whole state again.
 func TestRecoverAfterFullDisk(t *testing.T) {
 	for seed := range uint64(20) {
 		d := disk.New(seed)
