--- a/daemon/call.go
+++ b/daemon/call.go
@@ -51,8 +51,8 @@
 	return d.call(ctx, d.newCall(op, deadline), expired.C)
 }
 
-// CallForOperator runs an operator request that arrived with the HTTP request of ctx, within the operation's own timeout. It has no effect if
-// the HTTP request may have waited on this machine while the process was paused, or if the client has disconnected.
+// CallForOperator runs an operator request that arrived with the HTTP request of ctx, within the operation's own timeout. The request has no effect
+// if it may have waited on this machine while the process was paused, or if the client has disconnected.
 func (d *Daemon) CallForOperator(ctx context.Context, op control.Op) control.Answer {
 	_, err := d.PauseGuard.Admit(ctx, 0)
 	if err == nil {
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -60,21 +60,21 @@
 		}
 	})
 	if name := <-names; name != "n1#1" {
-		t.Errorf("the name of the follower's router is %s", name)
+		t.Errorf("the name of the follower's router is %s, want n1#1", name)
 	}
 	if v := <-versions; v != 1 {
-		t.Errorf("the first snapshot has version %d", v)
+		t.Errorf("the first snapshot has version %d, want 1", v)
 	}
 	if a := d.Call(control.Put{ID: "two", ExpectedVersion: 1, Document: []byte(document)}); a.Err != nil {
 		t.Fatal(a.Err)
 	}
 	if v := <-versions; v != 2 {
-		t.Errorf("the snapshot after the change has version %d", v)
+		t.Errorf("the snapshot after the change has version %d, want 2", v)
 	}
 	stop()
 	_, stop = startDaemon(t, addr, data)
 	if v := <-versions; v != 2 {
-		t.Errorf("the snapshot after the restart of the daemon has version %d", v)
+		t.Errorf("the snapshot after the restart of the daemon has version %d, want 2", v)
 	}
 	tb.Kill(nil)
 	if err := tb.Wait(); err != nil {
--- a/daemon/operatorconn_test.go
+++ b/daemon/operatorconn_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestCallForOperatorChecksThatClientIsConnected: a request that names a version is executed without a wait, one that names none is not executed
-// if the client disconnects during the wait.
+// TestCallForOperatorChecksThatClientIsConnected checks that a request that names a version is executed without a wait, and that a request that
+// names none is not executed if the client disconnects during the wait.
 func TestCallForOperatorChecksThatClientIsConnected(t *testing.T) {
 	d, _ := operatorServer(t)
 	ctx, disconnect := context.WithCancel(t.Context())
--- a/daemon/operatorcontrol.go
+++ b/daemon/operatorcontrol.go
@@ -31,7 +31,7 @@
 	return a.Value.Document, nil
 }
 
-// Evacuate takes all traffic from a zone.
+// Evacuate stops all traffic to the replicas of a zone.
 func (c OperatorControl) Evacuate(ctx context.Context, id, zone string) error {
 	return c.changeZone(ctx, control.Evacuate{ID: id, Zone: zone})
 }
--- a/daemon/prefill.go
+++ b/daemon/prefill.go
@@ -9,7 +9,7 @@
 const prefillQueueLength = 64
 
 // forwardPrefill passes the router's report of a long prompt to the control loop, which sends it to the other nodes. If the queue is full, the
-// report is dropped, because it is useless when it is late.
+// report is dropped, because a delayed report is useless.
 func (d *Daemon) forwardPrefill(p router.Prefill) {
 	select {
 	case d.prefills <- p:
