--- a/sim/audit.go
+++ b/sim/audit.go
@@ -19,7 +19,7 @@
 	// Within fleetRetryWindow there may be fleetRetryExtra retries more than the ratio of first attempts.
 	fleetRetryWindow = 10 * time.Second
 	fleetRetryExtra  = 24
-	// gossipDelay is how long news may take between nodes.
+	// gossipDelay is how long gossip may take to reach all nodes.
 	gossipDelay = 500 * time.Millisecond
 	// breachTraceLines is how many trace lines before the first breach are kept.
 	breachTraceLines = 90
@@ -44,8 +44,8 @@
 	UnprovenConfirmation = "counted as confirmed without proof"
 )
 
-// versionFact is something that was acknowledged to or seen by a party outside the nodes at a time, through a node in zone. version is 0 unless
-// the fact is an accepted version.
+// versionFact is an accepted version, an evacuation or the draining of a replica. It became known at a time to a node in zone, through which the
+// other nodes must learn of it. version is 0 unless the fact is an accepted version.
 type versionFact struct {
 	at      time.Duration
 	zone    string
@@ -64,26 +64,27 @@
 	version uint64
 }
 
-// Audit checks the rules of the fleet during the run, by what parties outside the nodes can observe.
+// Audit checks the rules of the fleet during the run. It uses only what clients, replicas, operators and the platform can observe.
 type Audit struct {
 	w *World
-	// Breaches are the first 50 breaches, TraceBeforeBreach are the trace lines before the first.
+	// Breaches contains the first 50 breaches, TraceBeforeBreach the trace lines before the first one.
 	Breaches []ledger.Breach
 	versions []versionFact
 	// highest is the newest accepted version.
 	highest uint64
-	// evacuatedAt and drainedAt are the evacuated zones and the draining or removed replicas.
+	// evacuatedAt contains the evacuated zones by name, drainedAt the draining or removed replicas by name.
 	evacuatedAt map[string]versionFact
 	drainedAt   map[string]versionFact
-	// newestApplied is the newest version with which each node sent an attempt.
+	// newestApplied is the newest version with which each node sent an attempt, by node name.
 	newestApplied map[string]uint64
-	// documents are the contents of each version, which must never differ.
+	// documents contains the contents of each version. A version must have the same contents at all nodes.
 	documents      map[uint64]string
 	configContents []*configContent
 	partitions     []partitionSpan
 	firstAttempts  []time.Duration
 	retries        []time.Duration
-	// predictions is until when a frontend may count on a predicted prefix block; proofs are the blocks that a replica's response confirmed.
+	// predictions contains the time until which a frontend may count on a predicted prefix block, proofs the blocks that a replica's response
+	// confirmed.
 	predictions       map[predictionKey]time.Duration
 	proofs            map[predictionKey]bool
 	TraceBeforeBreach []string
@@ -100,7 +101,7 @@
 	}
 }
 
-// mustKnowAt returns from when on a node must know a fact. A fact that is known on the other side of a zone's partition, or became known just
+// mustKnowAt returns the time from which on a node must know a fact. A fact that is known on the other side of a zone's partition, or became known just
 // before the partition began, must be known when the partition heals.
 func (a *Audit) mustKnowAt(n *Node, f versionFact) time.Duration {
 	at := f.at
@@ -112,7 +113,7 @@
 	return at
 }
 
-// overdue reports whether a node acts against a fact for longer than allowed. It counts attempts that only a partition excuses.
+// overdue reports whether a node that acts against a fact has had longer than within to learn of it. It counts attempts that only a partition excuses.
 func (a *Audit) overdue(n *Node, f versionFact, within time.Duration) bool {
 	if a.w.Now-f.at <= within {
 		return false
@@ -124,13 +125,13 @@
 	return true
 }
 
-func (a *Audit) breach(what, who, detail string) {
-	a.w.Tracef("BREACH %s: %s: %s", what, who, detail)
+func (a *Audit) breach(kind, subject, detail string) {
+	a.w.Tracef("BREACH %s: %s: %s", kind, subject, detail)
 	if len(a.Breaches) == 0 {
 		a.TraceBeforeBreach = slices.Clone(a.w.Trace[max(0, len(a.w.Trace)-breachTraceLines):])
 	}
 	if len(a.Breaches) < 50 {
-		a.Breaches = append(a.Breaches, ledger.Breach{Kind: what, Request: who, Detail: fmt.Sprintf("at %s: %s", a.w.Now, detail)})
+		a.Breaches = append(a.Breaches, ledger.Breach{Kind: kind, Request: subject, Detail: fmt.Sprintf("at %s: %s", a.w.Now, detail)})
 	}
 }
 
--- a/sim/auditattempts.go
+++ b/sim/auditattempts.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// attemptStarted checks that a replica in warm-up was not given more requests than its limit.
+// attemptStarted checks that a replica in warm-up does not run more requests than its limit.
 func (a *Audit) attemptStarted(r *FleetReplica) {
 	if r.model.WarmupOverloads > 0 {
 		a.breach(WarmupOverloaded, r.Name, fmt.Sprintf("%d running, limit %d, started %s ago", len(r.model.Running), r.model.RunningLimit(a.w.Now), a.w.Now-r.model.StartedAt))
--- a/sim/builds.go
+++ b/sim/builds.go
@@ -26,7 +26,7 @@
 	n.node.Gossip.Put(gossip.Item{Key: "x/" + n.Name, Version: gossip.Version{Hi: uint64(n.w.Now)}, Data: Novelty{Text: n.Name}})
 }
 
-// cannotRead reports whether this node's build could not decode or understand the message.
+// cannotRead reports whether the message has a type or contents that this node's build does not know.
 func (n *Node) cannotRead(msg any) bool {
 	build := n.buildNumber()
 	switch m := msg.(type) {
--- a/sim/changes.go
+++ b/sim/changes.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// configurationProbe marks a request that is no part of the traffic: it shows which configuration a node applies.
+// configurationProbe marks a request that is not part of the traffic and shows which configuration a node applies.
 type configurationProbe struct{ revision uint64 }
 
 // largeRouteCount is how many routes a large configuration adds.
@@ -17,7 +17,7 @@
 
 func isIdle(r config.Route) bool { return len(r.Name) > 4 && r.Name[:4] == "idle" }
 
-// varyRoutes changes timeouts of all other routes, and moves, splits, adds and removes idle routes.
+// varyRoutes randomly adds, removes and splits idle routes and leads them to other services. Of the routes with traffic it changes only timeouts.
 func (o *operators) varyRoutes(c *config.Config) {
 	rng, spec := o.rng, o.s.spec
 	for i := range c.Routes {
@@ -54,7 +54,8 @@
 	}
 }
 
-// changeRepeatedly makes one change after the other, each gap after the previous one was settled, and probes what each accepted one changed.
+// changeRepeatedly makes changes until the given time, each one gap after the previous one was settled. After each accepted change, it sends
+// configuration probes for the changed routes.
 func (o *operators) changeRepeatedly(until, gap time.Duration, vary func(c *config.Config)) {
 	if o.s.w.Now >= until {
 		return
--- a/sim/client.go
+++ b/sim/client.go
@@ -27,7 +27,8 @@
 	// attempts counts attempts, lastEvent is the number of the last event that the client got.
 	attempts  int
 	lastEvent int
-	// firstEventAt is when the first event or response arrived, lastEventAt the newest, longestGap the longest time between two.
+	// firstEventAt is when the first event or the response arrived, lastEventAt when the newest one did, and longestGap the longest time between
+	// two events.
 	firstEventAt time.Duration
 	lastEventAt  time.Duration
 	longestGap   time.Duration
@@ -72,8 +73,8 @@
 	runsStarted, lastEventMade int
 	madeAt                     time.Duration
 	// rejected is set if a node rejected the attempt; harmed if a replica fault broke it.
-	rejected bool
-	harmed   bool
+	rejected      bool
+	replicaFailed bool
 	// replicaWorking is set if a replica was running the attempt when the node's process ended.
 	replicaWorking bool
 	acceptedAt     time.Duration
@@ -128,13 +129,13 @@
 		n.accept(func() {
 			if !c.finished {
 				c.accepted, c.acceptedAt = true, n.w.Now
-				n.takeAttempt(c)
+				n.handleAttempt(c)
 			}
 		})
 	})
 }
 
-// watchIdle closes a stream that has been silent for long.
+// watchIdle gives up a stream without events for 2 s, 4 times the latency target or 8 times the target gap, whichever is longest.
 func (c *clientAttempt) watchIdle() {
 	q := c.request
 	maxSilence := max(2*time.Second, 4*q.class.LatencyTarget, 8*q.class.TargetGap)
--- a/sim/config.go
+++ b/sim/config.go
@@ -9,7 +9,7 @@
 	"github.com/mallowbridge/mallowbridge/sim/shape"
 )
 
-// largeConfigBytes is the size to which configurations are padded that test the size limit.
+// largeConfigBytes is the size to which configurations are padded in tests of the size limit.
 const largeConfigBytes = 1000 << 10
 
 // nextConfig returns a random variation of the first configuration that changes how traffic is routed: replicas, capacities, roles, zones and
--- a/sim/contents.go
+++ b/sim/contents.go
@@ -9,12 +9,13 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// configContent is what one configuration allows. It may be in force from the time it was sent, unless it was rejected.
+// configContent contains the replicas and request classes of a configuration that an operator sent. Unless it was rejected, it may be in force
+// from the time at which it was sent.
 type configContent struct {
 	version  uint64
 	accepted bool
 	rejected bool
-	// classes has whether each class (service/class) is idempotent.
+	// classes maps each request class, as service/class, to whether it is idempotent.
 	classes  map[string]bool
 	replicas map[string]config.Replica
 }
--- a/sim/controlcalls.go
+++ b/sim/controlcalls.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// NodeDownError says that a node went down before it responded.
+// NodeDownError means that a node went down before it responded.
 type NodeDownError struct{ Node string }
 
 func (e *NodeDownError) Error() string { return e.Node + " went down before it responded" }
--- a/sim/disksandpower_test.go
+++ b/sim/disksandpower_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// grownRatio is the share of a large site's machines, replicas and traffic that is simulated; all its disks are.
+// grownRatio is the share of a large site's machines, replicas and traffic that is simulated. All machines with a disk are simulated.
 const grownRatio = 0.25
 
 // TestDisksAreLostWhileAllLosePower ends a run of the large sites with the loss of as many disks as they tolerate, while all other machines,
--- a/sim/document.go
+++ b/sim/document.go
@@ -16,7 +16,7 @@
 // A site's operators write a config.Config as JSON: routes, services whose replicas are discovered, limits and a revision. This file reads and
 // edits these documents.
 
-// invalidDocument returns the error for a value that breaks a bound.
+// invalidDocument returns the error for a value at path that does not meet the requirement bound.
 func invalidDocument(path, val, bound string) error {
 	return trace.Wrap(&config.InvalidError{Violations: []config.Violation{{Path: path, Value: val, Requirement: bound}}})
 }
--- a/sim/engine/engine.go
+++ b/sim/engine/engine.go
@@ -27,8 +27,8 @@
 	// PrefillRate is how many prompt tokens are prefilled in a millisecond, PrefillChunk the most that are prefilled within one step.
 	PrefillRate  float64
 	PrefillChunk int
-	// MemoryTokens is the KV cache memory that running requests and cached prefix blocks share, in tokens. A replica without StepTime has no
-	// limit if it is 0.
+	// MemoryTokens is the KV cache memory that running requests and cached prefix blocks share, in tokens. 0 means no limit
+	// for a replica without StepTime.
 	MemoryTokens int
 	// Stride is how many tokens one event of the response stream contains.
 	Stride int
@@ -52,6 +52,7 @@
 	stepping bool
 	stopped  bool
 
+	// Admitted and Rejected count the results of Submit, Preempted the times that a running job was returned to the queue.
 	Admitted, Rejected, Preempted uint64
 	// PromptTokens counts the tokens of the prefix blocks of started jobs, CachedTokens those found in the prefix cache.
 	PromptTokens, CachedTokens uint64
@@ -89,7 +90,7 @@
 	return true
 }
 
-// enqueue inserts a job into the queue by priority, and by age among equals.
+// enqueue inserts a job into the queue, which is ordered by priority and then by the order of admission.
 func (e *Engine) enqueue(j *Job) {
 	at := sort.Search(len(e.queued), func(i int) bool {
 		o := e.queued[i]
--- a/sim/engine/engine_test.go
+++ b/sim/engine/engine_test.go
@@ -10,8 +10,8 @@
 
 // jobTimes records when a job started and when its first and last event came.
 type jobTimes struct {
-	begun, first, last time.Duration
-	events             int
+	started, first, last time.Duration
+	events               int
 }
 
 func newTestEngine(s Spec) (*eventqueue.Queue, *Engine) {
@@ -22,7 +22,7 @@
 func (x *jobTimes) job(q *eventqueue.Queue, header string, prompt, out, priority int) *Job {
 	blocks, _ := prefixindex.Parse("m1", header)
 	return &Job{
-		Blocks: blocks, PromptTokens: prompt, OutputTokens: out, Priority: priority, OnStart: func() { x.begun = q.Now }, OnExpired: func() {},
+		Blocks: blocks, PromptTokens: prompt, OutputTokens: out, Priority: priority, OnStart: func() { x.started = q.Now }, OnExpired: func() {},
 		OnEvent: func(_ int, last bool) {
 			if x.events++; x.events == 1 {
 				x.first = q.Now
--- a/sim/engine/step.go
+++ b/sim/engine/step.go
@@ -60,14 +60,14 @@
 // preempt returns jobs to the queue while memory is exceeded: the newest of the lowest priority first. Their prompts are prefilled again.
 func (e *Engine) preempt() {
 	for e.heldTokens > e.MemoryTokens && len(e.running) > 1 {
-		worst := slices.MaxFunc(e.running, func(a, b *Job) int {
+		preempted := slices.MaxFunc(e.running, func(a, b *Job) int {
 			if a.Priority != b.Priority {
 				return a.Priority - b.Priority
 			}
 			return a.seq - b.seq
 		})
-		e.removeRunning(worst)
-		e.enqueue(worst)
+		e.removeRunning(preempted)
+		e.enqueue(preempted)
 		e.Preempted++
 	}
 	e.cache.evict(max(e.MemoryTokens-e.heldTokens, 0))
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -7,7 +7,8 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// Fault is one fault, or other disturbance, that begins at At on the named nodes, replicas or zones and lasts For; a negative For means for good.
+// Fault is one fault or other disturbance. It begins at At, lasts For, or to the end of the run if For is negative, and affects the nodes, replicas
+// or zones named in On.
 type Fault struct {
 	At       time.Duration `json:"at"`
 	Kind     string        `json:"kind"`
@@ -18,7 +19,7 @@
 
 // Kinds of fault.
 const (
-	// Kill ends processes. Power and AllPowerOff (of all nodes) also lose data on disks that was not synced.
+	// Kill ends processes, Freeze suspends them. Power, and AllPowerOff for all nodes, ends processes and loses unsynced data on their disks.
 	Kill   = "kill"
 	Power  = "power"
 	Freeze = "freeze"
@@ -29,7 +30,7 @@
 	PartitionOneWay = "cut one way"
 	PartitionZone   = "cut domain"
 	SplitCore       = "split core"
-	// WipeDisk restarts machines with empty disks, Relocate also at other addresses.
+	// WipeDisk restarts machines with empty disks, Relocate with empty disks at other addresses.
 	WipeDisk = "wipe"
 	Relocate = "move"
 	// SlowDisk delays syncs, StallDisk keeps them from completing; FullDisk fails writes, BadDisk syncs.
@@ -133,7 +134,7 @@
 	}
 }
 
-// stopNodes kills nodes, does to their disks and clocks what the fault says, and starts them again when it ends.
+// stopNodes kills nodes, applies the fault to their disks and clocks, and starts them again when the fault ends.
 func (w *World) stopNodes(fault Fault, ns []*Node) {
 	if fault.Kind == AllPowerOff {
 		ns = w.Nodes
--- a/sim/faultwindows.go
+++ b/sim/faultwindows.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fault is the time in which a node, or the core if node is empty, is disturbed. A planned one is a part of regular operation, such as a
-// rolling restart.
+// fault is the time in which a node, or the core if node is empty, is disturbed. planned is set if the cause is a part of regular operation, such
+// as a rolling restart.
 type fault struct {
 	node        string
 	from, until time.Duration
@@ -39,7 +39,7 @@
 	}
 }
 
-// undisturbed reports whether nothing disturbed a node, or the core if node is empty, in that time and Bounds.Settle before.
+// undisturbed reports whether nothing disturbed a node, or the core if node is empty, from Bounds.Settle before from to until.
 func (r *rules) undisturbed(node string, from, until time.Duration) bool {
 	for _, f := range r.faults {
 		if f.node == node && f.from <= until && f.until >= from-r.s.spec.Bounds.Settle {
@@ -54,8 +54,8 @@
 	return r.undisturbed(n.Name, now, now) && r.undisturbed("", now, now)
 }
 
-// applyBoundFor returns within what time after its acknowledgement a node must apply an order, and whether it must at all. An undisturbed node
-// that is not in touch because the core is disturbed, but settled, gets Bounds.UnsettledExtra more.
+// applyBoundFor returns how long after the acknowledgement of an order a node must have applied it, and false if the node need not apply it. The
+// bound is longer by Bounds.UnsettledExtra for an undisturbed node that is not in touch because of the core, if the core is settled.
 func (r *rules) applyBoundFor(n *Node, q *sentRequest, bound time.Duration) (time.Duration, bool) {
 	switch {
 	case q.inTouch:
@@ -66,7 +66,7 @@
 	return 0, false
 }
 
-// coreSettled reports whether a majority of the core has been up and connected for Bounds.UnsettledExtra and Bounds.Settle.
+// coreSettled reports whether a majority of the core has been up and connected for the sum of Bounds.UnsettledExtra and Bounds.Settle.
 func (r *rules) coreSettled(now time.Duration) bool {
 	for _, f := range r.faults {
 		if f.node == "" && f.until > f.from && f.from <= now && f.until >= now-r.s.spec.Bounds.UnsettledExtra-r.s.spec.Bounds.Settle {
@@ -76,7 +76,7 @@
 	return true
 }
 
-// hadUnplannedFault reports whether any unplanned fault happened in that time or Bounds.Settle before.
+// hadUnplannedFault reports whether there was any unplanned fault from Bounds.Settle before from to until.
 func (r *rules) hadUnplannedFault(from, until time.Duration) bool {
 	for _, f := range r.faults {
 		if !f.planned && f.from <= until && f.until >= from-r.s.spec.Bounds.Settle {
--- a/sim/fleetreplica.go
+++ b/sim/fleetreplica.go
@@ -22,13 +22,13 @@
 	Unreachable bool
 	Draining    bool
 	Failing     bool
-	// startedAt is when this instance started, previousInstance the id of the one before.
+	// startedAt is when this instance started, previousInstance the id of the previous one.
 	startedAt        time.Duration
 	previousInstance string
-	// CorruptOneIn: a line is corrupted in about one of so many; 0 means none.
+	// CorruptOneIn is the mean number of response lines per corrupted one; 0 means that none is corrupted.
 	CorruptOneIn    int
 	lastIncarnation uint64
-	// onCrash are called when the replica crashes: they reset the idle connections of nodes.
+	// onCrash contains functions that reset the idle connections of nodes. They are called when the replica crashes.
 	onCrash []func()
 	model   *replica.Replica
 	conns   map[string]*fleetConn
@@ -95,7 +95,7 @@
 	})
 }
 
-// corruptLine corrupts one line of some responses: the line is lost, has the number of the one before, or comes from another attempt or
+// corruptLine corrupts a random share of the lines: a line is lost, has the number of the previous one, or has the id of another attempt or
 // instance. It returns false if the line is lost. A response is complete only if all its lines are correct.
 func (r *FleetReplica) corruptLine(c *fleetConn, line *router.ResponseLine) bool {
 	if r.CorruptOneIn == 0 || r.w.auxRNG.IntN(r.CorruptOneIn) > 0 {
@@ -116,7 +116,7 @@
 	return true
 }
 
-// reportListing tells a random live node the platform's state of a replica, as soon as there is such a node.
+// reportListing reports the platform's state of a replica to a random live node. It retries each second until there is such a node.
 func (w *World) reportListing(name string, state router.ListingState) {
 	var live []*Node
 	for _, n := range w.Nodes {
--- a/sim/fleetrequest.go
+++ b/sim/fleetrequest.go
@@ -18,7 +18,7 @@
 	zone      string
 	resends   int
 	arrivedAt time.Duration
-	got       ledger.SendResult
+	result    ledger.SendResult
 	flow      router.RequestFlow
 	conn      *fleetConn
 	attempts  int
@@ -45,19 +45,19 @@
 func (w *World) submit(request workload.Request, zone string, resends int) {
 	n := w.pickReadyNode(zone)
 	f := &fleetRequest{w: w, n: n, request: request, zone: zone, resends: resends, arrivedAt: w.Now, flow: router.RequestFlow{Request: request.ID}}
-	f.got = ledger.SendResult{AtMs: w.Now.Milliseconds(), Request: request.ID, Class: request.Class.Name, Idempotent: request.Class.Repeatable}
+	f.result = ledger.SendResult{AtMs: w.Now.Milliseconds(), Request: request.ID, Class: request.Class.Name, Idempotent: request.Class.Repeatable}
 	if n == nil || !n.Alive {
 		f.end("lost")
 		return
 	}
-	f.got.Node = n.frontendID
+	f.result.Node = n.frontendID
 	w.After(w.Net.Delay(true), func() {
 		if !n.Alive {
 			f.end("lost")
 			return
 		}
 		n.runIfAlive(func() {
-			f.got.Node = n.frontendID
+			f.result.Node = n.frontendID
 			w.Report.Arrived++
 			if n.rejecting {
 				f.end(router.OutcomeRejected)
@@ -75,15 +75,15 @@
 	})
 }
 
-func (f *fleetRequest) hasOutput() bool { return len(f.got.Chunks) > 0 }
+func (f *fleetRequest) hasOutput() bool { return len(f.result.Chunks) > 0 }
 
 func (f *fleetRequest) end(outcome string) {
 	if f.finished {
 		return
 	}
 	f.finished = true
-	f.got.Outcome = outcome
-	f.w.Got = append(f.w.Got, f.got)
+	f.result.Outcome = outcome
+	f.w.Got = append(f.w.Got, f.result)
 	f.w.Report.addOutcome(f)
 	if f.w.Scenario.ResendLost && f.resends == 0 && !f.hasOutput() && (outcome == "lost" || outcome == router.OutcomeUnknown) {
 		f.w.After(time.Second, func() { f.w.submit(f.request, f.zone, 1) })
@@ -168,10 +168,10 @@
 	if l.Chunk == nil {
 		return
 	}
-	if f.got.FirstChunkMs == 0 {
-		f.got.FirstChunkMs = max((f.w.Now - f.arrivedAt).Milliseconds(), 1)
+	if f.result.FirstChunkMs == 0 {
+		f.result.FirstChunkMs = max((f.w.Now - f.arrivedAt).Milliseconds(), 1)
 	}
-	f.got.Chunks = append(f.got.Chunks, l.Text)
+	f.result.Chunks = append(f.result.Chunks, l.Text)
 }
 
 func (c *fleetConn) handleEvent(in router.ConnectionEvent) {
--- a/sim/fleetscenarios.go
+++ b/sim/fleetscenarios.go
@@ -10,8 +10,8 @@
 	"github.com/mallowbridge/mallowbridge/sim/workload"
 )
 
-// FleetScenario is a named set of faults for a fleet. With NoFailures every request must be served nevertheless. Adjust, if any, changes the
-// scenario before it is played.
+// FleetScenario is a named set of faults for a fleet. If NoFailures is set, every request must be served despite the faults. Adjust, if any,
+// changes the scenario before it is played.
 type FleetScenario struct {
 	Name       string
 	NoFailures bool
--- a/sim/instance.go
+++ b/sim/instance.go
@@ -28,7 +28,7 @@
 	endedAt       time.Duration
 	// crashed is set if the instance ended by a crash; the platform's list then contains it for crashListedFor longer.
 	crashed bool
-	// warmupFrom and warmupUntil are the newest warm-up.
+	// warmupFrom and warmupUntil are the start and the end of the newest warm-up.
 	warmupFrom  time.Duration
 	warmupUntil time.Duration
 	sockets     []*socket
@@ -39,7 +39,9 @@
 // requestArrival is when a request to an instance was sent and when it arrived.
 type requestArrival struct{ sent, at time.Duration }
 
-// responseCorruption corrupts one in oneIn responses; 0 means none. kind is cut, inside, junk, surplus, late, reset or silent.
+// responseCorruption corrupts on average one in oneIn responses; 0 means none. The response, by kind: "cut" ends with a reset in the middle,
+// "inside" ends in the middle of an event, with correct HTTP framing, "junk" is not HTTP, "reset" is a reset, "silent" never arrives, and
+// "surplus" and "late" are followed by a second response, "late" after up to 300 ms.
 type responseCorruption struct {
 	oneIn int
 	kind  string
@@ -50,7 +52,7 @@
 	never = time.Duration(1<<62 - 1)
 	// crashListedFor is how long the platform's list still contains a crashed instance.
 	crashListedFor = 1500 * time.Millisecond
-	// closeOneIn: one in so many responses asks for the connection to be closed.
+	// On average one in closeOneIn responses announces that its connection will be closed.
 	closeOneIn = 50
 )
 
@@ -89,7 +91,7 @@
 	return i.service.WarmupRate > 0 && i.s.w.Now < i.warmupUntil
 }
 
-// drain makes the list show the instance as draining; the instance then serves for 500 ms longer than it has to.
+// drain makes the list show the instance as draining; the instance serves for 500 ms longer than the rules require.
 func (i *Instance) drain() {
 	if !i.up || i.drainingSince != never {
 		return
@@ -109,7 +111,7 @@
 	i.engine.Stop()
 	i.s.addEngineCounters(i)
 	for _, k := range i.sockets {
-		k.markHarmed()
+		k.markReplicaFailed()
 		k.toNode.send(func() { k.receive(packet{reset: true}) })
 	}
 	i.sockets = nil
@@ -143,7 +145,8 @@
 	return h
 }
 
-// serve handles a request that arrived on a connection. An instance in warm-up that gets far too many requests in a second crashes.
+// serve handles a request that arrived on a connection. An instance in warm-up crashes if it gets more than three
+// times WarmupRate, plus warmupSlack, requests in a second.
 func (i *Instance) serve(k *socket, r *sentRequest) {
 	if !i.up || i.unreachable {
 		return
@@ -185,7 +188,7 @@
 	k.respond(packet{head: h, end: true})
 }
 
-// listRow is the instance's row in the platform's list of that time.
+// listRow is the instance's row in the platform's list as of the time at.
 func (i *Instance) listRow(at time.Duration) router.Instance {
 	r := router.Instance{
 		ID: i.ID, Service: i.service.Name, Addr: i.Addr, Zone: i.Zone, Model: shape.ModelName, WeightsRevision: "1", Capacity: i.service.Slots, Draining: i.drainingSince <= at,
@@ -196,7 +199,7 @@
 	return r
 }
 
-// listedAt reports whether the platform's list of that time contains the instance.
+// listedAt reports whether the platform's list as of the time at contains the instance.
 func (i *Instance) listedAt(at time.Duration) bool {
 	until := i.endedAt
 	if i.crashed && until != never {
--- a/sim/instancejob.go
+++ b/sim/instancejob.go
@@ -51,7 +51,7 @@
 // corrupt sends what a faulty replica sends instead of this packet, and reports whether that ends the response.
 func (i *Instance) corrupt(k *socket, j *engine.Job, kind string, p packet) bool {
 	w := i.s.w
-	k.markHarmed()
+	k.markReplicaFailed()
 	switch kind {
 	case "surplus", "late":
 		if !p.end {
--- a/sim/light/cluster.go
+++ b/sim/light/cluster.go
@@ -1,6 +1,6 @@
 // Package light simulates a fleet of lightweight nodes: it runs only their real state machines, without audits, faults or the rules that package
-// sim checks, so that hundreds of nodes fit into one process. Package capacity uses it to measure what control costs at several fleet sizes
-// (docs/CAPACITY.md). New makes a Cluster from a Plan, whose Meter is told about every message, step, probe and disk write.
+// sim checks, so that hundreds of nodes fit into one process. Package capacity uses it to measure the costs of the control plane at several fleet
+// sizes (docs/CAPACITY.md). New makes a Cluster from a Plan, whose Meter is called for every message, step, probe and disk write.
 package light
 
 import (
@@ -52,7 +52,7 @@
 	Encode, Decode time.Duration
 }
 
-// Meter is told what the nodes of a lightweight fleet do.
+// Meter records the activity of the nodes of a lightweight fleet.
 type Meter interface {
 	// Sent is called for each message from node to node.
 	Sent(t Transfer)
--- a/sim/marathon.go
+++ b/sim/marathon.go
@@ -13,7 +13,8 @@
 	faultsAtOnce = 3
 )
 
-// marathonKinds are the kinds of fault of a marathon by their targets.
+// marathonKinds are the kinds of fault of a marathon by their targets: core machines, other machines, the replicas of a service, or no particular
+// machine or service (plain).
 type marathonKinds struct {
 	onCore, onNodes, onReplicas, plain []string
 }
--- a/sim/network/net.go
+++ b/sim/network/net.go
@@ -27,12 +27,13 @@
 	LossRatio, DupRatio       float64
 	ZoneDelay, CrossZoneDelay time.Duration
 	Jitter                    time.Duration
-	Partitions                map[int]func(from, to string) bool
-	lastPartition             int
-	Messages                  uint64
-	Bytes                     uint64
-	CrossBytes                uint64
-	CrossBytesByKind          map[string]uint64
+	// Partitions contains, by number, functions that report whether messages from one address to another are blocked.
+	Partitions       map[int]func(from, to string) bool
+	lastPartition    int
+	Messages         uint64
+	Bytes            uint64
+	CrossBytes       uint64
+	CrossBytesByKind map[string]uint64
 }
 
 // New returns a network that loses nothing; seed determines its delays and losses.
@@ -61,10 +62,10 @@
 	return false
 }
 
-// Delay draws the one-way delay of a message, within a zone (near) or between two.
-func (n *Net) Delay(near bool) time.Duration {
+// Delay draws the random one-way delay of a message, within a zone or between two.
+func (n *Net) Delay(sameZone bool) time.Duration {
 	d := n.CrossZoneDelay
-	if near {
+	if sameZone {
 		d = n.ZoneDelay
 	}
 	return d + time.Duration(n.rng.Int64N(int64(n.Jitter)))
@@ -93,20 +94,20 @@
 
 // Deliver carries a message over the network. It returns the copies that arrive (none, one or two), as decoded from their frames, and the
 // delay of each. Bytes between zones are counted under the message's kind.
-func (n *Net) Deliver(from, to string, near bool, msg any, kind string) ([]any, []time.Duration) {
+func (n *Net) Deliver(from, to string, sameZone bool, msg any, kind string) ([]any, []time.Duration) {
 	received, size := n.roundTrip(from, to, msg)
 	n.Messages++
 	n.Bytes += uint64(size)
-	if !near {
+	if !sameZone {
 		n.CrossBytes += uint64(size)
 		n.CrossBytesByKind[kind] += uint64(size)
 	}
 	if n.Blocked(from, to) || n.rng.Float64() < n.LossRatio {
 		return nil, nil
 	}
-	copies, delays := []any{received}, []time.Duration{n.Delay(near)}
+	copies, delays := []any{received}, []time.Duration{n.Delay(sameZone)}
 	if n.rng.Float64() < n.DupRatio {
-		copies, delays = append(copies, received), append(delays, n.Delay(near)+50*time.Millisecond)
+		copies, delays = append(copies, received), append(delays, n.Delay(sameZone)+50*time.Millisecond)
 	}
 	return copies, delays
 }
--- a/sim/node.go
+++ b/sim/node.go
@@ -26,9 +26,9 @@
 	rejecting bool
 	// shuttingDown is set from the order to stop until the process ends.
 	shuttingDown bool
-	// shutdownAt is when the process was told to stop, if shuttingDown is set.
+	// shutdownAt is when the process received the order to stop, if shuttingDown is set.
 	shutdownAt time.Duration
-	// inbox contains what arrived while the node was frozen.
+	// inbox contains the handlers of events that arrived while the node was frozen.
 	inbox []func()
 	// incarnation is unique among all starts of all nodes; 0 while the process does not run.
 	incarnation uint64
@@ -182,7 +182,7 @@
 	n.tick()
 }
 
-// runIfAlive runs do if the process is alive; if it is frozen, after it thaws, unless it was killed in the meantime.
+// runIfAlive runs do if the process is alive. If the process is frozen, do runs after it thaws, unless it was killed in the meantime.
 func (n *Node) runIfAlive(do func()) {
 	incarnation := n.incarnation
 	wrapped := func() {
--- a/sim/nodeoutputs.go
+++ b/sim/nodeoutputs.go
@@ -8,7 +8,7 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// handleOutput carries out what a step of the control state machine asks for.
+// handleOutput performs the outputs of a step of the control state machine.
 func (n *Node) handleOutput(out control.Output) {
 	w := n.w
 	n.sendAll(out.Sends)
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -11,17 +11,17 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// operators send orders to random nodes and repeat each at other nodes until one gives a clear outcome.
+// operators send orders, which are operator requests, to random nodes and repeat each at other nodes until a response has a clear outcome.
 type operators struct {
 	s   *site
 	rng *rand.Rand
 	// lastRevision is the newest revision number used, lastOrder the number of the newest order id.
 	lastRevision uint64
 	lastOrder    int
-	// onNextAck is called once, right after the next acknowledgement, with the node that gave it.
+	// onNextAck is called once, right after the next acknowledgement, with the node that sent it.
 	onNextAck func(n *Node)
-	// gateDisabled lets nodes execute orders that were waiting in the socket while the node was frozen.
-	gateDisabled bool
+	// pauseGuardDisabled makes nodes execute orders that waited in the socket while the node was frozen.
+	pauseGuardDisabled bool
 	// inFlight counts the rapid changes that are not settled yet.
 	inFlight int
 	// ackLosses are the times in which responses to operators are lost.
@@ -87,7 +87,8 @@
 	o.call(d, 100*time.Millisecond)
 }
 
-// call sends the order to a random node, and again to another one after pause, or callTimeout without a response, until it is settled.
+// call sends the order to a random node. Until the order is settled, it is sent again: after pause if the node is down or the outcome is unclear,
+// after callTimeout if there is no response.
 func (o *operators) call(d *order, pause time.Duration) {
 	w := o.s.w
 	if d.settled {
@@ -113,13 +114,13 @@
 	}
 	sent := w.Now
 	w.After(clientDelay, func() {
-		if o.rejectedByGate(n) {
+		if o.rejectedByPauseGuard(n) {
 			d.unclear = true
 			return
 		}
 		w.Call(n, o.opFor(d), func(a control.Answer) {
-			late := w.Now-sent > callTimeout || call != d.calls
-			if o.callReturned(d, n, a, late) {
+			ignored := w.Now-sent > callTimeout || call != d.calls
+			if o.callReturned(d, n, a, ignored) {
 				retryAfter(pause)
 			}
 		})
@@ -127,15 +128,15 @@
 	retryAfter(callTimeout)
 }
 
-// callReturned handles the response to one call of an order, and reports whether the order must be sent again. A response after callTimeout has
-// no receiver any more.
-func (o *operators) callReturned(d *order, n *Node, a control.Answer, late bool) bool {
+// callReturned handles the response to one call of an order, and reports whether the order must be sent again. ignored is set
+// if the response came after callTimeout or after a newer call.
+func (o *operators) callReturned(d *order, n *Node, a control.Answer, ignored bool) bool {
 	result := outcomeOf(a.Err)
 	switch {
 	case o.losesAck():
 		d.unclear, d.responseLost = true, true
 		o.extendDeadline(d)
-	case d.settled || late:
+	case d.settled || ignored:
 		d.unclear = true
 	case result == unclear:
 		d.unclear = true
--- a/sim/predictions.go
+++ b/sim/predictions.go
@@ -12,7 +12,7 @@
 // maxPredictionTTL is the longest time for which a predicted prefix block may be counted on.
 const maxPredictionTTL = 2 * time.Second
 
-// predictionKey is a prefix block at a replica as seen by one frontend. instance is empty in predictions and on sites.
+// predictionKey is a prefix block at a replica, as predicted by one frontend. instance is empty in Audit.predictions and on sites.
 type predictionKey struct {
 	frontend, replica, instance string
 	block                       prefixindex.Key
@@ -78,7 +78,7 @@
 	}
 }
 
-// checkPrediction does the same for a request through the proxy, where a replica name is one incarnation.
+// checkPrediction checks the prediction for a request through the proxy, where each incarnation of a replica has its own name.
 func (t *proxyRequest) checkPrediction() {
 	a := t.n.w.Audit
 	keys, tokens := t.predictionKeys()
--- a/sim/proxyrequest.go
+++ b/sim/proxyrequest.go
@@ -14,7 +14,7 @@
 // real connections.
 type proxyRequest struct {
 	n *Node
-	// incarnation is the one of the node's process that handles the request.
+	// incarnation is that of the node's process that handles the request.
 	incarnation  uint64
 	attempt      *clientAttempt
 	exchange     proxy.Exchange
--- a/sim/replica/replica.go
+++ b/sim/replica/replica.go
@@ -64,11 +64,13 @@
 	// cachedNow is how many tokens are in the cache.
 	cachedNow      int
 	pendingPrompts []pendingPrompt
-	Running        map[string]bool
-	history        []sample
+	// Running contains the ids of the admitted attempts that have not been released.
+	Running map[string]bool
+	history []sample
 
 	Admitted, Rejected, WarmupOverloads uint64
-	CachedTokens, PrefixTokens          uint64
+	// PrefixTokens counts the tokens in the prefix blocks of admitted prompts, CachedTokens those of them that were cached.
+	CachedTokens, PrefixTokens uint64
 }
 
 // New returns an instance that started at now.
--- a/sim/report.go
+++ b/sim/report.go
@@ -47,12 +47,12 @@
 	}
 	counter := map[string]*int{
 		"done": &class.Done, "denied": &class.Rejected, "partial": &class.Partial, "unknown": &class.Unknown, "lost": &class.Lost, "repeat": &class.Repeated,
-	}[f.got.Outcome]
+	}[f.result.Outcome]
 	if counter != nil {
 		*counter++
 	}
-	if f.got.FirstChunkMs > 0 {
-		class.FirstTokenMs = append(class.FirstTokenMs, f.got.FirstChunkMs)
+	if f.result.FirstChunkMs > 0 {
+		class.FirstTokenMs = append(class.FirstTokenMs, f.result.FirstChunkMs)
 	}
 }
 
@@ -104,8 +104,8 @@
 		100*float64(r.ConfirmedTokens)/float64(max(r.PrefixTokens, 1)), 100*float64(r.PredictedTokens)/float64(max(r.PrefixTokens, 1)))
 	fmt.Fprintf(out, "control bytes %d, between zones %d\n", r.Bytes, r.CrossBytes)
 	fmt.Fprintf(out, "attempts excused only by a partition: %d\n", r.ExcusedAttempts)
-	for _, why := range sortedKeys(r.Reasons) {
-		fmt.Fprintf(out, "rejected because %s: %d\n", why, r.Reasons[why])
+	for _, reason := range sortedKeys(r.Reasons) {
+		fmt.Fprintf(out, "rejected because %s: %d\n", reason, r.Reasons[reason])
 	}
 }
 
--- a/sim/rules.go
+++ b/sim/rules.go
@@ -43,7 +43,7 @@
 	// requests and retries are the times of each service's requests and of the retries at its replicas.
 	requests map[string][]time.Duration
 	retries  map[string][]time.Duration
-	// versionFloors has the floor of each incarnation of a node.
+	// versionFloors contains the versionFloor of each incarnation of a node.
 	versionFloors map[uint64]versionFloor
 	// restored are the zones whose evacuation was ended with an acknowledgement and that were not evacuated again.
 	restored map[string]bool
@@ -62,8 +62,8 @@
 	}
 }
 
-func (r *rules) breach(what, who, format string, args ...any) {
-	r.s.w.Audit.breach(what, who, fmt.Sprintf(format, args...))
+func (r *rules) breach(kind, subject, format string, args ...any) {
+	r.s.w.Audit.breach(kind, subject, fmt.Sprintf(format, args...))
 }
 
 // attemptSubmitted counts a request for each service that may get it.
@@ -119,7 +119,8 @@
 	return n
 }
 
-// checkRetryBudget limits retries to a ratio of the requests in this window, the previous one or the one half a window ago, whichever has most.
+// checkRetryBudget limits retries to a ratio of the requests in this window, the previous one or the one half a window ago, whichever has the
+// most requests.
 func (r *rules) checkRetryBudget(service string) {
 	now := r.s.w.Now
 	r.retries[service] = append(r.retries[service], now)
@@ -185,13 +186,13 @@
 func (r *rules) attemptEnded(c *clientAttempt, outcome string) {
 	r.s.report.Outcomes[outcome]++
 	if c.fault != "" {
-		what := RuleMixedResponses
+		rule := RuleMixedResponses
 		if c.request.class.Streaming {
-			what = RuleBrokenStream
+			rule = RuleBrokenStream
 		}
-		r.breach(what, c.id, "%s, from %s", c.fault, c.node.Name)
+		r.breach(rule, c.id, "%s, from %s", c.fault, c.node.Name)
 	}
-	if outcome != "cut" || !c.accepted || c.harmed {
+	if outcome != "cut" || !c.accepted || c.replicaFailed {
 		return
 	}
 	now := r.s.w.Now
--- a/sim/rulesconfig.go
+++ b/sim/rulesconfig.go
@@ -8,7 +8,7 @@
 
 // version is one configuration that operators sent. It may be in force from then on, unless it was rejected.
 type version struct {
-	// revision is the operators' number of it, base that of the configuration it was made from.
+	// revision is the number that the operators gave the configuration, base the revision of the configuration that it was made from.
 	revision uint64
 	doc      config.Config
 	raw      []byte
@@ -19,13 +19,14 @@
 	ackedAt time.Duration
 	// rejected is set if the configuration must not come into force: it is invalid, or it was clearly rejected.
 	rejected bool
-	// wasInForce is set if the configuration was in force at some time; reportedRejected if an operator was told that another one is.
+	// wasInForce is set if the configuration was in force at some time, reportedRejected if a node rejected it although it is valid.
 	wasInForce, reportedRejected bool
 	// routes caches the route for each path, nil if there is none.
 	routes map[string]*config.Route
 }
 
-// versionFloor is the newest revision that one incarnation of a node has certainly applied, it or a later one, and when it was first seen to.
+// versionFloor is a lower bound of the revision that one incarnation of a node applies. at is when the node was first seen to apply it or a later
+// one.
 type versionFloor struct {
 	revision uint64
 	at       time.Duration
@@ -74,8 +75,8 @@
 	return names
 }
 
-// dueRevision returns the revision that a request sent at a time must be handled with, or with a later one, if nodes must apply a version
-// within a time after its acknowledgement.
+// dueRevision returns the oldest revision with which a request that was sent at the given time may be handled, if nodes must apply a version
+// within the given time after its acknowledgement.
 func (r *rules) dueRevision(sent, within time.Duration) uint64 {
 	var revision uint64
 	for _, v := range r.versions {
@@ -86,11 +87,11 @@
 	return revision
 }
 
-// versionRange has the oldest and the newest version that explain what a node did, nil if none does. rejected is set if a configuration that
-// must not be in force explains it.
+// versionRange contains the oldest and the newest version that explain how a node handled an attempt, nil if none does. rejected is set if a
+// configuration that must not be in force explains it.
 type versionRange struct {
-	least, latest *version
-	rejected      bool
+	oldest, newest *version
+	rejected       bool
 }
 
 // versionsWhere returns the range of versions for which the test holds.
@@ -104,17 +105,17 @@
 			found.rejected = true
 			continue
 		}
-		if found.least == nil || v.revision < found.least.revision {
-			found.least = v
+		if found.oldest == nil || v.revision < found.oldest.revision {
+			found.oldest = v
 		}
-		if found.latest == nil || v.revision > found.latest.revision {
-			found.latest = v
+		if found.newest == nil || v.revision > found.newest.revision {
+			found.newest = v
 		}
 	}
 	return found
 }
 
-// checkRoute checks that a configuration that may be in force routes the request to the instance's service and allows that many attempts.
+// checkRoute checks that a configuration that may be in force routes the request to the instance's service and allows the number of its attempts.
 func (r *rules) checkRoute(i *Instance, q *sentRequest) {
 	c := q.client
 	maxAttempts := 0
@@ -125,12 +126,12 @@
 		}
 		return route != nil
 	})
-	if versions.latest == nil {
-		what := RuleNoRoute
+	if versions.newest == nil {
+		rule := RuleNoRoute
 		if versions.rejected {
-			what = RuleInvalidAccepted
+			rule = RuleInvalidAccepted
 		}
-		r.breach(what, c.path, "%s arrived at %s from %s", c.id, i.service.Name, q.node.Name)
+		r.breach(rule, c.path, "%s arrived at %s from %s", c.id, i.service.Name, q.node.Name)
 		return
 	}
 	if c.sends > maxAttempts {
@@ -140,7 +141,7 @@
 	r.checkApplied(q.node, c, versions, applyBound{bound, binding})
 }
 
-// applyBound is within what time after its acknowledgement a version must be applied; it counts only if binding is set.
+// applyBound bounds the time between the acknowledgement of a version and its application. within has no meaning unless binding is set.
 type applyBound struct {
 	within  time.Duration
 	binding bool
@@ -149,19 +150,19 @@
 // checkApplied compares the versions that explain how a node handled an attempt with the one that it must apply and with those that it applied
 // before.
 func (r *rules) checkApplied(n *Node, c *clientAttempt, versions versionRange, bound applyBound) {
-	if due := r.dueRevision(c.sent, bound.within); bound.binding && versions.latest.revision < due {
-		r.breach(RuleConfigNotApplied, c.path, "%s handled by %s as in revision %d, %d must be applied", c.id, n.Name, versions.latest.revision, due)
+	if due := r.dueRevision(c.sent, bound.within); bound.binding && versions.newest.revision < due {
+		r.breach(RuleConfigNotApplied, c.path, "%s handled by %s as in revision %d, %d must be applied", c.id, n.Name, versions.newest.revision, due)
 	}
 	slack := oldVersionSlack
 	if !r.undisturbed(n.Name, c.sent, r.s.w.Now) {
 		slack *= 8
 	}
 	f := r.versionFloors[n.incarnation]
-	if versions.latest.revision < f.revision && c.sent > f.at+slack {
-		r.breach(RuleConfigWentBack, c.path, "%s handled by %s as in revision %d, after revision %d", c.id, n.Name, versions.latest.revision, f.revision)
+	if versions.newest.revision < f.revision && c.sent > f.at+slack {
+		r.breach(RuleConfigWentBack, c.path, "%s handled by %s as in revision %d, after revision %d", c.id, n.Name, versions.newest.revision, f.revision)
 	}
-	if versions.least.revision > f.revision {
-		r.versionFloors[n.incarnation] = versionFloor{revision: versions.least.revision, at: r.s.w.Now}
+	if versions.oldest.revision > f.revision {
+		r.versionFloors[n.incarnation] = versionFloor{revision: versions.oldest.revision, at: r.s.w.Now}
 	}
 }
 
@@ -170,7 +171,7 @@
 	versions := r.versionsWhere(func(v *version) bool { return v.route(c.path) == nil })
 	q := &sentRequest{node: n, sent: r.s.w.Now, inTouch: r.inTouch(n, r.s.w.Now)}
 	bound, binding := r.applyBoundFor(n, q, r.s.spec.Bounds.Apply)
-	if versions.latest == nil {
+	if versions.newest == nil {
 		if binding && r.dueRevision(c.sent, bound) > 0 {
 			r.breach(RuleWronglyRejected, c.path, "%s rejected by %s, though every version has the route", c.id, n.Name)
 		}
--- a/sim/shape/shape.go
+++ b/sim/shape/shape.go
@@ -73,7 +73,7 @@
 // ByName returns the shape of that name.
 func ByName(name string) (Shape, bool) { return Scaled(name, 1) }
 
-// plan contains what the shapes differ in. disks is how many nodes have a disk, the first ones; crossCost is the penalty for routing to another zone.
+// plan contains the differences between the shapes. disks is how many nodes have a disk, the first ones; crossCost is the penalty for routing to another zone.
 type plan struct {
 	name, service  string
 	nodes, disks   int
--- a/sim/site.go
+++ b/sim/site.go
@@ -20,7 +20,7 @@
 	// instanceAt has the newest instance at each address.
 	instanceAt map[string]*Instance
 	instances  []*Instance
-	// lastInstanceID numbers instances and new addresses.
+	// lastInstanceID is the last number used in an instance's id or a new address.
 	lastInstanceID int
 	// seeds are the seed addresses that nodes get at their start; while bootstrapping is set, nodes may bootstrap a new fleet.
 	seeds         []string
@@ -111,8 +111,8 @@
 	s.w.After(time.Second, s.pollReadiness)
 }
 
-// pollZone returns the nodes of a zone that receive clients: those that did not miss two polls in a row. If these are some, but less than
-// half of the zone's nodes, all its nodes receive clients.
+// pollZone returns the nodes of a zone that receive clients: those that did not miss two polls in a row. If there are
+// such nodes, but fewer than half of the zone's nodes, all nodes of the zone receive clients.
 func (s *site) pollZone(zone string) []*Node {
 	var ready, all []*Node
 	for _, n := range s.w.Nodes {
--- a/sim/sitefaults.go
+++ b/sim/sitefaults.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// injectOrderFault makes the operators do what a fault says; it returns false for faults of other kinds.
+// injectOrderFault starts a fault that consists of operator requests or concerns them. It returns false for faults of other kinds.
 func (s *site) injectOrderFault(f Fault) bool {
 	now := s.w.Now
 	switch f.Kind {
@@ -149,7 +149,7 @@
 	n.start()
 }
 
-// replaceMachine replaces a machine by an empty one at another address, and some time later tells the nodes the new seeds.
+// replaceMachine replaces a machine by an empty one at another address, which starts after d, and then updates the seeds.
 func (s *site) replaceMachine(old *Node, d time.Duration) {
 	w := s.w
 	if old.removed {
@@ -172,7 +172,7 @@
 	return added
 }
 
-// updateSeeds tells the nodes the address of a successor seedLag after its start.
+// updateSeeds passes the seeds with the address of a successor to all nodes, seedLag after the successor's start, which is after d.
 func (s *site) updateSeeds(old, added *Node, d time.Duration) {
 	w := s.w
 	w.After(d+seedLag, func() {
@@ -227,14 +227,14 @@
 		switch {
 		case n.incarnation != incarnation:
 			return
-		case w.Now-from > schedule.ExitAfter(), hasLeft && len(n.requests) == 0:
+		case w.Now-from > shutdownSchedule.ExitAfter(), hasLeft && len(n.requests) == 0:
 			n.kill()
 			if !n.removed {
 				w.After(300*time.Millisecond, n.start)
 			}
 			w.After(restartPause, func() { s.rollingRestart(ns[1:]) })
 			return
-		case !hasLeft && w.Now-from > schedule.LeaveAfter():
+		case !hasLeft && w.Now-from > shutdownSchedule.LeaveAfter():
 			hasLeft = true
 			w.Call(n, control.Leave{}, func(control.Answer) {})
 		}
--- a/sim/sitenode.go
+++ b/sim/sitenode.go
@@ -24,12 +24,12 @@
 	n.acceptQueue = append(n.acceptQueue, do)
 }
 
-// schedule is the shutdown schedule of a site's processes.
-var schedule = proxy.ShutdownSchedule{Grace: shutdownGrace}
+// shutdownSchedule is the shutdown schedule of a site's processes.
+var shutdownSchedule = proxy.ShutdownSchedule{Grace: shutdownGrace}
 
-// takeAttempt starts a client's request, or rejects it as a proxy does that is shutting down.
-func (n *Node) takeAttempt(c *clientAttempt) {
-	if !n.shuttingDown || schedule.Admits(n.w.Now-n.shutdownAt, c.timeout) {
+// handleAttempt starts a client's request, or rejects it as a proxy does that is shutting down.
+func (n *Node) handleAttempt(c *clientAttempt) {
+	if !n.shuttingDown || shutdownSchedule.Admits(n.w.Now-n.shutdownAt, c.timeout) {
 		c.proxied = n.startProxyRequest(c)
 		return
 	}
--- a/sim/siteorders.go
+++ b/sim/siteorders.go
@@ -18,7 +18,7 @@
 const (
 	// maxInFlight is how many unsettled rapid changes there may be.
 	maxInFlight = 8
-	// probeEvery: of the rapid changes, one in so many is probed with requests.
+	// One in probeEvery rapid changes is followed by configuration probes.
 	probeEvery = 10
 	// resendFor is how long an order is repeated after a response to it was lost.
 	resendFor = 25 * time.Second
@@ -36,7 +36,7 @@
 	return false
 }
 
-// extendDeadline makes an order whose response was lost be repeated for longer.
+// extendDeadline extends the time for which an order is repeated, because a response to it was lost.
 func (*operators) extendDeadline(d *order) {
 	if !d.untilAcked {
 		d.giveUpAt = max(d.giveUpAt, d.sentAt+resendFor)
@@ -52,9 +52,9 @@
 	return d.op
 }
 
-// rejectedByGate reports whether an order arrives at a frozen node. The daemon's gate executes no operator request that waited while the node was
-// frozen. The operator may not learn of the rejection, so that the outcome is unclear to it.
-func (o *operators) rejectedByGate(n *Node) bool { return n.frozen && !o.gateDisabled }
+// rejectedByPauseGuard reports whether an order arrives at a frozen node. The PauseGuard of the daemon rejects operator requests that waited while
+// the process was paused. The operator may not receive the rejection, so that the outcome is unclear to it.
+func (o *operators) rejectedByPauseGuard(n *Node) bool { return n.frozen && !o.pauseGuardDisabled }
 
 // base returns the newest version that operators know to be or have been in force.
 func (o *operators) base() *version {
@@ -67,7 +67,7 @@
 	return v
 }
 
-// markInForce records that a version was in force, which one that was reported as rejected must never be.
+// markInForce records that a version was in force. A version that was reported as rejected must never be in force.
 func (o *operators) markInForce(v *version) {
 	v.wasInForce = true
 	if v.reportedRejected {
@@ -75,21 +75,21 @@
 	}
 }
 
-// checkRejection checks the rejection of a valid change: it must not have been accepted, and another change must at least possibly have been.
+// checkRejection checks the rejection of a valid change: the change must not have been accepted, and another one may have been accepted.
 func (o *operators) checkRejection(d *order, n *Node) {
 	v := d.version
 	v.reportedRejected = true
 	switch {
 	case v.wasInForce || v.ackedAt > 0:
 		o.s.rules.breach(RuleAcceptedRejected, fmt.Sprint(v.revision), "rejected by %s, though it was in force", n.Name)
-	case !o.hasRival(d):
+	case !o.hasCompetingChange(d):
 		o.s.rules.breach(RuleNeedlessRejection, fmt.Sprint(v.revision), "rejected by %s, on top of %d", n.Name, d.baseRevision)
 	}
 	o.readFromRejecting(n)
 }
 
-// hasRival reports whether another change may have been accepted on top of the order's base or of a later revision.
-func (o *operators) hasRival(d *order) bool {
+// hasCompetingChange reports whether another change may have been accepted on top of the order's base or of a later revision.
+func (o *operators) hasCompetingChange(d *order) bool {
 	for _, other := range o.s.rules.versions {
 		if other != d.version && !other.invalid && other.revision > d.baseRevision && other.base >= d.baseRevision && (!other.reportedRejected || other.wasInForce) {
 			return true
--- a/sim/sitepartitions.go
+++ b/sim/sitepartitions.go
@@ -32,12 +32,12 @@
 	ReadConfig = "configuration is read"
 	// EvacuateRepeatedly evacuates a zone and ends the evacuation again and again.
 	EvacuateRepeatedly = "evacuated by turns"
-	// AnyCore stands for one random core machine, and AllCore for as many as may still be lost.
+	// AnyCore is replaced by the name of one random core machine, AllCore by the names of as many as may still be lost.
 	AnyCore = "any core machine"
 	AllCore = "as many core machines as may be lost"
 )
 
-// coreFaultRetry is how long a fault waits that would exceed the fault tolerance.
+// coreFaultRetry is the delay after which a fault that would exceed the fault tolerance is tried again.
 const coreFaultRetry = 200 * time.Millisecond
 
 // isCore reports whether a machine belongs to the core, whose losses are bounded.
@@ -70,8 +70,8 @@
 	return lost, healthy
 }
 
-// deferCoreFault chooses the machines of a fault on AnyCore or AllCore. If as many are lost as the site tolerates, it schedules the fault anew
-// and returns true.
+// deferCoreFault chooses the machines of a fault on AnyCore or AllCore. If the site tolerates no further loss of core machines, it schedules the
+// fault anew and returns true.
 func (s *site) deferCoreFault(f *Fault) bool {
 	if len(f.On) != 1 || f.On[0] != AnyCore && f.On[0] != AllCore {
 		return false
@@ -124,7 +124,7 @@
 	s.w.After(d, func() { s.restartFromDisk(n, func() { n.Disk.Restore(old) }) })
 }
 
-// restartFromDisk kills a machine and starts it again with a restored disk. If as many core machines are lost as the site tolerates, it waits.
+// restartFromDisk kills a machine and starts it again with a restored disk. It waits while the site tolerates no further loss of core machines.
 func (s *site) restartFromDisk(n *Node, restore func()) {
 	if !n.Alive || n.removed {
 		return
@@ -157,13 +157,13 @@
 // freezeReplica freezes a replica. Connections on which data waits for longer than tcpUserTimeout break.
 func (s *site) freezeReplica(i *Instance, d time.Duration) {
 	for _, k := range i.sockets {
-		k.markHarmed()
+		k.markReplicaFailed()
 	}
 	i.unreachable = true
 	s.w.After(d, func() { i.unreachable = false })
 }
 
-// applyOperatorFault makes operators or their connections behave as a fault says.
+// applyOperatorFault starts a fault of the operators' requests or of the responses to them.
 func (o *operators) applyOperatorFault(f Fault) {
 	now := o.s.w.Now
 	until := now + f.For
--- a/sim/sitepartitions_test.go
+++ b/sim/sitepartitions_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestRestoredDisksRespectFaultTolerance checks that a disk is restored later if as many core machines are lost as the site tolerates.
+// TestRestoredDisksRespectFaultTolerance checks that a disk is restored later if the site tolerates no further loss of core machines.
 func TestRestoredDisksRespectFaultTolerance(t *testing.T) {
 	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{TramitesSite()}[0]})
 	w.Boot()
--- a/sim/sitereplicas.go
+++ b/sim/sitereplicas.go
@@ -88,7 +88,7 @@
 // crashInstance crashes an instance, or makes it unreachable first, and starts another one at its address when the fault ends.
 func (s *site) crashInstance(i *Instance, f Fault) {
 	for _, k := range i.sockets {
-		k.markHarmed()
+		k.markReplicaFailed()
 	}
 	relaunch := func() {
 		if s.instanceAt[i.Addr] == i {
--- a/sim/sitereport.go
+++ b/sim/sitereport.go
@@ -10,7 +10,8 @@
 	"github.com/mallowbridge/mallowbridge/router"
 )
 
-// ClassReport counts the requests of one class. FirstEventMs are times to the first event in milliseconds.
+// ClassReport counts the requests of one class. InTime counts the served requests whose first event and longest gap were within the class's
+// targets. FirstEventMs are times to the first event in milliseconds.
 type ClassReport struct {
 	Requests, Served, InTime int
 	FirstEventMs             []int64
@@ -53,7 +54,7 @@
 	r.ReplicaAdmitted, r.ReplicaRejected, r.Preempted = r.ReplicaAdmitted+engine.Admitted, r.ReplicaRejected+engine.Rejected, r.Preempted+engine.Preempted
 }
 
-// end counts a request that ended, unless it was a configuration probe.
+// countRequest counts a request that ended, unless it was a configuration probe.
 func (r *SiteReport) countRequest(q *clientRequest) {
 	if q.class.Name == "look" {
 		return
--- a/sim/sitescenarios.go
+++ b/sim/sitescenarios.go
@@ -14,7 +14,7 @@
 	Faults    func(s SiteSpec, rng *rand.Rand) []Fault
 	// Duration is the length of the run before ClosingFaults; scenarioLasts if 0.
 	Duration time.Duration
-	// ClosingFaults, if any, returns faults that begin right after the last acknowledgement of a change; acked is the node that gave it.
+	// ClosingFaults, if any, returns faults that begin right after the last acknowledgement of a change; acked is the node that sent it.
 	ClosingFaults func(s SiteSpec, rng *rand.Rand, acked string) []Fault
 	// LossRatio is the share of messages between nodes that are lost.
 	LossRatio float64
@@ -83,7 +83,7 @@
 	return func(SiteSpec, *rand.Rand) []Fault { return fs }
 }
 
-// repeatedFault is a fault of one kind that is repeated, each gap after the one before. Each affects a number of random victims out of names.
+// repeatedFault is a fault of one kind that begins times times, a gap apart. Each time it affects a number of random victims out of names.
 type repeatedFault struct {
 	kind          string
 	times         int
--- a/sim/siteshape.go
+++ b/sim/siteshape.go
@@ -60,13 +60,13 @@
 
 // Times and limits that are the same on all sites.
 const (
-	// seedLag is how long after a machine's replacement nodes are told the new seeds.
+	// seedLag is how long after the replacement of a machine nodes receive the new seeds.
 	seedLag = 3 * time.Second
 	// addressReuseAfter is how long an address stays unused after its instance ended.
 	addressReuseAfter = 2 * time.Second
-	// shutdownGrace is the grace period of a process that is told to stop.
+	// shutdownGrace is the grace period of a process after the order to stop.
 	shutdownGrace = 8 * time.Second
-	// excusedFor: a response lost in the second half of the grace period is excused if the client sent the request at most this long after SIGTERM.
+	// A response lost in the second half of the grace period is excused if the client sent the request at most excusedFor after SIGTERM.
 	excusedFor = 3 * time.Second
 	// oldVersionSlack is how long after a node first applied a version requests that clients send to it may still be handled with an older
 	// one; eight times that if the node is disturbed.
@@ -103,7 +103,7 @@
 	return ServiceSpec{Name: name, Replicas: replicas, MaxConns: 130, Slowdowns: []float64{1}, Spec: engine.Spec{Slots: 6, QueueLimit: 24}}
 }
 
-// siteTraffic is what the sites' traffic differs in: the two services, the names of two streaming classes and of the plain one, the factor for
+// siteTraffic contains the differences between the sites' traffic: the two services, the names of two streaming classes and of the plain one, the factor for
 // all rates, and the latency target, mean work time and deadline of the plain class.
 type siteTraffic struct {
 	llm, plain             string
--- a/sim/socket.go
+++ b/sim/socket.go
@@ -102,7 +102,7 @@
 	n           *Node
 	incarnation uint64
 	to          *Instance
-	// instance is the one to which the node connected, as the node knows it.
+	// instance is the id of the instance that the node meant to connect to; a newer instance may run at the address.
 	instance string
 	// proxied is the request that uses the connection, attempt the id of the last one that did.
 	proxied           *proxyRequest
@@ -155,10 +155,10 @@
 	})
 }
 
-// markHarmed records that the replica, not a node, breaks off the response.
-func (k *socket) markHarmed() {
+// markReplicaFailed records that the replica, not a node, broke the response.
+func (k *socket) markReplicaFailed() {
 	if k.proxied != nil {
-		k.proxied.attempt.harmed = true
+		k.proxied.attempt.replicaFailed = true
 	}
 }
 
@@ -177,8 +177,8 @@
 	open int
 }
 
-// get returns an idle connection that is usable and that the attempt did not use before. Without one, it returns nil and counts a new connection
-// as open; or it returns true if maxConns connections are open already.
+// get returns an idle connection that is usable and that the attempt did not use before. Without one, it returns nil: the second result
+// is true if maxConns connections are open already, otherwise a new connection is counted as open.
 func (p pool) get(now time.Duration, instance, attempt string, maxConns int) (*socket, bool) {
 	entry := p[instance]
 	if entry == nil {
--- a/sim/upgrade.go
+++ b/sim/upgrade.go
@@ -6,7 +6,7 @@
 	"github.com/mallowbridge/mallowbridge/control"
 )
 
-// Times of a rolling upgrade, as the daemon has them: rejectAfterRetire after it is told to stop, a node rejects requests; it leaves the
+// Times of a rolling upgrade, as the daemon has them: rejectAfterRetire after the order to stop, a node rejects requests; it leaves the
 // membership when all requests are sent, or unsentTimeout later; and it ends when all requests are done, or after maxDrain. The next node follows
 // upgradePause after the node serves again. Progress is checked every drainPoll.
 const (
--- a/sim/watcher.go
+++ b/sim/watcher.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// connect tries to connect, and again after a growing pause.
+// connect tries to connect. After a failure, it tries again after retryAfter, which doubles each time.
 func (e *watcher) connect(retryAfter time.Duration) {
 	n, r := e.n, e.r
 	retry := func() { e.connect(min(2*retryAfter, maxWatchRetry)) }
@@ -75,7 +75,8 @@
 	n.later(2*n.w.Net.Delay(n.Zone == r.Zone), func() { n.step(change) })
 }
 
-// watchConnection waits for the end of a replica's incarnation: its reset arrives at once, or keep-alive notices it if a partition blocks that.
+// watchConnection makes the node notice the end of the replica's incarnation: at once by a reset or, if a partition blocks the reset, by
+// keep-alive.
 func (e *watcher) watchConnection(incarnation uint64) {
 	n, r := e.n, e.r
 	e.timerSeq++
--- a/sim/world.go
+++ b/sim/world.go
@@ -61,9 +61,9 @@
 	replicasByAddr map[string]*FleetReplica
 	// auxRNG is a second generator for choices that must not shift the sequence of rng.
 	auxRNG *rand.Rand
-	// onControlChange, if any, is called for each change that a node logs.
+	// onControlChange, if any, is called for each change that a node reports.
 	onControlChange func(n *Node, what control.ChangeKind)
-	// Ran and Got are the ledgers of what replicas ran and clients got.
+	// Ran contains what replicas ran, Got what clients received, for package ledger.
 	Ran    []ledger.RunEvent
 	Got    []ledger.SendResult
 	Audit  *Audit
--- a/sim/worst_test.go
+++ b/sim/worst_test.go
@@ -10,14 +10,14 @@
 	"github.com/mallowbridge/mallowbridge/register"
 )
 
-// maxFewSeeds: up to this many seeds, each scenario is played at one site per seed, in turn; with more seeds at all sites.
+// With more than maxFewSeeds seeds, each scenario is played at all sites for each seed, otherwise at one site per seed, in turn.
 const maxFewSeeds = 2
 
 func TestWorstScenarios(t *testing.T) { playAll(t, WorstScenarios()) }
 
 func TestMarathon(t *testing.T) { playAll(t, []SiteScenario{Marathon()}) }
 
-// sitesForSeed returns all sites, or one in turn if only a few seeds are played.
+// sitesForSeed returns all sites, or one in turn if at most maxFewSeeds seeds are played.
 func sitesForSeed(sites []SiteSpec, turn uint64) []SiteSpec {
 	if *seeds > maxFewSeeds {
 		return sites
@@ -99,18 +99,18 @@
 	return o
 }
 
-// wantBreach checks that there is exactly one breach, of that kind, or none if what is empty.
-func wantBreach(t *testing.T, w *World, what string) {
+// wantBreach checks that there is exactly one breach, of the given kind, or none if kind is empty.
+func wantBreach(t *testing.T, w *World, kind string) {
 	t.Helper()
 	var got []string
 	for _, b := range w.Audit.Breaches {
 		got = append(got, fmt.Sprint(b))
 	}
 	switch {
-	case what == "" && len(got) > 0:
-		t.Errorf("breaches: %v", got)
-	case what != "" && (len(got) != 1 || !strings.HasPrefix(got[0], what)):
-		t.Errorf("breaches %v, want one of %q", got, what)
+	case kind == "" && len(got) > 0:
+		t.Errorf("breaches: %v, want none", got)
+	case kind != "" && (len(got) != 1 || !strings.HasPrefix(got[0], kind)):
+		t.Errorf("breaches %v, want one of %q", got, kind)
 	}
 }
 
@@ -158,9 +158,9 @@
 
 func TestCheckerDetectsRevisionAppliedTwice(t *testing.T) {
 	w := newOperatorWorld(t)
-	twin := &version{revision: 5, base: 3, doc: w.sent.doc, raw: []byte("twin")}
-	w.site.rules.versionSent(twin)
-	w.site.operators.settle(&order{version: twin, baseRevision: 3}, w.Nodes[0], acknowledged)
+	duplicate := &version{revision: 5, base: 3, doc: w.sent.doc, raw: []byte("twin")}
+	w.site.rules.versionSent(duplicate)
+	w.site.operators.settle(&order{version: duplicate, baseRevision: 3}, w.Nodes[0], acknowledged)
 	if len(w.Audit.Breaches) == 0 {
 		t.Error("the acceptance of two changes of one revision was not detected")
 	}
@@ -178,7 +178,7 @@
 	wantBreach(t, w.World, RuleOrderLost)
 }
 
-// TestCoreFaultsRespectFaultTolerance checks that a fault of core machines waits while as many are lost as the site tolerates.
+// TestCoreFaultsRespectFaultTolerance checks that a fault of core machines waits while the site tolerates no further loss.
 func TestCoreFaultsRespectFaultTolerance(t *testing.T) {
 	w := New(Scenario{Seed: 1, Site: &[]SiteSpec{GrownAtlasSite(FewMachines)}[0]})
 	for _, n := range w.Nodes {
