--- a/sim/engine/engine.go
+++ b/sim/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine models a language model replica with continuous batching, as the users' platform runs them: prompts are prefilled in chunks
 // between the decode steps of other requests, running requests and cached prefix blocks share the KV cache memory, and requests of the lowest
-// priority are preempted when memory runs out. New makes an Engine from a Spec, and Submit gives it a Job. An Engine runs on the virtual time
+// priority are preempted when memory runs out. New makes an Engine from a Spec, and Submit submits a Job to it. An Engine runs on the virtual time
 // of an eventqueue.Queue and is owned by one goroutine.
 package engine
 
--- a/sim/node.go
+++ b/sim/node.go
@@ -64,7 +64,7 @@
 	// accepting is set once the process accepts connections; until then they wait in acceptQueue.
 	accepting   bool
 	acceptQueue []func()
-	// removed is set if the machine was replaced for good.
+	// removed is set if the machine was permanently replaced by another one.
 	removed bool
 }
 
--- a/sim/ordersettle.go
+++ b/sim/ordersettle.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// ackOwed reports whether the order should have been acknowledged: it is valid, no other change overtook it, and no response to it was lost.
+// ackOwed reports whether the order must have been acknowledged, because it is valid, no other change overtook it, and no response to it was lost.
 func (o *operators) ackOwed(d *order) bool {
 	if d.untilAcked || d.responseLost {
 		return false
--- a/sim/sitepartitions.go
+++ b/sim/sitepartitions.go
@@ -16,7 +16,7 @@
 	PartitionIn = "cut, gets nothing"
 	// StaleDisk restarts machines with their disks as they were For before.
 	StaleDisk = "disk restored from before"
-	// ReplaceMachine starts an empty machine, and after For stops the one that it replaces for good.
+	// ReplaceMachine starts an empty machine and, after For, permanently stops the machine that it replaces.
 	ReplaceMachine = "planned replacement"
 	// ReplicaFreeze freezes replicas of a service, which then go on with the data that arrived in the meantime.
 	ReplicaFreeze = "replica freezes"
